--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.fleet.fleetfile import Fleet, Member, Planner, Site, Vault
-from birchslip.fleet.mind import Mind
-from birchslip.fleet.records import Incarnation, Report, decode, encode
-from birchslip.fleet.vote import Ballot, Durable
+from birchslip.cluster.election import DurableVote, Election
+from birchslip.cluster.fleet_file import Fleet, Member, Planner, Site, Vault
+from birchslip.cluster.messages import Incarnation, MemberReport, decode, encode
+from birchslip.cluster.planner_state import PlannerState
 
 SECOND = 10_000
 
@@ -33,9 +33,9 @@
     return statistics.median(found)
 
 
-def report(name: str, site: str, number: int) -> Report:
+def report(name: str, site: str, number: int) -> MemberReport:
     load = {f"t{n}": 5.0 for n in range(8)}
-    return Report(
+    return MemberReport(
         name=name,
         site=site,
         incarnation=Incarnation(mark=1),
@@ -80,8 +80,8 @@
             vault=Vault(total=float(members)),
             tenants={f"t{n}": 0.125 for n in range(8)},
         )
-        ballot = Ballot("p0", ["p0"], Durable(), 1, 0, random.Random(1))
-        mind = Mind(fleet, ballot, 0)
+        ballot = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
+        mind = PlannerState(fleet, ballot, 0)
         now = 3 * SECOND
         names = [(member.name, site.name) for site in told for member in site.members]
         for step in range(8):
@@ -101,7 +101,7 @@
         raws = [encode(report(name, site, 100)) for name, site in names[:500]]
         began = time.perf_counter()
         for raw in raws:
-            encode(mind.hear(decode(raw, Report), now))
+            encode(mind.hear(decode(raw, MemberReport), now))
         each = (time.perf_counter() - began) / len(raws) * 1e6
         scale = planned / (members * log2(members)) * 1e3
         print(f"{members:7} {planned:8.2f} {scale:12.3f} {looked:8.2f} {each:10.0f}")
--- a/benchmarks/keep_engines.py
+++ b/benchmarks/keep_engines.py
@@ -15,11 +15,11 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.interface import Outcome
-from birchslip.keep.files import Files
-from birchslip.keep.form import FILE, Entry, Kind, encode
-from birchslip.keep.ledger import Ledger
-from birchslip.keep.recovery import recover
+from birchslip.admission.types import Outcome
+from birchslip.idempotency.files import Files
+from birchslip.idempotency.record_format import FILE, RecordKind, ResultRecord, encode
+from birchslip.idempotency.recovery import recover
+from birchslip.idempotency.retention_budget import RetentionBudget
 
 NOW, WINDOW = time.time_ns() // 100_000, 170_000
 
@@ -28,9 +28,15 @@
     made = []
     for n in range(count):
         label = os.urandom(16)
-        first = Entry(Kind.BEGUN, label, NOW, WINDOW, f"{n:016x}", b"d" * 16)
-        last = Entry(
-            Kind.CONCLUDED, label, NOW, WINDOW, digest=b"d" * 16, outcome=Outcome.HONOURED, result=b"r" * 400
+        first = ResultRecord(RecordKind.BEGUN, label, NOW, WINDOW, f"{n:016x}", b"d" * 16)
+        last = ResultRecord(
+            RecordKind.CONCLUDED,
+            label,
+            NOW,
+            WINDOW,
+            digest=b"d" * 16,
+            outcome=Outcome.SERVED,
+            result=b"r" * 400,
         )
         made.append((label, encode(first if n % 2 else last)))
     return made
@@ -91,7 +97,7 @@
             files.flush()
             began = time.perf_counter()
             held, _ = files.read_all()
-            made = recover(held, Ledger(1 << 30, 1 << 40, 0), NOW, WINDOW, FILE.size, held[-1][0])
+            made = recover(held, RetentionBudget(1 << 30, 1 << 40, 0), NOW, WINDOW, FILE.size, held[-1][0])
             print(
                 f"{len(made.index)} labels read in {time.perf_counter() - began:.2f} s, "
                 f"index of {made.index.held / 1e6:.1f} MB, file of {len(held[0][1]) / 1e6:.1f} MB"
--- a/benchmarks/keep_index.py
+++ b/benchmarks/keep_index.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.keep.index import Index
-from birchslip.keep.ledger import SECOND, Ledger
+from birchslip.idempotency.index import Index
+from birchslip.idempotency.retention_budget import SECOND, RetentionBudget
 
 WINDOW = 17 * SECOND
 
@@ -54,7 +54,7 @@
             print(f"{count:8} labels, {name:6} made in {took:6.3f} s, {held:7.2f} MB, found in {each:.2f} us")
 
         def by_seconds(count: int = count) -> Any:
-            ledger = Ledger(1 << 30, 1 << 40, 0)
+            ledger = RetentionBudget(1 << 30, 1 << 40, 0)
             for n in range(count):
                 ledger.count(n * WINDOW // count)
                 if not n % 100:
--- a/benchmarks/keep_memory.py
+++ b/benchmarks/keep_memory.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.interface import Outcome
-from birchslip.keep.files import Files
-from birchslip.keep.form import Entry, Kind, encode
+from birchslip.admission.types import Outcome
+from birchslip.idempotency.files import Files
+from birchslip.idempotency.record_format import RecordKind, ResultRecord, encode
 
 ROOT = Path(__file__).resolve().parent.parent
 RESULT = os.urandom(400)  # which no compression makes smaller
@@ -30,9 +30,9 @@
         if not n % EACH:
             files.begin(1 + n // EACH)
         label, digest = n.to_bytes(16), b"d" * 16
-        files.append(encode(Entry(Kind.BEGUN, label, now, 6_000_000, f"{n:016x}", digest)))
-        more = {"digest": digest, "outcome": Outcome.HONOURED, "result": RESULT}
-        files.append(encode(Entry(Kind.CONCLUDED, label, now, 6_000_000, **more)))
+        files.append(encode(ResultRecord(RecordKind.BEGUN, label, now, 6_000_000, f"{n:016x}", digest)))
+        more = {"digest": digest, "outcome": Outcome.SERVED, "result": RESULT}
+        files.append(encode(ResultRecord(RecordKind.CONCLUDED, label, now, 6_000_000, **more)))
     if labels:
         files.flush()
     files.close()
--- a/benchmarks/model_size.py
+++ b/benchmarks/model_size.py
@@ -11,7 +11,7 @@
 import time
 from pathlib import Path
 
-from birchslip.deployment import Setup, deployment, flatten
+from birchslip.admission.settings import SettingsReader, flatten, read_admission_settings
 from birchslip.lab.model.clock import SECOND
 from birchslip.lab.model.layout import Layout, RouterTold, Work
 from birchslip.lab.model.world import Setting, Step, World
@@ -26,7 +26,7 @@
     settings["group_size"] = count
     for tenant in settings["tenants"]:
         tenant["quota_per_s"] = count * 1.5
-    told = deployment(1, Setup(flatten(settings)))
+    told = read_admission_settings(1, SettingsReader(flatten(settings)))
     layout = Layout(
         profiles={
             "lookup": Work(share=0.7, work_ms=300.0),
--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -16,9 +16,9 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.fleet.planner import descriptors
-from birchslip.fleet.records import Incarnation, Report, Want, encode
-from birchslip.fleet.wire import Line
+from birchslip.cluster.messages import EvictionRequest, Incarnation, MemberReport, encode
+from birchslip.cluster.planner import descriptors
+from birchslip.cluster.transport import PeerConnection
 from birchslip.lab.processes import ROOT
 from birchslip.lab.wires import free_port
 from birchslip.net.scheduler import Scheduler
@@ -32,7 +32,7 @@
 
 def report_of(name: str, site: str) -> bytes:
     figures = {f"{kind}:{one}": (9, 9_000) for kind in ("late", "shed", "written_off") for one in "abc"}
-    told = Report(
+    told = MemberReport(
         name=name,
         site=site,
         incarnation=Incarnation(mark=1),
@@ -110,7 +110,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def member(name: str) -> None:
-        line, number, every = Line(scheduler, ("127.0.0.1", port)), NUMBER, 5_000
+        line, number, every = PeerConnection(scheduler, ("127.0.0.1", port)), NUMBER, 5_000
         head, tail = report_of(name, homes[name]).split(str(NUMBER).encode())
         scheduler.sleep(scheduler.now + chance.randrange(5_000))
         while True:
@@ -126,15 +126,17 @@
             scheduler.sleep(max(scheduler.now + 100, began + every))
 
     def ask(name: str) -> None:
-        line = Line(scheduler, ("127.0.0.1", port))
+        line = PeerConnection(scheduler, ("127.0.0.1", port))
         began = time.perf_counter()
         try:
             line.ask(
-                "want", encode(Want(what="permit", holder=name, why="a measurement")), scheduler.now + SECOND
+                "want",
+                encode(EvictionRequest(what="permit", holder=name, why="a measurement")),
+                scheduler.now + SECOND,
             )
             took.append((time.perf_counter() - began) * 1000)
             scheduler.sleep(scheduler.now + 10 * SECOND)  # it stays out, or waits, for ten seconds
-            line.ask("want", encode(Want(what="hand-back", holder=name)), scheduler.now + SECOND)
+            line.ask("want", encode(EvictionRequest(what="hand-back", holder=name)), scheduler.now + SECOND)
         except OSError as trouble:
             faults.append(str(trouble))
         finally:
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -9,14 +9,14 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.lab.rollouts import VERSIONS, Rollout
+from birchslip.lab.rollouts import VERSIONS, RolloutScenario
 
 count = int((sys.argv[1:] or ["200"])[0])
 for version in VERSIONS:
     began, ended, halts = time.monotonic(), Counter(), []
     broken, exposed, took = Counter(), 0, 0.0
     for seed in range(count if version != "good" else 5 * count):
-        told = Rollout(seed, version).run(longest=600).told()
+        told = RolloutScenario(seed, version).run(longest=600).told()
         ended[told["ended"]] += 1
         broken["breaches"] += bool(told["breaches"])
         broken["drained twice"] += bool(told["drained_twice"])
--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -6,18 +6,18 @@
 import sys
 import traceback
 
-from .deployment import Malformed
+from .errors import InvalidInputError
 from .net.program import Program
 from .net.site import read_site
 
 
 def join(program: Program, path: str) -> None:
     """The fleet's side is loaded where a fleet file is named, and nowhere else."""
-    from .fleet.fleetfile import read_fleet
-    from .fleet.member import Bond
+    from .cluster.fleet_file import read_fleet
+    from .cluster.planner_link import PlannerLink
 
     site = program.site
-    bond = Bond(
+    bond = PlannerLink(
         program.scheduler,
         program.counters,
         program.log,
@@ -32,12 +32,14 @@
 
 def keep(program: Program, path: str) -> None:
     """Kept results are loaded where a file names their folder, and nowhere else."""
-    from .keep.keeper import Keeper
-    from .keep.keepfile import read_keep
+    from .idempotency.result_store import ResultStore
+    from .idempotency.settings_file import read_store_settings
 
-    told, site = read_keep(path), program.site
-    profiles = site.deployment.profiles
-    program.keep_results(Keeper(program.scheduler, program.counters, program.log, told, site.name, profiles))
+    told, site = read_store_settings(path), program.site
+    profiles = site.deployment.request_classes
+    program.keep_results(
+        ResultStore(program.scheduler, program.counters, program.log, told, site.name, profiles)
+    )
 
 
 def main() -> int:
@@ -55,7 +57,7 @@
             join(program, os.environ["BIRCHSLIP_FLEET"])
         if os.environ.get("BIRCHSLIP_KEEP"):
             keep(program, os.environ["BIRCHSLIP_KEEP"])
-    except (Malformed, OSError) as trouble:
+    except (InvalidInputError, OSError) as trouble:
         print(f"birchslip: {trouble}", file=sys.stderr)
         return 2
     gc.collect()
--- a/birchslip/interface.py
+++ b/birchslip/admission/types.py
@@ -1,4 +1,4 @@
-"""What the decisions in `brain.py` are told, what they may ask for, and what they hear back.
+"""What the decisions in `controller.py` are told, what they may ask for, and what they hear back.
 
 Types only, and no wire: a second protocol fills the same types. A time is a whole number of tenths of a
 millisecond, a size is a whole number of bytes, and a share is a fraction.
@@ -15,15 +15,15 @@
 MS = SECOND // 1000
 
 
-class Kind(Enum):
+class Idempotency(Enum):
     """What a profile's repeat may do."""
 
-    REDOABLE = "redoable"
-    LABELLED = "labelled"
-    IRREVERSIBLE = "irreversible"
+    IDEMPOTENT = "redoable"
+    KEYED = "labelled"
+    NON_IDEMPOTENT = "irreversible"
 
 
-class Halt(Enum):
+class Preemption(Enum):
     """What stopping a run does to the work it has done."""
 
     OFF = "off"
@@ -31,25 +31,25 @@
     PAUSE = "pause"
 
 
-class Below(Enum):
+class Downstream(Enum):
     """What lies below the app server."""
 
-    OFF = "off"
+    NONE = "off"
     SHARED = "shared"
     TIER = "tier"
 
 
 @dataclass(eq=False, slots=True)
-class Profile:
+class RequestClass:
     """One profile. `window` counts for labelled ones, `skip_payoff` is what is earned without the call."""
 
-    kind: Kind
-    goal: int
+    idempotency: Idempotency
+    latency_objective: int
     deadline: int
-    late_payoff: float = 0.0
-    window: int = 0
-    skip_payoff: float = 0.0
-    payoff: float = 1.0
+    late_weight: float = 0.0
+    key_retention: int = 0
+    weight_without_call: float = 0.0
+    priority_weight: float = 1.0
 
 
 @dataclass(eq=False, slots=True)
@@ -60,104 +60,104 @@
 
 
 @dataclass(eq=False, slots=True)
-class Deployment:
+class AdmissionSettings:
     """What an app server is told at its start. The defaults hold where a setting is absent."""
 
-    profiles: list[Profile]
+    request_classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     cores: int = 1
-    memory: int = 1 << 30
-    run_factor: float = 1.0
-    key_size: int = 0
-    halt: Halt = Halt.OFF
-    fleet: int = 1
-    cold: bool = False
-    cold_from: float = 1.0
-    cold_span: int = 0
-    crowd_multiple: float = 3.0
-    grace: int = 0
-    below: Below = Below.OFF
-    calls_share: float = 1.0
-    calls_span: int = SECOND
-    linger: int = 0
-    advises: bool = False
-    longest_advice: int = 0
-    keepalive: int = 30 * SECOND
-    callers: int = 0
-    levels: bool = False
+    memory_limit: int = 1 << 30
+    running_memory_factor: float = 1.0
+    idempotency_key_size: int = 0
+    preemption: Preemption = Preemption.OFF
+    fleet_size: int = 1
+    starts_cold: bool = False
+    cold_start_speed: float = 1.0
+    warm_up_span: int = 0
+    overload_multiple: float = 3.0
+    drain_grace: int = 0
+    downstream: Downstream = Downstream.NONE
+    downstream_quota: float = 1.0
+    downstream_quota_window: int = SECOND
+    abandoned_call_linger: int = 0
+    sends_retry_after: bool = False
+    max_retry_after: int = 0
+    keepalive_timeout: int = 30 * SECOND
+    caller_count: int = 0
+    sends_criticality: bool = False
     seed: int = 1
 
 
-class Place(Enum):
+class RequestState(Enum):
     """Where a transaction is."""
 
-    HOLD = "hold"
-    CORES = "cores"
-    CALL_QUEUE = "call queue"
+    QUEUED = "hold"
+    RUNNING = "cores"
+    WAITING_FOR_CALL = "call queue"
     CALLING = "calling"
     ATTACHED = "attached"
-    ENDED = "ended"
+    COMPLETED = "ended"
 
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
-class Transaction:
+class Request:
     """One transaction, as read; what stands below the line belongs to the decisions."""
 
-    profile: Profile
+    request_class: RequestClass
     caller: int
-    arrived: int
-    due: int
+    arrived_at: int
+    deadline: int
     size: int
-    work: int = 0
+    cost_hint: int = 0
     tenant: Tenant | None = None
-    original: Transaction | None = None
-    again: bool = False
+    original: Request | None = None
+    is_retry: bool = False
 
-    place: Place = Place.ENDED
-    by: int = 0
-    ready: int = 0
-    serial: int = 0
+    state: RequestState = RequestState.COMPLETED
+    latency_deadline: int = 0
+    eligible_at: int = 0
+    sequence: int = 0
     counted_at: int = 0
-    meter: Any = None
-    calls: int = 0
-    remembered: bool = False
-    on_since: int = 0
-    core_time: int = 0
-    call_at: int = 0
-    memory: int = 0
-    has_run: bool = False
-    answered: bool = False
-    path: Generator[Wish, Any, None] | None = None
-    outside: Any = None  # what the door keeps of it, until the path has ended
+    quota_meter: Any = None
+    downstream_calls: int = 0
+    holds_key: bool = False
+    running_since: int = 0
+    core_time_used: int = 0
+    call_started_at: int = 0
+    memory_held: int = 0
+    has_started: bool = False
+    is_answered: bool = False
+    steps: Generator[Action, Any, None] | None = None
+    context: Any = None  # what the door keeps of it, until the path has ended
 
 
 class Outcome(Enum):
     """How a run or a call ended. The last three prove that it never ran."""
 
-    HONOURED = "honoured"
-    ERRED = "erred"
-    OVERDUE = "overdue"
-    SEVERED = "severed"
-    RECALLED = "recalled"
-    SATURATED = "saturated"
-    UNREACHED = "unreached"
-    MOOT = "moot"
+    SERVED = "honoured"
+    FAILED = "erred"
+    TIMED_OUT = "overdue"
+    CONNECTION_LOST = "severed"
+    CANCELLED = "recalled"
+    REJECTED = "saturated"
+    UNREACHABLE = "unreached"
+    SUPERSEDED = "moot"
 
 
-NEVER_RAN = frozenset((Outcome.SATURATED, Outcome.UNREACHED, Outcome.MOOT))
+NEVER_RAN_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.SUPERSEDED))
 
 
 # What a transaction's generator is resumed with: the outside's news, and the decisions' own two signals.
 
 
 @dataclass(slots=True)
-class Ended:
+class RunEnded:
     outcome: Outcome
     elapsed: int = 0
 
 
 @dataclass(slots=True)
-class NeedsCall:
+class CallNeeded:
     pass
 
 
@@ -168,21 +168,21 @@
 
 
 @dataclass(slots=True)
-class Gone:
+class CallerGone:
     pass
 
 
 @dataclass(slots=True)
-class Go:
+class TurnGranted:
     """Its turn has come."""
 
 
 @dataclass(slots=True)
-class GiveUp:
+class WaitExpired:
     """It is no longer worth waiting for."""
 
 
-Event = Ended | NeedsCall | CallEnded | Gone | Go | GiveUp
+Event = RunEnded | CallNeeded | CallEnded | CallerGone | TurnGranted | WaitExpired
 
 
 # What a generator may yield. The first five wait for an event, the others are resumed at once.
@@ -194,13 +194,13 @@
 
 
 @dataclass(slots=True)
-class Start:
+class StartRun:
     pass
 
 
 @dataclass(slots=True)
-class Call:
-    limit: int
+class CallDownstream:
+    timeout: int
 
 
 @dataclass(slots=True)
@@ -209,35 +209,35 @@
 
 
 @dataclass(slots=True)
-class Attach:
+class AttachToOriginal:
     pass
 
 
 @dataclass(slots=True)
-class Stop:
+class StopRun:
     pass
 
 
 @dataclass(slots=True)
-class Remember:
-    span: int
+class StoreKey:
+    retention: int
 
 
 @dataclass(slots=True)
-class Forget:
+class ReleaseKey:
     pass
 
 
 @dataclass(slots=True)
-class Shed:
+class Reject:
     """The final answer that it never ran; `after` 0 gives no advice, `last` asks not to try elsewhere."""
 
-    after: int = 0
-    last: bool = False
+    retry_after: int = 0
+    stop_retrying: bool = False
 
 
 @dataclass(slots=True)
-class WriteOff:
+class Fail:
     """The final answer that it failed."""
 
 
@@ -245,51 +245,62 @@
 
 
 @dataclass(slots=True)
-class Tick:
+class SetTimer:
     at: int
 
 
 @dataclass(slots=True)
-class Health:
-    good: bool
-    stored: bool = True
+class SetHealth:
+    is_healthy: bool
+    is_store_healthy: bool = True
 
 
 @dataclass(slots=True)
-class Idle:
+class SetIdleTimeout:
     """Connections that have carried nothing for so long are closed."""
 
-    span: int
+    timeout: int
 
 
 @dataclass(slots=True)
-class Advertise:
+class AdvertiseCriticality:
     """The free value that goes with every answer from now on, where the deployment's callers heed a level."""
 
     value: float
 
 
 @dataclass(slots=True)
-class Log:
+class LogEvent:
     text: str
 
 
-Wish = Wait | Start | Call | SkipCall | Attach | Stop | Remember | Forget | Shed | WriteOff
-Notice = Tick | Health | Idle | Advertise | Log
-WAITS = (Wait, Start, Call, SkipCall, Attach)
+Action = (
+    Wait
+    | StartRun
+    | CallDownstream
+    | SkipCall
+    | AttachToOriginal
+    | StopRun
+    | StoreKey
+    | ReleaseKey
+    | Reject
+    | Fail
+)
+ServerAction = SetTimer | SetHealth | SetIdleTimeout | AdvertiseCriticality | LogEvent
+WAITING_ACTIONS = (Wait, StartRun, CallDownstream, SkipCall, AttachToOriginal)
 
 
-class Refusal(Enum):
+class SheddingTier(Enum):
     """What a plan may have refused before other work; the operators order them."""
 
-    BEYOND = "beyond"  # beyond its tenant's share
-    AGAIN = "again"  # a further try or a second copy
-    VISITOR = "visitor"  # from the lost site, by payoff per work
-    HOME = "home"
+    OVER_QUOTA = "beyond"  # beyond its tenant's share
+    RETRY = "again"  # a further try or a second copy
+    EVACUATED = "visitor"  # from the lost site, by payoff per work
+    LOCAL = "home"
 
 
 @dataclass(frozen=True, slots=True)
-class Override:
+class PlanOverride:
     """A plan in force at this app server: quotas told anew while in service, and the order of refusal.
 
     `epoch` is that of the plan's leader and `number` counts its plans. It holds until `until` and then fades
@@ -298,20 +309,20 @@
     let back in; `short` says that no one has room.
     """
 
-    epoch: int
+    term: int
     number: int
-    until: int
-    fade: int
+    expires_at: int
+    fade_span: int
     quotas: dict[Tenant, float] = field(default_factory=dict)
-    visitors: frozenset[int] = frozenset()
-    visits: float = 0.0
-    order: tuple[Refusal, ...] = tuple(Refusal)
-    level: float = 1.0
-    short: bool = False
+    evacuated_callers: frozenset[int] = frozenset()
+    evacuated_quota: float = 0.0
+    shedding_order: tuple[SheddingTier, ...] = tuple(SheddingTier)
+    serving_fraction: float = 1.0
+    is_capacity_short: bool = False
 
 
 @dataclass(slots=True)
 class Gauges:
     """The app server's own gauges; None where it has no such gauge."""
 
-    cores_used: float | None = None
+    core_utilization: float | None = None
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -17,12 +17,12 @@
 
 import click
 
-from .deployment import Malformed
-from .fleet.conduct import Word
-from .fleet.fleetfile import Fleet, read_fleet, schema
-from .fleet.records import Want, Wish, encode
-from .fleet.release import Plan, batches_of, unknown
-from .fleet.releasefile import read_release, release_schema
+from .cluster.fleet_file import Fleet, read_fleet, schema
+from .cluster.messages import EvictionRequest, OperatorCommand, encode
+from .cluster.release_file import read_release, release_schema
+from .cluster.rollout import RolloutSpec, batches_of, unknown
+from .cluster.rollout_controller import RolloutCommand
+from .errors import InvalidInputError
 from .net.buffer import Buffer
 from .net.clients import messages
 from .net.messagepack import pack
@@ -45,14 +45,14 @@
 def fleet_of(path: str) -> Fleet:
     try:
         return read_fleet(path)
-    except (Malformed, OSError) as trouble:
+    except (InvalidInputError, OSError) as trouble:
         raise NotAsked(str(trouble)) from None
 
 
-METHODS = {Wish: "wish", Want: "want", Word: "release"}
+METHODS = {OperatorCommand: "wish", EvictionRequest: "want", RolloutCommand: "release"}
 
 
-def ask(address: str, wish: Wish | Want | Word) -> Any:
+def ask(address: str, wish: OperatorCommand | EvictionRequest | RolloutCommand) -> Any:
     """One question to one planner; OSError or Malformed says why there is no answer."""
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), PATIENCE) as link:
@@ -69,12 +69,12 @@
             for message in read:
                 _, _, error, result = message
                 if error is not None:
-                    raise Malformed(str(error))
+                    raise InvalidInputError(str(error))
                 return json.loads(b"".join(result))
         raise OSError("no answer in time")
 
 
-def ask_any(fleet: Fleet, wish: Wish | Want | Word, planner: str = "") -> Any:
+def ask_any(fleet: Fleet, wish: OperatorCommand | EvictionRequest | RolloutCommand, planner: str = "") -> Any:
     """The leader where it can be found, else whoever answers; wishes that change something want the
     leader.
     """
@@ -106,11 +106,11 @@
 @click.option("--folder", type=click.Path(path_type=Path), required=True, help="For what must survive.")
 def planner(path: str, name: str, folder: Path) -> None:
     """Run one planner in the foreground until SIGTERM."""
-    from .fleet.planner import run_planner
+    from .cluster.planner import run_planner
 
     try:
         run_planner(fleet_of(path), name, folder, path=path)
-    except (Malformed, OSError) as trouble:
+    except (InvalidInputError, OSError) as trouble:
         raise NotAsked(str(trouble)) from None
 
 
@@ -144,11 +144,11 @@
 @click.option("--planner", "name", default="", help="Ask this one; else the leader.")
 def show(path: str, as_json: bool, name: str) -> None:
     """Members, sites, epoch, the plan in force and why."""
-    told = ask_any(fleet_of(path), Wish(what="show"), name)
+    told = ask_any(fleet_of(path), OperatorCommand(what="show"), name)
     if as_json:
         click.echo(json.dumps(told))
         return
-    from .fleet.tables import show_fleet
+    from .cluster.tables import show_fleet
 
     show_fleet(told)
 
@@ -159,18 +159,18 @@
 @click.option("--lose", required=True, help="The site that is lost.")
 def foresee(path: str, as_json: bool, lose: str) -> None:
     """What the loss of a site would mean today; exit code 1 where load would be refused."""
-    told = ask_any(fleet_of(path), Wish(what="what-if", site=lose))
+    told = ask_any(fleet_of(path), OperatorCommand(what="what-if", site=lose))
     if as_json:
         click.echo(json.dumps(told))
     else:
-        from .fleet.tables import show_loss
+        from .cluster.tables import show_loss
 
         show_loss(told)
     if told["short_by"] > 0 or told.get("vault", {}).get("short_by", 0) > 0:
         raise SystemExit(1)
 
 
-def by_hand(path: str, as_json: bool, wish: Wish) -> None:
+def by_hand(path: str, as_json: bool, wish: OperatorCommand) -> None:
     told = ask_any(fleet_of(path), wish)
     done = "done" if told["done"] else "nothing to do"
     click.echo(json.dumps(told) if as_json else f"{wish.what} {wish.site}: {done}")
@@ -186,7 +186,7 @@
 @click.option("--why", required=True)
 def evacuate(path: str, as_json: bool, site: str, who: str, why: str) -> None:
     """Send a site's load elsewhere by hand; only `return` lets it back."""
-    by_hand(path, as_json, Wish(what="evacuate", site=site, who=who, why=why))
+    by_hand(path, as_json, OperatorCommand(what="evacuate", site=site, who=who, why=why))
 
 
 @fleet.command("return")
@@ -196,10 +196,10 @@
 @click.option("--who", required=True)
 def give_back(path: str, as_json: bool, site: str, who: str) -> None:
     """Let a site back that was evacuated by hand, in the usual steps."""
-    by_hand(path, as_json, Wish(what="return", site=site, who=who))
+    by_hand(path, as_json, OperatorCommand(what="return", site=site, who=who))
 
 
-def wanted(path: str, as_json: bool, want: Want) -> None:
+def wanted(path: str, as_json: bool, want: EvictionRequest) -> None:
     """Exit code 1 where it is not granted."""
     told = ask_any(fleet_of(path), want)
     if as_json:
@@ -223,7 +223,7 @@
 @click.option("--past", is_flag=True, help="Past the budgets, by an override that stands.")
 def permit(path: str, as_json: bool, member: str, why: str, past: bool) -> None:
     """Ask that a member may be out; asking again keeps its place, or tells of the same permit."""
-    wanted(path, as_json, Want(what="past" if past else "permit", holder=member, why=why))
+    wanted(path, as_json, EvictionRequest(what="past" if past else "permit", holder=member, why=why))
 
 
 @fleet.command("hand-back")
@@ -232,7 +232,7 @@
 @click.argument("member")
 def hand_back(path: str, as_json: bool, member: str) -> None:
     """A member that has not gone out will not go; one that has is seen back by itself."""
-    wanted(path, as_json, Want(what="hand-back", holder=member))
+    wanted(path, as_json, EvictionRequest(what="hand-back", holder=member))
 
 
 @fleet.command()
@@ -242,7 +242,7 @@
 @click.option("--who", required=True)
 def strike(path: str, as_json: bool, member: str, who: str) -> None:
     """A member will not come back: its permit ends."""
-    wanted(path, as_json, Want(what="strike", holder=member, who=who))
+    wanted(path, as_json, EvictionRequest(what="strike", holder=member, who=who))
 
 
 @fleet.command()
@@ -255,7 +255,7 @@
 def override(path: str, as_json: bool, who: str, why: str, count: int, minutes: int) -> None:
     """In an emergency: let so many out past the budgets. It stands in the record."""
     span = minutes * 60 * 10_000
-    wanted(path, as_json, Want(what="override", who=who, why=why, count=count, span=span))
+    wanted(path, as_json, EvictionRequest(what="override", who=who, why=why, count=count, span=span))
 
 
 @cli.group()
@@ -287,14 +287,14 @@
     click.echo(json.dumps(release_schema(), indent=2))
 
 
-def plan_of(file: str) -> Plan:
+def plan_of(file: str) -> RolloutSpec:
     try:
         return read_release(file)
-    except (Malformed, OSError) as trouble:
+    except (InvalidInputError, OSError) as trouble:
         raise NotAsked(str(trouble)) from None
 
 
-def word(path: str, as_json: bool, told: Word) -> None:
+def word(path: str, as_json: bool, told: RolloutCommand) -> None:
     """Exit code 1 where nothing came of it."""
     said = ask_any(fleet_of(path), told)
     if as_json:
@@ -319,7 +319,7 @@
 @click.argument("file", type=click.Path())
 def start_release(path: str, as_json: bool, who: str, file: str) -> None:
     """Begin a release; it is checked whole before the first drain."""
-    word(path, as_json, Word(what="start", who=who, plan=plan_of(file)))
+    word(path, as_json, RolloutCommand(what="start", who=who, plan=plan_of(file)))
 
 
 @release.command()
@@ -330,7 +330,7 @@
 @click.option("--why", default="")
 def halt(path: str, as_json: bool, number: int, who: str, why: str) -> None:
     """No drain begins any more; all that run are meant where no number is told."""
-    word(path, as_json, Word(what="halt", number=number, who=who, why=why))
+    word(path, as_json, RolloutCommand(what="halt", number=number, who=who, why=why))
 
 
 @release.command()
@@ -340,7 +340,7 @@
 @WHO
 def resume(path: str, as_json: bool, number: int, who: str) -> None:
     """Go on with a release that was halted, and not because its version is bad."""
-    word(path, as_json, Word(what="resume", number=number, who=who))
+    word(path, as_json, RolloutCommand(what="resume", number=number, who=who))
 
 
 @release.command()
@@ -350,7 +350,7 @@
 @WHO
 def back(path: str, as_json: bool, number: int, who: str) -> None:
     """Take every released member back to the version before, the newest batch first."""
-    word(path, as_json, Word(what="back", number=number, who=who))
+    word(path, as_json, RolloutCommand(what="back", number=number, who=who))
 
 
 @release.command()
@@ -361,9 +361,9 @@
 def status(path: str, as_json: bool, number: int, follow: bool) -> None:
     """Where each release stands, what it waits for, and the figures that it is judged by."""
     told = fleet_of(path)
-    asked = Word(what="status", number=number)
+    asked = RolloutCommand(what="status", number=number)
     if follow:
-        from .fleet.tables import follow_releases
+        from .cluster.tables import follow_releases
 
         phases = follow_releases(lambda: ask_any(told, asked)["releases"], as_json)
         raise SystemExit(0 if set(phases) <= {"done", "back"} else 1)
@@ -371,7 +371,7 @@
     if as_json:
         click.echo(json.dumps(answer))
     else:
-        from .fleet.tables import show_releases
+        from .cluster.tables import show_releases
 
         show_releases(answer["releases"])
 
@@ -382,7 +382,7 @@
 @NUMBER
 def history(path: str, as_json: bool, number: int) -> None:
     """What became of each release, line by line, from its start."""
-    answer = ask_any(fleet_of(path), Word(what="history", number=number))
+    answer = ask_any(fleet_of(path), RolloutCommand(what="history", number=number))
     if as_json:
         click.echo(json.dumps(answer))
         return
@@ -422,7 +422,7 @@
 @AS_JSON
 def show_kept(folder: Path, as_json: bool) -> None:
     """Entries, ages, bytes, unknown and torn ones; also while a program has the store."""
-    from .keep.tools import show as show_store
+    from .idempotency.tools import show as show_store
 
     of_store(lambda: show_store(folder, unix_now()), as_json)
 
@@ -432,7 +432,7 @@
 @AS_JSON
 def verify_kept(folder: Path, as_json: bool) -> None:
     """Read every record whole; exit code 1 where one can't be."""
-    from .keep.tools import verify
+    from .idempotency.tools import verify
 
     told = of_store(lambda: verify(folder), as_json)
     if told["troubles"] or not told["heads"]:
@@ -444,7 +444,7 @@
 @AS_JSON
 def compact_kept(folder: Path, as_json: bool) -> None:
     """What is in its window, in one file; only while no program has the store."""
-    from .keep.tools import compact
+    from .idempotency.tools import compact
 
     of_store(lambda: compact(folder, unix_now()), as_json)
 
@@ -452,9 +452,9 @@
 @keep.command("schema")
 def print_keep_schema() -> None:
     """The JSON Schema of the file that names a store."""
-    from .keep.keepfile import keep_schema
+    from .idempotency.settings_file import store_settings_schema
 
-    click.echo(json.dumps(keep_schema(), indent=2))
+    click.echo(json.dumps(store_settings_schema(), indent=2))
 
 
 @cli.group()
@@ -485,7 +485,7 @@
     try:
         sources = read_sources(config, fleet, world)
         return sources, *read_statements(paths or (".",), sources)
-    except (Malformed, OSError) as trouble:
+    except (InvalidInputError, OSError) as trouble:
         raise NotAsked(str(trouble)) from None
 
 
--- a/birchslip/fleet/judgement.py
+++ b/birchslip/cluster/canary_analysis.py
@@ -33,7 +33,7 @@
 
 import msgspec
 
-from .records import Count, Name, Record, Span
+from .messages import Count, Message, Name, Span
 
 ERROR = 0.005  # chance that alike versions are called different, over all figures and looks
 MISS = 0.02  # chance that a figure past its margin is called fine, over all looks
@@ -54,7 +54,7 @@
 HELD_LEAST = 16_384  # KB above the others' before any factor counts
 
 
-class Evidence(Record):
+class Evidence(Message):
     """What a watch has come to, for a majority to keep: whoever conducts next goes on from there.
 
     Guards against leaders that follow each other faster than a watch lasts: each would begin anew, and a bad
@@ -69,7 +69,7 @@
     held: Count = 0
 
 
-class Verdict(Enum):
+class CanaryVerdict(Enum):
     GOOD = "good"
     BAD = "bad"
     UNCLEAR = "unclear"
@@ -130,14 +130,14 @@
         """Not worse by more than the margin as it stands, sure or not."""
         return self.worse <= self.margin
 
-    def verdict(self, error: float = ERROR) -> Verdict:
+    def verdict(self, error: float = ERROR) -> CanaryVerdict:
         """`error` is this figure's part: one of many that errs halts; to go on, all have to agree."""
         if min(self.released.all, self.others.all) < LEAST:
-            return Verdict.UNCLEAR
+            return CanaryVerdict.UNCLEAR
         ratio, bad = self.ratio(self.margin), self.worse > self.margin
         if ratio < -log(error if bad else MISS):
-            return Verdict.UNCLEAR
-        return Verdict.BAD if bad else Verdict.GOOD
+            return CanaryVerdict.UNCLEAR
+        return CanaryVerdict.BAD if bad else CanaryVerdict.GOOD
 
     def told(self) -> dict[str, object]:
         """The figures that the verdict went by."""
@@ -164,7 +164,7 @@
     took: Mapping[str, list[int]] = field(default_factory=dict)  # honoured by profile and bucket
 
 
-class Judgement:
+class CanaryAnalysis:
     """One batch under watch. `margins` are by figure; `least` and `most` bound the watch, in tenths of a ms.
 
     `memory` is how many times the others' resident memory is too much; 0 looks at none. The chance of a
@@ -210,7 +210,7 @@
 
     def look(
         self, released: list[Shown], others: list[Shown], now: int, usual: list[Shown] | None = None
-    ) -> Verdict:
+    ) -> CanaryVerdict:
         """`usual` are all that say what is slow, where more do than the others that are compared."""
         warm, beside = ([one for one in side if one.warm] for side in (released, others))
         warm, beside = ([self.with_slow(one) for one in side] for side in (warm, beside))
@@ -222,7 +222,7 @@
             figure.add(total(warm, name), total(beside, name))
         self.weigh(released, others)
         verdict = self.verdict(now)
-        if verdict is Verdict.BAD and self.first_harm is None:
+        if verdict is CanaryVerdict.BAD and self.first_harm is None:
             self.first_harm = now
         return verdict
 
@@ -268,29 +268,29 @@
         if self.held >= HELD:
             self.why = f"memory: {most} KB against {median(usual):.0f} KB"
 
-    def verdict(self, now: int) -> Verdict:
+    def verdict(self, now: int) -> CanaryVerdict:
         if self.held >= HELD:
-            return Verdict.BAD
+            return CanaryVerdict.BAD
         error = ERROR / max(1, len(self.figures))
         said = {name: figure.verdict(error) for name, figure in self.figures.items()}
-        bad = [name for name, verdict in said.items() if verdict is Verdict.BAD]
+        bad = [name for name, verdict in said.items() if verdict is CanaryVerdict.BAD]
         if bad:
             figure = self.figures[bad[0]]
             self.why = f"{bad[0]}: {figure.released.share:.3f} against {figure.others.share:.3f}"
-            return Verdict.BAD
+            return CanaryVerdict.BAD
         if not self.watched(now):
             self.why = "not watched for long enough"
-            return Verdict.UNCLEAR
+            return CanaryVerdict.UNCLEAR
         open_ones = [
             name
             for name, verdict in said.items()
-            if verdict is Verdict.UNCLEAR and not (":" in name and self.figures[name].fine)
+            if verdict is CanaryVerdict.UNCLEAR and not (":" in name and self.figures[name].fine)
         ]
         if not open_ones and (self.figures or not self.margins):
             self.why = "no figure is worse by more than its margin"
-            return Verdict.GOOD
+            return CanaryVerdict.GOOD
         self.why = f"unclear: {', '.join(open_ones) or 'nothing was told of either side'}"
-        return Verdict.UNCLEAR
+        return CanaryVerdict.UNCLEAR
 
     def watched(self, now: int) -> bool:
         return now - self.began >= self.least
--- a/birchslip/fleet/permits.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -27,7 +27,7 @@
 
 import msgspec
 
-from .records import Count, Incarnation, Name, Record, Span, Words
+from .messages import Count, Incarnation, Message, Name, Span, Words
 
 RECORD_MOST = 256  # lines of the record that are kept
 OVERRIDE_MOST = 3  # members that one override may let out
@@ -35,7 +35,7 @@
 WAITING_MOST = 1_024
 
 
-class Why(Enum):
+class UnavailabilityReason(Enum):
     """Why a member counts as out."""
 
     PERMIT = "permit"
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
+class BudgetGroup:
     """`most` members and `share` of them may be out, whichever is less; `least` is the room that stays in."""
 
     name: str
@@ -67,15 +67,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class MemberObservation:
     """One member as it is seen: `out` says why it is out though nobody let it, None where it is in."""
 
     incarnation: Incarnation
     room: float
-    out: Why | None = None
+    out: UnavailabilityReason | None = None
 
 
-class Permit(Record):
+class Permit(Message):
     """`number` rises with each grant; `override` says that it was given past the budgets."""
 
     holder: Name
@@ -85,13 +85,13 @@
     override: bool = False
 
 
-class Asker(Record):
+class EvictionWaiter(Message):
     holder: Name
     incarnation: Incarnation
     why: Words
 
 
-class Override(Record):
+class BudgetOverride(Message):
     """`left` is how much of its time is left, by the leader's clock."""
 
     who: Words
@@ -100,18 +100,18 @@
     left: Span
 
 
-class Book(Record):
+class BudgetState(Message):
     """What the leader has a majority keep."""
 
     permits: list[Permit] = msgspec.field(default_factory=list)
-    waiting: list[Asker] = msgspec.field(default_factory=list)
-    overrides: list[Override] = msgspec.field(default_factory=list)
+    waiting: list[EvictionWaiter] = msgspec.field(default_factory=list)
+    overrides: list[BudgetOverride] = msgspec.field(default_factory=list)
     record: list[Words] = msgspec.field(default_factory=list)
     number: Count = 0
 
 
 @dataclass(slots=True)
-class Answer:
+class EvictionDecision:
     """To one asker: its permit, or its place among those who wait and what it waits for."""
 
     permit: Permit | None = None
@@ -119,14 +119,16 @@
     why: str = ""
 
 
-class Tally:
+class DisruptionTally:
     """How many of each group are out, and the room that stays in, kept as members are added.
 
     Adding one touches the groups it is in and nothing else: who waits is gone through once, whatever the
     fleet's size.
     """
 
-    def __init__(self, permits: Permits, seen: Mapping[str, Seen], out: Iterable[str] = ()) -> None:
+    def __init__(
+        self, permits: DisruptionBudget, seen: Mapping[str, MemberObservation], out: Iterable[str] = ()
+    ) -> None:
         self.permits, self.seen = permits, seen
         self.out: set[str] = set()
         self.gone = dict.fromkeys((group.name for group in permits.groups), 0)
@@ -152,7 +154,7 @@
     def blocked(self, holder: str) -> str:
         """What forbids this one to go out now; nothing where it may."""
         more: dict[str, list[str]] = {}
-        met: dict[str, Group] = {}
+        met: dict[str, BudgetGroup] = {}
         some = (holder, *self.permits.dependents.get(holder, ()))
         for one in some:
             for group in self.permits.groups_of.get(one, ()):
@@ -171,21 +173,21 @@
 
 
 @dataclass(slots=True)
-class Permits:
+class DisruptionBudget:
     """The decisions. `seen` tells of each member what the membership shows just now; `needs` names the
     services below of those members that need any.
     """
 
-    groups: list[Group]
-    book: Book = field(default_factory=Book)
+    groups: list[BudgetGroup]
+    book: BudgetState = field(default_factory=BudgetState)
     needs: Mapping[str, Iterable[str]] = field(default_factory=dict)
-    groups_of: dict[str, list[Group]] = field(init=False)
+    groups_of: dict[str, list[BudgetGroup]] = field(init=False)
     dependents: dict[str, list[str]] = field(init=False)
 
     def __post_init__(self) -> None:
         self.regroup(self.groups)
 
-    def regroup(self, groups: list[Group], needs: Mapping[str, Iterable[str]] | None = None) -> None:
+    def regroup(self, groups: list[BudgetGroup], needs: Mapping[str, Iterable[str]] | None = None) -> None:
         """Budgets as they stand from now on; one below what is out already grants nothing for a while."""
         self.groups = groups
         self.needs = self.needs if needs is None else needs
@@ -202,44 +204,46 @@
     def holder(self, name: str) -> Permit | None:
         return next((one for one in self.book.permits if one.holder == name), None)
 
-    def out(self, seen: Mapping[str, Seen]) -> dict[str, Why]:
+    def out(self, seen: Mapping[str, MemberObservation]) -> dict[str, UnavailabilityReason]:
         """Everybody who is out, and why. A permit that has not been used yet counts: it may be, any
         moment.
         """
         found = {name: one.out for name, one in seen.items() if one.out is not None}
         for permit in self.book.permits:
-            found.setdefault(permit.holder, Why.PERMIT)
+            found.setdefault(permit.holder, UnavailabilityReason.PERMIT)
         for service in [name for name in self.dependents if name in found]:
             for name in self.dependents[service]:
-                found.setdefault(name, Why.BELOW)
+                found.setdefault(name, UnavailabilityReason.BELOW)
         return found
 
-    def tally(self, seen: Mapping[str, Seen], before: Iterable[str] = ()) -> Tally:
+    def tally(self, seen: Mapping[str, MemberObservation], before: Iterable[str] = ()) -> DisruptionTally:
         """All who are out, and beside them those who asked before."""
-        made = Tally(self, seen, self.out(seen))
+        made = DisruptionTally(self, seen, self.out(seen))
         for name in before:
             made.add(name)
         return made
 
     # ---- asking ----------------------------------------------------------------------------------------
 
-    def ask(self, asker: Asker, seen: Mapping[str, Seen]) -> Answer:
+    def ask(self, asker: EvictionWaiter, seen: Mapping[str, MemberObservation]) -> EvictionDecision:
         """A permit, the same one again, or a place among those who wait."""
         if asker.holder not in self.groups_of:
-            return Answer(why=f"{asker.holder} is in no group")
+            return EvictionDecision(why=f"{asker.holder} is in no group")
         permit = self.holder(asker.holder)
         if permit is not None:
             if permit.incarnation == asker.incarnation:
-                return Answer(permit)
-            return Answer(why=f"an earlier incarnation of {asker.holder} is out until it is seen back")
+                return EvictionDecision(permit)
+            return EvictionDecision(
+                why=f"an earlier incarnation of {asker.holder} is out until it is seen back"
+            )
         shown = seen.get(asker.holder)
         if shown is None or shown.incarnation != asker.incarnation:
-            return Answer(why=f"{asker.holder} is not known in that incarnation")
+            return EvictionDecision(why=f"{asker.holder} is not known in that incarnation")
         waiting = self.book.waiting
         place = next((n for n, one in enumerate(waiting) if one.holder == asker.holder), None)
         if place is None:
             if len(waiting) >= WAITING_MOST:
-                return Answer(why=f"{len(waiting)} wait already")
+                return EvictionDecision(why=f"{len(waiting)} wait already")
             waiting.append(asker)
             place = len(waiting) - 1
         else:
@@ -247,10 +251,10 @@
         self.serve(seen)
         permit = self.holder(asker.holder)
         if permit is not None:
-            return Answer(permit)
+            return EvictionDecision(permit)
         place = next(n for n, one in enumerate(waiting) if one.holder == asker.holder)
         before = [one.holder for one in waiting[:place]]
-        return Answer(None, place + 1, self.tally(seen, before).blocked(asker.holder))
+        return EvictionDecision(None, place + 1, self.tally(seen, before).blocked(asker.holder))
 
     def take_back(self, holder: str) -> bool:
         """An asker that waits no longer; a permit is not taken back by a word: its holder may be out
@@ -260,7 +264,7 @@
         self.book.waiting[:] = [one for one in self.book.waiting if one.holder != holder]
         return len(self.book.waiting) < before
 
-    def serve(self, seen: Mapping[str, Seen]) -> list[Permit]:
+    def serve(self, seen: Mapping[str, MemberObservation]) -> list[Permit]:
         """Grants to those who wait, in the order they came, as far as there is room."""
         if not self.book.waiting:
             return []
@@ -276,7 +280,7 @@
             tally.add(asker.holder)  # out now, or its room is kept for it
         return granted
 
-    def grant(self, asker: Asker, override: bool = False) -> Permit:
+    def grant(self, asker: EvictionWaiter, override: bool = False) -> Permit:
         self.book.number += 1
         permit = Permit(
             holder=asker.holder,
@@ -292,7 +296,7 @@
 
     # ---- ending ----------------------------------------------------------------------------------------
 
-    def look(self, seen: Mapping[str, Seen]) -> bool:
+    def look(self, seen: Mapping[str, MemberObservation]) -> bool:
         """Permits of those who are seen back end, and who waits is served; whether anything has changed."""
         back = [one for one in self.book.permits if self.is_back(one, seen.get(one.holder))]
         for permit in back:
@@ -301,13 +305,13 @@
         return bool(self.serve(seen)) or bool(back)
 
     @staticmethod
-    def is_back(permit: Permit, shown: Seen | None) -> bool:
+    def is_back(permit: Permit, shown: MemberObservation | None) -> bool:
         """In service, warm, in a later life than the one that went out. The same life may still go, any
         moment.
         """
         return shown is not None and shown.out is None and shown.incarnation != permit.incarnation
 
-    def hand_back(self, holder: str, incarnation: Incarnation, seen: Mapping[str, Seen]) -> bool:
+    def hand_back(self, holder: str, incarnation: Incarnation, seen: Mapping[str, MemberObservation]) -> bool:
         """Its holder will not go out after all. Only the life that holds it may say so, and while it is
         in.
         """
@@ -335,11 +339,11 @@
             return f"an override is for 1 to {OVERRIDE_MOST} members"
         if not 0 < span <= OVERRIDE_LONGEST:
             return "an override is for an hour at most"
-        self.book.overrides.append(Override(who=who, why=why, count=count, left=span))
+        self.book.overrides.append(BudgetOverride(who=who, why=why, count=count, left=span))
         self.note(f"override by {who} for {count}: {why}")
         return ""
 
-    def ask_past(self, asker: Asker, seen: Mapping[str, Seen]) -> Answer:
+    def ask_past(self, asker: EvictionWaiter, seen: Mapping[str, MemberObservation]) -> EvictionDecision:
         """As `ask`, by an override where the budgets forbid it."""
         answer = self.ask(asker, seen)
         if answer.permit is not None or not answer.place:
@@ -351,7 +355,7 @@
         if not first.count:
             self.book.overrides.pop(0)
         self.note(f"past the budgets for {first.who}: {first.why}")
-        return Answer(self.grant(asker, override=True))
+        return EvictionDecision(self.grant(asker, override=True))
 
     def pass_time(self, span: int) -> None:
         for one in self.book.overrides:
@@ -370,13 +374,15 @@
         return msgspec.json.encode(self.book)
 
     def take(self, raw: bytes) -> None:
-        self.book = msgspec.json.decode(raw, type=Book) if raw else Book()
+        self.book = msgspec.json.decode(raw, type=BudgetState) if raw else BudgetState()
 
 
-def with_below(seen: Mapping[str, Seen], needs: Mapping[str, Iterable[str]]) -> dict[str, Seen]:
+def with_dependents(
+    seen: Mapping[str, MemberObservation], needs: Mapping[str, Iterable[str]]
+) -> dict[str, MemberObservation]:
     """Members as they are seen, with those out whose service below is, or is not known."""
     return {
-        name: Seen(one.incarnation, one.room, Why.BELOW)
+        name: MemberObservation(one.incarnation, one.room, UnavailabilityReason.BELOW)
         if one.out is None
         and any(service not in seen or seen[service].out for service in needs.get(name, ()))
         else one
--- a/birchslip/fleet/vote.py
+++ b/birchslip/cluster/election.py
@@ -22,7 +22,14 @@
 
 import msgspec
 
-from .records import Answer, Ask, Incarnation, Keep, Kept, Seen
+from .messages import (
+    Incarnation,
+    PeerObservation,
+    ReplicationRequest,
+    ReplicationResponse,
+    VoteRequest,
+    VoteResponse,
+)
 
 LEASE = 10_000  # a second
 DRIFT = 0.02
@@ -34,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Durable:
+class DurableVote:
     """What survives a restart. `blank` says that it is not, or may not be, what this planner last had."""
 
     life: int = 0
@@ -49,18 +56,18 @@
 
 
 @dataclass(slots=True)
-class Ballot:
+class Election:
     """One planner's part in the vote. Times are of a clock that doesn't jump."""
 
     name: str
     planners: list[str]
-    durable: Durable
+    durable: DurableVote
     mark: int
     now: int
     chance: random.Random
     dirty: bool = True
-    seen: dict[str, Seen] = field(default_factory=dict)
-    told: dict[str, Answer] = field(default_factory=dict)  # by all others, since this one is blank
+    seen: dict[str, PeerObservation] = field(default_factory=dict)
+    told: dict[str, VoteResponse] = field(default_factory=dict)  # by all others, since this one is blank
     granted_to: tuple[str, int] = ("", 0)
     granted_until: int = 0
     quiet_until: int = 0
@@ -84,7 +91,7 @@
     def __post_init__(self) -> None:
         self.durable.life += 1
         if self.durable.seen:
-            self.seen = msgspec.json.decode(self.durable.seen, type=dict[str, Seen])
+            self.seen = msgspec.json.decode(self.durable.seen, type=dict[str, PeerObservation])
         self.quiet_until = self.now + self.quiet
         self.next_ask = self.now + self.chance.randrange(JITTER)
         self.highest = self.durable.promised
@@ -112,13 +119,13 @@
 
     # ---- as a voter ------------------------------------------------------------------------------------
 
-    def meet(self, name: str, shown: Seen, seen: dict[str, Seen]) -> None:
+    def meet(self, name: str, shown: PeerObservation, seen: dict[str, PeerObservation]) -> None:
         """What another planner shows of itself, and what it has seen of me."""
         self.unsure.discard(name)
         known = self.seen.get(name)
         if known is None or (known.mark != shown.mark and shown.life >= known.life):
             # A new life: on the disk, as a third planner may have to tell it one day that its disk is old.
-            self.seen[name] = known = Seen(
+            self.seen[name] = known = PeerObservation(
                 life=shown.life,
                 mark=shown.mark,
                 promised=known.promised if known is not None else 0,
@@ -139,7 +146,7 @@
             self.told.clear()
             self.dirty = True
 
-    def older_than(self, mine: Seen) -> bool:
+    def older_than(self, mine: PeerObservation) -> bool:
         """Whether another has seen more of me than my disk holds: it is empty, cut short or of an earlier
         day.
         """
@@ -157,8 +164,8 @@
             seen.promised = max(seen.promised, epoch)
             seen.epoch, seen.number = max((seen.epoch, seen.number), (epoch, number))
 
-    def shows(self, answer: Answer) -> Seen:
-        return Seen(
+    def shows(self, answer: VoteResponse) -> PeerObservation:
+        return PeerObservation(
             life=answer.incarnation.life,
             mark=answer.incarnation.mark,
             promised=answer.epoch,
@@ -166,10 +173,12 @@
             number=answer.state_number,
         )
 
-    def asked(self, ask: Ask, now: int) -> Answer:
+    def asked(self, ask: VoteRequest, now: int) -> VoteResponse:
         self.now = max(self.now, now)
         if ask.name != self.name:
-            self.meet(ask.name, Seen(life=ask.incarnation.life, mark=ask.incarnation.mark), ask.seen)
+            self.meet(
+                ask.name, PeerObservation(life=ask.incarnation.life, mark=ask.incarnation.mark), ask.seen
+            )
         asker = (ask.name, ask.incarnation.mark)
         durable = self.durable
         self.highest = max(self.highest, ask.epoch)
@@ -193,9 +202,9 @@
                 self.next_ask = self.granted_until + self.chance.randrange(JITTER)
         return self.answer(granted)
 
-    def answer(self, granted: bool) -> Answer:
+    def answer(self, granted: bool) -> VoteResponse:
         durable = self.durable
-        return Answer(
+        return VoteResponse(
             granted=granted,
             epoch=durable.promised,
             name=self.name,
@@ -208,13 +217,13 @@
             seen=self.seen,
         )
 
-    def keep(self, told: Keep, now: int) -> Kept:
+    def keep(self, told: ReplicationRequest, now: int) -> ReplicationResponse:
         """The leader's state, to be kept before anybody is told of it; a leader of older days is refused."""
         self.now = max(self.now, now)
         durable = self.durable
         self.highest = max(self.highest, told.epoch)
         if told.epoch < durable.promised:
-            return Kept(kept=False, epoch=durable.promised, name=self.name)
+            return ReplicationResponse(kept=False, epoch=durable.promised, name=self.name)
         if told.epoch > durable.promised:
             durable.promised, durable.promised_to = told.epoch, told.name
             durable.promised_mark = told.incarnation.mark
@@ -228,11 +237,11 @@
             # disk.
             durable.seen = msgspec.json.encode(self.seen).decode()
             self.dirty = True
-        return Kept(kept=True, epoch=durable.promised, name=self.name)
+        return ReplicationResponse(kept=True, epoch=durable.promised, name=self.name)
 
     # ---- as a candidate and a leader -------------------------------------------------------------------
 
-    def ask(self, now: int) -> Ask | None:
+    def ask(self, now: int) -> VoteRequest | None:
         """The question to put to all planners, oneself included, where it is time for one."""
         self.now = max(self.now, now)
         if self.now < self.next_ask:
@@ -264,15 +273,15 @@
         self.next_ask = self.now + RENEW
         return self.question(self.epoch)
 
-    def question(self, epoch: int) -> Ask:
-        return Ask(epoch=epoch, name=self.name, incarnation=self.incarnation, seen=self.seen)
+    def question(self, epoch: int) -> VoteRequest:
+        return VoteRequest(epoch=epoch, name=self.name, incarnation=self.incarnation, seen=self.seen)
 
     def next_epoch(self) -> int:
         """Above all that was heard of, and never another planner's."""
         place = self.planners.index(self.name)
         return (max(self.highest, self.durable.promised) // WIDTH + 1) * WIDTH + place
 
-    def answered(self, answer: Answer, epoch: int, sent: int, now: int) -> None:
+    def answered(self, answer: VoteResponse, epoch: int, sent: int, now: int) -> None:
         """`epoch` and `sent` are of the question that this answers."""
         self.now = max(self.now, now)
         if answer.name != self.name:
@@ -286,7 +295,7 @@
         self.grants[answer.name] = max(sent, self.grants.get(answer.name, 0))
         self.newest = max(self.newest, (answer.state_epoch, answer.state_number, answer.state))
 
-    def learn(self, answer: Answer) -> None:
+    def learn(self, answer: VoteResponse) -> None:
         """Blank: once all others have told what they keep, nothing that a majority kept is missing here."""
         if answer.name == self.name:
             return
@@ -324,7 +333,7 @@
         self.highest = max(self.highest, epoch)
         self.overtaken = max(self.overtaken, epoch)
 
-    def kept(self, answer: Kept, number: int) -> bool:
+    def kept(self, answer: ReplicationResponse, number: int) -> bool:
         """Whether that number is kept by a majority now."""
         self.highest = max(self.highest, answer.epoch)
         if answer.kept:
--- a/birchslip/fleet/store.py
+++ b/birchslip/cluster/election_store.py
@@ -13,10 +13,10 @@
 from dataclasses import astuple, fields
 from pathlib import Path
 
-from .vote import Durable
+from .election import DurableVote
 
 VERSION = 1
-COLUMNS = [field.name for field in fields(Durable)]
+COLUMNS = [field.name for field in fields(DurableVote)]
 FORM = (
     "create table if not exists ballot (one integer primary key check (one = 1), checksum integer not null, "
     + ", ".join(COLUMNS)
@@ -24,15 +24,15 @@
 )
 
 
-class Unkept(OSError):
+class StoreWriteError(OSError):
     """What had to be flushed could not be: nothing may be answered that rests on it."""
 
 
-def checksum(durable: Durable) -> int:
+def checksum(durable: DurableVote) -> int:
     return zlib.crc32(repr(astuple(durable)).encode())
 
 
-class Store:
+class ElectionStore:
     """One planner's file. `trouble` says why an earlier one was put aside, if one was."""
 
     def __init__(self, folder: Path, name: str) -> None:
@@ -43,12 +43,12 @@
             self.link = self.open()
             self.found = self.load()
         except sqlite3.OperationalError as trouble:
-            raise Unkept(f"{self.path}: {trouble}") from None
+            raise StoreWriteError(f"{self.path}: {trouble}") from None
         except (sqlite3.DatabaseError, ValueError) as trouble:
             self.trouble = str(trouble)
             self.put_aside()
             self.link = self.open()
-            self.found = Durable()
+            self.found = DurableVote()
 
     def open(self) -> sqlite3.Connection:
         link = sqlite3.connect(self.path, isolation_level=None, timeout=0)
@@ -69,19 +69,19 @@
             raise
         return link
 
-    def load(self) -> Durable:
+    def load(self) -> DurableVote:
         with closing(self.link.execute(f"select checksum, {', '.join(COLUMNS)} from ballot")) as rows:
             row = rows.fetchone()
         if row is None:
-            return Durable()
-        durable = Durable(*row[1:])
+            return DurableVote()
+        durable = DurableVote(*row[1:])
         durable.blank = bool(durable.blank)
         if row[0] != checksum(durable):
             self.link.close()
             raise ValueError("the row does not match its checksum")
         return durable
 
-    def save(self, durable: Durable) -> None:
+    def save(self, durable: DurableVote) -> None:
         """On the disk when it returns; Unkept where that could not be."""
         marks = ", ".join("?" * (len(COLUMNS) + 2))
         try:
@@ -89,7 +89,7 @@
                 f"insert or replace into ballot values ({marks})", (1, checksum(durable), *astuple(durable))
             )
         except sqlite3.Error as trouble:
-            raise Unkept(f"{self.path}: {trouble}") from None
+            raise StoreWriteError(f"{self.path}: {trouble}") from None
 
     def put_aside(self) -> None:
         for tail in ("", "-wal", "-shm"):
--- a/birchslip/fleet/amend.py
+++ b/birchslip/cluster/fleet_diff.py
@@ -16,7 +16,7 @@
 
 from collections.abc import Iterator
 
-from .fleetfile import Fleet
+from .fleet_file import Fleet
 
 FIXED = ("planners", "vault", "report_ms", "plan_ms", "fade_ms", "patience_ms")
 
--- a/birchslip/fleet/fleetfile.py
+++ b/birchslip/cluster/fleet_file.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from ..deployment import Malformed
-from ..interface import MS, Refusal
-from .permits import Group
-from .records import Name, Part
+from ..admission.types import MS, SheddingTier
+from ..errors import InvalidInputError
+from .disruption_budget import BudgetGroup
+from .messages import Name, Part
 
 Address = Annotated[
     str, msgspec.Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$", description="HOST:PORT"),
@@ -113,7 +113,7 @@
     sites: list[Site]
     links: list[Link] = []
     tenants: dict[Name, Part] = {}
-    refuse: list[Name] = msgspec.field(default_factory=lambda: [kind.value for kind in Refusal])
+    refuse: list[Name] = msgspec.field(default_factory=lambda: [kind.value for kind in SheddingTier])
     vault: Vault | None = None
     groups: list[Budget] = []
     services: list[Service] = []
@@ -126,8 +126,8 @@
     # ---- what follows from it --------------------------------------------------------------------------
 
     @property
-    def order(self) -> tuple[Refusal, ...]:
-        return tuple(Refusal(word) for word in self.refuse)
+    def order(self) -> tuple[SheddingTier, ...]:
+        return tuple(SheddingTier(word) for word in self.refuse)
 
     @property
     def costs(self) -> dict[tuple[str, str], float]:
@@ -143,7 +143,7 @@
         rest = max(0.0, self.vault.total - told) / max(1, len(even))
         return {member.name: rest if member.calls is None else member.calls for member in members}
 
-    def budgets(self) -> list[Group]:
+    def budgets(self) -> list[BudgetGroup]:
         """The groups with their members."""
         made = []
         for told in self.groups:
@@ -152,7 +152,7 @@
             }
             names |= {one.name for one in self.services if one.kind in told.kinds}
             made.append(
-                Group(
+                BudgetGroup(
                     told.name,
                     frozenset(names | set(told.members) | set(told.services)),
                     told.most_out,
@@ -264,12 +264,12 @@
             yield f"platform.stale_ms: {self.platform.stale_ms} is under two askings of {most} ms"
 
     def order_trouble(self) -> Iterator[str]:
-        words = [kind.value for kind in Refusal]
+        words = [kind.value for kind in SheddingTier]
         for n, word in enumerate(self.refuse):
             if word not in words:
                 yield f"refuse[{n}]: no such kind of refusal as {word!r}; there are {', '.join(words)}"
         yield from twice("refuse", list(self.refuse), "kind")
-        if Refusal.HOME.value in self.refuse and self.refuse[-1] != Refusal.HOME.value:
+        if SheddingTier.LOCAL.value in self.refuse and self.refuse[-1] != SheddingTier.LOCAL.value:
             yield "refuse: what stands behind 'home' can't be refused before it, as home is all that is left"
 
 
@@ -287,10 +287,10 @@
     try:
         fleet: Fleet = msgspec.json.decode(raw, type=Fleet)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise Malformed(f"{path}: {trouble}") from None
+        raise InvalidInputError(f"{path}: {trouble}") from None
     found = list(fleet.trouble())
     if found:
-        raise Malformed("\n".join(f"{path}: {line}" for line in found))
+        raise InvalidInputError("\n".join(f"{path}: {line}" for line in found))
     return fleet
 
 
--- a/birchslip/fleet/gauges.py
+++ b/birchslip/cluster/member_metrics.py
@@ -7,8 +7,8 @@
 from bisect import bisect
 from collections.abc import Mapping, Sequence
 
-from ..brain import Ring
-from ..interface import SECOND
+from ..admission.controller import WindowedCounter
+from ..admission.types import SECOND
 
 SLICES, SLICE = 8, 2_500  # two seconds, a quarter of a second at a time
 SPAN = SLICES * SLICE
@@ -27,8 +27,8 @@
     """Counts in rings; no work grows with callers or history."""
 
     def __init__(self, tenants: list[str]) -> None:
-        self.load = {name: Ring(SLICES, SLICE) for name in [*tenants, ""]}
-        self.visits, self.again, self.honoured, self.shed = (Ring(SLICES, SLICE) for _ in range(4))
+        self.load = {name: WindowedCounter(SLICES, SLICE) for name in [*tenants, ""]}
+        self.visits, self.again, self.honoured, self.shed = (WindowedCounter(SLICES, SLICE) for _ in range(4))
         self.counted = [0, 0]
 
     def arrived(self, now: int, tenant: str, at_home: bool, again: bool) -> None:
--- a/birchslip/fleet/membership.py
+++ b/birchslip/cluster/membership.py
@@ -20,8 +20,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .records import Incarnation, Report
-from .suspicion import Suspicion
+from .messages import Incarnation, MemberReport
+from .phi_accrual import PhiAccrualDetector
 
 SUSPECT = 5.0  # phi: one silence in a hundred thousand is that long by chance
 GONE = 100_000  # ten seconds of silence
@@ -33,7 +33,7 @@
 STALE_LIVES = 16  # lives remembered of one name, so that a late report of an earlier one is known
 
 
-class Life(Enum):
+class MemberLiveness(Enum):
     ALIVE = "alive"
     SUSPECTED = "suspected"
     GONE = "gone"
@@ -41,7 +41,7 @@
     LEFT = "left"
 
 
-class Verdict(Enum):
+class SiteVerdict(Enum):
     HERE = "here"
     SLOW = "slow"
     RESTARTING = "restarting"
@@ -55,8 +55,8 @@
     name: str
     site: str
     incarnation: Incarnation
-    suspicion: Suspicion
-    report: Report
+    suspicion: PhiAccrualDetector
+    report: MemberReport
     since: int  # of this life
     broken: bool = False  # its links ended and it has not been heard since
     heard_by_others: int = -1
@@ -75,14 +75,14 @@
             what for at, what in self.knocks.values() if now - at <= KNOCK_KEPT and at >= self.suspicion.last
         ]
 
-    def life(self, now: int, usual: int) -> Life:
+    def life(self, now: int, usual: int) -> MemberLiveness:
         if self.report.leaving:
-            return Life.LEFT
+            return MemberLiveness.LEFT
         if self.heard(now, usual):
-            return Life.ALIVE
+            return MemberLiveness.ALIVE
         if "answered" in self.met(now):
-            return Life.CUT_OFF
-        return Life.GONE if now - self.suspicion.last >= GONE else Life.SUSPECTED
+            return MemberLiveness.CUT_OFF
+        return MemberLiveness.GONE if now - self.suspicion.last >= GONE else MemberLiveness.SUSPECTED
 
 
 class Membership:
@@ -96,14 +96,14 @@
 
     # ---- what comes in ---------------------------------------------------------------------------------
 
-    def hear(self, report: Report, now: int) -> bool:
+    def hear(self, report: MemberReport, now: int) -> bool:
         """Whether it is news: one of an earlier life, of an unknown site, doubled or late is none."""
         if report.site not in self.sites:
             return False
         member = self.members.get(report.name) or self.come_again(report)
         if member is None:
             member = Member(
-                report.name, report.site, report.incarnation, Suspicion(now, self.every), report, now
+                report.name, report.site, report.incarnation, PhiAccrualDetector(now, self.every), report, now
             )
             self.members[report.name] = self.sites[report.site][report.name] = member
             return True
@@ -114,7 +114,7 @@
                 return False
             member.earlier = [*member.earlier[1 - STALE_LIVES :], member.incarnation]
             member.incarnation, member.since = report.incarnation, now
-            member.suspicion = Suspicion(now, self.every)
+            member.suspicion = PhiAccrualDetector(now, self.every)
             member.restarts += 1
             member.knocks.clear()
         elif report.number <= member.report.number:
@@ -137,7 +137,7 @@
             for old in list(self.gone)[:-GONE_KEPT]:
                 del self.gone[old]
 
-    def come_again(self, report: Report) -> Member | None:
+    def come_again(self, report: MemberReport) -> Member | None:
         """One under a name used before: late reports of its earlier lives change nothing."""
         member = self.gone.pop(report.name, None)
         if member is not None:
@@ -164,7 +164,7 @@
     # ---- what it comes to ------------------------------------------------------------------------------
 
     def alive(self, site: str, now: int) -> list[Member]:
-        return [one for one in self.sites[site].values() if one.life(now, self.every) is Life.ALIVE]
+        return [one for one in self.sites[site].values() if one.life(now, self.every) is MemberLiveness.ALIVE]
 
     def unheard(self, site: str, now: int) -> list[Member]:
         """Those that should be there and no planner hears."""
@@ -181,24 +181,24 @@
         there = sum(1 for one in self.sites[site].values() if not one.report.leaving)
         return unheard if unheard and len(unheard) == there else []
 
-    def verdict(self, site: str, now: int) -> Verdict:
+    def verdict(self, site: str, now: int) -> SiteVerdict:
         dark = self.dark(site, now)
         if dark:
             return self.verdict_on_silence(site, dark, now)
         there = self.alive(site, now)
         if not there:
-            return Verdict.RESTARTING if self.sites[site] else Verdict.HERE
+            return SiteVerdict.RESTARTING if self.sites[site] else SiteVerdict.HERE
         slow = sum(1 for one in there if one.report.pace >= PACE_SLOW)
         if 2 * slow > len(there):
-            return Verdict.SLOW
+            return SiteVerdict.SLOW
         fresh = sum(1 for one in there if one.restarts and now - one.since < GONE)
         missing = len(self.sites[site]) - len(there)
-        return Verdict.RESTARTING if 2 * (fresh + missing) > len(self.sites[site]) else Verdict.HERE
+        return SiteVerdict.RESTARTING if 2 * (fresh + missing) > len(self.sites[site]) else SiteVerdict.HERE
 
-    def verdict_on_silence(self, site: str, dark: list[Member], now: int) -> Verdict:
+    def verdict_on_silence(self, site: str, dark: list[Member], now: int) -> SiteVerdict:
         met = [what for one in dark for what in one.met(now)]
         if "answered" in met:
-            return Verdict.CUT_OFF
+            return SiteVerdict.CUT_OFF
         able = sum(1 for one in self.members.values() if one.site != site and one.heard(now, self.every))
         shut = {one.name for one in dark if one.met(now)}
         witnesses = {
@@ -208,4 +208,4 @@
             if now - at <= KNOCK_KEPT and at >= one.suspicion.last
         }
         enough = able and len(witnesses) >= min(WITNESSES, able) and len(shut) >= min(DOORS, len(dark))
-        return Verdict.LOST if enough else Verdict.DARK
+        return SiteVerdict.LOST if enough else SiteVerdict.DARK
--- a/birchslip/fleet/records.py
+++ b/birchslip/cluster/messages.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..deployment import Malformed
+from ..errors import InvalidInputError
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Span = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]
@@ -22,18 +22,18 @@
 Words = Annotated[str, msgspec.Meta(max_length=400)]
 
 
-class Record(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class Message(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """Unknown fields are refused: a record of a later version is not half understood."""
 
 
-class Incarnation(Record):
+class Incarnation(Message):
     """Which life of a process: `life` counts its starts where that is known, `mark` is random at each."""
 
     life: Count = 0
     mark: Count = 0
 
 
-class Seen(Record):
+class PeerObservation(Message):
     """The most that one planner has shown another: its last life, and what it said that its disk holds."""
 
     life: Count
@@ -43,14 +43,14 @@
     number: Count = 0
 
 
-class Knock(Record):
+class ProbeResult(Message):
     """What a witness met at a door: `answered`, `refused` or `silent`."""
 
     name: Name
     met: Annotated[str, msgspec.Meta(pattern="^(answered|refused|silent)$")]
 
 
-class Report(Record):
+class MemberReport(Message):
     """What a member shows, several times a second. Rates are transactions a second, as measured just now."""
 
     name: Name
@@ -74,7 +74,7 @@
     lease: Span  # left of the leased part of that
     epoch: Epoch  # of the plan that it holds
     plan: Count
-    knocks: list[Knock] = []
+    knocks: list[ProbeResult] = []
     # since this life began: of each kind and profile, bad ones and all (`gauges.py`)
     figures: Annotated[dict[Name, tuple[Count, Count]], msgspec.Meta(max_length=512)] = {}
     # honoured ones of each profile since then, by how long they ran
@@ -82,7 +82,7 @@
     memory: Count = 0  # resident, in KB
 
 
-class Tell(Record):
+class PlanAssignment(Message):
     """A plan as told to one member."""
 
     epoch: Epoch
@@ -98,7 +98,7 @@
     short: bool
 
 
-class Reply(Record):
+class ReportReply(Message):
     """A planner's answer to a report. Only the leader fills more than `leader` and `epoch`."""
 
     epoch: Epoch
@@ -106,23 +106,23 @@
     leads: bool
     leader: str = ""  # the name of the planner that is thought to lead
     every: Span = 2_000  # how often to report
-    tell: Tell | None = None
+    tell: PlanAssignment | None = None
     share: Rate = 0.0  # calls that may be in hand under the lease, kept part included
     lease: Span = 0  # of the share, counted from when the report was sent
     knock: dict[Name, Words] = {}  # doors to knock at
 
 
-class Ask(Record):
+class VoteRequest(Message):
     """A planner asks for votes, or for its lease to go on."""
 
     epoch: Epoch
     name: Name
     incarnation: Incarnation
-    seen: dict[Name, Seen] = {}  # what was seen of each planner, which unmasks an old disk
+    seen: dict[Name, PeerObservation] = {}  # what was seen of each planner, which unmasks an old disk
     doubt: list[Name] = []  # members that the leader does not hear
 
 
-class Answer(Record):
+class VoteResponse(Message):
     granted: bool
     epoch: Epoch  # the highest promised
     name: Name
@@ -133,10 +133,10 @@
     state_number: Count = 0
     state: bytes = b""
     heard: list[Name] = []  # of the members in doubt, those heard here
-    seen: dict[Name, Seen] = {}
+    seen: dict[Name, PeerObservation] = {}
 
 
-class Keep(Record):
+class ReplicationRequest(Message):
     """What the leader has others keep before it tells it to anybody."""
 
     epoch: Epoch
@@ -146,13 +146,13 @@
     state: bytes
 
 
-class Kept(Record):
+class ReplicationResponse(Message):
     kept: bool
     epoch: Epoch
     name: Name
 
 
-class Want(Record):
+class EvictionRequest(Message):
     """Somebody wants a member to be out, or to hand its permit back. Without an incarnation, the one seen
     is meant.
     """
@@ -166,7 +166,7 @@
     span: Span = 0
 
 
-class Granted(Record):
+class EvictionResponse(Message):
     """What came of it: a permit and its number, or the place among those who wait, and why."""
 
     granted: bool
@@ -175,7 +175,7 @@
     why: str = ""
 
 
-class Wish(Record):
+class OperatorCommand(Message):
     """What an operator asks of the fleet by hand."""
 
     what: Annotated[str, msgspec.Meta(pattern="^(show|what-if|evacuate|return)$")]
@@ -184,17 +184,17 @@
     why: Words = ""
 
 
-def encode(record: Record) -> bytes:
+def encode(record: Message) -> bytes:
     return msgspec.json.encode(record)
 
 
-Kind = TypeVar("Kind", bound=Record)
+Kind = TypeVar("Kind", bound=Message)
 
 
 def decode(raw: object, kind: type[Kind]) -> Kind:
     if not isinstance(raw, bytes):
-        raise Malformed(f"{kind.__name__}: not a value of bytes")
+        raise InvalidInputError(f"{kind.__name__}: not a value of bytes")
     try:
         return msgspec.json.decode(raw, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise Malformed(f"{kind.__name__}: {trouble}") from None
+        raise InvalidInputError(f"{kind.__name__}: {trouble}") from None
--- a/birchslip/fleet/steady.py
+++ b/birchslip/cluster/monotonic_clock.py
@@ -7,6 +7,6 @@
 SOURCE = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
-def steady_clock() -> int:
+def monotonic_now() -> int:
     """Tenths of a millisecond since some moment of the past; only differences mean anything."""
     return time.clock_gettime_ns(SOURCE) // 100_000
--- a/birchslip/fleet/suspicion.py
+++ b/birchslip/cluster/phi_accrual.py
@@ -14,7 +14,7 @@
 MOST = 40.0  # past it the chance is nought to a float
 
 
-class Suspicion:
+class PhiAccrualDetector:
     """The gaps between one member's reports, in tenths of a millisecond."""
 
     def __init__(self, now: int, usual: int) -> None:
--- a/birchslip/fleet/obey.py
+++ b/birchslip/cluster/plan_subscription.py
@@ -9,28 +9,28 @@
 
 from collections.abc import Mapping
 
-from ..interface import Override, Refusal, Tenant
-from .records import Incarnation, Reply, Tell
+from ..admission.types import PlanOverride, SheddingTier, Tenant
+from .messages import Incarnation, PlanAssignment, ReportReply
 
 
-def override_of(tell: Tell, tenants: Mapping[str, Tenant], until: int) -> Override:
+def override_of(tell: PlanAssignment, tenants: Mapping[str, Tenant], until: int) -> PlanOverride:
     """The plan in the decisions' own terms; what it says of tenants that are not told here is left out."""
-    words = {kind.value: kind for kind in Refusal}
-    return Override(
-        epoch=tell.epoch,
+    words = {kind.value: kind for kind in SheddingTier}
+    return PlanOverride(
+        term=tell.epoch,
         number=tell.plan,
-        until=until,
-        fade=max(1, tell.fade),
+        expires_at=until,
+        fade_span=max(1, tell.fade),
         quotas={tenants[name]: rate for name, rate in tell.quotas.items() if name in tenants},
-        visitors=frozenset(tell.visitors),
-        visits=tell.visits,
-        order=tuple(words[word] for word in tell.order if word in words),
-        level=tell.level,
-        short=tell.short,
+        evacuated_callers=frozenset(tell.visitors),
+        evacuated_quota=tell.visits,
+        shedding_order=tuple(words[word] for word in tell.order if word in words),
+        serving_fraction=tell.level,
+        is_capacity_short=tell.short,
     )
 
 
-class Obedience:
+class PlanSubscription:
     """`kept` is the part of the vault's share that needs no lease; `patience` how long a start waits for
     a word.
     """
@@ -39,7 +39,7 @@
         self.kept, self.listed_from = kept, now + patience
         self.epoch = 0
         self.author = Incarnation()
-        self.plan: Tell | None = None
+        self.plan: PlanAssignment | None = None
         self.plan_until = 0
         self.number = 0
         self.share, self.lease_until = kept, 0
@@ -48,7 +48,7 @@
         self.refused = 0
         self.knock: dict[str, str] = {}
 
-    def take(self, reply: Reply, sent: int, now: int) -> bool:
+    def take(self, reply: ReportReply, sent: int, now: int) -> bool:
         """Whether the word is one to obey."""
         if not reply.leads:
             return False
--- a/birchslip/fleet/planner.py
+++ b/birchslip/cluster/planner.py
@@ -17,21 +17,37 @@
 
 import msgspec
 
-from ..deployment import Malformed
+from ..errors import InvalidInputError
 from ..net.counters import Counters
 from ..net.log import Log
 from ..net.program import memory
 from ..net.scheduler import READ, Scheduler
 from ..net.site import address
-from .conduct import Word
-from .fleetfile import Fleet, read_fleet, span
-from .mind import LOOK, Mind
+from .election import Election
+from .election_store import ElectionStore, StoreWriteError
+from .fleet_file import Fleet, read_fleet, span
+from .messages import (
+    EvictionRequest,
+    MemberReport,
+    Message,
+    OperatorCommand,
+    ReplicationRequest,
+    ReplicationResponse,
+    VoteRequest,
+    VoteResponse,
+    decode,
+    encode,
+)
+from .monotonic_clock import monotonic_now
+from .planner_state import LOOK, PlannerState
 from .platform_link import PlatformLink
-from .records import Answer, Ask, Keep, Kept, Record, Report, Want, Wish, decode, encode
-from .steady import steady_clock
-from .store import Store, Unkept
-from .vote import Ballot
-from .wire import Door, Guest, Later, Line
+from .rollout_controller import RolloutCommand
+from .transport import (
+    DeferredReply,
+    IncomingConnection,
+    PeerConnection,
+    PlannerEndpoint,
+)
 
 TICK = 250  # the vote is looked at forty times a second
 LIMIT = 3_000  # an answer of another planner that takes longer than 300 ms is none
@@ -60,12 +76,12 @@
 class Peer:
     """Another planner: the newest question of each kind waits until the one before is over."""
 
-    def __init__(self, planner: Planner, name: str, line: Line) -> None:
+    def __init__(self, planner: Planner, name: str, line: PeerConnection) -> None:
         self.planner, self.name, self.line = planner, name, line
-        self.waiting: dict[str, Record] = {}
+        self.waiting: dict[str, Message] = {}
         self.busy = False
 
-    def put(self, method: str, record: Record) -> None:
+    def put(self, method: str, record: Message) -> None:
         self.waiting[method] = record
         if not self.busy:
             self.busy = True
@@ -80,28 +96,28 @@
                 try:
                     answer = self.line.ask(method, encode(record), sent + LIMIT)
                     self.planner.heard(record, answer, sent)
-                except (OSError, Malformed) as trouble:
+                except (OSError, InvalidInputError) as trouble:
                     self.planner.log.fault("a planner can't be asked", planner=self.name, why=str(trouble))
         finally:
             self.busy = False
 
 
 class Planner:
-    """`Unkept`, `OSError` or `Malformed` at its making says in a line why it can't be."""
+    """`StoreWriteError`, `OSError` or `InvalidInputError` at its making says in a line why it can't be."""
 
     def __init__(self, fleet: Fleet, name: str, folder: Path, listen: str = "", path: str = "") -> None:
         self.path = path  # of the fleet file, to be read again on SIGHUP
         mine = next((one for one in fleet.planners if one.name == name), None)
         if mine is None:
             names = ", ".join(one.name for one in fleet.planners)
-            raise Malformed(f"planners: none is named {name!r}; there are {names}")
+            raise InvalidInputError(f"planners: none is named {name!r}; there are {names}")
         self.fleet, self.name, self.address = fleet, name, address(listen or mine.address, "address")
-        self.scheduler = Scheduler(lambda: None, self.fault, steady_clock)
+        self.scheduler = Scheduler(lambda: None, self.fault, monotonic_now)
         self.log = Log(self.scheduler, name)
         self.counters = Counters(STORY)
-        self.store = Store(folder, name)
+        self.store = ElectionStore(folder, name)
         chance = random.Random(int.from_bytes(os.urandom(8)))
-        self.ballot = Ballot(
+        self.ballot = Election(
             name,
             [one.name for one in fleet.planners],
             self.store.found,
@@ -110,18 +126,20 @@
             chance,
         )
         self.flush()
-        self.mind = Mind(fleet, self.ballot, self.scheduler.now)
+        self.mind = PlannerState(fleet, self.ballot, self.scheduler.now)
         most = descriptors() - DESCRIPTORS
-        self.door = Door(self.scheduler, most, self.serve, self.gone)
+        self.door = PlannerEndpoint(self.scheduler, most, self.serve, self.gone)
         self.peers = [
-            Peer(self, one.name, Line(self.scheduler, address(one.address, "address")))
+            Peer(self, one.name, PeerConnection(self.scheduler, address(one.address, "address")))
             for one in fleet.planners
             if one.name != name
         ]
-        self.links: dict[str, set[Guest]] = {}
+        self.links: dict[str, set[IncomingConnection]] = {}
         self.next_look = self.next_keep = 0
         self.keeping = 0
-        self.owed: list[tuple[int, int, bytes, Later]] = []  # answers that a majority has to keep first
+        self.owed: list[
+            tuple[int, int, bytes, DeferredReply]
+        ] = []  # answers that a majority has to keep first
         platform = fleet.platform
         self.platform = (
             PlatformLink(
@@ -185,7 +203,7 @@
         """The fleet file again; one that can't be taken over leaves the old one in force, and says why."""
         try:
             troubles = self.mind.amend(read_fleet(self.path), self.scheduler.tell_time())
-        except (Malformed, OSError) as trouble:
+        except (InvalidInputError, OSError) as trouble:
             troubles = str(trouble).splitlines()
         self.counters.count("fleet.not_taken_over" if troubles else "fleet.taken_over")
         for why in troubles:
@@ -207,7 +225,7 @@
         if self.ballot.dirty:
             try:
                 self.store.save(self.ballot.durable)
-            except Unkept as trouble:
+            except StoreWriteError as trouble:
                 self.counters.count("disk.failed")
                 self.log.fault("the disk does not keep what it must", why=str(trouble))
                 raise
@@ -254,7 +272,7 @@
         self.counters.count("keep.told")
         own = self.ballot.keep(told, now)
         # A leader whose disk is full is none of its own keepers; the others may still be a majority.
-        with suppress(Unkept):
+        with suppress(StoreWriteError):
             self.flush()
             if self.ballot.kept(own, told.number):
                 self.mind.kept(told.number)
@@ -262,17 +280,17 @@
         for peer in self.peers:
             peer.put("keep", told)
 
-    def heard(self, asked: Record, raw: bytes, sent: int) -> None:
+    def heard(self, asked: Message, raw: bytes, sent: int) -> None:
         """Another planner's answer."""
         now = self.scheduler.tell_time()
-        if isinstance(asked, Ask):
-            answer = decode(raw, Answer)
+        if isinstance(asked, VoteRequest):
+            answer = decode(raw, VoteResponse)
             self.ballot.answered(answer, asked.epoch, sent, now)
             if answer.granted:
                 self.mind.membership.heard_elsewhere(answer.heard, now)
             self.flush()
-        elif isinstance(asked, Keep):
-            kept = decode(raw, Kept)
+        elif isinstance(asked, ReplicationRequest):
+            kept = decode(raw, ReplicationResponse)
             self.counters.count("keep.kept" if kept.kept else "keep.refused")
             if asked.epoch == self.mind.reign and self.ballot.kept(kept, asked.number):
                 self.mind.kept(asked.number)
@@ -286,8 +304,8 @@
 
     # ---- the door --------------------------------------------------------------------------------------
 
-    def serve(self, guest: Guest, method: str, value: bytes) -> bytes | Later:
-        serve: Callable[[Guest, bytes, int], bytes | Later] | None = {
+    def serve(self, guest: IncomingConnection, method: str, value: bytes) -> bytes | DeferredReply:
+        serve: Callable[[IncomingConnection, bytes, int], bytes | DeferredReply] | None = {
             "report": self.take_report,
             "ask": self.take_ask,
             "keep": self.take_keep,
@@ -296,14 +314,14 @@
             "release": self.take_word,
         }.get(method)
         if serve is None:
-            raise Malformed(f"no such method: {method[:40]!r}")
+            raise InvalidInputError(f"no such method: {method[:40]!r}")
         return serve(guest, value, self.scheduler.tell_time())
 
-    def take_report(self, guest: Guest, value: bytes, now: int) -> bytes:
+    def take_report(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
         self.counters.count("members.reports")
         try:
-            report = decode(value, Report)
-        except Malformed as trouble:
+            report = decode(value, MemberReport)
+        except InvalidInputError as trouble:
             self.counters.count("members.malformed")
             self.log.fault("a report that can't be read", why=str(trouble))
             raise
@@ -314,8 +332,8 @@
             self.links.setdefault(report.name, set()).add(guest)
         return encode(reply)
 
-    def take_ask(self, guest: Guest, value: bytes, now: int) -> bytes:
-        ask = decode(value, Ask)
+    def take_ask(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
+        ask = decode(value, VoteRequest)
         answer = self.ballot.asked(ask, now)
         self.flush()
         if answer.granted:
@@ -323,22 +341,24 @@
         answer.heard = self.mind.heard_here(ask.doubt, now)
         return encode(answer)
 
-    def take_keep(self, guest: Guest, value: bytes, now: int) -> bytes:
-        kept = self.ballot.keep(decode(value, Keep), now)
+    def take_keep(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
+        kept = self.ballot.keep(decode(value, ReplicationRequest), now)
         self.flush()
         return encode(kept)
 
-    def take_wish(self, guest: Guest, value: bytes, now: int) -> bytes:
-        wish = decode(value, Wish)
+    def take_wish(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
+        wish = decode(value, OperatorCommand)
         if wish.what == "show":
             return msgspec.json.encode(self.mind.show(now))
         if wish.site not in self.mind.comebacks:
-            raise Malformed(f"no site is named {wish.site!r}; there are {', '.join(self.mind.comebacks)}")
+            raise InvalidInputError(
+                f"no site is named {wish.site!r}; there are {', '.join(self.mind.comebacks)}"
+            )
         if wish.what == "what-if":
             return msgspec.json.encode(self.mind.foresee(wish.site))
         if not self.mind.rules(now):
             self.counters.count("wishes.refused")
-            raise Malformed(f"not the leader: ask {self.mind.silence(now).leader or 'again soon'}")
+            raise InvalidInputError(f"not the leader: ask {self.mind.silence(now).leader or 'again soon'}")
         if wish.what == "evacuate":
             done = self.mind.evacuate(wish.site, wish.who, wish.why, now)
         else:
@@ -346,18 +366,18 @@
         self.counters.count("wishes.taken")
         return msgspec.json.encode({"done": done, "site": wish.site, "what": wish.what})
 
-    def take_want(self, guest: Guest, value: bytes, now: int) -> bytes | Later:
+    def take_want(self, guest: IncomingConnection, value: bytes, now: int) -> bytes | DeferredReply:
         """Told once a majority keeps it; one that loses its lead meanwhile says so, and the next one
         knows it.
         """
-        want = decode(value, Want)
+        want = decode(value, EvictionRequest)
         self.lead(now)
         number, granted = self.mind.want(want, now)
         return self.owe(number, encode(granted), now)
 
-    def take_word(self, guest: Guest, value: bytes, now: int) -> bytes | Later:
+    def take_word(self, guest: IncomingConnection, value: bytes, now: int) -> bytes | DeferredReply:
         """Of releases: any planner shows them, the leader alone takes a word on them."""
-        word = decode(value, Word)
+        word = decode(value, RolloutCommand)
         if word.what in ("status", "history"):
             told = self.mind.told_releases(now, word.number, word.what == "history")
             return msgspec.json.encode({"leads": self.mind.rules(now), "releases": told})
@@ -369,14 +389,14 @@
         """Who does not lead takes no word that changes anything."""
         if not self.mind.rules(now):
             self.counters.count("wants.refused")
-            raise Malformed(f"not the leader: ask {self.mind.silence(now).leader or 'again soon'}")
+            raise InvalidInputError(f"not the leader: ask {self.mind.silence(now).leader or 'again soon'}")
         self.counters.count("wants.taken")
 
-    def owe(self, number: int, answer: bytes, now: int) -> bytes | Later:
+    def owe(self, number: int, answer: bytes, now: int) -> bytes | DeferredReply:
         """The answer, once a majority keeps what it tells of."""
         if number <= self.mind.kept_number:
             return answer
-        later = Later()
+        later = DeferredReply()
         self.owed.append((self.mind.reign, number, answer, later))
         self.have_kept(now)
         self.pay()
@@ -387,17 +407,17 @@
         left = []
         for reign, number, answer, later in self.owed:
             if reign != self.mind.reign:
-                later.done(Malformed("no longer the leader: ask the next one"))
+                later.done(InvalidInputError("no longer the leader: ask the next one"))
             elif number <= self.mind.kept_number:
                 later.done(answer)
             else:
                 left.append((reign, number, answer, later))
         self.owed = left
 
-    def gone(self, guest: Guest, why: str) -> None:
+    def gone(self, guest: IncomingConnection, why: str) -> None:
         self.forget(guest)
 
-    def forget(self, guest: Guest) -> None:
+    def forget(self, guest: IncomingConnection) -> None:
         """A member whose last link here has ended is suspected at once."""
         if guest.about is None:
             return
--- a/birchslip/fleet/member.py
+++ b/birchslip/cluster/planner_link.py
@@ -12,21 +12,28 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..deployment import Malformed
-from ..driver import Driver
-from ..interface import Deployment, Tenant
+from ..admission.driver import AdmissionDriver
+from ..admission.types import AdmissionSettings, Tenant
+from ..errors import InvalidInputError
 from ..net.counters import Counters
 from ..net.log import Log
 from ..net.passage import Passage
 from ..net.program import memory
 from ..net.scheduler import Scheduler
 from ..net.site import address
-from .fleetfile import Fleet, span
-from .gauges import Figures, Rates, room_of
-from .obey import Obedience, override_of
-from .records import Incarnation, Knock, Reply, Report, decode, encode
-from .steady import steady_clock
-from .wire import Line, Refused
+from .fleet_file import Fleet, span
+from .member_metrics import Figures, Rates, room_of
+from .messages import (
+    Incarnation,
+    MemberReport,
+    ProbeResult,
+    ReportReply,
+    decode,
+    encode,
+)
+from .monotonic_clock import monotonic_now
+from .plan_subscription import PlanSubscription, override_of
+from .transport import PeerConnection, RequestRefusedError
 
 WAIT_FIRST, WAIT_MOST = 1_000, 20_000  # before a planner is dialled again: 100 ms at first, 2 s at most
 LIMIT = 5_000  # a reply that takes longer than half a second is none
@@ -38,7 +45,7 @@
 MEMORY = 10_000  # its size is looked at once a second
 
 
-class Standing:
+class MemberStatus:
     """What the program tells of itself, asked for at each report."""
 
     def __init__(self) -> None:
@@ -46,8 +53,8 @@
         self.serving = self.leaving = False
 
 
-class Bond:
-    """The tie of one app server to its fleet. `Malformed` at its making names what does not fit."""
+class PlannerLink:
+    """The tie of one app server to its fleet. `InvalidInputError` at its making names what does not fit."""
 
     def __init__(
         self,
@@ -56,13 +63,13 @@
         log: Log,
         fleet: Fleet,
         name: str,
-        deployment: Deployment,
+        deployment: AdmissionSettings,
         tenants: list[str],
         profiles: list[str],
     ) -> None:
         site = fleet.site_of(name)
         if site is None:
-            raise Malformed(f"sites: no member is named {name!r}")
+            raise InvalidInputError(f"sites: no member is named {name!r}")
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.fleet, self.name, self.site = fleet, name, site.name
         self.routers = frozenset(site.routers)
@@ -72,25 +79,27 @@
         self.incarnation = Incarnation(mark=int.from_bytes(os.urandom(6)))
         base = fleet.bases().get(name, 0.0)
         vault = fleet.vault
-        self.obey = Obedience(vault.kept * base if vault else 0.0, span(fleet.patience_ms), steady_clock())
+        self.obey = PlanSubscription(
+            vault.kept * base if vault else 0.0, span(fleet.patience_ms), monotonic_now()
+        )
         self.rates = Rates(tenants)
         self.figures = Figures(profiles)
         self.memory = self.memory_due = 0
-        self.standing = Standing()
+        self.standing = MemberStatus()
         self.number = 0
         self.met: dict[str, tuple[int, str]] = {}
         self.knocking: dict[str, int] = {}
         self.calls = -1.0
         self.listed = False
         self.listing_changed: Callable[[], None] = lambda: None
-        self.driver: Driver | None = None  # the decisions, once they have begun
+        self.driver: AdmissionDriver | None = None  # the decisions, once they have begun
         self.chance = random.Random(self.incarnation.mark)
 
     def start(self) -> None:
         planners = list(self.fleet.planners)
         self.chance.shuffle(planners)
         for planner in planners:
-            line = Line(self.scheduler, address(planner.address, "address"))
+            line = PeerConnection(self.scheduler, address(planner.address, "address"))
             self.scheduler.spawn(f"planner {planner.name}", partial(self.keep, planner.name, line))
         self.log.info("in a fleet", site=self.site, planners=len(planners), mark=self.incarnation.mark)
         self.scheduler.at(self.scheduler.now + SAMPLE, self.sample)
@@ -102,12 +111,12 @@
         transaction = passage.transaction
         tenant = self.names.get(id(transaction.tenant), "") if transaction.tenant is not None else ""
         at_home = not self.routers or transaction.caller in self.routers
-        self.rates.arrived(self.scheduler.now, tenant, at_home, transaction.again)
+        self.rates.arrived(self.scheduler.now, tenant, at_home, transaction.is_retry)
 
     def answered(self, passage: Passage, what: str) -> None:
         transaction = passage.transaction
         now = self.scheduler.now
-        late = now - transaction.arrived > transaction.profile.goal
+        late = now - transaction.arrived_at > transaction.request_class.latency_objective
         ran = now - passage.launched_at if passage.launched else -1
         self.figures.answered(passage.profile, what, ran, late)
 
@@ -125,16 +134,16 @@
         """
         if self.driver is None or self.fleet.vault is None:
             return
-        calls = self.obey.calls(steady_clock())
+        calls = self.obey.calls(monotonic_now())
         if calls != self.calls:
             if calls < self.calls and calls == self.obey.kept:
                 self.counters.count("fleet.leases_lapsed")
                 self.log.info("the lease of the vault's share has ended", kept=calls)
             self.calls = calls
-            self.driver.share(calls)
+            self.driver.set_downstream_quota(calls)
 
     def may_be_listed(self) -> bool:
-        listed = self.obey.listed(steady_clock())
+        listed = self.obey.listed(monotonic_now())
         if listed != self.listed:
             self.listed = listed
             self.log.info(
@@ -144,7 +153,7 @@
 
     # ---- planners --------------------------------------------------------------------------------------
 
-    def keep(self, planner: str, line: Line) -> None:
+    def keep(self, planner: str, line: PeerConnection) -> None:
         """The task of one planner: a report, its answer, and so on for as long as the program lives."""
         wait = WAIT_FIRST
         while True:
@@ -154,11 +163,11 @@
                 wait = WAIT_FIRST
                 self.counters.count("fleet.reports")
                 pause = self.obey.every or span(self.fleet.report_ms)
-            except Refused as trouble:
+            except RequestRefusedError as trouble:
                 self.counters.count("fleet.refused")
                 self.log.fault("a planner would not take a report", planner=planner, why=str(trouble))
                 pause = span(self.fleet.report_ms)
-            except (OSError, Malformed) as trouble:
+            except (OSError, InvalidInputError) as trouble:
                 self.counters.count("fleet.missed")
                 self.log.fault("a planner can't be told", planner=planner, why=str(trouble))
                 line.close()
@@ -171,11 +180,11 @@
                 pause = WAIT_MOST
             self.scheduler.sleep(max(began + pause, self.scheduler.now + WAIT_FIRST // 10))
 
-    def report(self, line: Line) -> None:
-        sent = steady_clock()
+    def report(self, line: PeerConnection) -> None:
+        sent = monotonic_now()
         raw = line.ask("report", encode(self.told(sent)), self.scheduler.now + LIMIT)
-        reply = decode(raw, Reply)
-        now = steady_clock()
+        reply = decode(raw, ReportReply)
+        now = monotonic_now()
         refused = self.obey.refused
         if self.obey.take(reply, sent, now):
             self.carry_out(reply, now)
@@ -183,17 +192,17 @@
             self.counters.count("fleet.outdated")
             self.log.fault("a word of a leader of older days", epoch=reply.epoch, obeyed=self.obey.epoch)
 
-    def told(self, now: int) -> Report:
+    def told(self, now: int) -> MemberReport:
         self.number += 1
         moment = self.scheduler.now
-        rates, brain = self.rates, self.driver.brain if self.driver is not None else None
+        rates, controller = self.rates, self.driver.controller if self.driver is not None else None
         load, visits, again, honoured, shed = rates.now(moment)
         if moment >= self.memory_due:
             self.memory, self.memory_due = memory(), moment + MEMORY
         site = self.deployment
-        age = max(0, moment - brain.started) if brain is not None else 0
+        age = max(0, moment - controller.started) if controller is not None else 0
         self.met = {name: (at, what) for name, (at, what) in self.met.items() if moment - at <= KNOCKS_KEPT}
-        return Report(
+        return MemberReport(
             name=self.name,
             site=self.site,
             incarnation=self.incarnation,
@@ -202,26 +211,26 @@
             age=age,
             serving=self.standing.serving,
             leaving=self.standing.leaving,
-            warm=brain is not None and (not brain.site.cold or age >= site.cold_span),
-            room=room_of(site.cores, brain.all_runs.usual, honoured) if brain is not None else 0.0,
-            pace=max(0.0, brain.stretch) if brain is not None else 1.0,
+            warm=controller is not None and (not controller.site.starts_cold or age >= site.warm_up_span),
+            room=room_of(site.cores, controller.all_runs.usual, honoured) if controller is not None else 0.0,
+            pace=max(0.0, controller.stretch) if controller is not None else 1.0,
             load=load,
             visits=visits,
             again=again,
             honoured=honoured,
             shed=shed,
-            calls=float(brain.in_hand) if brain is not None else 0.0,
+            calls=float(controller.in_hand) if controller is not None else 0.0,
             share=max(0.0, self.obey.calls(now)),
             lease=self.obey.lease_left(now),
             epoch=self.obey.epoch,
             plan=self.obey.number,
-            knocks=[Knock(name=name, met=what) for name, (_, what) in self.met.items()][:KNOCKS_MOST],
+            knocks=[ProbeResult(name=name, met=what) for name, (_, what) in self.met.items()][:KNOCKS_MOST],
             figures=self.figures.told(self.counters.counts),
             took={name: list(counts) for name, counts in self.figures.took.items()},
             memory=self.memory,
         )
 
-    def carry_out(self, reply: Reply, now: int) -> None:
+    def carry_out(self, reply: ReportReply, now: int) -> None:
         for name, door in list(reply.knock.items())[:KNOCKS_MOST]:
             self.knock(name, door)
         if self.listed != self.obey.listed(now):
@@ -230,7 +239,7 @@
         if tell is None or self.driver is None or tell is not self.obey.plan:
             return
         until = self.scheduler.now + self.obey.left(now)
-        if self.driver.override(override_of(tell, self.tenants, until)):
+        if self.driver.apply_plan(override_of(tell, self.tenants, until)):
             self.counters.count("fleet.plans")
 
     # ---- witness ---------------------------------------------------------------------------------------
@@ -249,7 +258,7 @@
     def knock_once(self, name: str, door: str) -> None:
         self.counters.count("fleet.knocks")
         try:
-            line = Line(self.scheduler, address(door, "door"))
+            line = PeerConnection(self.scheduler, address(door, "door"))
         except ValueError:
             return
         try:
--- a/birchslip/fleet/mind.py
+++ b/birchslip/cluster/planner_state.py
@@ -10,31 +10,43 @@
 
 import msgspec
 
-from .amend import hindered, moved
-from .comeback import Comeback, Stage
-from .conduct import Conductor, Releases, Said, Word
-from .fleetfile import Fleet, span
-from .membership import Life, Member, Membership, Verdict
-from .permits import Asker, Book, Permits, Seen, Why, with_below
-from .records import (
+from .disruption_budget import (
+    BudgetState,
+    DisruptionBudget,
+    EvictionWaiter,
+    MemberObservation,
+    UnavailabilityReason,
+    with_dependents,
+)
+from .election import Election
+from .fleet_diff import hindered, moved
+from .fleet_file import Fleet, span
+from .membership import Member, MemberLiveness, Membership, SiteVerdict
+from .messages import (
     Count,
-    Granted,
+    EvictionRequest,
+    EvictionResponse,
     Incarnation,
-    Keep,
+    MemberReport,
+    Message,
     Name,
+    PlanAssignment,
     Rate,
-    Record,
-    Reply,
-    Report,
+    ReplicationRequest,
+    ReportReply,
     Span,
-    Tell,
-    Want,
     Words,
 )
-from .release import Order
-from .shares import Shares
-from .site_plan import Place, Plan, plan, what_if
-from .vote import Ballot
+from .quota_leases import QuotaLeases
+from .recovery_ramp import RecoveryRamp, RecoveryStage
+from .rollout import PlatformOrder
+from .rollout_controller import (
+    CommandResult,
+    RolloutCommand,
+    RolloutController,
+    RolloutStates,
+)
+from .site_plan import SiteCapacity, SitePlan, plan, what_if
 
 AGAIN = 10_000  # while a site is out the plan is worked out anew once a second, from what is measured
 SMOOTH = 0.1  # of each look that goes into a site's usual load: about two seconds of it
@@ -45,7 +57,7 @@
 DOORS = 3  # that each is asked to knock at
 
 
-class SiteState(Record):
+class SiteState(Message):
     """What must survive of a site that is not at home."""
 
     stage: Name
@@ -57,40 +69,40 @@
     hold: Span
 
 
-class State(Record):
+class ReplicatedState(Message):
     """What the leader has a majority keep."""
 
     sites: dict[Name, SiteState] = msgspec.field(default_factory=dict)
-    permits: Book = msgspec.field(default_factory=Book)
-    releases: Releases = msgspec.field(default_factory=Releases)
+    permits: BudgetState = msgspec.field(default_factory=BudgetState)
+    releases: RolloutStates = msgspec.field(default_factory=RolloutStates)
 
 
-class Mind:
-    def __init__(self, fleet: Fleet, ballot: Ballot, now: int) -> None:
+class PlannerState:
+    def __init__(self, fleet: Fleet, ballot: Election, now: int) -> None:
         self.fleet, self.ballot = fleet, ballot
         self.membership = Membership((site.name for site in fleet.sites), span(fleet.report_ms))
-        self.comebacks = {site.name: Comeback(site.name, since=now) for site in fleet.sites}
+        self.comebacks = {site.name: RecoveryRamp(site.name, since=now) for site in fleet.sites}
         self.usual: dict[str, dict[str, float]] = {site.name: {} for site in fleet.sites}
         self.again = dict.fromkeys(self.usual, 0.0)
         self.home = {member.name: site.name for site in fleet.sites for member in site.members}
-        self.verdicts = dict.fromkeys(self.usual, Verdict.HERE)
+        self.verdicts = dict.fromkeys(self.usual, SiteVerdict.HERE)
         self.bases = fleet.bases()
         self.away = 0.0  # leased parts of members of lost sites
         self.beside: dict[str, int] = {}  # by site: members that are heard, as of the last look
         self.rooms: dict[str, float] = {}  # the last that was measured of each member
-        self.permits = Permits(fleet.budgets(), needs=fleet.needs())
+        self.permits = DisruptionBudget(fleet.budgets(), needs=fleet.needs())
         stale = span(fleet.platform.stale_ms) if fleet.platform is not None else 0
         services = [one.name for one in fleet.services]
-        self.conductor = Conductor(fleet.parts(), services, self.permits, stale, self.home)
+        self.conductor = RolloutController(fleet.parts(), services, self.permits, stale, self.home)
         self.conducted_at = now
         self.orders_number = 0  # that a majority has to keep before anything is asked of the platform
         self.looked_at = now
-        self.shares: Shares | None = None
+        self.shares: QuotaLeases | None = None
         self.reign = 0  # the epoch that this mind has taken over, 0 while it does not lead
         self.number = 0
         self.kept_number = 0  # the newest that a majority keeps
-        self.made = Plan()
-        self.told = Plan()  # the plan of the newest kept number
+        self.made = SitePlan()
+        self.told = SitePlan()  # the plan of the newest kept number
         self.told_levels: dict[str, float] = {}
         self.made_at = 0
         self.remarks: list[tuple[str, dict[str, object]]] = []
@@ -115,7 +127,7 @@
             self.take_state(self.ballot.newest[2], now)
             vault = self.fleet.vault
             if vault is not None:
-                self.shares = Shares(self.bases, vault.total, vault.kept, span(vault.lease_ms), now)
+                self.shares = QuotaLeases(self.bases, vault.total, vault.kept, span(vault.lease_ms), now)
             self.remark("leads", epoch=self.reign)
             self.renew(now)
         return True
@@ -129,23 +141,25 @@
         self.conductor.take(state.releases, now)
         self.orders_number = 1
 
-    def read_state(self, raw: bytes) -> State:
+    def read_state(self, raw: bytes) -> ReplicatedState:
         """One that can't be read is of a later version: nothing of it is known."""
         try:
-            return msgspec.json.decode(raw, type=State) if raw else State()
+            return msgspec.json.decode(raw, type=ReplicatedState) if raw else ReplicatedState()
         except msgspec.DecodeError as trouble:
             self.remark("a kept state that can't be read", why=str(trouble))
-            return State()
+            return ReplicatedState()
 
-    def read_sites(self, state: State, now: int) -> tuple[dict[str, Comeback], dict[str, dict[str, float]]]:
+    def read_sites(
+        self, state: ReplicatedState, now: int
+    ) -> tuple[dict[str, RecoveryRamp], dict[str, dict[str, float]]]:
         """A kept state's sites and their loads."""
-        sites = {name: Comeback(name, since=now) for name in self.usual}
+        sites = {name: RecoveryRamp(name, since=now) for name in self.usual}
         loads = {}
         for name, kept in state.sites.items():
             if name in sites:
-                sites[name] = Comeback(
+                sites[name] = RecoveryRamp(
                     name,
-                    Stage(kept.stage),
+                    RecoveryStage(kept.stage),
                     kept.step,
                     now,
                     kept.flaps,
@@ -168,10 +182,10 @@
                 hold=one.hold,
             )
             for name, one in self.comebacks.items()
-            if one.stage is not Stage.HOME or one.flaps
+            if one.stage is not RecoveryStage.HOME or one.flaps
         }
         return msgspec.json.encode(
-            State(sites=sites, permits=self.permits.book, releases=self.conductor.book)
+            ReplicatedState(sites=sites, permits=self.permits.book, releases=self.conductor.book)
         )
 
     def amend(self, fleet: Fleet, now: int) -> list[str]:
@@ -200,7 +214,7 @@
 
     # ---- what comes in ---------------------------------------------------------------------------------
 
-    def hear(self, report: Report, now: int) -> Reply:
+    def hear(self, report: MemberReport, now: int) -> ReportReply:
         if self.home.get(report.name) != report.site:
             self.remark("a report of one that is not in the fleet", member=report.name, site=report.site)
             return self.silence(now)
@@ -218,7 +232,7 @@
             held = max(0.0, report.share - kept) if report.lease else 0.0
             share = kept + self.shares.grant(report.name, self.wanted(member, now), held, now)
             lease = self.shares.span
-        return Reply(
+        return ReportReply(
             epoch=self.reign,
             author=self.ballot.incarnation,
             leads=True,
@@ -230,10 +244,10 @@
             knock=self.doors(report, now),
         )
 
-    def silence(self, now: int) -> Reply:
+    def silence(self, now: int) -> ReportReply:
         """Nothing to obey: only where to ask."""
         leader = self.ballot.granted_to[0] if now < self.ballot.granted_until else ""
-        return Reply(
+        return ReportReply(
             epoch=self.ballot.durable.promised,
             author=self.ballot.incarnation,
             leads=False,
@@ -245,13 +259,13 @@
         """How often a member reports: seldomer in a large fleet, so that a planner is not drowned."""
         return max(span(self.fleet.report_ms), len(self.home) * 10_000 // REPORTS)
 
-    def doors(self, report: Report, now: int) -> dict[str, str]:
+    def doors(self, report: MemberReport, now: int) -> dict[str, str]:
         """At which doors this member is asked to knock: few, and of silent sites that are not its own."""
         # Those of a site that is known to be lost tell nothing more: the doors of the next one come first.
         doubtful = [
             one
             for one in self.doubt
-            if one.site != report.site and self.comebacks[one.site].stage is not Stage.LOST
+            if one.site != report.site and self.comebacks[one.site].stage is not RecoveryStage.LOST
         ]
         if not doubtful:
             return {}
@@ -293,10 +307,12 @@
                     "verdict on a site", site=site, before=self.verdicts[site].value, now=verdict.value
                 )
                 self.verdicts[site] = verdict
-            if verdict is Verdict.LOST and comeback.lost(now, "no planner hears it and its doors are shut"):
+            if verdict is SiteVerdict.LOST and comeback.lost(
+                now, "no planner hears it and its doors are shut"
+            ):
                 self.remark("site lost", site=site, flaps=comeback.flaps, why=comeback.why)
                 changed = True
-            elif comeback.stage is not Stage.HOME:
+            elif comeback.stage is not RecoveryStage.HOME:
                 shown = [one.report for one in self.membership.alive(site, now)]
                 usual = sum(self.usual[site].values())
                 word = comeback.look(shown, len(self.members_of(site)), usual, now)
@@ -310,14 +326,14 @@
         seen = self.seen(now)
         changed = self.permits.look(seen) or changed
         changed = self.conduct(seen, now) or changed
-        out = any(one.stage is not Stage.HOME for one in self.comebacks.values())
+        out = any(one.stage is not RecoveryStage.HOME for one in self.comebacks.values())
         if changed or (out and now - self.made_at >= AGAIN):
             self.renew(now)
         if self.conducted_at == now:
             # Whatever granted the permits they rest on, a want in between too: all of it is kept first.
             self.orders_number = self.number
 
-    def conduct(self, seen: dict[str, Seen], now: int) -> bool:
+    def conduct(self, seen: dict[str, MemberObservation], now: int) -> bool:
         """A look at the releases; whether anything has changed that a majority has to keep."""
         if not self.conductor.unfinished() or now - self.conducted_at < CONDUCT:
             return False
@@ -327,9 +343,9 @@
         reports = {
             name: member.report
             for name, member in self.membership.members.items()
-            if seen[name].out in (None, Why.COLD)
+            if seen[name].out in (None, UnavailabilityReason.COLD)
         }
-        out = [name for name, one in self.comebacks.items() if one.stage is not Stage.HOME]
+        out = [name for name, one in self.comebacks.items() if one.stage is not RecoveryStage.HOME]
         self.conductor.look(seen, reports, out, now)
         for release in self.conductor.releases:
             was = phases.get(release.course.number)
@@ -339,13 +355,13 @@
                 )
         return before != (msgspec.json.encode(self.conductor.book), self.permits.keep())
 
-    def orders(self, now: int) -> list[Order]:
+    def orders(self, now: int) -> list[PlatformOrder]:
         """What the platform is to be asked now: all that it rests on is kept by a majority."""
         if not self.rules(now) or self.kept_number < self.orders_number:
             return []
         return self.conductor.orders
 
-    def say(self, word: Word, now: int) -> tuple[int, Said]:
+    def say(self, word: RolloutCommand, now: int) -> tuple[int, CommandResult]:
         """A person's word on releases, and the number that a majority has to keep before it is answered."""
         said = self.conductor.word(word, now)
         self.remark("word on a release", what=word.what, number=said.number, who=word.who, why=said.why)
@@ -357,7 +373,7 @@
 
     def measure(self, now: int) -> None:
         """The usual load of each site, as long as it is at home and heard."""
-        if any(one.stage is not Stage.HOME for one in self.comebacks.values()) or self.doubt:
+        if any(one.stage is not RecoveryStage.HOME for one in self.comebacks.values()) or self.doubt:
             return
         for site, usual in self.usual.items():
             there = self.membership.alive(site, now)
@@ -367,14 +383,14 @@
             again = sum(one.report.again for one in there)
             self.again[site] += (again - self.again[site]) * SMOOTH
 
-    def places(self) -> list[Place]:
+    def places(self) -> list[SiteCapacity]:
         """The sites as they are now, for the plan."""
         made = []
         for site, comeback in self.comebacks.items():
             members = self.membership.sites[site].values()
             rooms = {one.name: self.room(one) for one in members if not one.report.leaving}
-            lost = comeback.stage in (Stage.LOST, Stage.WAITING)
-            made.append(Place(site, rooms, self.usual[site], self.again[site], lost, comeback.level))
+            lost = comeback.stage in (RecoveryStage.LOST, RecoveryStage.WAITING)
+            made.append(SiteCapacity(site, rooms, self.usual[site], self.again[site], lost, comeback.level))
         return made
 
     def room(self, member: Member) -> float:
@@ -389,11 +405,11 @@
         self.made_at = now
         self.made = plan(self.places(), self.fleet.tenants, self.fleet.costs, self.fleet.order)
 
-    def keep(self) -> Keep | None:
+    def keep(self) -> ReplicationRequest | None:
         """What others are to keep, where the newest plan is not kept yet."""
         if not self.reign or self.kept_number >= self.number:
             return None
-        return Keep(
+        return ReplicationRequest(
             epoch=self.reign,
             number=self.number,
             name=self.ballot.name,
@@ -409,7 +425,7 @@
             gone = [name for name, site in self.home.items() if self.told_levels[site] <= 0]
             self.away = sum(self.shares.own(name) for name in gone) if self.shares is not None else 0.0
 
-    def tell(self, name: str) -> Tell:
+    def tell(self, name: str) -> PlanAssignment:
         """The plan as this member is told it.
 
         With every site at home it changes nothing: what was in force is over, and need not run out.
@@ -418,7 +434,7 @@
         level = levels[self.home[name]]
         away = [site for site, part in levels.items() if part < 1]
         visitors = [router for site in self.fleet.sites if site.name in away for router in site.routers]
-        return Tell(
+        return PlanAssignment(
             epoch=self.reign,
             plan=self.kept_number,
             span=span(self.fleet.plan_ms),
@@ -454,41 +470,43 @@
 
     # ---- who may be out --------------------------------------------------------------------------------
 
-    def seen(self, now: int) -> dict[str, Seen]:
+    def seen(self, now: int) -> dict[str, MemberObservation]:
         """Every member of the fleet file as it is seen; one that was never heard is out."""
         found = {}
         for name, site in self.home.items():
             member = self.membership.members.get(name)
             if member is None:
-                found[name] = Seen(Incarnation(), 0.0, Why.SILENT)
+                found[name] = MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
                 continue
             report, why = member.report, None
             life = member.life(now, self.every())
-            if life is Life.LEFT:
-                why = Why.LEAVING
-            elif life is not Life.ALIVE:
-                why = Why.SILENT
-            elif self.comebacks[site].stage is not Stage.HOME:
-                why = Why.LOST
+            if life is MemberLiveness.LEFT:
+                why = UnavailabilityReason.LEAVING
+            elif life is not MemberLiveness.ALIVE:
+                why = UnavailabilityReason.SILENT
+            elif self.comebacks[site].stage is not RecoveryStage.HOME:
+                why = UnavailabilityReason.LOST
             elif not report.serving or not report.warm:
-                why = Why.COLD
-            found[name] = Seen(member.incarnation, self.room(member), why)
+                why = UnavailabilityReason.COLD
+            found[name] = MemberObservation(member.incarnation, self.room(member), why)
         if not self.reign:
             return found  # the leader alone asks the platform
-        return with_below(found | self.conductor.seen(now), self.permits.needs)
+        return with_dependents(found | self.conductor.seen(now), self.permits.needs)
 
-    def want(self, want: Want, now: int) -> tuple[int, Granted]:
+    def want(self, want: EvictionRequest, now: int) -> tuple[int, EvictionResponse]:
         """What comes of it, and the number that a majority has to keep before it may be told."""
         seen = self.seen(now)
         before = self.permits.keep()
         if want.what == "override":
             why = self.permits.override(want.who, want.why, want.count, want.span)
-            granted = Granted(granted=not why, why=why)
+            granted = EvictionResponse(granted=not why, why=why)
         elif want.holder not in seen:
-            return self.kept_number, Granted(granted=False, why=f"no member is named {want.holder!r}")
+            return self.kept_number, EvictionResponse(
+                granted=False, why=f"no member is named {want.holder!r}"
+            )
         elif want.what == "strike":
             self.permits.strike(want.holder, want.who)
-            granted = Granted(granted=True)
+            granted = EvictionResponse(granted=True)
         else:
             granted = self.want_out(want, want.incarnation or seen[want.holder].incarnation, seen)
         if self.permits.keep() != before:
@@ -498,17 +516,21 @@
             self.renew(now)
         return self.number, granted
 
-    def want_out(self, want: Want, incarnation: Incarnation, seen: dict[str, Seen]) -> Granted:
+    def want_out(
+        self, want: EvictionRequest, incarnation: Incarnation, seen: dict[str, MemberObservation]
+    ) -> EvictionResponse:
         if want.what == "hand-back":
-            return Granted(granted=self.permits.hand_back(want.holder, incarnation, seen))
-        asker = Asker(holder=want.holder, incarnation=incarnation, why=want.why)
+            return EvictionResponse(granted=self.permits.hand_back(want.holder, incarnation, seen))
+        asker = EvictionWaiter(holder=want.holder, incarnation=incarnation, why=want.why)
         ask = self.permits.ask_past if want.what == "past" else self.permits.ask
         answer = ask(asker, seen)
         number = answer.permit.number if answer.permit is not None else 0
-        return Granted(granted=answer.permit is not None, number=number, place=answer.place, why=answer.why)
+        return EvictionResponse(
+            granted=answer.permit is not None, number=number, place=answer.place, why=answer.why
+        )
 
-    def shown_permits(self, book: Book, now: int) -> dict[str, object]:
-        permits = Permits(self.permits.groups, book)
+    def shown_permits(self, book: BudgetState, now: int) -> dict[str, object]:
+        permits = DisruptionBudget(self.permits.groups, book)
         out = permits.out(self.seen(now))
         return {
             "groups": [
@@ -621,7 +643,7 @@
         """From any planner; one that follows tells what the leader had it keep."""
         if self.rules(now):
             return self.conductor.told(number, history)
-        kept = Conductor(self.conductor.parts, (), self.permits, 0)
+        kept = RolloutController(self.conductor.parts, (), self.permits, 0)
         kept.take(self.read_state(self.ballot.durable.state).releases, now)
         return kept.told(number, history)
 
--- a/birchslip/fleet/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -15,15 +15,15 @@
 import json
 from urllib.parse import quote
 
-from ..deployment import Malformed
+from ..errors import InvalidInputError
 from ..net import http
 from ..net.connection import Connection, connect
 from ..net.counters import Counters
 from ..net.log import Log
 from ..net.scheduler import Nap, Scheduler
-from .listing import read_listing
-from .mind import Mind
-from .release import Order
+from .inventory import read_inventory
+from .planner_state import PlannerState
+from .rollout import PlatformOrder
 
 LIMIT = 5_000  # an answer that takes longer than half a second is none
 BOUND = 4 << 20
@@ -37,7 +37,7 @@
         counters: Counters,
         log: Log,
         address: tuple[str, int],
-        mind: Mind,
+        mind: PlannerState,
         every: int,
     ) -> None:
         self.scheduler, self.counters, self.log = scheduler, counters, log
@@ -54,7 +54,7 @@
                 try:
                     self.ask_listing()
                     self.give_orders()
-                except (OSError, Malformed, ValueError) as trouble:
+                except (OSError, InvalidInputError, ValueError) as trouble:
                     self.counters.count("platform.missed")
                     self.log.fault("the platform can't be asked", why=str(trouble))
                     self.drop()
@@ -69,14 +69,14 @@
         answer = self.ask("GET", f"/fleet/members?epoch={reign}", b"")
         if answer.status != 200:
             raise OSError(f"answered {answer.status}")
-        listing = read_listing(answer.body)
+        listing = read_inventory(answer.body)
         self.counters.count("platform.listings")
         if self.mind.reign == reign:  # or it was asked in a reign that is over
             self.mind.conductor.hear(listing, sent)
 
     def give_orders(self) -> None:
         """Each is looked up anew: a halt meanwhile leaves nothing to give."""
-        given: set[Order] = set()
+        given: set[PlatformOrder] = set()
         while True:
             order = next(
                 (one for one in self.mind.orders(self.scheduler.tell_time()) if one not in given), None
--- a/birchslip/fleet/shares.py
+++ b/birchslip/cluster/quota_leases.py
@@ -21,7 +21,7 @@
     return int(span * (1 + DRIFT)) + 100
 
 
-class Booked:
+class LeaseRecord:
     """What one member may still use of its leased part: amounts that fall, each with the time until it
     may.
     """
@@ -42,13 +42,13 @@
         self.steps = [step for step in self.steps if step[0] > now]
 
 
-class Shares:
+class QuotaLeases:
     """The leader's book. `bases` are calls by member, of the fleet file; `since` is when it began to lead."""
 
     def __init__(self, bases: Mapping[str, float], total: float, kept: float, span: int, since: int) -> None:
         self.bases, self.total, self.kept, self.span = bases, total, kept, span
         self.sure_from = since + surely_over(span)
-        self.parts = {name: Booked() for name in bases}
+        self.parts = {name: LeaseRecord() for name in bases}
         self.ends: list[tuple[int, str]] = []
         self.out = 0.0
         self.kept_sum = kept * sum(bases.values())
@@ -60,14 +60,14 @@
         self.kept_sum += self.kept * sum(base for name, base in bases.items() if name not in self.parts)
         self.bases = {**self.bases, **bases}
         for name in bases:
-            self.parts.setdefault(name, Booked())
+            self.parts.setdefault(name, LeaseRecord())
 
     def lapse(self, now: int) -> None:
         while self.ends and self.ends[0][0] <= now:
             name = heapq.heappop(self.ends)[1]
             self.change(name, lambda booked: booked.lapse(now))
 
-    def change(self, name: str, act: Callable[[Booked], None]) -> None:
+    def change(self, name: str, act: Callable[[LeaseRecord], None]) -> None:
         booked = self.parts[name]
         self.out -= booked.amount
         act(booked)
--- a/birchslip/fleet/comeback.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .records import Report
+from .messages import MemberReport
 
 STEPS = (0.5, 0.75, 1.0)  # of the cores of each member
 SHOWN = 2  # good looks in a row before the next step
@@ -28,7 +28,7 @@
 FORGIVEN = 6_000_000  # ten minutes at home, and earlier losses count no more
 
 
-class Stage(Enum):
+class RecoveryStage(Enum):
     HOME = "home"
     LOST = "lost"
     WAITING = "waiting"
@@ -36,11 +36,11 @@
 
 
 @dataclass(slots=True)
-class Comeback:
+class RecoveryRamp:
     """One site. `by_hand` says that an operator has evacuated it: only an operator lets it back in."""
 
     site: str
-    stage: Stage = Stage.HOME
+    stage: RecoveryStage = RecoveryStage.HOME
     step: int = 0
     since: int = 0
     flaps: int = 0
@@ -52,50 +52,50 @@
 
     @property
     def level(self) -> float:
-        if self.stage is Stage.HOME:
+        if self.stage is RecoveryStage.HOME:
             return 1.0
-        return STEPS[self.step] if self.stage is Stage.STEP else 0.0
+        return STEPS[self.step] if self.stage is RecoveryStage.STEP else 0.0
 
     def lost(self, now: int, why: str, by_hand: bool = False) -> bool:
         """Whether that is news. One that is lost again while it comes back waits longer the next time."""
         self.by_hand = self.by_hand or by_hand
-        if self.stage is Stage.LOST:
+        if self.stage is RecoveryStage.LOST:
             return False
-        if self.stage is Stage.HOME and now - self.since >= FORGIVEN:
+        if self.stage is RecoveryStage.HOME and now - self.since >= FORGIVEN:
             self.flaps = 0
         self.flaps += 1
-        self.enter(Stage.LOST, now, why)
+        self.enter(RecoveryStage.LOST, now, why)
         return True
 
-    def enter(self, stage: Stage, now: int, why: str) -> None:
+    def enter(self, stage: RecoveryStage, now: int, why: str) -> None:
         self.stage, self.since, self.why = stage, now, why
         self.good = self.bad = 0
 
     def wait(self) -> int:
         return 0 if self.flaps < 2 else min(WAIT_MOST, WAIT_FIRST << min(16, self.flaps - 2))
 
-    def look(self, shown: list[Report], expected: int, usual: float, now: int) -> str:
+    def look(self, shown: list[MemberReport], expected: int, usual: float, now: int) -> str:
         """One look at what the site's members have reported; a word on what was changed, or none.
 
         `expected` is how many there should be, `usual` the site's own load, in transactions a second.
         """
-        if self.stage is Stage.HOME:
+        if self.stage is RecoveryStage.HOME:
             return ""
-        if self.stage is Stage.LOST:
+        if self.stage is RecoveryStage.LOST:
             if self.by_hand or 2 * len(shown) < expected or not shown:
                 return ""
-            self.enter(Stage.WAITING, now, "its members are heard again")
+            self.enter(RecoveryStage.WAITING, now, "its members are heard again")
             if self.wait():
                 return self.why
-        if self.stage is Stage.WAITING:
+        if self.stage is RecoveryStage.WAITING:
             if now - self.since < self.wait() or not shown:
                 return ""
             self.step, self.hold = 0, DWELL
-            self.enter(Stage.STEP, now, f"waited {self.wait() // 10} ms, flap {self.flaps}")
+            self.enter(RecoveryStage.STEP, now, f"waited {self.wait() // 10} ms, flap {self.flaps}")
             return self.why
         return self.judge_step(shown, usual, now)
 
-    def judge_step(self, shown: list[Report], usual: float, now: int) -> str:
+    def judge_step(self, shown: list[MemberReport], usual: float, now: int) -> str:
         pace = max((one.pace for one in shown), default=0.0)
         asked = sum(one.honoured + one.shed for one in shown)
         refused = sum(one.shed for one in shown) / asked if asked else 0.0
@@ -106,7 +106,7 @@
         if self.bad >= HURT and self.step:
             self.step -= 1
             self.hold = min(WAIT_MOST, 2 * self.hold)
-            self.enter(Stage.STEP, now, f"the step hurt: pace {pace:.1f}, back to {self.level:.2f}")
+            self.enter(RecoveryStage.STEP, now, f"the step hurt: pace {pace:.1f}, back to {self.level:.2f}")
             return self.why
         # A step that nobody has leant on yet has shown nothing: routers learn late who is listed.
         leant = asked >= LEANT * self.level * usual
@@ -116,22 +116,22 @@
             return ""
         if self.step + 1 < len(STEPS):
             self.step += 1
-            self.enter(Stage.STEP, now, f"carried the step: pace {pace:.1f}, shed {refused:.2f}")
+            self.enter(RecoveryStage.STEP, now, f"carried the step: pace {pace:.1f}, shed {refused:.2f}")
             return self.why
         if all(one.warm for one in shown):
-            self.enter(Stage.HOME, now, "carries all of its load")
+            self.enter(RecoveryStage.HOME, now, "carries all of its load")
             return self.why
         return ""
 
-    def bounded(self, shown: list[Report]) -> bool:
+    def bounded(self, shown: list[MemberReport]) -> bool:
         """Whether its sheds come of the level alone: it runs as much as the step lets it, at a usual pace."""
         room = sum(one.room for one in shown)
         return sum(one.honoured for one in shown) >= 0.5 * self.level * room
 
     def let_back(self, now: int) -> bool:
         """By hand."""
-        if self.stage is not Stage.LOST or not self.by_hand:
+        if self.stage is not RecoveryStage.LOST or not self.by_hand:
             return False
         self.by_hand = False
-        self.enter(Stage.WAITING, now, "let back by hand")
+        self.enter(RecoveryStage.WAITING, now, "let back by hand")
         return True
--- a/birchslip/fleet/releasefile.py
+++ b/birchslip/cluster/release_file.py
@@ -7,22 +7,22 @@
 
 import msgspec
 
-from ..deployment import Malformed
-from .release import Plan
+from ..errors import InvalidInputError
+from .rollout import RolloutSpec
 
 
-def read_release(path: str | Path) -> Plan:
+def read_release(path: str | Path) -> RolloutSpec:
     """Malformed or OSError says in a line what is wrong, and where."""
     try:
-        plan: Plan = msgspec.json.decode(Path(path).read_bytes(), type=Plan)
+        plan: RolloutSpec = msgspec.json.decode(Path(path).read_bytes(), type=RolloutSpec)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise Malformed(f"{path}: {trouble}") from None
+        raise InvalidInputError(f"{path}: {trouble}") from None
     why = plan.trouble()
     if why:
-        raise Malformed(f"{path}: {why}")
+        raise InvalidInputError(f"{path}: {why}")
     return plan
 
 
 def release_schema() -> dict[str, Any]:
     """The JSON Schema, as it stands in `deploy/release.schema.json`."""
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", **msgspec.json.schema(Plan)}
+    return {"$schema": "https://json-schema.org/draft/2020-12/schema", **msgspec.json.schema(RolloutSpec)}
--- a/birchslip/fleet/release.py
+++ b/birchslip/cluster/rollout.py
@@ -1,9 +1,9 @@
 """A release, decided step by step: who goes out next, what the platform is asked, when it halts, the way
 back.
 
-Any planner can carry it on. What is kept (`Course`) says what is wanted; what *is* comes anew each time
-from the platform and from the members' reports, so that a conductor that dies leaves nothing half known. An
-order has the number of the permit that it rests on: the platform passes over one that it has carried out
+Any planner can carry it on. What is kept (`RolloutRecord`) says what is wanted; what *is* comes anew each
+time from the platform and from the members' reports, so that a conductor that dies leaves nothing half
+known. An order has the number of the permit that it rests on: the platform passes over one that it has carried out
 before, so nothing is drained twice, whoever asks and however often.
 
     running --bad, unclear at its end, a lost site, a word--> halted --resume--> running
@@ -27,9 +27,16 @@
 
 import msgspec
 
-from .judgement import ACROSS, BY_LOAD, Evidence, Judgement, Shown, Verdict
-from .permits import Asker, Permit, Permits, Seen
-from .records import Count, Name, Part, Record, Span, Words
+from .canary_analysis import (
+    ACROSS,
+    BY_LOAD,
+    CanaryAnalysis,
+    CanaryVerdict,
+    Evidence,
+    Shown,
+)
+from .disruption_budget import DisruptionBudget, EvictionWaiter, MemberObservation, Permit
+from .messages import Count, Message, Name, Part, Span, Words
 
 STARTS_MOST = 2  # in one version before another is tried
 KEPT_EVERY = 10_000  # what a watch has come to is kept every second
@@ -39,7 +46,7 @@
 Version = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 
 
-class Phase(Enum):
+class RolloutPhase(Enum):
     RUNNING = "running"
     HALTED = "halted"
     BACKING = "backing"
@@ -47,7 +54,7 @@
     BACK = "back"
 
 
-class Is(Enum):
+class InstanceStatus(Enum):
     """What the platform says that a member's process is."""
 
     UP = "up"
@@ -56,7 +63,7 @@
     FAILED = "failed"  # its last start did not come up
 
 
-class Plan(Record):
+class RolloutSpec(Message):
     """A release file. The first batch are the canaries; `sites` in the order in which they are released."""
 
     version: Version
@@ -90,15 +97,15 @@
         return ""
 
 
-class Course(Record):
+class RolloutRecord(Message):
     """What the leader has a majority keep of one release."""
 
-    plan: Plan
+    plan: RolloutSpec
     batches: list[list[Name]]
     number: Count = 0  # of this release
     age: Span = 0  # since its start, as of the last line of its history
     at: Count = 0  # the batch that is on its way
-    phase: Name = Phase.RUNNING.value
+    phase: Name = RolloutPhase.RUNNING.value
     why: Words = ""
     bad: bool = False  # whether the new version was found bad
     left_out: list[Name] = msgspec.field(default_factory=list)
@@ -107,19 +114,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Platform:
+class PlatformView:
     """One member as the platform tells of it. `starts` counts those in `version` that did not come up,
     `ends` how often it has ended by itself in it.
     """
 
-    state: Is
+    state: InstanceStatus
     version: str
     starts: int = 0
     ends: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class PlatformOrder:
     """What the platform is asked: `drain` stops it in its own time, `start` starts it in a version."""
 
     what: str
@@ -128,7 +135,7 @@
     number: int
 
 
-def unknown(plan: Plan, parts: Mapping[str, list[str]]) -> str:
+def unknown(plan: RolloutSpec, parts: Mapping[str, list[str]]) -> str:
     """What the plan names that is neither a site nor a group of the fleet; nothing where all are."""
     for part in plan.sites or plan.groups:
         if part not in parts:
@@ -136,7 +143,7 @@
     return ""
 
 
-def batches_of(plan: Plan, parts: Mapping[str, list[str]]) -> list[list[str]]:
+def batches_of(plan: RolloutSpec, parts: Mapping[str, list[str]]) -> list[list[str]]:
     """Canaries of the first part first; then batches part by part, none across two; each member once."""
     names = plan.sites or plan.groups or list(parts)
     made = [list(parts[names[0]][: plan.canaries])]
@@ -148,14 +155,17 @@
     return made
 
 
-class Release:
+class Rollout:
     """The conductor's decisions on one course. `permits` are the fleet's."""
 
     def __init__(
-        self, course: Course, permits: Permits, site_of: Callable[[str], str] = lambda name: ""
+        self,
+        course: RolloutRecord,
+        permits: DisruptionBudget,
+        site_of: Callable[[str], str] = lambda name: "",
     ) -> None:
         self.course, self.permits, self.site_of = course, permits, site_of
-        self.judgement: Judgement | None = None
+        self.judgement: CanaryAnalysis | None = None
         self.doing = ""  # what it waits for just now, for operators
         self.stood: object = None  # how things stood when they last moved
         self.since = -1  # that moment
@@ -165,12 +175,12 @@
         self.kept_at = 0  # when the evidence of the watch was last kept
 
     @property
-    def plan(self) -> Plan:
+    def plan(self) -> RolloutSpec:
         return self.course.plan
 
     @property
-    def phase(self) -> Phase:
-        return Phase(self.course.phase)
+    def phase(self) -> RolloutPhase:
+        return RolloutPhase(self.course.phase)
 
     # ---- words -----------------------------------------------------------------------------------------
 
@@ -189,12 +199,12 @@
         self.course.history.append(f"{self.course.age / 10_000:.1f} s: {line}"[:400])
         del self.course.history[:-HISTORY_MOST]
 
-    def move(self, phase: Phase, why: str) -> None:
+    def move(self, phase: RolloutPhase, why: str) -> None:
         self.course.phase, self.course.why = phase.value, why[:400]
         self.note(f"{phase.value}: {why}")
         self.since = self.moved_at = -1
         self.course.evidence = None
-        if phase is not Phase.RUNNING:
+        if phase is not RolloutPhase.RUNNING:
             self.judgement = None
             # Who asked for it and has no permit yet asks no longer; a later phase asks anew.
             for asker in [one for one in self.permits.book.waiting if one.why == self.why_out]:
@@ -202,34 +212,34 @@
 
     def halt(self, why: str) -> bool:
         """At once, and whatever comes after: only a person goes on from here."""
-        if self.phase not in (Phase.RUNNING, Phase.BACKING):
+        if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.BACKING):
             return False
-        self.move(Phase.HALTED, why)
+        self.move(RolloutPhase.HALTED, why)
         return True
 
     def resume(self, who: str) -> bool:
-        if self.phase is not Phase.HALTED or self.course.bad or self.course.left_out:
+        if self.phase is not RolloutPhase.HALTED or self.course.bad or self.course.left_out:
             return False
-        self.move(Phase.RUNNING, f"resumed by {who}")
+        self.move(RolloutPhase.RUNNING, f"resumed by {who}")
         return True
 
     def back(self, who: str) -> bool:
-        if self.phase not in (Phase.HALTED, Phase.RUNNING, Phase.DONE):
+        if self.phase not in (RolloutPhase.HALTED, RolloutPhase.RUNNING, RolloutPhase.DONE):
             return False
         self.course.bad = True
-        self.move(Phase.BACKING, f"back by {who}")
+        self.move(RolloutPhase.BACKING, f"back by {who}")
         return True
 
     # ---- a look ----------------------------------------------------------------------------------------
 
     def look(
         self,
-        platform: Mapping[str, Platform],
-        seen: Mapping[str, Seen],
+        platform: Mapping[str, PlatformView],
+        seen: Mapping[str, MemberObservation],
         shown: Mapping[str, Shown],
         lost: Iterable[str],
         now: int,
-    ) -> list[Order]:
+    ) -> list[PlatformOrder]:
         """What is to be asked of the platform now; `lost` are sites that are out."""
         self.passed += now - self.looked_at if self.looked_at >= 0 else 0
         self.looked_at, self.doing = now, ""
@@ -237,14 +247,14 @@
             self.moved_at = now
         self.guard(lost)
         self.look_at_left_out(platform)
-        if self.phase is Phase.RUNNING:
+        if self.phase is RolloutPhase.RUNNING:
             self.judge(platform, shown, now)
         orders = self.rescue(platform)
-        if self.phase is Phase.RUNNING:
+        if self.phase is RolloutPhase.RUNNING:
             orders += self.forward(platform, seen, now)
-        elif self.phase is Phase.BACKING:
+        elif self.phase is RolloutPhase.BACKING:
             orders += self.backward(platform, seen)
-        if self.phase in (Phase.HALTED, Phase.BACKING):
+        if self.phase in (RolloutPhase.HALTED, RolloutPhase.BACKING):
             self.hand_back(platform, seen, now)
         self.stall(platform, seen, now)
         return orders
@@ -252,24 +262,28 @@
     def guard(self, lost: Iterable[str]) -> None:
         """The loss of a site halts a release, and its return resumes none."""
         gone = sorted(lost)
-        if gone and self.phase is Phase.RUNNING:
+        if gone and self.phase is RolloutPhase.RUNNING:
             self.halt(f"site lost: {', '.join(gone)}; a person resumes")
 
-    def hand_back(self, platform: Mapping[str, Platform], seen: Mapping[str, Seen], now: int) -> None:
+    def hand_back(
+        self, platform: Mapping[str, PlatformView], seen: Mapping[str, MemberObservation], now: int
+    ) -> None:
         """Permits that a halt has left unused, once no order to drain can be on its way any more."""
         if now - self.moved_at < ORDERS_DIE:
             return
         for name in self.all_members():
             one, permit, shown = platform.get(name), self.mine(name), seen.get(name)
-            if permit is None or one is None or shown is None or one.state is not Is.UP:
+            if permit is None or one is None or shown is None or one.state is not InstanceStatus.UP:
                 continue
-            of_use = self.phase is Phase.BACKING and one.version != self.plan.before
+            of_use = self.phase is RolloutPhase.BACKING and one.version != self.plan.before
             if permit.incarnation == shown.incarnation and not of_use:
                 self.permits.hand_back(name, permit.incarnation, seen)
 
-    def stall(self, platform: Mapping[str, Platform], seen: Mapping[str, Seen], now: int) -> None:
+    def stall(
+        self, platform: Mapping[str, PlatformView], seen: Mapping[str, MemberObservation], now: int
+    ) -> None:
         """Guards against whatever never comes: a permit, an end, a start, a warm one. A person looks."""
-        if self.phase not in (Phase.RUNNING, Phase.BACKING):
+        if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.BACKING):
             return
         stands = [
             (name, one.state, one.version, name in seen and seen[name].out, self.mine(name) is None)
@@ -289,18 +303,18 @@
             batch[:] = [name for name in batch if name in names]
         self.course.left_out[:] = [name for name in self.course.left_out if name in names]
         more = [name for name in joined if name not in taken]
-        if more and self.phase not in (Phase.DONE, Phase.BACK):
+        if more and self.phase not in (RolloutPhase.DONE, RolloutPhase.BACK):
             self.course.batches.append(more)
         if gone or more:
             left, came = ", ".join(gone) or "nobody", ", ".join(more) or "nobody"
             self.note(f"the fleet has changed: left {left}; joined {came}")
 
-    def look_at_left_out(self, platform: Mapping[str, Platform]) -> None:
+    def look_at_left_out(self, platform: Mapping[str, PlatformView]) -> None:
         """One whose permit is over was struck, or started by hand and seen back: it holds nothing up."""
         for name in [name for name in self.course.left_out if self.mine(name) is None]:
             self.course.left_out.remove(name)
             one = platform.get(name)
-            if one is None or one.state is not Is.UP:
+            if one is None or one.state is not InstanceStatus.UP:
                 for batch in self.course.batches:
                     batch[:] = [other for other in batch if other != name]
             self.note(f"{name} is left out no more")
@@ -312,7 +326,7 @@
         """The version that this one is to be started in, if it is down: a bad one never again."""
         return self.plan.before if self.course.bad else self.plan.version
 
-    def rescue(self, platform: Mapping[str, Platform]) -> list[Order]:
+    def rescue(self, platform: Mapping[str, PlatformView]) -> list[PlatformOrder]:
         """Whoever is down on this release's account is started again, whatever the phase: a halt leaves
         none out.
         """
@@ -321,21 +335,21 @@
             is_now, permit = platform.get(name), self.mine(name)
             if is_now is None or permit is None or name in self.course.left_out:
                 continue
-            if is_now.state is Is.STOPPED:
-                orders.append(Order("start", name, self.target(name), permit.number))
-            elif is_now.state is Is.FAILED:
+            if is_now.state is InstanceStatus.STOPPED:
+                orders.append(PlatformOrder("start", name, self.target(name), permit.number))
+            elif is_now.state is InstanceStatus.FAILED:
                 orders += self.failed(name, is_now, permit.number)
         return orders
 
-    def failed(self, name: str, is_now: Platform, number: int) -> list[Order]:
+    def failed(self, name: str, is_now: PlatformView, number: int) -> list[PlatformOrder]:
         """It did not come up: once more, then in the other version, and then it is left out and all halts."""
         if is_now.starts < STARTS_MOST:
-            return [Order("start", name, is_now.version, number)]
+            return [PlatformOrder("start", name, is_now.version, number)]
         if is_now.version == self.plan.version:
             if not self.course.bad:
                 self.course.bad = True
                 self.halt(f"{name} does not start in {self.plan.version}")
-            return [Order("start", name, self.plan.before, number)]
+            return [PlatformOrder("start", name, self.plan.before, number)]
         self.course.left_out.append(name)
         self.halt(f"{name} starts in neither version: left out")
         return []
@@ -346,16 +360,18 @@
         at = self.course.at
         return self.course.batches[at] if at < len(self.course.batches) else []
 
-    def released(self, platform: Mapping[str, Platform]) -> list[str]:
+    def released(self, platform: Mapping[str, PlatformView]) -> list[str]:
         return [
             name
             for name in self.all_members()
             if (one := platform.get(name)) is not None
-            and one.state is Is.UP
+            and one.state is InstanceStatus.UP
             and one.version == self.plan.version
         ]
 
-    def forward(self, platform: Mapping[str, Platform], seen: Mapping[str, Seen], now: int) -> list[Order]:
+    def forward(
+        self, platform: Mapping[str, PlatformView], seen: Mapping[str, MemberObservation], now: int
+    ) -> list[PlatformOrder]:
         batch = [name for name in self.batch() if name not in self.course.left_out]
         waiting = [name for name in batch if not self.is_there(name, self.plan.version, platform, seen)]
         if waiting:
@@ -375,7 +391,7 @@
                     for name, margin in margins.items()
                     if name.partition(":")[0] not in BY_LOAD
                 }
-            self.judgement = Judgement(margins, watch, most, now, self.plan.memory)
+            self.judgement = CanaryAnalysis(margins, watch, most, now, self.plan.memory)
             kept = self.course.evidence
             if kept is not None and kept.batch == self.course.at:
                 self.judgement.go_on(kept, now)
@@ -384,16 +400,24 @@
         return []
 
     def is_there(
-        self, name: str, version: str, platform: Mapping[str, Platform], seen: Mapping[str, Seen]
+        self,
+        name: str,
+        version: str,
+        platform: Mapping[str, PlatformView],
+        seen: Mapping[str, MemberObservation],
     ) -> bool:
         """Up in that version, warm, and its permit over."""
         one, shown = platform.get(name), seen.get(name)
-        up = one is not None and one.state is Is.UP and one.version == version
+        up = one is not None and one.state is InstanceStatus.UP and one.version == version
         return up and shown is not None and shown.out is None and self.permits.holder(name) is None
 
     def send_out(
-        self, names: list[str], version: str, platform: Mapping[str, Platform], seen: Mapping[str, Seen]
-    ) -> list[Order]:
+        self,
+        names: list[str],
+        version: str,
+        platform: Mapping[str, PlatformView],
+        seen: Mapping[str, MemberObservation],
+    ) -> list[PlatformOrder]:
         """Permits for those that are not out yet, and a drain for each that has one and is still up in the
         other version. It is told whose life the permit is of: a later one is none of this order's.
         """
@@ -404,11 +428,11 @@
             if one is None or shown is None:
                 words.append(f"{name} is not known to the {'platform' if one is None else 'planners'}")
                 continue
-            if one.state is not Is.UP or one.version == version:
+            if one.state is not InstanceStatus.UP or one.version == version:
                 out = f", {shown.out.value}" if shown.out is not None else ""
                 words.append(f"{name} {one.state.value} in {one.version}{out}")
                 continue
-            asker = Asker(holder=name, incarnation=shown.incarnation, why=self.why_out)
+            asker = EvictionWaiter(holder=name, incarnation=shown.incarnation, why=self.why_out)
             answer = self.permits.ask(asker, seen)
             permit = answer.permit
             if permit is None:
@@ -418,11 +442,11 @@
                 words.append(f"{name} waits: permit {permit.number} is another's: {permit.why}")
             elif permit.incarnation == shown.incarnation:
                 words.append(f"{name} is to drain by permit {permit.number}")
-                orders.append(Order("drain", name, version, permit.number))
+                orders.append(PlatformOrder("drain", name, version, permit.number))
         self.doing = "; ".join(words)[:400]
         return orders
 
-    def judge(self, platform: Mapping[str, Platform], shown: Mapping[str, Shown], now: int) -> None:
+    def judge(self, platform: Mapping[str, PlatformView], shown: Mapping[str, Shown], now: int) -> None:
         """The batch under watch, against those that are still in the old version."""
         # Told by the platform and not noted here: a crash that only a dead conductor saw would be forgotten.
         members = [platform[name] for name in self.all_members() if name in platform]
@@ -445,10 +469,10 @@
         released = [shown[name] for name in shown if name in new and (across or self.site_of(name) in both)]
         others = [shown[name] for name in old if across or self.site_of(name) in both]
         verdict = self.judgement.look(released, others, now, [shown[name] for name in old])
-        if verdict is Verdict.BAD:
+        if verdict is CanaryVerdict.BAD:
             self.course.bad = True
             self.halt(f"bad: {self.judgement.why}")
-        elif verdict is Verdict.GOOD:
+        elif verdict is CanaryVerdict.GOOD:
             self.next_batch(f"good: {self.judgement.why}")
         elif not others and self.judgement.watched(now):
             self.next_batch("nobody is left to compare with")
@@ -463,11 +487,13 @@
         self.course.at += 1
         self.note(f"batch {self.course.at}: {why}")
         if self.course.at >= len(self.course.batches):
-            self.move(Phase.DONE, "every batch is released")
+            self.move(RolloutPhase.DONE, "every batch is released")
 
     # ---- the way back ----------------------------------------------------------------------------------
 
-    def backward(self, platform: Mapping[str, Platform], seen: Mapping[str, Seen]) -> list[Order]:
+    def backward(
+        self, platform: Mapping[str, PlatformView], seen: Mapping[str, MemberObservation]
+    ) -> list[PlatformOrder]:
         """Newest batch first, through the same permits."""
         for batch in reversed(self.course.batches[: self.course.at + 1]):
             left = [
@@ -478,5 +504,5 @@
             ]
             if left:
                 return self.send_out(left, self.plan.before, platform, seen)
-        self.move(Phase.BACK, "every member is in the version before")
+        self.move(RolloutPhase.BACK, "every member is in the version before")
         return []
--- a/birchslip/fleet/conduct.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -11,37 +11,46 @@
 
 import msgspec
 
-from .judgement import Shown
-from .listing import Listing
-from .permits import Permits, Seen, Why
-from .records import Count, Incarnation, Record, Report, Words
-from .release import Course, Order, Phase, Plan, Platform, Release, batches_of, unknown
-
-UNFINISHED = (Phase.RUNNING, Phase.HALTED, Phase.BACKING)
+from .canary_analysis import Shown
+from .disruption_budget import DisruptionBudget, MemberObservation, UnavailabilityReason
+from .inventory import Inventory
+from .messages import Count, Incarnation, MemberReport, Message, Words
+from .rollout import (
+    PlatformOrder,
+    PlatformView,
+    Rollout,
+    RolloutPhase,
+    RolloutRecord,
+    RolloutSpec,
+    batches_of,
+    unknown,
+)
+
+UNFINISHED = (RolloutPhase.RUNNING, RolloutPhase.HALTED, RolloutPhase.BACKING)
 RUNNING_MOST = 8
 ENDED_MOST = 16  # that are kept, for `history` and for a way back
 PATIENCE = 600_000  # a minute without the platform halts what runs
 KINDS = ("late", "slow", "shed", "written_off", "calls")
 
 
-class Releases(Record):
+class RolloutStates(Message):
     """What the leader has a majority keep of them, the oldest first."""
 
     number: Count = 0
-    courses: list[Course] = msgspec.field(default_factory=list)
+    courses: list[RolloutRecord] = msgspec.field(default_factory=list)
 
 
-class Word(Record):
+class RolloutCommand(Message):
     """What a person says of releases; `number` 0 means the only one it can be meant of, or all to halt."""
 
     what: Annotated[str, msgspec.Meta(pattern="^(start|status|halt|resume|back|history)$")]
     number: Count = 0
     who: Words = ""
     why: Words = ""
-    plan: Plan | None = None
+    plan: RolloutSpec | None = None
 
 
-class Said(Record):
+class CommandResult(Message):
     """What came of a word; `why` where nothing did."""
 
     done: bool
@@ -49,7 +58,7 @@
     why: str = ""
 
 
-class Conductor:
+class RolloutController:
     """`parts` are app servers by site and group, `services` the names of those below, `homes` the site of
     each member; a listing holds for `stale`.
     """
@@ -58,23 +67,23 @@
         self,
         parts: Mapping[str, list[str]],
         services: Iterable[str],
-        permits: Permits,
+        permits: DisruptionBudget,
         stale: int,
         homes: Mapping[str, str] | None = None,
     ) -> None:
         self.parts, self.services, self.permits, self.stale = parts, list(services), permits, stale
         self.homes = homes or {}
-        self.take(Releases(), 0)
+        self.take(RolloutStates(), 0)
 
-    def take(self, book: Releases, now: int) -> None:
+    def take(self, book: RolloutStates, now: int) -> None:
         """A new reign begins with what was kept, and knows nothing else."""
         self.book = book
-        self.releases = [Release(course, self.permits, self.home) for course in book.courses]
-        self.listing: Listing | None = None
-        self.platform: dict[str, Platform] = {}
+        self.releases = [Rollout(course, self.permits, self.home) for course in book.courses]
+        self.listing: Inventory | None = None
+        self.platform: dict[str, PlatformView] = {}
         self.heard_at = now
-        self.orders: list[Order] = []
-        self.counts: dict[str, Report] = {}  # the last that was read of each member
+        self.orders: list[PlatformOrder] = []
+        self.counts: dict[str, MemberReport] = {}  # the last that was read of each member
 
     def home(self, name: str) -> str:
         return self.homes.get(name, "")
@@ -94,26 +103,33 @@
 
     # ---- the platform ----------------------------------------------------------------------------------
 
-    def hear(self, listing: Listing, sent: int) -> None:
+    def hear(self, listing: Inventory, sent: int) -> None:
         """`sent` is when it was asked for: what it tells may be as old as that."""
         self.listing, self.platform, self.heard_at = listing, listing.platform(), sent
 
     def fresh(self, now: int) -> bool:
         return self.listing is not None and now - self.heard_at <= self.stale
 
-    def seen(self, now: int) -> dict[str, Seen]:
+    def seen(self, now: int) -> dict[str, MemberObservation]:
         """The services below; while the platform is not heard they count as out."""
         if self.listing is None or not self.fresh(now):
-            return {name: Seen(Incarnation(), 0.0, Why.SILENT) for name in self.services}
+            return {
+                name: MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
+                for name in self.services
+            }
         return {name: self.listing.service(name) for name in self.services}
 
     # ---- a look ----------------------------------------------------------------------------------------
 
-    def unfinished(self) -> list[Release]:
+    def unfinished(self) -> list[Rollout]:
         return [one for one in self.releases if one.phase in UNFINISHED]
 
     def look(
-        self, seen: Mapping[str, Seen], reports: Mapping[str, Report], lost: Iterable[str], now: int
+        self,
+        seen: Mapping[str, MemberObservation],
+        reports: Mapping[str, MemberReport],
+        lost: Iterable[str],
+        now: int,
     ) -> None:
         """What is to be asked of the platform now, as `orders`: what was to be asked before is over."""
         self.orders = []
@@ -128,7 +144,7 @@
             if now - self.heard_at >= PATIENCE:
                 release.halt("the platform was not heard for a minute")
 
-    def shown(self, reports: Mapping[str, Report]) -> dict[str, Shown]:
+    def shown(self, reports: Mapping[str, MemberReport]) -> dict[str, Shown]:
         """What each member has counted since the look before, by its reports' sums."""
         found, later = {}, {}
         for name, report in reports.items():
@@ -150,37 +166,37 @@
 
     # ---- words -----------------------------------------------------------------------------------------
 
-    def word(self, word: Word, now: int) -> Said:
+    def word(self, word: RolloutCommand, now: int) -> CommandResult:
         match word.what:
             case "start" if word.plan is not None:
                 return self.start(word.plan, word.who, now)
             case "halt":
                 return self.each(word, lambda one: one.halt(f"by {word.who}: {word.why}"), "runs")
             case "resume":
-                return self.one(word, Phase.HALTED, self.resume)
+                return self.one(word, RolloutPhase.HALTED, self.resume)
             case "back":
-                return self.one(word, Phase.HALTED, self.back)
-        return Said(done=False, why=f"nothing is known of {word.what!r}")
+                return self.one(word, RolloutPhase.HALTED, self.back)
+        return CommandResult(done=False, why=f"nothing is known of {word.what!r}")
 
-    def start(self, plan: Plan, who: str, now: int) -> Said:
+    def start(self, plan: RolloutSpec, who: str, now: int) -> CommandResult:
         why = plan.trouble() or self.refused(plan, now)
         if why:
-            return Said(done=False, why=why)
+            return CommandResult(done=False, why=why)
         self.book.number += 1
         batches = batches_of(plan, self.parts)
-        release = Release(
-            Course(plan=plan, batches=batches, number=self.book.number), self.permits, self.home
+        release = Rollout(
+            RolloutRecord(plan=plan, batches=batches, number=self.book.number), self.permits, self.home
         )
-        release.move(Phase.RUNNING, f"started by {who}")
+        release.move(RolloutPhase.RUNNING, f"started by {who}")
         self.releases.append(release)
         self.book.courses.append(release.course)
         ended = [one for one in self.releases if one.phase not in UNFINISHED]
         for old in ended[: max(0, len(ended) - ENDED_MOST)]:
             self.releases.remove(old)
             self.book.courses.remove(old.course)
-        return Said(done=True, number=self.book.number)
+        return CommandResult(done=True, number=self.book.number)
 
-    def refused(self, plan: Plan, now: int) -> str:
+    def refused(self, plan: RolloutSpec, now: int) -> str:
         """What forbids that it begins, found before the first drain."""
         kind = next((name for name in plan.margins if name.partition(":")[0] not in KINDS), None)
         if kind is not None:
@@ -216,7 +232,7 @@
                 return f"{name} runs {version}: neither {plan.before} nor {plan.version}"
         return ""
 
-    def resume(self, release: Release, who: str) -> str:
+    def resume(self, release: Rollout, who: str) -> str:
         if release.course.bad:
             return f"{release.plan.version} was found bad: only back is left"
         if release.course.left_out:
@@ -224,14 +240,14 @@
             return f"{out} starts in neither version: strike it, or start it by hand"
         return "" if release.resume(who) else "it is not halted"
 
-    def back(self, release: Release, who: str) -> str:
+    def back(self, release: Rollout, who: str) -> str:
         for other in self.unfinished():
             shared = sorted(set(other.all_members()) & set(release.all_members()))
             if other is not release and shared:
                 return f"release {other.course.number} is not finished and has {', '.join(shared[:3])}"
         return "" if release.back(who) else "there is nothing to take back"
 
-    def each(self, word: Word, act: Callable[[Release], bool], state: str) -> Said:
+    def each(self, word: RolloutCommand, act: Callable[[Rollout], bool], state: str) -> CommandResult:
         some = [one for one in self.unfinished() if word.number in (0, one.course.number)]
         done = [one for one in some if act(one)]
         # What was to be asked may not go out any more, not even once.
@@ -239,10 +255,12 @@
             order for order in self.orders if not any(order.member in one.all_members() for one in done)
         ]
         if done:
-            return Said(done=True, number=done[0].course.number)
-        return Said(done=False, why=f"no release {word.number or ''} {state}".replace("  ", " "))
+            return CommandResult(done=True, number=done[0].course.number)
+        return CommandResult(done=False, why=f"no release {word.number or ''} {state}".replace("  ", " "))
 
-    def one(self, word: Word, usual: Phase, act: Callable[[Release, str], str]) -> Said:
+    def one(
+        self, word: RolloutCommand, usual: RolloutPhase, act: Callable[[Rollout, str], str]
+    ) -> CommandResult:
         if word.number:
             some = [one for one in self.releases if one.course.number == word.number]
         else:
@@ -250,9 +268,9 @@
         if len(some) != 1:
             numbers = ", ".join(str(one.course.number) for one in some)
             why = f"which of {numbers}?" if some else f"no release {word.number or 'is ' + usual.value}"
-            return Said(done=False, why=why)
+            return CommandResult(done=False, why=why)
         why = act(some[0], word.who)
-        return Said(done=not why, number=some[0].course.number, why=why)
+        return CommandResult(done=not why, number=some[0].course.number, why=why)
 
     # ---- what is shown ---------------------------------------------------------------------------------
 
@@ -262,7 +280,7 @@
             self.tell(one, history) for one in reversed(self.releases) if number in (0, one.course.number)
         ]
 
-    def tell(self, release: Release, history: bool) -> dict[str, object]:
+    def tell(self, release: Rollout, history: bool) -> dict[str, object]:
         course, version = release.course, release.plan.version
         members = release.all_members()
         known = [self.platform[name] for name in members if name in self.platform]
--- a/birchslip/fleet/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -16,13 +16,13 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ..interface import Refusal
+from ..admission.types import SheddingTier
 
 DUST = 1e-9
 
 
 @dataclass(slots=True)
-class Place:
+class SiteCapacity:
     """A site as it was measured: the room of each member, and the first tries of its own callers by
     tenant.
     """
@@ -40,11 +40,11 @@
 
 
 @dataclass(slots=True)
-class Plan:
+class SitePlan:
     """`flows` are from site to site, home load included; `refused` is by what it was refused for."""
 
     flows: dict[tuple[str, str], float] = field(default_factory=dict)
-    refused: dict[Refusal, float] = field(default_factory=dict)
+    refused: dict[SheddingTier, float] = field(default_factory=dict)
     refused_at: dict[str, float] = field(default_factory=dict)  # by home site
     level: dict[str, float] = field(default_factory=dict)  # by site: what it takes over its room
     quotas: dict[str, dict[str, float]] = field(default_factory=dict)  # by site and tenant
@@ -81,7 +81,7 @@
     return parts
 
 
-def even(tenants: Mapping[str, float], places: list[Place]) -> dict[str, float]:
+def even(tenants: Mapping[str, float], places: list[SiteCapacity]) -> dict[str, float]:
     """The tenants' shares, made to add up to 1; even ones where none are told."""
     names = {tenant for place in places for tenant in place.load} | set(tenants)
     told = {name: tenants.get(name, 0.0) for name in sorted(names)}
@@ -92,16 +92,16 @@
 
 
 def refuse(
-    places: list[Place], shares: Mapping[str, float], order: tuple[Refusal, ...], room: float
-) -> tuple[dict[str, dict[str, float]], dict[Refusal, float]]:
+    places: list[SiteCapacity], shares: Mapping[str, float], order: tuple[SheddingTier, ...], room: float
+) -> tuple[dict[str, dict[str, float]], dict[SheddingTier, float]]:
     """What is still let in of each site's load by tenant, and what was refused for which reason."""
     left = {place.name: dict(place.load) for place in places}
     lost = {place.name for place in places if place.lost or place.level < 1}
     again = sum(place.again for place in places)
-    refused = dict.fromkeys(Refusal, 0.0)
+    refused = dict.fromkeys(SheddingTier, 0.0)
     excess = sum(sum(load.values()) for load in left.values()) + again - room
-    for kind in (*order, Refusal.HOME):
-        if kind is Refusal.AGAIN:
+    for kind in (*order, SheddingTier.LOCAL):
+        if kind is SheddingTier.RETRY:
             refused[kind] = max(0.0, min(again, excess))
             excess -= refused[kind]
             continue
@@ -121,16 +121,16 @@
 
 
 def pools_of(
-    kind: Refusal,
+    kind: SheddingTier,
     left: dict[str, dict[str, float]],
     lost: set[str],
     shares: Mapping[str, float],
     room: float,
 ) -> list[Pool]:
     """What a kind of refusal may take, by home site and tenant; one pool is used up before the next."""
-    if kind is Refusal.VISITOR:
+    if kind is SheddingTier.EVACUATED:
         return [{(site, tenant): rate for site in lost for tenant, rate in left[site].items()}]
-    if kind is Refusal.HOME:
+    if kind is SheddingTier.LOCAL:
         return [{(site, tenant): rate for site in left for tenant, rate in left[site].items()}]
     asked: dict[str, float] = {}
     away: dict[str, float] = {}
@@ -152,15 +152,15 @@
 
 
 def plan(
-    places: list[Place],
+    places: list[SiteCapacity],
     tenants: Mapping[str, float],
     costs: Mapping[tuple[str, str], float],
-    order: tuple[Refusal, ...] = tuple(Refusal),
-) -> Plan:
+    order: tuple[SheddingTier, ...] = tuple(SheddingTier),
+) -> SitePlan:
     """The plan for the sites as they are. `costs` are of links between sites; one that is not told costs
     1.
     """
-    made = Plan()
+    made = SitePlan()
     shares = even(tenants, places)
     room = sum(place.room for place in places)
     left, made.refused = refuse(places, shares, order, room)
@@ -192,7 +192,9 @@
     return made
 
 
-def move(made: Plan, owing: dict[str, float], spare: dict[str, float], a: str, b: str, most: float) -> None:
+def move(
+    made: SitePlan, owing: dict[str, float], spare: dict[str, float], a: str, b: str, most: float
+) -> None:
     amount = min(owing[a], spare[b], most)
     if amount > DUST:
         made.flows[a, b] = made.flows.get((a, b), 0.0) + amount
@@ -200,7 +202,9 @@
         spare[b] -= amount
 
 
-def hand_out(made: Plan, place: Place, left: dict[str, dict[str, float]], shares: dict[str, float]) -> None:
+def hand_out(
+    made: SitePlan, place: SiteCapacity, left: dict[str, dict[str, float]], shares: dict[str, float]
+) -> None:
     """A site's room to its members, and there to tenants at home and to visitors; all members stand alike."""
     home = made.flows.get((place.name, place.name), 0.0)
     taken = sum(amount for (_, b), amount in made.flows.items() if b == place.name)
@@ -219,15 +223,15 @@
 
 
 def what_if(
-    places: list[Place],
+    places: list[SiteCapacity],
     lose: str,
     tenants: Mapping[str, float],
     costs: Mapping[tuple[str, str], float],
-    order: tuple[Refusal, ...] = tuple(Refusal),
-) -> Plan:
+    order: tuple[SheddingTier, ...] = tuple(SheddingTier),
+) -> SitePlan:
     """What the loss of a site would mean today."""
     then = [
-        Place(one.name, one.rooms, one.load, one.again, one.lost or one.name == lose, one.level)
+        SiteCapacity(one.name, one.rooms, one.load, one.again, one.lost or one.name == lose, one.level)
         for one in places
     ]
     return plan(then, tenants, costs, order)
--- a/birchslip/fleet/wire.py
+++ b/birchslip/cluster/transport.py
@@ -30,7 +30,7 @@
     return parts
 
 
-class Later:
+class DeferredReply:
     """An answer that is still to come; `done` is called once, with value or error, before or after the door
     has said by `bind` where it goes.
     """
@@ -50,10 +50,10 @@
             send(self.said)
 
 
-class Guest:
+class IncomingConnection:
     """One connection at a door; `about` is what the handlers know of who is there."""
 
-    def __init__(self, door: Door, connection: Connection) -> None:
+    def __init__(self, door: PlannerEndpoint, connection: Connection) -> None:
         self.door, self.connection = door, connection
         self.about: Any = None
 
@@ -68,14 +68,14 @@
         if trouble:
             raise Unreadable(trouble)
 
-    def answer(self, number: int, answer: Later | tuple[Any, Any]) -> None:
-        if isinstance(answer, Later):
+    def answer(self, number: int, answer: DeferredReply | tuple[Any, Any]) -> None:
+        if isinstance(answer, DeferredReply):
             answer.bind(lambda then: self.connection.write(pack([1, number, *then])))
         else:
             self.connection.write(pack([1, number, *answer]))
 
 
-class Door:
+class PlannerEndpoint:
     """Listens and answers. `serve` is told guest, method and value, and returns the answer, or one that is
     still to come, or raises ValueError or OSError, whose text the other side hears; `gone` is told of each
     guest that has left.
@@ -85,11 +85,11 @@
         self,
         scheduler: Scheduler,
         most: int,
-        serve: Callable[[Guest, str, bytes], bytes | Later],
-        gone: Callable[[Guest, str], None],
+        serve: Callable[[IncomingConnection, str, bytes], bytes | DeferredReply],
+        gone: Callable[[IncomingConnection, str], None],
     ) -> None:
         self.scheduler, self.most, self.serve, self.gone = scheduler, most, serve, gone
-        self.guests: dict[Guest, None] = {}
+        self.guests: dict[IncomingConnection, None] = {}
         self.listener: socket.socket
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
@@ -118,11 +118,11 @@
                     continue
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                guest = Guest(self, Connection(self.scheduler, sock, BOUND, BOUND))
+                guest = IncomingConnection(self, Connection(self.scheduler, sock, BOUND, BOUND))
                 self.guests[guest] = None
                 self.scheduler.spawn("guest", lambda guest=guest: self.keep(guest))  # type: ignore[misc]
 
-    def keep(self, guest: Guest) -> None:
+    def keep(self, guest: IncomingConnection) -> None:
         why = "a fault"
         try:
             why = guest.connection.serve(guest.take)
@@ -131,15 +131,15 @@
             del self.guests[guest]
             self.gone(guest, why)
 
-    def answer(self, guest: Guest, method: str, value: bytes) -> Later | tuple[Any, Any]:
+    def answer(self, guest: IncomingConnection, method: str, value: bytes) -> DeferredReply | tuple[Any, Any]:
         try:
             answer = self.serve(guest, method, value)
-            return answer if isinstance(answer, Later) else (None, pieces(answer))
+            return answer if isinstance(answer, DeferredReply) else (None, pieces(answer))
         except (ValueError, OSError) as trouble:
             return str(trouble)[:400], None
 
 
-class Line:
+class PeerConnection:
     """Asks at one door, one question at a time; opened as needed and kept."""
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int]) -> None:
@@ -166,7 +166,7 @@
                 raise OSError("no answer in time")
         error, result = self.heard.pop(number)
         if error is not None:
-            raise Refused(str(error)[:400])
+            raise RequestRefusedError(str(error)[:400])
         if not isinstance(result, list):
             link.close("an answer of no known form")
             raise OSError("an answer of no known form")
@@ -191,5 +191,5 @@
             self.link = None
 
 
-class Refused(OSError):
+class RequestRefusedError(OSError):
     """The other side has answered that it won't; the line is as good as before."""
--- a/birchslip/expect/check.py
+++ b/birchslip/expect/check.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 
-from ..deployment import Malformed
+from ..errors import InvalidInputError
 from ..lab.model.world import Setting
 from .consistency import Conflict, conflicts
 from .judge import Outcome, Said, Verdict, verdict
@@ -54,13 +54,16 @@
     for one in map(Path, paths):
         some = sorted(one.rglob(f"*{SUFFIX}")) if one.is_dir() else [one]
         if not some:
-            raise Malformed(f"{one}: no file ends in {SUFFIX}")
+            raise InvalidInputError(f"{one}: no file ends in {SUFFIX}")
         found += some
     return list(dict.fromkeys(found))
 
 
 def read_statements(paths: Iterable[str | Path], sources: Sources) -> tuple[list[Statement], list[str]]:
-    """All statements, and the files that hold none; `Malformed` names every wrong place, a line each."""
+    """All statements, and the files that hold none.
+
+    `InvalidInputError` names every wrong place, a line each.
+    """
     names = Names(sources.setting)
     made: list[Statement] = []
     empty: list[str] = []
@@ -89,7 +92,7 @@
         if other is not statement:
             wrong.append(f"{statement.spot.told()}: {statement.name!r} stands at {other.spot.told()} too")
     if wrong:
-        raise Malformed("\n".join(wrong))
+        raise InvalidInputError("\n".join(wrong))
     return made, empty
 
 
@@ -221,7 +224,7 @@
             for sources in some:
                 try:
                     tasks.append(self.task(sources.setting, when, case.seed, claims, always))
-                except Malformed:
+                except InvalidInputError:
                     tasks.append(None)
             came = iter(self.plays.all([task for task in tasks if task is not None]))
             return [of(next(came)) if task is not None else None for task in tasks]
--- a/birchslip/expect/consistency.py
+++ b/birchslip/expect/consistency.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..fleet.fleetfile import Fleet
-from ..interface import SECOND, Below, Kind
+from ..admission.types import SECOND, Downstream, Idempotency
+from ..cluster.fleet_file import Fleet
 from ..lab.model.layout import Work
 from ..lab.model.world import Setting
 from .sources import FILES, Sources
@@ -66,45 +66,45 @@
 
 
 def spans_of_profiles(look: Look) -> Iterator[Conflict]:
-    for name, profile in zip(look.setting.profiles, look.setting.deployment.profiles, strict=True):
+    for name, profile in zip(look.setting.profiles, look.setting.deployment.request_classes, strict=True):
         aim, deadline = look.config(f"classes[{name}].aim_s"), look.config(f"classes[{name}].hard_limit_s")
-        if profile.goal > profile.deadline:
+        if profile.latency_objective > profile.deadline:
             yield Conflict((aim, deadline), "its callers give up before its latency goal")
-        if profile.kind is Kind.LABELLED and profile.window < profile.deadline:
+        if profile.idempotency is Idempotency.KEYED and profile.key_retention < profile.deadline:
             window = look.config(f"classes[{name}].window_s")
             yield Conflict((window, deadline), "its label is forgotten while its callers may still try again")
-        if profile.kind is not Kind.REDOABLE and profile.skip_payoff > 0:
+        if profile.idempotency is not Idempotency.IDEMPOTENT and profile.weight_without_call > 0:
             worth = look.config("family_info.class_skip_worth")
             yield Conflict((worth, look.config(f"classes[{name}].effect")), "an effect is not had in part")
 
 
 def leaving(look: Look) -> Iterator[Conflict]:
-    if look.setting.deployment.grace > look.sources.site.stop:
+    if look.setting.deployment.drain_grace > look.sources.site.stop:
         places = (look.config("contract.drain_grace_s"), f"{look.sources.names[0]}: stop_ms")
         yield Conflict(places, "it is stopped before its grace is over")
 
 
 def warmth(look: Look) -> Iterator[Conflict]:
     deployment = look.setting.deployment
-    if not 0 < deployment.cold_from <= 1:
+    if not 0 < deployment.cold_start_speed <= 1:
         yield Conflict((look.config("contract.cold_from"),), "a part of its speed is above 0 and at most 1")
-    if deployment.crowd_multiple < 1:
+    if deployment.overload_multiple < 1:
         yield Conflict((look.config("contract.fall_multiple"),), "it falls before its cores are full")
 
 
 def memory(look: Look) -> Iterator[Conflict]:
     deployment, size = look.setting.deployment, look.setting.layout.size
-    if deployment.run_factor < 1:
+    if deployment.running_memory_factor < 1:
         yield Conflict((look.config("family_info.run_factor"),), "a run needs no less than what is held")
-    if deployment.cores * size * deployment.run_factor > MEMORY_USED * deployment.memory:
+    if deployment.cores * size * deployment.running_memory_factor > MEMORY_USED * deployment.memory_limit:
         places = (look.config("family_info.mem_limit_kb"), look.config("family_info.run_factor"))
         yield Conflict((*places, look.world_at("size")), "a run for each core does not fit")
 
 
 def advice(look: Look) -> Iterator[Conflict]:
     deployment = look.setting.deployment
-    shortest = min(profile.deadline for profile in deployment.profiles)
-    if deployment.advises and deployment.longest_advice > shortest:
+    shortest = min(profile.deadline for profile in deployment.request_classes)
+    if deployment.sends_retry_after and deployment.max_retry_after > shortest:
         places = (look.config("ceilings.max_retry_after_s"), look.config("classes"))
         yield Conflict(places, f"callers give up after {shortest / SECOND:g} s, and are told to come later")
 
@@ -112,14 +112,17 @@
 def calls(look: Look) -> Iterator[Conflict]:
     deployment, told = look.setting.deployment, look.setting.layout.profiles
     callers = [name for name in look.setting.profiles if told.get(name, Work()).calls > 0]
-    if deployment.below is Below.OFF and callers:
+    if deployment.downstream is Downstream.NONE and callers:
         places = (look.config("family_info.downstream"), look.world_at(f"profiles[{callers[0]}].calls"))
         yield Conflict(places, "nothing lies below, and calls are made")
-    if deployment.below is Below.SHARED and deployment.linger >= deployment.calls_span:
+    if (
+        deployment.downstream is Downstream.SHARED
+        and deployment.abandoned_call_linger >= deployment.downstream_quota_window
+    ):
         places = (look.config("family_info.linger_s"), look.config("family_info.share_span_s"))
         yield Conflict(places, "an abandoned call counts for longer than the span of the share")
-    for name, profile in zip(look.setting.profiles, deployment.profiles, strict=True):
-        if profile.skip_payoff > 0 and look.sources.world is not None and name not in callers:
+    for name, profile in zip(look.setting.profiles, deployment.request_classes, strict=True):
+        if profile.weight_without_call > 0 and look.sources.world is not None and name not in callers:
             places = (look.config("family_info.class_skip_worth"), look.world_at(f"profiles[{name}].calls"))
             yield Conflict(places, "it earns by leaving out a call that it never makes")
 
@@ -168,13 +171,13 @@
         return
     deployment = look.setting.deployment
     vault = look.fleet_at("vault.total")
-    if deployment.below is not Below.SHARED:
+    if deployment.downstream is not Downstream.SHARED:
         yield Conflict((look.config("family_info.downstream"), vault), "only one knows a service below")
         return
     base = look.fleet.bases().get(look.setting.name)
-    if base is not None and abs(base - deployment.calls_share) > 0.01 * max(base, 1.0):
+    if base is not None and abs(base - deployment.downstream_quota) > 0.01 * max(base, 1.0):
         places = (look.config("family_info.calls_out"), vault)
-        yield Conflict(places, f"{deployment.calls_share:g} and {base:g} calls of an app server's own")
+        yield Conflict(places, f"{deployment.downstream_quota:g} and {base:g} calls of an app server's own")
 
 
 # ---- budgets and routers -------------------------------------------------------------------------------
--- a/birchslip/expect/facts.py
+++ b/birchslip/expect/facts.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from ..fleet.permits import Group
-from ..interface import Below
+from ..admission.types import Downstream
+from ..cluster.disruption_budget import BudgetGroup
 from ..lab.model.world import Setting
 from .words import Kind, Measure, Subject, When
 
@@ -37,8 +37,9 @@
 
 def of_deployment(setting: Setting, config: str, fleet: str) -> Iterator[Fact]:
     deployment = setting.deployment
-    longest = deployment.longest_advice if deployment.advises else 0
-    place = f"{config}: settings.ceilings.{'max_retry_after_s' if deployment.advises else 'retry_after'}"
+    longest = deployment.max_retry_after if deployment.sends_retry_after else 0
+    ceiling = "max_retry_after_s" if deployment.sends_retry_after else "retry_after"
+    place = f"{config}: settings.ceilings.{ceiling}"
     for subject in callers(setting):
         yield Fact(subject, Measure.ADVISED, 0, longest, place)
     sites = setting.sites()
@@ -55,13 +56,13 @@
                     vault.kept * bases[name],
                     f"{fleet}: vault.kept",
                 )
-    elif deployment.below is Below.SHARED:
-        share = max(1.0, deployment.calls_share)
+    elif deployment.downstream is Downstream.SHARED:
+        share = max(1.0, deployment.downstream_quota)
         place = f"{config}: settings.family_info.calls_out"
         yield Fact(THE_FLEET, Measure.CALLS, 0, share * len(servers), place)
         for name in servers:
             yield Fact(Subject(Kind.SERVER, name), Measure.CALLS, 0, share, place)
-    elif deployment.below is Below.OFF:
+    elif deployment.downstream is Downstream.NONE:
         yield Fact(THE_FLEET, Measure.CALLS, 0, 0, f"{config}: settings.family_info.downstream")
 
 
@@ -99,7 +100,7 @@
             )
 
 
-def same_members(group: Group, sites: dict[str, list[str]]) -> Iterator[Subject]:
+def same_members(group: BudgetGroup, sites: dict[str, list[str]]) -> Iterator[Subject]:
     """Sites that the group holds whole: no more of them can be out than of it."""
     for site, names in sites.items():
         if names and group.members.issuperset(names):
--- a/birchslip/expect/judge.py
+++ b/birchslip/expect/judge.py
@@ -13,7 +13,18 @@
 from enum import Enum
 
 from .measures import Seen
-from .words import Both, Bound, Claim, Compare, Either, Measure, Not, Order, Subject, figure
+from .words import (
+    Both,
+    Bound,
+    Claim,
+    Compare,
+    Either,
+    Measure,
+    Not,
+    Order,
+    Subject,
+    figure,
+)
 
 Measuring = Callable[[Subject, Measure, Compare], Seen | None]
 Some = Callable[[Subject], list[Subject]]
--- a/birchslip/expect/measures.py
+++ b/birchslip/expect/measures.py
@@ -53,8 +53,8 @@
             return share(born(world, subject, spans), lambda deed: deed.shed and deed.honoured_at < 0)
         case Measure.EARNED:
             deeds = born(world, subject, spans)
-            asked = sum(deed.profile.payoff for deed in deeds)
-            got = sum(deed.profile.payoff for deed in deeds if deed.in_time)
+            asked = sum(deed.profile.priority_weight for deed in deeds)
+            got = sum(deed.profile.priority_weight for deed in deeds if deed.in_time)
             return Seen(got / asked, of=len(deeds)) if len(deeds) >= FEW and asked else None
         case Measure.SERVED:
             return share(born(world, subject, spans), lambda deed: deed.in_time)
--- a/birchslip/expect/mutate.py
+++ b/birchslip/expect/mutate.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ..deployment import Malformed
+from ..errors import InvalidInputError
 from .check import Check, Report
 from .judge import Outcome
 from .search import Change
@@ -115,7 +115,7 @@
         _ = then.setting
         check = Check(then, statements, seed, seeds, search=False, capacity=capacity)
         trouble = next((said for one in statements if (said := check.names.trouble(one))), "")
-    except Malformed as why:
+    except InvalidInputError as why:
         return Broken(change, place, Seen.REFUSED, str(why).splitlines()[0])
     if trouble:
         return Broken(change, place, Seen.REFUSED, trouble)
--- a/birchslip/expect/sources.py
+++ b/birchslip/expect/sources.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from ..deployment import Malformed
-from ..fleet.fleetfile import Fleet
+from ..cluster.fleet_file import Fleet
+from ..errors import InvalidInputError
 from ..lab.model.layout import Layout
 from ..lab.model.world import Setting
 from ..net.site import Site, site_of
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Sources:
-    """Decoded JSON; `Malformed` at `setting` says what is wrong with it."""
+    """Decoded JSON; `InvalidInputError` at `setting` says what is wrong with it."""
 
     config: dict[str, Any]
     fleet: dict[str, Any] | None = None
@@ -40,8 +40,8 @@
     def site(self) -> Site:
         try:
             return site_of(self.config, {})
-        except Malformed as trouble:
-            raise Malformed(f"{self.names[0]}: {trouble}") from None
+        except InvalidInputError as trouble:
+            raise InvalidInputError(f"{self.names[0]}: {trouble}") from None
 
     @cached_property
     def read_fleet(self) -> Fleet | None:
@@ -50,7 +50,7 @@
         fleet = convert(self.fleet, Fleet, self.names[1])
         found = list(fleet.trouble())
         if found:
-            raise Malformed(f"{self.names[1]}: {found[0]}")
+            raise InvalidInputError(f"{self.names[1]}: {found[0]}")
         return fleet
 
     @cached_property
@@ -65,7 +65,7 @@
         )
         troubles = self.layout.trouble(site.profiles, site.tenants, list(made.sites()))
         if troubles:
-            raise Malformed(f"{self.names[2]}: {troubles[0]}")
+            raise InvalidInputError(f"{self.names[2]}: {troubles[0]}")
         return made
 
     # ---- single values ---------------------------------------------------------------------------------
@@ -125,7 +125,7 @@
     try:
         return msgspec.convert(told, kind)
     except msgspec.ValidationError as trouble:
-        raise Malformed(f"{name}: {trouble}") from None
+        raise InvalidInputError(f"{name}: {trouble}") from None
 
 
 def read_json(path: str | Path) -> dict[str, Any]:
@@ -133,9 +133,9 @@
     try:
         told = json.loads(Path(path).read_bytes())
     except (ValueError, RecursionError) as trouble:
-        raise Malformed(f"{path} is not JSON: {trouble}") from None
+        raise InvalidInputError(f"{path} is not JSON: {trouble}") from None
     if not isinstance(told, dict):
-        raise Malformed(f"{path} holds no object")
+        raise InvalidInputError(f"{path} holds no object")
     return told
 
 
