--- a/birchslip/keep/files.py
+++ b/birchslip/idempotency/files.py
@@ -15,14 +15,14 @@
 from contextlib import suppress
 from pathlib import Path
 
-from .form import FILE, Newer, file_head, read_file_head
+from .record_format import FILE, UnsupportedVersionError, file_head, read_file_head
 
 
-class NotKept(OSError):
+class StoreWriteError(OSError):
     """Why a store can't be opened, in one line."""
 
 
-class System:
+class FileSystem:
     """What is asked of the operating system; a test puts a disk that fails in its place."""
 
     def create(self, path: Path) -> int:
@@ -68,9 +68,9 @@
 
 
 class Files:
-    def __init__(self, folder: Path, name: str, system: System | None = None) -> None:
+    def __init__(self, folder: Path, name: str, system: FileSystem | None = None) -> None:
         self.folder, self.name = folder, name
-        self.system = system or System()
+        self.system = system or FileSystem()
         self.form = re.compile(re.escape(name) + r"-([0-9]{8})\.kept")
         self.descriptor: int | None = None
         self.serial = 0
@@ -92,12 +92,12 @@
             os.ftruncate(self.lock, 0)
             os.pwrite(self.lock, f"{os.getpid()}\n".encode(), 0)
         except BlockingIOError:
-            raise NotKept(f"{self.folder}: another program has the store of {self.name}") from None
+            raise StoreWriteError(f"{self.folder}: another program has the store of {self.name}") from None
         except OSError as trouble:
-            raise NotKept(f"{self.folder}: {trouble.strerror or trouble}") from None
+            raise StoreWriteError(f"{self.folder}: {trouble.strerror or trouble}") from None
         strangers = [one for one in self.system.names(self.folder) if one.endswith(".kept")]
         if strangers and not any(self.form.fullmatch(one) for one in strangers):
-            raise NotKept(f"{self.folder}: belongs to another name: {min(strangers)}")
+            raise StoreWriteError(f"{self.folder}: belongs to another name: {min(strangers)}")
 
     def serials(self) -> list[int]:
         found = (self.form.fullmatch(one) for one in self.system.names(self.folder))
@@ -119,10 +119,10 @@
             raw = self.system.read(path)
             try:
                 told = read_file_head(raw, self.name)
-            except Newer as trouble:
-                raise NotKept(f"{path}: {trouble}") from None
+            except UnsupportedVersionError as trouble:
+                raise StoreWriteError(f"{path}: {trouble}") from None
             except ValueError as trouble:
-                raise NotKept(f"{path}: {trouble}") from None
+                raise StoreWriteError(f"{path}: {trouble}") from None
             if len(raw) >= FILE.size:
                 self.doubt = self.doubt or told != serial
             yield serial, raw
--- a/birchslip/keep/form.py
+++ b/birchslip/idempotency/record_format.py
@@ -27,7 +27,7 @@
 
 import xxhash
 
-from ..interface import Outcome
+from ..admission.types import Outcome
 
 HEAD = struct.Struct("<2sBBI16sqIII")
 MARK = b"\xb5k"
@@ -38,16 +38,16 @@
 VERSION = 1
 
 
-class Kind(Enum):
+class RecordKind(Enum):
     BEGUN = 1
     CONCLUDED = 2
     VOID = 3  # nothing: written to see whether the disk takes anything
 
 
-KINDS = frozenset(kind.value for kind in Kind)
+KINDS = frozenset(kind.value for kind in RecordKind)
 
 
-class Found(Enum):
+class ScanOutcome(Enum):
     GOOD = "good"
     TORN = "torn"
     SPOILT = "spoilt"
@@ -55,16 +55,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ResultRecord:
     """One record. `run` is of one begun, `outcome` and `result` are of one concluded."""
 
-    kind: Kind
+    kind: RecordKind
     label: bytes
     stamp: int
     span: int
     run: str = ""
     digest: bytes = b""
-    outcome: Outcome = Outcome.ERRED
+    outcome: Outcome = Outcome.FAILED
     result: bytes = b""
 
     @property
@@ -73,13 +73,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
+class RecordFragment:
     """What stands at one place of a file: `entry` without a body where that is spoilt, none where lost."""
 
-    found: Found
+    found: ScanOutcome
     at: int
     size: int
-    entry: Entry | None = None
+    entry: ResultRecord | None = None
 
 
 def digest_of(profile: str, body: bytes) -> bytes:
@@ -94,11 +94,11 @@
 OUTCOMES = list(Outcome)
 
 
-def encode(entry: Entry) -> bytes:
+def encode(entry: ResultRecord) -> bytes:
     body = b""
-    if entry.kind is Kind.BEGUN:
+    if entry.kind is RecordKind.BEGUN:
         body = entry.digest + entry.run.encode()
-    elif entry.kind is Kind.CONCLUDED:
+    elif entry.kind is RecordKind.CONCLUDED:
         packed = zlib.compress(entry.result, 1) if len(entry.result) > SMALL else entry.result
         smaller = len(packed) < len(entry.result)
         body = entry.digest + bytes((OUTCOMES.index(entry.outcome), smaller))
@@ -109,7 +109,7 @@
     return head[:-4] + struct.pack("<I", checksum(head[:-4])) + body
 
 
-Scanned = tuple[Found, int, int, int, bytes, int, int]  # found, at, size, kind, label, stamp, span
+Scanned = tuple[ScanOutcome, int, int, int, bytes, int, int]  # found, at, size, kind, label, stamp, span
 NOTHING = (0, b"", 0, 0)
 
 
@@ -128,15 +128,15 @@
         if not good or size > BODY_MOST or kind not in KINDS:
             later = next_head(raw, at + 1)
             whole = end - at >= head_size or later < end
-            yield (Found.LOST if whole else Found.TORN, at, later - at, *NOTHING)
+            yield (ScanOutcome.LOST if whole else ScanOutcome.TORN, at, later - at, *NOTHING)
             at = later
             continue
         body_at = at + head_size
         if body_at + size > end:
             # The head may be followed by less than its body, and that by nothing: cut off, or never flushed.
-            yield Found.TORN, at, end - at, kind, label, stamp, span
+            yield ScanOutcome.TORN, at, end - at, kind, label, stamp, span
             return
-        found = Found.GOOD if digest(view[body_at : body_at + size]) == body_sum else Found.SPOILT
+        found = ScanOutcome.GOOD if digest(view[body_at : body_at + size]) == body_sum else ScanOutcome.SPOILT
         yield found, at, head_size + size, kind, label, stamp, span
         at = body_at + size
 
@@ -160,41 +160,41 @@
     return body[16:].decode("ascii", "replace")
 
 
-def read(raw: bytes, one: Scanned) -> Piece:
+def read(raw: bytes, one: Scanned) -> RecordFragment:
     """What was scanned, whole."""
     found, at, size, kind, label, stamp, span = one
     if not kind:
-        return Piece(found, at, size)
-    entry = Entry(Kind(kind), label, stamp, span)
-    if found is not Found.GOOD:
-        return Piece(found, at, size, entry)
+        return RecordFragment(found, at, size)
+    entry = ResultRecord(RecordKind(kind), label, stamp, span)
+    if found is not ScanOutcome.GOOD:
+        return RecordFragment(found, at, size, entry)
     try:
-        return Piece(found, at, size, with_body(entry, body_of(raw, at, size)))
+        return RecordFragment(found, at, size, with_body(entry, body_of(raw, at, size)))
     except (ValueError, IndexError, zlib.error):
-        return Piece(Found.SPOILT, at, size, entry)
+        return RecordFragment(ScanOutcome.SPOILT, at, size, entry)
 
 
-def with_body(entry: Entry, body: bytes) -> Entry:
+def with_body(entry: ResultRecord, body: bytes) -> ResultRecord:
     """ValueError, IndexError or zlib.error where the body is none of its kind."""
-    if entry.kind is Kind.BEGUN:
-        return Entry(entry.kind, entry.label, entry.stamp, entry.span, run_of(body), body[:16])
-    if entry.kind is Kind.VOID:
+    if entry.kind is RecordKind.BEGUN:
+        return ResultRecord(entry.kind, entry.label, entry.stamp, entry.span, run_of(body), body[:16])
+    if entry.kind is RecordKind.VOID:
         return entry
     result = zlib.decompress(body[18:]) if body[17] else body[18:]
     outcome = OUTCOMES[body[16]]
-    return Entry(
+    return ResultRecord(
         entry.kind, entry.label, entry.stamp, entry.span, digest=body[:16], outcome=outcome, result=result
     )
 
 
-def pieces(raw: bytes, at: int = 0) -> Iterator[Piece]:
+def pieces(raw: bytes, at: int = 0) -> Iterator[RecordFragment]:
     return (read(raw, one) for one in scan(raw, at))
 
 
 # ---- the head of a file -----------------------------------------------------------------------------------
 
 
-class Newer(ValueError):
+class UnsupportedVersionError(ValueError):
     """A file of a later version: nothing of it is touched."""
 
 
@@ -211,7 +211,7 @@
     if mark != FILE_MARK or checksum(raw[: FILE.size - 4]) != head_sum:
         return None
     if version > VERSION:
-        raise Newer(f"of version {version}, and this program reads up to {VERSION}")
+        raise UnsupportedVersionError(f"of version {version}, and this program reads up to {VERSION}")
     if owned != xxhash.xxh3_64_intdigest(owner.encode()):
         raise ValueError(f"kept by another name than {owner!r}")
     return int(serial)
--- a/birchslip/keep/recovery.py
+++ b/birchslip/idempotency/recovery.py
@@ -15,14 +15,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ..interface import NEVER_RAN
-from .form import HEAD, OUTCOMES, Entry, Found, Kind, read
-from .form import scan as scan_file
+from ..admission.types import NEVER_RAN_OUTCOMES
 from .index import UNKNOWN, Index
-from .ledger import Ledger
+from .record_format import HEAD, OUTCOMES, RecordKind, ResultRecord, ScanOutcome, read
+from .record_format import scan as scan_file
+from .retention_budget import RetentionBudget
 
 OUTCOME_AT = HEAD.size + 16  # in a record of one concluded
-VOID_CODES = frozenset(OUTCOMES.index(outcome) for outcome in NEVER_RAN)
+VOID_CODES = frozenset(OUTCOMES.index(outcome) for outcome in NEVER_RAN_OUTCOMES)
 
 
 @dataclass(slots=True)
@@ -32,8 +32,8 @@
     """
 
     index: Index = field(default_factory=Index)
-    runs: dict[str, Entry] = field(default_factory=dict)
-    found: dict[Found, int] = field(default_factory=lambda: dict.fromkeys(Found, 0))
+    runs: dict[str, ResultRecord] = field(default_factory=dict)
+    found: dict[ScanOutcome, int] = field(default_factory=lambda: dict.fromkeys(ScanOutcome, 0))
     over: int = 0  # records whose window has ended
     unknown: int = 0
     doubt: bool = False
@@ -50,12 +50,12 @@
     been set back since, and counts from now.
     """
 
-    def __init__(self, ledger: Ledger, now: int, longest: int) -> None:
+    def __init__(self, ledger: RetentionBudget, now: int, longest: int) -> None:
         self.ledger, self.now, self.longest = ledger, now, longest
         self.made = Recovered(Index(now - longest - ledger.linger - 1))
         self.labels: dict[bytes, tuple[int, int]] = {}  # end of the window, place or UNKNOWN
         self.open: dict[bytes, tuple[int, int, int]] = {}  # begun and not concluded: file, place, size
-        self.begun: dict[bytes, Entry | None] = {}
+        self.begun: dict[bytes, ResultRecord | None] = {}
         self.before: int | None = None
 
     def file(self, serial: int, raw: bytes, last: bool, start: int) -> None:
@@ -65,18 +65,18 @@
         self.before = serial
         self.ledger.open_file(serial, len(raw))
         ends, linger = 0, self.ledger.linger
-        good, begun, concluded = Found.GOOD, Kind.BEGUN.value, Kind.CONCLUDED.value
+        good, begun, concluded = ScanOutcome.GOOD, RecordKind.BEGUN.value, RecordKind.CONCLUDED.value
         labels, runs, whole = self.labels, self.open, 0
         for found, at, size, kind, label, stamp, span in scan_file(raw, start):
             if found is good:
                 whole += 1
             else:
                 made.found[found] += 1
-            if found is Found.TORN and last:
+            if found is ScanOutcome.TORN and last:
                 made.cut = at
                 self.ledger.files[-1].size = at
                 continue
-            if found is Found.LOST or found is Found.TORN:
+            if found is ScanOutcome.LOST or found is ScanOutcome.TORN:
                 made.doubt, ends = True, latest
                 continue
             until = min(stamp + span, latest)
@@ -118,7 +118,7 @@
 
 
 def recover(
-    files: Iterable[tuple[int, bytes]], ledger: Ledger, now: int, longest: int, start: int, last: int
+    files: Iterable[tuple[int, bytes]], ledger: RetentionBudget, now: int, longest: int, start: int, last: int
 ) -> Recovered:
     """`start` is where records begin in a file, `last` the serial of the newest: each is needed once."""
     reading = Reading(ledger, now, longest)
--- a/birchslip/keep/keeper.py
+++ b/birchslip/idempotency/result_store.py
@@ -11,19 +11,32 @@
 from pathlib import Path
 from statistics import quantiles
 
-from ..deployment import Malformed
-from ..interface import NEVER_RAN, Outcome, Place, Profile, Transaction
+from ..admission.types import (
+    NEVER_RAN_OUTCOMES,
+    Outcome,
+    Request,
+    RequestClass,
+    RequestState,
+)
+from ..errors import InvalidInputError
 from ..net.counters import Counters
 from ..net.log import Log
 from ..net.passage import Conclusion, Label, Passage
 from ..net.scheduler import Scheduler
 from .disk import Disk
-from .files import Files, NotKept, System
-from .form import FILE, Entry, Found, Kind, digest_of, encode
+from .files import Files, FileSystem, StoreWriteError
 from .index import UNKNOWN, Index
-from .keepfile import Keep
-from .ledger import CLOSING, Ledger
+from .record_format import (
+    FILE,
+    RecordKind,
+    ResultRecord,
+    ScanOutcome,
+    digest_of,
+    encode,
+)
 from .recovery import Recovered, place, recover
+from .retention_budget import CLOSING, RetentionBudget
+from .settings_file import StoreSettings
 from .writer import Work, Writer
 
 LOOK = 500  # the disk's state is looked at twenty times a second
@@ -31,7 +44,7 @@
 SCARCE = 0.2  # of the entries: from here on the room is for who is within the quota
 
 
-class Nobody:
+class DiscardingContext:
     """The caller of a try of an earlier life: there is nobody to answer."""
 
     def __init__(self) -> None:
@@ -42,23 +55,23 @@
     def write_off(self, number: int) -> None: ...
 
 
-class Keeper:
-    """`Malformed` at its making says in a line why the store can't be had."""
+class ResultStore:
+    """`InvalidInputError` at its making says in a line why the store can't be had."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         counters: Counters,
         log: Log,
-        told: Keep,
+        told: StoreSettings,
         name: str,
-        profiles: list[Profile],
-        system: System | None = None,
+        profiles: list[RequestClass],
+        system: FileSystem | None = None,
     ) -> None:
         self.scheduler, self.counters, self.log = scheduler, counters, log
-        self.longest = max([profile.window for profile in profiles], default=0)
+        self.longest = max([profile.key_retention for profile in profiles], default=0)
         linger = max([profile.deadline for profile in profiles], default=0)
-        self.ledger = Ledger(told.entries, told.bytes, linger)
+        self.ledger = RetentionBudget(told.entries, told.bytes, linger)
         self.disk = Disk(told.stall_ms * 10)
         self.files = Files(Path(told.folder), name, system)
         self.writer = Writer(scheduler, self.files, told.gather_ms / 1000)
@@ -69,9 +82,9 @@
         self.resolved: Callable[[Label, Conclusion], None]
         try:
             self.recovered = self.open(scheduler.now)
-        except (NotKept, OSError) as trouble:
+        except (StoreWriteError, OSError) as trouble:
             self.files.close()
-            raise Malformed(f"keep: {trouble}") from None
+            raise InvalidInputError(f"keep: {trouble}") from None
         self.doubt_until = scheduler.now + self.longest if self.recovered.doubt else 0
         self.forget_at = scheduler.now + self.longest + linger
         self.fetched: dict[bytes, Label] = {}  # of earlier lives, asked for in this one
@@ -103,9 +116,9 @@
             labels=len(made.index),
             unknown=made.unknown,
             runs=len(made.runs),
-            torn=made.found[Found.TORN],
-            spoilt=made.found[Found.SPOILT],
-            lost=made.found[Found.LOST],
+            torn=made.found[ScanOutcome.TORN],
+            spoilt=made.found[ScanOutcome.SPOILT],
+            lost=made.found[ScanOutcome.LOST],
             doubt=made.doubt,
             bytes=self.ledger.held,
         )
@@ -125,7 +138,7 @@
             self.say_state()
             self.give_up()
         if self.disk.wants_probe(now):
-            raw = encode(Entry(Kind.VOID, bytes(16), now, 0))
+            raw = encode(ResultRecord(RecordKind.VOID, bytes(16), now, 0))
             self.put(raw, now, lambda work: None)
         if now > self.forget_at and len(self.recovered.index):
             # Nothing of earlier lives is in its window any more.
@@ -212,7 +225,7 @@
             self.counters.count("keep.no_room")
             self.scheduler.at(self.scheduler.now, lambda: then(False))
             return
-        entry = self.entry(Kind.BEGUN, passage, run=passage.name)
+        entry = self.entry(RecordKind.BEGUN, passage, run=passage.name)
         self.ledger.begin(entry.until)
         self.once(encode(entry), entry, then, passage)
 
@@ -220,17 +233,21 @@
         """`then` hears, once, that it may be answered: *concluded* is flushed, or the disk would keep it too
         long.
         """
-        entry = self.entry(Kind.CONCLUDED, passage, outcome=conclusion.outcome, result=conclusion.result)
+        entry = self.entry(
+            RecordKind.CONCLUDED, passage, outcome=conclusion.outcome, result=conclusion.result
+        )
         self.ledger.conclude()
         self.once(encode(entry), entry, then, None)
 
-    def entry(self, kind: Kind, passage: Passage, **more: object) -> Entry:
-        window = passage.transaction.profile.window
+    def entry(self, kind: RecordKind, passage: Passage, **more: object) -> ResultRecord:
+        window = passage.transaction.request_class.key_retention
         digest = digest_of(passage.profile, passage.body)
         label = bytes.fromhex(passage.label_name)
-        return Entry(kind, label, passage.window_from, window, digest=digest, **more)  # type: ignore[arg-type]
+        return ResultRecord(kind, label, passage.window_from, window, digest=digest, **more)  # type: ignore[arg-type]
 
-    def once(self, raw: bytes, entry: Entry, then: Callable[[bool], None], passage: Passage | None) -> None:
+    def once(
+        self, raw: bytes, entry: ResultRecord, then: Callable[[bool], None], passage: Passage | None
+    ) -> None:
         """Waits for the flush, and no longer than a stall: what is said then stays said."""
         wait = Waiting(then, entry)
         self.pending[wait] = None
@@ -242,7 +259,7 @@
             self.answer(wait, good)
 
     def answer(self, wait: Waiting, good: bool) -> None:
-        if wait.entry.kind is Kind.BEGUN and not good:
+        if wait.entry.kind is RecordKind.BEGUN and not good:
             self.never_ran(wait.entry)
         wait.then(good)
 
@@ -254,12 +271,17 @@
 
     def void(self, passage: Passage) -> None:
         """It was begun, and will not be launched after all."""
-        self.never_ran(self.entry(Kind.BEGUN, passage, run=passage.name))
+        self.never_ran(self.entry(RecordKind.BEGUN, passage, run=passage.name))
 
-    def never_ran(self, entry: Entry) -> None:
+    def never_ran(self, entry: ResultRecord) -> None:
         """It may stand in the file as begun: said to be void, a later life does not take it for unknown."""
-        void = Entry(
-            Kind.CONCLUDED, entry.label, entry.stamp, entry.span, digest=entry.digest, outcome=Outcome.MOOT
+        void = ResultRecord(
+            RecordKind.CONCLUDED,
+            entry.label,
+            entry.stamp,
+            entry.span,
+            digest=entry.digest,
+            outcome=Outcome.SUPERSEDED,
         )
         self.ledger.conclude()
         self.put(encode(void), entry.until, lambda work: None)
@@ -278,7 +300,7 @@
         entry = self.fetched[label] = self.stand_in(passage)
         if where == UNKNOWN:
             self.counters.count("keep.unknown")
-            entry.conclusion = Conclusion(Outcome.ERRED)
+            entry.conclusion = Conclusion(Outcome.FAILED)
         else:
             self.counters.count("keep.fetched")
             record = (where >> 32, where & 0xFFFFFFFF, CLOSING)
@@ -288,19 +310,21 @@
     def stand_in(self, like: Passage) -> Label:
         """A try of an earlier life, as far as the decisions look at it: it has run, and is over."""
         arrived = like.stamp
-        transaction = Transaction(like.transaction.profile, caller=0, arrived=arrived, due=arrived, size=0)
-        transaction.has_run, transaction.place = True, Place.ENDED
-        passage = Passage(Nobody(), 0, "", "", b"", transaction, arrived, like.label_name)
+        transaction = Request(
+            like.transaction.request_class, caller=0, arrived_at=arrived, deadline=arrived, size=0
+        )
+        transaction.has_started, transaction.state = True, RequestState.COMPLETED
+        passage = Passage(DiscardingContext(), 0, "", "", b"", transaction, arrived, like.label_name)
         passage.launched = passage.answered = True
         return Label(like.label_name, passage, arrived, passage, asked=lambda other: True)
 
     def fetch_over(self, entry: Label, work: Work) -> None:
         piece = work.found
-        whole = piece is not None and piece.found is Found.GOOD and piece.entry is not None
+        whole = piece is not None and piece.found is ScanOutcome.GOOD and piece.entry is not None
         found = piece.entry if piece is not None and whole else None
         if found is None or found.label != bytes.fromhex(entry.name):
             self.counters.count("keep.unread")
-            self.resolve(entry, Conclusion(Outcome.ERRED))
+            self.resolve(entry, Conclusion(Outcome.FAILED))
             return
         digest = found.digest
         entry.asked = lambda other: digest_of(other.profile, other.body) == digest
@@ -316,8 +340,8 @@
         if begun is None:
             return
         self.counters.count("keep.resolved")
-        entry = Entry(
-            Kind.CONCLUDED,
+        entry = ResultRecord(
+            RecordKind.CONCLUDED,
             begun.label,
             begun.stamp,
             begun.span,
@@ -331,9 +355,9 @@
         raw = encode(entry)
 
         def kept(work: Work) -> None:
-            if not work.trouble and outcome not in NEVER_RAN:
+            if not work.trouble and outcome not in NEVER_RAN_OUTCOMES:
                 self.recovered.index.put(begun.label, begun.until, place(work.serial, work.at))
-            elif outcome in NEVER_RAN:
+            elif outcome in NEVER_RAN_OUTCOMES:
                 self.recovered.index.put(begun.label, 0)
 
         self.put(raw, begun.until, kept)
@@ -344,5 +368,5 @@
 
     __slots__ = ("entry", "then")
 
-    def __init__(self, then: Callable[[bool], None], entry: Entry) -> None:
+    def __init__(self, then: Callable[[bool], None], entry: ResultRecord) -> None:
         self.then, self.entry = then, entry
--- a/birchslip/keep/ledger.py
+++ b/birchslip/idempotency/retention_budget.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class File:
+class StoreFile:
     """One file of the row. `last` is the latest end of a window in it."""
 
     serial: int
@@ -24,12 +24,12 @@
     last: int = 0
 
 
-class Ledger:
+class RetentionBudget:
     """`entries` and `size` bound the store; a label may be asked for until `linger` after its window."""
 
     def __init__(self, entries: int, size: int, linger: int) -> None:
         self.entries, self.size, self.linger = entries, size, linger
-        self.files: deque[File] = deque()
+        self.files: deque[StoreFile] = deque()
         self.ending: dict[int, int] = {}  # second in which windows end: how many
         self.live = 0
         self.reserved = 0  # for the ends of what was begun and is not concluded
@@ -49,7 +49,7 @@
         return not self.files or self.files[-1].size + size > self.file_most
 
     def open_file(self, serial: int, size: int) -> None:
-        self.files.append(File(serial, size))
+        self.files.append(StoreFile(serial, size))
 
     def written(self, size: int, until: int) -> None:
         file = self.files[-1]
--- a/birchslip/keep/keepfile.py
+++ b/birchslip/idempotency/settings_file.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from ..deployment import Malformed
-from .ledger import CLOSING, FILES
+from ..errors import InvalidInputError
+from .retention_budget import CLOSING, FILES
 
 
-class Keep(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class StoreSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """Where results are kept, and within which bounds; `stall_ms` is when a flush counts as stalled,
     `gather_ms` how long one waits for more to share it.
     """
@@ -23,15 +23,15 @@
     gather_ms: Annotated[int, msgspec.Meta(ge=0, le=100)] = 0
 
 
-def read_keep(path: str | Path) -> Keep:
+def read_store_settings(path: str | Path) -> StoreSettings:
     """Malformed or OSError says in a line what is wrong, and where."""
     try:
-        told: Keep = msgspec.json.decode(Path(path).read_bytes(), type=Keep)
+        told: StoreSettings = msgspec.json.decode(Path(path).read_bytes(), type=StoreSettings)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise Malformed(f"{path}: {trouble}") from None
+        raise InvalidInputError(f"{path}: {trouble}") from None
     return told
 
 
-def keep_schema() -> dict[str, Any]:
+def store_settings_schema() -> dict[str, Any]:
     """The JSON Schema, as it stands in `deploy/keep.schema.json`."""
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", **msgspec.json.schema(Keep)}
+    return {"$schema": "https://json-schema.org/draft/2020-12/schema", **msgspec.json.schema(StoreSettings)}
--- a/birchslip/keep/tools.py
+++ b/birchslip/idempotency/tools.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 from typing import Any
 
-from .files import Files, NotKept
-from .form import FILE, Found, Kind, encode, pieces
+from .files import Files, StoreWriteError
 from .index import UNKNOWN
-from .ledger import Ledger
+from .record_format import FILE, RecordKind, ScanOutcome, encode, pieces
 from .recovery import Recovered, recover
+from .retention_budget import RetentionBudget
 
 LONGEST = 1 << 30  # a day: no window is known here, and what the records tell is believed
 
@@ -22,7 +22,9 @@
     form = re.compile(r"(.+)-[0-9]{8}\.kept")
     found = {match[1] for path in folder.iterdir() if (match := form.fullmatch(path.name))}
     if len(found) != 1:
-        raise NotKept(f"{folder}: {'no store' if not found else 'stores of ' + ', '.join(sorted(found))}")
+        raise StoreWriteError(
+            f"{folder}: {'no store' if not found else 'stores of ' + ', '.join(sorted(found))}"
+        )
     return found.pop()
 
 
@@ -31,16 +33,16 @@
     files = Files(folder, name)
     try:
         files.hold()
-    except NotKept:
+    except StoreWriteError:
         return True
     finally:
         files.close()
     return False
 
 
-def look(files: Files, now: int) -> tuple[Recovered, Ledger, list[tuple[int, bytes]]]:
+def look(files: Files, now: int) -> tuple[Recovered, RetentionBudget, list[tuple[int, bytes]]]:
     held, doubt = files.read_all()
-    ledger = Ledger(1 << 30, 1 << 40, 0)
+    ledger = RetentionBudget(1 << 30, 1 << 40, 0)
     made = recover(held, ledger, now, LONGEST, FILE.size, held[-1][0] if held else 0)
     made.doubt = made.doubt or doubt
     return made, ledger, held
@@ -75,7 +77,7 @@
     troubles = []
     for serial, raw in held:
         for piece in pieces(raw, FILE.size):
-            if piece.found is not Found.GOOD:
+            if piece.found is not ScanOutcome.GOOD:
                 path = files.path(serial).name
                 troubles.append(
                     {"file": path, "at": piece.at, "found": piece.found.value, "bytes": piece.size}
@@ -91,7 +93,7 @@
     try:
         made, ledger, held = look(files, now)
         if made.doubt:
-            raise NotKept(
+            raise StoreWriteError(
                 f"{folder}: records are lost in it; it is left as it is until a program has read it"
             )
         raws = dict(held)
@@ -123,7 +125,7 @@
     """One whose record does not check stays unknown: begun, by a run that nobody can name."""
     for raw in raws:
         for piece in pieces(raw, FILE.size):
-            if piece.entry is not None and piece.entry.label == label and piece.found is Found.SPOILT:
+            if piece.entry is not None and piece.entry.label == label and piece.found is ScanOutcome.SPOILT:
                 entry = piece.entry
-                return encode(type(entry)(Kind.BEGUN, label, entry.stamp, entry.span, "", bytes(16)))
+                return encode(type(entry)(RecordKind.BEGUN, label, entry.stamp, entry.span, "", bytes(16)))
     return b""
--- a/birchslip/keep/writer.py
+++ b/birchslip/idempotency/writer.py
@@ -15,7 +15,7 @@
 
 from ..net.scheduler import READ, Scheduler
 from .files import Files
-from .form import HEAD, Piece, pieces
+from .record_format import HEAD, RecordFragment, pieces
 
 LEAVE = 0.2  # seconds that the end of the program waits for the last flush: all has been answered by then
 
@@ -33,7 +33,7 @@
     fetch: tuple[int, int, int] | None = None  # file, place, size at most
     at: int = 0
     trouble: str = ""
-    found: Piece | None = None
+    found: RecordFragment | None = None
     sent: int = 0
     serial: int = 0  # of the file that it goes to
 
--- a/birchslip/lab/cores.py
+++ b/birchslip/lab/cores.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-from ..brain import Ring
+from ..admission.controller import WindowedCounter
 
 SECOND = 10_000
 FRONT_MOST = 0.9  # of the cores that connections and reading may take
@@ -29,7 +29,7 @@
     cold: bool = False
     began: int = 0
     slow: float = 1.0  # how many times longer everything takes just now
-    front: Ring = field(default_factory=lambda: Ring(10, SECOND // 10))
+    front: WindowedCounter = field(default_factory=lambda: WindowedCounter(10, SECOND // 10))
 
     def start(self, now: int, cold: bool) -> None:
         self.began, self.cold = now, cold
--- a/birchslip/lab/dying.py
+++ b/birchslip/lab/dying.py
@@ -23,13 +23,13 @@
 from typing import Any
 
 POINTS = {
-    "before-begun": ("birchslip.keep.keeper", "Keeper", "begin", True),
+    "before-begun": ("birchslip.idempotency.result_store", "ResultStore", "begin", True),
     "after-begun": ("birchslip.net.stages.send", "Send", "begun", True),
     "after-launch": ("birchslip.net.servers", "Agent", "launch", False),
-    "before-concluded": ("birchslip.keep.keeper", "Keeper", "conclude", True),
+    "before-concluded": ("birchslip.idempotency.result_store", "ResultStore", "conclude", True),
     "after-concluded": ("birchslip.net.stages.send", "Send", "conclude", True),
     "after-answer": ("birchslip.net.connection", "Connection", "flush", False),
-    "compacting": ("birchslip.keep.files", "Files", "drop", True),
+    "compacting": ("birchslip.idempotency.files", "Files", "drop", True),
 }
 
 
@@ -55,15 +55,15 @@
 
 
 def slow_flush(milliseconds: int) -> None:
-    from ..keep.files import System
+    from ..idempotency.files import FileSystem
 
-    inner = System.flush
+    inner = FileSystem.flush
 
-    def flush(self: System, descriptor: int) -> None:
+    def flush(self: FileSystem, descriptor: int) -> None:
         time.sleep(milliseconds / 1000)
         inner(self, descriptor)
 
-    System.flush = flush  # type: ignore[method-assign]
+    FileSystem.flush = flush  # type: ignore[method-assign]
 
 
 def main(words: list[str]) -> int:
--- a/birchslip/lab/explore.py
+++ b/birchslip/lab/explore.py
@@ -21,10 +21,18 @@
 from functools import partial
 from itertools import pairwise
 
-from ..fleet.obey import Obedience
-from ..fleet.records import Answer, Ask, Keep, Kept, Record, Reply, Tell
-from ..fleet.shares import Shares
-from ..fleet.vote import Ballot, Durable
+from ..cluster.election import DurableVote, Election
+from ..cluster.messages import (
+    Message,
+    PlanAssignment,
+    ReplicationRequest,
+    ReplicationResponse,
+    ReportReply,
+    VoteRequest,
+    VoteResponse,
+)
+from ..cluster.plan_subscription import PlanSubscription
+from ..cluster.quota_leases import QuotaLeases
 
 SECOND = 10_000
 SPAN = 20_000  # of a share's lease
@@ -44,12 +52,12 @@
     name: str
     offset: int
     rate: float
-    ballot: Ballot
-    disk: Durable
-    older: Durable
+    ballot: Election
+    disk: DurableVote
+    older: DurableVote
     up: bool = True
     paused_until: int = 0
-    shares: Shares | None = None
+    shares: QuotaLeases | None = None
     reign: int = 0
     number: int = 0
     kept_number: int = 0
@@ -66,7 +74,7 @@
     name: str
     offset: int
     rate: float
-    obey: Obedience
+    obey: PlanSubscription
     base: float
     history: list[tuple[int, int]] = field(default_factory=list)
     paused_until: int = 0
@@ -85,8 +93,8 @@
         seed: int,
         planners: int = 3,
         members: int = 3,
-        ballot: type[Ballot] = Ballot,
-        obedience: type[Obedience] = Obedience,
+        ballot: type[Election] = Election,
+        obedience: type[PlanSubscription] = PlanSubscription,
         forgetful: bool = False,
     ) -> None:
         self.chance = random.Random(seed)
@@ -113,11 +121,11 @@
 
     def node(self, name: str) -> Node:
         offset, rate = self.chance.randrange(1 << 30), self.skew()
-        durable = Durable()
+        durable = DurableVote()
         ballot = self.made(name, durable, offset + int(self.true * rate))
         return Node(name, offset, rate, ballot, deepcopy(ballot.durable), deepcopy(ballot.durable))
 
-    def made(self, name: str, durable: Durable, now: int) -> Ballot:
+    def made(self, name: str, durable: DurableVote, now: int) -> Election:
         chance = random.Random(self.chance.getrandbits(64))
         return self.ballot_kind(name, self.names, durable, self.chance.getrandbits(48), now, chance)
 
@@ -154,29 +162,29 @@
             node.disk = deepcopy(node.ballot.durable)
         node.ballot.dirty = False
 
-    def send(self, node: Node, record: Record) -> None:
+    def send(self, node: Node, record: Message) -> None:
         sent = node.clock(self.true)
         for other in self.nodes.values():
             if other is not node:
                 self.to_node(other, partial(self.take, other, node, record, sent))
 
-    def take(self, node: Node, sender: Node, record: Record, sent: int) -> None:
+    def take(self, node: Node, sender: Node, record: Message, sent: int) -> None:
         now = node.clock(self.true)
-        if isinstance(record, Ask):
+        if isinstance(record, VoteRequest):
             answer = node.ballot.asked(record, now)
             answer.seen = deepcopy(answer.seen)
             self.flush(node)
             self.to_node(sender, lambda: self.answered(sender, answer, record.epoch, sent))
-        elif isinstance(record, Keep):
+        elif isinstance(record, ReplicationRequest):
             kept = node.ballot.keep(record, now)
             self.flush(node)
             self.to_node(sender, lambda: self.kept(sender, kept, record))
 
-    def answered(self, node: Node, answer: Answer, epoch: int, sent: int) -> None:
+    def answered(self, node: Node, answer: VoteResponse, epoch: int, sent: int) -> None:
         node.ballot.answered(answer, epoch, sent, node.clock(self.true))
         self.flush(node)
 
-    def kept(self, node: Node, kept: Kept, told: Keep) -> None:
+    def kept(self, node: Node, kept: ReplicationResponse, told: ReplicationRequest) -> None:
         if told.epoch == node.reign and node.ballot.kept(kept, told.number):
             node.kept_number = max(node.kept_number, told.number)
             self.agreed = max(self.agreed, (told.epoch, told.number))
@@ -197,7 +205,7 @@
             return
         if node.reign != node.ballot.epoch:
             node.reign, node.number, node.kept_number = node.ballot.epoch, 1, 0
-            node.shares = Shares(self.bases, TOTAL, KEPT_PART, SPAN, now)
+            node.shares = QuotaLeases(self.bases, TOTAL, KEPT_PART, SPAN, now)
             self.reigns += 1
             found = node.ballot.newest[:2]
             if found < self.agreed:
@@ -205,7 +213,7 @@
         elif self.chance.random() < 0.02:
             node.number += 1
         if node.kept_number < node.number and self.chance.random() < 0.3:
-            told = Keep(
+            told = ReplicationRequest(
                 epoch=node.reign,
                 number=node.number,
                 name=node.name,
@@ -235,7 +243,7 @@
             return
         assert node.shares is not None
         share = KEPT_PART * seat.base + node.shares.grant(seat.name, wanted, held, now)
-        tell = Tell(
+        tell = PlanAssignment(
             epoch=node.reign,
             plan=node.kept_number,
             span=PLAN_SPAN,
@@ -248,7 +256,7 @@
             listed=True,
             short=False,
         )
-        reply = Reply(
+        reply = ReportReply(
             epoch=node.reign,
             author=node.ballot.incarnation,
             leads=True,
@@ -258,7 +266,7 @@
         )
         self.post(lambda: self.obeyed(seat, reply, sent))
 
-    def obeyed(self, seat: Seat, reply: Reply, sent: int) -> None:
+    def obeyed(self, seat: Seat, reply: ReportReply, sent: int) -> None:
         if self.true < seat.paused_until:
             self.flight.append((seat.paused_until, lambda: self.obeyed(seat, reply, sent)))
             return
@@ -291,7 +299,7 @@
         )
         if draw < 0.6 and whole:
             # One disk at a time: nothing else fails until it had the time to hear of it.
-            node.disk = Durable() if draw < 0.2 else deepcopy(node.older)
+            node.disk = DurableVote() if draw < 0.2 else deepcopy(node.older)
             self.calm_until = self.true + 4 * SECOND
         node.up = True
         node.ballot = self.made(node.name, deepcopy(node.disk), node.clock(self.true))
--- a/birchslip/lab/model/below.py
+++ b/birchslip/lab/model/below.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from ...interface import Outcome
+from ...admission.types import Outcome
 from .clock import Clock
 
 
@@ -37,7 +37,7 @@
     def ask(self, server: str, limit: int, then: Callable[[Outcome], None]) -> CallBelow:
         call = CallBelow(server, then)
         if self.down:
-            self.clock.after(10, self.end, call, Outcome.UNREACHED)
+            self.clock.after(10, self.end, call, Outcome.UNREACHABLE)
             self.hold(call)
             return call
         self.hold(call)
@@ -48,9 +48,9 @@
             self.fall()
             return call
         if took > limit:
-            self.clock.after(limit, self.end, call, Outcome.OVERDUE)
+            self.clock.after(limit, self.end, call, Outcome.TIMED_OUT)
         else:
-            self.clock.after(took, self.end, call, Outcome.HONOURED)
+            self.clock.after(took, self.end, call, Outcome.SERVED)
         return call
 
     def hold(self, call: CallBelow) -> None:
@@ -81,7 +81,7 @@
         self.down = True
         for calls in list(self.by_server.values()):
             for call in list(calls):
-                self.clock.after(0, self.end, call, Outcome.SEVERED)
+                self.clock.after(0, self.end, call, Outcome.CONNECTION_LOST)
 
     def rise(self) -> None:
         self.down = self.fallen = False
--- a/birchslip/lab/model/layout.py
+++ b/birchslip/lab/model/layout.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ...fleet.records import Name, Part, Record
+from ...cluster.messages import Message, Name, Part
 from .habits import HABITS
 
 SERVERS_MOST = 1_000
@@ -16,7 +16,7 @@
 Weight = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
 
 
-class Work(Record):
+class Work(Message):
     """Of one profile: its part of the traffic, what a run takes on one core, how often it calls below."""
 
     share: Weight = 1.0
@@ -24,7 +24,7 @@
     calls: Part = 0.0
 
 
-class RouterTold(Record):
+class RouterTold(Message):
     """One router; without a site it is at home everywhere."""
 
     number: Annotated[int, msgspec.Meta(ge=0, le=1 << 31)]
@@ -33,7 +33,7 @@
     habit: Name = "usual"
 
 
-class Below(Record):
+class Below(Message):
     """The service below. Past `holds` calls in hand each takes longer in proportion; past `survives` it
     falls.
     """
@@ -43,7 +43,7 @@
     survives: Annotated[int, msgspec.Meta(ge=1, le=10_000_000)] | None = None
 
 
-class Layout(Record):
+class Layout(Message):
     """A world file."""
 
     profiles: dict[Name, Work] = msgspec.field(default_factory=dict)
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -7,16 +7,16 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ...fleet.conduct import Word
-from ...fleet.fleetfile import Fleet, span
-from ...fleet.gauges import Figures, Rates, room_of
-from ...fleet.listing import Listing, One
-from ...fleet.mind import LOOK, Mind
-from ...fleet.obey import Obedience, override_of
-from ...fleet.records import Incarnation, Knock, Reply, Report
-from ...fleet.release import Order, Plan
-from ...fleet.vote import Ballot, Durable
-from ...interface import Tenant, Transaction
+from ...admission.types import Request, Tenant
+from ...cluster.election import DurableVote, Election
+from ...cluster.fleet_file import Fleet, span
+from ...cluster.inventory import Inventory, ProcessReport
+from ...cluster.member_metrics import Figures, Rates, room_of
+from ...cluster.messages import Incarnation, MemberReport, ProbeResult, ReportReply
+from ...cluster.plan_subscription import PlanSubscription, override_of
+from ...cluster.planner_state import LOOK, PlannerState
+from ...cluster.rollout import PlatformOrder, RolloutSpec
+from ...cluster.rollout_controller import RolloutCommand
 from .clock import SECOND
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
         self.life, self.number = server.life, 0
         base = fleet.bases().get(server.name, 0.0)
         kept = fleet.vault.kept * base if fleet.vault else 0.0
-        self.obey = Obedience(kept, span(fleet.patience_ms), world.clock.now)
+        self.obey = PlanSubscription(kept, span(fleet.patience_ms), world.clock.now)
         self.rates = Rates(world.tenant_names)
         self.figures = Figures(world.profile_names)
         self.honoured, self.shed = server.counts["honoured"], server.counts["shed"]
@@ -54,15 +54,15 @@
     def alive(self) -> bool:
         return self.server.life == self.life and self.server.up
 
-    def seen(self, transaction: Transaction) -> None:
+    def seen(self, transaction: Request) -> None:
         at_home = not self.routers or transaction.caller in self.routers
-        account = transaction.outside.a_try.deed.account if transaction.tenant is not None else ""
-        self.rates.arrived(self.planners.world.clock.now, account, at_home, transaction.again)
+        account = transaction.context.a_try.deed.account if transaction.tenant is not None else ""
+        self.rates.arrived(self.planners.world.clock.now, account, at_home, transaction.is_retry)
 
-    def answered(self, transaction: Transaction, what: str, ran: int) -> None:
+    def answered(self, transaction: Request, what: str, ran: int) -> None:
         now = self.planners.world.clock.now
-        late = now - transaction.arrived > transaction.profile.goal
-        self.figures.answered(transaction.outside.a_try.deed.kind, what, ran, late)
+        late = now - transaction.arrived_at > transaction.request_class.latency_objective
+        self.figures.answered(transaction.context.a_try.deed.kind, what, ran, late)
 
     def sample(self) -> None:
         if not self.alive:
@@ -78,7 +78,7 @@
         calls = self.obey.calls(self.planners.world.clock.now)
         if calls != self.calls:
             self.calls = calls
-            self.server.driver.share(calls)
+            self.server.driver.set_downstream_quota(calls)
 
     def report(self) -> None:
         if not self.alive:
@@ -92,18 +92,18 @@
         told = self.told(sent)
         clock.after(planners.world.delay, self.arrive, told, sent)
 
-    def arrive(self, told: Report, sent: int) -> None:
+    def arrive(self, told: MemberReport, sent: int) -> None:
         reply = self.planners.mind.hear(told, self.planners.world.clock.now)
         self.planners.world.clock.after(self.planners.world.delay, self.take, reply, sent)
 
-    def told(self, now: int) -> Report:
+    def told(self, now: int) -> MemberReport:
         self.number += 1
         server, site = self.server, self.site
         assert server.driver is not None and site is not None
-        brain = server.driver.brain
+        controller = server.driver.controller
         load, visits, again, honoured, shed = self.rates.now(now)
         self.met = {name: (at, what) for name, (at, what) in self.met.items() if now - at <= KNOCK_KEPT}
-        return Report(
+        return MemberReport(
             name=server.name,
             site=site.name,
             incarnation=Incarnation(mark=self.life),
@@ -113,24 +113,24 @@
             serving=server.serving,
             leaving=server.leaving,
             warm=server.warm,
-            room=room_of(server.cores.count, brain.all_runs.usual, honoured),
-            pace=max(0.0, brain.stretch),
+            room=room_of(server.cores.count, controller.all_runs.usual, honoured),
+            pace=max(0.0, controller.stretch),
             load=load,
             visits=visits,
             again=again,
             honoured=honoured,
             shed=shed,
-            calls=float(brain.in_hand),
+            calls=float(controller.in_hand),
             share=max(0.0, self.obey.calls(now)),
             lease=self.obey.lease_left(now),
             epoch=self.obey.epoch,
             plan=self.obey.number,
-            knocks=[Knock(name=name, met=what) for name, (_, what) in self.met.items()][:KNOCKS_MOST],
+            knocks=[ProbeResult(name=name, met=what) for name, (_, what) in self.met.items()][:KNOCKS_MOST],
             figures=self.figures.told({"relay.called": server.counts["called"]}),
             took={name: list(counts) for name, counts in self.figures.took.items()},
         )
 
-    def take(self, reply: Reply, sent: int) -> None:
+    def take(self, reply: ReportReply, sent: int) -> None:
         if not self.alive or self.server.paused:
             return
         now, server = self.planners.world.clock.now, self.server
@@ -140,10 +140,10 @@
             self.knock(name)
         tell = reply.tell
         if tell is not None and tell is self.obey.plan and server.driver is not None:
-            server.driver.clock(now)
+            server.driver.advance_clock(now)
             until = now + self.obey.left(now)
-            server.driver.override(override_of(tell, self.planners.tenants, until))
-            if server.dozes and server.driver.brain.force:
+            server.driver.apply_plan(override_of(tell, self.planners.tenants, until))
+            if server.dozes and server.driver.controller.force:
                 server.dozes = False
                 server.tick(server.life)
 
@@ -163,8 +163,8 @@
     def __init__(self, world: World, fleet: Fleet, seed: int) -> None:
         self.world, self.fleet = world, fleet
         self.chance = Random(seed)
-        ballot = Ballot("model", ["model"], Durable(), 1, 0, Random(seed))
-        self.mind = Mind(fleet, ballot, 0)
+        ballot = Election("model", ["model"], DurableVote(), 1, 0, Random(seed))
+        self.mind = PlannerState(fleet, ballot, 0)
         self.bonds: dict[str, Bond] = {}
         self.gone = False
         self.tenants: dict[str, Tenant] = dict(zip(world.tenant_names, world.deployment.tenants, strict=True))
@@ -219,26 +219,30 @@
         clock.after(span(platform.ask_ms) if platform is not None else ASK, self.ask)
         if not self.mind.rules(clock.now) or self.gone:
             return
-        members = {name: One(state=self.states[name], version=self.versions[name]) for name in self.states}
-        services = {one.name: One(state="up", life=1) for one in self.fleet.services}
-        self.mind.conductor.hear(Listing(members, services), clock.now)
+        members = {
+            name: ProcessReport(state=self.states[name], version=self.versions[name]) for name in self.states
+        }
+        services = {one.name: ProcessReport(state="up", life=1) for one in self.fleet.services}
+        self.mind.conductor.hear(Inventory(members, services), clock.now)
         for order in list(self.mind.orders(clock.now)):
             self.carry(order)
         releases = self.mind.conductor.releases
         if releases:
             self.phase = releases[-1].phase.value
 
-    def release(self, plan: Plan) -> str:
+    def release(self, plan: RolloutSpec) -> str:
         """Why it can't begin; nothing where it has."""
         if not self.fleet.groups:
             return "the fleet file has no groups"
-        _, said = self.mind.say(Word(what="start", who="the model", plan=plan), self.world.clock.now)
+        _, said = self.mind.say(
+            RolloutCommand(what="start", who="the model", plan=plan), self.world.clock.now
+        )
         self.have_kept()
         if said.done:
             self.phase = "running"
         return said.why
 
-    def carry(self, order: Order) -> None:
+    def carry(self, order: PlatformOrder) -> None:
         world, name = self.world, order.member
         server = world.by_name[name]
         if order.what == "start":
@@ -253,9 +257,9 @@
         self.states[name] = "draining"
         world.drain(server, lambda: self.states.update({name: "stopped"}))
 
-    def plan(self) -> Plan:
+    def plan(self) -> RolloutSpec:
         """A short release of everybody, of a version that is as good as the one before."""
-        return Plan(
+        return RolloutSpec(
             version="2",
             before="1",
             canaries=1,
--- a/birchslip/lab/model/routers.py
+++ b/birchslip/lab/model/routers.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ...interface import Kind, Profile, Tenant
+from ...admission.types import Idempotency, RequestClass, Tenant
 from .clock import SECOND, Clock
 from .habits import Habit
 
@@ -31,7 +31,7 @@
 class Deed:
     """One transaction of a client, over all its tries. Times are tenths of a millisecond."""
 
-    profile: Profile
+    profile: RequestClass
     kind: str  # the profile's name
     tenant: Tenant | None
     account: str  # the tenant's name
@@ -51,7 +51,7 @@
 
     @property
     def in_time(self) -> bool:
-        return self.honoured_at >= 0 and self.honoured_at - self.born <= self.profile.goal
+        return self.honoured_at >= 0 and self.honoured_at - self.born <= self.profile.latency_objective
 
 
 @dataclass(eq=False, slots=True)
@@ -70,7 +70,7 @@
 class Traffic:
     """What is asked for: profiles and tenants by weight, with what a run takes."""
 
-    profiles: list[tuple[str, Profile, float, int, float]]  # name, profile, share, work, calls
+    profiles: list[tuple[str, RequestClass, float, int, float]]  # name, profile, share, work, calls
     tenants: dict[str, tuple[Tenant | None, float]]
     size: int
     names: list[str] = field(init=False)
@@ -153,7 +153,7 @@
         account = chance.choices(traffic.names, list(weights.values()))[0]
         kind, profile, _, work, calls = chance.choices(traffic.profiles, traffic.weights)[0]
         work_ms = max(5, int(chance.gammavariate(4, work / 4) / 10))
-        label = f"{self.number}.{chance.getrandbits(128)}" if profile.kind is Kind.LABELLED else ""
+        label = f"{self.number}.{chance.getrandbits(128)}" if profile.idempotency is Idempotency.KEYED else ""
         deed = Deed(
             profile,
             kind,
@@ -232,7 +232,7 @@
         self.counts["tries"] += 1
         self.clock.after(self.delay, server.receive, one)
         labelled = bool(deed.label)
-        wait = patience if labelled else min(patience, int(deed.profile.goal * self.habit.hedge))
+        wait = patience if labelled else min(patience, int(deed.profile.latency_objective * self.habit.hedge))
         self.clock.after(wait, self.overdue, one)
 
     def link(self, server: AppServer) -> bool:
--- a/birchslip/lab/model/servers.py
+++ b/birchslip/lab/model/servers.py
@@ -11,32 +11,32 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from ...driver import Driver
-from ...interface import (
-    Attach,
-    Call,
+from ...admission.driver import AdmissionDriver
+from ...admission.types import (
+    Action,
+    AdmissionSettings,
+    AttachToOriginal,
+    CallDownstream,
     CallEnded,
-    Deployment,
-    Ended,
+    CallerGone,
+    CallNeeded,
     Event,
-    Forget,
+    Fail,
     Gauges,
-    Gone,
-    Health,
-    Idle,
-    NeedsCall,
-    Notice,
     Outcome,
-    Place,
-    Remember,
-    Shed,
+    Reject,
+    ReleaseKey,
+    Request,
+    RequestState,
+    RunEnded,
+    ServerAction,
+    SetHealth,
+    SetIdleTimeout,
+    SetTimer,
     SkipCall,
-    Start,
-    Stop,
-    Tick,
-    Transaction,
-    Wish,
-    WriteOff,
+    StartRun,
+    StopRun,
+    StoreKey,
 )
 from ..cores import SECOND, Cores
 from .below import Below, CallBelow
@@ -52,10 +52,10 @@
 class Label:
     """Of one label, for its window: who ran, and who waits for what comes of it."""
 
-    original: Transaction
+    original: Request
     until: int
     outcome: Outcome | None = None
-    waiting: list[Transaction] = field(default_factory=list)
+    waiting: list[Request] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
@@ -80,7 +80,7 @@
         clock: Clock,
         name: str,
         site: str,
-        deployment: Deployment,
+        deployment: AdmissionSettings,
         cores: Cores,
         below: Below,
         answer: Callable[[Try, str, int, bool], None],
@@ -91,11 +91,11 @@
         self.up = self.paused = self.leaving = self.good = False
         self.idle = -1
         self.counts: Counter[str] = Counter()
-        self.seen: Callable[[Transaction], None] = lambda transaction: None
-        self.answered: Callable[[Transaction, str, int], None] = lambda transaction, what, ran: None
+        self.seen: Callable[[Request], None] = lambda transaction: None
+        self.answered: Callable[[Request, str, int], None] = lambda transaction, what, ran: None
         self.before: Callable[[], None] = lambda: None  # each batch: leases that have ended bind
         self.held: list[tuple[int, Callable[[], None]]] = []  # while it is paused, with the life it is for
-        self.driver: Driver | None = None
+        self.driver: AdmissionDriver | None = None
 
     # ---- lives -----------------------------------------------------------------------------------------
 
@@ -105,13 +105,13 @@
         self.up, self.paused, self.leaving, self.good, self.idle = True, False, False, True, -1
         self.cores.start(now, cold)
         self.labels: dict[str, Label] = {}
-        self.open: dict[Transaction, Run] = {}
+        self.open: dict[Request, Run] = {}
         self.on_cores = 0
         self.began = now
         self.dozes = False
         self.held.clear()
-        told = replace(self.deployment, cold=cold, seed=self.deployment.seed + 7919 * self.life)
-        self.driver = Driver(told, now, self.carry, self.tell)
+        told = replace(self.deployment, starts_cold=cold, seed=self.deployment.seed + 7919 * self.life)
+        self.driver = AdmissionDriver(told, now, self.carry, self.tell)
 
     def die(self) -> None:
         """At once: what it held is gone, and nobody hears of it but by the broken link."""
@@ -138,8 +138,8 @@
         if self.driver is None or self.leaving:
             return
         self.leaving = True
-        self.driver.clock(self.clock.now)
-        self.driver.leave(self.clock.now + stop)
+        self.driver.advance_clock(self.clock.now)
+        self.driver.drain(self.clock.now + stop)
         self.settle()
 
     @property
@@ -183,24 +183,24 @@
             label = self.labels.get(told.label)
             if label is not None and label.until > now:
                 original = label.original
-        transaction = Transaction(
+        transaction = Request(
             told.profile,
             caller=a_try.router,
-            arrived=min(now, a_try.at),
-            due=max(now, a_try.due),
+            arrived_at=min(now, a_try.at),
+            deadline=max(now, a_try.due),
             size=told.size,
             tenant=told.tenant,
             original=original,
-            again=a_try.again,
+            is_retry=a_try.again,
         )
         run = self.open[transaction] = Run(a_try, told.work, told.calls)
-        transaction.outside = run
+        transaction.context = run
         self.seen(transaction)
         self.batch()
         if self.dozes:
             self.dozes = False
             self.tick(self.life)
-        self.driver.arrive(transaction)
+        self.driver.admit(transaction)
         self.settle()
 
     def abort(self, a_try: Try) -> None:
@@ -208,15 +208,15 @@
         for transaction, run in self.open.items():
             if run.a_try is a_try:
                 self.closed(transaction, run, "gone")
-                self.hear(transaction, Gone())
+                self.hear(transaction, CallerGone())
                 return
 
     def batch(self) -> None:
         assert self.driver is not None
         self.before()
-        self.driver.clock(self.clock.now)
+        self.driver.advance_clock(self.clock.now)
 
-    def hear(self, transaction: Transaction, event: Event) -> None:
+    def hear(self, transaction: Request, event: Event) -> None:
         if self.driver is not None:
             self.batch()
             self.driver.deliver(transaction, event)
@@ -228,38 +228,38 @@
 
     # ---- what the decisions wish -----------------------------------------------------------------------
 
-    def carry(self, transaction: Transaction, wish: Wish) -> None:
-        run: Run = transaction.outside
+    def carry(self, transaction: Request, wish: Action) -> None:
+        run: Run = transaction.context
         match wish:
-            case Start():
+            case StartRun():
                 self.launch(transaction, run)
-            case Call(limit):
+            case CallDownstream(limit):
                 self.call(transaction, run, limit)
             case SkipCall():
                 self.work(transaction, run)
-            case Attach():
+            case AttachToOriginal():
                 self.attach(transaction, run)
-            case Stop():
+            case StopRun():
                 if run.launched and not run.over:
-                    self.clock.after(0, self.awake(lambda: self.end(transaction, run, Outcome.RECALLED)))
-            case Remember(span):
+                    self.clock.after(0, self.awake(lambda: self.end(transaction, run, Outcome.CANCELLED)))
+            case StoreKey(span):
                 label = run.a_try.deed.label
                 self.labels[label] = Label(transaction, self.clock.now + span)
-            case Forget():
+            case ReleaseKey():
                 self.forget(run.a_try.deed.label, transaction)
-            case Shed(after, last):
+            case Reject(after, last):
                 self.close(transaction, run, "shed", after, last)
-            case WriteOff():
+            case Fail():
                 self.drop_call(run)
                 self.close(transaction, run, "written_off")
 
-    def tell(self, notice: Notice) -> None:
+    def tell(self, notice: ServerAction) -> None:
         match notice:
-            case Tick(at):
+            case SetTimer(at):
                 self.clock.at(at, self.tick, self.life)
-            case Health(good):
+            case SetHealth(good):
                 self.good = good
-            case Idle(span):
+            case SetIdleTimeout(span):
                 self.idle = span
 
     def tick(self, life: int) -> None:
@@ -269,8 +269,8 @@
         if self.paused:
             self.held.append((life, lambda: self.tick(life)))
             return
-        brain = self.driver.brain
-        if not self.open and brain.good and not brain.force and not self.leaving:
+        controller = self.driver.controller
+        if not self.open and controller.good and not controller.force and not self.leaving:
             self.dozes = True
             return
         self.batch()
@@ -279,7 +279,7 @@
 
     # ---- runs ------------------------------------------------------------------------------------------
 
-    def launch(self, transaction: Transaction, run: Run) -> None:
+    def launch(self, transaction: Request, run: Run) -> None:
         run.launched, run.launched_at = True, self.clock.now
         self.counts["launched"] += 1
         if run.calls:
@@ -289,12 +289,10 @@
         else:
             self.work(transaction, run)
 
-    def work(self, transaction: Transaction, run: Run) -> None:
+    def work(self, transaction: Request, run: Run) -> None:
         self.piece(transaction, run, run.rest, self.done)
 
-    def piece(
-        self, transaction: Transaction, run: Run, span: int, then: Callable[[Transaction, Run], None]
-    ) -> None:
+    def piece(self, transaction: Request, run: Run, span: int, then: Callable[[Request, Run], None]) -> None:
         """On the cores until it is over, as long as nobody stops it."""
         self.on_cores += 1
         run.number += 1
@@ -309,10 +307,10 @@
 
         self.clock.after(max(1, took), self.awake(over))
 
-    def wants_call(self, transaction: Transaction, run: Run) -> None:
-        self.hear(transaction, NeedsCall())
+    def wants_call(self, transaction: Request, run: Run) -> None:
+        self.hear(transaction, CallNeeded())
 
-    def call(self, transaction: Transaction, run: Run, limit: int) -> None:
+    def call(self, transaction: Request, run: Run, limit: int) -> None:
         self.counts["called"] += 1
 
         def ended(outcome: Outcome) -> None:
@@ -322,11 +320,11 @@
 
         run.call = self.below.ask(self.name, limit, ended)
 
-    def call_ended(self, transaction: Transaction, run: Run, outcome: Outcome) -> None:
-        if outcome is not Outcome.HONOURED:
+    def call_ended(self, transaction: Request, run: Run, outcome: Outcome) -> None:
+        if outcome is not Outcome.SERVED:
             self.counts["calls_bad"] += 1
         self.hear(transaction, CallEnded(outcome, 0))
-        if outcome is Outcome.HONOURED and not run.over and transaction.place is Place.CORES:
+        if outcome is Outcome.SERVED and not run.over and transaction.state is RequestState.RUNNING:
             self.work(transaction, run)
 
     def drop_call(self, run: Run) -> None:
@@ -334,10 +332,10 @@
             self.below.unask(run.call)
             run.call = None
 
-    def done(self, transaction: Transaction, run: Run) -> None:
-        self.end(transaction, run, Outcome.HONOURED)
+    def done(self, transaction: Request, run: Run) -> None:
+        self.end(transaction, run, Outcome.SERVED)
 
-    def end(self, transaction: Transaction, run: Run, outcome: Outcome) -> None:
+    def end(self, transaction: Request, run: Run, outcome: Outcome) -> None:
         """The run is over, however: all who wait for it hear what came of it."""
         if run.over:
             return
@@ -346,7 +344,7 @@
         run.over = True
         self.drop_call(run)
         label = self.labels.get(run.a_try.deed.label)
-        waiting: list[Transaction] = []
+        waiting: list[Request] = []
         if label is not None and label.original is transaction:
             label.outcome = outcome
             waiting, label.waiting = label.waiting, []
@@ -355,21 +353,21 @@
             if repeat in self.open:
                 self.share(repeat, self.open[repeat], outcome)
 
-    def share(self, transaction: Transaction, run: Run, outcome: Outcome) -> None:
-        good = outcome is Outcome.HONOURED
+    def share(self, transaction: Request, run: Run, outcome: Outcome) -> None:
+        good = outcome is Outcome.SERVED
         self.close(transaction, run, "honoured" if good else "written_off")
-        self.hear(transaction, Ended(outcome, 0))
+        self.hear(transaction, RunEnded(outcome, 0))
 
-    def attach(self, transaction: Transaction, run: Run) -> None:
+    def attach(self, transaction: Request, run: Run) -> None:
         """It shares what the try that it repeats comes to, or has come to."""
         label = self.labels.get(run.a_try.deed.label)
         if label is None or label.outcome is not None:
-            outcome = Outcome.ERRED if label is None or label.outcome is None else label.outcome
+            outcome = Outcome.FAILED if label is None or label.outcome is None else label.outcome
             self.clock.after(0, self.awake(lambda: self.share(transaction, run, outcome)))
         else:
             label.waiting.append(transaction)
 
-    def forget(self, name: str, transaction: Transaction) -> None:
+    def forget(self, name: str, transaction: Request) -> None:
         label = self.labels.get(name)
         if label is None or label.original is not transaction:
             return
@@ -377,17 +375,15 @@
         for repeat in label.waiting:
             if repeat in self.open:
                 run = self.open[repeat]
-                self.clock.after(0, self.awake(lambda r=repeat, n=run: self.share(r, n, Outcome.ERRED)))  # type: ignore[misc]
+                self.clock.after(0, self.awake(lambda r=repeat, n=run: self.share(r, n, Outcome.FAILED)))  # type: ignore[misc]
 
     # ---- final answers ---------------------------------------------------------------------------------
 
-    def close(
-        self, transaction: Transaction, run: Run, what: str, after: int = 0, last: bool = False
-    ) -> None:
+    def close(self, transaction: Request, run: Run, what: str, after: int = 0, last: bool = False) -> None:
         if self.closed(transaction, run, what):
             self.answer(run.a_try, what, after, last)
 
-    def closed(self, transaction: Transaction, run: Run, what: str) -> bool:
+    def closed(self, transaction: Request, run: Run, what: str) -> bool:
         """Whether this is the final answer: there is one, and none once the caller has gone."""
         if self.open.pop(transaction, None) is None:
             return False
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from ...fleet.fleetfile import Fleet
-from ...interface import Deployment, Tenant
+from ...admission.types import AdmissionSettings, Tenant
+from ...cluster.fleet_file import Fleet
 from ..cores import Cores
 from .below import Below
 from .clock import SECOND, Clock
@@ -86,7 +86,7 @@
 class Setting:
     """What a play is laid out from. Without a fleet there is one site, `here`."""
 
-    deployment: Deployment
+    deployment: AdmissionSettings
     profiles: list[str]
     tenants: list[str]
     layout: Layout = field(default_factory=Layout)
@@ -97,7 +97,7 @@
     def sites(self) -> dict[str, list[str]]:
         if self.fleet is not None:
             return {site.name: [one.name for one in site.members] for site in self.fleet.sites}
-        count = self.layout.servers or self.deployment.fleet
+        count = self.layout.servers or self.deployment.fleet_size
         return {"here": [self.name, *(f"here-{n}" for n in range(2, count + 1))][:count]}
 
     def sites_of(self) -> dict[str, str]:
@@ -129,9 +129,13 @@
 
     def traffic(self) -> Traffic:
         profiles = []
-        for name, profile in zip(self.profiles, self.deployment.profiles, strict=True):
+        for name, profile in zip(self.profiles, self.deployment.request_classes, strict=True):
             told = self.layout.profiles.get(name, Work())
-            work = int(told.work_ms * 10) if told.work_ms is not None else max(10, profile.goal // 8)
+            work = (
+                int(told.work_ms * 10)
+                if told.work_ms is not None
+                else max(10, profile.latency_objective // 8)
+            )
             profiles.append((name, profile, told.share, work, told.calls))
         tenants: dict[str, tuple[Tenant | None, float]] = {}
         shares = self.layout.tenants or (self.fleet.tenants if self.fleet is not None else {})
@@ -171,8 +175,8 @@
             for name in names:
                 cores = Cores(
                     deployment.cores,
-                    deployment.cold_from,
-                    deployment.cold_span,
+                    deployment.cold_start_speed,
+                    deployment.warm_up_span,
                     layout.crowd,
                     layout.loss,
                 )
@@ -449,8 +453,8 @@
     def service(self, span: tuple[int, int]) -> float:
         """Payoff honoured within the latency goal over payoff asked for."""
         deeds = self.born(span)
-        asked = sum(deed.profile.payoff for deed in deeds)
-        return sum(deed.profile.payoff for deed in deeds if deed.in_time) / asked if asked else 1.0
+        asked = sum(deed.profile.priority_weight for deed in deeds)
+        return sum(deed.profile.priority_weight for deed in deeds if deed.in_time) / asked if asked else 1.0
 
     def attempts(self, span: tuple[int, int]) -> float:
         deeds = self.born(span)
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -10,10 +10,10 @@
 import random
 from collections.abc import Callable
 
-from ..fleet.fleetfile import Fleet, Member, Planner, Site
-from ..fleet.mind import LOOK, Mind
-from ..fleet.records import Incarnation, Knock, Report
-from ..fleet.vote import Ballot, Durable
+from ..cluster.election import DurableVote, Election
+from ..cluster.fleet_file import Fleet, Member, Planner, Site
+from ..cluster.messages import Incarnation, MemberReport, ProbeResult
+from ..cluster.planner_state import LOOK, PlannerState
 
 SECOND = 10_000
 DAY = 86_400 * SECOND
@@ -49,7 +49,9 @@
             planners=[Planner(name="p0", address="127.0.0.1:1")], sites=told, report_ms=every // 10
         )
         self.now = 0
-        self.mind = Mind(self.fleet, Ballot("p0", ["p0"], Durable(), 1, 0, random.Random(seed)), 0)
+        self.mind = PlannerState(
+            self.fleet, Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(seed)), 0
+        )
         self.lives = {
             one.name: Life(one.name, site.name, place)
             for site in told
@@ -88,7 +90,7 @@
         if self.now < life.dead_until:
             return
         life.number += 1
-        told = Report(
+        told = MemberReport(
             name=life.name,
             site=life.site,
             incarnation=Incarnation(mark=life.mark),
@@ -110,7 +112,7 @@
             lease=0,
             epoch=0,
             plan=0,
-            knocks=[Knock(name=name, met=met) for name, met in life.knocks.items()][:8],
+            knocks=[ProbeResult(name=name, met=met) for name, met in life.knocks.items()][:8],
         )
         reply = self.mind.hear(told, self.now)
         life.knocks = {name: self.met(name) for name in reply.knock}
--- a/birchslip/lab/platform.py
+++ b/birchslip/lab/platform.py
@@ -14,7 +14,7 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from ..fleet.permits import Group
+from ..cluster.disruption_budget import BudgetGroup
 from .clients import Server
 from .peers import Vault, Web
 from .truth import SECOND
@@ -46,7 +46,7 @@
 class Outs:
     """Who is out, by whose making, at every moment; and whether a budget was passed."""
 
-    def __init__(self, groups: list[Group], dependents: Mapping[str, list[str]]) -> None:
+    def __init__(self, groups: list[BudgetGroup], dependents: Mapping[str, list[str]]) -> None:
         self.groups = {group.name: group for group in groups}
         self.dependents = dependents
         self.causes: dict[str, dict[str, int]] = {}  # name: causes, and since when each
@@ -55,7 +55,7 @@
         self.breaches = dict.fromkeys(self.groups, 0)
         self.said: list[str] = []
 
-    def out(self, group: Group) -> list[str]:
+    def out(self, group: BudgetGroup) -> list[str]:
         return sorted(group.members & self.causes.keys())
 
     def begin(self, name: str, cause: str, now: int, planned: bool = False) -> None:
@@ -101,7 +101,12 @@
 
 class Platform(Web):
     def __init__(
-        self, world: World, version: str, groups: list[Group], needs: Mapping[str, list[str]], crash_ms: int
+        self,
+        world: World,
+        version: str,
+        groups: list[BudgetGroup],
+        needs: Mapping[str, list[str]],
+        crash_ms: int,
     ) -> None:
         self.world, self.fault, self.crash_ms = world, version, crash_ms
         self.machines = {server.name: Machine(server) for server in world.servers}
--- a/birchslip/lab/power.py
+++ b/birchslip/lab/power.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ..keep.files import System
+from ..idempotency.files import FileSystem
 
 PAGE = 512
 
@@ -24,7 +24,7 @@
     named: bool = False  # whether its folder was flushed since it was made
 
 
-class Memory(System):
+class Memory(FileSystem):
     """`room` bytes fit; `fails` is what the next writes or flushes raise, -1 for good."""
 
     def __init__(self) -> None:
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -14,11 +14,11 @@
 
 import msgspec
 
-from ..fleet.conduct import Word
-from ..fleet.permits import Group
-from ..fleet.records import Record, Want, Wish, encode
-from ..fleet.release import Plan, batches_of
-from ..fleet.wire import Line
+from ..cluster.disruption_budget import BudgetGroup
+from ..cluster.messages import EvictionRequest, Message, OperatorCommand, encode
+from ..cluster.rollout import RolloutSpec, batches_of
+from ..cluster.rollout_controller import RolloutCommand
+from ..cluster.transport import PeerConnection
 from .clients import Profile, Server
 from .peers import Vault
 from .platform import NEW, OLD, Platform
@@ -73,12 +73,12 @@
         whole = [server.name for server in self.servers]
         self.fleet_most = max(2, int(FLEET_SHARE * len(whole)))
         self.groups = {
-            site: Group(site, frozenset(self.of_site(site)), most=min(SITE_MOST, self.lay.each - 1))
+            site: BudgetGroup(site, frozenset(self.of_site(site)), most=min(SITE_MOST, self.lay.each - 1))
             for site in self.sites
         }
-        self.groups["fleet"] = Group("fleet", frozenset(whole), most=self.fleet_most)
+        self.groups["fleet"] = BudgetGroup("fleet", frozenset(whole), most=self.fleet_most)
         stores = [f"store-{n + 1}" for n in range(len(self.sites))]
-        self.groups["stores"] = Group("stores", frozenset(stores), most=1)
+        self.groups["stores"] = BudgetGroup("stores", frozenset(stores), most=1)
         self.store_of = dict(zip(self.sites, stores, strict=True))
         self.vaults = {store: Vault(self.scheduler, self.truth, self.took) for store in stores}
         needs = {server.name: [self.store_of[server.site]] for server in self.servers}
@@ -115,8 +115,8 @@
             self.fleet_file(name)
             self.planners[name].hang_up()
 
-    def plan(self, sites: list[str], version: str = NEW, before: str = OLD) -> Plan:
-        return Plan(
+    def plan(self, sites: list[str], version: str = NEW, before: str = OLD) -> RolloutSpec:
+        return RolloutSpec(
             version=version,
             before=before,
             sites=sites,
@@ -130,13 +130,13 @@
 
     # ---- operators -------------------------------------------------------------------------------------
 
-    def ask(self, record: Record, method: str, planners: list[str] | None = None) -> dict[str, Any]:
+    def ask(self, record: Message, method: str, planners: list[str] | None = None) -> dict[str, Any]:
         """Whoever leads answers; asked until somebody does."""
         until = self.scheduler.now + 20 * SECOND
         trouble = ""
         while self.scheduler.now < until:
             for name in planners or self.names:
-                line = Line(self.scheduler, ("127.0.0.1", self.ports[name]))
+                line = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
                 try:
                     raw = line.ask(method, encode(record), self.scheduler.now + ASK)
                     answer: dict[str, Any] = json.loads(raw)
@@ -153,16 +153,16 @@
         return {"done": False, "granted": False, "releases": [], "trouble": trouble}
 
     def say(self, what: str, **more: Any) -> dict[str, Any]:
-        answer = self.ask(Word(what=what, who="the play", **more), "release")
+        answer = self.ask(RolloutCommand(what=what, who="the play", **more), "release")
         self.operator_s.append(f"{what}: {answer.get('why') or answer.get('trouble') or 'done'}")
         return answer
 
     def status(self, number: int = 1) -> dict[str, Any]:
-        answer = self.ask(Word(what="status", number=number), "release")
+        answer = self.ask(RolloutCommand(what="status", number=number), "release")
         return answer["releases"][0] if answer["releases"] else {}
 
     def permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
-        return self.ask(Want(what="permit", holder=holder, why="by hand"), "want", planners)
+        return self.ask(EvictionRequest(what="permit", holder=holder, why="by hand"), "want", planners)
 
     # ---- moments ---------------------------------------------------------------------------------------
 
@@ -240,7 +240,7 @@
 
     def known(self) -> bool:
         """The leader hears all members, warm, and nobody is out."""
-        shown = self.ask(Wish(what="show"), "wish")
+        shown = self.ask(OperatorCommand(what="show"), "wish")
         return len(shown.get("members", ())) == len(self.servers) and not shown["out"]
 
     def follow(self) -> None:
@@ -454,7 +454,7 @@
                 raise RuntimeError(f"no such step: {what}")
 
     def at_home(self) -> bool:
-        shown = self.ask(Wish(what="show"), "wish")
+        shown = self.ask(OperatorCommand(what="show"), "wish")
         return bool(shown.get("sites")) and all(site["stage"] == "home" for site in shown["sites"])
 
     def by_hand(self) -> None:
@@ -481,7 +481,7 @@
         self.operator_s.append(f"alone: {alone.get('granted')}; others: {others.get('granted')}")
         self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
         hand_back: Callable[[], dict[str, Any]] = partial(
-            self.ask, Want(what="hand-back", holder=name), "want"
+            self.ask, EvictionRequest(what="hand-back", holder=name), "want"
         )
         until = self.scheduler.now + 60 * SECOND
         # Granted in the end or not, it does not go: its place is given back.
--- a/birchslip/lab/rollouts.py
+++ b/birchslip/lab/rollouts.py
@@ -12,10 +12,25 @@
 
 import msgspec
 
-from ..fleet.judgement import Shown
-from ..fleet.permits import Book, Group, Permits, Seen, Why
-from ..fleet.records import Incarnation
-from ..fleet.release import Course, Is, Order, Phase, Plan, Platform, Release, batches_of
+from ..cluster.canary_analysis import Shown
+from ..cluster.disruption_budget import (
+    BudgetGroup,
+    BudgetState,
+    DisruptionBudget,
+    MemberObservation,
+    UnavailabilityReason,
+)
+from ..cluster.messages import Incarnation
+from ..cluster.rollout import (
+    InstanceStatus,
+    PlatformOrder,
+    PlatformView,
+    Rollout,
+    RolloutPhase,
+    RolloutRecord,
+    RolloutSpec,
+    batches_of,
+)
 
 SECOND = 10_000
 LOOK = SECOND // 2
@@ -28,7 +43,7 @@
     """One member's process, as the platform has it."""
 
     name: str
-    state: Is = Is.UP
+    state: InstanceStatus = InstanceStatus.UP
     version: str = "old"
     life: int = 1
     until: int = 0  # of what it is doing
@@ -40,10 +55,10 @@
 
     @property
     def up(self) -> bool:
-        return self.state is Is.UP
+        return self.state is InstanceStatus.UP
 
 
-class Rollout:
+class RolloutScenario:
     """One schedule. `version` is what the new one does; `trouble` is how often something else fails a
     second, `deaths` how often the conductor does in half a second.
     """
@@ -63,12 +78,12 @@
         self.machines = {name: Machine(name) for names in self.sites.values() for name in names}
         whole = frozenset(self.machines)
         self.groups = [
-            *(Group(site, frozenset(names), most=1) for site, names in self.sites.items()),
-            Group("fleet", whole, most=2),
+            *(BudgetGroup(site, frozenset(names), most=1) for site, names in self.sites.items()),
+            BudgetGroup("fleet", whole, most=2),
         ]
-        plan = Plan(version="new", before="old", canaries=1, batch=2, watch_ms=6_000)
-        self.kept = msgspec.json.encode(Course(plan=plan, batches=batches_of(plan, self.sites)))
-        self.book = msgspec.json.encode(Book())
+        plan = RolloutSpec(version="new", before="old", canaries=1, batch=2, watch_ms=6_000)
+        self.kept = msgspec.json.encode(RolloutRecord(plan=plan, batches=batches_of(plan, self.sites)))
+        self.book = msgspec.json.encode(BudgetState())
         self.now = 0
         self.begin()
         self.carried: set[tuple[str, str, int, str]] = set()
@@ -81,26 +96,30 @@
 
     def begin(self) -> None:
         """A conductor takes over, with what was kept."""
-        permits = Permits(self.groups)
+        permits = DisruptionBudget(self.groups)
         permits.take(self.book)
-        self.release = Release(msgspec.json.decode(self.kept, type=Course), permits)
+        self.release = Rollout(msgspec.json.decode(self.kept, type=RolloutRecord), permits)
 
     # ---- the world -------------------------------------------------------------------------------------
 
-    def seen(self) -> dict[str, Seen]:
+    def seen(self) -> dict[str, MemberObservation]:
         found = {}
         for name, one in self.machines.items():
             why = None
             if not one.up or self.now < one.dead_until:
-                why = Why.LEAVING if one.state is Is.DRAINING else Why.SILENT
+                why = (
+                    UnavailabilityReason.LEAVING
+                    if one.state is InstanceStatus.DRAINING
+                    else UnavailabilityReason.SILENT
+                )
             elif self.now < one.warm_at:
-                why = Why.COLD
-            found[name] = Seen(Incarnation(mark=one.life), 10.0, why)
+                why = UnavailabilityReason.COLD
+            found[name] = MemberObservation(Incarnation(mark=one.life), 10.0, why)
         return found
 
-    def platform(self) -> dict[str, Platform]:
+    def platform(self) -> dict[str, PlatformView]:
         return {
-            name: Platform(one.state, one.version, one.failed, one.ends)
+            name: PlatformView(one.state, one.version, one.failed, one.ends)
             for name, one in self.machines.items()
         }
 
@@ -130,9 +149,9 @@
     def pass_time(self) -> None:
         self.now += LOOK
         for one in self.machines.values():
-            if one.state is Is.DRAINING and self.now >= one.until:
-                one.state, one.until = Is.STOPPED, 0
-            elif one.state is Is.STOPPED and one.until and self.now >= one.until:
+            if one.state is InstanceStatus.DRAINING and self.now >= one.until:
+                one.state, one.until = InstanceStatus.STOPPED, 0
+            elif one.state is InstanceStatus.STOPPED and one.until and self.now >= one.until:
                 one.until = 0
                 self.come_up(one)
             crashes = (
@@ -160,16 +179,16 @@
 
     def come_up(self, one: Machine) -> None:
         if one.version == "new" and self.version == "nostart":
-            one.state = Is.FAILED
+            one.state = InstanceStatus.FAILED
             one.failed += 1
             return
-        one.state, one.failed = Is.UP, 0
+        one.state, one.failed = InstanceStatus.UP, 0
         one.life += 1
         one.warm_at = self.now + WARM
 
     # ---- orders ----------------------------------------------------------------------------------------
 
-    def carry(self, order: Order) -> None:
+    def carry(self, order: PlatformOrder) -> None:
         """The platform: an order that was carried out before is passed over; a message may be lost or
         doubled.
         """
@@ -183,11 +202,13 @@
                 self.carried.add(mark)
                 self.drained_twice += order.number in one.drains
                 one.drains.append(order.number)
-                one.state, one.until = Is.DRAINING, self.now + DRAIN
-            elif one.state in (Is.STOPPED, Is.FAILED) and not (one.state is Is.STOPPED and one.until):
+                one.state, one.until = InstanceStatus.DRAINING, self.now + DRAIN
+            elif one.state in (InstanceStatus.STOPPED, InstanceStatus.FAILED) and not (
+                one.state is InstanceStatus.STOPPED and one.until
+            ):
                 if one.version != order.version:
                     one.failed = one.ends = 0
-                one.state, one.version, one.until = Is.STOPPED, order.version, self.now + START
+                one.state, one.version, one.until = InstanceStatus.STOPPED, order.version, self.now + START
 
     def step(self) -> None:
         self.pass_time()
@@ -202,24 +223,24 @@
         self.book = self.release.permits.keep()
         for order in orders:
             self.carry(order)
-        if self.release.phase is Phase.HALTED and phase is not Phase.HALTED:
+        if self.release.phase is RolloutPhase.HALTED and phase is not RolloutPhase.HALTED:
             self.halted_at = self.now
         self.count()
 
     def count(self) -> None:
         """By what is so, not by what was decided: planned ones that are out, in each group."""
         for group in self.groups:
-            out = [name for name in group.members if self.machines[name].state is not Is.UP]
+            out = [name for name in group.members if self.machines[name].state is not InstanceStatus.UP]
             if len(out) > group.allowed:
                 self.breaches += 1
 
-    def run(self, back: bool = True, longest: int = 1_200) -> Rollout:
+    def run(self, back: bool = True, longest: int = 1_200) -> RolloutScenario:
         """To its end; where it halts on a bad version, the way back is taken."""
         for _ in range(longest * SECOND // LOOK):
             self.step()
-            if self.release.phase in (Phase.DONE, Phase.BACK):
+            if self.release.phase in (RolloutPhase.DONE, RolloutPhase.BACK):
                 break
-            if self.release.phase is Phase.HALTED and self.settled():
+            if self.release.phase is RolloutPhase.HALTED and self.settled():
                 if not (back and self.release.course.bad and not self.release.course.left_out):
                     break
                 self.release.back("the play")
@@ -234,7 +255,7 @@
             "breaches": self.breaches,
             "drained_twice": self.drained_twice,
             "exposed": len(self.exposed),
-            "stuck": self.release.phase in (Phase.RUNNING, Phase.BACKING),
+            "stuck": self.release.phase in (RolloutPhase.RUNNING, RolloutPhase.BACKING),
             "conductors": self.conductors,
             "halt_s": None
             if self.halted_at is None or self.harm_at is None
--- a/birchslip/lab/small_scope.py
+++ b/birchslip/lab/small_scope.py
@@ -1,7 +1,7 @@
 """Every history of permits in a small scope: three planners, three members, a budget of one.
 
-The real `Permits` decides; around it all orders of events are tried, each state once: asks, keeps that
-reach a planner or never do, tells that come late, twice or never, members that go, come back or crash,
+The real `DisruptionBudget` decides; around it all orders of events are tried, each state once: asks, keeps
+that reach a planner or never do, tells that come late, twice or never, members that go, come back or crash,
 leaders that die and others that take over from any majority. After each event it is checked that no more
 members are out by a permit than the budget allows, that no permit is used by two lives, and, where a
 majority lives, that somebody can still go on.
@@ -18,12 +18,19 @@
 
 import msgspec
 
-from ..fleet.permits import Asker, Book, Group, Permits, Seen, Why
-from ..fleet.records import Incarnation
+from ..cluster.disruption_budget import (
+    BudgetGroup,
+    BudgetState,
+    DisruptionBudget,
+    EvictionWaiter,
+    MemberObservation,
+    UnavailabilityReason,
+)
+from ..cluster.messages import Incarnation
 
 NAMES = ("m0", "m1", "m2")
-GROUPS = [Group("all", frozenset(NAMES), most=1)]
-EMPTY = msgspec.json.encode(Book())
+GROUPS = [BudgetGroup("all", frozenset(NAMES), most=1)]
+EMPTY = msgspec.json.encode(BudgetState())
 
 
 class Fault(AssertionError):
@@ -78,20 +85,20 @@
     # ---- the permits -----------------------------------------------------------------------------------
 
     @staticmethod
-    def seen(world: World) -> dict[str, Seen]:
-        why = {"in": None, "out": Why.SILENT, "cold": Why.COLD}
+    def seen(world: World) -> dict[str, MemberObservation]:
+        why = {"in": None, "out": UnavailabilityReason.SILENT, "cold": UnavailabilityReason.COLD}
         return {
-            name: Seen(Incarnation(mark=life.mark), 1.0, why[life.where])
+            name: MemberObservation(Incarnation(mark=life.mark), 1.0, why[life.where])
             for name, life in zip(NAMES, world.lives, strict=True)
         }
 
     @staticmethod
-    def permits(book: bytes) -> Permits:
-        made = Permits(GROUPS)
+    def permits(book: bytes) -> DisruptionBudget:
+        made = DisruptionBudget(GROUPS)
         made.take(book)
         return made
 
-    def decided(self, world: World, permits: Permits) -> World:
+    def decided(self, world: World, permits: DisruptionBudget) -> World:
         """A changed book is on the leader's own disk first."""
         permits.book.record.clear()
         # Only the order of grants matters, not how many there were before.
@@ -123,7 +130,9 @@
         for n, life in enumerate(world.lives):
             if life.where == "in":
                 permits = self.permits(world.book)
-                permits.ask(Asker(holder=NAMES[n], incarnation=Incarnation(mark=life.mark), why=""), seen)
+                permits.ask(
+                    EvictionWaiter(holder=NAMES[n], incarnation=Incarnation(mark=life.mark), why=""), seen
+                )
                 yield f"{NAMES[n]} asks", self.decided(world, permits)
         permits = self.permits(world.book)
         permits.look(seen)
--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -16,8 +16,8 @@
 from re import Pattern
 from typing import Any
 
-from ..deployment import Malformed
-from ..interface import MS
+from ..admission.types import MS
+from ..errors import InvalidInputError
 from .bounds import Bounds
 from .buffer import Buffer, Unreadable
 from .connection import Connection, Pool
@@ -83,7 +83,7 @@
 def matched(fields: dict[str, str], name: str, form: Pattern[str]) -> str:
     value = fields.get(name, "")
     if not form.fullmatch(value):
-        raise Malformed(f"{name} is absent or of a wrong form: {value[:40]!r}")
+        raise InvalidInputError(f"{name} is absent or of a wrong form: {value[:40]!r}")
     return value
 
 
@@ -91,7 +91,7 @@
     """A figure from `low` to under `high`."""
     value = float(matched(fields, name, form))
     if not low <= value < high:
-        raise Malformed(f"{name} is out of range: {value:.15g}")
+        raise InvalidInputError(f"{name} is out of range: {value:.15g}")
     return value
 
 
@@ -101,14 +101,14 @@
         case [dict(fields), bytes(body)] if len(body) <= BODY:
             pass
         case _:
-            raise Malformed(f"not fields and a body of at most {BODY} bytes")
+            raise InvalidInputError(f"not fields and a body of at most {BODY} bytes")
     for field, value in fields.items():
         if not isinstance(field, str) or not isinstance(value, str) or len(value) > FIELD:
-            raise Malformed(f"a field that is not text of at most {FIELD} characters")
+            raise InvalidInputError(f"a field that is not text of at most {FIELD} characters")
     ranged(fields, "level", DECIMAL, 0, 1)
     need = ranged(fields, "need", DECIMAL, 0, NEED)
     if not need:
-        raise Malformed("need is 0")
+        raise InvalidInputError("need is 0")
     if "subject" in fields:
         matched(fields, "subject", NAME)
     return Told(
--- a/birchslip/net/labels.py
+++ b/birchslip/net/labels.py
@@ -10,7 +10,7 @@
 import heapq
 from collections.abc import Callable
 
-from ..interface import MS, Outcome
+from ..admission.types import MS, Outcome
 from .passage import Conclusion, Label, Passage
 
 SLACK = 50 * MS  # by which the protocol's limits of time are longer on sockets
@@ -62,7 +62,7 @@
         if entry is None or (entry.ran is not None and entry.ran is not passage):
             return False
         entry.ran = passage
-        until = passage.window_from + passage.transaction.profile.window + SLACK
+        until = passage.window_from + passage.transaction.request_class.key_retention + SLACK
         if until > entry.until:
             # Its clock lies ahead of ours: it is kept for longer than was thought when it was remembered.
             entry.until = until
@@ -73,7 +73,7 @@
         """What its label has come to, or None: then this one waits for it."""
         entry = passage.label
         if entry is None:
-            return Conclusion(Outcome.ERRED)
+            return Conclusion(Outcome.FAILED)
         if entry.conclusion is None:
             entry.waiting.append(passage)
         return entry.conclusion
--- a/birchslip/net/passage.py
+++ b/birchslip/net/passage.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..interface import Outcome, Transaction
+from ..admission.types import Outcome, Request
 from .scheduler import Timer
 
 
@@ -46,7 +46,7 @@
     name: str
     profile: str
     body: bytes
-    transaction: Transaction
+    transaction: Request
     stamp: int  # when it came to the machine, as told, and never ahead of our clock
     label_name: str = ""
     label: Label | None = None
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -12,10 +12,17 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from ..deployment import Malformed
-from ..driver import Driver
-from ..interface import Gauges, Health, Idle, Notice, Outcome, Tick
-from ..interface import Log as Remark
+from ..admission.driver import AdmissionDriver
+from ..admission.types import (
+    Gauges,
+    Outcome,
+    ServerAction,
+    SetHealth,
+    SetIdleTimeout,
+    SetTimer,
+)
+from ..admission.types import LogEvent as Remark
+from ..errors import InvalidInputError
 from .bounds import bounds
 from .catalog import Catalog
 from .clients import Clients
@@ -65,7 +72,7 @@
 class Companion(Protocol):
     """What stands beside one app server for its fleet; without one nothing here is any different."""
 
-    driver: Driver | None
+    driver: AdmissionDriver | None
     standing: Any
     listing_changed: Callable[[], None]
 
@@ -111,7 +118,7 @@
         self.vault = Vault(scheduler, counters, log, site.vault, self.bounds.calls)
         self.catalog = Catalog(scheduler, counters, log, site.catalog, site.name, self.passing)
         # stages
-        self.labels = Labels(max(profile.deadline for profile in site.deployment.profiles))
+        self.labels = Labels(max(profile.deadline for profile in site.deployment.request_classes))
         self.take_in = TakeIn(scheduler, counters, log, site.deployment, site.profiles, site.tenants)
         self.admit = Admit(scheduler, counters, self.labels)
         self.book = Book(counters, log, self.labels, self.admit)
@@ -214,7 +221,9 @@
         """
         if self.phase is Phase.STARTING:
             self.move(Phase.SERVING)
-            self.admit.begin(replace(self.site.deployment, cold=cold), began if cold else self.scheduler.now)
+            self.admit.begin(
+                replace(self.site.deployment, starts_cold=cold), began if cold else self.scheduler.now
+            )
             if self.companion is not None:
                 self.companion.driver = self.admit.driver
 
@@ -232,7 +241,7 @@
         self.move(Phase.DRAINING)
         self.admit.leave(end)
         # Routers learn late that this one leaves. Turned away meanwhile, they would crowd those that stay.
-        grace_over = self.scheduler.now + self.site.deployment.grace
+        grace_over = self.scheduler.now + self.site.deployment.drain_grace
         self.scheduler.at(min(grace_over, end - SHUT_AHEAD), self.shut)
         self.scheduler.at(end - END_AHEAD, self.close)
 
@@ -302,7 +311,7 @@
         """The configuration is read again; one that can't be read leaves the old one in force."""
         try:
             later = read_site(os.environ)
-        except (Malformed, OSError) as trouble:
+        except (InvalidInputError, OSError) as trouble:
             self.counters.count("program.not_reloaded")
             self.log.info("the configuration is left as it was", why=str(trouble))
             return
@@ -334,21 +343,21 @@
 
     # ---- what concerns the whole app server ----------------------------------------------------------------
 
-    def tell(self, notice: Notice) -> None:
+    def tell(self, notice: ServerAction) -> None:
         match notice:
-            case Tick(at):
+            case SetTimer(at):
                 self.scheduler.at(at - SAMPLE_AHEAD, self.agent.sample)
                 self.scheduler.at(at, self.tick)
-            case Health(good):
+            case SetHealth(good):
                 self.clients.good = good
-            case Idle(span):
+            case SetIdleTimeout(span):
                 self.clients.set_idle(span)
             case Remark(text):
                 self.log.info("decisions", text=text)
 
     def tick(self) -> None:
         if self.keeper is not None and self.admit.driver is not None:
-            self.admit.driver.labels(*self.keeper.told())
+            self.admit.driver.limit_new_keys(*self.keeper.told())
         self.admit.tick(Gauges(self.agent.cores_used()))
 
     def passing(self) -> bool:
--- a/birchslip/net/servers.py
+++ b/birchslip/net/servers.py
@@ -15,7 +15,7 @@
 from math import isfinite
 from typing import Any
 
-from ..interface import MS, Outcome
+from ..admission.types import MS, Outcome
 from .buffer import Buffer, Unreadable
 from .connection import Connection, Dial
 from .counters import Counters
@@ -32,10 +32,10 @@
 RESTART = 20_000  # an agent that began two seconds later than it had said has been started anew
 STARTS = {"fresh": True, "seasoned": False}  # whether it is cold
 OUTCOMES = {
-    "done": Outcome.HONOURED,
-    "crashed": Outcome.ERRED,
-    "aborted": Outcome.RECALLED,
-    "stale": Outcome.MOOT,
+    "done": Outcome.SERVED,
+    "crashed": Outcome.FAILED,
+    "aborted": Outcome.CANCELLED,
+    "stale": Outcome.SUPERSEDED,
 }
 
 
--- a/birchslip/net/site.py
+++ b/birchslip/net/site.py
@@ -8,8 +8,9 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from ..deployment import Malformed, Setup, deployment, flatten
-from ..interface import MS, Deployment
+from ..admission.settings import SettingsReader, flatten, read_admission_settings
+from ..admission.types import MS, AdmissionSettings
+from ..errors import InvalidInputError
 from .bounds import SOCKETS_LEAST
 
 Address = tuple[str, int]
@@ -18,7 +19,7 @@
 
 @dataclass(slots=True)
 class Site:
-    """The program's own; the settings become a `Deployment`, and their names stay at the door."""
+    """The program's own; the settings become a `AdmissionSettings`, and their names stay at the door."""
 
     name: str
     listen: Address
@@ -28,7 +29,7 @@
     stop: int
     sockets: int
     memory: int  # bytes
-    deployment: Deployment
+    deployment: AdmissionSettings
     profiles: list[str]
     tenants: list[str]
     gauges: list[str]
@@ -43,14 +44,14 @@
     """Malformed or OSError says what is wrong, in one line."""
     path = environment.get("PROXY_CONFIG", "")
     if not path:
-        raise Malformed("PROXY_CONFIG names no file")
+        raise InvalidInputError("PROXY_CONFIG names no file")
     with open(path, encoding="utf-8") as file:
         try:
             told = json.load(file)
         except (ValueError, RecursionError) as trouble:
-            raise Malformed(f"{path} is not JSON: {trouble}") from None
+            raise InvalidInputError(f"{path} is not JSON: {trouble}") from None
     if not isinstance(told, dict):
-        raise Malformed(f"{path} holds no object")
+        raise InvalidInputError(f"{path} holds no object")
     return site_of(told, environment)
 
 
@@ -58,19 +59,19 @@
     """What a configuration says, once it is read."""
     for part in ("settings", "limits"):
         if not isinstance(told.get(part, {}), dict):
-            raise Malformed(f"{part} is not an object")
+            raise InvalidInputError(f"{part} is not an object")
     try:
-        setup = Setup(flatten(told.get("settings", {})))
+        setup = SettingsReader(flatten(told.get("settings", {})))
     except RecursionError:
-        raise Malformed("settings are nested too deeply") from None
+        raise InvalidInputError("settings are nested too deeply") from None
     limits = told.get("limits", {})
     sockets, memory = limits.get("sockets", 1024), limits.get("memory_mb", 192)
     stop = told.get("stop_ms", 3000)
     for what, value in (("limits.sockets", sockets), ("limits.memory_mb", memory), ("stop_ms", stop)):
         if isinstance(value, bool) or not isinstance(value, int | float) or not 1 <= value < 1e9:
-            raise Malformed(f"{what} is not a number above 0: {value!r}")
+            raise InvalidInputError(f"{what} is not a number above 0: {value!r}")
     if sockets < SOCKETS_LEAST:
-        raise Malformed(f"limits.sockets is under {SOCKETS_LEAST}: {sockets!r}")
+        raise InvalidInputError(f"limits.sockets is under {SOCKETS_LEAST}: {sockets!r}")
     site = Site(
         name=environment.get("PROXY_NAME") or text(told, "name"),
         listen=address(environment.get("PROXY_LISTEN") or text(told, "listen"), "listen", lowest=0),
@@ -80,24 +81,24 @@
         stop=int(stop * MS),
         sockets=int(sockets),
         memory=int(memory * (1 << 20)),
-        deployment=deployment(seed(told), setup),
+        deployment=read_admission_settings(seed(told), setup),
         profiles=setup.names("classes"),
         tenants=setup.names("tenants"),
         gauges=setup.text("family_info.gauges", "").split(","),
     )
     if not all(site.profiles) or not site.profiles:
-        raise Malformed("settings.classes has no names")
+        raise InvalidInputError("settings.classes has no names")
     for what, names in (("classes", site.profiles), ("tenants", site.tenants)):
         twice = next((name for place, name in enumerate(names) if name in names[:place]), None)
         if twice is not None:
-            raise Malformed(f"settings.{what} names one twice: {twice[:40]!r}")
+            raise InvalidInputError(f"settings.{what} names one twice: {twice[:40]!r}")
     return site
 
 
 def text(told: dict[str, Any], name: str) -> str:
     value = told.get(name)
     if not isinstance(value, str) or not value:
-        raise Malformed(f"{name} is absent or not a text")
+        raise InvalidInputError(f"{name} is absent or not a text")
     return value
 
 
@@ -105,17 +106,17 @@
     try:
         return int(str(told.get("seed", "1")), 16)
     except ValueError:
-        raise Malformed(f"seed is not hexadecimal: {told.get('seed')!r}") from None
+        raise InvalidInputError(f"seed is not hexadecimal: {told.get('seed')!r}") from None
 
 
 def address(value: str, what: str, lowest: int = 1) -> Address:
     """HOST:PORT; where port 0 is allowed, it takes any free one."""
     host, colon, port = value.rpartition(":")
     if not colon or not host or not port.isdecimal() or not lowest <= int(port) < 65536:
-        raise Malformed(f"{what} is not HOST:PORT: {value[:60]!r}")
+        raise InvalidInputError(f"{what} is not HOST:PORT: {value[:60]!r}")
     try:
         # A name would be looked up each time it is dialled, and all else would wait for that.
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError):
-        raise Malformed(f"{what} is not an IPv4 address and a port: {value[:60]!r}") from None
+        raise InvalidInputError(f"{what} is not an IPv4 address and a port: {value[:60]!r}") from None
     return host, int(port)
--- a/birchslip/net/stages/admit.py
+++ b/birchslip/net/stages/admit.py
@@ -5,8 +5,15 @@
 from collections import deque
 from collections.abc import Callable
 
-from ...driver import Driver
-from ...interface import Deployment, Event, Gauges, Notice, Transaction, Wish
+from ...admission.driver import AdmissionDriver
+from ...admission.types import (
+    Action,
+    AdmissionSettings,
+    Event,
+    Gauges,
+    Request,
+    ServerAction,
+)
 from ..counters import Counters
 from ..labels import Labels
 from ..passage import Passage
@@ -18,18 +25,18 @@
 
     def __init__(self, scheduler: Scheduler, counters: Counters, labels: Labels) -> None:
         self.scheduler, self.counters, self.labels = scheduler, counters, labels
-        self.driver: Driver | None = None
+        self.driver: AdmissionDriver | None = None
         self.news: deque[tuple[Passage, Event | None]] = deque()
         self.gauges: Gauges | None = None
         self.shut = False  # nothing that is read from now on may run
-        self.carry: Callable[[Transaction, Wish], None]
-        self.tell: Callable[[Notice], None]
+        self.carry: Callable[[Request, Action], None]
+        self.tell: Callable[[ServerAction], None]
         self.unready: Callable[[Passage], None]
         self.mislabelled: Callable[[Passage], None]
         self.fault: Callable[[Passage, Exception], None]
 
-    def begin(self, deployment: Deployment, began: int) -> None:
-        self.driver = Driver(deployment, began, self.carry, self.tell, self.fault_of)
+    def begin(self, deployment: AdmissionSettings, began: int) -> None:
+        self.driver = AdmissionDriver(deployment, began, self.carry, self.tell, self.fault_of)
 
     def arrive(self, passage: Passage) -> None:
         self.news.append((passage, None))
@@ -42,8 +49,8 @@
 
     def leave(self, end: int) -> None:
         if self.driver is not None:
-            self.driver.clock(self.scheduler.now)
-            self.driver.leave(end)
+            self.driver.advance_clock(self.scheduler.now)
+            self.driver.drain(end)
 
     def settle(self) -> None:
         """One batch: what has come, then a tick, then who goes on. What that brings is the next batch's."""
@@ -52,7 +59,7 @@
             while self.news:
                 self.unready(self.news.popleft()[0])
             return
-        self.driver.clock(self.scheduler.tell_time())
+        self.driver.advance_clock(self.scheduler.tell_time())
         for _ in range(len(self.news)):
             passage, event = self.news.popleft()
             try:
@@ -66,7 +73,7 @@
         if self.news:
             self.scheduler.soon()
 
-    def pass_on(self, driver: Driver, passage: Passage, event: Event | None) -> None:
+    def pass_on(self, driver: AdmissionDriver, passage: Passage, event: Event | None) -> None:
         transaction = passage.transaction
         if event is not None:
             driver.deliver(transaction, event)
@@ -84,13 +91,13 @@
                 return
             self.counters.count("admit.repeats")
             transaction.original = passage.label.original.transaction
-        transaction.outside = passage
-        driver.arrive(transaction)
+        transaction.context = passage
+        driver.admit(transaction)
 
     def find_label(self, passage: Passage) -> None:
         if passage.label_name and passage.label is None:
             standing = self.labels.standing(passage.label_name, passage.stamp)
             passage.label = standing or self.labels.earlier(passage)
 
-    def fault_of(self, transaction: Transaction, trouble: Exception) -> None:
-        self.fault(transaction.outside, trouble)
+    def fault_of(self, transaction: Request, trouble: Exception) -> None:
+        self.fault(transaction.context, trouble)
--- a/birchslip/net/stages/book.py
+++ b/birchslip/net/stages/book.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ...interface import Ended, Gone, Outcome
+from ...admission.types import CallerGone, Outcome, RunEnded
 from ..counters import Counters
 from ..labels import Labels
 from ..log import Log
@@ -56,7 +56,7 @@
     def gone(self, passage: Passage) -> None:
         """Its caller waits no longer, or its connection has ended."""
         if self.close(passage, "gone"):
-            self.admit.hear(passage, Gone())
+            self.admit.hear(passage, CallerGone())
 
     def give_up(self, passage: Passage) -> None:
         """No later answer can reach its caller: it is answered now, and the decisions hear that nobody waits.
@@ -67,11 +67,11 @@
         ran = label is not None and (label.ran is not None or label.asked is not None)
         if not passage.answered:
             self.write_off(passage) if passage.launched or ran else self.shed(passage)
-            self.admit.hear(passage, Gone())
+            self.admit.hear(passage, CallerGone())
 
     def conclude(self, passage: Passage, conclusion: Conclusion) -> None:
         """Its run is over: the result, or that there is none, unless it was answered before."""
-        if conclusion.outcome is Outcome.HONOURED:
+        if conclusion.outcome is Outcome.SERVED:
             self.honour(passage, conclusion.result)
         else:
             self.write_off(passage, "erred")
@@ -85,20 +85,20 @@
             self.share(passage, conclusion)
 
     def share(self, passage: Passage, conclusion: Conclusion) -> None:
-        outcome = Outcome.HONOURED if conclusion.outcome is Outcome.HONOURED else Outcome.ERRED
+        outcome = Outcome.SERVED if conclusion.outcome is Outcome.SERVED else Outcome.FAILED
         self.conclude(passage, conclusion)
-        self.admit.hear(passage, Ended(outcome))
+        self.admit.hear(passage, RunEnded(outcome))
 
     def resolve(self, entry: Label, conclusion: Conclusion) -> None:
         """What a try of an earlier life has come to: those that wait for it hear so."""
         entry.conclusion = conclusion
         waiting, entry.waiting = entry.waiting, []
         for repeat in waiting:
-            self.share(repeat, conclusion if entry.same(repeat) else Conclusion(Outcome.ERRED))
+            self.share(repeat, conclusion if entry.same(repeat) else Conclusion(Outcome.FAILED))
 
     def forget(self, passage: Passage, claimed: bool = False) -> None:
         for repeat in self.labels.forget(passage, claimed):
-            self.share(repeat, Conclusion(Outcome.ERRED))
+            self.share(repeat, Conclusion(Outcome.FAILED))
 
     # ---- trouble -------------------------------------------------------------------------------------------
 
--- a/birchslip/net/stages/relay.py
+++ b/birchslip/net/stages/relay.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ...interface import MS, CallEnded, NeedsCall, Outcome
+from ...admission.types import MS, CallEnded, CallNeeded, Outcome
 from ..counters import Counters
 from ..passage import Passage
 from ..scheduler import Scheduler
@@ -25,7 +25,7 @@
         self.counters.count("relay.wanted")
         self.drop(passage)  # one that is out is none that the run waits for any more
         passage.need, passage.need_body = notice, body
-        self.admit.hear(passage, NeedsCall())
+        self.admit.hear(passage, CallNeeded())
 
     def call(self, passage: Passage, limit: int) -> None:
         self.counters.count("relay.called")
@@ -40,12 +40,12 @@
 
     def overdue(self, passage: Passage) -> None:
         self.vault.unask(passage)
-        self.ended(passage, Outcome.OVERDUE, b"")
+        self.ended(passage, Outcome.TIMED_OUT, b"")
 
     def ended(self, passage: Passage, outcome: Outcome, reply: bytes) -> None:
         self.counters.count(f"relay.{outcome.value}")
         self.rest(passage)
-        if outcome is Outcome.HONOURED:
+        if outcome is Outcome.SERVED:
             self.agent.deliver(passage, reply)
         self.admit.hear(passage, CallEnded(outcome, self.scheduler.now - passage.call_at))
 
--- a/birchslip/net/stages/route.py
+++ b/birchslip/net/stages/route.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from ...interface import (
-    Attach,
-    Call,
-    Forget,
-    Remember,
-    Shed,
+from ...admission.types import (
+    Action,
+    AttachToOriginal,
+    CallDownstream,
+    Fail,
+    Reject,
+    ReleaseKey,
+    Request,
     SkipCall,
-    Start,
-    Stop,
-    Transaction,
-    Wish,
-    WriteOff,
+    StartRun,
+    StopRun,
+    StoreKey,
 )
 from ..labels import Labels
 from ..passage import Passage
@@ -28,27 +28,27 @@
         self.scheduler, self.labels = scheduler, labels
         self.send, self.relay, self.book = send, relay, book
 
-    def carry(self, transaction: Transaction, wish: Wish) -> None:
-        passage: Passage = transaction.outside
+    def carry(self, transaction: Request, wish: Action) -> None:
+        passage: Passage = transaction.context
         match wish:
-            case Start():
+            case StartRun():
                 self.send.start(passage)
-            case Call(limit):
+            case CallDownstream(limit):
                 self.relay.call(passage, limit)
             case SkipCall():
                 self.relay.skip(passage)
-            case Attach():
+            case AttachToOriginal():
                 self.book.attach(passage)
-            case Stop():
+            case StopRun():
                 self.send.stop(passage)
-            case Remember(span):
+            case StoreKey(span):
                 now = self.scheduler.now
                 if passage.label_name:
                     self.labels.remember(passage, now + span, now)
-            case Forget():
+            case ReleaseKey():
                 self.book.forget(passage)
-            case Shed(after, last):
+            case Reject(after, last):
                 self.book.shed(passage, after, last)
-            case WriteOff():
+            case Fail():
                 self.relay.drop(passage)
                 self.book.write_off(passage)
--- a/birchslip/net/stages/send.py
+++ b/birchslip/net/stages/send.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Protocol
 
-from ...interface import Ended, Outcome
+from ...admission.types import Outcome, RunEnded
 from ..counters import Counters
 from ..labels import Labels
 from ..log import Log
@@ -68,7 +68,7 @@
         # None of its repeats ran either: all may come again.
         for one in (passage, *self.labels.forget(passage, claimed=True)):
             self.book.shed(one)
-            self.admit.hear(one, Ended(Outcome.MOOT))
+            self.admit.hear(one, RunEnded(Outcome.SUPERSEDED))
 
     def stop(self, passage: Passage) -> None:
         if self.agent.runs.get(passage.name) is passage:
@@ -78,13 +78,13 @@
     def doubt(self, passage: Passage) -> None:
         """How its run ended can't be known any more."""
         self.log.fault("how a run ended can't be known", id=passage.name)
-        self.ended(passage, Outcome.RECALLED, b"", 0)
+        self.ended(passage, Outcome.CANCELLED, b"", 0)
 
     def refused(self, passage: Passage) -> None:
         """The agent does not know it: it has never run, and a further try of its label finds nothing."""
         self.counters.count("send.refused")
         self.book.forget(passage, claimed=True)
-        self.ended(passage, Outcome.MOOT, b"", 0)
+        self.ended(passage, Outcome.SUPERSEDED, b"", 0)
 
     def ended(self, passage: Passage, outcome: Outcome, result: bytes, elapsed: int) -> None:
         self.counters.count(f"send.{outcome.value}")
@@ -98,6 +98,6 @@
     def conclude(self, passage: Passage, conclusion: Conclusion, elapsed: int) -> None:
         waiting = self.labels.conclude(passage, conclusion)
         self.book.conclude(passage, conclusion)
-        self.admit.hear(passage, Ended(conclusion.outcome, elapsed))
+        self.admit.hear(passage, RunEnded(conclusion.outcome, elapsed))
         for repeat in waiting:
             self.book.share(repeat, conclusion)
--- a/birchslip/net/stages/take_in.py
+++ b/birchslip/net/stages/take_in.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from ...deployment import Malformed
-from ...interface import SECOND, Deployment, Kind, Tenant, Transaction
+from ...admission.types import SECOND, AdmissionSettings, Idempotency, Request, Tenant
+from ...errors import InvalidInputError
 from ..clients import Client
 from ..counters import Counters
 from ..log import Log
@@ -21,12 +21,12 @@
         scheduler: Scheduler,
         counters: Counters,
         log: Log,
-        deployment: Deployment,
+        deployment: AdmissionSettings,
         profiles: list[str],
         tenants: list[str],
     ) -> None:
         self.scheduler, self.counters, self.log = scheduler, counters, log
-        self.profiles = dict(zip(profiles, deployment.profiles, strict=True))
+        self.profiles = dict(zip(profiles, deployment.request_classes, strict=True))
         self.tenants = dict(zip(tenants, deployment.tenants, strict=True))
         self.admit: Callable[[Passage], None]
         self.in_use: Callable[[str], bool]
@@ -36,7 +36,7 @@
         """`told` reads the message, and may find it malformed."""
         try:
             passage = self.passage(client, number, told())
-        except Malformed as trouble:
+        except InvalidInputError as trouble:
             self.counters.count("take_in.malformed")
             self.log.fault("a transaction that can't be taken in", why=str(trouble))
             client.write_off(number, str(trouble))
@@ -52,33 +52,33 @@
 
     def passage(self, client: Client, number: int, told: Told) -> Passage:
         if told.profile not in self.profiles:
-            raise Malformed(f"no such profile: {told.profile[:40]!r}")
+            raise InvalidInputError(f"no such profile: {told.profile[:40]!r}")
         profile = self.profiles[told.profile]
-        labelled = profile.kind is Kind.LABELLED
+        labelled = profile.idempotency is Idempotency.KEYED
         if labelled != bool(told.label):
-            raise Malformed(
+            raise InvalidInputError(
                 "a labelled transaction without its label" if labelled else "a label where none is due"
             )
         if labelled and told.about:
-            raise Malformed("a labelled transaction that names what it reads")
+            raise InvalidInputError("a labelled transaction that names what it reads")
         if self.in_use(told.name):
-            raise Malformed("the id of one that is open")
+            raise InvalidInputError("the id of one that is open")
         # Never in the future; and for the decisions never longer ago than a client waits, or one absurd time
         # would look like a backlog. What a label repeats is found by the time told, however late it is read.
         now = self.scheduler.now
         if abs(told.stamp - now) > STRAY:
-            raise Malformed("it came at a time that can't be")
+            raise InvalidInputError("it came at a time that can't be")
         stamp = min(told.stamp, now)
         arrived = max(now - profile.deadline, stamp)
         due = max(now, arrived + min(told.wait, profile.deadline))
-        transaction = Transaction(
+        transaction = Request(
             profile,
             caller=told.caller,
-            arrived=arrived,
-            due=due,
+            arrived_at=arrived,
+            deadline=due,
             size=told.size,
             tenant=self.tenant(told.tenant),
-            again=told.again,
+            is_retry=told.again,
         )
         passage = Passage(client, number, told.name, told.profile, told.body, transaction, stamp, told.label)
         passage.told_stamp = told.stamp
@@ -88,5 +88,5 @@
         if not self.tenants:
             return None
         if name not in self.tenants:
-            raise Malformed(f"no such tenant: {name[:40]!r}")
+            raise InvalidInputError(f"no such tenant: {name[:40]!r}")
         return self.tenants[name]
--- a/birchslip/net/vault.py
+++ b/birchslip/net/vault.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..interface import Outcome
+from ..admission.types import Outcome
 from .buffer import Buffer, Unreadable
 from .connection import Connection, Dial
 from .counters import Counters
@@ -29,11 +29,11 @@
 KEPT = 500  # a connection takes another call within 50 ms of a reply, later none
 WAIT_FIRST, WAIT_MOST = 100, 2_000  # between tries at a vault that is down: 10 ms at first, 200 ms at most
 OUTCOMES = {
-    b"yes": Outcome.HONOURED,
-    b"notnow": Outcome.SATURATED,
-    b"failed": Outcome.ERRED,
-    b"overdue": Outcome.OVERDUE,
-    b"pointless": Outcome.MOOT,
+    b"yes": Outcome.SERVED,
+    b"notnow": Outcome.REJECTED,
+    b"failed": Outcome.FAILED,
+    b"overdue": Outcome.TIMED_OUT,
+    b"pointless": Outcome.SUPERSEDED,
 }
 
 
@@ -139,7 +139,7 @@
     def make(self, asked: Asked) -> None:
         """The task of one call."""
         if len(self.calls) > self.most:
-            self.over(asked, Outcome.SATURATED)  # here, not there: it has not been sent
+            self.over(asked, Outcome.REJECTED)  # here, not there: it has not been sent
             return
         address = self.address
         link = self.kept() or self.opened(asked)
@@ -200,7 +200,7 @@
             if address == self.address and self.not_before <= self.scheduler.now:
                 self.not_before = self.scheduler.now + self.wait
                 self.wait = min(2 * self.wait, WAIT_MOST)
-            self.lost(asked, Outcome.UNREACHED, str(trouble))
+            self.lost(asked, Outcome.UNREACHABLE, str(trouble))
             return None
         finally:
             asked.dial = None
@@ -224,7 +224,7 @@
         if link.malformed:
             self.counters.count("vault.malformed")
         if asked.outcome is None:
-            self.lost(asked, Outcome.SEVERED, link.why)
+            self.lost(asked, Outcome.CONNECTION_LOST, link.why)
         else:
             self.over(asked, asked.outcome)
 
@@ -233,7 +233,7 @@
 
     def lost(self, asked: Asked, outcome: Outcome, why: str) -> None:
         if self.stands(asked):
-            self.counters.count("vault.lost", outcome is Outcome.SEVERED)
+            self.counters.count("vault.lost", outcome is Outcome.CONNECTION_LOST)
             self.log.fault("a call to the vault was lost", why=why)
         self.over(asked, outcome)
 
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -5,16 +5,25 @@
 import sys
 from pathlib import Path
 
-from birchslip.driver import Driver
-from birchslip.interface import SECOND, Deployment, Ended, Gauges, Kind, Outcome, Profile, Transaction
+from birchslip.admission.driver import AdmissionDriver
+from birchslip.admission.types import (
+    SECOND,
+    AdmissionSettings,
+    Gauges,
+    Idempotency,
+    Outcome,
+    Request,
+    RequestClass,
+    RunEnded,
+)
 
 MS = SECOND // 1000
 ROOT = Path(__file__).resolve().parent.parent
-HONOURED = Ended(Outcome.HONOURED)
+SERVED = RunEnded(Outcome.SERVED)
 
 
-def profile(kind=Kind.REDOABLE, goal=1000, deadline=4000, **more):
-    return Profile(kind, goal * MS, deadline * MS, **more)
+def profile(kind=Idempotency.IDEMPOTENT, latency_objective=1000, deadline=4000, **more):
+    return RequestClass(kind, latency_objective * MS, deadline * MS, **more)
 
 
 class Desk:
@@ -23,26 +32,26 @@
     def __init__(self, *profiles, **site):
         self.profiles = profiles or (profile(),)
         self.said, self.told, self.now = [], [], 0
-        site = {"cores": 2, "fleet": 1, **site}
-        self.driver = Driver(
-            Deployment(list(self.profiles), **site),
+        site = {"cores": 2, "fleet_size": 1, **site}
+        self.driver = AdmissionDriver(
+            AdmissionSettings(list(self.profiles), **site),
             0,
             lambda tx, wish: self.said.append((tx, wish)),
             self.told.append,
         )
-        self.brain = self.driver.brain
+        self.controller = self.driver.controller
 
     def at(self, ms, *news, cpu=None, leave=None):
         """One batch: transactions read, (transaction, event) pairs, then perhaps a notice or a tick."""
         self.now = ms * MS
-        self.driver.clock(self.now)
+        self.driver.advance_clock(self.now)
         for item in news:
-            if isinstance(item, Transaction):
-                self.driver.arrive(item)
+            if isinstance(item, Request):
+                self.driver.admit(item)
             else:
                 self.driver.deliver(*item)
         if leave is not None:
-            self.driver.leave(leave * MS)
+            self.driver.drain(leave * MS)
         if cpu is not None:
             self.driver.tick(Gauges(cpu))
         self.driver.settle()
@@ -52,7 +61,7 @@
         """A transaction that reached the machine at `ms`; `wait` is how long its caller waits."""
         kind = self.profiles[which]
         due = ms * MS + (kind.deadline if wait is None else wait * MS)
-        return Transaction(kind, caller, ms * MS, due, size, **more)
+        return Request(kind, caller, ms * MS, due, size, **more)
 
     def wishes(self, tx):
         """The names of what was wished for this transaction, the waiting left out."""
@@ -63,7 +72,7 @@
         ms = 0
         while ms + took < until:
             tx = self.read(ms, which)
-            self.at(ms, tx, cpu=cpu).at(ms + took, (tx, HONOURED), cpu=cpu)
+            self.at(ms, tx, cpu=cpu).at(ms + took, (tx, SERVED), cpu=cpu)
             ms += took
         return self
 
--- a/tests/fleetdesk.py
+++ b/tests/fleetdesk.py
@@ -3,10 +3,10 @@
 import json
 import random
 
-from birchslip.fleet.fleetfile import read_fleet
-from birchslip.fleet.mind import LOOK, Mind
-from birchslip.fleet.records import Incarnation, Knock, Report
-from birchslip.fleet.vote import Ballot, Durable
+from birchslip.cluster.election import DurableVote, Election
+from birchslip.cluster.fleet_file import read_fleet
+from birchslip.cluster.messages import Incarnation, MemberReport, ProbeResult
+from birchslip.cluster.planner_state import LOOK, PlannerState
 
 SECOND = 10_000
 
@@ -32,8 +32,8 @@
         "plan": 0,
     }
     site = site or name.rpartition("-")[0]
-    met = [Knock(name=door, met=what) for door, what in knocks]
-    return Report(
+    met = [ProbeResult(name=door, met=what) for door, what in knocks]
+    return MemberReport(
         name=name, number=number, site=site, incarnation=Incarnation(mark=mark), knocks=met, **usual | more
     )
 
@@ -70,8 +70,8 @@
     def __init__(self, folder, **more):
         self.now = 0
         self.fleet = fleet(folder, **more)
-        ballot = Ballot("p0", ["p0"], Durable(), 1, 0, random.Random(1))
-        self.mind = Mind(self.fleet, ballot, 0)
+        ballot = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
+        self.mind = PlannerState(self.fleet, ballot, 0)
         self.names = [one.name for site in self.fleet.sites for one in site.members]
         self.marks = dict.fromkeys(self.names, 1)
         self.told = {name: {} for name in self.names}
--- a/tests/hall.py
+++ b/tests/hall.py
@@ -10,7 +10,7 @@
 import termios
 from contextlib import suppress
 
-from birchslip.interface import MS
+from birchslip.admission.types import MS
 from birchslip.lab.toy import Router
 from birchslip.net.counters import Counters
 from birchslip.net.log import Log
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from birchslip.adapter.host import Loop, serve
-from birchslip.deployment import early as round_early
-from birchslip.deployment import late as round_late
+from birchslip.admission.settings import round_down_seconds as round_early
+from birchslip.admission.settings import round_up_seconds as round_late
+from birchslip.simulator.host import Loop, serve
 
 HELLO = "hello\t7\tclasses.count=1\tclasses.0.effect=by_key\tclasses.0.aim_s=1.0\tclasses.0.hard_limit_s=4.0"
 HELLO += "\tclasses.0.window_s=5.0\tfamily_info.cores=2\tnew.key=1"
--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from birchslip.interface import MS, Outcome, Transaction
+from birchslip.admission.types import MS, Outcome, Request
 from birchslip.net.labels import Labels
 from birchslip.net.passage import Passage
 from birchslip.net.servers import SILENT, Agent
@@ -59,7 +59,7 @@
 
     def launch(self, name):
         now = self.scheduler.now
-        passage = Passage(None, 1, name, "lookup", b"", Transaction(profile(), 0, now, now + 9999, 1), now)
+        passage = Passage(None, 1, name, "lookup", b"", Request(profile(), 0, now, now + 9999, 1), now)
         self.agent.launch(passage)
         self.passes()
         return passage
@@ -94,7 +94,7 @@
     assert linked.hears(linked.place, b'"launch","id":"a1"')  # it is told again
     linked.say(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
     linked.passes()
-    assert linked.ends == [("a1", Outcome.HONOURED)]
+    assert linked.ends == [("a1", Outcome.SERVED)]
 
 
 def test_a_link_that_is_heard_is_kept_and_so_is_one_after_a_pause(linked):
@@ -127,7 +127,7 @@
     linked.greet()
     linked.say(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
     linked.passes()
-    assert linked.ends == [("a1", Outcome.HONOURED)] and linked.agent.last == 1
+    assert linked.ends == [("a1", Outcome.SERVED)] and linked.agent.last == 1
 
 
 def test_a_call_that_is_asked_for_again_gives_up_the_one_that_is_out(linked):
--- a/tests/test_bond.py
+++ b/tests/test_bond.py
@@ -5,12 +5,19 @@
 
 import pytest
 
-from birchslip.deployment import Malformed
-from birchslip.driver import Driver
-from birchslip.fleet import member as bonds
-from birchslip.fleet.records import Incarnation, Reply, Tell, decode, encode
-from birchslip.fleet.steady import steady_clock
-from birchslip.interface import Below, Deployment, Kind, Profile, Refusal, Tenant
+from birchslip.admission.driver import AdmissionDriver
+from birchslip.admission.types import (
+    AdmissionSettings,
+    Downstream,
+    Idempotency,
+    RequestClass,
+    SheddingTier,
+    Tenant,
+)
+from birchslip.cluster import planner_link as bonds
+from birchslip.cluster.messages import Incarnation, PlanAssignment, ReportReply, decode, encode
+from birchslip.cluster.monotonic_clock import monotonic_now
+from birchslip.errors import InvalidInputError
 from birchslip.net.counters import Counters
 from birchslip.net.log import Log
 from birchslip.net.program import Program
@@ -28,20 +35,22 @@
 
     def __init__(self, folder, monkeypatch):
         self.now = 0
-        monkeypatch.setattr(bonds, "steady_clock", lambda: self.now)
+        monkeypatch.setattr(bonds, "monotonic_now", lambda: self.now)
         self.tenant = Tenant(10.0)
-        profile = Profile(Kind.REDOABLE, SECOND, 4 * SECOND)
-        self.site = Deployment([profile], [self.tenant], below=Below.SHARED, calls_share=4.0)
+        profile = RequestClass(Idempotency.IDEMPOTENT, SECOND, 4 * SECOND)
+        self.site = AdmissionSettings(
+            [profile], [self.tenant], downstream=Downstream.SHARED, downstream_quota=4.0
+        )
         scheduler = Scheduler(lambda: None, lambda name, trouble: None, lambda: self.now)
-        self.bond = bonds.Bond(
+        self.bond = bonds.PlannerLink(
             scheduler, Counters(), Log(scheduler, "a-0"), fleet(folder), "a-0", self.site, ["blue"], ["order"]
         )
-        self.bond.driver = Driver(self.site, 0, lambda tx, wish: None, lambda notice: None)
-        self.brain = self.bond.driver.brain
+        self.bond.driver = AdmissionDriver(self.site, 0, lambda tx, wish: None, lambda notice: None)
+        self.controller = self.bond.driver.controller
 
     def hear(self, sent, now, **more):
         self.now = self.bond.scheduler.now = now
-        reply = Reply(epoch=64, author=AUTHOR, leads=True, **more)
+        reply = ReportReply(epoch=64, author=AUTHOR, leads=True, **more)
         if self.bond.obey.take(reply, sent, now):
             self.bond.carry_out(reply, now)
         self.bond.check()
@@ -66,43 +75,43 @@
         "listed": True,
         "short": True,
     }
-    return Tell(**usual | more)
+    return PlanAssignment(**usual | more)
 
 
 def test_without_a_lease_the_kept_part_alone_may_be_in_hand(tie):
     tie.bond.check()
-    assert tie.brain.calls_share == 2.0  # half of an even share of 24 among six
+    assert tie.controller.calls_share == 2.0  # half of an even share of 24 among six
 
 
 def test_a_lease_that_ended_in_a_pause_binds_before_the_next_batch(tie):
     tie.hear(0, 100, share=5.0, lease=3 * SECOND)
-    assert tie.brain.calls_share == 5.0
+    assert tie.controller.calls_share == 5.0
     tie.now = 60 * SECOND  # stopped for a minute
     tie.bond.check()
-    assert tie.brain.calls_share == 2.0 and tie.bond.counters.counts["fleet.leases_lapsed"] == 1
+    assert tie.controller.calls_share == 2.0 and tie.bond.counters.counts["fleet.leases_lapsed"] == 1
 
 
 def test_the_clock_of_leases_does_not_follow_the_systems(monkeypatch):
-    before = steady_clock()
+    before = monotonic_now()
     monkeypatch.setattr(time, "time_ns", lambda: 0)
     monkeypatch.setattr(time, "time", lambda: 0.0)
-    assert 0 <= steady_clock() - before < 60 * SECOND
+    assert 0 <= monotonic_now() - before < 60 * SECOND
 
 
 def test_a_plan_reaches_the_decisions_with_what_is_known_here(tie):
     tie.hear(0, 1_000, tell=tell())
-    plan = tie.brain.plan
+    plan = tie.controller.plan
     assert (plan.epoch, plan.number, plan.until) == (64, 1, 4 * SECOND)
     assert plan.quotas == {tie.tenant: 3.0} and plan.visitors == {5} and plan.visits == 2.0
-    assert plan.order == (Refusal.VISITOR, Refusal.HOME) and plan.level == 0.5 and plan.short
+    assert plan.order == (SheddingTier.EVACUATED, SheddingTier.LOCAL) and plan.level == 0.5 and plan.short
 
 
 def test_a_plan_that_came_too_late_or_from_nobody_who_leads_is_not_taken_over(tie):
     tie.hear(0, 5 * SECOND, tell=tell())
     tie.now = 6 * SECOND
-    reply = Reply(epoch=65, author=AUTHOR, leads=False, tell=tell(epoch=65, plan=9))
+    reply = ReportReply(epoch=65, author=AUTHOR, leads=False, tell=tell(epoch=65, plan=9))
     assert not tie.bond.obey.take(reply, tie.now, tie.now)
-    assert tie.brain.plan.epoch == 0 and not tie.brain.force
+    assert tie.controller.plan.epoch == 0 and not tie.controller.force
 
 
 def test_what_it_reports_counts_first_tries_at_home_visits_and_further_tries_apart(tie):
@@ -152,8 +161,8 @@
     ],
 )
 def test_a_record_that_can_not_be_is_refused_with_a_reason(raw):
-    with pytest.raises(Malformed, match="Re"):
-        decode(raw, type(report()) if b"name" in (raw if isinstance(raw, bytes) else b"") else Reply)
+    with pytest.raises(InvalidInputError, match="Re"):
+        decode(raw, type(report()) if b"name" in (raw if isinstance(raw, bytes) else b"") else ReportReply)
 
 
 def test_a_fault_on_the_fleets_side_costs_no_transaction_anything(tmp_path, monkeypatch):
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from birchslip.interface import Outcome
+from birchslip.admission.types import Outcome
 from birchslip.net.clients import LAST_LOOK, SPARE, WORD, WORD_EVERY, YOUNG
 from birchslip.net.messagepack import pack
 from birchslip.net.passage import Label
@@ -68,7 +68,7 @@
     link.sendall(raw[len(raw) - cut :])
     hall.passes()
     (name,) = hall.launched()
-    hall.end(name, Outcome.HONOURED)
+    hall.end(name, Outcome.SERVED)
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
     hall.passes(ms=TOLD_MS)  # and once nothing is open, it ends
@@ -120,7 +120,7 @@
     router.link.sendall(pack([0, 2, "ping", [{}]])[:3])
     hall.passes()
     hall.passes(ms=(WORD + WORD_EVERY) // 10)
-    hall.end(hall.launched()[0], Outcome.HONOURED)
+    hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
     hall.passes(ms=WORD_EVERY // 10)  # then the half message is one too late
@@ -137,7 +137,7 @@
     for _ in range(10):
         hall.passes(ms=YOUNG // 10)
     hall.passes(ms=100)
-    hall.end(hall.launched()[0], Outcome.HONOURED)
+    hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}]) and len(crowd) == 20
     assert len(hall.clients.all) <= 3
@@ -151,7 +151,7 @@
     call = mute.call("lookup", b"1")  # the one that would go has just said something
     other = hall.router()
     hall.passes()
-    hall.end(hall.launched()[0], Outcome.HONOURED)
+    hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert mute.answer(call) == (None, [b"made", {}])
     assert at_the_end(router) == [] and other.link
@@ -206,7 +206,7 @@
     leave(hall)
     hall.passes(ms=LAST_LOOK // 10)  # no room to look whether someone waits
     assert hall.clients.listener is not None
-    hall.end(hall.launched()[0], Outcome.HONOURED)
+    hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
     hall.hang_up(router)
@@ -259,7 +259,7 @@
     second = hall.router()
     waiting = second.call("lookup", b"1")
     leave(hall)
-    hall.end(hall.launched()[0], Outcome.HONOURED)
+    hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert first.answer(running) == (None, [b"made", {}])
     hall.hang_up(first)
@@ -353,7 +353,7 @@
     again, new = other.call("order", b"1", opkey=KEY), other.call("order", b"1", opkey="2" * 32)
     hall.passes()
     assert other.answer(new)[0][0] == "Overloaded" and again not in other.replies
-    hall.end(hall.launched()[0], Outcome.HONOURED)
+    hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert router.answer(first)[1] == other.answer(again)[1] == [b"made", {}] and len(hall.launched()) == 1
 
@@ -380,7 +380,7 @@
     hall.program.leave()
     hall.program.close()
     for name in hall.launched():
-        hall.end(name, Outcome.RECALLED)  # its room would be free for the next
+        hall.end(name, Outcome.CANCELLED)  # its room would be free for the next
     hall.passes()
     words = [router.answer(call)[0][0] for call in calls]
     assert sorted(words) == ["Failed"] * started + ["Overloaded"] * (6 - started)
@@ -393,7 +393,7 @@
     call = router.call("lookup", b"1")
     hall.passes()
     hall.program.leave()
-    hall.end(hall.launched()[0], Outcome.HONOURED)
+    hall.end(hall.launched()[0], Outcome.SERVED)
     hall.program.leave()  # and at once the second
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
--- a/tests/test_conduct.py
+++ b/tests/test_conduct.py
@@ -6,12 +6,18 @@
 import msgspec
 import pytest
 
-from birchslip.fleet.conduct import Conductor, Releases, Word
-from birchslip.fleet.fleetfile import read_fleet
-from birchslip.fleet.listing import read_listing
-from birchslip.fleet.permits import Asker, Group, Permits, Seen, Why
-from birchslip.fleet.records import Incarnation
-from birchslip.fleet.release import Phase, Plan
+from birchslip.cluster.disruption_budget import (
+    BudgetGroup,
+    DisruptionBudget,
+    EvictionWaiter,
+    MemberObservation,
+    UnavailabilityReason,
+)
+from birchslip.cluster.fleet_file import read_fleet
+from birchslip.cluster.inventory import read_inventory
+from birchslip.cluster.messages import Incarnation
+from birchslip.cluster.rollout import RolloutPhase, RolloutSpec
+from birchslip.cluster.rollout_controller import RolloutCommand, RolloutController, RolloutStates
 
 from .fleetdesk import Stage, fleet_told, report
 
@@ -22,25 +28,25 @@
 
 def plan(**more):
     told = {"version": "2", "before": "1", "sites": ["a"], "watch_ms": 1_000, "watch_most_ms": 2_000}
-    return msgspec.convert(told | {"margins": MARGINS} | more, Plan)
+    return msgspec.convert(told | {"margins": MARGINS} | more, RolloutSpec)
 
 
 def listing(services=(), **members):
     told = {name: {"state": "up", "version": "1"} for name in NAMES}
     told |= {name.replace("_", "-"): {"state": "up", "version": "1"} | more for name, more in members.items()}
     below = {name: {"state": state, "life": 1} for name, state in services}
-    return read_listing(json.dumps({"members": told, "services": below, "more": 1}).encode())
+    return read_inventory(json.dumps({"members": told, "services": below, "more": 1}).encode())
 
 
 class Desk:
     def __init__(self, most=2):
-        self.permits = Permits([Group("fleet", frozenset(NAMES), most=most)])
-        self.conductor = Conductor(PARTS, ["store-1"], self.permits, 30_000)
-        self.seen = {name: Seen(Incarnation(mark=1), 10.0) for name in NAMES}
+        self.permits = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), most=most)])
+        self.conductor = RolloutController(PARTS, ["store-1"], self.permits, 30_000)
+        self.seen = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
         self.conductor.hear(listing(), 0)
 
     def say(self, what, now=1, **more):
-        return self.conductor.word(Word(what=what, who="ann", **more), now)
+        return self.conductor.word(RolloutCommand(what=what, who="ann", **more), now)
 
     def look(self, now=2, lost=()):
         reports = {name: report(name, now) for name in NAMES}
@@ -128,7 +134,7 @@
 
 def test_another_s_permit_is_not_drained_on_and_another_s_stop_is_not_started():
     desk = Desk()
-    desk.permits.grant(Asker(holder="a-0", incarnation=Incarnation(mark=1), why="repairs"))
+    desk.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(mark=1), why="repairs"))
     desk.say("start", plan=plan())
     assert desk.look() == [] and "another's: repairs" in desk.conductor.told()[0]["doing"]
     desk.conductor.hear(listing(a_0={"state": "stopped"}), 3)
@@ -143,7 +149,7 @@
     told = desk.conductor.told()[0]
     assert told["phase"] == "halted" and told["bad"] and "ended by themselves" in told["why"]
     assert "only back is left" in desk.say("resume").why
-    desk.conductor.releases[0].move(Phase.DONE, "played")
+    desk.conductor.releases[0].move(RolloutPhase.DONE, "played")
     assert desk.say("start", plan=plan(sites=["b"])).done
     assert desk.say("back", number=1).done and desk.look(5) == [("drain", "b-0"), ("drain", "a-0")][::-1]
 
@@ -152,7 +158,7 @@
     desk = Desk()
     desk.say("start", plan=plan())
     desk.look()
-    desk.seen["a-0"] = Seen(Incarnation(mark=1), 10.0, Why.SILENT)
+    desk.seen["a-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
     desk.conductor.hear(listing(a_0={"state": "failed", "version": "1", "starts": 2}), 3)
     desk.look(4)
     assert desk.conductor.told()[0]["left_out"] == ["a-0"]
@@ -172,7 +178,7 @@
 
 def test_a_release_without_a_step_halts_and_says_what_it_waited_for():
     desk = Desk(most=1)
-    desk.seen["b-0"] = Seen(Incarnation(mark=1), 10.0, Why.SILENT)
+    desk.seen["b-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
     desk.say("start", plan=plan(stall_ms=2_000))
     for now in (10, 10_000, 19_999):
         desk.conductor.hear(listing(), now)
@@ -188,7 +194,7 @@
     desk = Desk()
     desk.say("start", plan=plan())
     desk.look()
-    kept = msgspec.json.decode(msgspec.json.encode(desk.conductor.book), type=Releases)
+    kept = msgspec.json.decode(msgspec.json.encode(desk.conductor.book), type=RolloutStates)
     desk.conductor.take(kept, 100)
     assert desk.look(101) == []
     desk.conductor.hear(listing(), 102)
@@ -210,12 +216,16 @@
 
 def test_services_below_are_as_the_platform_tells_and_out_while_it_is_not_heard():
     conductor = Desk().conductor
-    for state, out in [("up", None), ("draining", Why.LEAVING), ("stopped", Why.SILENT)]:
+    for state, out in [
+        ("up", None),
+        ("draining", UnavailabilityReason.LEAVING),
+        ("stopped", UnavailabilityReason.SILENT),
+    ]:
         conductor.hear(listing(services=[("store-1", state)]), 10)
         assert conductor.seen(11)["store-1"].out is out
-    assert conductor.seen(40_000)["store-1"].out is Why.SILENT
+    assert conductor.seen(40_000)["store-1"].out is UnavailabilityReason.SILENT
     conductor.hear(listing(), 10)
-    assert conductor.seen(11)["store-1"].out is Why.SILENT  # the platform does not know it
+    assert conductor.seen(11)["store-1"].out is UnavailabilityReason.SILENT  # the platform does not know it
 
 
 # ---- in the mind of a leader ------------------------------------------------------------------------------
@@ -231,7 +241,7 @@
 
 
 def begin(stage, **more):
-    number, said = stage.mind.say(Word(what="start", who="ann", plan=plan(**more)), stage.now)
+    number, said = stage.mind.say(RolloutCommand(what="start", who="ann", plan=plan(**more)), stage.now)
     assert said.done, said.why
     return number
 
@@ -257,7 +267,7 @@
     mind = stage.mind
     mind.permits.book.permits.clear()  # as if only a want's serving granted it, and nobody kept that yet
     why = mind.conductor.releases[0].why_out
-    mind.permits.grant(Asker(holder="a-0", incarnation=Incarnation(mark=1), why=why))
+    mind.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(mark=1), why=why))
     mind.renew(stage.now)
     mind.look(stage.now + 2_500)
     assert mind.conductor.orders and mind.orders(stage.now + 2_500) == []
@@ -285,7 +295,7 @@
     told |= {"groups": GROUPS, "platform": PLATFORM, "services": [{"name": "store-1", "kind": "store"}]}
     path.write_text(json.dumps(told))
     assert stage.mind.amend(read_fleet(path), stage.now) == []
-    assert stage.mind.seen(stage.now)["a-0"].out is Why.BELOW
+    assert stage.mind.seen(stage.now)["a-0"].out is UnavailabilityReason.BELOW
     stage.mind.conductor.hear(listing(services=[("store-1", "up")]), stage.now)
     assert stage.mind.seen(stage.now)["a-0"].out is None
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -2,15 +2,21 @@
 
 import pytest
 
-from birchslip.brain import LEVEL_MOST, RETURNS
-from birchslip.interface import SECOND, Advertise, Ended, Idle, Outcome
+from birchslip.admission.controller import LEVEL_MOST, RETURNS
+from birchslip.admission.types import (
+    SECOND,
+    AdvertiseCriticality,
+    Outcome,
+    RunEnded,
+    SetIdleTimeout,
+)
 
-from .desk import HONOURED, MS, Desk, profile
+from .desk import MS, SERVED, Desk, profile
 
 
 def idle_limit(desk):
     """The idle limit told last, in ms; 0 leaves connections open as long as callers do."""
-    return [told.span for told in desk.told if isinstance(told, Idle)][-1] // MS
+    return [told.timeout for told in desk.told if isinstance(told, SetIdleTimeout)][-1] // MS
 
 
 # few callers; many that each come once; the same in a storm of retries; a heavy caller among many light ones
@@ -20,17 +26,17 @@
     ids=["few", "many", "many in a storm", "one heavy among many"],
 )
 def test_the_idle_limit_is_the_cheapest_for_how_callers_came_back(callers, shed, limit):
-    desk = Desk(cores=1, callers=500)
+    desk = Desk(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
         number = at // 100
         caller = number % callers if callers else 0 if number % 4 else number
         tx = desk.read(at, caller=caller)
-        desk.at(at, tx).at(at + 50, (tx, HONOURED), cpu=0.5)
+        desk.at(at, tx).at(at + 50, (tx, SERVED), cpu=0.5)
     for _ in range(shed):
-        desk.brain.shed(desk.read(0))
+        desk.controller.shed(desk.read(0))
     desk.at(17_000, cpu=0.5)
     assert idle_limit(desk) == limit
-    assert desk.brain.storm is (shed > 0)
+    assert desk.controller.storm is (shed > 0)
 
 
 @pytest.mark.parametrize(("cpu", "limit"), [(1.0, 100), (0.1, 0)], ids=["busy", "idle cores"])
@@ -44,7 +50,7 @@
 
 @pytest.mark.parametrize(("callers", "limit"), [(20, 6400), (2000, 100)], ids=["small fleet", "large fleet"])
 def test_a_first_contact_soon_after_the_start_is_a_stranger_only_among_many_callers(callers, limit):
-    desk = Desk(cores=1, callers=callers)
+    desk = Desk(cores=1, caller_count=callers)
     for at in range(0, 2_000, 100):
         desk.at(at, desk.read(at, caller=at), cpu=1.0)
     assert idle_limit(desk) == limit
@@ -53,41 +59,41 @@
 @pytest.mark.parametrize(("known", "limits"), [(True, [100, 0, 0, 100]), (False, [100, 100, 100, 100])])
 def test_connections_stay_in_a_flood_until_it_is_over(known, limits):
     """With 50 ms a run two hundred could be served in the window; without a run nothing is known of that."""
-    desk = Desk(cores=1, callers=500)
+    desk = Desk(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
         tx = desk.read(at, caller=at)
-        desk.at(at, tx).at(at + 50, (tx, HONOURED if known else Ended(Outcome.RECALLED)), cpu=0.5)
+        desk.at(at, tx).at(at + 50, (tx, SERVED if known else RunEnded(Outcome.CANCELLED)), cpu=0.5)
     seen = []
     for more in (300, 200, -250, -100):  # 300, 500, 250 and 150 are shed in the window
-        desk.brain.turned.add(desk.now, more)
-        desk.brain.next_idle = 0
-        desk.brain.close_idle()
-        seen.append(desk.brain.idle // MS)
+        desk.controller.turned.add(desk.now, more)
+        desk.controller.next_idle = 0
+        desk.controller.close_idle()
+        seen.append(desk.controller.idle // MS)
     assert seen == limits
 
 
 def test_what_has_waited_unread_for_a_second_is_a_flood_until_it_waits_shortly():
     """Reading can't keep up, so that what is read is late and hardly shed any more."""
-    desk = Desk(cores=1, callers=500)
+    desk = Desk(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
         desk.at(at, desk.read(at, caller=at), cpu=0.5)
     seen = []
     for unread in (900, 1100, 400, 200):
         desk.at(17_000, desk.read(17_000 - unread, caller=unread))
-        desk.brain.next_idle = 0
-        desk.brain.close_idle()
-        seen.append(desk.brain.idle // MS)
+        desk.controller.next_idle = 0
+        desk.controller.close_idle()
+        seen.append(desk.controller.idle // MS)
     assert seen == [100, 0, 0, 100]
 
 
 def advertised(desk):
-    return [told.value for told in desk.told if isinstance(told, Advertise)]
+    return [told.value for told in desk.told if isinstance(told, AdvertiseCriticality)]
 
 
 def test_a_level_rises_while_work_is_shed_and_falls_back_to_nothing():
-    desk = Desk(profile(goal=20_000, deadline=40_000), cores=1, levels=True)
+    desk = Desk(profile(latency_objective=20_000, deadline=40_000), cores=1, sends_criticality=True)
     desk.at(0, desk.read(0), desk.read(0))
-    desk.brain.shed(desk.read(0))
+    desk.controller.shed(desk.read(0))
     for at in range(50, 5_000, 50):
         desk.at(at, cpu=1.0)
     risen = advertised(desk)
@@ -98,11 +104,11 @@
 
 
 def test_no_level_is_told_where_callers_heed_none_or_nothing_is_shed():
-    heedless, calm = Desk(cores=1), Desk(cores=1, levels=True)
+    heedless, calm = Desk(cores=1), Desk(cores=1, sends_criticality=True)
     for desk, shed in ((heedless, 1), (calm, 0)):
         desk.at(0, desk.read(0), desk.read(0))
         for _ in range(shed):
-            desk.brain.shed(desk.read(0))
+            desk.controller.shed(desk.read(0))
         for at in range(50, 2_000, 50):
             desk.at(at, cpu=1.0)
         assert advertised(desk) == []
@@ -110,11 +116,11 @@
 
 @pytest.mark.parametrize(("callers", "last"), [(2, False), (500, True)], ids=["few", "many"])
 def test_a_shed_asks_not_to_be_tried_elsewhere_where_a_try_needs_a_new_connection(callers, last):
-    desk = Desk(cores=1, callers=callers, advises=True, longest_advice=SECOND)
+    desk = Desk(cores=1, caller_count=callers, sends_retry_after=True, max_retry_after=SECOND)
     for at in range(0, 16_000, 100):
         tx = desk.read(at, caller=at // 100 % callers)
-        desk.at(at, tx).at(at + 50, (tx, HONOURED), cpu=0.5)
-    assert desk.brain.shed(desk.read(16_000)).last is last
+        desk.at(at, tx).at(at + 50, (tx, SERVED), cpu=0.5)
+    assert desk.controller.shed(desk.read(16_000)).stop_retrying is last
 
 
 def test_an_untold_number_of_callers_makes_no_stranger_of_one_not_heard_yet():
@@ -126,7 +132,7 @@
 
 
 def test_callers_are_remembered_for_no_longer_than_their_connections_last():
-    desk = Desk(cores=1, keepalive=5 * SECOND)
+    desk = Desk(cores=1, keepalive_timeout=5 * SECOND)
     for at in range(0, 20_000, 100):
         desk.at(at, desk.read(at, caller=at), cpu=0.5)
-    assert len(desk.brain.returns.last_heard) <= 51 and len(desk.brain.returns.gaps) == RETURNS
+    assert len(desk.controller.returns.last_heard) <= 51 and len(desk.controller.returns.gaps) == RETURNS
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -2,28 +2,28 @@
 
 import pytest
 
-from birchslip.brain import CALLS_KEPT
-from birchslip.interface import (
-    Below,
+from birchslip.admission.controller import CALLS_KEPT
+from birchslip.admission.types import (
     CallEnded,
+    CallerGone,
+    CallNeeded,
+    Downstream,
     Gauges,
-    Gone,
-    Halt,
-    Health,
-    Kind,
-    NeedsCall,
+    Idempotency,
     Outcome,
-    Shed,
+    Preemption,
+    Reject,
+    SetHealth,
     Tenant,
 )
 
-from .desk import HONOURED, MS, Desk, profile
+from .desk import MS, SERVED, Desk, profile
 
 
 def test_held_start_by_due_time():
-    desk = Desk(profile(goal=3000), profile(goal=1000), cores=1)
+    desk = Desk(profile(latency_objective=3000), profile(latency_objective=1000), cores=1)
     busy, late, soon = desk.read(0), desk.read(0), desk.read(0, 1)
-    desk.at(0, busy, late, soon).at(100, (busy, HONOURED))
+    desk.at(0, busy, late, soon).at(100, (busy, SERVED))
     assert desk.wishes(soon) == ["Start"] and desk.wishes(late) == []
 
 
@@ -37,16 +37,16 @@
     desk = Desk(cores=1, tenants=[tenant]).warm(until=ran, cpu=cpu)
     desk.at(ran, desk.read(ran), desk.read(ran)).at(ran + 350, cpu=cpu)
     tx = desk.read(ran + 350, tenant=tenant)
-    desk.brain.meter(tx).ring.add(desk.now, 1_000_000_000)
-    assert (desk.brain.count(tx) > 0) is binds
+    desk.controller.meter(tx).ring.add(desk.now, 1_000_000_000)
+    assert (desk.controller.count(tx) > 0) is binds
 
 
 @pytest.mark.parametrize(("over", "wish"), [(50, ["Shed"]), (0, [])])
 def test_a_told_quota_delays_or_sheds_its_own_tenant_only(over, wish):
     heavy, light = Tenant(quota=2.0), Tenant(quota=2.0)
-    desk = Desk(cores=1, tenants=[heavy, light], advises=True, longest_advice=1000 * MS)
-    desk.brain.crowded = True
-    desk.brain.tenants[heavy].ring.add(0, 20 + over)
+    desk = Desk(cores=1, tenants=[heavy, light], sends_retry_after=True, max_retry_after=1000 * MS)
+    desk.controller.crowded = True
+    desk.controller.tenants[heavy].ring.add(0, 20 + over)
     tx, other = desk.read(0, tenant=heavy), desk.read(0, tenant=light)
     desk.at(0, desk.read(0), tx, other)
     assert desk.wishes(tx) == wish and desk.wishes(other) == []
@@ -57,14 +57,14 @@
     desk = Desk(cores=10)
     desk.at(0, *(desk.read(0) for _ in range(running)))
     desk.driver.tick(Gauges(None))
-    assert len(desk.brain.on_cores) == running and desk.brain.busy is busy
+    assert len(desk.controller.on_cores) == running and desk.controller.busy is busy
 
 
 def test_what_is_shed_or_gone_is_taken_out_of_the_windows():
     desk = Desk(cores=1)
     running, gone = desk.read(0), desk.read(0)
-    desk.at(0, running, gone).at(10, (gone, Gone()))
-    assert desk.brain.callers[0].ring.total(desk.now) == running.size
+    desk.at(0, running, gone).at(10, (gone, CallerGone()))
+    assert desk.controller.callers[0].ring.total(desk.now) == running.size
 
 
 def test_the_heaviest_caller_pays_when_the_hold_does_not_fit():
@@ -85,10 +85,10 @@
     ],
 )
 def test_behind_others_it_is_tried_at_what_slow_ones_like_it_take(busy, left, wishes):
-    desk = Desk(profile(goal=5000, deadline=5000), cores=1)
+    desk = Desk(profile(latency_objective=5000, deadline=5000), cores=1)
     for took in (100, 100, 100, 500, 500):
         tx = desk.read(desk.now // MS)
-        desk.at(desk.now // MS, tx).at(desk.now // MS + took, (tx, HONOURED))
+        desk.at(desk.now // MS, tx).at(desk.now // MS + took, (tx, SERVED))
     now = desk.now // MS
     if busy:
         desk.at(now, desk.read(now))
@@ -100,8 +100,8 @@
 def test_the_hold_is_looked_through_once_in_a_while_however_much_comes():
     desk = Desk(cores=1).warm()
     looks = []
-    sweep = desk.brain.sweep
-    desk.brain.sweep = lambda: looks.append(desk.now) or sweep()
+    sweep = desk.controller.sweep
+    desk.controller.sweep = lambda: looks.append(desk.now) or sweep()
     for ms in range(12_010, 12_030):
         desk.at(ms, desk.read(ms))
     assert len(looks) == 5
@@ -109,67 +109,76 @@
 
 @pytest.mark.parametrize(("held_for", "cpu", "limit"), [(1400, 0.5, 2), (1600, 0.5, 3), (1600, 0.95, 2)])
 def test_the_limit_rises_only_when_full_for_the_whole_look_back(held_for, cpu, limit):
-    desk = Desk(profile(goal=30_000, deadline=60_000))
+    desk = Desk(profile(latency_objective=30_000, deadline=60_000))
     desk.at(0, *[desk.read(0) for _ in range(5)], cpu=cpu)
     for ms in range(50, held_for + 1, 50):
         desk.at(ms, cpu=cpu)
-    assert int(desk.brain.limit) == limit
+    assert int(desk.controller.limit) == limit
 
 
 def test_the_limit_is_cut_when_runs_slow_and_never_under_the_cores():
     desk = Desk().warm(until=40_000)
-    desk.brain.limit = 2.1
+    desk.controller.limit = 2.1
     for ms in range(40_000, 52_000, 1500):
         tx = desk.read(ms, wait=4000)
-        desk.at(ms, tx).at(ms + 1400, (tx, HONOURED), cpu=1.0)
-    assert desk.brain.limit == 2.0
+        desk.at(ms, tx).at(ms + 1400, (tx, SERVED), cpu=1.0)
+    assert desk.controller.limit == 2.0
 
 
 @pytest.mark.parametrize(("cpu", "crowd", "most"), [(1.0, 8.0, 3), (1.0, 1.5, 2), (0.5, 8.0, 10)])
 def test_what_has_begun_is_bounded_for_it_may_all_come_back(cpu, crowd, most):
-    desk = Desk(profile(goal=20_000, deadline=30_000), below=Below.SHARED, crowd_multiple=crowd).warm(cpu=cpu)
+    desk = Desk(
+        profile(latency_objective=20_000, deadline=30_000),
+        downstream=Downstream.SHARED,
+        overload_multiple=crowd,
+    ).warm(cpu=cpu)
     for ms in range(12_000, 12_500, 10):
         tx = desk.read(ms)
-        desk.at(ms, tx).at(ms + 5, (tx, NeedsCall()))
-    assert desk.brain.begun == most
+        desk.at(ms, tx).at(ms + 5, (tx, CallNeeded()))
+    assert desk.controller.begun == most
 
 
 def test_one_long_run_of_known_cost_does_not_make_health_bad():
-    desk = Desk(profile(goal=30_000, deadline=60_000)).warm(took=100)
-    desk.brain.runs[desk.profiles[0]].usual = 1.0
-    desk.at(12_000, desk.read(12_000, work=4000 * MS))
+    desk = Desk(profile(latency_objective=30_000, deadline=60_000)).warm(took=100)
+    desk.controller.runs[desk.profiles[0]].usual = 1.0
+    desk.at(12_000, desk.read(12_000, cost_hint=4000 * MS))
     for ms in range(12_050, 15_900, 50):
         desk.at(ms, cpu=0.5)
-    assert Health(False) not in desk.told
+    assert SetHealth(False) not in desk.told
 
 
 def test_calls_that_cannot_be_left_out_go_first():
-    desk = Desk(profile(skip_payoff=0.5), profile(goal=2000), cores=3, below=Below.SHARED)
+    desk = Desk(
+        profile(weight_without_call=0.5),
+        profile(latency_objective=2000),
+        cores=3,
+        downstream=Downstream.SHARED,
+    )
     some, more, most = desk.read(0), desk.read(0), desk.read(0, 1)
-    desk.at(0, some, more, most).at(10, *[(tx, NeedsCall()) for tx in (some, more, most)])
-    desk.at(60, (some, CallEnded(Outcome.HONOURED))).at(160)
+    desk.at(0, some, more, most).at(10, *[(tx, CallNeeded()) for tx in (some, more, most)])
+    desk.at(60, (some, CallEnded(Outcome.SERVED))).at(160)
     assert desk.wishes(more) == ["Start"] and desk.wishes(most) == ["Start", "Call"]
 
 
 @pytest.mark.parametrize(("left", "wish"), [(250, "Call"), (150, "SkipCall")])
 def test_a_call_that_may_be_left_out_is_made_where_it_fits_though_times_scatter(left, wish):
     """Guards against calls that run out of time: they hold up the others and are left out all the same."""
-    desk = Desk(profile(skip_payoff=0.3), below=Below.SHARED, calls_share=4.0)
+    desk = Desk(profile(weight_without_call=0.3), downstream=Downstream.SHARED, downstream_quota=4.0)
     first, tx = desk.read(0), desk.read(0)
-    desk.at(0, first, tx).at(0, (first, NeedsCall())).at(100, (first, CallEnded(Outcome.HONOURED)), cpu=0.1)
-    desk.at(1000 - left, (tx, NeedsCall()), cpu=0.1)
+    desk.at(0, first, tx).at(0, (first, CallNeeded())).at(100, (first, CallEnded(Outcome.SERVED)), cpu=0.1)
+    desk.at(1000 - left, (tx, CallNeeded()), cpu=0.1)
     assert desk.wishes(tx)[-1] == wish
 
 
 @pytest.mark.parametrize(("skip", "wish"), [(0.3, "SkipCall"), (0.0, "WriteOff")])
 def test_a_call_that_cannot_fit_is_left_out_or_ends_it_at_once(skip, wish):
-    desk = Desk(profile(skip_payoff=skip), below=Below.SHARED, calls_share=1.0)
+    desk = Desk(profile(weight_without_call=skip), downstream=Downstream.SHARED, downstream_quota=1.0)
     first, second = desk.read(0), desk.read(0)
-    desk.at(0, first, second).at(10, (first, NeedsCall())).at(
-        700, (first, CallEnded(Outcome.HONOURED)), cpu=0.5
+    desk.at(0, first, second).at(10, (first, CallNeeded())).at(
+        700, (first, CallEnded(Outcome.SERVED)), cpu=0.5
     )
     busy = desk.read(700)
-    desk.at(710, busy, (first, HONOURED)).at(720, (busy, NeedsCall())).at(730, (second, NeedsCall())).at(
+    desk.at(710, busy, (first, SERVED)).at(720, (busy, CallNeeded())).at(730, (second, CallNeeded())).at(
         1001, cpu=0.5
     )
     assert desk.wishes(second)[-1] == wish
@@ -179,7 +188,7 @@
     ("halt", "held", "stopped"), [("drop", 1, True), ("drop", 0, False), ("off", 1, False)]
 )
 def test_a_run_past_its_goal_gives_way_only_to_others(halt, held, stopped):
-    desk = Desk(cores=1, halt=Halt(halt))
+    desk = Desk(cores=1, preemption=Preemption(halt))
     tx = desk.read(0)
     desk.at(0, tx).at(1050, *[desk.read(1050) for _ in range(held)])
     assert ("Stop" in desk.wishes(tx)) is stopped
@@ -190,19 +199,19 @@
     desk.at(12_000, desk.read(12_000, wait=9000), desk.read(12_000, wait=9000))
     for ms in range(12_050, 14_000, 50):
         desk.at(ms, cpu=1.0)
-    assert desk.told.count(Health(False)) == 1
-    for tx in list(desk.brain.on_cores):
-        desk.at(14_000, (tx, HONOURED))
+    assert desk.told.count(SetHealth(False)) == 1
+    for tx in list(desk.controller.on_cores):
+        desk.at(14_000, (tx, SERVED))
     for ms in range(14_050, 18_000, 50):
         desk.at(ms, cpu=0.0)
-    assert desk.brain.good
+    assert desk.controller.good
 
 
 def test_first_short_runs_do_not_make_health_bad():
     desk = Desk(cores=2)
     short, long = desk.read(0), desk.read(0)
-    desk.at(0, short, long).at(10, (short, HONOURED), cpu=1.0).at(1000, cpu=1.0)
-    assert desk.brain.good
+    desk.at(0, short, long).at(10, (short, SERVED), cpu=1.0).at(1000, cpu=1.0)
+    assert desk.controller.good
 
 
 def test_an_empty_app_server_tries_whatever_the_figures_say():
@@ -211,7 +220,7 @@
 
 
 def test_a_stuck_app_server_asks_to_be_left_for_longest():
-    desk = Desk(advises=True, longest_advice=900 * MS).warm()
+    desk = Desk(sends_retry_after=True, max_retry_after=900 * MS).warm()
     desk.at(12_000, desk.read(12_000, wait=9000), desk.read(12_000, wait=9000))
     for ms in range(12_050, 14_000, 50):
         desk.at(ms, cpu=1.0)
@@ -220,19 +229,21 @@
 
 
 def test_the_recent_time_of_calls_forgets_a_slow_spell():
-    desk = Desk(profile(goal=9000, deadline=9000), below=Below.SHARED, calls_share=9.0)
+    desk = Desk(
+        profile(latency_objective=9000, deadline=9000), downstream=Downstream.SHARED, downstream_quota=9.0
+    )
     for start, end in ((0, 2000), (4500, 4600)):
         tx = desk.read(start, wait=9000)
-        desk.at(start, tx).at(start, (tx, NeedsCall())).at(end, (tx, CallEnded(Outcome.HONOURED)), cpu=0.1)
-    assert desk.brain.call_time == 100 * MS
+        desk.at(start, tx).at(start, (tx, CallNeeded())).at(end, (tx, CallEnded(Outcome.SERVED)), cpu=0.1)
+    assert desk.controller.call_time == 100 * MS
 
 
 @pytest.mark.parametrize(("stretch", "wish"), [(1.0, "Start"), (1.5, "Shed")])
 def test_a_free_core_tries_at_base_time_while_the_pace_is_usual(stretch, wish):
     desk = Desk(cores=2).warm(until=9000)
-    desk.brain.runs[desk.profiles[0]].base = 200 * MS
-    desk.brain.runs[desk.profiles[0]].usual = 1200 * MS
-    desk.brain.stretch = stretch
+    desk.controller.runs[desk.profiles[0]].base = 200 * MS
+    desk.controller.runs[desk.profiles[0]].usual = 1200 * MS
+    desk.controller.stretch = stretch
     tx = desk.read(9000)
     desk.at(9000, desk.read(9000, wait=9000), tx)
     assert desk.wishes(tx)[-1] == wish
@@ -241,10 +252,12 @@
 @pytest.mark.parametrize(("quota", "longer"), [(2.0, False), (0.0, True)])
 def test_only_a_caller_past_its_own_quota_is_asked_to_wait_for_the_delay(quota, longer):
     tenant = Tenant(quota)
-    desk = Desk(cores=1, tenants=[tenant], advises=True, longest_advice=1000 * MS).warm(until=12_000)
-    desk.brain.crowded = True
+    desk = Desk(cores=1, tenants=[tenant], sends_retry_after=True, max_retry_after=1000 * MS).warm(
+        until=12_000
+    )
+    desk.controller.crowded = True
     for ms in range(12_000, 12_500):
-        desk.brain.meter(desk.read(ms, tenant=tenant)).ring.add(ms * MS, 10_000)
+        desk.controller.meter(desk.read(ms, tenant=tenant)).ring.add(ms * MS, 10_000)
     tx = desk.read(12_500, tenant=tenant)
     desk.at(12_500, tx)
     assert desk.wishes(tx) == ["Shed"] and (desk.said[-1][1].after > 500 * MS) is longer
@@ -253,48 +266,53 @@
 # a gap after the one call; the rate that follows 300 ms
 @pytest.mark.parametrize(("share", "took", "early", "due"), [(0.5, 1000, 1900, 2000), (3.0, 300, 1030, 1060)])
 def test_calls_are_paced_by_their_recent_time(share, took, early, due):
-    desk = Desk(profile(goal=9000, deadline=9000), cores=4, below=Below.SHARED, calls_share=share)
+    desk = Desk(
+        profile(latency_objective=9000, deadline=9000),
+        cores=4,
+        downstream=Downstream.SHARED,
+        downstream_quota=share,
+    )
     first, second, third = (desk.read(0, wait=9000) for _ in range(3))
-    desk.at(0, first, second, third).at(0, (first, NeedsCall()))
-    desk.at(took, (first, CallEnded(Outcome.HONOURED)), cpu=0.1)
+    desk.at(0, first, second, third).at(0, (first, CallNeeded()))
+    desk.at(took, (first, CallEnded(Outcome.SERVED)), cpu=0.1)
     if share > 1:
-        desk.at(1000, (second, NeedsCall()))
-    desk.at(max(took, 1000), (third, NeedsCall())).at(early)
+        desk.at(1000, (second, CallNeeded()))
+    desk.at(max(took, 1000), (third, CallNeeded())).at(early)
     assert desk.wishes(third) == ["Start"]
     assert desk.at(due).wishes(third) == ["Start", "Call"]
 
 
 @pytest.mark.parametrize(("call_time", "allowed"), [(100, 9.0), (200, 4.5), (9000, 9.0 * CALLS_KEPT)])
 def test_fewer_calls_in_hand_as_they_slow_but_never_none(call_time, allowed):
-    desk = Desk(below=Below.SHARED, calls_share=9.0)
-    desk.brain.calls.base, desk.brain.call_time = 100.0, float(call_time)
-    assert desk.brain.allowed_calls() == pytest.approx(allowed)
+    desk = Desk(downstream=Downstream.SHARED, downstream_quota=9.0)
+    desk.controller.calls.base, desk.controller.call_time = 100.0, float(call_time)
+    assert desk.controller.allowed_calls() == pytest.approx(allowed)
 
 
 def test_a_refused_call_counts_as_a_slow_one():
-    desk = Desk(below=Below.SHARED)
-    desk.brain.call_time = 100.0 * MS
+    desk = Desk(downstream=Downstream.SHARED)
+    desk.controller.call_time = 100.0 * MS
     tx = desk.read(0)
-    desk.at(0, tx).at(1, (tx, NeedsCall())).at(2, (tx, CallEnded(Outcome.SATURATED, MS)))
-    assert desk.brain.calls.usual >= 200 * MS
+    desk.at(0, tx).at(1, (tx, CallNeeded())).at(2, (tx, CallEnded(Outcome.REJECTED, MS)))
+    assert desk.controller.calls.usual >= 200 * MS
 
 
 def test_a_light_tenant_is_not_held_to_less_than_an_even_share():
     light = Tenant(quota=0.1)
     desk = Desk(cores=1, tenants=[light]).warm(until=9000)
-    desk.brain.crowded = True
-    desk.brain.tenants[light].ring.add(9000 * MS, 9)
-    assert desk.brain.count(desk.read(9000, tenant=light)) == 0
+    desk.controller.crowded = True
+    desk.controller.tenants[light].ring.add(9000 * MS, 9)
+    assert desk.controller.count(desk.read(9000, tenant=light)) == 0
 
 
 @pytest.mark.parametrize(("asked", "again"), [(5, False), (50, True)])
 def test_who_asked_most_pays_in_the_hold_and_first_tries_last(asked, again):
     light, heavy = Tenant(1.0), Tenant(1.0)
     desk = Desk(cores=1, tenants=[light, heavy]).warm()
-    desk.brain.tenants[light].asked.add(12_000 * MS, asked)
-    desk.brain.tenants[heavy].asked.add(12_000 * MS, 50)
+    desk.controller.tenants[light].asked.add(12_000 * MS, asked)
+    desk.controller.tenants[heavy].asked.add(12_000 * MS, 50)
     first = desk.read(12_000, tenant=light)
-    others = [desk.read(12_000, tenant=heavy, again=again) for _ in range(4)]
+    others = [desk.read(12_000, tenant=heavy, is_retry=again) for _ in range(4)]
     desk.at(12_000, first, *others)
     assert "Shed" not in desk.wishes(first) and any("Shed" in desk.wishes(tx) for tx in others)
 
@@ -307,10 +325,10 @@
 def test_a_derived_quota_is_twice_an_even_share_of_at_least_one_transaction(callers, served, bound):
     desk = Desk(cores=1)
     for caller in range(callers):
-        desk.brain.meter(desk.read(0, caller=caller))
-    desk.brain.honoured.add(0, served * 1000)
-    desk.brain.honoured_number.add(0, served)
-    in_a_window = desk.brain.quota(desk.brain.callers[0]) * 10
+        desk.controller.meter(desk.read(0, caller=caller))
+    desk.controller.honoured.add(0, served * 1000)
+    desk.controller.honoured_number.add(0, served)
+    in_a_window = desk.controller.quota(desk.controller.callers[0]) * 10
     assert in_a_window == pytest.approx(bound * 1000)
 
 
@@ -318,12 +336,12 @@
     """Both have asked for 1.2 times their quota: twenty for the one, two hundred for the other."""
     light, heavy = Tenant(2.0), Tenant(20.0)
     desk = Desk(cores=1, tenants=[light, heavy])
-    desk.brain.tenants[light].asked.add(0, 24)
-    desk.brain.tenants[heavy].asked.add(0, 239)
+    desk.controller.tenants[light].asked.add(0, 24)
+    desk.controller.tenants[heavy].asked.add(0, 239)
     ones = [desk.read(0, tenant=tenant) for tenant in (light, heavy)]
     for tx in ones:
-        desk.brain.count(tx)
-    assert max(ones, key=desk.brain.refusal).tenant is heavy
+        desk.controller.count(tx)
+    assert max(ones, key=desk.controller.refusal).tenant is heavy
 
 
 def told_and_took(desk, error):
@@ -332,8 +350,8 @@
     for run in range(60):
         took = 200 * 4 ** (run % 2)
         cost = took * MS * error ** ((-1, 0, 1)[run % 3])
-        tx = desk.read(at, work=int(cost))
-        desk.at(at, tx).at(at + took, (tx, HONOURED))
+        tx = desk.read(at, cost_hint=int(cost))
+        desk.at(at, tx).at(at + took, (tx, SERVED))
         at += took + 10
     return at
 
@@ -342,30 +360,31 @@
 def test_a_cost_told_four_times_as_large_counts_for_less_where_hints_are_rough(error, low, high):
     desk = Desk(cores=1)
     at = told_and_took(desk, error)
-    small, large = (desk.read(at, work=cost * MS) for cost in (200, 800))
-    assert low < desk.brain.typical(large) / desk.brain.typical(small) < high
+    small, large = (desk.read(at, cost_hint=cost * MS) for cost in (200, 800))
+    assert low < desk.controller.typical(large) / desk.controller.typical(small) < high
 
 
 def test_without_a_told_cost_all_of_a_profile_take_the_usual_time():
     desk = Desk(cores=1).warm(took=300)
-    assert desk.brain.typical(desk.read(12_000)) == desk.brain.all_runs.usual
+    assert desk.controller.typical(desk.read(12_000)) == desk.controller.all_runs.usual
 
 
 def test_a_further_try_is_as_old_as_sheds_here_have_been():
     desk = Desk(cores=2).warm()
-    desk.brain.shed_ages.add(12_000 * MS, 900 * MS)
-    desk.brain.turned.add(12_000 * MS, 1)
-    first, again = desk.read(12_000), desk.read(12_000, again=True)
+    desk.controller.shed_ages.add(12_000 * MS, 900 * MS)
+    desk.controller.turned.add(12_000 * MS, 1)
+    first, again = desk.read(12_000), desk.read(12_000, is_retry=True)
     desk.at(12_000, first, again)
     assert desk.wishes(first) == ["Start"] and desk.wishes(again) == ["Shed"]
 
 
 def test_what_waited_unread_has_waited_and_the_advice_covers_it():
-    desk = Desk(cores=1, advises=True, longest_advice=5000 * MS).warm()
+    desk = Desk(cores=1, sends_retry_after=True, max_retry_after=5000 * MS).warm()
     tx = desk.read(12_000)
     desk.at(12_990, tx, desk.read(12_000), cpu=1.0)
     assert (
-        desk.brain.crowded and min(wish.after for _, wish in desk.said if isinstance(wish, Shed)) > 700 * MS
+        desk.controller.crowded
+        and min(wish.retry_after for _, wish in desk.said if isinstance(wish, Reject)) > 700 * MS
     )
 
 
@@ -373,14 +392,20 @@
 @pytest.mark.parametrize(
     ("left", "past", "others", "kind", "wish"),
     [
-        (21, 50, 0, Kind.LABELLED, []),
-        (20, -5, 0, Kind.LABELLED, []),
-        (20, 50, 0, Kind.LABELLED, ["Shed"]),
-        (20, -5, 16, Kind.LABELLED, []),
-        (20, -5, 15, Kind.LABELLED, ["Shed"]),  # within its quota, but it has had more of it than the other
-        (21, -5, 1, Kind.LABELLED, []),
-        (0, -5, 0, Kind.LABELLED, ["Shed"]),
-        (0, 50, 0, Kind.REDOABLE, []),
+        (21, 50, 0, Idempotency.KEYED, []),
+        (20, -5, 0, Idempotency.KEYED, []),
+        (20, 50, 0, Idempotency.KEYED, ["Shed"]),
+        (20, -5, 16, Idempotency.KEYED, []),
+        (
+            20,
+            -5,
+            15,
+            Idempotency.KEYED,
+            ["Shed"],
+        ),  # within its quota, but it has had more of it than the other
+        (21, -5, 1, Idempotency.KEYED, []),
+        (0, -5, 0, Idempotency.KEYED, ["Shed"]),
+        (0, 50, 0, Idempotency.IDEMPOTENT, []),
     ],
 )
 def test_what_can_not_be_kept_is_shed_and_the_last_room_is_for_those_within_their_quota(
@@ -388,15 +413,19 @@
 ):
     tenant, other, advice = Tenant(quota=2.0), Tenant(quota=2.0), 700 * MS
     desk = Desk(
-        profile(kind, window=5_000 * MS), cores=1, tenants=[tenant, other], advises=True, longest_advice=10**6
+        profile(kind, key_retention=5_000 * MS),
+        cores=1,
+        tenants=[tenant, other],
+        sends_retry_after=True,
+        max_retry_after=10**6,
     )
-    desk.driver.labels(left, 20, advice)
-    desk.brain.tenants[tenant].ring.add(0, 20 + past)
-    desk.brain.tenants[other].ring.add(0, others)
-    before = desk.brain.tenants[tenant].ring.total(0)
+    desk.driver.limit_new_keys(left, 20, advice)
+    desk.controller.tenants[tenant].ring.add(0, 20 + past)
+    desk.controller.tenants[other].ring.add(0, others)
+    before = desk.controller.tenants[tenant].ring.total(0)
     tx = desk.read(0, tenant=tenant)
     desk.at(0, desk.read(0, tenant=Tenant()), tx)
-    assert desk.wishes(tx)[:1] == (wish or ["Remember"] if kind is Kind.LABELLED else wish)
+    assert desk.wishes(tx)[:1] == (wish or ["Remember"] if kind is Idempotency.KEYED else wish)
     if wish:
         (shed,) = [said for who, said in desk.said if who is tx]
-        assert shed.after >= advice * 3 // 4 and desk.brain.tenants[tenant].ring.total(0) == before
+        assert shed.after >= advice * 3 // 4 and desk.controller.tenants[tenant].ring.total(0) == before
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from birchslip.interface import Outcome
+from birchslip.admission.types import Outcome
 from birchslip.net import connection
 from birchslip.net.catalog import Catalog
 from birchslip.net.servers import Agent
@@ -71,7 +71,7 @@
     clocked.passes()
     below.move(clocked.there().address)
     clocked.passes()
-    assert below.ends == [("a1", Outcome.UNREACHED)]  # it never ran, and no second was lost
+    assert below.ends == [("a1", Outcome.UNREACHABLE)]  # it never ran, and no second was lost
 
 
 def test_the_link_to_an_agent_that_moves_does_not_wait_for_the_old_address(clocked):
--- a/tests/test_expect_check.py
+++ b/tests/test_expect_check.py
@@ -9,7 +9,7 @@
 import pytest
 from junitparser import JUnitXml
 
-from birchslip.deployment import Malformed
+from birchslip.errors import InvalidInputError
 from birchslip.expect.check import Check
 from birchslip.expect.judge import Outcome
 from birchslip.expect.mutate import Seen, breaks, mutate
@@ -61,7 +61,7 @@
         if wrong:
             return 2, wrong[0]
         report = Check(told, some, **more).run()
-    except Malformed as trouble:
+    except InvalidInputError as trouble:
         return 2, str(trouble)
     return report.code, "\n".join(lines(report))
 
--- a/tests/test_expect_language.py
+++ b/tests/test_expect_language.py
@@ -6,11 +6,22 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from birchslip.deployment import Malformed
+from birchslip.errors import InvalidInputError
 from birchslip.expect.check import read_statements
 from birchslip.expect.parse import STATEMENTS_MOST, Wrong, parse
 from birchslip.expect.sources import Sources
-from birchslip.expect.words import Both, Bound, Compare, Either, Event, Measure, Not, Order, When, atoms
+from birchslip.expect.words import (
+    Both,
+    Bound,
+    Compare,
+    Either,
+    Event,
+    Measure,
+    Not,
+    Order,
+    When,
+    atoms,
+)
 
 from .expectdesk import sources
 
@@ -131,7 +142,7 @@
 def test_names_are_held_against_the_settings(tmp_path, text, words):
     path = tmp_path / "a.expect"
     path.write_text(f"expect {text}\n")
-    with pytest.raises(Malformed, match=re.escape(words)):
+    with pytest.raises(InvalidInputError, match=re.escape(words)):
         read_statements([path], sources())
 
 
@@ -140,7 +151,7 @@
     (tmp_path / "b.expect").write_text("expect x: the fleet served >= 1 %")
     (tmp_path / "c.expect").write_bytes(b"\xff")
     (tmp_path / "d.expect").write_text("# nothing yet\n")
-    with pytest.raises(Malformed) as found:
+    with pytest.raises(InvalidInputError) as found:
         read_statements([tmp_path], sources())
     told = str(found.value)
     assert len(told.splitlines()) == 3 and "nort" in told and "stands at" in told and "UTF-8" in told
@@ -182,7 +193,7 @@
 def test_a_world_file_is_checked_whole():
     told = sources()
     wrong = {"routers": [{"number": 1, "habit": "odd"}]}
-    with pytest.raises(Malformed, match="no habit is named 'odd'"):
+    with pytest.raises(InvalidInputError, match="no habit is named 'odd'"):
         _ = Sources(told.config, told.fleet, wrong).setting
-    with pytest.raises(Malformed, match="unknown field"):
+    with pytest.raises(InvalidInputError, match="unknown field"):
         _ = Sources(told.config, told.fleet, {"speed": 1}).setting
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from birchslip.fleet.obey import Obedience
-from birchslip.fleet.shares import Shares
-from birchslip.fleet.vote import Ballot
+from birchslip.cluster.election import Election
+from birchslip.cluster.plan_subscription import PlanSubscription
+from birchslip.cluster.quota_leases import QuotaLeases
 from birchslip.lab import explore as exploring
 from birchslip.lab.explore import Explorer, Fault, explore
 
@@ -14,7 +14,7 @@
     assert told["reigns"] > 80  # or nothing was tried
 
 
-class Unfenced(Obedience):
+class Unfenced(PlanSubscription):
     """Obeys whoever speaks last."""
 
     def take(self, reply, sent, now):
@@ -23,14 +23,14 @@
         return super().take(reply, sent, now)
 
 
-class Late(Obedience):
+class Late(PlanSubscription):
     """Counts a lease from when the answer came."""
 
     def take(self, reply, sent, now):
         return super().take(reply, now, now)
 
 
-class Hasty(Ballot):
+class Hasty(Election):
     """Votes at once after a start, whatever it had promised before."""
 
     @property
@@ -38,7 +38,7 @@
         return 0
 
 
-class Fickle(Ballot):
+class Fickle(Election):
     """Grants a second vote while the first one still holds."""
 
     def asked(self, ask, now):
@@ -46,7 +46,7 @@
         return super().asked(ask, now)
 
 
-class Trusting(Ballot):
+class Trusting(Election):
     """Takes its disk for what it last had."""
 
     def older_than(self, mine):
@@ -71,7 +71,7 @@
 
 
 def test_a_share_lent_before_its_owner_has_surely_stopped_is_found(monkeypatch):
-    class Eager(Shares):
+    class Eager(QuotaLeases):
         def sure(self, now):
             return True
 
--- a/tests/test_fleetfile.py
+++ b/tests/test_fleetfile.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from birchslip.deployment import Malformed
-from birchslip.fleet.fleetfile import read_fleet, schema
-from birchslip.fleet.releasefile import read_release, release_schema
+from birchslip.cluster.fleet_file import read_fleet, schema
+from birchslip.cluster.release_file import read_release, release_schema
+from birchslip.errors import InvalidInputError
 
 from .desk import command
 from .fleetdesk import fleet_told
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("what", WRONG)
 def test_what_is_wrong_is_named_with_its_place(tmp_path, what):
     told, words = WRONG[what]
-    with pytest.raises(Malformed) as found:
+    with pytest.raises(InvalidInputError) as found:
         read_fleet(put(tmp_path, told))
     assert words in str(found.value)
     assert all(line.startswith(str(tmp_path)) for line in str(found.value).splitlines())
@@ -110,7 +110,7 @@
 
 def test_all_troubles_are_told_at_once(tmp_path):
     told = with_member(name="a-0", address="127.0.0.1:1000") | {"refuse": ["home", "again"]}
-    with pytest.raises(Malformed) as found:
+    with pytest.raises(InvalidInputError) as found:
         read_fleet(put(tmp_path, told))
     assert len(str(found.value).splitlines()) == 3
 
@@ -140,7 +140,7 @@
 def test_a_release_file_is_checked_whole(tmp_path, told, words):
     path = tmp_path / "release.json"
     path.write_text(told)
-    with pytest.raises(Malformed, match=r"release\.json") as found:
+    with pytest.raises(InvalidInputError, match=r"release\.json") as found:
         read_release(path)
     assert words in str(found.value)
 
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -8,23 +8,23 @@
 from hypothesis import strategies as some
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from birchslip.interface import Outcome
-from birchslip.keep.disk import PROBE_FIRST, Disk, State
-from birchslip.keep.files import Files, NotKept, System
-from birchslip.keep.form import (
+from birchslip.admission.types import Outcome
+from birchslip.idempotency.disk import PROBE_FIRST, Disk, State
+from birchslip.idempotency.files import Files, FileSystem, StoreWriteError
+from birchslip.idempotency.index import UNKNOWN, Index
+from birchslip.idempotency.record_format import (
     FILE,
     VERSION,
-    Entry,
-    Found,
-    Kind,
+    RecordKind,
+    ResultRecord,
+    ScanOutcome,
     encode,
     file_head,
     pieces,
     read_file_head,
 )
-from birchslip.keep.index import UNKNOWN, Index
-from birchslip.keep.ledger import CLOSING, FILES, SECOND, Ledger
-from birchslip.keep.recovery import recover
+from birchslip.idempotency.recovery import recover
+from birchslip.idempotency.retention_budget import CLOSING, FILES, SECOND, RetentionBudget
 from birchslip.lab.power import Memory
 
 NOW = 10**13
@@ -33,12 +33,14 @@
 
 
 def begun(label, stamp=NOW, run=None):
-    return Entry(Kind.BEGUN, label, stamp, WINDOW, run or label.hex()[:16], b"d" * 16)
+    return ResultRecord(RecordKind.BEGUN, label, stamp, WINDOW, run or label.hex()[:16], b"d" * 16)
 
 
-def concluded(label, stamp=NOW, outcome=Outcome.HONOURED, result=None):
+def concluded(label, stamp=NOW, outcome=Outcome.SERVED, result=None):
     result = b"of " + label if result is None else result
-    return Entry(Kind.CONCLUDED, label, stamp, WINDOW, digest=b"d" * 16, outcome=outcome, result=result)
+    return ResultRecord(
+        RecordKind.CONCLUDED, label, stamp, WINDOW, digest=b"d" * 16, outcome=outcome, result=result
+    )
 
 
 def label(n):
@@ -46,7 +48,7 @@
 
 
 def read(raws, now=NOW, ledger=None):
-    ledger = ledger or Ledger(10**6, 1 << 30, SECOND)
+    ledger = ledger or RetentionBudget(10**6, 1 << 30, SECOND)
     files = [(n, file_head(n, "x") + raw) for n, raw in enumerate(raws, 1)]
     return recover(files, ledger, now, WINDOW, FILE.size, max(serial for serial, _ in files))
 
@@ -63,11 +65,13 @@
 )
 @settings(max_examples=100, deadline=None)
 def test_what_is_written_is_read(name, stamp, span, result, outcome):
-    first = Entry(Kind.BEGUN, name, stamp, span, "0123456789abcdef", b"x" * 16)
-    second = Entry(Kind.CONCLUDED, name, stamp, span, digest=b"y" * 16, outcome=outcome, result=result)
+    first = ResultRecord(RecordKind.BEGUN, name, stamp, span, "0123456789abcdef", b"x" * 16)
+    second = ResultRecord(
+        RecordKind.CONCLUDED, name, stamp, span, digest=b"y" * 16, outcome=outcome, result=result
+    )
     found = list(pieces(encode(first) + encode(second)))
     assert [piece.entry for piece in found] == [first, second]
-    assert {piece.found for piece in found} == {Found.GOOD}
+    assert {piece.found for piece in found} == {ScanOutcome.GOOD}
 
 
 @given(some.binary(max_size=400))
@@ -75,7 +79,7 @@
 def test_whatever_stands_there_is_read_to_its_end(raw):
     found = list(pieces(raw))
     assert sum(piece.size for piece in found) == len(raw)
-    assert not any(piece.found is Found.GOOD for piece in found)
+    assert not any(piece.found is ScanOutcome.GOOD for piece in found)
 
 
 STORE = [encode(one) for n in range(3) for one in (begun(label(n)), concluded(label(n)))] + [
@@ -103,7 +107,7 @@
         spoilt = bytearray(raw)
         spoilt[at] ^= 0x41
         told = read_file_head(bytes(spoilt), "x") if at >= FILE.size else None
-        made = recover([(1, bytes(spoilt))], Ledger(99, 1 << 20, SECOND), NOW, WINDOW, FILE.size, 1)
+        made = recover([(1, bytes(spoilt))], RetentionBudget(99, 1 << 20, SECOND), NOW, WINDOW, FILE.size, 1)
         for n in range(4):
             where = made.index.get(label(n), NOW)
             if where is None:
@@ -120,8 +124,13 @@
         ([[begun(label(1))]], [1], [], False),
         ([[begun(label(1)), concluded(label(1))]], [], [1], False),
         ([[begun(label(1))], [concluded(label(1))]], [], [1], False),
-        ([[begun(label(1)), concluded(label(1), outcome=Outcome.MOOT)]], [], [], False),
-        ([[begun(label(1)), concluded(label(1), outcome=Outcome.MOOT), begun(label(1))]], [1], [], False),
+        ([[begun(label(1)), concluded(label(1), outcome=Outcome.SUPERSEDED)]], [], [], False),
+        (
+            [[begun(label(1)), concluded(label(1), outcome=Outcome.SUPERSEDED), begun(label(1))]],
+            [1],
+            [],
+            False,
+        ),
         ([[begun(label(1), NOW - 2 * WINDOW)]], [], [], False),
         ([[begun(label(1), NOW + 10 * WINDOW)]], [1], [], False),  # the clock was set back since
     ],
@@ -144,7 +153,7 @@
 def test_a_missing_file_and_a_torn_end_before_the_last_file_are_doubt():
     assert read([b"".join(STORE)[:-3], encode(begun(label(9)))]).doubt
     files = [(1, file_head(1, "x")), (3, file_head(3, "x"))]
-    assert recover(files, Ledger(9, 1 << 20, 0), NOW, WINDOW, FILE.size, max(files)[0]).doubt
+    assert recover(files, RetentionBudget(9, 1 << 20, 0), NOW, WINDOW, FILE.size, max(files)[0]).doubt
 
 
 # ---- the index --------------------------------------------------------------------------------------------
@@ -170,7 +179,7 @@
 
 
 def test_a_full_store_says_when_room_comes_and_throws_nothing_away():
-    ledger = Ledger(3, 1 << 20, SECOND)
+    ledger = RetentionBudget(3, 1 << 20, SECOND)
     ledger.open_file(1, 0)
     assert ledger.room(NOW) == 3
     for n in range(3):
@@ -184,7 +193,7 @@
 
 def test_what_is_begun_has_room_kept_for_its_end_and_files_go_whole():
     size = FILES * 4 * CLOSING
-    ledger = Ledger(10**6, size, SECOND)
+    ledger = RetentionBudget(10**6, size, SECOND)
     ledger.open_file(1, 0)
     most = ledger.room(NOW)
     assert most == size // CLOSING
@@ -203,7 +212,7 @@
 @given(some.lists(some.tuples(some.integers(0, 30), some.integers(0, 5)), max_size=60))
 @settings(max_examples=100, deadline=None)
 def test_what_is_live_is_what_counting_anew_would_find(steps):
-    ledger, plain, now = Ledger(10**6, 1 << 30, 0), [], 0
+    ledger, plain, now = RetentionBudget(10**6, 1 << 30, 0), [], 0
     for window, passed in steps:
         now += passed * SECOND
         ledger.sweep(now)
@@ -239,10 +248,10 @@
     first = Files(tmp_path, "a")
     first.hold()
     first.begin(1)
-    with pytest.raises(NotKept, match="another program"):
+    with pytest.raises(StoreWriteError, match="another program"):
         Files(tmp_path, "a").hold()
     first.close()
-    with pytest.raises(NotKept, match="belongs to another name"):
+    with pytest.raises(StoreWriteError, match="belongs to another name"):
         Files(tmp_path, "b").hold()
     Files(tmp_path, "a").hold()
 
@@ -250,20 +259,20 @@
 def test_a_store_of_a_later_version_is_refused_and_left_as_it_is(tmp_path):
     import struct
 
-    from birchslip.keep.form import checksum
+    from birchslip.idempotency.record_format import checksum
 
     raw = bytearray(file_head(1, "a"))
     raw[8:10] = struct.pack("<H", VERSION + 1)
     raw[-4:] = struct.pack("<I", checksum(bytes(raw[:-4])))
     path = tmp_path / "a-00000001.kept"
     path.write_bytes(raw)
-    with pytest.raises(NotKept, match="of version 2"):
+    with pytest.raises(StoreWriteError, match="of version 2"):
         Files(tmp_path, "a").read_all()
     assert path.read_bytes() == raw
 
 
 def test_a_write_that_fails_half_way_leaves_whole_records(tmp_path):
-    class Short(System):
+    class Short(FileSystem):
         left = 1 << 20
 
         def write(self, descriptor, raw):
@@ -282,7 +291,7 @@
     files.system.left = 1 << 20
     files.append(encode(begun(label(2))))
     raw = files.path(1).read_bytes()
-    assert [piece.found for piece in pieces(raw, FILE.size)] == [Found.GOOD] * 2
+    assert [piece.found for piece in pieces(raw, FILE.size)] == [ScanOutcome.GOOD] * 2
 
 
 # ---- all of it against a model ----------------------------------------------------------------------------
@@ -294,7 +303,7 @@
     """One life of a store over a disk in memory, flushed by hand; what is flushed may be acted on."""
 
     def __init__(self, system, now):
-        self.ledger = Ledger(50, FILES * 8 * CLOSING, SECOND)
+        self.ledger = RetentionBudget(50, FILES * 8 * CLOSING, SECOND)
         self.files = Files(FOLDER, "x", system)
         held, doubt = self.files.read_all()
         self.made = recover(held, self.ledger, now, WINDOW, FILE.size, held[-1][0] if held else 0)
--- a/tests/test_keep_processes.py
+++ b/tests/test_keep_processes.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from birchslip.interface import Outcome
-from birchslip.keep.files import Files, NotKept
-from birchslip.keep.form import FILE, Entry, Kind, encode, pieces
-from birchslip.keep.keepfile import keep_schema
-from birchslip.keep.tools import compact, show, verify
+from birchslip.admission.types import Outcome
+from birchslip.idempotency.files import Files, StoreWriteError
+from birchslip.idempotency.record_format import FILE, RecordKind, ResultRecord, encode, pieces
+from birchslip.idempotency.settings_file import store_settings_schema
+from birchslip.idempotency.tools import compact, show, verify
 
 from .desk import command
 
@@ -84,12 +84,12 @@
 
 
 def begun(n, stamp=NOW):
-    return Entry(Kind.BEGUN, label(n), stamp, 600_000, f"{n:016x}", b"d" * 16)
+    return ResultRecord(RecordKind.BEGUN, label(n), stamp, 600_000, f"{n:016x}", b"d" * 16)
 
 
 def concluded(n, stamp=NOW):
-    more = {"digest": b"d" * 16, "outcome": Outcome.HONOURED, "result": b"made"}
-    return Entry(Kind.CONCLUDED, label(n), stamp, 600_000, **more)
+    more = {"digest": b"d" * 16, "outcome": Outcome.SERVED, "result": b"made"}
+    return ResultRecord(RecordKind.CONCLUDED, label(n), stamp, 600_000, **more)
 
 
 def test_a_store_is_shown_verified_and_made_smaller(tmp_path):
@@ -136,7 +136,7 @@
     raw = bytearray(path.read_bytes())
     raw[FILE.size + 5] ^= 1
     path.write_bytes(raw)
-    with pytest.raises(NotKept, match="lost"):
+    with pytest.raises(StoreWriteError, match="lost"):
         compact(tmp_path, NOW)
     assert path.read_bytes() == raw
 
@@ -160,7 +160,7 @@
 
 def test_the_schema_in_the_repository_is_the_one_in_force():
     told = json.loads((ROOT / "deploy" / "keep.schema.json").read_text())
-    assert told == json.loads(json.dumps(keep_schema()))
+    assert told == json.loads(json.dumps(store_settings_schema()))
 
 
 def test_a_second_program_on_the_folder_does_not_start(tmp_path):
