--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from birchslip.deployment import Malformed
-from birchslip.interface import Kind, Outcome, Place, Profile, Transaction
-from birchslip.keep.form import Found
-from birchslip.keep.keeper import Keeper
-from birchslip.keep.keepfile import Keep
+from birchslip.admission.types import Idempotency, Outcome, Request, RequestClass, RequestState
+from birchslip.errors import InvalidInputError
+from birchslip.idempotency.record_format import ScanOutcome
+from birchslip.idempotency.result_store import ResultStore
+from birchslip.idempotency.settings_file import StoreSettings
 from birchslip.lab.power import Memory
 from birchslip.net.counters import Counters
 from birchslip.net.log import Log
@@ -15,8 +15,8 @@
 
 SECOND = 10_000
 WINDOW = 17 * SECOND
-PROFILE = Profile(Kind.LABELLED, SECOND, 4 * SECOND, window=WINDOW)
-HONOURED = Conclusion(Outcome.HONOURED, b"made")
+PROFILE = RequestClass(Idempotency.KEYED, SECOND, 4 * SECOND, key_retention=WINDOW)
+SERVED = Conclusion(Outcome.SERVED, b"made")
 
 
 class Life:
@@ -26,9 +26,9 @@
         self.system = system or Memory()
         self.now, self.heard, self.resolved = now, [], []
         self.scheduler = Scheduler(lambda: None, self.fault, lambda: self.now)
-        told = Keep(folder=str(folder), **{"stall_ms": 100, "entries": 10} | told)
+        told = StoreSettings(folder=str(folder), **{"stall_ms": 100, "entries": 10} | told)
         log = Log(self.scheduler, "a")
-        self.keeper = Keeper(self.scheduler, Counters(), log, told, "a", [PROFILE], system=self.system)
+        self.keeper = ResultStore(self.scheduler, Counters(), log, told, "a", [PROFILE], system=self.system)
         self.keeper.tell(self.resolve)
 
     def fault(self, name, trouble):
@@ -40,7 +40,7 @@
 
     def passage(self, n, body=b"body", stamp=None):
         stamp = self.now if stamp is None else stamp
-        transaction = Transaction(PROFILE, 0, stamp, stamp + PROFILE.deadline, 100)
+        transaction = Request(PROFILE, 0, stamp, stamp + PROFILE.deadline, 100)
         return Passage(None, n, f"{n:016x}", "order", body, transaction, stamp, f"{n:032x}")
 
     def begin(self, n):
@@ -49,7 +49,7 @@
         self.scheduler.run_due()
         return passage
 
-    def conclude(self, passage, conclusion=HONOURED):
+    def conclude(self, passage, conclusion=SERVED):
         number = int(passage.name, 16)
         self.keeper.conclude(passage, conclusion, lambda good: self.heard.append((number, "concluded", good)))
 
@@ -155,10 +155,10 @@
     later = life.kill()
     entry = later.keeper.earlier(later.passage(1))
     original = entry.original.transaction
-    assert original.has_run and original.place is Place.ENDED  # to the decisions it is a repeat
+    assert original.has_run and original.place is RequestState.COMPLETED  # to the decisions it is a repeat
     assert entry.conclusion is None and later.keeper.earlier(later.passage(1)) is entry
     later.flush()
-    assert later.resolved == [(Outcome.HONOURED, b"made")]
+    assert later.resolved == [(Outcome.SERVED, b"made")]
     assert entry.same(later.passage(1)) and not entry.same(later.passage(1, b"another body"))
 
 
@@ -178,25 +178,25 @@
     later = life.kill()
     assert later.keeper.recovered.unknown == 1
     entry = later.keeper.earlier(later.passage(1))
-    assert entry.conclusion.outcome is Outcome.ERRED
-    later.keeper.stranger("no run of ours", Outcome.HONOURED, b"")
-    later.keeper.stranger(passage.name, Outcome.HONOURED, b"told late")
+    assert entry.conclusion.outcome is Outcome.FAILED
+    later.keeper.stranger("no run of ours", Outcome.SERVED, b"")
+    later.keeper.stranger(passage.name, Outcome.SERVED, b"told late")
     later.flush()
     entry = later.keeper.earlier(later.passage(1))
     later.flush()
-    assert later.resolved == [(Outcome.HONOURED, b"told late")] and entry.conclusion.result == b"told late"
+    assert later.resolved == [(Outcome.SERVED, b"told late")] and entry.conclusion.result == b"told late"
     last = later.kill()
     assert last.keeper.recovered.unknown == 0
     last.keeper.earlier(last.passage(1))
     last.flush()
-    assert last.resolved == [(Outcome.HONOURED, b"told late")]
+    assert last.resolved == [(Outcome.SERVED, b"told late")]
 
 
 def test_one_that_the_agent_never_ran_is_free_again(life):
     passage = life.begin(1)
     life.flush()
     later = life.kill()
-    later.keeper.stranger(passage.name, Outcome.MOOT, b"")
+    later.keeper.stranger(passage.name, Outcome.SUPERSEDED, b"")
     later.flush()
     assert later.keeper.earlier(later.passage(1)) is None
 
@@ -208,7 +208,7 @@
     held = next(iter(life.system.files.values()))
     held.data[32 + 7] ^= 1  # in the head of the first record
     later = life.kill()
-    assert later.keeper.recovered.doubt and later.keeper.recovered.found[Found.LOST] == 1
+    assert later.keeper.recovered.doubt and later.keeper.recovered.found[ScanOutcome.LOST] == 1
     assert later.keeper.told()[0] == 0 and WINDOW - 10 <= later.keeper.told()[2] <= WINDOW
     later.at(WINDOW / SECOND + 0.1)
     assert later.keeper.told()[0] > 0
@@ -239,10 +239,10 @@
 def test_a_folder_that_can_not_be_had_is_said_in_one_line(tmp_path):
     path = tmp_path / "file"
     path.write_text("no folder")
-    with pytest.raises(Malformed, match="keep: ") as found:
+    with pytest.raises(InvalidInputError, match="keep: ") as found:
         Life(path)
     assert "\n" not in str(found.value)
     system = Memory()
     system.room = 10
-    with pytest.raises(Malformed, match="No space"):
+    with pytest.raises(InvalidInputError, match="No space"):
         Life(tmp_path / "full", system)
--- a/tests/test_mind.py
+++ b/tests/test_mind.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from birchslip.fleet.mind import Mind
-from birchslip.fleet.records import Incarnation, Want
-from birchslip.fleet.site_plan import Place, plan
-from birchslip.fleet.vote import Ballot
+from birchslip.cluster.election import Election
+from birchslip.cluster.messages import EvictionRequest, Incarnation
+from birchslip.cluster.planner_state import PlannerState
+from birchslip.cluster.site_plan import SiteCapacity, plan
 from birchslip.lab.months import play_month
 
 from .fleetdesk import SECOND, Stage, fleet, report
@@ -90,9 +90,9 @@
     stage.mind.evacuate("b", "ann", "cooling", stage.now)
     stage.pass_time(1)
     durable = stage.mind.ballot.durable
-    ballot = Ballot("p0", ["p0"], durable, 2, stage.now, random.Random(2))
+    ballot = Election("p0", ["p0"], durable, 2, stage.now, random.Random(2))
     before = stage.mind.reign
-    stage.mind = Mind(stage.fleet, ballot, stage.now)
+    stage.mind = PlannerState(stage.fleet, ballot, stage.now)
     stage.pass_time(4)
     assert stage.mind.reign > before and stage.mind.comebacks["b"].by_hand
     assert levels(stage, "b") == {0.0} and levels(stage, "a") == {1.0}
@@ -143,7 +143,9 @@
 
 
 def want(stage, holder, what="permit", **more):
-    number, granted = stage.mind.want(Want(what=what, holder=holder, why="a release", **more), stage.now)
+    number, granted = stage.mind.want(
+        EvictionRequest(what=what, holder=holder, why="a release", **more), stage.now
+    )
     stage.pass_time(0.2)
     assert number <= stage.mind.kept_number
     return granted
@@ -179,8 +181,8 @@
 def test_a_permit_survives_its_leader_and_an_override_is_on_record(tmp_path):
     stage = Stage(tmp_path, groups=GROUPS).pass_time(4)
     assert want(stage, "a-0").granted and not want(stage, "a-1").granted
-    ballot = Ballot("p0", ["p0"], stage.mind.ballot.durable, 2, stage.now, random.Random(2))
-    stage.mind = Mind(stage.fleet, ballot, stage.now)
+    ballot = Election("p0", ["p0"], stage.mind.ballot.durable, 2, stage.now, random.Random(2))
+    stage.mind = PlannerState(stage.fleet, ballot, stage.now)
     stage.pass_time(4)
     assert want(stage, "a-0").number == 1
     assert want(stage, "", "override", who="ann", count=1, span=SECOND * 60).granted
@@ -198,7 +200,7 @@
 def test_a_plan_for_a_thousand_members_is_quick(members):
     rooms = [{f"s{site}-{n}": 50.0 for n in range(members // 9)} for site in range(9)]
     load = {f"t{n}": 500.0 for n in range(8)}
-    places = [Place(f"s{n}", rooms[n], dict(load), lost=n == 0) for n in range(9)]
+    places = [SiteCapacity(f"s{n}", rooms[n], dict(load), lost=n == 0) for n in range(9)]
     times = []
     for _ in range(5):
         began = time.perf_counter()
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from birchslip.interface import Outcome
+from birchslip.admission.types import Outcome
 from birchslip.lab.cores import Cores
 from birchslip.lab.model.below import Below
 from birchslip.lab.model.clock import SECOND, Clock
@@ -116,11 +116,11 @@
 @pytest.mark.parametrize(
     ("asked", "limit", "down", "ends"),
     [
-        (1, 1_000, False, [(100, Outcome.HONOURED)]),
-        (1, 50, False, [(50, Outcome.OVERDUE)]),
-        (4, 1_000, False, [(100, Outcome.HONOURED)] * 2 + [(150, Outcome.HONOURED), (200, Outcome.HONOURED)]),
-        (1, 1_000, True, [(10, Outcome.UNREACHED)]),
-        (7, 1_000, False, [(0, Outcome.SEVERED)] * 7),
+        (1, 1_000, False, [(100, Outcome.SERVED)]),
+        (1, 50, False, [(50, Outcome.TIMED_OUT)]),
+        (4, 1_000, False, [(100, Outcome.SERVED)] * 2 + [(150, Outcome.SERVED), (200, Outcome.SERVED)]),
+        (1, 1_000, True, [(10, Outcome.UNREACHABLE)]),
+        (7, 1_000, False, [(0, Outcome.CONNECTION_LOST)] * 7),
     ],
 )
 def test_the_service_below_slows_refuses_and_falls(asked, limit, down, ends):
--- a/tests/test_override.py
+++ b/tests/test_override.py
@@ -4,17 +4,30 @@
 
 import pytest
 
-from birchslip.interface import SECOND, Below, Kind, NeedsCall, Override, Refusal, Tenant
+from birchslip.admission.types import (
+    SECOND,
+    CallNeeded,
+    Downstream,
+    Idempotency,
+    PlanOverride,
+    SheddingTier,
+    Tenant,
+)
 
-from .desk import HONOURED, MS, Desk, profile
+from .desk import MS, SERVED, Desk, profile
 
 
 def plan(epoch=1, number=1, until=60_000, fade=10_000, **more):
-    return Override(epoch, number, until * MS, fade * MS, **more)
+    return PlanOverride(epoch, number, until * MS, fade * MS, **more)
 
 
 def wide(*profiles, tenants=(), **more):
-    return Desk(*(profiles or (profile(goal=2000, deadline=8000),)), tenants=list(tenants), cores=1, **more)
+    return Desk(
+        *(profiles or (profile(latency_objective=2000, deadline=8000),)),
+        tenants=list(tenants),
+        cores=1,
+        **more,
+    )
 
 
 @pytest.mark.parametrize(
@@ -26,22 +39,22 @@
     desk = wide()
     assert desk.driver.override(plan(2, 1, 60_000))
     assert desk.driver.override(plan(*age, until=until * 1000)) is taken
-    assert (desk.brain.plan.epoch, desk.brain.plan.number) == (age if taken else (2, 1))
+    assert (desk.controller.plan.epoch, desk.controller.plan.number) == (age if taken else (2, 1))
 
 
 def test_a_plan_that_runs_out_leaves_todays_quota_step_by_step():
     tenant = Tenant(10.0)
     desk = wide(tenants=[tenant])
-    meter = desk.brain.tenants[tenant]
-    usual = desk.brain.quota(meter)
+    meter = desk.controller.tenants[tenant]
+    usual = desk.controller.quota(meter)
     desk.at(1000, cpu=0.5)
     desk.driver.override(plan(until=20_000, quotas={tenant: 2.0}))
     seen = []
     for ms in range(20_000, 30_001, 2_500):
         desk.at(ms, cpu=0.5)
-        seen.append(desk.brain.quota(meter))
+        seen.append(desk.controller.quota(meter))
     assert seen == pytest.approx([2.0 + (usual - 2.0) * step / 4 for step in range(5)])
-    assert not desk.brain.force and desk.driver.override(plan(number=2))
+    assert not desk.controller.force and desk.driver.override(plan(number=2))
     assert not desk.driver.override(plan(number=1, until=90_000))  # also after its end
 
 
@@ -54,14 +67,14 @@
     return running
 
 
-@pytest.mark.parametrize("order", list(permutations((Refusal.AGAIN, Refusal.VISITOR)))[:2])
+@pytest.mark.parametrize("order", list(permutations((SheddingTier.RETRY, SheddingTier.EVACUATED)))[:2])
 def test_the_order_of_refusal_is_the_operators(order):
-    desk = wide(profile(goal=2500, deadline=8000))
-    held(desk, 13_000, (*order, Refusal.HOME))
+    desk = wide(profile(latency_objective=2500, deadline=8000))
+    held(desk, 13_000, (*order, SheddingTier.LOCAL))
     ask = {
-        Refusal.AGAIN: desk.read(13_100, caller=1, again=True),
-        Refusal.VISITOR: desk.read(13_100, caller=7),
-        Refusal.HOME: desk.read(13_100, caller=1),
+        SheddingTier.RETRY: desk.read(13_100, caller=1, is_retry=True),
+        SheddingTier.EVACUATED: desk.read(13_100, caller=7),
+        SheddingTier.LOCAL: desk.read(13_100, caller=1),
     }
     desk.at(13_100, *ask.values())
     desk.at(13_150, cpu=1.0)
@@ -71,11 +84,14 @@
 
 
 def test_of_two_visitors_the_one_of_less_payoff_for_its_work_goes():
-    dear, cheap = profile(goal=2500, deadline=8000, payoff=4.0), profile(goal=2500, deadline=8000, payoff=1.0)
+    dear, cheap = (
+        profile(latency_objective=2500, deadline=8000, priority_weight=4.0),
+        profile(latency_objective=2500, deadline=8000, priority_weight=1.0),
+    )
     desk = Desk(dear, cheap, cores=1)
     desk.warm(took=1000, until=8_000).warm(took=1000, until=8_000, which=1)
     desk.at(13_000, desk.read(13_000), cpu=1.0)
-    desk.driver.override(plan(visitors=frozenset((7,))))
+    desk.driver.apply_plan(plan(visitors=frozenset((7,))))
     first, second = desk.read(13_050, caller=7), desk.read(13_060, which=1, caller=7)
     desk.at(13_060, first, second, cpu=1.0)
     desk.at(13_110, cpu=1.0)
@@ -83,27 +99,27 @@
 
 
 def test_a_repeat_of_a_labelled_one_that_has_run_is_never_refused():
-    desk = wide(profile(Kind.LABELLED, goal=2000, deadline=8000, window=20_000 * MS))
-    running = held(desk, 13_000, tuple(Refusal), short=True)
-    repeats = [desk.read(13_000 + n, caller=7, again=True, original=running) for n in range(8)]
+    desk = wide(profile(Idempotency.KEYED, latency_objective=2000, deadline=8000, key_retention=20_000 * MS))
+    running = held(desk, 13_000, tuple(SheddingTier), short=True)
+    repeats = [desk.read(13_000 + n, caller=7, is_retry=True, original=running) for n in range(8)]
     desk.at(13_010, *repeats, cpu=1.0).at(13_100, cpu=1.0)
     assert all(desk.wishes(tx) == ["Attach"] for tx in repeats)
 
 
 def test_one_let_back_in_uses_so_many_of_its_cores_and_more_as_the_plan_fades():
-    desk = Desk(profile(goal=9000, deadline=20_000), cores=8)
-    desk.driver.override(plan(until=5_000, fade=8_000, level=0.25))
+    desk = Desk(profile(latency_objective=9000, deadline=20_000), cores=8)
+    desk.driver.apply_plan(plan(until=5_000, fade=8_000, level=0.25))
     desk.at(100, cpu=0.1)
     asked = [desk.read(150) for _ in range(12)]
     desk.at(150, *asked, cpu=0.1)
-    assert len(desk.brain.on_cores) == 2
+    assert len(desk.controller.on_cores) == 2
     desk.at(9_000, cpu=0.1)
-    assert len(desk.brain.on_cores) == 5
+    assert len(desk.controller.on_cores) == 5
 
 
 @pytest.mark.parametrize("short", [True, False])
 def test_where_no_app_server_has_room_a_shed_asks_not_to_try_elsewhere(short):
-    desk = wide(memory=1000, advises=True, longest_advice=SECOND)
+    desk = wide(memory_limit=1000, sends_retry_after=True, max_retry_after=SECOND)
     desk.driver.override(plan(short=short))
     tx = desk.read(1000, size=2000)
     desk.at(1000, tx, cpu=0.1)
@@ -111,30 +127,40 @@
 
 
 def test_a_share_of_the_calls_told_anew_binds_at_once():
-    desk = Desk(profile(goal=9000, deadline=20_000), cores=4, below=Below.SHARED, calls_share=3.0)
+    desk = Desk(
+        profile(latency_objective=9000, deadline=20_000),
+        cores=4,
+        downstream=Downstream.SHARED,
+        downstream_quota=3.0,
+    )
     some = [desk.read(0) for _ in range(4)]
     desk.at(0, *some)
-    desk.driver.share(1.0)
-    desk.at(10, *((tx, NeedsCall()) for tx in some))
-    assert desk.brain.in_hand == 1
-    desk.driver.share(3.0)
+    desk.driver.set_downstream_quota(1.0)
+    desk.at(10, *((tx, CallNeeded()) for tx in some))
+    assert desk.controller.in_hand == 1
+    desk.driver.set_downstream_quota(3.0)
     desk.at(600, cpu=0.2)
-    assert desk.brain.in_hand > 1
-    desk.at(700, (some[0], HONOURED))
+    assert desk.controller.in_hand > 1
+    desk.at(700, (some[0], SERVED))
 
 
 def test_visitors_have_a_quota_of_their_own_from_the_start_and_are_told_when_to_come_back():
     tenant = Tenant(100.0)
-    desk = wide(profile(goal=6000, deadline=8000), tenants=[tenant], advises=True, longest_advice=SECOND)
+    desk = wide(
+        profile(latency_objective=6000, deadline=8000),
+        tenants=[tenant],
+        sends_retry_after=True,
+        max_retry_after=SECOND,
+    )
     desk.warm(took=1000, until=12_000)
     desk.driver.override(plan(visitors=frozenset((7,)), visits=0.5))
     desk.at(13_000, desk.read(13_000, tenant=tenant), cpu=1.0)
     desk.at(13_310, desk.read(13_000, tenant=tenant), cpu=1.0)  # read late: work has waited
     home, visitor = (desk.read(13_320, tenant=tenant, caller=caller) for caller in (1, 7))
     desk.at(13_320, visitor, home)
-    assert desk.brain.crowded and desk.wishes(home) == []
+    assert desk.controller.crowded and desk.wishes(home) == []
     (shed,) = [wish for who, wish in desk.said if who is visitor and type(wish).__name__ == "Shed"]
     assert (
         shed.after >= 0.75 * SECOND
     )  # a whole one past half a transaction a second: a delay of over a second
-    assert desk.brain.tenants[tenant].ring.total(desk.now) == 3  # visitors count against their own alone
+    assert desk.controller.tenants[tenant].ring.total(desk.now) == 3  # visitors count against their own alone
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -3,8 +3,9 @@
 import msgpack
 import pytest
 
-from birchslip.deployment import Malformed, Setup, deployment, flatten
-from birchslip.interface import Kind
+from birchslip.admission.settings import SettingsReader, flatten, read_admission_settings
+from birchslip.admission.types import Idempotency
+from birchslip.errors import InvalidInputError
 from birchslip.net import http
 from birchslip.net.buffer import FIRST, Buffer, Unreadable
 from birchslip.net.clients import messages
@@ -193,16 +194,25 @@
 
 
 def test_nested_settings_are_read_as_the_wires_pairs():
-    setup = Setup(flatten(SETTINGS))
-    told = deployment(7, setup)
-    profile = told.profiles[0]
+    setup = SettingsReader(flatten(SETTINGS))
+    told = read_admission_settings(7, setup)
+    profile = told.request_classes[0]
     assert setup.names("classes") == ["order taking"] and setup.text("azs", "") == "a,b"
-    assert (profile.kind, profile.goal, profile.window) == (Kind.LABELLED, 15_000, 60_000)
-    assert (profile.skip_payoff, told.cores, told.cold, told.tenants[0].quota) == (0.3, 3, True, 20.0)
-    assert told.memory == 1 << 30  # absent: the default holds
+    assert (profile.idempotency, profile.latency_objective, profile.key_retention) == (
+        Idempotency.KEYED,
+        15_000,
+        60_000,
+    )
+    assert (profile.weight_without_call, told.cores, told.starts_cold, told.tenants[0].quota) == (
+        0.3,
+        3,
+        True,
+        20.0,
+    )
+    assert told.memory_limit == 1 << 30  # absent: the default holds
 
 
 @pytest.mark.parametrize("wrong", [{"effect": "perhaps"}, {"aim_s": "soon"}, {"hard_limit_s": float("nan")}])
 def test_settings_that_cannot_be_are_named(wrong):
-    with pytest.raises(Malformed, match=next(iter(wrong))):
-        deployment(7, Setup(flatten({"classes": [SETTINGS["classes"][0] | wrong]})))
+    with pytest.raises(InvalidInputError, match=next(iter(wrong))):
+        read_admission_settings(7, SettingsReader(flatten({"classes": [SETTINGS["classes"][0] | wrong]})))
--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -13,9 +13,9 @@
 import pytest
 
 from birchslip.cli import ask, ask_any
-from birchslip.deployment import Malformed
-from birchslip.fleet.fleetfile import read_fleet
-from birchslip.fleet.records import Want, Wish, encode
+from birchslip.cluster.fleet_file import read_fleet
+from birchslip.cluster.messages import EvictionRequest, OperatorCommand, encode
+from birchslip.errors import InvalidInputError
 from birchslip.lab.wires import free_port
 from birchslip.net.buffer import Buffer
 from birchslip.net.clients import messages
@@ -96,7 +96,7 @@
         self.planners[name].wait(PATIENCE)
 
     def show(self, name=""):
-        return ask_any(self.fleet, Wish(what="show"), name)
+        return ask_any(self.fleet, OperatorCommand(what="show"), name)
 
     def leader(self):
         try:
@@ -111,7 +111,7 @@
 
         def answered():
             try:
-                found.append(ask_any(self.fleet, Want(what=what, holder=holder, why="a release")))
+                found.append(ask_any(self.fleet, EvictionRequest(what=what, holder=holder, why="a release")))
             except Exception:
                 return False
             return True
@@ -172,10 +172,10 @@
     for name in others:
         os.kill(place.planners[name].pid, signal.SIGSTOP)
     address = next(one.address for one in place.fleet.planners if one.name == leader)
-    with pytest.raises((OSError, Malformed)):
-        ask(address, Want(what="permit", holder="a-0", why="a release"))
-    with pytest.raises(Malformed, match="not the leader"):
-        ask(address, Want(what="permit", holder="a-0", why="a release"))
+    with pytest.raises((OSError, InvalidInputError)):
+        ask(address, EvictionRequest(what="permit", holder="a-0", why="a release"))
+    with pytest.raises(InvalidInputError, match="not the leader"):
+        ask(address, EvictionRequest(what="permit", holder="a-0", why="a release"))
     for name in others:
         os.kill(place.planners[name].pid, signal.SIGCONT)
     assert place.want("a-0")["granted"]
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -7,8 +7,15 @@
 from hypothesis import strategies as some
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from birchslip.fleet.permits import Asker, Group, Permits, Seen, Why, with_below
-from birchslip.fleet.records import Incarnation
+from birchslip.cluster.disruption_budget import (
+    BudgetGroup,
+    DisruptionBudget,
+    EvictionWaiter,
+    MemberObservation,
+    UnavailabilityReason,
+    with_dependents,
+)
+from birchslip.cluster.messages import Incarnation
 
 NAMES = ["a-0", "a-1", "a-2", "b-0", "b-1", "b-2"]
 
@@ -18,45 +25,45 @@
 
 
 def asks(name, mark=1):
-    return Asker(holder=name, incarnation=life(mark), why="a release")
+    return EvictionWaiter(holder=name, incarnation=life(mark), why="a release")
 
 
 def fleet(site=1, whole=2, **more):
     groups = [
-        Group("a", frozenset(NAMES[:3]), most=site),
-        Group("b", frozenset(NAMES[3:]), most=site),
-        Group("fleet", frozenset(NAMES), most=whole, **more),
+        BudgetGroup("a", frozenset(NAMES[:3]), most=site),
+        BudgetGroup("b", frozenset(NAMES[3:]), most=site),
+        BudgetGroup("fleet", frozenset(NAMES), most=whole, **more),
     ]
-    return Permits(groups), {name: Seen(life(), 10.0) for name in NAMES}
+    return DisruptionBudget(groups), {name: MemberObservation(life(), 10.0) for name in NAMES}
 
 
 @pytest.mark.parametrize(
     ("most", "share", "allowed"), [(None, None, 10), (3, None, 3), (None, 0.25, 2), (3, 0.2, 2), (1, 0.9, 1)]
 )
 def test_how_many_may_be_out(most, share, allowed):
-    assert Group("g", frozenset(map(str, range(10))), most, share).allowed == allowed
+    assert BudgetGroup("g", frozenset(map(str, range(10))), most, share).allowed == allowed
 
 
 def test_asking_twice_gets_the_same_permit_and_another_life_gets_none():
     permits, seen = fleet()
     first = permits.ask(asks("a-0"), seen).permit
     assert first is not None and permits.ask(asks("a-0"), seen).permit is first
-    seen["a-0"] = Seen(life(2), 10.0, Why.COLD)
+    seen["a-0"] = MemberObservation(life(2), 10.0, UnavailabilityReason.COLD)
     answer = permits.ask(asks("a-0", 2), seen)
     assert answer.permit is None and "earlier incarnation" in answer.why
     assert not permits.look(seen)  # back, but cold
-    seen["a-0"] = Seen(life(2), 10.0)
+    seen["a-0"] = MemberObservation(life(2), 10.0)
     assert permits.look(seen) and not permits.book.permits
     assert permits.ask(asks("a-0", 2), seen).permit is not None
 
 
-@pytest.mark.parametrize("why", list(Why)[1:])
+@pytest.mark.parametrize("why", list(UnavailabilityReason)[1:])
 def test_the_unplanned_counts_and_the_planned_waits(why):
     permits, seen = fleet()
-    seen["a-1"] = Seen(life(), 10.0, why)
+    seen["a-1"] = MemberObservation(life(), 10.0, why)
     answer = permits.ask(asks("a-0"), seen)
     assert answer.permit is None and answer.place == 1 and answer.why == "a: 2 would be out, 1 may be"
-    seen["a-1"] = Seen(life(), 10.0)
+    seen["a-1"] = MemberObservation(life(), 10.0)
     assert permits.look(seen) and permits.holder("a-0") is not None
 
 
@@ -64,11 +71,13 @@
     permits, seen = fleet()
     permits.ask(asks("a-0"), seen)
     permits.pass_time(10**9)
-    seen["a-0"] = Seen(life(), 10.0, Why.SILENT)
+    seen["a-0"] = MemberObservation(life(), 10.0, UnavailabilityReason.SILENT)
     permits.look(seen)
     assert permits.holder("a-0") is not None
     assert not permits.hand_back("a-0", life(2), seen) and not permits.hand_back("a-0", life(), seen)
-    seen["a-0"] = Seen(life(), 10.0)  # woken up in the life that still believes that it may drain
+    seen["a-0"] = MemberObservation(
+        life(), 10.0
+    )  # woken up in the life that still believes that it may drain
     permits.look(seen)
     assert permits.holder("a-0") is not None
     assert permits.hand_back("a-0", life(), seen) and permits.holder("a-0") is None
@@ -80,7 +89,7 @@
     assert permits.ask(asks("a-1"), seen).place == 1  # its site is full
     answer = permits.ask(asks("b-0"), seen)
     assert answer.permit is None and "fleet: 3 would be out" in answer.why  # a-1's room in the fleet is kept
-    seen["a-0"] = Seen(life(2), 10.0)
+    seen["a-0"] = MemberObservation(life(2), 10.0)
     permits.look(seen)
     assert permits.holder("a-1") and permits.holder("b-0")
 
@@ -90,10 +99,10 @@
     assert permits.ask(asks("a-0"), seen).permit
     answer = permits.ask(asks("b-0"), seen)
     assert answer.why == "fleet: 40 would stay in, 45 has to"
-    permits.regroup([*permits.groups[:2], Group("fleet", frozenset(NAMES), most=0)])
+    permits.regroup([*permits.groups[:2], BudgetGroup("fleet", frozenset(NAMES), most=0)])
     permits.look(seen)
     assert permits.holder("a-0") and not permits.holder("b-0")
-    seen["a-0"] = Seen(life(2), 10.0)
+    seen["a-0"] = MemberObservation(life(2), 10.0)
     permits.look(seen)
     assert not permits.book.permits
 
@@ -115,28 +124,31 @@
 def test_a_service_below_that_is_out_takes_with_it_who_needs_it():
     permits, seen = fleet()
     needs = {"a-1": ["vault-1"], "b-1": ["vault-2"]}
-    seen |= {"vault-1": Seen(life(), 1.0, Why.SILENT), "vault-2": Seen(life(), 1.0)}
-    shown = with_below(seen, needs)
-    assert shown["a-1"].out is Why.BELOW and shown["b-1"].out is None
+    seen |= {
+        "vault-1": MemberObservation(life(), 1.0, UnavailabilityReason.SILENT),
+        "vault-2": MemberObservation(life(), 1.0),
+    }
+    shown = with_dependents(seen, needs)
+    assert shown["a-1"].out is UnavailabilityReason.BELOW and shown["b-1"].out is None
     assert permits.ask(asks("a-0"), shown).permit is None and permits.ask(asks("b-0"), shown).permit is None
     assert permits.ask(asks("b-0"), shown).why == "fleet: 3 would be out, 2 may be"
 
 
 def test_a_service_goes_out_with_all_who_need_it_or_not_at_all():
     _, seen = fleet()
-    seen |= {name: Seen(life(), 1.0) for name in ("store-1", "store-2")}
+    seen |= {name: MemberObservation(life(), 1.0) for name in ("store-1", "store-2")}
     groups = [
-        Group("fleet", frozenset(NAMES), most=2),
-        Group("stores", frozenset({"store-1", "store-2"}), most=1),
+        BudgetGroup("fleet", frozenset(NAMES), most=2),
+        BudgetGroup("stores", frozenset({"store-1", "store-2"}), most=1),
     ]
-    permits = Permits(groups, needs={"a-0": ["store-1"], "a-1": ["store-1"], "b-0": ["store-2"]})
+    permits = DisruptionBudget(groups, needs={"a-0": ["store-1"], "a-1": ["store-1"], "b-0": ["store-2"]})
     assert permits.ask(asks("b-1"), seen).permit
     answer = permits.ask(asks("store-1"), seen)
     assert answer.permit is None and answer.why == "fleet: 3 would be out, 2 may be"
     assert permits.ask(asks("store-2"), seen).permit is None  # the first one's room is kept for it
-    seen["b-1"] = Seen(life(2), 10.0)
+    seen["b-1"] = MemberObservation(life(2), 10.0)
     permits.look(seen)
-    assert permits.holder("store-1") and permits.out(seen)["a-1"] is Why.BELOW
+    assert permits.holder("store-1") and permits.out(seen)["a-1"] is UnavailabilityReason.BELOW
     assert permits.ask(asks("a-2"), seen).why == "fleet: 4 would be out, 2 may be"  # store-2 waits for one
     for name in ("store-2", "a-2"):
         permits.take_back(name)
@@ -162,14 +174,20 @@
     for _ in range(300):
         names = [f"m{n}" for n in range(12)] + ["s0", "s1"]
         groups = [
-            Group(f"g{n}", frozenset(chance.sample(names, chance.randrange(1, 10))), chance.randrange(6),
-                  least=chance.choice([0.0, 20.0, 40.0]))
+            BudgetGroup(
+                f"g{n}", frozenset(chance.sample(names, chance.randrange(1, 10))), chance.randrange(6),
+                least=chance.choice([0.0, 20.0, 40.0]),
+            )
             for n in range(4)
         ]  # fmt: skip
         needs = {name: [chance.choice(["s0", "s1"])] for name in chance.sample(names[:12], 4)}
-        permits = Permits(groups, needs=needs)
+        permits = DisruptionBudget(groups, needs=needs)
         seen = {
-            name: Seen(life(), 10.0, chance.choice([None, None, None, Why.SILENT, Why.COLD]))
+            name: MemberObservation(
+                life(),
+                10.0,
+                chance.choice([None, None, None, UnavailabilityReason.SILENT, UnavailabilityReason.COLD]),
+            )
             for name in names
         }
         some = chance.sample(names, 5)
@@ -183,10 +201,10 @@
     permits.ask(asks("a-0"), seen)
     permits.ask(asks("a-1"), seen)
     permits.override("ann", "fire", 1, 100)
-    later = Permits(permits.groups)
+    later = DisruptionBudget(permits.groups)
     later.take(permits.keep())
     assert later.book == permits.book
-    seen["a-0"] = Seen(life(2), 10.0)
+    seen["a-0"] = MemberObservation(life(2), 10.0)
     later.look(seen)
     assert later.holder("a-1").number == 2
 
@@ -227,21 +245,21 @@
             answer = self.permits.ask(asks(name, 0), self.seen)
             assert answer.permit is None and self.permits.keep() == before
 
-    @rule(name=names, why=some.sampled_from(list(Why)[1:]))
+    @rule(name=names, why=some.sampled_from(list(UnavailabilityReason)[1:]))
     def go_out(self, name, why):
-        self.seen[name] = Seen(life(self.marks[name]), 10.0, why)
+        self.seen[name] = MemberObservation(life(self.marks[name]), 10.0, why)
         self.permits.look(self.seen)
 
     @rule(name=names)
     def come_back(self, name):
         self.marks[name] += 1
-        self.seen[name] = Seen(life(self.marks[name]), 10.0)
+        self.seen[name] = MemberObservation(life(self.marks[name]), 10.0)
         self.permits.look(self.seen)
 
     @rule()
     def new_leader(self):
         raw = self.permits.keep()
-        self.permits = Permits(self.permits.groups)
+        self.permits = DisruptionBudget(self.permits.groups)
         self.permits.take(raw)
 
     @precondition(lambda self: self.permits.book.waiting)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from birchslip.interface import Outcome
+from birchslip.admission.types import Outcome
 from birchslip.net.bounds import CALL, CONNECTION, bounds
 from birchslip.net.clients import FRESH, WORD, WORD_EVERY, Clients
 from birchslip.net.connection import Connection, Pool, connect
@@ -326,20 +326,20 @@
 @pytest.mark.parametrize(
     ("reply", "outcome", "body"),
     [
-        (yes(A, b"paid"), Outcome.HONOURED, b"paid"),
-        (yes(A, b""), Outcome.HONOURED, b""),
-        (yes(B, b"not yours") + yes(A, b"paid"), Outcome.HONOURED, b"paid"),
-        (f"{B} failed\r\n".encode() + yes(A, b"paid"), Outcome.HONOURED, b"paid"),
-        (f"{A} notnow\r\n".encode(), Outcome.SATURATED, b""),
-        (f"{A} pointless\r\n".encode(), Outcome.MOOT, b""),
-        (b"\xff\xfe\x00 noise\r\n", Outcome.SEVERED, b""),
-        (b"x" * 300, Outcome.SEVERED, b""),
-        (f"{A} yes -4\r\npaid\r\n".encode(), Outcome.SEVERED, b""),
-        (f"{A} yes 3000000000\r\npaid".encode(), Outcome.SEVERED, b""),
-        (f"{A} yes 2\r\npaid\r\n".encode(), Outcome.SEVERED, b""),
-        (f"{A} maybe\r\n".encode(), Outcome.SEVERED, b""),
-        (f"{B} failed\r\n".encode() * 9, Outcome.SEVERED, b""),
-        (None, Outcome.SEVERED, b""),  # closed in place of a reply
+        (yes(A, b"paid"), Outcome.SERVED, b"paid"),
+        (yes(A, b""), Outcome.SERVED, b""),
+        (yes(B, b"not yours") + yes(A, b"paid"), Outcome.SERVED, b"paid"),
+        (f"{B} failed\r\n".encode() + yes(A, b"paid"), Outcome.SERVED, b"paid"),
+        (f"{A} notnow\r\n".encode(), Outcome.REJECTED, b""),
+        (f"{A} pointless\r\n".encode(), Outcome.SUPERSEDED, b""),
+        (b"\xff\xfe\x00 noise\r\n", Outcome.CONNECTION_LOST, b""),
+        (b"x" * 300, Outcome.CONNECTION_LOST, b""),
+        (f"{A} yes -4\r\npaid\r\n".encode(), Outcome.CONNECTION_LOST, b""),
+        (f"{A} yes 3000000000\r\npaid".encode(), Outcome.CONNECTION_LOST, b""),
+        (f"{A} yes 2\r\npaid\r\n".encode(), Outcome.CONNECTION_LOST, b""),
+        (f"{A} maybe\r\n".encode(), Outcome.CONNECTION_LOST, b""),
+        (f"{B} failed\r\n".encode() * 9, Outcome.CONNECTION_LOST, b""),
+        (None, Outcome.CONNECTION_LOST, b""),  # closed in place of a reply
     ],
 )
 def test_how_a_call_ends_by_what_comes_in_reply(world, reply, outcome, body):
@@ -357,7 +357,7 @@
     asked = below.vault.calls[A]
     below.until(lambda: asked.head or len(asked.link.buffer))
     below.until(lambda: below.ended, world.time + STALL)
-    assert below.ended == [(A, Outcome.SEVERED, b"")]
+    assert below.ended == [(A, Outcome.CONNECTION_LOST, b"")]
 
 
 @pytest.mark.parametrize(
@@ -377,7 +377,7 @@
     world.time += wait
     below.ask(B, link if again else None).sendall(yes(B, b"too"))
     below.until(lambda: len(below.ended) == 2)
-    assert below.ended[1] == (B, Outcome.HONOURED, b"too")
+    assert below.ended[1] == (B, Outcome.SERVED, b"too")
     assert below.vault.counters.counts["vault.links"] == (1 if again else 2)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,8 +5,9 @@
 
 import pytest
 
-from birchslip.deployment import Malformed, Setup, deployment, flatten
-from birchslip.interface import SECOND, Below, Halt, Kind
+from birchslip.admission.settings import SettingsReader, flatten, read_admission_settings
+from birchslip.admission.types import SECOND, Downstream, Idempotency, Preemption
+from birchslip.errors import InvalidInputError
 from birchslip.net.bounds import SOCKETS_LEAST
 from birchslip.net.clients import FIELD, LONGEST_WAIT, read_told
 from birchslip.net.site import site_of
@@ -76,7 +77,7 @@
     ],
 )
 def test_a_value_that_could_break_a_rule_ends_the_start_and_is_named(path, value, named):
-    with pytest.raises(Malformed) as trouble:
+    with pytest.raises(InvalidInputError) as trouble:
         site_of(changed(path, value), {})
     assert named in str(trouble.value) and "\n" not in str(trouble.value)
 
@@ -84,16 +85,20 @@
 @pytest.mark.parametrize(
     ("path", "value", "read"),
     [
-        ("settings.family_info.halt", "softly", lambda d: d.halt is Halt.OFF),  # not used where not known
-        ("settings.family_info.halt", ..., lambda d: d.halt is Halt.OFF),
-        ("settings.family_info.halt", "pause", lambda d: d.halt is Halt.PAUSE),
-        ("settings.family_info.downstream", ..., lambda d: d.below is Below.OFF),
+        (
+            "settings.family_info.halt",
+            "softly",
+            lambda d: d.halt is Preemption.OFF,
+        ),  # not used where not known
+        ("settings.family_info.halt", ..., lambda d: d.halt is Preemption.OFF),
+        ("settings.family_info.halt", "pause", lambda d: d.halt is Preemption.PAUSE),
+        ("settings.family_info.downstream", ..., lambda d: d.below is Downstream.NONE),
         ("settings.family_info.linger_s", ..., lambda d: d.linger == d.calls_span),  # as long as the span
         ("settings.family_info.cold", "perhaps", lambda d: d.cold),
         ("settings.family_info.cold", ..., lambda d: not d.cold),
         ("settings.contract.cold_from", ..., lambda d: d.cold_from == 0),
         ("settings.contract.drain_grace_s", ..., lambda d: d.grace == 0),
-        ("settings.classes.0.effect", ..., lambda d: d.profiles[0].kind is Kind.IRREVERSIBLE),
+        ("settings.classes.0.effect", ..., lambda d: d.profiles[0].kind is Idempotency.NON_IDEMPOTENT),
         ("settings.classes.1.window_s", ..., lambda d: d.profiles[1].window == 4 * SECOND),  # the deadline
         ("settings.classes.1.window_s", 0, lambda d: d.profiles[1].window == 0),
         ("settings.classes.0.aim_s", ..., lambda d: d.profiles[0].goal == d.profiles[0].deadline),
@@ -128,8 +133,8 @@
 
 def test_a_setting_on_the_simulators_wire_is_held_to_the_same():
     pairs = [*flatten(TOLD["settings"]), ("family_info.downstream", "sideways")]
-    with pytest.raises(Malformed):
-        deployment(1, Setup(pairs))
+    with pytest.raises(InvalidInputError):
+        read_admission_settings(1, SettingsReader(pairs))
 
 
 FIELDS = {
@@ -148,5 +153,5 @@
     assert told.tenant == "o" * 100 and told.wait == 50
     del FIELDS["timeout"]
     assert read_told("lookup", [FIELDS, b""]).wait == LONGEST_WAIT * 10
-    with pytest.raises(Malformed):
+    with pytest.raises(InvalidInputError):
         read_told("lookup", [FIELDS | {"owner": "o" * (FIELD + 1)}, b""])
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -4,16 +4,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from birchslip.fleet.obey import Obedience
-from birchslip.fleet.records import Incarnation, Reply, Tell
-from birchslip.fleet.shares import Shares, surely_over
+from birchslip.cluster.messages import Incarnation, PlanAssignment, ReportReply
+from birchslip.cluster.plan_subscription import PlanSubscription
+from birchslip.cluster.quota_leases import QuotaLeases, surely_over
 
 SPAN = 30_000
 BASES = {"a": 4.0, "b": 4.0, "c": 4.0}
 
 
 def book(since=-(10**6), total=12.0, kept=0.5):
-    return Shares(BASES, total, kept, SPAN, since)
+    return QuotaLeases(BASES, total, kept, SPAN, since)
 
 
 @settings(max_examples=200, deadline=None)
@@ -28,13 +28,13 @@
 def test_what_members_may_use_never_adds_up_to_more(grants):
     """Each grant answers a report that was sent some time before; members' own clocks bound their use."""
     shares, now = book(), 0
-    uses = {name: Obedience(0.5 * base, 0, 0) for name, base in BASES.items()}
+    uses = {name: PlanSubscription(0.5 * base, 0, 0) for name, base in BASES.items()}
     author = Incarnation(mark=1)
     for name, wanted, later, on_its_way in grants:
         now += later
         amount = shares.grant(name, wanted, 0.0, now)
         assert 0 <= amount <= wanted
-        reply = Reply(epoch=1, author=author, leads=True, share=2.0 + amount, lease=SPAN)
+        reply = ReportReply(epoch=1, author=author, leads=True, share=2.0 + amount, lease=SPAN)
         uses[name].take(reply, now - on_its_way, now)
         for moment in (now, now + SPAN // 2):
             assert sum(one.calls(moment) for one in uses.values()) <= 12.0 + 1e-6
@@ -72,7 +72,7 @@
 
 
 def tell(epoch, number, span=40_000, listed=True):
-    return Tell(
+    return PlanAssignment(
         epoch=epoch,
         plan=number,
         span=span,
@@ -89,7 +89,7 @@
 
 def word(epoch=5, author=FIRST, leads=True, number=1, **more):
     plan = tell(epoch, number, **{name: more.pop(name) for name in ("span", "listed") if name in more})
-    return Reply(epoch=epoch, author=author, leads=leads, tell=plan, **more)
+    return ReportReply(epoch=epoch, author=author, leads=leads, tell=plan, **more)
 
 
 @pytest.mark.parametrize(
@@ -110,20 +110,20 @@
     ],
 )
 def test_whose_word_holds(said, obeyed):
-    member = Obedience(1.0, 0, 0)
+    member = PlanSubscription(1.0, 0, 0)
     assert member.take(word(), 0, 10)
     assert member.take(said, 20, 30) is obeyed
     assert member.epoch == max(5, said.epoch if obeyed else 0)
 
 
 def test_a_word_that_was_long_on_its_way_is_over_when_it_comes():
-    member = Obedience(1.0, 0, 0)
+    member = PlanSubscription(1.0, 0, 0)
     assert member.take(word(share=3.0, lease=30_000), 0, 50_000)
     assert member.plan is None and member.calls(50_000) == 1.0
 
 
 def test_an_older_plan_of_the_same_epoch_changes_nothing_and_a_doubled_one_can_only_hold_it_longer():
-    member = Obedience(1.0, 0, 0)
+    member = PlanSubscription(1.0, 0, 0)
     member.take(word(number=4), 0, 10)
     member.take(word(number=3, listed=False), 5_000, 5_010)
     assert (member.number, member.listed(5_020)) == (4, True)
@@ -133,13 +133,13 @@
 
 
 def test_one_that_hears_nobody_is_listed_after_its_patience_and_after_a_plan_has_run_out():
-    member = Obedience(1.0, 15_000, 0)
+    member = PlanSubscription(1.0, 15_000, 0)
     assert not member.listed(14_999) and member.listed(15_000)
     member.take(word(listed=False), 0, 10)
     assert not member.listed(49_999) and member.listed(50_000)
 
 
 def test_a_lease_that_was_paused_over_is_found_ended_at_the_next_look():
-    member = Obedience(1.0, 0, 0)
+    member = PlanSubscription(1.0, 0, 0)
     member.take(word(share=3.0, lease=30_000), 0, 10)
     assert member.calls(29_999) == 3.0 and member.calls(30_000) == 1.0 and member.lease_left(40_000) == 0
--- a/tests/test_site_plan.py
+++ b/tests/test_site_plan.py
@@ -4,15 +4,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from birchslip.fleet.site_plan import Place, plan, water, what_if
-from birchslip.interface import Refusal
+from birchslip.admission.types import SheddingTier
+from birchslip.cluster.site_plan import SiteCapacity, plan, water, what_if
 
 TENANTS = ("blue", "green", "red")
 ORDERS = [
-    tuple(Refusal),
-    (Refusal.VISITOR, Refusal.BEYOND, Refusal.HOME),
-    (Refusal.AGAIN, Refusal.HOME),
-    (Refusal.HOME,),
+    tuple(SheddingTier),
+    (SheddingTier.EVACUATED, SheddingTier.OVER_QUOTA, SheddingTier.LOCAL),
+    (SheddingTier.RETRY, SheddingTier.LOCAL),
+    (SheddingTier.LOCAL,),
 ]
 rates = some.floats(0, 1000)
 shares = some.dictionaries(some.sampled_from(TENANTS), some.floats(0, 0.33))
@@ -25,7 +25,7 @@
         rooms = {f"s{place}-{n}": draw(rates) for n in range(draw(some.integers(1, 3)))}
         load = {tenant: draw(rates) for tenant in TENANTS}
         again = draw(some.floats(0, 100))
-        made.append(Place(f"s{place}", rooms, load, again, lost=draw(some.booleans())))
+        made.append(SiteCapacity(f"s{place}", rooms, load, again, lost=draw(some.booleans())))
     costs = {(a.name, b.name): draw(some.floats(0, 9)) for a in made for b in made}
     return made, costs
 
@@ -36,7 +36,7 @@
     places, costs = world
     made = plan(places, tenants, costs, order)
     asked = sum(sum(place.load.values()) for place in places)
-    again = made.refused.get(Refusal.AGAIN, 0.0)
+    again = made.refused.get(SheddingTier.RETRY, 0.0)
     placed = sum(made.flows.values())
     assert placed + made.refused_in_all() - again == pytest.approx(asked, abs=1e-3)
     for place in places:
@@ -60,7 +60,7 @@
     places, costs = world
     before = plan(places, tenants, costs, order).refused_in_all()
     first = places[0]
-    roomier = Place(first.name, {**first.rooms, "more": more}, first.load, first.again, first.lost)
+    roomier = SiteCapacity(first.name, {**first.rooms, "more": more}, first.load, first.again, first.lost)
     assert plan([roomier, *places[1:]], tenants, costs, order).refused_in_all() <= before + 1e-3
 
 
@@ -69,13 +69,13 @@
 def test_a_later_kind_is_refused_only_when_the_earlier_ones_are_used_up(world, tenants, order):
     places, costs = world
     made = plan(places, tenants, costs, order)
-    kinds = [*order, Refusal.HOME]
-    if Refusal.AGAIN in order:
-        later = kinds[kinds.index(Refusal.AGAIN) + 1 :]
+    kinds = [*order, SheddingTier.LOCAL]
+    if SheddingTier.RETRY in order:
+        later = kinds[kinds.index(SheddingTier.RETRY) + 1 :]
         if any(made.refused.get(kind, 0) > 1e-6 for kind in later):
             used_up = sum(place.again for place in places)
-            assert made.refused.get(Refusal.AGAIN, 0.0) == pytest.approx(used_up, abs=1e-3)
-    if Refusal.VISITOR in order and made.refused.get(Refusal.HOME, 0.0) > 1e-6:
+            assert made.refused.get(SheddingTier.RETRY, 0.0) == pytest.approx(used_up, abs=1e-3)
+    if SheddingTier.EVACUATED in order and made.refused.get(SheddingTier.LOCAL, 0.0) > 1e-6:
         for place in places:
             if place.lost:
                 assert sum(flow for (home, _), flow in made.flows.items() if home == place.name) < 1e-3
@@ -94,32 +94,32 @@
 
 def two(load_a, load_b, room=100.0, lost=True):
     return [
-        Place("a", {"a-0": room}, load_a, lost=lost),
-        Place("b", {"b-0": room / 2, "b-1": room / 2}, load_b),
+        SiteCapacity("a", {"a-0": room}, load_a, lost=lost),
+        SiteCapacity("b", {"b-0": room / 2, "b-1": room / 2}, load_b),
     ]
 
 
 def test_home_load_stays_and_the_cheapest_link_is_taken_first():
     places = [
-        Place("a", {"a-0": 100}, {"blue": 60.0}, lost=True),
-        Place("b", {"b-0": 100}, {"blue": 70.0}),
-        Place("c", {"c-0": 100}, {"blue": 80.0}),
+        SiteCapacity("a", {"a-0": 100}, {"blue": 60.0}, lost=True),
+        SiteCapacity("b", {"b-0": 100}, {"blue": 70.0}),
+        SiteCapacity("c", {"c-0": 100}, {"blue": 80.0}),
     ]
-    made = plan(places, {}, {("a", "b"): 2.0, ("a", "c"): 1.0}, (Refusal.VISITOR, Refusal.HOME))
+    made = plan(places, {}, {("a", "b"): 2.0, ("a", "c"): 1.0}, (SheddingTier.EVACUATED, SheddingTier.LOCAL))
     assert made.flows == {
         ("b", "b"): 70.0,
         ("c", "c"): 80.0,
         ("a", "c"): pytest.approx(20.0),
         ("a", "b"): pytest.approx(30.0),
     }
-    assert made.refused == {Refusal.VISITOR: pytest.approx(10.0)} and made.short
+    assert made.refused == {SheddingTier.EVACUATED: pytest.approx(10.0)} and made.short
 
 
 def test_no_home_tenant_within_its_share_is_under_it_while_a_visitor_is_served():
     made = plan(two({"blue": 90.0}, {"blue": 10.0, "green": 45.0}), {"blue": 0.5, "green": 0.5}, {})
     green = sum(made.quotas_of(name)["green"] for name in ("b-0", "b-1"))
     assert green >= 45.0 and made.visiting["b"] == pytest.approx(45.0)
-    assert made.refused == {Refusal.BEYOND: pytest.approx(45.0)}
+    assert made.refused == {SheddingTier.OVER_QUOTA: pytest.approx(45.0)}
 
 
 def test_what_the_loss_of_a_site_would_mean():
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -5,25 +5,25 @@
 
 import pytest
 
-from birchslip.interface import (
+from birchslip.admission.types import (
     SECOND,
-    Attach,
-    Call,
+    AdmissionSettings,
+    AttachToOriginal,
+    CallDownstream,
     CallEnded,
-    Deployment,
-    Ended,
-    Forget,
+    CallNeeded,
+    Fail,
     Gauges,
-    Kind,
-    NeedsCall,
+    Idempotency,
     Outcome,
-    Remember,
-    Shed,
+    Reject,
+    ReleaseKey,
+    Request,
+    RunEnded,
     SkipCall,
-    Start,
-    Stop,
-    Transaction,
-    WriteOff,
+    StartRun,
+    StopRun,
+    StoreKey,
 )
 from birchslip.net.counters import Counters
 from birchslip.net.labels import SLACK, Labels
@@ -41,8 +41,8 @@
 
 from .desk import profile
 
-LABELLED = profile(Kind.LABELLED, window=5 * SECOND)
-REDOABLE = profile()
+KEYED = profile(Idempotency.KEYED, key_retention=5 * SECOND)
+IDEMPOTENT = profile()
 
 
 class Peer:
@@ -89,13 +89,13 @@
         self.send = Send(self.counters, self.log, self.agent, self.labels, self.admit, self.relay, self.book)
         self.route = Route(self.clock, self.labels, self.send, self.relay, self.book)
 
-    def passage(self, name="a", kind=REDOABLE, label="", original=None):
+    def passage(self, name="a", kind=IDEMPOTENT, label="", original=None):
         now = self.clock.now
-        tx = Transaction(kind, 0, now, now + kind.deadline, 100, original=original and original.transaction)
+        tx = Request(kind, 0, now, now + kind.deadline, 100, original=original and original.transaction)
         passage = Passage(
             Peer(), 7, name, "lookup", b"body", tx, now, label, original and self.labels.standing(label, now)
         )
-        tx.outside = passage
+        tx.context = passage
         return passage
 
     def wish(self, passage, *wishes):
@@ -117,14 +117,14 @@
 @pytest.mark.parametrize(
     ("wish", "answer"),
     [
-        (Shed(), ("shed", 7, 0, False)),
-        (Shed(2501, True), ("shed", 7, 2501, True)),
-        (WriteOff(), ("write_off", 7)),
+        (Reject(), ("shed", 7, 0, False)),
+        (Reject(2501, True), ("shed", 7, 2501, True)),
+        (Fail(), ("write_off", 7)),
     ],
 )
 def test_final_answers_are_given_once(chain, wish, answer):
     passage = chain.passage()
-    chain.wish(passage, wish, wish, Shed(), WriteOff())
+    chain.wish(passage, wish, wish, Reject(), Fail())
     chain.book.gone(passage)
     assert passage.client.said == [answer] and chain.heard() == []
 
@@ -140,56 +140,56 @@
 )
 def test_the_end_of_a_run_answers_and_is_heard(chain, end, answer):
     passage = chain.passage()
-    chain.wish(passage, Start())
+    chain.wish(passage, StartRun())
     chain.send.ended(passage, RUN_OUTCOMES[end], b"made", 40)
-    assert passage.client.said == [answer] and chain.heard() == [("a", Ended(RUN_OUTCOMES[end], 40))]
+    assert passage.client.said == [answer] and chain.heard() == [("a", RunEnded(RUN_OUTCOMES[end], 40))]
 
 
 def test_a_stop_goes_only_to_what_runs(chain):
     passage = chain.passage()
-    chain.wish(passage, Stop(), Start(), Stop())
+    chain.wish(passage, StopRun(), StartRun(), StopRun())
     assert chain.agent.said == [("launch", "a"), ("freeze",)]
 
 
 @pytest.mark.parametrize(
     ("word", "outcome"),
     [
-        (b"yes", Outcome.HONOURED),
-        (b"notnow", Outcome.SATURATED),
-        (b"failed", Outcome.ERRED),
-        (b"overdue", Outcome.OVERDUE),
-        (b"pointless", Outcome.MOOT),
+        (b"yes", Outcome.SERVED),
+        (b"notnow", Outcome.REJECTED),
+        (b"failed", Outcome.FAILED),
+        (b"overdue", Outcome.TIMED_OUT),
+        (b"pointless", Outcome.SUPERSEDED),
     ],
 )
 def test_the_vaults_words(chain, word, outcome):
     passage = chain.passage()
-    chain.wish(passage, Start())
+    chain.wish(passage, StartRun())
     chain.relay.wanted(passage, 3, b"question")
-    chain.wish(passage, Call(2500))
+    chain.wish(passage, CallDownstream(2500))
     chain.clock.now += 30
     chain.relay.ended(passage, CALL_OUTCOMES[word], b"reply")
     assert chain.vault.said == [("ask", 250, b"question")]
-    assert chain.heard() == [("a", NeedsCall()), ("a", CallEnded(outcome, 30))]
-    assert (("deliver", b"reply") in chain.agent.said) == (outcome is Outcome.HONOURED)
+    assert chain.heard() == [("a", CallNeeded()), ("a", CallEnded(outcome, 30))]
+    assert (("deliver", b"reply") in chain.agent.said) == (outcome is Outcome.SERVED)
 
 
 def test_a_call_past_its_limit_is_given_up(chain):
     passage = chain.passage()
-    chain.wish(passage, Start(), Call(2500))
+    chain.wish(passage, StartRun(), CallDownstream(2500))
     due, action = chain.clock.timers[0]
     assert due == chain.clock.now + 2500
     action()
-    assert chain.vault.said[-1] == ("unask",) and chain.heard() == [("a", CallEnded(Outcome.OVERDUE, 0))]
+    assert chain.vault.said[-1] == ("unask",) and chain.heard() == [("a", CallEnded(Outcome.TIMED_OUT, 0))]
 
 
 @pytest.mark.parametrize("over", ["written off", "run ended"])
 def test_no_call_is_left_behind_by_what_is_over(chain, over):
     passage = chain.passage()
-    chain.wish(passage, Start(), Call(2500))
+    chain.wish(passage, StartRun(), CallDownstream(2500))
     if over == "written off":
-        chain.wish(passage, WriteOff(), WriteOff())
+        chain.wish(passage, Fail(), Fail())
     else:
-        chain.send.ended(passage, Outcome.RECALLED, b"", 0)
+        chain.send.ended(passage, Outcome.CANCELLED, b"", 0)
     assert chain.vault.said[1:] == [("unask",)]
 
 
@@ -217,7 +217,7 @@
     told = Told("a" * 16, "lookup", b"", now + stamp, wait, 1, "", 100, False, "")
     passage = take_in.passage(Peer(), 7, told)
     tx = passage.transaction
-    assert (tx.arrived - now, tx.due - now, passage.stamp) == (arrived, due, now + min(stamp, 0))
+    assert (tx.arrived_at - now, tx.deadline - now, passage.stamp) == (arrived, due, now + min(stamp, 0))
 
 
 # ---- labels ------------------------------------------------------------------------------------------------
@@ -241,40 +241,40 @@
     ],
 )
 def test_who_is_repeated(chain, fate, arrived, found):
-    first, second = (chain.passage(name, LABELLED, "key") for name in "ab")
-    chain.wish(first, Remember(LABELLED.window))
+    first, second = (chain.passage(name, KEYED, "key") for name in "ab")
+    chain.wish(first, StoreKey(KEYED.key_retention))
     if fate.startswith("ran"):
-        chain.wish(first, Start())
+        chain.wish(first, StartRun())
     if "moved" in fate:
-        chain.wish(second, Remember(LABELLED.window))
+        chain.wish(second, StoreKey(KEYED.key_retention))
     if "forgotten" in fate:
-        chain.wish(first, Forget())
+        chain.wish(first, ReleaseKey())
     entry = chain.labels.standing("key", arrived)
     assert (entry and entry.original.name) == found
 
 
-@pytest.mark.parametrize("end", [None, Outcome.HONOURED, Outcome.RECALLED])
+@pytest.mark.parametrize("end", [None, Outcome.SERVED, Outcome.CANCELLED])
 def test_one_label_is_launched_once_whatever_is_wished(chain, end):
-    first, second = (chain.passage(name, LABELLED, "key") for name in "ab")
-    chain.wish(first, Remember(LABELLED.window), Start(), WriteOff())
+    first, second = (chain.passage(name, KEYED, "key") for name in "ab")
+    chain.wish(first, StoreKey(KEYED.key_retention), StartRun(), Fail())
     if end:
         chain.send.ended(first, end, b"made", 0)
     chain.clock.now += 5 * SECOND - 1
-    chain.wish(second, Remember(LABELLED.window), Start())
+    chain.wish(second, StoreKey(KEYED.key_retention), StartRun())
     assert [said for said in chain.agent.said if said[0] == "launch"] == [("launch", "a")]
     if not end:
-        chain.send.ended(first, Outcome.HONOURED, b"made", 0)
-    assert second.client.said[0][0] == ("write_off" if end is Outcome.RECALLED else "honour")
+        chain.send.ended(first, Outcome.SERVED, b"made", 0)
+    assert second.client.said[0][0] == ("write_off" if end is Outcome.CANCELLED else "honour")
 
 
 @pytest.mark.parametrize("ahead", [-3 * SECOND, 0, 2 * SECOND])
 def test_a_window_is_counted_by_the_later_of_two_clocks(chain, ahead):
     """Guards against a second run where the stamp of the one that ran lies ahead of our clock."""
-    first = chain.passage("a", LABELLED, "key")
+    first = chain.passage("a", KEYED, "key")
     first.told_stamp = chain.clock.now + ahead
-    chain.wish(first, Remember(LABELLED.window), Start())
-    chain.labels.conclude(first, Conclusion(Outcome.HONOURED, b"made"))
-    chain.clock.now += max(0, ahead) + LABELLED.window
+    chain.wish(first, StoreKey(KEYED.key_retention), StartRun())
+    chain.labels.conclude(first, Conclusion(Outcome.SERVED, b"made"))
+    chain.clock.now += max(0, ahead) + KEYED.key_retention
     assert chain.labels.standing("key", chain.clock.now) is not None
     chain.labels.purge(chain.clock.now + SLACK + chain.labels.longest_wait)
     assert chain.labels.standing("key", chain.clock.now + SLACK) is not None
@@ -282,61 +282,61 @@
 
 
 def test_a_label_runs_again_after_its_window(chain):
-    first = chain.passage("a", LABELLED, "key")
-    chain.wish(first, Remember(LABELLED.window), Start())
+    first = chain.passage("a", KEYED, "key")
+    chain.wish(first, StoreKey(KEYED.key_retention), StartRun())
     chain.clock.now += 5 * SECOND + SLACK + 1
-    second = chain.passage("b", LABELLED, "key")
-    chain.wish(second, Remember(LABELLED.window), Start())
+    second = chain.passage("b", KEYED, "key")
+    chain.wish(second, StoreKey(KEYED.key_retention), StartRun())
     assert [said[1] for said in chain.agent.said] == ["a", "b"]
-    chain.send.ended(first, Outcome.HONOURED, b"old", 0)  # the old run ends late: it is not the new one's
+    chain.send.ended(first, Outcome.SERVED, b"old", 0)  # the old run ends late: it is not the new one's
     assert first.client.said == [("honour", 7, b"old")] and second.client.said == []
 
 
 @pytest.mark.parametrize(
     ("fate", "answer", "outcome"),
     [
-        ("ended before", ("honour", 7, b"made"), Outcome.HONOURED),
-        ("ends later", ("honour", 7, b"made"), Outcome.HONOURED),
-        ("crashes", ("write_off", 7), Outcome.ERRED),
-        ("is dropped", ("write_off", 7), Outcome.ERRED),
+        ("ended before", ("honour", 7, b"made"), Outcome.SERVED),
+        ("ends later", ("honour", 7, b"made"), Outcome.SERVED),
+        ("crashes", ("write_off", 7), Outcome.FAILED),
+        ("is dropped", ("write_off", 7), Outcome.FAILED),
     ],
 )
 def test_a_repeat_shares_the_outcome(chain, fate, answer, outcome):
-    first = chain.passage("a", LABELLED, "key")
-    chain.wish(first, Remember(LABELLED.window))
+    first = chain.passage("a", KEYED, "key")
+    chain.wish(first, StoreKey(KEYED.key_retention))
     if fate != "is dropped":
-        chain.wish(first, Start())
+        chain.wish(first, StartRun())
     if fate == "ended before":
-        chain.send.ended(first, Outcome.HONOURED, b"made", 0)
-    repeat = chain.passage("b", LABELLED, "key", first)
-    chain.wish(repeat, Attach())
+        chain.send.ended(first, Outcome.SERVED, b"made", 0)
+    repeat = chain.passage("b", KEYED, "key", first)
+    chain.wish(repeat, AttachToOriginal())
     if fate == "is dropped":
-        chain.wish(first, Forget(), Shed())
+        chain.wish(first, ReleaseKey(), Reject())
     elif fate != "ended before":
-        chain.send.ended(first, Outcome.ERRED if fate == "crashes" else Outcome.HONOURED, b"made", 0)
-    assert repeat.client.said == [answer] and ("b", Ended(outcome)) in chain.heard()
+        chain.send.ended(first, Outcome.FAILED if fate == "crashes" else Outcome.SERVED, b"made", 0)
+    assert repeat.client.said == [answer] and ("b", RunEnded(outcome)) in chain.heard()
 
 
 def test_a_shed_is_never_said_of_what_has_run(chain):
     passage = chain.passage()
-    chain.wish(passage, Start(), Shed(100, True))
+    chain.wish(passage, StartRun(), Reject(100, True))
     assert passage.client.said == [("write_off", 7)]
 
 
 def test_a_repeat_that_was_answered_is_not_answered_again(chain):
-    first = chain.passage("a", LABELLED, "key")
-    chain.wish(first, Remember(LABELLED.window), Start())
-    repeat = chain.passage("b", LABELLED, "key", first)
-    chain.wish(repeat, Attach(), WriteOff())
-    chain.send.ended(first, Outcome.HONOURED, b"made", 0)
+    first = chain.passage("a", KEYED, "key")
+    chain.wish(first, StoreKey(KEYED.key_retention), StartRun())
+    repeat = chain.passage("b", KEYED, "key", first)
+    chain.wish(repeat, AttachToOriginal(), Fail())
+    chain.send.ended(first, Outcome.SERVED, b"made", 0)
     assert repeat.client.said == [("write_off", 7)]
 
 
 def test_entries_and_results_are_dropped_after_their_time(chain):
     for place in range(100):
-        passage = chain.passage(str(place), LABELLED, f"key{place}")
-        chain.wish(passage, Remember(LABELLED.window), Start())
-        chain.labels.conclude(passage, Conclusion(Outcome.HONOURED, b"x" * 4096))
+        passage = chain.passage(str(place), KEYED, f"key{place}")
+        chain.wish(passage, StoreKey(KEYED.key_retention), StartRun())
+        chain.labels.conclude(passage, Conclusion(Outcome.SERVED, b"x" * 4096))
         chain.clock.now += SECOND
     assert len(chain.labels.table) <= 11 and len(chain.labels.ends) <= 11
 
@@ -346,18 +346,18 @@
     chain.agent = chain.send.agent = Peer()
     chain.admit.carry, chain.admit.tell = chain.route.carry, lambda notice: None
     chain.admit.fault = chain.book.fault
-    chain.admit.begin(Deployment([LABELLED], cores=1), chain.clock.now)
+    chain.admit.begin(AdmissionSettings([KEYED], cores=1), chain.clock.now)
     gc.collect()
     gc.disable()
     try:
-        first = chain.passage("a", LABELLED, "key")
+        first = chain.passage("a", KEYED, "key")
         chain.admit.arrive(first)
         if fate == "shed":
             first.transaction.due = first.transaction.arrived
         chain.admit.settle()
         watched = [weakref.ref(first.transaction)]
         if fate == "repeated":
-            second = chain.passage("b", LABELLED, "key")
+            second = chain.passage("b", KEYED, "key")
             watched.append(weakref.ref(second.transaction))
             chain.admit.arrive(second)
             chain.admit.settle()
@@ -369,7 +369,7 @@
         if fate == "refused":
             chain.send.refused(first)
         elif fate != "shed":
-            chain.send.ended(first, Outcome.HONOURED, b"made", 0)
+            chain.send.ended(first, Outcome.SERVED, b"made", 0)
         chain.admit.settle()
         del first
         chain.agent.runs.clear()
@@ -398,7 +398,7 @@
     passages = [chain.passage("a"), chain.passage("b")]
 
     def carry(transaction, wish):
-        if transaction.outside.name == "a" and isinstance(wish, Start):
+        if transaction.outside.name == "a" and isinstance(wish, StartRun):
             raise KeyError("made up")
         chain.route.carry(transaction, wish)
 
@@ -413,7 +413,7 @@
 
 def site():
     here = ("127.0.0.1", 1)
-    deployment = Deployment([REDOABLE], cores=2)
+    deployment = AdmissionSettings([IDEMPOTENT], cores=2)
     return Site("t", here, here, here, None, 3 * SECOND, 64, 192 << 20, deployment, ["lookup"], [], [])
 
 
@@ -451,9 +451,9 @@
     """Guards against a quota that binds on a warm agent before the windows have been filled once."""
     program = Program(site())
     program.greeted(cold, program.scheduler.now - 20 * SECOND)
-    brain = program.admit.driver.brain
-    assert (program.phase, brain.site.cold) == (Phase.SERVING, cold)
-    assert brain.started == program.scheduler.now - counted
+    controller = program.admit.driver.controller
+    assert (program.phase, controller.site.starts_cold) == (Phase.SERVING, cold)
+    assert controller.started == program.scheduler.now - counted
 
 
 # ---- kept results ------------------------------------------------------------------------------------------
@@ -482,15 +482,15 @@
 
 
 def begun(chain):
-    passage = chain.passage("a", LABELLED, "key")
-    chain.wish(passage, Remember(LABELLED.window), Start())
+    passage = chain.passage("a", KEYED, "key")
+    chain.wish(passage, StoreKey(KEYED.key_retention), StartRun())
     return passage
 
 
 def attached(chain, first):
-    repeat = chain.passage("b", LABELLED, "key", original=first)
+    repeat = chain.passage("b", KEYED, "key", original=first)
     repeat.label = first.label
-    chain.wish(repeat, Attach())
+    chain.wish(repeat, AttachToOriginal())
     return repeat
 
 
@@ -499,11 +499,11 @@
     assert not passage.launched and kept.agent.said == []
     kept.send.keep.waiting.pop()(True)
     assert passage.launched
-    kept.send.ended(passage, Outcome.HONOURED, b"made", 5)
+    kept.send.ended(passage, Outcome.SERVED, b"made", 5)
     assert passage.client.said == [] and kept.heard() == []
     kept.send.keep.waiting.pop()(False)  # the disk would keep it too long: it is answered all the same
     assert passage.client.said == [("honour", 7, b"made")]
-    assert [event.outcome for _, event in kept.heard()] == [Outcome.HONOURED]
+    assert [event.outcome for _, event in kept.heard()] == [Outcome.SERVED]
 
 
 def test_what_could_not_be_kept_and_all_its_repeats_are_shed_and_may_run_another_time(kept):
@@ -512,8 +512,8 @@
     kept.send.keep.waiting.pop()(False)
     assert passage.client.said == repeat.client.said == [("shed", 7, 0, False)]
     assert [(name, event.outcome) for name, event in kept.heard()] == [
-        ("a", Outcome.MOOT),
-        ("b", Outcome.MOOT),
+        ("a", Outcome.SUPERSEDED),
+        ("b", Outcome.SUPERSEDED),
     ]
     assert kept.labels.standing("key", kept.clock.now) is None and kept.agent.said == []
     again = begun(kept)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from birchslip.brain import CELL, Meter, Times
-from birchslip.interface import SECOND
+from birchslip.admission.controller import CELL, QuantileWindow, QuotaMeter
+from birchslip.admission.types import SECOND
 
 MB = 1_000_000
 
@@ -20,14 +20,14 @@
     ],
 )
 def test_delay(amounts, quota, delay):
-    meter = Meter()
+    meter = QuotaMeter()
     for second, amount in enumerate(amounts):
         meter.ring.add(second * SECOND, amount)
     assert meter.delay((len(amounts) - 1) * SECOND, quota) == delay
 
 
 def test_the_times_of_a_fast_server_are_a_sample_of_each_second():
-    times = Times()
+    times = QuantileWindow()
     for place in range(20 * CELL):
         times.add(place * SECOND // (10 * CELL), place % 10)
     assert len(times.ordered) == 2 * CELL and times.number == 20 * CELL
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,8 +5,13 @@
 
 import pytest
 
-from birchslip.deployment import Malformed
-from birchslip.fleet.wire import Door, Later, Line, Refused
+from birchslip.cluster.transport import (
+    DeferredReply,
+    PeerConnection,
+    PlannerEndpoint,
+    RequestRefusedError,
+)
+from birchslip.errors import InvalidInputError
 from birchslip.lab.wires import Wire
 from birchslip.net.messagepack import pack
 from birchslip.net.scheduler import Scheduler
@@ -20,7 +25,7 @@
     def __init__(self):
         self.faults, self.served, self.left = [], [], []
         self.scheduler = Scheduler(lambda: None, lambda name, trouble: self.faults.append((name, trouble)))
-        self.door = Door(self.scheduler, 4, self.serve, lambda guest, why: self.left.append(why))
+        self.door = PlannerEndpoint(self.scheduler, 4, self.serve, lambda guest, why: self.left.append(why))
         self.address = self.door.listen(("127.0.0.1", 0))
         self.scheduler.spawn("door", self.door.accept)
 
@@ -29,7 +34,7 @@
         if method == "long":
             return b"x" * 40_000
         if method == "no":
-            raise Malformed("not today")
+            raise InvalidInputError("not today")
         return value.upper()
 
     def play(self, work):
@@ -57,9 +62,9 @@
 
 def test_an_answer_of_any_length_and_a_refusal_that_keeps_the_line():
     room = Room()
-    line = Line(room.scheduler, room.address)
+    line = PeerConnection(room.scheduler, room.address)
     assert room.ask(line) == b"ABC" and len(room.ask(line, "long")) == 40_000
-    with pytest.raises(Refused, match="not today"):
+    with pytest.raises(RequestRefusedError, match="not today"):
         room.ask(line, "no")
     assert room.ask(line, value=b"again") == b"AGAIN" and not room.left and not room.faults
 
@@ -77,7 +82,7 @@
 )
 def test_what_can_not_be_read_ends_its_own_connection_alone(raw):
     room = Room()
-    line = Line(room.scheduler, room.address)
+    line = PeerConnection(room.scheduler, room.address)
     room.ask(line)
     with socket.create_connection(room.address, 5) as other:
         other.sendall(raw)
@@ -107,7 +112,7 @@
     thread = threading.Thread(target=serve, daemon=True)
     thread.start()
     room = Room()
-    line = Line(room.scheduler, listener.getsockname())
+    line = PeerConnection(room.scheduler, listener.getsockname())
     began = room.scheduler.clock()
     with pytest.raises(OSError):
         room.ask(line, wait=3_000)
@@ -119,7 +124,7 @@
 def test_the_modes_of_a_wire():
     room = Room()
     wire = Wire(room.scheduler, room.address)
-    line = Line(room.scheduler, ("127.0.0.1", wire.port))
+    line = PeerConnection(room.scheduler, ("127.0.0.1", wire.port))
     assert room.ask(line) == b"ABC"
     wire.turn("late", 500)
     began = room.scheduler.clock()
@@ -142,7 +147,7 @@
 @pytest.mark.parametrize("value", [b"granted", ValueError("no longer the leader")], ids=["value", "error"])
 @pytest.mark.parametrize("first", ["done", "bind"])
 def test_an_answer_that_is_ready_before_its_door_has_asked_for_it_is_not_lost(value, first):
-    later, sent = Later(), []
+    later, sent = DeferredReply(), []
     for act in [first, "bind" if first == "done" else "done"]:
         later.done(value) if act == "done" else later.bind(sent.append)
     assert sent == [(None, [b"granted"]) if isinstance(value, bytes) else ("no longer the leader", None)]
