--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -20,7 +20,7 @@
 from .cluster.fleet_file import Fleet, read_fleet, schema
 from .cluster.messages import EvictionRequest, OperatorCommand, encode
 from .cluster.release_file import read_release, release_schema
-from .cluster.rollout import RolloutSpec, batches_of, unknown
+from .cluster.rollout import RolloutSpec, find_unknown_part, plan_batches
 from .cluster.rollout_controller import RolloutCommand
 from .errors import InvalidInputError
 from .net.buffer import Buffer
@@ -85,7 +85,7 @@
     for one in planners:
         try:
             answer = ask(one.address, wish)
-            if wish.what not in SHOWN or answer.get("leads") or planner:
+            if not prefers_leader(wish) or answer.get("leads") or planner:
                 return answer
             answers.append(answer)
         except (OSError, ValueError) as trouble:
@@ -95,6 +95,12 @@
     raise NotAsked("no planner could be asked\n" + "\n".join(troubles))
 
 
+def prefers_leader(command: OperatorCommand | EvictionRequest | RolloutCommand) -> bool:
+    """Whether any planner answers the command, and the leader's answer is the best."""
+    action = command.action if isinstance(command, RolloutCommand) else command.what
+    return action in SHOWN
+
+
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
     """birchslip: admission for app servers, and the fleet around them."""
@@ -270,10 +276,10 @@
 def check_release(path: str, as_json: bool, file: str) -> None:
     """Check a release file against the fleet file, and say who goes when; nothing is begun."""
     plan, parts = plan_of(file), fleet_of(path).parts()
-    stranger = unknown(plan, parts)
+    stranger = find_unknown_part(plan, parts)
     if stranger:
         raise NotAsked(f"{file}: {stranger}")
-    batches = batches_of(plan, parts)
+    batches = plan_batches(plan, parts)
     if as_json:
         click.echo(json.dumps({"batches": batches}))
     else:
@@ -302,7 +308,7 @@
     else:
         number = f" {said['number']}" if said["number"] else ""
         click.echo(
-            f"{told.what}{number}: done" if said["done"] else f"{told.what}{number}: no: {said['why']}"
+            f"{told.action}{number}: done" if said["done"] else f"{told.action}{number}: no: {said['why']}"
         )
     if not said["done"]:
         raise SystemExit(1)
@@ -319,7 +325,7 @@
 @click.argument("file", type=click.Path())
 def start_release(path: str, as_json: bool, who: str, file: str) -> None:
     """Begin a release; it is checked whole before the first drain."""
-    word(path, as_json, RolloutCommand(what="start", who=who, plan=plan_of(file)))
+    word(path, as_json, RolloutCommand(action="start", operator=who, spec=plan_of(file)))
 
 
 @release.command()
@@ -330,7 +336,7 @@
 @click.option("--why", default="")
 def halt(path: str, as_json: bool, number: int, who: str, why: str) -> None:
     """No drain begins any more; all that run are meant where no number is told."""
-    word(path, as_json, RolloutCommand(what="halt", number=number, who=who, why=why))
+    word(path, as_json, RolloutCommand(action="halt", number=number, operator=who, reason=why))
 
 
 @release.command()
@@ -340,7 +346,7 @@
 @WHO
 def resume(path: str, as_json: bool, number: int, who: str) -> None:
     """Go on with a release that was halted, and not because its version is bad."""
-    word(path, as_json, RolloutCommand(what="resume", number=number, who=who))
+    word(path, as_json, RolloutCommand(action="resume", number=number, operator=who))
 
 
 @release.command()
@@ -350,7 +356,7 @@
 @WHO
 def back(path: str, as_json: bool, number: int, who: str) -> None:
     """Take every released member back to the version before, the newest batch first."""
-    word(path, as_json, RolloutCommand(what="back", number=number, who=who))
+    word(path, as_json, RolloutCommand(action="back", number=number, operator=who))
 
 
 @release.command()
@@ -361,7 +367,7 @@
 def status(path: str, as_json: bool, number: int, follow: bool) -> None:
     """Where each release stands, what it waits for, and the figures that it is judged by."""
     told = fleet_of(path)
-    asked = RolloutCommand(what="status", number=number)
+    asked = RolloutCommand(action="status", number=number)
     if follow:
         from .cluster.tables import follow_releases
 
@@ -382,7 +388,7 @@
 @NUMBER
 def history(path: str, as_json: bool, number: int) -> None:
     """What became of each release, line by line, from its start."""
-    answer = ask_any(fleet_of(path), RolloutCommand(what="history", number=number))
+    answer = ask_any(fleet_of(path), RolloutCommand(action="history", number=number))
     if as_json:
         click.echo(json.dumps(answer))
         return
--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -1,390 +1,296 @@
-"""Who may be out: permits within budgets that nest, held until their holder is seen back in service.
-
-A *group* is a set of members (a site, the whole fleet) with a most that may be out, as a count, a share or
-both, and a least room that must stay in. Groups nest or overlap as they will: a member counts in each group
-it is in. Out counts the planned and the unplanned alike: a member that holds a permit, and one that is
-crashed, suspected, lost, cold or leaving, and one whose service below is out. Services below are members of
-groups like any other; who needs one goes out with it, and is counted when its permit is asked for.
-
-- A permit names its holder, the holder's incarnation, and why. It ends when the holder is seen back, warm,
-  in a later incarnation, or is struck from the fleet; never by time, as one that has fallen silent is out.
-- Asking twice gets the same permit. Another incarnation of a holder gets none until the old one's has ended.
-- Waiting askers are served first come, first served. A later one may go before an earlier one only where that
-  leaves the earlier one's room in every group untouched: nobody starves.
-- A budget that is lowered below what is out already grants nothing until enough are back. What the platform
-  does binds with or without a permit: it is counted, and planned drains wait.
-- An override is explicit: who, why, for how many and how long; it stands in the record.
-
-The leader alone decides, and tells a grant only once a majority of planners keeps it: a minority grants
-nothing.
+"""The disruption budget: which members may be unavailable, as permits within budgets that nest.
+
+A group is a set of members (a site, the whole fleet) with a bound on how many may be unavailable and on the
+capacity that has to stay. Planned and unplanned unavailability count alike. The leader alone decides, and
+answers a grant only once a majority of planners has stored it: a minority grants nothing. The model is that
+of pod disruption budgets in Kubernetes, with permits that are held by an incarnation.
+
+- A permit ends when its holder is observed back in service in a later incarnation, when its holder releases
+  it, or when it is revoked; it never expires, since a member that has fallen silent is still unavailable.
+- Requesting twice returns the same permit. Another incarnation of a holder gets none until the old one's has
+  ended.
+- Waiters are served in the order of arrival. A later one is granted before an earlier one only where the
+  earlier one's place in every group stays free: nobody starves.
+- A budget lowered below what is already unavailable grants nothing until enough members are back.
+- An override names a requester, a reason, a number of members and a time, and is written to the audit log.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
-from enum import Enum
 
 import msgspec
 
-from .messages import Count, Incarnation, Message, Name, Span, Words
+from .disruption_tally import BudgetIndex, DisruptionTally
+from .disruption_types import (
+    BudgetGroup,
+    BudgetOverride,
+    BudgetState,
+    EvictionDecision,
+    EvictionWaiter,
+    MemberObservation,
+    Permit,
+    UnavailabilityReason,
+)
+from .messages import Incarnation
+
+MAX_AUDIT_LINES = 256
+MAX_AUDIT_LINE_LENGTH = 400  # characters
+MAX_OVERRIDE_MEMBERS = 3
+MAX_OVERRIDE_SPAN = 3_600 * 10_000  # an hour, in tenths of a millisecond
+MAX_WAITERS = 1_024
 
-RECORD_MOST = 256  # lines of the record that are kept
-OVERRIDE_MOST = 3  # members that one override may let out
-OVERRIDE_LONGEST = 3_600 * 10_000  # an hour
-WAITING_MOST = 1_024
 
+class DisruptionBudget:
+    """Grants, queues and ends permits.
 
-class UnavailabilityReason(Enum):
-    """Why a member counts as out."""
-
-    PERMIT = "permit"
-    SILENT = "silent"
-    LEAVING = "leaving"
-    COLD = "cold"
-    BELOW = "below"
-    LOST = "lost"
-
-
-@dataclass(frozen=True, slots=True)
-class BudgetGroup:
-    """`most` members and `share` of them may be out, whichever is less; `least` is the room that stays in."""
-
-    name: str
-    members: frozenset[str]
-    most: int | None = None
-    share: float | None = None
-    least: float = 0.0
-
-    @property
-    def allowed(self) -> int:
-        bounds = [len(self.members)]
-        if self.most is not None:
-            bounds.append(self.most)
-        if self.share is not None:
-            bounds.append(int(self.share * len(self.members) + 1e-9))
-        return min(bounds)
-
-
-@dataclass(frozen=True, slots=True)
-class MemberObservation:
-    """One member as it is seen: `out` says why it is out though nobody let it, None where it is in."""
-
-    incarnation: Incarnation
-    room: float
-    out: UnavailabilityReason | None = None
-
-
-class Permit(Message):
-    """`number` rises with each grant; `override` says that it was given past the budgets."""
-
-    holder: Name
-    incarnation: Incarnation
-    why: Words
-    number: Count
-    override: bool = False
-
-
-class EvictionWaiter(Message):
-    holder: Name
-    incarnation: Incarnation
-    why: Words
-
-
-class BudgetOverride(Message):
-    """`left` is how much of its time is left, by the leader's clock."""
-
-    who: Words
-    why: Words
-    count: Count
-    left: Span
-
-
-class BudgetState(Message):
-    """What the leader has a majority keep."""
-
-    permits: list[Permit] = msgspec.field(default_factory=list)
-    waiting: list[EvictionWaiter] = msgspec.field(default_factory=list)
-    overrides: list[BudgetOverride] = msgspec.field(default_factory=list)
-    record: list[Words] = msgspec.field(default_factory=list)
-    number: Count = 0
-
-
-@dataclass(slots=True)
-class EvictionDecision:
-    """To one asker: its permit, or its place among those who wait and what it waits for."""
-
-    permit: Permit | None = None
-    place: int = 0
-    why: str = ""
-
-
-class DisruptionTally:
-    """How many of each group are out, and the room that stays in, kept as members are added.
-
-    Adding one touches the groups it is in and nothing else: who waits is gone through once, whatever the
-    fleet's size.
+    `observations` of each method are what the membership shows of every member at that moment.
     """
 
     def __init__(
-        self, permits: DisruptionBudget, seen: Mapping[str, MemberObservation], out: Iterable[str] = ()
+        self,
+        groups: list[BudgetGroup],
+        state: BudgetState | None = None,
+        dependencies: Mapping[str, Iterable[str]] | None = None,
     ) -> None:
-        self.permits, self.seen = permits, seen
-        self.out: set[str] = set()
-        self.gone = dict.fromkeys((group.name for group in permits.groups), 0)
-        self.room = {
-            group.name: sum(seen[name].room for name in group.members if name in seen)
-            for group in permits.groups
-        }
-        for name in out:
-            self.add(name)
-
-    def with_it(self, name: str) -> list[str]:
-        """Who would go out, of those that are not out yet: it and all that need it."""
-        some = (name, *self.permits.dependents.get(name, ()))
-        return [one for one in some if one not in self.out]
-
-    def add(self, name: str) -> None:
-        for one in self.with_it(name):
-            self.out.add(one)
-            for group in self.permits.groups_of.get(one, ()):
-                self.gone[group.name] += 1
-                self.room[group.name] -= self.seen[one].room if one in self.seen else 0.0
-
-    def blocked(self, holder: str) -> str:
-        """What forbids this one to go out now; nothing where it may."""
-        more: dict[str, list[str]] = {}
-        met: dict[str, BudgetGroup] = {}
-        some = (holder, *self.permits.dependents.get(holder, ()))
-        for one in some:
-            for group in self.permits.groups_of.get(one, ()):
-                met[group.name] = group
-                more.setdefault(group.name, [])
-                if one not in self.out:
-                    more[group.name].append(one)
-        for name, group in met.items():
-            gone = self.gone[name] + len(more[name])
-            if gone > group.allowed:
-                return f"{name}: {gone} would be out, {group.allowed} may be"
-            room = self.room[name] - sum(self.seen[one].room for one in more[name] if one in self.seen)
-            if room < group.least - 1e-9:
-                return f"{name}: {room:g} would stay in, {group.least:g} has to"
-        return ""
+        """Start with a stored `state`; `dependencies` are the services below of members that need any."""
+        self.state = state if state is not None else BudgetState()
+        self.index = BudgetIndex(groups, dependencies or {})
 
+    @property
+    def groups(self) -> list[BudgetGroup]:
+        """The groups in force."""
+        return self.index.groups
 
-@dataclass(slots=True)
-class DisruptionBudget:
-    """The decisions. `seen` tells of each member what the membership shows just now; `needs` names the
-    services below of those members that need any.
-    """
+    @property
+    def groups_of(self) -> Mapping[str, list[BudgetGroup]]:
+        """The groups of each member."""
+        return self.index.groups_of
 
-    groups: list[BudgetGroup]
-    book: BudgetState = field(default_factory=BudgetState)
-    needs: Mapping[str, Iterable[str]] = field(default_factory=dict)
-    groups_of: dict[str, list[BudgetGroup]] = field(init=False)
-    dependents: dict[str, list[str]] = field(init=False)
-
-    def __post_init__(self) -> None:
-        self.regroup(self.groups)
-
-    def regroup(self, groups: list[BudgetGroup], needs: Mapping[str, Iterable[str]] | None = None) -> None:
-        """Budgets as they stand from now on; one below what is out already grants nothing for a while."""
-        self.groups = groups
-        self.needs = self.needs if needs is None else needs
-        self.groups_of, self.dependents = {}, {}
-        for group in groups:
-            for name in group.members:
-                self.groups_of.setdefault(name, []).append(group)
-        for name, services in self.needs.items():
-            for service in services:
-                self.dependents.setdefault(service, []).append(name)
+    @property
+    def dependencies(self) -> Mapping[str, Iterable[str]]:
+        """The services below of those members that need any."""
+        return self.index.dependencies
 
-    # ---- counting --------------------------------------------------------------------------------------
+    def set_groups(
+        self, groups: list[BudgetGroup], dependencies: Mapping[str, Iterable[str]] | None = None
+    ) -> None:
+        """Replace the groups; the dependencies too, where they are given. Permits stay."""
+        kept = self.dependencies if dependencies is None else dependencies
+        self.index = BudgetIndex(groups, kept)
 
-    def holder(self, name: str) -> Permit | None:
-        return next((one for one in self.book.permits if one.holder == name), None)
+    # ---- counting --------------------------------------------------------------------------------------
 
-    def out(self, seen: Mapping[str, MemberObservation]) -> dict[str, UnavailabilityReason]:
-        """Everybody who is out, and why. A permit that has not been used yet counts: it may be, any
-        moment.
-        """
-        found = {name: one.out for name, one in seen.items() if one.out is not None}
-        for permit in self.book.permits:
+    def permit_of(self, name: str) -> Permit | None:
+        """The permit that a member holds, if any."""
+        return next((permit for permit in self.state.permits if permit.holder == name), None)
+
+    def unavailable_members(
+        self, observations: Mapping[str, MemberObservation]
+    ) -> dict[str, UnavailabilityReason]:
+        """Every unavailable member and why. An unused permit counts: its holder may go at any moment."""
+        found = {
+            name: observation.unavailability
+            for name, observation in observations.items()
+            if observation.unavailability is not None
+        }
+        for permit in self.state.permits:
             found.setdefault(permit.holder, UnavailabilityReason.PERMIT)
-        for service in [name for name in self.dependents if name in found]:
-            for name in self.dependents[service]:
+        dependents = self.index.dependents
+        for service in [name for name in dependents if name in found]:
+            for name in dependents[service]:
                 found.setdefault(name, UnavailabilityReason.BELOW)
         return found
 
-    def tally(self, seen: Mapping[str, MemberObservation], before: Iterable[str] = ()) -> DisruptionTally:
-        """All who are out, and beside them those who asked before."""
-        made = DisruptionTally(self, seen, self.out(seen))
-        for name in before:
-            made.add(name)
-        return made
-
-    # ---- asking ----------------------------------------------------------------------------------------
-
-    def ask(self, asker: EvictionWaiter, seen: Mapping[str, MemberObservation]) -> EvictionDecision:
-        """A permit, the same one again, or a place among those who wait."""
-        if asker.holder not in self.groups_of:
-            return EvictionDecision(why=f"{asker.holder} is in no group")
-        permit = self.holder(asker.holder)
+    def tally(
+        self, observations: Mapping[str, MemberObservation], ahead: Iterable[str] = ()
+    ) -> DisruptionTally:
+        """Counts of all unavailable members, with those waiting `ahead` counted as unavailable too."""
+        tally = DisruptionTally(self.index, observations, self.unavailable_members(observations))
+        for name in ahead:
+            tally.add(name)
+        return tally
+
+    # ---- acquiring -------------------------------------------------------------------------------------
+
+    def acquire(
+        self, requester: EvictionWaiter, observations: Mapping[str, MemberObservation]
+    ) -> EvictionDecision:
+        """A permit, the one that the requester holds already, or a place among the waiters."""
+        holder = requester.holder
+        if holder not in self.groups_of:
+            return EvictionDecision(reason=f"{holder} is in no group")
+        permit = self.permit_of(holder)
+        if permit is not None and permit.incarnation == requester.incarnation:
+            return EvictionDecision(permit)
         if permit is not None:
-            if permit.incarnation == asker.incarnation:
-                return EvictionDecision(permit)
-            return EvictionDecision(
-                why=f"an earlier incarnation of {asker.holder} is out until it is seen back"
-            )
-        shown = seen.get(asker.holder)
-        if shown is None or shown.incarnation != asker.incarnation:
-            return EvictionDecision(why=f"{asker.holder} is not known in that incarnation")
-        waiting = self.book.waiting
-        place = next((n for n, one in enumerate(waiting) if one.holder == asker.holder), None)
-        if place is None:
-            if len(waiting) >= WAITING_MOST:
-                return EvictionDecision(why=f"{len(waiting)} wait already")
-            waiting.append(asker)
-            place = len(waiting) - 1
-        else:
-            waiting[place] = asker  # a new incarnation of one that waits keeps its place
-        self.serve(seen)
-        permit = self.holder(asker.holder)
+            return EvictionDecision(reason=f"an earlier incarnation of {holder} is out until it is seen back")
+        observation = observations.get(holder)
+        if observation is None or observation.incarnation != requester.incarnation:
+            return EvictionDecision(reason=f"{holder} is not known in that incarnation")
+        if not self._enqueue(requester):
+            return EvictionDecision(reason=f"{len(self.state.waiters)} wait already")
+        self.grant_waiting(observations)
+        permit = self.permit_of(holder)
         if permit is not None:
             return EvictionDecision(permit)
-        place = next(n for n, one in enumerate(waiting) if one.holder == asker.holder)
-        before = [one.holder for one in waiting[:place]]
-        return EvictionDecision(None, place + 1, self.tally(seen, before).blocked(asker.holder))
-
-    def take_back(self, holder: str) -> bool:
-        """An asker that waits no longer; a permit is not taken back by a word: its holder may be out
-        already.
-        """
-        before = len(self.book.waiting)
-        self.book.waiting[:] = [one for one in self.book.waiting if one.holder != holder]
-        return len(self.book.waiting) < before
+        return self._waiting_decision(holder, observations)
+
+    def _enqueue(self, requester: EvictionWaiter) -> bool:
+        """Add a waiter; a new incarnation of one that waits keeps its place. False where too many wait."""
+        place = self._waiting_index(requester.holder)
+        if place is not None:
+            self.state.waiters[place] = requester
+            return True
+        if len(self.state.waiters) >= MAX_WAITERS:
+            return False
+        self.state.waiters.append(requester)
+        return True
 
-    def serve(self, seen: Mapping[str, MemberObservation]) -> list[Permit]:
-        """Grants to those who wait, in the order they came, as far as there is room."""
-        if not self.book.waiting:
+    def _waiting_index(self, holder: str) -> int | None:
+        waiters = enumerate(self.state.waiters)
+        return next((index for index, waiter in waiters if waiter.holder == holder), None)
+
+    def _waiting_decision(
+        self, holder: str, observations: Mapping[str, MemberObservation]
+    ) -> EvictionDecision:
+        place = self._waiting_index(holder) or 0
+        ahead = [waiter.holder for waiter in self.state.waiters[:place]]
+        reason = self.tally(observations, ahead).blocking_reason(holder)
+        return EvictionDecision(position=place + 1, reason=reason)
+
+    def cancel(self, holder: str) -> bool:
+        """Remove a waiter. A permit stays: its holder may be unavailable already."""
+        before = len(self.state.waiters)
+        self.state.waiters[:] = [waiter for waiter in self.state.waiters if waiter.holder != holder]
+        return len(self.state.waiters) < before
+
+    def grant_waiting(self, observations: Mapping[str, MemberObservation]) -> list[Permit]:
+        """Grant permits to waiters, in the order of arrival, as far as the budgets allow."""
+        if not self.state.waiters:
             return []
         granted: list[Permit] = []
-        tally = self.tally(seen)
-        for asker in list(self.book.waiting):
-            shown = seen.get(asker.holder)
-            if shown is None or shown.incarnation != asker.incarnation:
-                self.take_back(asker.holder)  # that life is over: its next one may ask anew
+        tally = self.tally(observations)
+        for waiter in list(self.state.waiters):
+            observation = observations.get(waiter.holder)
+            if observation is None or observation.incarnation != waiter.incarnation:
+                self.cancel(waiter.holder)  # that incarnation has ended; the next one may request anew
                 continue
-            if not tally.blocked(asker.holder):
-                granted.append(self.grant(asker))
-            tally.add(asker.holder)  # out now, or its room is kept for it
+            if not tally.blocking_reason(waiter.holder):
+                granted.append(self.grant(waiter))
+            tally.add(waiter.holder)  # unavailable now, or its place is kept for it
         return granted
 
-    def grant(self, asker: EvictionWaiter, override: bool = False) -> Permit:
-        self.book.number += 1
+    def grant(self, requester: EvictionWaiter, override: bool = False) -> Permit:
+        """Grant a permit without a check of the budgets."""
+        self.state.last_permit_number += 1
         permit = Permit(
-            holder=asker.holder,
-            incarnation=asker.incarnation,
-            why=asker.why,
-            number=self.book.number,
+            holder=requester.holder,
+            incarnation=requester.incarnation,
+            reason=requester.reason,
+            number=self.state.last_permit_number,
             override=override,
         )
-        self.book.permits.append(permit)
-        self.take_back(asker.holder)
-        self.note(f"{permit.number}: {asker.holder} may be out: {asker.why}")
+        self.state.permits.append(permit)
+        self.cancel(requester.holder)
+        self.record_event(f"{permit.number}: {requester.holder} may be out: {requester.reason}")
         return permit
 
     # ---- ending ----------------------------------------------------------------------------------------
 
-    def look(self, seen: Mapping[str, MemberObservation]) -> bool:
-        """Permits of those who are seen back end, and who waits is served; whether anything has changed."""
-        back = [one for one in self.book.permits if self.is_back(one, seen.get(one.holder))]
-        for permit in back:
-            self.book.permits.remove(permit)
-            self.note(f"{permit.number}: {permit.holder} is back")
-        return bool(self.serve(seen)) or bool(back)
+    def reconcile(self, observations: Mapping[str, MemberObservation]) -> bool:
+        """End permits of members that are back and serve waiters; whether anything has changed."""
+        returned = [
+            permit
+            for permit in self.state.permits
+            if self.has_returned(permit, observations.get(permit.holder))
+        ]
+        for permit in returned:
+            self.state.permits.remove(permit)
+            self.record_event(f"{permit.number}: {permit.holder} is back")
+        granted = self.grant_waiting(observations)
+        return bool(granted or returned)
 
     @staticmethod
-    def is_back(permit: Permit, shown: MemberObservation | None) -> bool:
-        """In service, warm, in a later life than the one that went out. The same life may still go, any
-        moment.
-        """
-        return shown is not None and shown.out is None and shown.incarnation != permit.incarnation
-
-    def hand_back(self, holder: str, incarnation: Incarnation, seen: Mapping[str, MemberObservation]) -> bool:
-        """Its holder will not go out after all. Only the life that holds it may say so, and while it is
-        in.
-        """
-        permit = self.holder(holder)
-        shown = seen.get(holder)
-        if permit is None or permit.incarnation != incarnation or shown is None or shown.out is not None:
+    def has_returned(permit: Permit, observation: MemberObservation | None) -> bool:
+        """Whether the holder serves in a later incarnation. The same one may still go at any moment."""
+        if observation is None or observation.unavailability is not None:
+            return False
+        return observation.incarnation != permit.incarnation
+
+    def release(
+        self, holder: str, incarnation: Incarnation, observations: Mapping[str, MemberObservation]
+    ) -> bool:
+        """End an unused permit. Only the incarnation that holds it may, and only while it is in service."""
+        permit, observation = self.permit_of(holder), observations.get(holder)
+        if permit is None or permit.incarnation != incarnation:
             return False
-        self.book.permits.remove(permit)
-        self.note(f"{permit.number}: {holder} hands it back")
+        if observation is None or observation.unavailability is not None:
+            return False
+        self.state.permits.remove(permit)
+        self.record_event(f"{permit.number}: {holder} hands it back")
         return True
 
-    def strike(self, holder: str, who: str) -> None:
-        """Out of the fleet by hand: it counts no longer."""
-        self.book.permits[:] = [one for one in self.book.permits if one.holder != holder]
-        self.take_back(holder)
-        self.note(f"{holder} is struck from the fleet by {who}")
+    def revoke(self, holder: str, operator: str) -> None:
+        """End the permit and the waiting of a member that an operator has removed from the fleet."""
+        self.state.permits[:] = [permit for permit in self.state.permits if permit.holder != holder]
+        self.cancel(holder)
+        self.record_event(f"{holder} is struck from the fleet by {operator}")
 
     # ---- overriding ------------------------------------------------------------------------------------
 
-    def override(self, who: str, why: str, count: int, span: int) -> str:
-        """Let so many out past the budgets, for so long; a word on what forbids it, or none."""
-        if not who or not why:
+    def add_override(self, requester: str, reason: str, count: int, span: int) -> str:
+        """Allow `count` members past the budgets for `span` tenths of a millisecond.
+
+        Returns:
+            Why the override is refused; empty where it was added.
+        """
+        if not requester or not reason:
             return "an override names who and why"
-        if not 1 <= count <= OVERRIDE_MOST:
-            return f"an override is for 1 to {OVERRIDE_MOST} members"
-        if not 0 < span <= OVERRIDE_LONGEST:
+        if not 1 <= count <= MAX_OVERRIDE_MEMBERS:
+            return f"an override is for 1 to {MAX_OVERRIDE_MEMBERS} members"
+        if not 0 < span <= MAX_OVERRIDE_SPAN:
             return "an override is for an hour at most"
-        self.book.overrides.append(BudgetOverride(who=who, why=why, count=count, left=span))
-        self.note(f"override by {who} for {count}: {why}")
+        override = BudgetOverride(requester=requester, reason=reason, count=count, remaining=span)
+        self.state.overrides.append(override)
+        self.record_event(f"override by {requester} for {count}: {reason}")
         return ""
 
-    def ask_past(self, asker: EvictionWaiter, seen: Mapping[str, MemberObservation]) -> EvictionDecision:
-        """As `ask`, by an override where the budgets forbid it."""
-        answer = self.ask(asker, seen)
-        if answer.permit is not None or not answer.place:
-            return answer
-        if not self.book.overrides:
-            return answer
-        first = self.book.overrides[0]
-        first.count -= 1
-        if not first.count:
-            self.book.overrides.pop(0)
-        self.note(f"past the budgets for {first.who}: {first.why}")
-        return EvictionDecision(self.grant(asker, override=True))
-
-    def pass_time(self, span: int) -> None:
-        for one in self.book.overrides:
-            one.left = max(0, one.left - span)
-        for one in [one for one in self.book.overrides if not one.left]:
-            self.book.overrides.remove(one)
-            self.note(f"the override by {one.who} has ended")
-
-    # ---- the record ------------------------------------------------------------------------------------
-
-    def note(self, text: str) -> None:
-        self.book.record.append(text[:400])
-        del self.book.record[:-RECORD_MOST]
-
-    def keep(self) -> bytes:
-        return msgspec.json.encode(self.book)
-
-    def take(self, raw: bytes) -> None:
-        self.book = msgspec.json.decode(raw, type=BudgetState) if raw else BudgetState()
-
-
-def with_dependents(
-    seen: Mapping[str, MemberObservation], needs: Mapping[str, Iterable[str]]
-) -> dict[str, MemberObservation]:
-    """Members as they are seen, with those out whose service below is, or is not known."""
-    return {
-        name: MemberObservation(one.incarnation, one.room, UnavailabilityReason.BELOW)
-        if one.out is None
-        and any(service not in seen or seen[service].out for service in needs.get(name, ()))
-        else one
-        for name, one in seen.items()
-    }
+    def acquire_with_override(
+        self, requester: EvictionWaiter, observations: Mapping[str, MemberObservation]
+    ) -> EvictionDecision:
+        """As `acquire`; uses up one place of an override where the budgets forbid a permit."""
+        decision = self.acquire(requester, observations)
+        if decision.permit is not None or not decision.position:
+            return decision
+        if not self.state.overrides:
+            return decision
+        override = self.state.overrides[0]
+        override.count -= 1
+        if not override.count:
+            self.state.overrides.pop(0)
+        self.record_event(f"past the budgets for {override.requester}: {override.reason}")
+        return EvictionDecision(self.grant(requester, override=True))
+
+    def expire_overrides(self, elapsed: int) -> None:
+        """Count `elapsed` tenths of a millisecond against every override, and end those that run out."""
+        for override in self.state.overrides:
+            override.remaining = max(0, override.remaining - elapsed)
+        for override in [one for one in self.state.overrides if not one.remaining]:
+            self.state.overrides.remove(override)
+            self.record_event(f"the override by {override.requester} has ended")
+
+    # ---- storing ---------------------------------------------------------------------------------------
+
+    def record_event(self, text: str) -> None:
+        """Append a line to the audit log, and drop the oldest lines past its bound."""
+        self.state.audit_log.append(text[:MAX_AUDIT_LINE_LENGTH])
+        del self.state.audit_log[:-MAX_AUDIT_LINES]
+
+    def encode(self) -> bytes:
+        """The state as it is replicated."""
+        return msgspec.json.encode(self.state)
+
+    def restore(self, raw: bytes) -> None:
+        """Continue with a replicated state; empty bytes are an empty state."""
+        self.state = msgspec.json.decode(raw, type=BudgetState) if raw else BudgetState()
--- /dev/null
+++ b/birchslip/cluster/disruption_tally.py
@@ -0,0 +1,121 @@
+"""Counts of unavailable members in groups that nest or overlap.
+
+Decides whether one more member may go, and never changes a permit. A service that members depend on is a
+member of groups like any other: whoever depends on it becomes unavailable with it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+from .disruption_types import TOLERANCE, BudgetGroup, MemberObservation, UnavailabilityReason
+
+
+class BudgetIndex:
+    """The groups of each member, and the members that depend on each service."""
+
+    def __init__(self, groups: list[BudgetGroup], dependencies: Mapping[str, Iterable[str]]) -> None:
+        """Index `groups`, and `dependencies`: the services below of those members that need any."""
+        self.groups = groups
+        self.dependencies = dependencies
+        self.groups_of: dict[str, list[BudgetGroup]] = {}
+        self.dependents: dict[str, list[str]] = {}
+        for group in groups:
+            for name in group.members:
+                self.groups_of.setdefault(name, []).append(group)
+        for name, services in dependencies.items():
+            for service in services:
+                self.dependents.setdefault(service, []).append(name)
+
+    def with_dependents(self, name: str) -> tuple[str, ...]:
+        """The member, and all that become unavailable with it."""
+        return (name, *self.dependents.get(name, ()))
+
+
+class DisruptionTally:
+    """How many of each group are unavailable, and the capacity that stays, kept as members are added.
+
+    Adding a member touches the groups it is in and nothing else, so all waiters are checked in one pass,
+    whatever the fleet's size.
+    """
+
+    def __init__(
+        self,
+        index: BudgetIndex,
+        observations: Mapping[str, MemberObservation],
+        unavailable: Iterable[str] = (),
+    ) -> None:
+        """Count `unavailable` members, out of the fleet in `observations`."""
+        self.index = index
+        self.observations = observations
+        self.unavailable: set[str] = set()
+        self.unavailable_counts = dict.fromkeys((group.name for group in index.groups), 0)
+        self.capacities = {
+            group.name: sum(observations[name].capacity for name in group.members if name in observations)
+            for group in index.groups
+        }
+        for name in unavailable:
+            self.add(name)
+
+    def newly_unavailable(self, name: str) -> list[str]:
+        """Who would become unavailable with `name`, itself included, of those that are still available."""
+        return [one for one in self.index.with_dependents(name) if one not in self.unavailable]
+
+    def add(self, name: str) -> None:
+        """Count `name` and its dependents as unavailable."""
+        for member in self.newly_unavailable(name):
+            self.unavailable.add(member)
+            capacity = self._capacity(member)
+            for group in self.index.groups_of.get(member, ()):
+                self.unavailable_counts[group.name] += 1
+                self.capacities[group.name] -= capacity
+
+    def blocking_reason(self, holder: str) -> str:
+        """Which budget forbids that `holder` becomes unavailable now; empty where none does."""
+        groups: dict[str, BudgetGroup] = {}
+        added: dict[str, list[str]] = {}
+        for member in self.index.with_dependents(holder):
+            for group in self.index.groups_of.get(member, ()):
+                groups[group.name] = group
+                members = added.setdefault(group.name, [])
+                if member not in self.unavailable:
+                    members.append(member)
+        for name, group in groups.items():
+            reason = self._exceeded_budget(group, added[name])
+            if reason:
+                return reason
+        return ""
+
+    def _exceeded_budget(self, group: BudgetGroup, added: list[str]) -> str:
+        """Which bound of one group is exceeded with the `added` members unavailable; empty where none is."""
+        unavailable = self.unavailable_counts[group.name] + len(added)
+        if unavailable > group.disruptions_allowed:
+            return f"{group.name}: {unavailable} would be out, {group.disruptions_allowed} may be"
+        capacity = self.capacities[group.name] - sum(self._capacity(member) for member in added)
+        if capacity < group.min_capacity - TOLERANCE:
+            return f"{group.name}: {capacity:g} would stay in, {group.min_capacity:g} has to"
+        return ""
+
+    def _capacity(self, member: str) -> float:
+        observation = self.observations.get(member)
+        return observation.capacity if observation is not None else 0.0
+
+
+def with_dependents(
+    observations: Mapping[str, MemberObservation], dependencies: Mapping[str, Iterable[str]]
+) -> dict[str, MemberObservation]:
+    """The observations, with members marked unavailable whose service below is, or is not known."""
+
+    def is_unavailable(service: str) -> bool:
+        return service not in observations or observations[service].unavailability is not None
+
+    found: dict[str, MemberObservation] = {}
+    for name, observation in observations.items():
+        found[name] = observation
+        if observation.unavailability is not None:
+            continue
+        if any(is_unavailable(service) for service in dependencies.get(name, ())):
+            found[name] = MemberObservation(
+                observation.incarnation, observation.capacity, UnavailabilityReason.BELOW
+            )
+    return found
--- a/birchslip/cluster/fleet_file.py
+++ b/birchslip/cluster/fleet_file.py
@@ -10,7 +10,7 @@
 
 from ..admission.types import MS, SheddingTier
 from ..errors import InvalidInputError
-from .disruption_budget import BudgetGroup
+from .disruption_types import BudgetGroup
 from .messages import Name, Part
 
 Address = Annotated[
--- a/birchslip/cluster/inventory.py
+++ b/birchslip/cluster/inventory.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from ..errors import InvalidInputError
-from .disruption_budget import MemberObservation, UnavailabilityReason
+from .disruption_types import MemberObservation, UnavailabilityReason
 from .messages import Count, Incarnation, Name
-from .rollout import InstanceStatus, PlatformView, Version
+from .rollout import InstanceStatus, InstanceView, Version
 
 
 class ProcessReport(msgspec.Struct):
@@ -31,9 +31,9 @@
     members: dict[Name, ProcessReport]
     services: dict[Name, ProcessReport] = {}
 
-    def platform(self) -> dict[str, PlatformView]:
+    def platform(self) -> dict[str, InstanceView]:
         return {
-            name: PlatformView(InstanceStatus(one.state), one.version, one.starts, one.ends)
+            name: InstanceView(InstanceStatus(one.state), one.version, one.starts, one.ends)
             for name, one in self.members.items()
         }
 
--- a/birchslip/cluster/member_metrics.py
+++ b/birchslip/cluster/member_metrics.py
@@ -14,7 +14,7 @@
 SPAN = SLICES * SLICE
 
 
-def room_of(cores: int, usual: float, honoured: float) -> float:
+def estimate_capacity(cores: int, usual: float, honoured: float) -> float:
     """Transactions a second that it can do; 0 while nothing is known of it.
 
     By its cores and what a run usually takes, or what it has just done if that is more. The running limit
@@ -23,7 +23,7 @@
     return max(cores * SECOND / usual, honoured) if usual > 0 else 0.0
 
 
-class Rates:
+class RequestRates:
     """Counts in rings; no work grows with callers or history."""
 
     def __init__(self, tenants: list[str]) -> None:
@@ -64,7 +64,7 @@
 CALLS_BAD = ("erred", "overdue", "severed", "saturated", "unreached")
 
 
-class Figures:
+class OutcomeCounts:
     """What became of transactions since this life began: by kind and profile, bad ones and all.
 
     They only grow, so that whoever reads them may miss any number of reports, and read the difference.
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -378,8 +378,8 @@
     def take_word(self, guest: IncomingConnection, value: bytes, now: int) -> bytes | DeferredReply:
         """Of releases: any planner shows them, the leader alone takes a word on them."""
         word = decode(value, RolloutCommand)
-        if word.what in ("status", "history"):
-            told = self.mind.told_releases(now, word.number, word.what == "history")
+        if word.action in ("status", "history"):
+            told = self.mind.told_releases(now, word.number, word.action == "history")
             return msgspec.json.encode({"leads": self.mind.rules(now), "releases": told})
         self.lead(now)
         number, said = self.mind.say(word, now)
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -22,7 +22,7 @@
 from ..net.scheduler import Scheduler
 from ..net.site import address
 from .fleet_file import Fleet, span
-from .member_metrics import Figures, Rates, room_of
+from .member_metrics import OutcomeCounts, RequestRates, estimate_capacity
 from .messages import (
     Incarnation,
     MemberReport,
@@ -82,8 +82,8 @@
         self.obey = PlanSubscription(
             vault.kept * base if vault else 0.0, span(fleet.patience_ms), monotonic_now()
         )
-        self.rates = Rates(tenants)
-        self.figures = Figures(profiles)
+        self.rates = RequestRates(tenants)
+        self.figures = OutcomeCounts(profiles)
         self.memory = self.memory_due = 0
         self.standing = MemberStatus()
         self.number = 0
@@ -212,7 +212,9 @@
             serving=self.standing.serving,
             leaving=self.standing.leaving,
             warm=controller is not None and (not controller.site.starts_cold or age >= site.warm_up_span),
-            room=room_of(site.cores, controller.all_runs.usual, honoured) if controller is not None else 0.0,
+            room=estimate_capacity(site.cores, controller.all_runs.usual, honoured)
+            if controller is not None
+            else 0.0,
             pace=max(0.0, controller.stretch) if controller is not None else 1.0,
             load=load,
             visits=visits,
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -10,14 +10,9 @@
 
 import msgspec
 
-from .disruption_budget import (
-    BudgetState,
-    DisruptionBudget,
-    EvictionWaiter,
-    MemberObservation,
-    UnavailabilityReason,
-    with_dependents,
-)
+from .disruption_budget import DisruptionBudget
+from .disruption_tally import with_dependents
+from .disruption_types import BudgetState, EvictionWaiter, MemberObservation, UnavailabilityReason
 from .election import Election
 from .fleet_diff import hindered, moved
 from .fleet_file import Fleet, span
@@ -90,7 +85,7 @@
         self.away = 0.0  # leased parts of members of lost sites
         self.beside: dict[str, int] = {}  # by site: members that are heard, as of the last look
         self.rooms: dict[str, float] = {}  # the last that was measured of each member
-        self.permits = DisruptionBudget(fleet.budgets(), needs=fleet.needs())
+        self.permits = DisruptionBudget(fleet.budgets(), dependencies=fleet.needs())
         stale = span(fleet.platform.stale_ms) if fleet.platform is not None else 0
         services = [one.name for one in fleet.services]
         self.conductor = RolloutController(fleet.parts(), services, self.permits, stale, self.home)
@@ -137,8 +132,8 @@
         state = self.read_state(raw)
         self.comebacks, loads = self.read_sites(state, now)
         self.usual |= loads
-        self.permits.book = state.permits
-        self.conductor.take(state.releases, now)
+        self.permits.state = state.permits
+        self.conductor.restore(state.releases, now)
         self.orders_number = 1
 
     def read_state(self, raw: bytes) -> ReplicatedState:
@@ -185,7 +180,7 @@
             if one.stage is not RecoveryStage.HOME or one.flaps
         }
         return msgspec.json.encode(
-            ReplicatedState(sites=sites, permits=self.permits.book, releases=self.conductor.book)
+            ReplicatedState(sites=sites, permits=self.permits.state, releases=self.conductor.states)
         )
 
     def amend(self, fleet: Fleet, now: int) -> list[str]:
@@ -198,17 +193,17 @@
         self.home = {member.name: site.name for site in fleet.sites for member in site.members}
         for name in gone:
             self.membership.leave(name)
-        self.permits.regroup(fleet.budgets(), fleet.needs())
+        self.permits.set_groups(fleet.budgets(), fleet.needs())
         if fleet.platform is not None:
-            self.conductor.stale = span(fleet.platform.stale_ms)
-        self.conductor.amend(fleet.parts(), (one.name for one in fleet.services), self.home)
+            self.conductor.inventory_ttl = span(fleet.platform.stale_ms)
+        self.conductor.update_fleet(fleet.parts(), (one.name for one in fleet.services), self.home)
         if self.shares is not None:
             self.shares.amend(self.bases)
         self.remark("fleet file taken over", left=gone, joined=joined)
         if self.reign:
             known = {*self.home, *(one.name for one in fleet.services)}
-            for name in [one.holder for one in self.permits.book.permits if one.holder not in known]:
-                self.permits.strike(name, "the fleet file")
+            for name in [one.holder for one in self.permits.state.permits if one.holder not in known]:
+                self.permits.revoke(name, "the fleet file")
             self.renew(now)
         return []
 
@@ -321,10 +316,10 @@
                         "site moves", site=site, stage=comeback.stage.value, level=comeback.level, why=word
                     )
                     changed = True
-        self.permits.pass_time(now - self.looked_at)
+        self.permits.expire_overrides(now - self.looked_at)
         self.looked_at = now
         seen = self.seen(now)
-        changed = self.permits.look(seen) or changed
+        changed = self.permits.reconcile(seen) or changed
         changed = self.conduct(seen, now) or changed
         out = any(one.stage is not RecoveryStage.HOME for one in self.comebacks.values())
         if changed or (out and now - self.made_at >= AGAIN):
@@ -338,22 +333,25 @@
         if not self.conductor.unfinished() or now - self.conducted_at < CONDUCT:
             return False
         self.conducted_at = now
-        phases = {one.course.number: one.phase for one in self.conductor.unfinished()}
-        before = msgspec.json.encode(self.conductor.book), self.permits.keep()
+        phases = {one.record.number: one.phase for one in self.conductor.unfinished()}
+        before = msgspec.json.encode(self.conductor.states), self.permits.encode()
         reports = {
             name: member.report
             for name, member in self.membership.members.items()
-            if seen[name].out in (None, UnavailabilityReason.COLD)
+            if seen[name].unavailability in (None, UnavailabilityReason.COLD)
         }
         out = [name for name, one in self.comebacks.items() if one.stage is not RecoveryStage.HOME]
-        self.conductor.look(seen, reports, out, now)
-        for release in self.conductor.releases:
-            was = phases.get(release.course.number)
+        self.conductor.step(seen, reports, out, now)
+        for release in self.conductor.rollouts:
+            was = phases.get(release.record.number)
             if was is not None and was is not release.phase:
                 self.remark(
-                    "release", number=release.course.number, phase=release.phase.value, why=release.course.why
+                    "release",
+                    number=release.record.number,
+                    phase=release.phase.value,
+                    why=release.record.reason,
                 )
-        return before != (msgspec.json.encode(self.conductor.book), self.permits.keep())
+        return before != (msgspec.json.encode(self.conductor.states), self.permits.encode())
 
     def orders(self, now: int) -> list[PlatformOrder]:
         """What the platform is to be asked now: all that it rests on is kept by a majority."""
@@ -363,9 +361,11 @@
 
     def say(self, word: RolloutCommand, now: int) -> tuple[int, CommandResult]:
         """A person's word on releases, and the number that a majority has to keep before it is answered."""
-        said = self.conductor.word(word, now)
-        self.remark("word on a release", what=word.what, number=said.number, who=word.who, why=said.why)
-        if said.done:
+        said = self.conductor.execute(word, now)
+        self.remark(
+            "word on a release", what=word.action, number=said.number, who=word.operator, why=said.reason
+        )
+        if said.accepted:
             self.renew(now)
             self.orders_number = self.number
             self.conducted_at = now - CONDUCT  # looked at with the next look, not a quarter of a second later
@@ -491,25 +491,25 @@
             found[name] = MemberObservation(member.incarnation, self.room(member), why)
         if not self.reign:
             return found  # the leader alone asks the platform
-        return with_dependents(found | self.conductor.seen(now), self.permits.needs)
+        return with_dependents(found | self.conductor.observe_services(now), self.permits.dependencies)
 
     def want(self, want: EvictionRequest, now: int) -> tuple[int, EvictionResponse]:
         """What comes of it, and the number that a majority has to keep before it may be told."""
         seen = self.seen(now)
-        before = self.permits.keep()
+        before = self.permits.encode()
         if want.what == "override":
-            why = self.permits.override(want.who, want.why, want.count, want.span)
+            why = self.permits.add_override(want.who, want.why, want.count, want.span)
             granted = EvictionResponse(granted=not why, why=why)
         elif want.holder not in seen:
             return self.kept_number, EvictionResponse(
                 granted=False, why=f"no member is named {want.holder!r}"
             )
         elif want.what == "strike":
-            self.permits.strike(want.holder, want.who)
+            self.permits.revoke(want.holder, want.who)
             granted = EvictionResponse(granted=True)
         else:
             granted = self.want_out(want, want.incarnation or seen[want.holder].incarnation, seen)
-        if self.permits.keep() != before:
+        if self.permits.encode() != before:
             self.remark(
                 "permits", what=want.what, holder=want.holder, granted=granted.granted, why=granted.why
             )
@@ -520,30 +520,34 @@
         self, want: EvictionRequest, incarnation: Incarnation, seen: dict[str, MemberObservation]
     ) -> EvictionResponse:
         if want.what == "hand-back":
-            return EvictionResponse(granted=self.permits.hand_back(want.holder, incarnation, seen))
-        asker = EvictionWaiter(holder=want.holder, incarnation=incarnation, why=want.why)
-        ask = self.permits.ask_past if want.what == "past" else self.permits.ask
+            return EvictionResponse(granted=self.permits.release(want.holder, incarnation, seen))
+        asker = EvictionWaiter(holder=want.holder, incarnation=incarnation, reason=want.why)
+        ask = self.permits.acquire_with_override if want.what == "past" else self.permits.acquire
         answer = ask(asker, seen)
         number = answer.permit.number if answer.permit is not None else 0
         return EvictionResponse(
-            granted=answer.permit is not None, number=number, place=answer.place, why=answer.why
+            granted=answer.permit is not None, number=number, place=answer.position, why=answer.reason
         )
 
     def shown_permits(self, book: BudgetState, now: int) -> dict[str, object]:
         permits = DisruptionBudget(self.permits.groups, book)
-        out = permits.out(self.seen(now))
+        out = permits.unavailable_members(self.seen(now))
         return {
             "groups": [
-                {"name": one.name, "allowed": one.allowed, "out": len(one.members.intersection(out))}
+                {
+                    "name": one.name,
+                    "allowed": one.disruptions_allowed,
+                    "out": len(one.members.intersection(out)),
+                }
                 for one in permits.groups
             ],
             "out": {name: why.value for name, why in sorted(out.items())} if permits.groups else {},
             "permits": [
-                {"holder": one.holder, "number": one.number, "why": one.why, "override": one.override}
+                {"holder": one.holder, "number": one.number, "why": one.reason, "override": one.override}
                 for one in book.permits
             ],
-            "waiting": [one.holder for one in book.waiting],
-            "record": book.record[-16:],
+            "waiting": [one.holder for one in book.waiters],
+            "record": book.audit_log[-16:],
         }
 
     # ---- operators -------------------------------------------------------------------------------------
@@ -636,16 +640,16 @@
             "releases": self.told_releases(now),
             "sites": sites,
             "members": members,
-            **self.shown_permits(self.permits.book if rules else state.permits, now),
+            **self.shown_permits(self.permits.state if rules else state.permits, now),
         }
 
     def told_releases(self, now: int, number: int = 0, history: bool = False) -> list[dict[str, object]]:
         """From any planner; one that follows tells what the leader had it keep."""
         if self.rules(now):
-            return self.conductor.told(number, history)
-        kept = RolloutController(self.conductor.parts, (), self.permits, 0)
-        kept.take(self.read_state(self.ballot.durable.state).releases, now)
-        return kept.told(number, history)
+            return self.conductor.report(number, history)
+        kept = RolloutController(self.conductor.members_by_part, (), self.permits, 0)
+        kept.restore(self.read_state(self.ballot.durable.state).releases, now)
+        return kept.report(number, history)
 
     def remark(self, event: str, **more: object) -> None:
         if len(self.remarks) < 256:
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -72,7 +72,7 @@
         listing = read_inventory(answer.body)
         self.counters.count("platform.listings")
         if self.mind.reign == reign:  # or it was asked in a reign that is over
-            self.mind.conductor.hear(listing, sent)
+            self.mind.conductor.receive_inventory(listing, sent)
 
     def give_orders(self) -> None:
         """Each is looked up anew: a halt meanwhile leaves nothing to give."""
@@ -84,13 +84,13 @@
             if order is None:
                 return
             given.add(order)
-            body = {"epoch": self.mind.reign, "number": order.number, "version": order.version}
-            path = f"/fleet/members/{quote(order.member, safe='')}/{order.what}"
+            body = {"epoch": self.mind.reign, "number": order.permit_number, "version": order.version}
+            path = f"/fleet/members/{quote(order.member, safe='')}/{order.action}"
             answer = self.ask("POST", path, json.dumps(body).encode())
             good = 200 <= answer.status < 300
             self.counters.count("platform.orders" if good else "platform.refused")
             if good:
-                self.log.info("order", what=order.what, member=order.member, version=order.version)
+                self.log.info("order", what=order.action, member=order.member, version=order.version)
             else:
                 self.log.fault("an order was refused", member=order.member, status=answer.status)
 
--- a/birchslip/cluster/release_file.py
+++ b/birchslip/cluster/release_file.py
@@ -1,4 +1,7 @@
-"""The operators' release file: JSON with a schema, checked whole before anybody is asked."""
+"""The operators' release file: reading, checking, and its JSON Schema.
+
+Decides nothing about a rollout, and never reads the fleet file: the controller checks a release against it.
+"""
 
 from __future__ import annotations
 
@@ -10,19 +13,38 @@
 from ..errors import InvalidInputError
 from .rollout import RolloutSpec
 
+SCHEMA_DIALECT = "https://json-schema.org/draft/2020-12/schema"
+# Published in deploy/release.schema.json, and so independent of the names in the code.
+SCHEMA_NAME = "Plan"
+SCHEMA_DESCRIPTION = (
+    "A release file. The first batch are the canaries; `sites` in the order in which they are released."
+)
+
 
 def read_release(path: str | Path) -> RolloutSpec:
-    """Malformed or OSError says in a line what is wrong, and where."""
+    """Read and check a release file.
+
+    Raises:
+        InvalidInputError: With one line that says what is wrong and where.
+        OSError: If the file can't be read.
+    """
     try:
-        plan: RolloutSpec = msgspec.json.decode(Path(path).read_bytes(), type=RolloutSpec)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise InvalidInputError(f"{path}: {trouble}") from None
-    why = plan.trouble()
-    if why:
-        raise InvalidInputError(f"{path}: {why}")
-    return plan
+        spec: RolloutSpec = msgspec.json.decode(Path(path).read_bytes(), type=RolloutSpec)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise InvalidInputError(f"{path}: {error}") from None
+    reason = spec.validation_error()
+    if reason:
+        raise InvalidInputError(f"{path}: {reason}")
+    return spec
 
 
 def release_schema() -> dict[str, Any]:
-    """The JSON Schema, as it stands in `deploy/release.schema.json`."""
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", **msgspec.json.schema(RolloutSpec)}
+    """The JSON Schema of a release file, as it stands in `deploy/release.schema.json`."""
+    _, components = msgspec.json.schema_components((RolloutSpec,))
+    definition = components[RolloutSpec.__name__]
+    definition |= {"title": SCHEMA_NAME, "description": SCHEMA_DESCRIPTION}
+    return {
+        "$schema": SCHEMA_DIALECT,
+        "$ref": f"#/$defs/{SCHEMA_NAME}",
+        "$defs": {SCHEMA_NAME: definition},
+    }
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -31,11 +31,12 @@
     ACROSS,
     BY_LOAD,
     CanaryAnalysis,
+    CanaryEvidence,
     CanaryVerdict,
-    Evidence,
-    Shown,
+    MemberSample,
 )
-from .disruption_budget import DisruptionBudget, EvictionWaiter, MemberObservation, Permit
+from .disruption_budget import DisruptionBudget
+from .disruption_types import EvictionWaiter, MemberObservation, Permit
 from .messages import Count, Message, Name, Part, Span, Words
 
 STARTS_MOST = 2  # in one version before another is tried
@@ -49,9 +50,9 @@
 class RolloutPhase(Enum):
     RUNNING = "running"
     HALTED = "halted"
-    BACKING = "backing"
-    DONE = "done"
-    BACK = "back"
+    ROLLING_BACK = "backing"
+    COMPLETED = "done"
+    ROLLED_BACK = "back"
 
 
 class InstanceStatus(Enum):
@@ -63,30 +64,43 @@
     FAILED = "failed"  # its last start did not come up
 
 
-class RolloutSpec(Message):
+class RolloutSpec(
+    Message,
+    rename={
+        "previous_version": "before",
+        "batch_size": "batch",
+        "min_watch_ms": "watch_ms",
+        "max_watch_ms": "watch_most_ms",
+        "max_crashes": "crashes",
+        "max_memory_ratio": "memory",
+        "stall_timeout_ms": "stall_ms",
+    },
+):
     """A release file. The first batch are the canaries; `sites` in the order in which they are released."""
 
     version: Version
-    before: Version
+    previous_version: Version
     sites: list[Name] = msgspec.field(default_factory=list)  # all of the fleet file where there are none
     groups: list[Name] = msgspec.field(default_factory=list)  # the same by groups of the fleet file
     canaries: Annotated[int, msgspec.Meta(ge=1, le=100)] = 1
-    batch: Annotated[int, msgspec.Meta(ge=1, le=1_000)] = 2
-    watch_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 10_000
-    watch_most_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 120_000
+    batch_size: Annotated[int, msgspec.Meta(ge=1, le=1_000)] = 2
+    min_watch_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 10_000
+    max_watch_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 120_000
     margins: dict[Name, Part] = msgspec.field(
         default_factory=lambda: {"late": 0.05, "slow": 0.15, "shed": 0.05, "written_off": 0.02}
     )
-    crashes: Annotated[int, msgspec.Meta(ge=0, le=100)] = 0
-    memory: Annotated[float, msgspec.Meta(ge=0, le=100)] = 2.0  # times the others' that is too much; 0: any
-    stall_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 600_000  # without a step: a halt
+    max_crashes: Annotated[int, msgspec.Meta(ge=0, le=100)] = 0
+    max_memory_ratio: Annotated[float, msgspec.Meta(ge=0, le=100)] = (
+        2.0  # times the others' that is too much; 0: any
+    )
+    stall_timeout_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 600_000  # without a step: a halt
 
-    def trouble(self) -> str:
+    def validation_error(self) -> str:
         """What the forms of the fields can't tell."""
-        if self.version == self.before:
+        if self.version == self.previous_version:
             return f"version: {self.version!r} is the one before too"
-        if self.watch_most_ms < self.watch_ms:
-            return f"watch_most_ms: {self.watch_most_ms} is under watch_ms, {self.watch_ms}"
+        if self.max_watch_ms < self.min_watch_ms:
+            return f"watch_most_ms: {self.max_watch_ms} is under watch_ms, {self.min_watch_ms}"
         if self.sites and self.groups:
             return "groups: sites are named too, and one of the two says who is released"
         for place, names in (("sites", self.sites), ("groups", self.groups)):
@@ -97,45 +111,54 @@
         return ""
 
 
-class RolloutRecord(Message):
+class RolloutRecord(
+    Message,
+    rename={
+        "spec": "plan",
+        "batch_index": "at",
+        "reason": "why",
+        "version_is_bad": "bad",
+        "excluded": "left_out",
+    },
+):
     """What the leader has a majority keep of one release."""
 
-    plan: RolloutSpec
+    spec: RolloutSpec
     batches: list[list[Name]]
     number: Count = 0  # of this release
     age: Span = 0  # since its start, as of the last line of its history
-    at: Count = 0  # the batch that is on its way
+    batch_index: Count = 0  # the batch that is on its way
     phase: Name = RolloutPhase.RUNNING.value
-    why: Words = ""
-    bad: bool = False  # whether the new version was found bad
-    left_out: list[Name] = msgspec.field(default_factory=list)
+    reason: Words = ""
+    version_is_bad: bool = False  # whether the new version was found bad
+    excluded: list[Name] = msgspec.field(default_factory=list)
     history: list[Words] = msgspec.field(default_factory=list)
-    evidence: Evidence | None = None  # of the watch of this batch, as of a second ago at most
+    evidence: CanaryEvidence | None = None  # of the watch of this batch, as of a second ago at most
 
 
 @dataclass(frozen=True, slots=True)
-class PlatformView:
+class InstanceView:
     """One member as the platform tells of it. `starts` counts those in `version` that did not come up,
     `ends` how often it has ended by itself in it.
     """
 
-    state: InstanceStatus
+    status: InstanceStatus
     version: str
-    starts: int = 0
-    ends: int = 0
+    failed_starts: int = 0
+    crashes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformOrder:
     """What the platform is asked: `drain` stops it in its own time, `start` starts it in a version."""
 
-    what: str
+    action: str
     member: str
     version: str
-    number: int
+    permit_number: int
 
 
-def unknown(plan: RolloutSpec, parts: Mapping[str, list[str]]) -> str:
+def find_unknown_part(plan: RolloutSpec, parts: Mapping[str, list[str]]) -> str:
     """What the plan names that is neither a site nor a group of the fleet; nothing where all are."""
     for part in plan.sites or plan.groups:
         if part not in parts:
@@ -143,7 +166,7 @@
     return ""
 
 
-def batches_of(plan: RolloutSpec, parts: Mapping[str, list[str]]) -> list[list[str]]:
+def plan_batches(plan: RolloutSpec, parts: Mapping[str, list[str]]) -> list[list[str]]:
     """Canaries of the first part first; then batches part by part, none across two; each member once."""
     names = plan.sites or plan.groups or list(parts)
     made = [list(parts[names[0]][: plan.canaries])]
@@ -151,7 +174,7 @@
     for part in names:
         rest = [name for name in parts[part] if name not in taken]
         taken.update(rest)
-        made += [rest[at : at + plan.batch] for at in range(0, len(rest), plan.batch)]
+        made += [rest[at : at + plan.batch_size] for at in range(0, len(rest), plan.batch_size)]
     return made
 
 
@@ -164,9 +187,9 @@
         permits: DisruptionBudget,
         site_of: Callable[[str], str] = lambda name: "",
     ) -> None:
-        self.course, self.permits, self.site_of = course, permits, site_of
-        self.judgement: CanaryAnalysis | None = None
-        self.doing = ""  # what it waits for just now, for operators
+        self.record, self.budget, self.site_of = course, permits, site_of
+        self.analysis: CanaryAnalysis | None = None
+        self.progress = ""  # what it waits for just now, for operators
         self.stood: object = None  # how things stood when they last moved
         self.since = -1  # that moment
         self.moved_at = -1  # the first look in this phase
@@ -175,74 +198,74 @@
         self.kept_at = 0  # when the evidence of the watch was last kept
 
     @property
-    def plan(self) -> RolloutSpec:
-        return self.course.plan
+    def spec(self) -> RolloutSpec:
+        return self.record.spec
 
     @property
     def phase(self) -> RolloutPhase:
-        return RolloutPhase(self.course.phase)
+        return RolloutPhase(self.record.phase)
 
     # ---- words -----------------------------------------------------------------------------------------
 
     @property
-    def why_out(self) -> str:
+    def permit_reason(self) -> str:
         """What its permits say: another's permit for the same member is none of this release's."""
-        return f"release {self.course.number} of {self.plan.version}"
+        return f"release {self.record.number} of {self.spec.version}"
 
-    def mine(self, name: str) -> Permit | None:
-        permit = self.permits.holder(name)
-        return permit if permit is not None and permit.why == self.why_out else None
+    def own_permit(self, name: str) -> Permit | None:
+        permit = self.budget.permit_of(name)
+        return permit if permit is not None and permit.reason == self.permit_reason else None
 
-    def note(self, line: str) -> None:
-        self.course.age += self.passed
+    def record_event(self, line: str) -> None:
+        self.record.age += self.passed
         self.passed = 0
-        self.course.history.append(f"{self.course.age / 10_000:.1f} s: {line}"[:400])
-        del self.course.history[:-HISTORY_MOST]
+        self.record.history.append(f"{self.record.age / 10_000:.1f} s: {line}"[:400])
+        del self.record.history[:-HISTORY_MOST]
 
-    def move(self, phase: RolloutPhase, why: str) -> None:
-        self.course.phase, self.course.why = phase.value, why[:400]
-        self.note(f"{phase.value}: {why}")
+    def enter(self, phase: RolloutPhase, why: str) -> None:
+        self.record.phase, self.record.reason = phase.value, why[:400]
+        self.record_event(f"{phase.value}: {why}")
         self.since = self.moved_at = -1
-        self.course.evidence = None
+        self.record.evidence = None
         if phase is not RolloutPhase.RUNNING:
-            self.judgement = None
+            self.analysis = None
             # Who asked for it and has no permit yet asks no longer; a later phase asks anew.
-            for asker in [one for one in self.permits.book.waiting if one.why == self.why_out]:
-                self.permits.take_back(asker.holder)
+            for asker in [one for one in self.budget.state.waiters if one.reason == self.permit_reason]:
+                self.budget.cancel(asker.holder)
 
     def halt(self, why: str) -> bool:
         """At once, and whatever comes after: only a person goes on from here."""
-        if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.BACKING):
+        if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.ROLLING_BACK):
             return False
-        self.move(RolloutPhase.HALTED, why)
+        self.enter(RolloutPhase.HALTED, why)
         return True
 
     def resume(self, who: str) -> bool:
-        if self.phase is not RolloutPhase.HALTED or self.course.bad or self.course.left_out:
+        if self.phase is not RolloutPhase.HALTED or self.record.version_is_bad or self.record.excluded:
             return False
-        self.move(RolloutPhase.RUNNING, f"resumed by {who}")
+        self.enter(RolloutPhase.RUNNING, f"resumed by {who}")
         return True
 
-    def back(self, who: str) -> bool:
-        if self.phase not in (RolloutPhase.HALTED, RolloutPhase.RUNNING, RolloutPhase.DONE):
+    def roll_back(self, who: str) -> bool:
+        if self.phase not in (RolloutPhase.HALTED, RolloutPhase.RUNNING, RolloutPhase.COMPLETED):
             return False
-        self.course.bad = True
-        self.move(RolloutPhase.BACKING, f"back by {who}")
+        self.record.version_is_bad = True
+        self.enter(RolloutPhase.ROLLING_BACK, f"back by {who}")
         return True
 
     # ---- a look ----------------------------------------------------------------------------------------
 
-    def look(
+    def step(
         self,
-        platform: Mapping[str, PlatformView],
+        platform: Mapping[str, InstanceView],
         seen: Mapping[str, MemberObservation],
-        shown: Mapping[str, Shown],
+        shown: Mapping[str, MemberSample],
         lost: Iterable[str],
         now: int,
     ) -> list[PlatformOrder]:
         """What is to be asked of the platform now; `lost` are sites that are out."""
         self.passed += now - self.looked_at if self.looked_at >= 0 else 0
-        self.looked_at, self.doing = now, ""
+        self.looked_at, self.progress = now, ""
         if self.moved_at < 0:
             self.moved_at = now
         self.guard(lost)
@@ -252,9 +275,9 @@
         orders = self.rescue(platform)
         if self.phase is RolloutPhase.RUNNING:
             orders += self.forward(platform, seen, now)
-        elif self.phase is RolloutPhase.BACKING:
+        elif self.phase is RolloutPhase.ROLLING_BACK:
             orders += self.backward(platform, seen)
-        if self.phase in (RolloutPhase.HALTED, RolloutPhase.BACKING):
+        if self.phase in (RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK):
             self.hand_back(platform, seen, now)
         self.stall(platform, seen, now)
         return orders
@@ -266,156 +289,164 @@
             self.halt(f"site lost: {', '.join(gone)}; a person resumes")
 
     def hand_back(
-        self, platform: Mapping[str, PlatformView], seen: Mapping[str, MemberObservation], now: int
+        self, platform: Mapping[str, InstanceView], seen: Mapping[str, MemberObservation], now: int
     ) -> None:
         """Permits that a halt has left unused, once no order to drain can be on its way any more."""
         if now - self.moved_at < ORDERS_DIE:
             return
         for name in self.all_members():
-            one, permit, shown = platform.get(name), self.mine(name), seen.get(name)
-            if permit is None or one is None or shown is None or one.state is not InstanceStatus.UP:
+            one, permit, shown = platform.get(name), self.own_permit(name), seen.get(name)
+            if permit is None or one is None or shown is None or one.status is not InstanceStatus.UP:
                 continue
-            of_use = self.phase is RolloutPhase.BACKING and one.version != self.plan.before
+            of_use = self.phase is RolloutPhase.ROLLING_BACK and one.version != self.spec.previous_version
             if permit.incarnation == shown.incarnation and not of_use:
-                self.permits.hand_back(name, permit.incarnation, seen)
+                self.budget.release(name, permit.incarnation, seen)
 
     def stall(
-        self, platform: Mapping[str, PlatformView], seen: Mapping[str, MemberObservation], now: int
+        self, platform: Mapping[str, InstanceView], seen: Mapping[str, MemberObservation], now: int
     ) -> None:
         """Guards against whatever never comes: a permit, an end, a start, a warm one. A person looks."""
-        if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.BACKING):
+        if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.ROLLING_BACK):
             return
         stands = [
-            (name, one.state, one.version, name in seen and seen[name].out, self.mine(name) is None)
+            (
+                name,
+                one.status,
+                one.version,
+                name in seen and seen[name].unavailability,
+                self.own_permit(name) is None,
+            )
             for name in self.all_members()
             if (one := platform.get(name)) is not None
         ]
-        if self.since < 0 or stands != self.stood or self.judgement is not None:
+        if self.since < 0 or stands != self.stood or self.analysis is not None:
             self.since, self.stood = now, stands
-        elif now - self.since >= self.plan.stall_ms * 10:
-            self.halt(f"no step for {self.plan.stall_ms / 1000:g} s: {self.doing}")
+        elif now - self.since >= self.spec.stall_timeout_ms * 10:
+            self.halt(f"no step for {self.spec.stall_timeout_ms / 1000:g} s: {self.progress}")
 
-    def amend(self, known: Iterable[str], joined: Iterable[str]) -> None:
+    def update_members(self, known: Iterable[str], joined: Iterable[str]) -> None:
         """The fleet file has changed: who has left is passed over, who has joined comes last."""
         names, taken = set(known), set(self.all_members())
         gone = sorted(taken - names)
-        for batch in self.course.batches:
+        for batch in self.record.batches:
             batch[:] = [name for name in batch if name in names]
-        self.course.left_out[:] = [name for name in self.course.left_out if name in names]
+        self.record.excluded[:] = [name for name in self.record.excluded if name in names]
         more = [name for name in joined if name not in taken]
-        if more and self.phase not in (RolloutPhase.DONE, RolloutPhase.BACK):
-            self.course.batches.append(more)
+        if more and self.phase not in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK):
+            self.record.batches.append(more)
         if gone or more:
             left, came = ", ".join(gone) or "nobody", ", ".join(more) or "nobody"
-            self.note(f"the fleet has changed: left {left}; joined {came}")
+            self.record_event(f"the fleet has changed: left {left}; joined {came}")
 
-    def look_at_left_out(self, platform: Mapping[str, PlatformView]) -> None:
+    def look_at_left_out(self, platform: Mapping[str, InstanceView]) -> None:
         """One whose permit is over was struck, or started by hand and seen back: it holds nothing up."""
-        for name in [name for name in self.course.left_out if self.mine(name) is None]:
-            self.course.left_out.remove(name)
+        for name in [name for name in self.record.excluded if self.own_permit(name) is None]:
+            self.record.excluded.remove(name)
             one = platform.get(name)
-            if one is None or one.state is not InstanceStatus.UP:
-                for batch in self.course.batches:
+            if one is None or one.status is not InstanceStatus.UP:
+                for batch in self.record.batches:
                     batch[:] = [other for other in batch if other != name]
-            self.note(f"{name} is left out no more")
+            self.record_event(f"{name} is left out no more")
 
     def all_members(self) -> list[str]:
-        return [name for batch in self.course.batches for name in batch]
+        return [name for batch in self.record.batches for name in batch]
 
     def target(self, name: str) -> str:
         """The version that this one is to be started in, if it is down: a bad one never again."""
-        return self.plan.before if self.course.bad else self.plan.version
+        return self.spec.previous_version if self.record.version_is_bad else self.spec.version
 
-    def rescue(self, platform: Mapping[str, PlatformView]) -> list[PlatformOrder]:
+    def rescue(self, platform: Mapping[str, InstanceView]) -> list[PlatformOrder]:
         """Whoever is down on this release's account is started again, whatever the phase: a halt leaves
         none out.
         """
         orders = []
         for name in self.all_members():
-            is_now, permit = platform.get(name), self.mine(name)
-            if is_now is None or permit is None or name in self.course.left_out:
+            is_now, permit = platform.get(name), self.own_permit(name)
+            if is_now is None or permit is None or name in self.record.excluded:
                 continue
-            if is_now.state is InstanceStatus.STOPPED:
+            if is_now.status is InstanceStatus.STOPPED:
                 orders.append(PlatformOrder("start", name, self.target(name), permit.number))
-            elif is_now.state is InstanceStatus.FAILED:
+            elif is_now.status is InstanceStatus.FAILED:
                 orders += self.failed(name, is_now, permit.number)
         return orders
 
-    def failed(self, name: str, is_now: PlatformView, number: int) -> list[PlatformOrder]:
+    def failed(self, name: str, is_now: InstanceView, number: int) -> list[PlatformOrder]:
         """It did not come up: once more, then in the other version, and then it is left out and all halts."""
-        if is_now.starts < STARTS_MOST:
+        if is_now.failed_starts < STARTS_MOST:
             return [PlatformOrder("start", name, is_now.version, number)]
-        if is_now.version == self.plan.version:
-            if not self.course.bad:
-                self.course.bad = True
-                self.halt(f"{name} does not start in {self.plan.version}")
-            return [PlatformOrder("start", name, self.plan.before, number)]
-        self.course.left_out.append(name)
+        if is_now.version == self.spec.version:
+            if not self.record.version_is_bad:
+                self.record.version_is_bad = True
+                self.halt(f"{name} does not start in {self.spec.version}")
+            return [PlatformOrder("start", name, self.spec.previous_version, number)]
+        self.record.excluded.append(name)
         self.halt(f"{name} starts in neither version: left out")
         return []
 
     # ---- forward ---------------------------------------------------------------------------------------
 
     def batch(self) -> list[str]:
-        at = self.course.at
-        return self.course.batches[at] if at < len(self.course.batches) else []
+        at = self.record.batch_index
+        return self.record.batches[at] if at < len(self.record.batches) else []
 
-    def released(self, platform: Mapping[str, PlatformView]) -> list[str]:
+    def released(self, platform: Mapping[str, InstanceView]) -> list[str]:
         return [
             name
             for name in self.all_members()
             if (one := platform.get(name)) is not None
-            and one.state is InstanceStatus.UP
-            and one.version == self.plan.version
+            and one.status is InstanceStatus.UP
+            and one.version == self.spec.version
         ]
 
     def forward(
-        self, platform: Mapping[str, PlatformView], seen: Mapping[str, MemberObservation], now: int
+        self, platform: Mapping[str, InstanceView], seen: Mapping[str, MemberObservation], now: int
     ) -> list[PlatformOrder]:
-        batch = [name for name in self.batch() if name not in self.course.left_out]
-        waiting = [name for name in batch if not self.is_there(name, self.plan.version, platform, seen)]
+        batch = [name for name in self.batch() if name not in self.record.excluded]
+        waiting = [name for name in batch if not self.is_there(name, self.spec.version, platform, seen)]
         if waiting:
-            return self.send_out(waiting, self.plan.version, platform, seen)
-        if self.judgement is None:
-            watch, most = self.plan.watch_ms * 10, self.plan.watch_most_ms * 10
+            return self.send_out(waiting, self.spec.version, platform, seen)
+        if self.analysis is None:
+            watch, most = self.spec.min_watch_ms * 10, self.spec.max_watch_ms * 10
             sites = {self.site_of(name) for name in batch}
             beside = [
                 name
                 for name, one in platform.items()
-                if one.version == self.plan.before and self.site_of(name) in sites
+                if one.version == self.spec.previous_version and self.site_of(name) in sites
             ]
-            margins = dict(self.plan.margins)
+            margins = dict(self.spec.margins)
             if not beside:
                 margins = {
                     name: min(1.0, margin * ACROSS)
                     for name, margin in margins.items()
                     if name.partition(":")[0] not in BY_LOAD
                 }
-            self.judgement = CanaryAnalysis(margins, watch, most, now, self.plan.memory)
-            kept = self.course.evidence
-            if kept is not None and kept.batch == self.course.at:
-                self.judgement.go_on(kept, now)
+            self.analysis = CanaryAnalysis(margins, watch, most, now, self.spec.max_memory_ratio)
+            kept = self.record.evidence
+            if kept is not None and kept.batch_index == self.record.batch_index:
+                self.analysis.resume(kept, now)
             self.kept_at = now
-        self.doing = f"batch {self.course.at + 1} of {len(self.course.batches)} is watched"
+        self.progress = f"batch {self.record.batch_index + 1} of {len(self.record.batches)} is watched"
         return []
 
     def is_there(
         self,
         name: str,
         version: str,
-        platform: Mapping[str, PlatformView],
+        platform: Mapping[str, InstanceView],
         seen: Mapping[str, MemberObservation],
     ) -> bool:
         """Up in that version, warm, and its permit over."""
         one, shown = platform.get(name), seen.get(name)
-        up = one is not None and one.state is InstanceStatus.UP and one.version == version
-        return up and shown is not None and shown.out is None and self.permits.holder(name) is None
+        up = one is not None and one.status is InstanceStatus.UP and one.version == version
+        return (
+            up and shown is not None and shown.unavailability is None and self.budget.permit_of(name) is None
+        )
 
     def send_out(
         self,
         names: list[str],
         version: str,
-        platform: Mapping[str, PlatformView],
+        platform: Mapping[str, InstanceView],
         seen: Mapping[str, MemberObservation],
     ) -> list[PlatformOrder]:
         """Permits for those that are not out yet, and a drain for each that has one and is still up in the
@@ -428,81 +459,83 @@
             if one is None or shown is None:
                 words.append(f"{name} is not known to the {'platform' if one is None else 'planners'}")
                 continue
-            if one.state is not InstanceStatus.UP or one.version == version:
-                out = f", {shown.out.value}" if shown.out is not None else ""
-                words.append(f"{name} {one.state.value} in {one.version}{out}")
+            if one.status is not InstanceStatus.UP or one.version == version:
+                out = f", {shown.unavailability.value}" if shown.unavailability is not None else ""
+                words.append(f"{name} {one.status.value} in {one.version}{out}")
                 continue
-            asker = EvictionWaiter(holder=name, incarnation=shown.incarnation, why=self.why_out)
-            answer = self.permits.ask(asker, seen)
+            asker = EvictionWaiter(holder=name, incarnation=shown.incarnation, reason=self.permit_reason)
+            answer = self.budget.acquire(asker, seen)
             permit = answer.permit
             if permit is None:
-                place = f" at place {answer.place}" if answer.place else ""
-                words.append(f"{name} waits{place}: {answer.why}")
-            elif permit.why != self.why_out:
-                words.append(f"{name} waits: permit {permit.number} is another's: {permit.why}")
+                place = f" at place {answer.position}" if answer.position else ""
+                words.append(f"{name} waits{place}: {answer.reason}")
+            elif permit.reason != self.permit_reason:
+                words.append(f"{name} waits: permit {permit.number} is another's: {permit.reason}")
             elif permit.incarnation == shown.incarnation:
                 words.append(f"{name} is to drain by permit {permit.number}")
                 orders.append(PlatformOrder("drain", name, version, permit.number))
-        self.doing = "; ".join(words)[:400]
+        self.progress = "; ".join(words)[:400]
         return orders
 
-    def judge(self, platform: Mapping[str, PlatformView], shown: Mapping[str, Shown], now: int) -> None:
+    def judge(
+        self, platform: Mapping[str, InstanceView], shown: Mapping[str, MemberSample], now: int
+    ) -> None:
         """The batch under watch, against those that are still in the old version."""
         # Told by the platform and not noted here: a crash that only a dead conductor saw would be forgotten.
         members = [platform[name] for name in self.all_members() if name in platform]
-        crashes = sum(one.ends for one in members if one.version == self.plan.version)
-        if crashes > self.plan.crashes:
-            self.course.bad = True
+        crashes = sum(one.crashes for one in members if one.version == self.spec.version)
+        if crashes > self.spec.max_crashes:
+            self.record.version_is_bad = True
             self.halt(f"bad: released members ended by themselves, {crashes} times")
             return
-        if self.judgement is None:
+        if self.analysis is None:
             return
         new = set(self.released(platform))
         old = {
             name
             for name in shown
-            if name not in new and name in platform and platform[name].version == self.plan.before
+            if name not in new and name in platform and platform[name].version == self.spec.previous_version
         }
         # Sites differ by their load: members are compared with those beside them, as long as there are any.
         both = {self.site_of(name) for name in new} & {self.site_of(name) for name in old}
         across = not both
         released = [shown[name] for name in shown if name in new and (across or self.site_of(name) in both)]
         others = [shown[name] for name in old if across or self.site_of(name) in both]
-        verdict = self.judgement.look(released, others, now, [shown[name] for name in old])
+        verdict = self.analysis.observe(released, others, now, [shown[name] for name in old])
         if verdict is CanaryVerdict.BAD:
-            self.course.bad = True
-            self.halt(f"bad: {self.judgement.why}")
+            self.record.version_is_bad = True
+            self.halt(f"bad: {self.analysis.reason}")
         elif verdict is CanaryVerdict.GOOD:
-            self.next_batch(f"good: {self.judgement.why}")
-        elif not others and self.judgement.watched(now):
+            self.next_batch(f"good: {self.analysis.reason}")
+        elif not others and self.analysis.has_minimum_watch(now):
             self.next_batch("nobody is left to compare with")
-        elif self.judgement.over(now):
-            self.halt(f"unclear at the end of its watch: {self.judgement.why}")
+        elif self.analysis.has_expired(now):
+            self.halt(f"unclear at the end of its watch: {self.analysis.reason}")
         elif now - self.kept_at >= KEPT_EVERY:
             self.kept_at = now
-            self.course.evidence = self.judgement.evidence(self.course.at, now)
+            self.record.evidence = self.analysis.evidence(self.record.batch_index, now)
 
     def next_batch(self, why: str) -> None:
-        self.judgement = self.course.evidence = None
-        self.course.at += 1
-        self.note(f"batch {self.course.at}: {why}")
-        if self.course.at >= len(self.course.batches):
-            self.move(RolloutPhase.DONE, "every batch is released")
+        self.analysis = self.record.evidence = None
+        self.record.batch_index += 1
+        self.record_event(f"batch {self.record.batch_index}: {why}")
+        if self.record.batch_index >= len(self.record.batches):
+            self.enter(RolloutPhase.COMPLETED, "every batch is released")
 
     # ---- the way back ----------------------------------------------------------------------------------
 
     def backward(
-        self, platform: Mapping[str, PlatformView], seen: Mapping[str, MemberObservation]
+        self, platform: Mapping[str, InstanceView], seen: Mapping[str, MemberObservation]
     ) -> list[PlatformOrder]:
         """Newest batch first, through the same permits."""
-        for batch in reversed(self.course.batches[: self.course.at + 1]):
+        for batch in reversed(self.record.batches[: self.record.batch_index + 1]):
             left = [
                 name
                 for name in batch
-                if name not in self.course.left_out
-                and not self.is_there(name, self.plan.before, platform, seen)
+                if name not in self.record.excluded
+                and not self.is_there(name, self.spec.previous_version, platform, seen)
             ]
             if left:
-                return self.send_out(left, self.plan.before, platform, seen)
-        self.move(RolloutPhase.BACK, "every member is in the version before")
+                return self.send_out(left, self.spec.previous_version, platform, seen)
+        self.enter(RolloutPhase.ROLLED_BACK, "every member is in the version before")
         return []
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -11,51 +11,52 @@
 
 import msgspec
 
-from .canary_analysis import Shown
-from .disruption_budget import DisruptionBudget, MemberObservation, UnavailabilityReason
+from .canary_analysis import MemberSample
+from .disruption_budget import DisruptionBudget
+from .disruption_types import MemberObservation, UnavailabilityReason
 from .inventory import Inventory
 from .messages import Count, Incarnation, MemberReport, Message, Words
 from .rollout import (
+    InstanceView,
     PlatformOrder,
-    PlatformView,
     Rollout,
     RolloutPhase,
     RolloutRecord,
     RolloutSpec,
-    batches_of,
-    unknown,
+    find_unknown_part,
+    plan_batches,
 )
 
-UNFINISHED = (RolloutPhase.RUNNING, RolloutPhase.HALTED, RolloutPhase.BACKING)
+UNFINISHED = (RolloutPhase.RUNNING, RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK)
 RUNNING_MOST = 8
 ENDED_MOST = 16  # that are kept, for `history` and for a way back
 PATIENCE = 600_000  # a minute without the platform halts what runs
 KINDS = ("late", "slow", "shed", "written_off", "calls")
 
 
-class RolloutStates(Message):
+class RolloutStates(Message, rename={"last_number": "number", "records": "courses"}):
     """What the leader has a majority keep of them, the oldest first."""
 
-    number: Count = 0
-    courses: list[RolloutRecord] = msgspec.field(default_factory=list)
+    last_number: Count = 0
+    records: list[RolloutRecord] = msgspec.field(default_factory=list)
 
 
-class RolloutCommand(Message):
+class RolloutCommand(Message, rename={"action": "what", "operator": "who", "reason": "why", "spec": "plan"}):
     """What a person says of releases; `number` 0 means the only one it can be meant of, or all to halt."""
 
-    what: Annotated[str, msgspec.Meta(pattern="^(start|status|halt|resume|back|history)$")]
+    action: Annotated[str, msgspec.Meta(pattern="^(start|status|halt|resume|back|history)$")]
     number: Count = 0
-    who: Words = ""
-    why: Words = ""
-    plan: RolloutSpec | None = None
+    operator: Words = ""
+    reason: Words = ""
+    spec: RolloutSpec | None = None
 
 
-class CommandResult(Message):
+class CommandResult(Message, rename={"accepted": "done", "reason": "why"}):
     """What came of a word; `why` where nothing did."""
 
-    done: bool
+    accepted: bool
     number: Count = 0
-    why: str = ""
+    reason: str = ""
 
 
 class RolloutController:
@@ -71,60 +72,65 @@
         stale: int,
         homes: Mapping[str, str] | None = None,
     ) -> None:
-        self.parts, self.services, self.permits, self.stale = parts, list(services), permits, stale
-        self.homes = homes or {}
-        self.take(RolloutStates(), 0)
+        self.members_by_part, self.services, self.budget, self.inventory_ttl = (
+            parts,
+            list(services),
+            permits,
+            stale,
+        )
+        self.sites = homes or {}
+        self.restore(RolloutStates(), 0)
 
-    def take(self, book: RolloutStates, now: int) -> None:
+    def restore(self, book: RolloutStates, now: int) -> None:
         """A new reign begins with what was kept, and knows nothing else."""
-        self.book = book
-        self.releases = [Rollout(course, self.permits, self.home) for course in book.courses]
-        self.listing: Inventory | None = None
-        self.platform: dict[str, PlatformView] = {}
-        self.heard_at = now
+        self.states = book
+        self.rollouts = [Rollout(course, self.budget, self.site_of) for course in book.records]
+        self.inventory: Inventory | None = None
+        self.instances: dict[str, InstanceView] = {}
+        self.inventory_at = now
         self.orders: list[PlatformOrder] = []
-        self.counts: dict[str, MemberReport] = {}  # the last that was read of each member
+        self.last_reports: dict[str, MemberReport] = {}  # the last that was read of each member
 
-    def home(self, name: str) -> str:
-        return self.homes.get(name, "")
+    def site_of(self, name: str) -> str:
+        return self.sites.get(name, "")
 
-    def amend(
+    def update_fleet(
         self, parts: Mapping[str, list[str]], services: Iterable[str], homes: Mapping[str, str]
     ) -> None:
         """The fleet file has changed under way."""
-        before = {name for names in self.parts.values() for name in names}
-        self.parts, self.services, self.homes = parts, list(services), homes
+        before = {name for names in self.members_by_part.values() for name in names}
+        self.members_by_part, self.services, self.sites = parts, list(services), homes
         known = [name for names in parts.values() for name in names]
         for release in self.unfinished():
-            plan = release.plan
+            plan = release.spec
             of_it = plan.sites or plan.groups or list(parts)
             joined = [name for part in of_it for name in parts.get(part, ()) if name not in before]
-            release.amend(known, dict.fromkeys(joined))
+            release.update_members(known, dict.fromkeys(joined))
 
     # ---- the platform ----------------------------------------------------------------------------------
 
-    def hear(self, listing: Inventory, sent: int) -> None:
+    def receive_inventory(self, listing: Inventory, sent: int) -> None:
         """`sent` is when it was asked for: what it tells may be as old as that."""
-        self.listing, self.platform, self.heard_at = listing, listing.platform(), sent
+        self.inventory, self.instances, self.inventory_at = listing, listing.platform(), sent
 
-    def fresh(self, now: int) -> bool:
-        return self.listing is not None and now - self.heard_at <= self.stale
+    def is_inventory_fresh(self, now: int) -> bool:
+        return self.inventory is not None and now - self.inventory_at <= self.inventory_ttl
 
-    def seen(self, now: int) -> dict[str, MemberObservation]:
+    def observe_services(self, now: int) -> dict[str, MemberObservation]:
         """The services below; while the platform is not heard they count as out."""
-        if self.listing is None or not self.fresh(now):
+        if self.inventory is None or not self.is_inventory_fresh(now):
             return {
                 name: MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
                 for name in self.services
             }
-        return {name: self.listing.service(name) for name in self.services}
+        return {name: self.inventory.service(name) for name in self.services}
 
     # ---- a look ----------------------------------------------------------------------------------------
 
     def unfinished(self) -> list[Rollout]:
-        return [one for one in self.releases if one.phase in UNFINISHED]
+        return [one for one in self.rollouts if one.phase in UNFINISHED]
 
-    def look(
+    def step(
         self,
         seen: Mapping[str, MemberObservation],
         reports: Mapping[str, MemberReport],
@@ -134,21 +140,21 @@
         """What is to be asked of the platform now, as `orders`: what was to be asked before is over."""
         self.orders = []
         gone = list(lost)
-        shown = self.shown(reports)
+        shown = self.samples(reports)
         for release in self.unfinished():
-            if self.fresh(now):
-                self.orders += release.look(self.platform, seen, shown, gone, now)
+            if self.is_inventory_fresh(now):
+                self.orders += release.step(self.instances, seen, shown, gone, now)
                 continue
             release.guard(gone)
-            release.doing = "the platform is not heard"
-            if now - self.heard_at >= PATIENCE:
+            release.progress = "the platform is not heard"
+            if now - self.inventory_at >= PATIENCE:
                 release.halt("the platform was not heard for a minute")
 
-    def shown(self, reports: Mapping[str, MemberReport]) -> dict[str, Shown]:
+    def samples(self, reports: Mapping[str, MemberReport]) -> dict[str, MemberSample]:
         """What each member has counted since the look before, by its reports' sums."""
         found, later = {}, {}
         for name, report in reports.items():
-            before = self.counts.get(name, report)
+            before = self.last_reports.get(name, report)
             if before.incarnation != report.incarnation:
                 before = report  # of a life that is new here nothing is known to be new
             figures = {}
@@ -160,41 +166,43 @@
                 counts_before = before.took.get(told) or [0] * len(counts)
                 took[told] = [max(0, now - was) for now, was in zip(counts, counts_before, strict=False)]
             later[name] = report
-            found[name] = Shown(report.warm, figures, report.memory, took)
-        self.counts = later
+            found[name] = MemberSample(report.warm, figures, report.memory, took)
+        self.last_reports = later
         return found
 
     # ---- words -----------------------------------------------------------------------------------------
 
-    def word(self, word: RolloutCommand, now: int) -> CommandResult:
-        match word.what:
-            case "start" if word.plan is not None:
-                return self.start(word.plan, word.who, now)
+    def execute(self, word: RolloutCommand, now: int) -> CommandResult:
+        match word.action:
+            case "start" if word.spec is not None:
+                return self.start(word.spec, word.operator, now)
             case "halt":
-                return self.each(word, lambda one: one.halt(f"by {word.who}: {word.why}"), "runs")
+                return self.each(word, lambda one: one.halt(f"by {word.operator}: {word.reason}"), "runs")
             case "resume":
                 return self.one(word, RolloutPhase.HALTED, self.resume)
             case "back":
                 return self.one(word, RolloutPhase.HALTED, self.back)
-        return CommandResult(done=False, why=f"nothing is known of {word.what!r}")
+        return CommandResult(accepted=False, reason=f"nothing is known of {word.action!r}")
 
     def start(self, plan: RolloutSpec, who: str, now: int) -> CommandResult:
-        why = plan.trouble() or self.refused(plan, now)
+        why = plan.validation_error() or self.refused(plan, now)
         if why:
-            return CommandResult(done=False, why=why)
-        self.book.number += 1
-        batches = batches_of(plan, self.parts)
+            return CommandResult(accepted=False, reason=why)
+        self.states.last_number += 1
+        batches = plan_batches(plan, self.members_by_part)
         release = Rollout(
-            RolloutRecord(plan=plan, batches=batches, number=self.book.number), self.permits, self.home
+            RolloutRecord(spec=plan, batches=batches, number=self.states.last_number),
+            self.budget,
+            self.site_of,
         )
-        release.move(RolloutPhase.RUNNING, f"started by {who}")
-        self.releases.append(release)
-        self.book.courses.append(release.course)
-        ended = [one for one in self.releases if one.phase not in UNFINISHED]
+        release.enter(RolloutPhase.RUNNING, f"started by {who}")
+        self.rollouts.append(release)
+        self.states.records.append(release.record)
+        ended = [one for one in self.rollouts if one.phase not in UNFINISHED]
         for old in ended[: max(0, len(ended) - ENDED_MOST)]:
-            self.releases.remove(old)
-            self.book.courses.remove(old.course)
-        return CommandResult(done=True, number=self.book.number)
+            self.rollouts.remove(old)
+            self.states.records.remove(old.record)
+        return CommandResult(accepted=True, number=self.states.last_number)
 
     def refused(self, plan: RolloutSpec, now: int) -> str:
         """What forbids that it begins, found before the first drain."""
@@ -203,10 +211,10 @@
             return (
                 f"margins: nobody tells of {kind!r}; there are {', '.join(KINDS)}, each also as KIND:PROFILE"
             )
-        stranger = unknown(plan, self.parts)
+        stranger = find_unknown_part(plan, self.members_by_part)
         if stranger:
             return stranger
-        members = [name for batch in batches_of(plan, self.parts) for name in batch]
+        members = [name for batch in plan_batches(plan, self.members_by_part) for name in batch]
         if not members:
             return "nobody would be released"
         if len(self.unfinished()) >= RUNNING_MOST:
@@ -214,29 +222,29 @@
         for release in self.unfinished():
             shared = sorted(set(members) & set(release.all_members()))
             if shared:
-                return f"release {release.course.number} is not finished and has {', '.join(shared[:3])}"
+                return f"release {release.record.number} is not finished and has {', '.join(shared[:3])}"
         for name in members:
-            groups = self.permits.groups_of.get(name, ())
+            groups = self.budget.groups_of.get(name, ())
             if not groups:
                 return f"{name} is in no group: nothing says how many may be out"
-            shut = next((group.name for group in groups if not group.allowed), None)
+            shut = next((group.name for group in groups if not group.disruptions_allowed), None)
             if shut is not None:
                 return f"{name} can never be out: group {shut} lets nobody"
-        if not self.fresh(now):
+        if not self.is_inventory_fresh(now):
             return "the platform is not heard"
         for name in members:
-            if name not in self.platform:
+            if name not in self.instances:
                 return f"the platform does not know {name}"
-            version = self.platform[name].version
-            if version not in (plan.version, plan.before):
-                return f"{name} runs {version}: neither {plan.before} nor {plan.version}"
+            version = self.instances[name].version
+            if version not in (plan.version, plan.previous_version):
+                return f"{name} runs {version}: neither {plan.previous_version} nor {plan.version}"
         return ""
 
     def resume(self, release: Rollout, who: str) -> str:
-        if release.course.bad:
-            return f"{release.plan.version} was found bad: only back is left"
-        if release.course.left_out:
-            out = ", ".join(release.course.left_out)
+        if release.record.version_is_bad:
+            return f"{release.spec.version} was found bad: only back is left"
+        if release.record.excluded:
+            out = ", ".join(release.record.excluded)
             return f"{out} starts in neither version: strike it, or start it by hand"
         return "" if release.resume(who) else "it is not halted"
 
@@ -244,61 +252,63 @@
         for other in self.unfinished():
             shared = sorted(set(other.all_members()) & set(release.all_members()))
             if other is not release and shared:
-                return f"release {other.course.number} is not finished and has {', '.join(shared[:3])}"
-        return "" if release.back(who) else "there is nothing to take back"
+                return f"release {other.record.number} is not finished and has {', '.join(shared[:3])}"
+        return "" if release.roll_back(who) else "there is nothing to take back"
 
     def each(self, word: RolloutCommand, act: Callable[[Rollout], bool], state: str) -> CommandResult:
-        some = [one for one in self.unfinished() if word.number in (0, one.course.number)]
+        some = [one for one in self.unfinished() if word.number in (0, one.record.number)]
         done = [one for one in some if act(one)]
         # What was to be asked may not go out any more, not even once.
         self.orders = [
             order for order in self.orders if not any(order.member in one.all_members() for one in done)
         ]
         if done:
-            return CommandResult(done=True, number=done[0].course.number)
-        return CommandResult(done=False, why=f"no release {word.number or ''} {state}".replace("  ", " "))
+            return CommandResult(accepted=True, number=done[0].record.number)
+        return CommandResult(
+            accepted=False, reason=f"no release {word.number or ''} {state}".replace("  ", " ")
+        )
 
     def one(
         self, word: RolloutCommand, usual: RolloutPhase, act: Callable[[Rollout, str], str]
     ) -> CommandResult:
         if word.number:
-            some = [one for one in self.releases if one.course.number == word.number]
+            some = [one for one in self.rollouts if one.record.number == word.number]
         else:
-            some = [one for one in self.releases if one.phase is usual]
+            some = [one for one in self.rollouts if one.phase is usual]
         if len(some) != 1:
-            numbers = ", ".join(str(one.course.number) for one in some)
+            numbers = ", ".join(str(one.record.number) for one in some)
             why = f"which of {numbers}?" if some else f"no release {word.number or 'is ' + usual.value}"
-            return CommandResult(done=False, why=why)
-        why = act(some[0], word.who)
-        return CommandResult(done=not why, number=some[0].course.number, why=why)
+            return CommandResult(accepted=False, reason=why)
+        why = act(some[0], word.operator)
+        return CommandResult(accepted=not why, number=some[0].record.number, reason=why)
 
     # ---- what is shown ---------------------------------------------------------------------------------
 
-    def told(self, number: int = 0, history: bool = False) -> list[dict[str, object]]:
+    def report(self, number: int = 0, history: bool = False) -> list[dict[str, object]]:
         """The newest first."""
         return [
-            self.tell(one, history) for one in reversed(self.releases) if number in (0, one.course.number)
+            self.tell(one, history) for one in reversed(self.rollouts) if number in (0, one.record.number)
         ]
 
     def tell(self, release: Rollout, history: bool) -> dict[str, object]:
-        course, version = release.course, release.plan.version
+        course, version = release.record, release.spec.version
         members = release.all_members()
-        known = [self.platform[name] for name in members if name in self.platform]
-        judged = release.judgement
+        known = [self.instances[name] for name in members if name in self.instances]
+        judged = release.analysis
         return {
             "number": course.number,
             "version": version,
-            "before": release.plan.before,
+            "before": release.spec.previous_version,
             "phase": course.phase,
-            "why": course.why,
-            "bad": course.bad,
-            "batch": min(course.at + 1, len(course.batches)),
+            "why": course.reason,
+            "bad": course.version_is_bad,
+            "batch": min(course.batch_index + 1, len(course.batches)),
             "batches": len(course.batches),
             "members": len(members),
             "released": sum(1 for one in known if one.version == version),
-            "doing": release.doing,
-            "left_out": list(course.left_out),
-            "figures": judged.told() if judged is not None else [],
-            "verdict": judged.why if judged is not None else "",
+            "doing": release.progress,
+            "left_out": list(course.excluded),
+            "figures": judged.report() if judged is not None else [],
+            "verdict": judged.reason if judged is not None else "",
             **({"history": list(course.history)} if history else {}),
         }
--- a/birchslip/expect/consistency.py
+++ b/birchslip/expect/consistency.py
@@ -188,9 +188,9 @@
         return
     for group in look.fleet.budgets():
         place = look.fleet_at(f"groups[{group.name}]")
-        if group.most is not None and group.most >= len(group.members):
+        if group.max_unavailable is not None and group.max_unavailable >= len(group.members):
             yield Conflict((f"{place}.most_out", place), f"it has {len(group.members)}: all may be out")
-        if not group.allowed and look.fleet.platform is not None:
+        if not group.disruptions_allowed and look.fleet.platform is not None:
             yield Conflict((place, look.fleet_at("platform")), "nobody may ever be out, and releases wait")
 
 
--- a/birchslip/expect/facts.py
+++ b/birchslip/expect/facts.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from ..admission.types import Downstream
-from ..cluster.disruption_budget import BudgetGroup
+from ..cluster.disruption_types import BudgetGroup
 from ..lab.model.world import Setting
 from .words import Kind, Measure, Subject, When
 
@@ -88,15 +88,31 @@
         return
     releasing = When(release=True)
     for group, told in zip(setting.fleet.budgets(), setting.fleet.groups, strict=True):
-        what = "most_out" if told.most_out is not None and group.allowed == told.most_out else "share_out"
+        what = (
+            "most_out"
+            if told.most_out is not None and group.disruptions_allowed == told.most_out
+            else "share_out"
+        )
         if told.most_out is None and told.share_out is None:
             what = "least_room"
         subject = Subject(Kind.GROUP, group.name)
         yield Fact(subject, Measure.OUT, 0, len(group.members), f"{fleet}: groups[{group.name}]")
-        yield Fact(subject, Measure.OUT, 0, group.allowed, f"{fleet}: groups[{group.name}].{what}", releasing)
+        yield Fact(
+            subject,
+            Measure.OUT,
+            0,
+            group.disruptions_allowed,
+            f"{fleet}: groups[{group.name}].{what}",
+            releasing,
+        )
         for other in same_members(group, sites):
             yield Fact(
-                other, Measure.OUT, 0, group.allowed, f"{fleet}: groups[{group.name}].{what}", releasing
+                other,
+                Measure.OUT,
+                0,
+                group.disruptions_allowed,
+                f"{fleet}: groups[{group.name}].{what}",
+                releasing,
             )
 
 
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -11,7 +11,7 @@
 from ...cluster.election import DurableVote, Election
 from ...cluster.fleet_file import Fleet, span
 from ...cluster.inventory import Inventory, ProcessReport
-from ...cluster.member_metrics import Figures, Rates, room_of
+from ...cluster.member_metrics import OutcomeCounts, RequestRates, estimate_capacity
 from ...cluster.messages import Incarnation, MemberReport, ProbeResult, ReportReply
 from ...cluster.plan_subscription import PlanSubscription, override_of
 from ...cluster.planner_state import LOOK, PlannerState
@@ -41,8 +41,8 @@
         base = fleet.bases().get(server.name, 0.0)
         kept = fleet.vault.kept * base if fleet.vault else 0.0
         self.obey = PlanSubscription(kept, span(fleet.patience_ms), world.clock.now)
-        self.rates = Rates(world.tenant_names)
-        self.figures = Figures(world.profile_names)
+        self.rates = RequestRates(world.tenant_names)
+        self.figures = OutcomeCounts(world.profile_names)
         self.honoured, self.shed = server.counts["honoured"], server.counts["shed"]
         self.met: dict[str, tuple[int, str]] = {}
         self.calls = -1.0
@@ -113,7 +113,7 @@
             serving=server.serving,
             leaving=server.leaving,
             warm=server.warm,
-            room=room_of(server.cores.count, controller.all_runs.usual, honoured),
+            room=estimate_capacity(server.cores.count, controller.all_runs.usual, honoured),
             pace=max(0.0, controller.stretch),
             load=load,
             visits=visits,
@@ -223,10 +223,10 @@
             name: ProcessReport(state=self.states[name], version=self.versions[name]) for name in self.states
         }
         services = {one.name: ProcessReport(state="up", life=1) for one in self.fleet.services}
-        self.mind.conductor.hear(Inventory(members, services), clock.now)
+        self.mind.conductor.receive_inventory(Inventory(members, services), clock.now)
         for order in list(self.mind.orders(clock.now)):
             self.carry(order)
-        releases = self.mind.conductor.releases
+        releases = self.mind.conductor.rollouts
         if releases:
             self.phase = releases[-1].phase.value
 
@@ -235,25 +235,25 @@
         if not self.fleet.groups:
             return "the fleet file has no groups"
         _, said = self.mind.say(
-            RolloutCommand(what="start", who="the model", plan=plan), self.world.clock.now
+            RolloutCommand(action="start", operator="the model", spec=plan), self.world.clock.now
         )
         self.have_kept()
-        if said.done:
+        if said.accepted:
             self.phase = "running"
-        return said.why
+        return said.reason
 
     def carry(self, order: PlatformOrder) -> None:
         world, name = self.world, order.member
         server = world.by_name[name]
-        if order.what == "start":
+        if order.action == "start":
             if self.states[name] == "stopped":
                 self.versions[name], self.states[name] = order.version, "up"
                 world.start(server, cold=True)
             return
-        stale = (name, order.number) in self.carried or self.versions[name] == order.version
+        stale = (name, order.permit_number) in self.carried or self.versions[name] == order.version
         if stale or self.states[name] != "up" or not server.up:
             return
-        self.carried.add((name, order.number))
+        self.carried.add((name, order.permit_number))
         self.states[name] = "draining"
         world.drain(server, lambda: self.states.update({name: "stopped"}))
 
@@ -261,11 +261,11 @@
         """A short release of everybody, of a version that is as good as the one before."""
         return RolloutSpec(
             version="2",
-            before="1",
+            previous_version="1",
             canaries=1,
-            batch=8,
-            watch_ms=500,
-            watch_most_ms=30_000,
+            batch_size=8,
+            min_watch_ms=500,
+            max_watch_ms=30_000,
             margins={"late": 1.0},
-            stall_ms=int(60 * SECOND / 10),
+            stall_timeout_ms=int(60 * SECOND / 10),
         )
--- a/birchslip/lab/platform.py
+++ b/birchslip/lab/platform.py
@@ -14,7 +14,7 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from ..cluster.disruption_budget import BudgetGroup
+from ..cluster.disruption_types import BudgetGroup
 from .clients import Server
 from .peers import Vault, Web
 from .truth import SECOND
@@ -76,9 +76,9 @@
                 for one in out
                 if one == name or one in self.planned or now - min(self.causes[one].values()) > KNOWN
             ]
-            if len(known) > group.allowed:
+            if len(known) > group.disruptions_allowed:
                 self.breaches[group.name] += 1
-                self.said.append(f"{group.name}: {', '.join(known)} out, {group.allowed} may be")
+                self.said.append(f"{group.name}: {', '.join(known)} out, {group.disruptions_allowed} may be")
 
     def end(self, name: str, cause: str) -> None:
         for one, why in ((name, cause), *((other, name) for other in self.dependents.get(name, ()))):
@@ -91,7 +91,7 @@
     def told(self) -> dict[str, Any]:
         return {
             name: {
-                "allowed": group.allowed,
+                "allowed": group.disruptions_allowed,
                 "most_out": self.most[name],
                 "breaches": self.breaches[name],
             }
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from ..cluster.disruption_budget import BudgetGroup
+from ..cluster.disruption_types import BudgetGroup
 from ..cluster.messages import EvictionRequest, Message, OperatorCommand, encode
-from ..cluster.rollout import RolloutSpec, batches_of
+from ..cluster.rollout import RolloutSpec, plan_batches
 from ..cluster.rollout_controller import RolloutCommand
 from ..cluster.transport import PeerConnection
 from .clients import Profile, Server
@@ -46,6 +46,13 @@
     without: tuple[tuple[int, str, float], ...] | None = None
 
 
+def must_come_from_leader(command: Message) -> bool:
+    """Whether a planner that follows would answer from its copy of the state."""
+    if isinstance(command, RolloutCommand):
+        return command.action == "status"
+    return isinstance(command, OperatorCommand) and command.what == "show"
+
+
 class Play(World):
     profiles = [LOOKUP, ORDER]  # noqa: RUF012
     cold_span = 2 * SECOND
@@ -53,7 +60,7 @@
     def __init__(self, told: ReleaseTold, folder: Path) -> None:
         self.told = told
         super().__init__(told, folder)
-        self.planned = batches_of(self.plan(self.sites), {site: self.of_site(site) for site in self.sites})
+        self.planned = plan_batches(self.plan(self.sites), {site: self.of_site(site) for site in self.sites})
         self.deeds: list[tuple[int, str, float]] = []  # what was done to the world, and when
         self.marks: dict[str, int] = {}  # moments of the release
         self.batches = 0
@@ -73,12 +80,14 @@
         whole = [server.name for server in self.servers]
         self.fleet_most = max(2, int(FLEET_SHARE * len(whole)))
         self.groups = {
-            site: BudgetGroup(site, frozenset(self.of_site(site)), most=min(SITE_MOST, self.lay.each - 1))
+            site: BudgetGroup(
+                site, frozenset(self.of_site(site)), max_unavailable=min(SITE_MOST, self.lay.each - 1)
+            )
             for site in self.sites
         }
-        self.groups["fleet"] = BudgetGroup("fleet", frozenset(whole), most=self.fleet_most)
+        self.groups["fleet"] = BudgetGroup("fleet", frozenset(whole), max_unavailable=self.fleet_most)
         stores = [f"store-{n + 1}" for n in range(len(self.sites))]
-        self.groups["stores"] = BudgetGroup("stores", frozenset(stores), most=1)
+        self.groups["stores"] = BudgetGroup("stores", frozenset(stores), max_unavailable=1)
         self.store_of = dict(zip(self.sites, stores, strict=True))
         self.vaults = {store: Vault(self.scheduler, self.truth, self.took) for store in stores}
         needs = {server.name: [self.store_of[server.site]] for server in self.servers}
@@ -98,8 +107,11 @@
         told["platform"] = {"address": self.platform.address, "ask_ms": 200, "stale_ms": 2_000}
         told["services"] = [{"name": name, "kind": "store"} for name in self.vaults]
         told["groups"] = [
-            *({"name": site, "sites": [site], "most_out": self.groups[site].most} for site in self.sites),
-            {"name": "fleet", "all": True, "most_out": self.groups["fleet"].most},
+            *(
+                {"name": site, "sites": [site], "most_out": self.groups[site].max_unavailable}
+                for site in self.sites
+            ),
+            {"name": "fleet", "all": True, "most_out": self.groups["fleet"].max_unavailable},
             {"name": "stores", "kinds": ["store"], "most_out": 1},
         ]
         calls = told["vault"]["total"] / len(self.servers)
@@ -118,14 +130,14 @@
     def plan(self, sites: list[str], version: str = NEW, before: str = OLD) -> RolloutSpec:
         return RolloutSpec(
             version=version,
-            before=before,
+            previous_version=before,
             sites=sites,
             canaries=max(2, len(self.servers) // 12),
-            batch=8,
-            watch_ms=WATCH_MS,
-            watch_most_ms=WATCH_MOST_MS,
+            batch_size=8,
+            min_watch_ms=WATCH_MS,
+            max_watch_ms=WATCH_MOST_MS,
             margins={name: min(0.95, part * self.told.margins) for name, part in MARGINS.items()},
-            stall_ms=60_000,
+            stall_timeout_ms=60_000,
         )
 
     # ---- operators -------------------------------------------------------------------------------------
@@ -140,7 +152,7 @@
                 try:
                     raw = line.ask(method, encode(record), self.scheduler.now + ASK)
                     answer: dict[str, Any] = json.loads(raw)
-                    if record.what in ("status", "show") and not answer["leads"]:  # type: ignore[attr-defined]
+                    if must_come_from_leader(record) and not answer["leads"]:
                         continue
                     return answer
                 except OSError as why:
@@ -153,12 +165,12 @@
         return {"done": False, "granted": False, "releases": [], "trouble": trouble}
 
     def say(self, what: str, **more: Any) -> dict[str, Any]:
-        answer = self.ask(RolloutCommand(what=what, who="the play", **more), "release")
+        answer = self.ask(RolloutCommand(action=what, operator="the play", **more), "release")
         self.operator_s.append(f"{what}: {answer.get('why') or answer.get('trouble') or 'done'}")
         return answer
 
     def status(self, number: int = 1) -> dict[str, Any]:
-        answer = self.ask(RolloutCommand(what="status", number=number), "release")
+        answer = self.ask(RolloutCommand(action="status", number=number), "release")
         return answer["releases"][0] if answer["releases"] else {}
 
     def permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
@@ -226,9 +238,9 @@
         self.wait_for(self.known, 30 * SECOND)
         sites = self.sites[:-1] if self.told.fault == "two-releases" and len(self.sites) > 1 else self.sites
         plan = self.plan(sites)
-        self.planned = batches_of(plan, {site: self.of_site(site) for site in self.sites})
+        self.planned = plan_batches(plan, {site: self.of_site(site) for site in self.sites})
         self.release_began = scheduler.now
-        said = self.say("start", plan=plan)
+        said = self.say("start", spec=plan)
         if not said["done"]:
             raise RuntimeError(f"not begun: {said}")
         self.mark("start")
@@ -363,12 +375,12 @@
                     one.start()
             case "halt":
                 self.expect_halt = True
-                self.say("halt", why="a rehearsal")
+                self.say("halt", reason="a rehearsal")
             case "halt-and-kill":
                 self.expect_halt = True
                 leader = self.leader()
                 self.scheduler.at(self.scheduler.now + 20, self.planners[leader].kill)
-                self.say("halt", why="a rehearsal")
+                self.say("halt", reason="a rehearsal")
             case "check-halted":
                 told = self.status()
                 drains = sum(self.platform.drains.values())
@@ -381,16 +393,16 @@
             case "pause-holder":
                 self.deed("hold", self.holder, more)
             case "second-release":
-                said = self.say("start", plan=self.plan([self.sites[-1]]))
+                said = self.say("start", spec=self.plan([self.sites[-1]]))
                 self.operator_s.append(f"second: {said['done']}")
-                again = self.say("start", plan=self.plan(self.sites))
+                again = self.say("start", spec=self.plan(self.sites))
                 if again["done"]:
                     self.faults.append("a release that shares members with another was begun")
             case "drain-by-hand":
                 self.scheduler.spawn("by hand", self.by_hand)
             case "lower" | "raise":
                 most = LOWERED if step.what == "lower" else self.fleet_most
-                group = replace(self.groups["fleet"], most=most)
+                group = replace(self.groups["fleet"], max_unavailable=most)
                 self.groups["fleet"] = group
                 if step.what == "raise":
                     self.platform.outs.groups["fleet"] = group
@@ -499,7 +511,7 @@
         rounds = 0
         for batch in self.planned:
             site = self.platform.machines[batch[0]].server.site
-            may = min(self.groups[site].allowed, self.groups["fleet"].allowed)
+            may = min(self.groups[site].disruptions_allowed, self.groups["fleet"].disruptions_allowed)
             rounds += -(-len(batch) // may)
         return (rounds * (LEAST + self.cold_span) + len(self.planned) * WATCH_MS * 10) / SECOND
 
--- a/birchslip/lab/rollouts.py
+++ b/birchslip/lab/rollouts.py
@@ -12,24 +12,19 @@
 
 import msgspec
 
-from ..cluster.canary_analysis import Shown
-from ..cluster.disruption_budget import (
-    BudgetGroup,
-    BudgetState,
-    DisruptionBudget,
-    MemberObservation,
-    UnavailabilityReason,
-)
+from ..cluster.canary_analysis import MemberSample
+from ..cluster.disruption_budget import DisruptionBudget
+from ..cluster.disruption_types import BudgetGroup, BudgetState, MemberObservation, UnavailabilityReason
 from ..cluster.messages import Incarnation
 from ..cluster.rollout import (
     InstanceStatus,
+    InstanceView,
     PlatformOrder,
-    PlatformView,
     Rollout,
     RolloutPhase,
     RolloutRecord,
     RolloutSpec,
-    batches_of,
+    plan_batches,
 )
 
 SECOND = 10_000
@@ -78,11 +73,13 @@
         self.machines = {name: Machine(name) for names in self.sites.values() for name in names}
         whole = frozenset(self.machines)
         self.groups = [
-            *(BudgetGroup(site, frozenset(names), most=1) for site, names in self.sites.items()),
-            BudgetGroup("fleet", whole, most=2),
+            *(BudgetGroup(site, frozenset(names), max_unavailable=1) for site, names in self.sites.items()),
+            BudgetGroup("fleet", whole, max_unavailable=2),
         ]
-        plan = RolloutSpec(version="new", before="old", canaries=1, batch=2, watch_ms=6_000)
-        self.kept = msgspec.json.encode(RolloutRecord(plan=plan, batches=batches_of(plan, self.sites)))
+        plan = RolloutSpec(
+            version="new", previous_version="old", canaries=1, batch_size=2, min_watch_ms=6_000
+        )
+        self.kept = msgspec.json.encode(RolloutRecord(spec=plan, batches=plan_batches(plan, self.sites)))
         self.book = msgspec.json.encode(BudgetState())
         self.now = 0
         self.begin()
@@ -97,7 +94,7 @@
     def begin(self) -> None:
         """A conductor takes over, with what was kept."""
         permits = DisruptionBudget(self.groups)
-        permits.take(self.book)
+        permits.restore(self.book)
         self.release = Rollout(msgspec.json.decode(self.kept, type=RolloutRecord), permits)
 
     # ---- the world -------------------------------------------------------------------------------------
@@ -117,13 +114,13 @@
             found[name] = MemberObservation(Incarnation(mark=one.life), 10.0, why)
         return found
 
-    def platform(self) -> dict[str, PlatformView]:
+    def platform(self) -> dict[str, InstanceView]:
         return {
-            name: PlatformView(one.state, one.version, one.failed, one.ends)
+            name: InstanceView(one.state, one.version, one.failed, one.ends)
             for name, one in self.machines.items()
         }
 
-    def shown(self) -> dict[str, Shown]:
+    def shown(self) -> dict[str, MemberSample]:
         """What each member's answers of the last look came to."""
         found = {}
         for name, one in self.machines.items():
@@ -143,7 +140,7 @@
             broken = one.version == "new" and self.version == "profile"
             lost = sum(self.chance.random() < (0.2 if broken else 0.002) for _ in range(count))
             figures = {"late": (late, count), "shed": (0, count), "written_off": (lost, count)}
-            found[name] = Shown(self.now >= one.warm_at, figures)
+            found[name] = MemberSample(self.now >= one.warm_at, figures)
         return found
 
     def pass_time(self) -> None:
@@ -195,13 +192,13 @@
         draw = self.chance.random()
         for _ in range(0 if draw < 0.1 else 2 if draw > 0.9 else 1):
             one = self.machines[order.member]
-            if order.what == "drain":
-                mark = (order.member, "drain", order.number, "")
+            if order.action == "drain":
+                mark = (order.member, "drain", order.permit_number, "")
                 if mark in self.carried or not one.up:
                     continue
                 self.carried.add(mark)
-                self.drained_twice += order.number in one.drains
-                one.drains.append(order.number)
+                self.drained_twice += order.permit_number in one.drains
+                one.drains.append(order.permit_number)
                 one.state, one.until = InstanceStatus.DRAINING, self.now + DRAIN
             elif one.state in (InstanceStatus.STOPPED, InstanceStatus.FAILED) and not (
                 one.state is InstanceStatus.STOPPED and one.until
@@ -216,11 +213,11 @@
             self.conductors += 1
             self.begin()
         phase = self.release.phase
-        self.release.permits.look(self.seen())
-        orders = self.release.look(self.platform(), self.seen(), self.shown(), (), self.now)
+        self.release.budget.reconcile(self.seen())
+        orders = self.release.step(self.platform(), self.seen(), self.shown(), (), self.now)
         # Kept before anything is asked: a conductor that dies here leaves no order that nobody knows of.
-        self.kept = msgspec.json.encode(self.release.course)
-        self.book = self.release.permits.keep()
+        self.kept = msgspec.json.encode(self.release.record)
+        self.book = self.release.budget.encode()
         for order in orders:
             self.carry(order)
         if self.release.phase is RolloutPhase.HALTED and phase is not RolloutPhase.HALTED:
@@ -231,23 +228,23 @@
         """By what is so, not by what was decided: planned ones that are out, in each group."""
         for group in self.groups:
             out = [name for name in group.members if self.machines[name].state is not InstanceStatus.UP]
-            if len(out) > group.allowed:
+            if len(out) > group.disruptions_allowed:
                 self.breaches += 1
 
     def run(self, back: bool = True, longest: int = 1_200) -> RolloutScenario:
         """To its end; where it halts on a bad version, the way back is taken."""
         for _ in range(longest * SECOND // LOOK):
             self.step()
-            if self.release.phase in (RolloutPhase.DONE, RolloutPhase.BACK):
+            if self.release.phase in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK):
                 break
             if self.release.phase is RolloutPhase.HALTED and self.settled():
-                if not (back and self.release.course.bad and not self.release.course.left_out):
+                if not (back and self.release.record.version_is_bad and not self.release.record.excluded):
                     break
-                self.release.back("the play")
+                self.release.roll_back("the play")
         return self
 
     def settled(self) -> bool:
-        return all(one.up for one in self.machines.values() if one.name not in self.release.course.left_out)
+        return all(one.up for one in self.machines.values() if one.name not in self.release.record.excluded)
 
     def told(self) -> dict[str, object]:
         return {
@@ -255,11 +252,11 @@
             "breaches": self.breaches,
             "drained_twice": self.drained_twice,
             "exposed": len(self.exposed),
-            "stuck": self.release.phase in (RolloutPhase.RUNNING, RolloutPhase.BACKING),
+            "stuck": self.release.phase in (RolloutPhase.RUNNING, RolloutPhase.ROLLING_BACK),
             "conductors": self.conductors,
             "halt_s": None
             if self.halted_at is None or self.harm_at is None
             else (self.halted_at - self.harm_at) / SECOND,
             "took_s": self.now / SECOND,
-            "why": self.release.course.why,
+            "why": self.release.record.reason,
         }
--- a/birchslip/lab/small_scope.py
+++ b/birchslip/lab/small_scope.py
@@ -18,10 +18,10 @@
 
 import msgspec
 
-from ..cluster.disruption_budget import (
+from ..cluster.disruption_budget import DisruptionBudget
+from ..cluster.disruption_types import (
     BudgetGroup,
     BudgetState,
-    DisruptionBudget,
     EvictionWaiter,
     MemberObservation,
     UnavailabilityReason,
@@ -29,7 +29,7 @@
 from ..cluster.messages import Incarnation
 
 NAMES = ("m0", "m1", "m2")
-GROUPS = [BudgetGroup("all", frozenset(NAMES), most=1)]
+GROUPS = [BudgetGroup("all", frozenset(NAMES), max_unavailable=1)]
 EMPTY = msgspec.json.encode(BudgetState())
 
 
@@ -95,17 +95,17 @@
     @staticmethod
     def permits(book: bytes) -> DisruptionBudget:
         made = DisruptionBudget(GROUPS)
-        made.take(book)
+        made.restore(book)
         return made
 
     def decided(self, world: World, permits: DisruptionBudget) -> World:
         """A changed book is on the leader's own disk first."""
-        permits.book.record.clear()
+        permits.state.audit_log.clear()
         # Only the order of grants matters, not how many there were before.
-        for place, permit in enumerate(permits.book.permits, 1):
+        for place, permit in enumerate(permits.state.permits, 1):
             permit.number = place
-        permits.book.number = len(permits.book.permits)
-        book = permits.keep()
+        permits.state.last_permit_number = len(permits.state.permits)
+        book = permits.encode()
         if book == world.book:
             return world
         number = world.number + 1
@@ -130,12 +130,12 @@
         for n, life in enumerate(world.lives):
             if life.where == "in":
                 permits = self.permits(world.book)
-                permits.ask(
-                    EvictionWaiter(holder=NAMES[n], incarnation=Incarnation(mark=life.mark), why=""), seen
+                permits.acquire(
+                    EvictionWaiter(holder=NAMES[n], incarnation=Incarnation(mark=life.mark), reason=""), seen
                 )
                 yield f"{NAMES[n]} asks", self.decided(world, permits)
         permits = self.permits(world.book)
-        permits.look(seen)
+        permits.reconcile(seen)
         yield "a look", self.decided(world, permits)
         for p, disk in enumerate(world.disks):
             if p in world.kept_by or disk.epoch > world.epoch:
@@ -147,7 +147,7 @@
         if len(world.kept_by) >= (1 if self.mistake == "minority" else 2):
             told = {
                 (NAMES.index(one.holder), one.incarnation.mark)
-                for one in self.permits(world.book).book.permits
+                for one in self.permits(world.book).state.permits
             }
             yield "tells", replace(world, tells=world.tells | told)
 
--- a/tests/test_stored_rollout.py
+++ b/tests/test_stored_rollout.py
@@ -10,10 +10,10 @@
 import msgspec
 import pytest
 
-from birchslip.cluster.disruption_budget import (
+from birchslip.cluster.disruption_budget import DisruptionBudget
+from birchslip.cluster.disruption_types import (
     BudgetGroup,
     BudgetState,
-    DisruptionBudget,
     MemberObservation,
     UnavailabilityReason,
 )
@@ -125,10 +125,10 @@
 
 def controller():
     """The next leader, with nothing but what the earlier version stored."""
-    budget = DisruptionBudget([BudgetGroup("fleet", frozenset(SITE_OF), most=3)])
-    budget.book = msgspec.json.decode(STORED_BUDGET, type=BudgetState)
+    budget = DisruptionBudget([BudgetGroup("fleet", frozenset(SITE_OF), max_unavailable=3)])
+    budget.state = msgspec.json.decode(STORED_BUDGET, type=BudgetState)
     made = RolloutController(SITES, [], budget, 30_000, SITE_OF)
-    made.take(msgspec.json.decode(STORED_ROLLOUTS, type=RolloutStates), NOW - 5_000)
+    made.restore(msgspec.json.decode(STORED_ROLLOUTS, type=RolloutStates), NOW - 5_000)
     return made
 
 
@@ -167,7 +167,7 @@
 
 
 def test_defaults_of_the_release_file_are_unchanged():
-    assert msgspec.json.encode(RolloutSpec(version="2", before="1")) == DEFAULT_RELEASE_FILE
+    assert msgspec.json.encode(RolloutSpec(version="2", previous_version="1")) == DEFAULT_RELEASE_FILE
 
 
 def test_the_release_file_is_read_from_disk(tmp_path):
@@ -190,19 +190,19 @@
 
 
 def test_the_reported_history_of_stored_rollouts_is_unchanged():
-    assert msgspec.json.encode(controller().told(history=True)) == REPORTED_HISTORY
+    assert msgspec.json.encode(controller().report(history=True)) == REPORTED_HISTORY
 
 
 def test_the_next_leader_continues_and_reports_as_the_earlier_version_did():
     made = controller()
-    made.hear(inventory(), NOW)
+    made.receive_inventory(inventory(), NOW)
     seen = observations()
-    made.permits.look(seen)
+    made.budget.reconcile(seen)
     reports = {
         name: report(name, NOW, figures={"late:order": (39, 1_560)}, took={"order": [1_560, 390]})
         for name in SITE_OF
     }
-    made.look(seen, reports, (), NOW)
-    assert msgspec.json.encode(made.told()) == REPORTED_STATUS
-    orders = [(order.what, order.member, order.version, order.number) for order in made.orders]
+    made.step(seen, reports, (), NOW)
+    assert msgspec.json.encode(made.report()) == REPORTED_STATUS
+    orders = [(order.action, order.member, order.version, order.permit_number) for order in made.orders]
     assert orders == [("drain", "d-0", "1", 4)]
