--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -20,8 +20,9 @@
 from .cluster.fleet_file import Fleet, read_fleet, schema
 from .cluster.messages import EvictionRequest, OperatorCommand, encode
 from .cluster.release_file import read_release, release_schema
-from .cluster.rollout import RolloutSpec, find_unknown_part, plan_batches
-from .cluster.rollout_controller import RolloutCommand
+from .cluster.rollout_batches import find_unknown_part, plan_batches
+from .cluster.rollout_messages import RolloutAction, RolloutCommand
+from .cluster.rollout_types import RolloutSpec
 from .errors import InvalidInputError
 from .net.buffer import Buffer
 from .net.clients import messages
@@ -97,7 +98,7 @@
 
 def prefers_leader(command: OperatorCommand | EvictionRequest | RolloutCommand) -> bool:
     """Whether any planner answers the command, and the leader's answer is the best."""
-    action = command.action if isinstance(command, RolloutCommand) else command.what
+    action = command.action.value if isinstance(command, RolloutCommand) else command.what
     return action in SHOWN
 
 
@@ -307,9 +308,8 @@
         click.echo(json.dumps(said))
     else:
         number = f" {said['number']}" if said["number"] else ""
-        click.echo(
-            f"{told.action}{number}: done" if said["done"] else f"{told.action}{number}: no: {said['why']}"
-        )
+        result = "done" if said["done"] else f"no: {said['why']}"
+        click.echo(f"{told.action.value}{number}: {result}")
     if not said["done"]:
         raise SystemExit(1)
 
@@ -325,7 +325,7 @@
 @click.argument("file", type=click.Path())
 def start_release(path: str, as_json: bool, who: str, file: str) -> None:
     """Begin a release; it is checked whole before the first drain."""
-    word(path, as_json, RolloutCommand(action="start", operator=who, spec=plan_of(file)))
+    word(path, as_json, RolloutCommand(action=RolloutAction.START, operator=who, spec=plan_of(file)))
 
 
 @release.command()
@@ -336,7 +336,7 @@
 @click.option("--why", default="")
 def halt(path: str, as_json: bool, number: int, who: str, why: str) -> None:
     """No drain begins any more; all that run are meant where no number is told."""
-    word(path, as_json, RolloutCommand(action="halt", number=number, operator=who, reason=why))
+    word(path, as_json, RolloutCommand(action=RolloutAction.HALT, number=number, operator=who, reason=why))
 
 
 @release.command()
@@ -346,7 +346,7 @@
 @WHO
 def resume(path: str, as_json: bool, number: int, who: str) -> None:
     """Go on with a release that was halted, and not because its version is bad."""
-    word(path, as_json, RolloutCommand(action="resume", number=number, operator=who))
+    word(path, as_json, RolloutCommand(action=RolloutAction.RESUME, number=number, operator=who))
 
 
 @release.command()
@@ -356,7 +356,7 @@
 @WHO
 def back(path: str, as_json: bool, number: int, who: str) -> None:
     """Take every released member back to the version before, the newest batch first."""
-    word(path, as_json, RolloutCommand(action="back", number=number, operator=who))
+    word(path, as_json, RolloutCommand(action=RolloutAction.ROLL_BACK, number=number, operator=who))
 
 
 @release.command()
@@ -367,7 +367,7 @@
 def status(path: str, as_json: bool, number: int, follow: bool) -> None:
     """Where each release stands, what it waits for, and the figures that it is judged by."""
     told = fleet_of(path)
-    asked = RolloutCommand(action="status", number=number)
+    asked = RolloutCommand(action=RolloutAction.STATUS, number=number)
     if follow:
         from .cluster.tables import follow_releases
 
@@ -388,7 +388,7 @@
 @NUMBER
 def history(path: str, as_json: bool, number: int) -> None:
     """What became of each release, line by line, from its start."""
-    answer = ask_any(fleet_of(path), RolloutCommand(action="history", number=number))
+    answer = ask_any(fleet_of(path), RolloutCommand(action=RolloutAction.HISTORY, number=number))
     if as_json:
         click.echo(json.dumps(answer))
         return
--- a/birchslip/cluster/canary_analysis.py
+++ b/birchslip/cluster/canary_analysis.py
@@ -1,57 +1,57 @@
-"""Is the released version worse than the one before? Released against not yet released members of the same
-minutes.
+"""Canary analysis: is the new version worse than the previous one, by members that run at the same time?
 
-A test that is looked at again and again finds something in the end if its level is that of one look. So
-each figure is judged by a mixture of sequential likelihood ratios (Robbins 1970; for comparisons that run
-on, Johari, Pekelis and Walsh 2015): its chance to call two alike versions different stays under its
-part of `ERROR` over all looks together, however many there are.
+Only members that are warm are compared, and only in looks in which both sides had some, so that a surge or a
+slow service below affects both. Each metric is a share of bad outcomes: answers that were late, rejected or
+failed, and calls below that did not come through. A metric is judged as a whole and, where it is reported as
+`KIND:CLASS`, for each request class too: the failure of one class may drown in all. Memory is no share: a
+member whose memory is several times that of the others in look after look leaks.
 
-Only members that are warm are compared, and only for the looks in which both sides had them: a surge or a
-slow store below meets both. Each figure is a share of bad ones among all: answers that were late, shed or
-written off, and calls below that did not come through. A figure is judged as a whole and, where it is told as
-`KIND:PROFILE`, of each profile too: what one profile suffers may drown in all. A difference counts as bad
-only past a `margin` that somebody would mind. Memory is no share: a released member that holds several
-times what the others do, look after look, leaks.
-
-How long runs take has no bound of its own that would fit every profile. So `slow` counts those of the
-slowest buckets, as many as the others had when the watch began: up to one in seven of theirs.
+Run times have no bound of their own that would fit every class. The metric `slow` counts runs in the slowest
+buckets, as many as the baseline had when the watch began.
 
 | verdict | when |
 | --- | --- |
-| bad | one figure is worse by more than its margin, past doubt |
-| good | every whole figure is past doubt not worse by its margin, no profile looks it, it was watched |
-| unclear | neither yet; at the end of the watch that is a halt of its own |
+| bad | one metric is worse by more than its margin, past doubt |
+| good | every whole metric is past doubt within its margin, no class looks worse, the minimum watch is over |
+| unclear | neither yet; at the end of the watch the rollout halts |
+
+It never orders anything. Moments and spans are tenths of a millisecond.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
-from enum import Enum
-from math import exp, log
 from statistics import median
+from typing import NamedTuple
 
 import msgspec
 
+from .canary_metrics import (
+    FALSE_ALARM_RATE,
+    CanaryVerdict,
+    MetricComparison,
+    MetricReport,
+    Proportion,
+)
 from .messages import Count, Message, Name, Span
 
-ERROR = 0.005  # chance that alike versions are called different, over all figures and looks
-MISS = 0.02  # chance that a figure past its margin is called fine, over all looks
-ACROSS = 2.0  # times the margins, where members of different sites are all there is to compare
-BY_LOAD = (
-    "late",
-    "shed",
-)  # and these are not compared then: they say more of a site's load than of a version
-SPREAD = 0.05  # of the differences that the mixture expects: the test is sharpest about there
-LEAST = 25  # of each side, before anything is said of a figure
-GROUPED = (
-    2.0  # outcomes come in crowds: a queue makes many late at once, which counts as fewer independent ones
-)
-MOST_RATIO = 700.0  # of a logarithm: past it the ratio is infinite to a float
-BASE = 200  # honoured ones of the others, before it is settled what of a profile counts as slow
-SLOW = 0.15  # of the others' at most, then: the fewer, the surer a difference shows
-HELD = 10  # looks in a row with too much memory before it counts: one is a burst
-HELD_LEAST = 16_384  # KB above the others' before any factor counts
+CROSS_SITE_MARGIN_FACTOR = 2.0  # where only members of different sites can be compared
+LOAD_DEPENDENT_METRICS = ("late", "shed")  # not compared then: they tell more of a site's load
+SLOW_METRIC = "slow"
+MIN_BASELINE_RUNS = 200  # of a class, before it is settled which runs count as slow
+MAX_SLOW_SHARE = 0.15  # of the baseline's runs that count as slow
+MEMORY_LEAK_LOOKS = 10  # looks in a row with too much memory: fewer are a burst
+MIN_MEMORY_EXCESS_KB = 16_384  # above the baseline, before any factor counts
+
+
+class StoredComparison(NamedTuple):
+    """Counts of one metric, stored as an array."""
+
+    canary_bad: float
+    canary_total: float
+    baseline_bad: float
+    baseline_total: float
 
 
 class CanaryEvidence(
@@ -64,270 +64,278 @@
         "excess_memory_count": "held",
     },
 ):
-    """What a watch has come to, for a majority to keep: whoever conducts next goes on from there.
+    """What a watch has found, stored by a majority so that the next leader continues from there.
 
     Guards against leaders that follow each other faster than a watch lasts: each would begin anew, and a bad
-    version would stay for as long as they do. `figures` are bad ones and all of the released, then of others.
+    version would stay for as long.
+
+    Attributes:
+        batch_index: The batch that was watched.
+        watched: For how long.
+        metrics: Counts by metric.
+        duration_histograms: By request class, runs of the baseline by bucket.
+        slow_bounds: By request class, the first bucket that counts as slow.
+        excess_memory_count: Looks in a row with too much memory.
     """
 
     batch_index: Count = 0
     watched: Span = 0
-    metrics: dict[Name, tuple[float, float, float, float]] = msgspec.field(default_factory=dict)
+    metrics: dict[Name, StoredComparison] = msgspec.field(default_factory=dict)
     duration_histograms: dict[Name, list[Count]] = msgspec.field(default_factory=dict)
     slow_bounds: dict[Name, Count] = msgspec.field(default_factory=dict)
     excess_memory_count: Count = 0
 
 
-class CanaryVerdict(Enum):
-    GOOD = "good"
-    BAD = "bad"
-    UNCLEAR = "unclear"
-
-
-@dataclass(slots=True)
-class Proportion:
-    """Bad ones and all of one figure, on one side."""
-
-    bad: float = 0.0
-    total: float = 0.0
-
-    @property
-    def ratio(self) -> float:
-        return self.bad / self.total if self.total else 0.0
-
-    def add(self, bad: float, every: float) -> None:
-        self.bad += min(bad, every)
-        self.total += every
-
-
-@dataclass(slots=True)
-class MetricComparison:
-    """One comparison. `margin` is the difference of shares that somebody would mind."""
-
-    name: str
-    margin: float
-    canary: Proportion = field(default_factory=Proportion)
-    baseline: Proportion = field(default_factory=Proportion)
-
-    def add(self, released: tuple[float, float], others: tuple[float, float]) -> None:
-        """Of one look; where one side has nothing, the look says nothing."""
-        if released[1] > 0 and others[1] > 0:
-            self.canary.add(*released)
-            self.baseline.add(*others)
-
-    @property
-    def difference(self) -> float:
-        return self.canary.ratio - self.baseline.ratio
-
-    def variance(self) -> float:
-        """Of the difference, if both were alike but for the margin; never none, as shares of nought are
-        not sure.
-        """
-        a, b = self.canary, self.baseline
-        p = (a.bad + b.bad + 1) / (a.total + b.total + 2)
-        return GROUPED * p * (1 - p) * (1 / a.total + 1 / b.total)
-
-    def log_likelihood_ratio(self, from_difference: float) -> float:
-        """The logarithm of the mixture's likelihood against a true difference of so much."""
-        variance = self.variance()
-        mixed = variance + SPREAD * SPREAD
-        off = self.difference - from_difference
-        return (log(variance / mixed) + off * off * (1 / variance - 1 / mixed)) / 2
-
-    @property
-    def is_within_margin(self) -> bool:
-        """Not worse by more than the margin as it stands, sure or not."""
-        return self.difference <= self.margin
-
-    def verdict(self, error: float = ERROR) -> CanaryVerdict:
-        """`error` is this figure's part: one of many that errs halts; to go on, all have to agree."""
-        if min(self.canary.total, self.baseline.total) < LEAST:
-            return CanaryVerdict.UNCLEAR
-        ratio, bad = self.log_likelihood_ratio(self.margin), self.difference > self.margin
-        if ratio < -log(error if bad else MISS):
-            return CanaryVerdict.UNCLEAR
-        return CanaryVerdict.BAD if bad else CanaryVerdict.GOOD
-
-    def report(self) -> dict[str, object]:
-        """The figures that the verdict went by."""
-        return {
-            "name": self.name,
-            "released": round(self.canary.ratio, 4),
-            "others": round(self.baseline.ratio, 4),
-            "of": [round(self.canary.total), round(self.baseline.total)],
-            "margin": self.margin,
-            "verdict": self.verdict().value,
-            "surety": round(1 - exp(-min(MOST_RATIO, max(0.0, self.log_likelihood_ratio(self.margin)))), 4)
-            if min(self.canary.total, self.baseline.total) >= LEAST
-            else 0.0,
-        }
-
-
 @dataclass(frozen=True, slots=True)
 class MemberSample:
-    """What one member showed since the look before: by figure, bad ones and all."""
+    """What one member served since the look before.
+
+    Attributes:
+        warm: Whether it has warmed up.
+        outcomes: By metric, bad and all outcomes.
+        memory_kb: Resident memory in KB; 0 where it is not reported.
+        durations: By request class, runs by bucket of their duration.
+    """
 
     warm: bool
     outcomes: Mapping[str, tuple[float, float]]
-    memory_kb: int = 0  # resident, in KB; 0 where it is not told
-    durations: Mapping[str, list[int]] = field(default_factory=dict)  # honoured by profile and bucket
+    memory_kb: int = 0
+    durations: Mapping[str, list[int]] = field(default_factory=dict)
 
 
 class CanaryAnalysis:
-    """One batch under watch. `margins` are by figure; `least` and `most` bound the watch, in tenths of a ms.
-
-    `memory` is how many times the others' resident memory is too much; 0 looks at none. The chance of a
-    mistake is shared out among the figures.
+    """The analysis of one batch under watch.
+
+    Attributes:
+        margins: By metric, the difference of shares past which the new version is bad.
+        metrics: The comparisons so far.
+        slow_bounds: By request class, the first bucket that counts as slow.
+        duration_histograms: By request class, runs of the baseline until its bound is settled.
+        reason: Why the latest verdict is what it is.
+        first_bad_at: When the verdict was bad for the first time.
     """
 
     def __init__(
-        self, margins: Mapping[str, float], least: int, most: int, began: int, memory: float = 0.0
+        self,
+        margins: Mapping[str, float],
+        min_watch: int,
+        max_watch: int,
+        started_at: int,
+        max_memory_ratio: float = 0.0,
     ) -> None:
-        self.margins, self.max_memory_ratio, self.excess_memory_count = margins, memory, 0
+        """Begin a watch.
+
+        Args:
+            margins: By metric or kind of metric.
+            min_watch: No verdict is good before.
+            max_watch: When the watch has expired.
+            started_at: When the watch began.
+            max_memory_ratio: Times the baseline's memory that is too much; 0 sets no bound.
+        """
+        self.margins = margins
+        self.min_watch = min_watch
+        self.max_watch = max_watch
+        self.started_at = started_at
+        self.max_memory_ratio = max_memory_ratio
+        self.excess_memory_count = 0
         self.metrics: dict[str, MetricComparison] = {}
-        self.duration_histograms: dict[
-            str, list[int]
-        ] = {}  # by profile: what the others showed before `bounds` was settled
-        self.slow_bounds: dict[str, int] = {}  # by profile: from which bucket on it counts as slow
-        self.min_watch, self.max_watch, self.started_at = least, most, began
+        self.duration_histograms: dict[str, list[int]] = {}
+        self.slow_bounds: dict[str, int] = {}
         self.first_bad_at: int | None = None
         self.reason = ""
 
-    def evidence(self, batch: int, now: int) -> CanaryEvidence:
-        sides = {
-            name: (one.canary.bad, one.canary.total, one.baseline.bad, one.baseline.total)
-            for name, one in self.metrics.items()
+    # ---- storing ---------------------------------------------------------------------------------------
+
+    def evidence(self, batch_index: int, now: int) -> CanaryEvidence:
+        """What was found so far, for `resume`."""
+        metrics = {
+            name: StoredComparison(
+                metric.canary.bad, metric.canary.total, metric.baseline.bad, metric.baseline.total
+            )
+            for name, metric in self.metrics.items()
         }
-        base = {name: list(counts) for name, counts in self.duration_histograms.items()}
+        histograms = {name: list(counts) for name, counts in self.duration_histograms.items()}
         return CanaryEvidence(
-            batch_index=batch,
+            batch_index=batch_index,
             watched=max(0, now - self.started_at),
-            metrics=sides,
-            duration_histograms=base,
+            metrics=metrics,
+            duration_histograms=histograms,
             slow_bounds=dict(self.slow_bounds),
             excess_memory_count=self.excess_memory_count,
         )
 
-    def resume(self, kept: CanaryEvidence, now: int) -> None:
-        """From what another conductor has seen of the same batch; the time between them was not watched."""
-        self.started_at = now - kept.watched
-        self.duration_histograms = {name: list(counts) for name, counts in kept.duration_histograms.items()}
-        self.slow_bounds, self.excess_memory_count = dict(kept.slow_bounds), kept.excess_memory_count
-        for name, (bad, every, bad_others, every_others) in kept.metrics.items():
+    def resume(self, evidence: CanaryEvidence, now: int) -> None:
+        """Continue from stored evidence of the same batch; the time in between was not watched."""
+        self.started_at = now - evidence.watched
+        self.duration_histograms = {
+            name: list(counts) for name, counts in evidence.duration_histograms.items()
+        }
+        self.slow_bounds = dict(evidence.slow_bounds)
+        self.excess_memory_count = evidence.excess_memory_count
+        for name, stored in evidence.metrics.items():
             self.track_metric(name)
             if name in self.metrics:
-                figure = self.metrics[name]
-                figure.canary, figure.baseline = Proportion(bad, every), Proportion(bad_others, every_others)
+                metric = self.metrics[name]
+                metric.canary = Proportion(stored.canary_bad, stored.canary_total)
+                metric.baseline = Proportion(stored.baseline_bad, stored.baseline_total)
+
+    # ---- observing -------------------------------------------------------------------------------------
 
     def observe(
         self,
-        released: list[MemberSample],
-        others: list[MemberSample],
+        canary: list[MemberSample],
+        baseline: list[MemberSample],
         now: int,
-        usual: list[MemberSample] | None = None,
+        previous_version: list[MemberSample] | None = None,
     ) -> CanaryVerdict:
-        """`usual` are all that say what is slow, where more do than the others that are compared."""
-        warm, beside = ([one for one in side if one.warm] for side in (released, others))
-        warm, beside = ([self.with_slow(one) for one in side] for side in (warm, beside))
-        self.settle_bounds([one for one in usual if one.warm] if usual is not None else beside)
-        for name in sorted({name for one in (*warm, *beside) for name in one.outcomes}):
-            for told in (name.partition(":")[0], name):
-                self.track_metric(told)
-        for name, figure in self.metrics.items():
-            figure.add(total(warm, name), total(beside, name))
-        self.check_memory(released, others)
+        """Take one look at both sides.
+
+        Args:
+            canary: Members in the new version.
+            baseline: Members in the previous version that are compared with.
+            now: When this is.
+            previous_version: All members in it, which settle what counts as slow; as `baseline` where None.
+        """
+        warm_canary = [self._with_slow_metric(sample) for sample in canary if sample.warm]
+        warm_baseline = [self._with_slow_metric(sample) for sample in baseline if sample.warm]
+        if previous_version is None:
+            self.settle_slow_bounds(warm_baseline)
+        else:
+            self.settle_slow_bounds([sample for sample in previous_version if sample.warm])
+        for name in sorted({name for sample in (*warm_canary, *warm_baseline) for name in sample.outcomes}):
+            self.track_metric(metric_kind(name))
+            self.track_metric(name)
+        for name, metric in self.metrics.items():
+            metric.add(sum_outcomes(warm_canary, name), sum_outcomes(warm_baseline, name))
+        self.check_memory(canary, baseline)
         verdict = self.verdict(now)
         if verdict is CanaryVerdict.BAD and self.first_bad_at is None:
             self.first_bad_at = now
         return verdict
 
-    def with_slow(self, one: MemberSample) -> MemberSample:
-        """By the bounds that were settled before this look: they do not follow what is judged by them."""
+    def _with_slow_metric(self, sample: MemberSample) -> MemberSample:
+        """Count slow runs by the bounds settled in earlier looks, so that they are not their own measure."""
         slow = {
-            f"slow:{name}": (sum(one.durations[name][bound:]), sum(one.durations[name]))
+            f"{SLOW_METRIC}:{name}": (sum(sample.durations[name][bound:]), sum(sample.durations[name]))
             for name, bound in self.slow_bounds.items()
-            if name in one.durations
+            if name in sample.durations
         }
-        return replace(one, outcomes={**one.outcomes, **slow}) if slow else one
+        if not slow:
+            return sample
+        return replace(sample, outcomes={**sample.outcomes, **slow})
 
-    def settle_bounds(self, others: list[MemberSample]) -> None:
-        if "slow" not in {name.partition(":")[0] for name in self.margins}:
+    def settle_slow_bounds(self, baseline: list[MemberSample]) -> None:
+        """Add runs of the baseline, and settle the bounds of classes that have enough of them."""
+        if SLOW_METRIC not in {metric_kind(name) for name in self.margins}:
             return
-        for name in {name for one in others for name in one.durations}:
+        for name in {name for sample in baseline for name in sample.durations}:
             if name in self.slow_bounds:
                 continue
-            base = self.duration_histograms.setdefault(name, [])
-            for one in others:
-                counts = one.durations.get(name, [])
-                base += [0] * (len(counts) - len(base))
-                for place, count in enumerate(counts):
-                    base[place] += count
-            if sum(base) >= BASE:
-                bound = len(base)
-                while bound and sum(base[bound - 1 :]) <= SLOW * sum(base):
-                    bound -= 1
-                self.slow_bounds[name] = bound
+            histogram = self.duration_histograms.setdefault(name, [])
+            for sample in baseline:
+                add_histogram(histogram, sample.durations.get(name, []))
+            if sum(histogram) >= MIN_BASELINE_RUNS:
+                self.slow_bounds[name] = slow_bound(histogram)
 
     def track_metric(self, name: str) -> None:
-        """One that is told for the first time is judged from now on, if anybody minds it."""
-        margin = self.margins.get(name, self.margins.get(name.partition(":")[0]))
+        """Compare a metric from now on, if it has a margin of its own or of its kind."""
+        margin = self.margins.get(name, self.margins.get(metric_kind(name)))
         if margin is not None and name not in self.metrics:
             self.metrics[name] = MetricComparison(name, margin)
 
-    def check_memory(self, released: list[MemberSample], others: list[MemberSample]) -> None:
-        """Warm or not: a leak need not wait for anything."""
-        usual = [one.memory_kb for one in others if one.memory_kb]
-        most = max((one.memory_kb for one in released), default=0)
-        bound = (
-            max(self.max_memory_ratio * median(usual), median(usual) + HELD_LEAST)
-            if usual and self.max_memory_ratio
-            else 0.0
-        )
-        self.excess_memory_count = self.excess_memory_count + 1 if bound and most > bound else 0
-        if self.excess_memory_count >= HELD:
-            self.reason = f"memory: {most} KB against {median(usual):.0f} KB"
+    def check_memory(self, canary: list[MemberSample], baseline: list[MemberSample]) -> None:
+        """Count looks in a row in which a member of the canary holds too much, warm or not."""
+        baseline_memory = [sample.memory_kb for sample in baseline if sample.memory_kb]
+        largest = max((sample.memory_kb for sample in canary), default=0)
+        is_excessive = False
+        if baseline_memory and self.max_memory_ratio:
+            usual = median(baseline_memory)
+            bound = max(self.max_memory_ratio * usual, usual + MIN_MEMORY_EXCESS_KB)
+            is_excessive = largest > bound
+        self.excess_memory_count = self.excess_memory_count + 1 if is_excessive else 0
+        if self.excess_memory_count >= MEMORY_LEAK_LOOKS:
+            self.reason = f"memory: {largest} KB against {median(baseline_memory):.0f} KB"
+
+    # ---- verdict ---------------------------------------------------------------------------------------
 
     def verdict(self, now: int) -> CanaryVerdict:
-        if self.excess_memory_count >= HELD:
+        """The verdict on all metrics together; sets `reason`."""
+        if self.excess_memory_count >= MEMORY_LEAK_LOOKS:
             return CanaryVerdict.BAD
-        error = ERROR / max(1, len(self.metrics))
-        said = {name: figure.verdict(error) for name, figure in self.metrics.items()}
-        bad = [name for name, verdict in said.items() if verdict is CanaryVerdict.BAD]
-        if bad:
-            figure = self.metrics[bad[0]]
-            self.reason = f"{bad[0]}: {figure.canary.ratio:.3f} against {figure.baseline.ratio:.3f}"
+        error = FALSE_ALARM_RATE / max(1, len(self.metrics))
+        verdicts = {name: metric.verdict(error) for name, metric in self.metrics.items()}
+        bad = next((name for name, verdict in verdicts.items() if verdict is CanaryVerdict.BAD), None)
+        if bad is not None:
+            metric = self.metrics[bad]
+            self.reason = f"{bad}: {metric.canary.ratio:.3f} against {metric.baseline.ratio:.3f}"
             return CanaryVerdict.BAD
         if not self.has_minimum_watch(now):
             self.reason = "not watched for long enough"
             return CanaryVerdict.UNCLEAR
-        open_ones = [
+        unclear = [
             name
-            for name, verdict in said.items()
-            if verdict is CanaryVerdict.UNCLEAR and not (":" in name and self.metrics[name].is_within_margin)
+            for name, verdict in verdicts.items()
+            if verdict is CanaryVerdict.UNCLEAR and not self._is_harmless_class(name)
         ]
-        if not open_ones and (self.metrics or not self.margins):
+        if not unclear and (self.metrics or not self.margins):
             self.reason = "no figure is worse by more than its margin"
             return CanaryVerdict.GOOD
-        self.reason = f"unclear: {', '.join(open_ones) or 'nothing was told of either side'}"
+        self.reason = f"unclear: {', '.join(unclear) or 'nothing was told of either side'}"
         return CanaryVerdict.UNCLEAR
 
+    def _is_harmless_class(self, name: str) -> bool:
+        """Whether a metric is of one request class, and within its margin as it stands."""
+        return metric_kind(name) != name and self.metrics[name].is_within_margin
+
     def has_minimum_watch(self, now: int) -> bool:
+        """Whether the batch was watched for long enough for a good verdict."""
         return now - self.started_at >= self.min_watch
 
     def has_expired(self, now: int) -> bool:
-        """Whether what is unclear now stays so: the watch has come to its end."""
+        """Whether the watch is over: what is unclear now stays so."""
         return now - self.started_at >= self.max_watch
 
-    def report(self) -> list[dict[str, object]]:
-        return [figure.report() for figure in self.metrics.values()]
+    def report(self) -> list[MetricReport]:
+        """Every comparison as operators see it."""
+        return [metric.report() for metric in self.metrics.values()]
+
+
+def metric_kind(name: str) -> str:
+    """The kind of a metric: the part of `KIND:CLASS` before the colon, or all of it."""
+    return name.partition(":")[0]
+
 
+def margins_across_sites(margins: Mapping[str, float]) -> dict[str, float]:
+    """Margins for members of different sites: wider, and without metrics that depend on a site's load."""
+    return {
+        name: min(1.0, margin * CROSS_SITE_MARGIN_FACTOR)
+        for name, margin in margins.items()
+        if metric_kind(name) not in LOAD_DEPENDENT_METRICS
+    }
 
-def total(side: list[MemberSample], name: str) -> tuple[float, float]:
-    """Of a whole figure: of all profiles together, where it is told by profile."""
+
+def sum_outcomes(samples: list[MemberSample], name: str) -> tuple[float, float]:
+    """Bad and all outcomes of a metric; of all request classes together where it is a kind."""
     found = [
-        pair
-        for one in side
-        for told, pair in one.outcomes.items()
-        if told == name or told.partition(":")[0] == name
+        outcome
+        for sample in samples
+        for metric, outcome in sample.outcomes.items()
+        if metric == name or metric_kind(metric) == name
     ]
-    return sum(bad for bad, _ in found), sum(every for _, every in found)
+    return sum(bad for bad, _ in found), sum(total for _, total in found)
+
+
+def add_histogram(histogram: list[int], counts: list[int]) -> None:
+    """Add counts by bucket to `histogram`, in place; the longer of both gives its length."""
+    histogram += [0] * (len(counts) - len(histogram))
+    for bucket, count in enumerate(counts):
+        histogram[bucket] += count
+
+
+def slow_bound(histogram: list[int]) -> int:
+    """The first bucket that counts as slow: from it on lie at most `MAX_SLOW_SHARE` of the runs."""
+    allowed = MAX_SLOW_SHARE * sum(histogram)
+    bound = len(histogram)
+    while bound and sum(histogram[bound - 1 :]) <= allowed:
+        bound -= 1
+    return bound
--- a/birchslip/cluster/inventory.py
+++ b/birchslip/cluster/inventory.py
@@ -16,7 +16,7 @@
 from ..errors import InvalidInputError
 from .disruption_types import MemberObservation, UnavailabilityReason
 from .messages import Count, Incarnation, Name
-from .rollout import InstanceStatus, InstanceView, Version
+from .rollout_types import InstanceStatus, InstanceView, Version
 
 
 class ProcessReport(msgspec.Struct):
--- /dev/null
+++ b/birchslip/cluster/member_samples.py
@@ -0,0 +1,45 @@
+"""Turns the growing sums of members' reports into samples of what each member served between two looks.
+
+Reports may be lost: sums lose nothing by it. Nothing is known of an incarnation before its first report here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from .canary_analysis import MemberSample
+from .messages import MemberReport
+
+
+class SampleReader:
+    """Remembers the report of each member that was read last."""
+
+    def __init__(self) -> None:
+        """Start without reports: the first of each member gives a sample without outcomes."""
+        self._last_reports: dict[str, MemberReport] = {}
+
+    def read(self, reports: Mapping[str, MemberReport]) -> dict[str, MemberSample]:
+        """Samples since the read before, by member; members without a report are forgotten."""
+        samples = {name: self._sample(name, report) for name, report in reports.items()}
+        self._last_reports = dict(reports)
+        return samples
+
+    def _sample(self, name: str, report: MemberReport) -> MemberSample:
+        last = self._last_reports.get(name, report)
+        if last.incarnation != report.incarnation:
+            last = report
+        outcomes: dict[str, tuple[float, float]] = {}
+        for metric, (bad, total) in report.figures.items():
+            last_bad, last_total = last.figures.get(metric, (0, 0))
+            outcomes[metric] = (max(0, bad - last_bad), max(0, total - last_total))
+        durations = {}
+        for request_class, counts in report.took.items():
+            last_counts = last.took.get(request_class) or [0] * len(counts)
+            durations[request_class] = histogram_difference(counts, last_counts)
+        return MemberSample(report.warm, outcomes, report.memory, durations)
+
+
+def histogram_difference(counts: list[int], last_counts: list[int]) -> list[int]:
+    """What each bucket has gained; as many buckets as both have."""
+    pairs = zip(counts, last_counts, strict=False)
+    return [max(0, count - last_count) for count, last_count in pairs]
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -41,7 +41,7 @@
 from .monotonic_clock import monotonic_now
 from .planner_state import LOOK, PlannerState
 from .platform_link import PlatformLink
-from .rollout_controller import RolloutCommand
+from .rollout_messages import READ_ACTIONS, RolloutAction, RolloutCommand
 from .transport import (
     DeferredReply,
     IncomingConnection,
@@ -176,7 +176,7 @@
         self.scheduler.spawn("door", self.door.accept)
         self.scheduler.spawn("signals", self.take_signals)
         if self.platform is not None:
-            self.scheduler.spawn("platform", self.platform.keep)
+            self.scheduler.spawn("platform", self.platform.run)
         self.scheduler.at(self.scheduler.now, self.tick)
         try:
             self.scheduler.run()
@@ -300,7 +300,7 @@
     def hurry(self) -> None:
         """What the platform is to be asked may be asked now."""
         if self.platform is not None and self.mind.orders(self.scheduler.now):
-            self.platform.hurry()
+            self.platform.wake()
 
     # ---- the door --------------------------------------------------------------------------------------
 
@@ -378,8 +378,8 @@
     def take_word(self, guest: IncomingConnection, value: bytes, now: int) -> bytes | DeferredReply:
         """Of releases: any planner shows them, the leader alone takes a word on them."""
         word = decode(value, RolloutCommand)
-        if word.action in ("status", "history"):
-            told = self.mind.told_releases(now, word.number, word.action == "history")
+        if word.action in READ_ACTIONS:
+            told = self.mind.told_releases(now, word.number, word.action is RolloutAction.HISTORY)
             return msgspec.json.encode({"leads": self.mind.rules(now), "releases": told})
         self.lead(now)
         number, said = self.mind.say(word, now)
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -34,13 +34,9 @@
 )
 from .quota_leases import QuotaLeases
 from .recovery_ramp import RecoveryRamp, RecoveryStage
-from .rollout import PlatformOrder
-from .rollout_controller import (
-    CommandResult,
-    RolloutCommand,
-    RolloutController,
-    RolloutStates,
-)
+from .rollout_controller import RolloutController
+from .rollout_messages import CommandResult, RolloutCommand, RolloutReport, RolloutStates
+from .rollout_types import PlatformOrder
 from .site_plan import SiteCapacity, SitePlan, plan, what_if
 
 AGAIN = 10_000  # while a site is out the plan is worked out anew once a second, from what is measured
@@ -363,7 +359,11 @@
         """A person's word on releases, and the number that a majority has to keep before it is answered."""
         said = self.conductor.execute(word, now)
         self.remark(
-            "word on a release", what=word.action, number=said.number, who=word.operator, why=said.reason
+            "word on a release",
+            what=word.action.value,
+            number=said.number,
+            who=word.operator,
+            why=said.reason,
         )
         if said.accepted:
             self.renew(now)
@@ -643,7 +643,7 @@
             **self.shown_permits(self.permits.state if rules else state.permits, now),
         }
 
-    def told_releases(self, now: int, number: int = 0, history: bool = False) -> list[dict[str, object]]:
+    def told_releases(self, now: int, number: int = 0, history: bool = False) -> list[RolloutReport]:
         """From any planner; one that follows tells what the leader had it keep."""
         if self.rules(now):
             return self.conductor.report(number, history)
--- a/birchslip/cluster/release_file.py
+++ b/birchslip/cluster/release_file.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..errors import InvalidInputError
-from .rollout import RolloutSpec
+from .rollout_types import RolloutSpec
 
 SCHEMA_DIALECT = "https://json-schema.org/draft/2020-12/schema"
 # Published in deploy/release.schema.json, and so independent of the names in the code.
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -1,541 +1,357 @@
-"""A release, decided step by step: who goes out next, what the platform is asked, when it halts, the way
-back.
+"""A rollout as a state machine: which member is next, what the platform is ordered, when it halts or reverts.
 
-Any planner can carry it on. What is kept (`RolloutRecord`) says what is wanted; what *is* comes anew each
-time from the platform and from the members' reports, so that a conductor that dies leaves nothing half
-known. An order has the number of the permit that it rests on: the platform passes over one that it has carried out
-before, so nothing is drained twice, whoever asks and however often.
+    RUNNING      --halt-->            HALTED         a bad or unclear batch, a lost site, a stall, an operator
+    HALTED       --resume-->          RUNNING        an operator, unless the new version is bad
+    RUNNING, HALTED, COMPLETED  --roll back-->  ROLLING_BACK   an operator
+    RUNNING      --complete-->        COMPLETED      every batch has passed its watch
+    ROLLING_BACK --halt-->            HALTED
+    ROLLING_BACK --finish rollback--> ROLLED_BACK    every member is in the previous version
 
-    running --bad, unclear at its end, a lost site, a word--> halted --resume--> running
-    running --all batches good--> done          halted --back--> backing --all in the old version--> back
+Any planner can continue it: the `RolloutRecord` holds what is wanted, while the state of members comes anew
+at each step from the platform and from the members' reports, so that nothing is lost with a leader.
 
-A member on its way:
-
-    in (old) -> permitted -> draining -> stopped -> started -> warm (new) -> watched with its batch
-
-A halt takes hold at once: no drain begins any more. What is stopped already is started again: in the new
-version, or in the old one where the new one was found bad. One that starts in neither is left out and
-named, and all halts.
+A halt takes hold at once: no drain begins any more. A member that is stopped already is started again, in the
+new version or, where that was found bad, in the previous one; one that starts in neither is excluded, and the
+rollout halts. It never resumes by itself. Moments and spans are tenths of a millisecond.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass
+from collections.abc import Callable, Iterable
 from enum import Enum
-from typing import Annotated
-
-import msgspec
+from typing import NamedTuple
 
-from .canary_analysis import (
-    ACROSS,
-    BY_LOAD,
-    CanaryAnalysis,
-    CanaryEvidence,
-    CanaryVerdict,
-    MemberSample,
-)
+from .canary_analysis import CanaryAnalysis
 from .disruption_budget import DisruptionBudget
-from .disruption_types import EvictionWaiter, MemberObservation, Permit
-from .messages import Count, Message, Name, Part, Span, Words
-
-STARTS_MOST = 2  # in one version before another is tried
-KEPT_EVERY = 10_000  # what a watch has come to is kept every second
-ORDERS_DIE = 50_000  # five seconds: an order that was not carried out by then never will be
-HISTORY_MOST = 256
-
-Version = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-
-
-class RolloutPhase(Enum):
-    RUNNING = "running"
-    HALTED = "halted"
-    ROLLING_BACK = "backing"
-    COMPLETED = "done"
-    ROLLED_BACK = "back"
-
-
-class InstanceStatus(Enum):
-    """What the platform says that a member's process is."""
-
-    UP = "up"
-    DRAINING = "draining"
-    STOPPED = "stopped"
-    FAILED = "failed"  # its last start did not come up
-
-
-class RolloutSpec(
-    Message,
-    rename={
-        "previous_version": "before",
-        "batch_size": "batch",
-        "min_watch_ms": "watch_ms",
-        "max_watch_ms": "watch_most_ms",
-        "max_crashes": "crashes",
-        "max_memory_ratio": "memory",
-        "stall_timeout_ms": "stall_ms",
-    },
-):
-    """A release file. The first batch are the canaries; `sites` in the order in which they are released."""
-
-    version: Version
-    previous_version: Version
-    sites: list[Name] = msgspec.field(default_factory=list)  # all of the fleet file where there are none
-    groups: list[Name] = msgspec.field(default_factory=list)  # the same by groups of the fleet file
-    canaries: Annotated[int, msgspec.Meta(ge=1, le=100)] = 1
-    batch_size: Annotated[int, msgspec.Meta(ge=1, le=1_000)] = 2
-    min_watch_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 10_000
-    max_watch_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 120_000
-    margins: dict[Name, Part] = msgspec.field(
-        default_factory=lambda: {"late": 0.05, "slow": 0.15, "shed": 0.05, "written_off": 0.02}
-    )
-    max_crashes: Annotated[int, msgspec.Meta(ge=0, le=100)] = 0
-    max_memory_ratio: Annotated[float, msgspec.Meta(ge=0, le=100)] = (
-        2.0  # times the others' that is too much; 0: any
-    )
-    stall_timeout_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 600_000  # without a step: a halt
-
-    def validation_error(self) -> str:
-        """What the forms of the fields can't tell."""
-        if self.version == self.previous_version:
-            return f"version: {self.version!r} is the one before too"
-        if self.max_watch_ms < self.min_watch_ms:
-            return f"watch_most_ms: {self.max_watch_ms} is under watch_ms, {self.min_watch_ms}"
-        if self.sites and self.groups:
-            return "groups: sites are named too, and one of the two says who is released"
-        for place, names in (("sites", self.sites), ("groups", self.groups)):
-            if len(set(names)) < len(names):
-                return f"{place}: one stands there twice"
-        if not self.margins:
-            return "margins: nothing would be judged"
-        return ""
-
-
-class RolloutRecord(
-    Message,
-    rename={
-        "spec": "plan",
-        "batch_index": "at",
-        "reason": "why",
-        "version_is_bad": "bad",
-        "excluded": "left_out",
-    },
-):
-    """What the leader has a majority keep of one release."""
-
-    spec: RolloutSpec
-    batches: list[list[Name]]
-    number: Count = 0  # of this release
-    age: Span = 0  # since its start, as of the last line of its history
-    batch_index: Count = 0  # the batch that is on its way
-    phase: Name = RolloutPhase.RUNNING.value
-    reason: Words = ""
-    version_is_bad: bool = False  # whether the new version was found bad
-    excluded: list[Name] = msgspec.field(default_factory=list)
-    history: list[Words] = msgspec.field(default_factory=list)
-    evidence: CanaryEvidence | None = None  # of the watch of this batch, as of a second ago at most
-
-
-@dataclass(frozen=True, slots=True)
-class InstanceView:
-    """One member as the platform tells of it. `starts` counts those in `version` that did not come up,
-    `ends` how often it has ended by itself in it.
-    """
+from .disruption_types import UnavailabilityReason
+from .rollout_steps import MemberSteps, RestartDecision, decide_restart
+from .rollout_types import (
+    TICKS_PER_MS,
+    TICKS_PER_SECOND,
+    FleetView,
+    InstanceStatus,
+    InstanceView,
+    OrderAction,
+    PlatformOrder,
+    RolloutPhase,
+    RolloutRecord,
+    RolloutSpec,
+)
+from .rollout_watch import BatchWatch, WatchResult
+from .stall_detector import StallDetector
 
-    status: InstanceStatus
-    version: str
-    failed_starts: int = 0
-    crashes: int = 0
+ORDER_LIFETIME = 5 * TICKS_PER_SECOND  # an order that was not carried out by then never will be
+MAX_HISTORY_LINES = 256
+MAX_TEXT_LENGTH = 400  # characters of a stored reason or line
 
 
-@dataclass(frozen=True, slots=True)
-class PlatformOrder:
-    """What the platform is asked: `drain` stops it in its own time, `start` starts it in a version."""
+class RolloutEvent(Enum):
+    """What moves a rollout from one phase to another."""
 
-    action: str
-    member: str
-    version: str
-    permit_number: int
+    HALT = "halt"
+    RESUME = "resume"
+    ROLL_BACK = "roll back"
+    COMPLETE = "complete"
+    FINISH_ROLLBACK = "finish rollback"
 
 
-def find_unknown_part(plan: RolloutSpec, parts: Mapping[str, list[str]]) -> str:
-    """What the plan names that is neither a site nor a group of the fleet; nothing where all are."""
-    for part in plan.sites or plan.groups:
-        if part not in parts:
-            return f"{part!r} is no site and no group; there are {', '.join(parts)}"
-    return ""
+TRANSITIONS = {
+    (RolloutPhase.RUNNING, RolloutEvent.HALT): RolloutPhase.HALTED,
+    (RolloutPhase.RUNNING, RolloutEvent.ROLL_BACK): RolloutPhase.ROLLING_BACK,
+    (RolloutPhase.RUNNING, RolloutEvent.COMPLETE): RolloutPhase.COMPLETED,
+    (RolloutPhase.HALTED, RolloutEvent.RESUME): RolloutPhase.RUNNING,
+    (RolloutPhase.HALTED, RolloutEvent.ROLL_BACK): RolloutPhase.ROLLING_BACK,
+    (RolloutPhase.ROLLING_BACK, RolloutEvent.HALT): RolloutPhase.HALTED,
+    (RolloutPhase.ROLLING_BACK, RolloutEvent.FINISH_ROLLBACK): RolloutPhase.ROLLED_BACK,
+    (RolloutPhase.COMPLETED, RolloutEvent.ROLL_BACK): RolloutPhase.ROLLING_BACK,
+}
+ENDED_PHASES = (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK)
 
 
-def plan_batches(plan: RolloutSpec, parts: Mapping[str, list[str]]) -> list[list[str]]:
-    """Canaries of the first part first; then batches part by part, none across two; each member once."""
-    names = plan.sites or plan.groups or list(parts)
-    made = [list(parts[names[0]][: plan.canaries])]
-    taken = set(made[0])
-    for part in names:
-        rest = [name for name in parts[part] if name not in taken]
-        taken.update(rest)
-        made += [rest[at : at + plan.batch_size] for at in range(0, len(rest), plan.batch_size)]
-    return made
+class MemberState(NamedTuple):
+    """What changes of a member while a rollout makes progress."""
+
+    name: str
+    status: InstanceStatus
+    version: str
+    is_observed: bool
+    unavailability: UnavailabilityReason | None
+    holds_permit: bool
 
 
 class Rollout:
-    """The conductor's decisions on one course. `permits` are the fleet's."""
+    """The decisions on one rollout.
+
+    Attributes:
+        record: What is replicated of it.
+        progress: What it waits for, for operators.
+    """
 
     def __init__(
         self,
-        course: RolloutRecord,
-        permits: DisruptionBudget,
+        record: RolloutRecord,
+        budget: DisruptionBudget,
         site_of: Callable[[str], str] = lambda name: "",
     ) -> None:
-        self.record, self.budget, self.site_of = course, permits, site_of
-        self.analysis: CanaryAnalysis | None = None
-        self.progress = ""  # what it waits for just now, for operators
-        self.stood: object = None  # how things stood when they last moved
-        self.since = -1  # that moment
-        self.moved_at = -1  # the first look in this phase
-        self.passed = 0  # since the last line of the history
-        self.looked_at = -1
-        self.kept_at = 0  # when the evidence of the watch was last kept
+        """Continue `record` within the fleet's `budget`; `site_of` names the site of a member."""
+        self.record = record
+        self.progress = ""
+        self._budget = budget
+        self._steps = MemberSteps(record, budget)
+        self._watch = BatchWatch(record, site_of)
+        self._stall = StallDetector()
+        self._phase_entered_at = -1  # the first step in this phase; before it -1
+        self._stepped_at: int | None = None
+        self._unrecorded_time = 0  # since the last line of the history
 
     @property
     def spec(self) -> RolloutSpec:
+        """The release file that it was started with."""
         return self.record.spec
 
     @property
     def phase(self) -> RolloutPhase:
+        """The state of the state machine."""
         return RolloutPhase(self.record.phase)
 
-    # ---- words -----------------------------------------------------------------------------------------
+    @property
+    def budget(self) -> DisruptionBudget:
+        """The fleet's disruption budget."""
+        return self._budget
+
+    @property
+    def analysis(self) -> CanaryAnalysis | None:
+        """The analysis of the batch that is watched, if one is."""
+        return self._watch.analysis
 
     @property
     def permit_reason(self) -> str:
-        """What its permits say: another's permit for the same member is none of this release's."""
-        return f"release {self.record.number} of {self.spec.version}"
-
-    def own_permit(self, name: str) -> Permit | None:
-        permit = self.budget.permit_of(name)
-        return permit if permit is not None and permit.reason == self.permit_reason else None
-
-    def record_event(self, line: str) -> None:
-        self.record.age += self.passed
-        self.passed = 0
-        self.record.history.append(f"{self.record.age / 10_000:.1f} s: {line}"[:400])
-        del self.record.history[:-HISTORY_MOST]
-
-    def enter(self, phase: RolloutPhase, why: str) -> None:
-        self.record.phase, self.record.reason = phase.value, why[:400]
-        self.record_event(f"{phase.value}: {why}")
-        self.since = self.moved_at = -1
-        self.record.evidence = None
-        if phase is not RolloutPhase.RUNNING:
-            self.analysis = None
-            # Who asked for it and has no permit yet asks no longer; a later phase asks anew.
-            for asker in [one for one in self.budget.state.waiters if one.reason == self.permit_reason]:
-                self.budget.cancel(asker.holder)
+        """The reason that its permits carry."""
+        return self._steps.permit_reason
 
-    def halt(self, why: str) -> bool:
-        """At once, and whatever comes after: only a person goes on from here."""
-        if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.ROLLING_BACK):
-            return False
-        self.enter(RolloutPhase.HALTED, why)
-        return True
+    def all_members(self) -> list[str]:
+        """Members of every batch, in the order of the rollout."""
+        return self.record.all_members()
+
+    # ---- events ----------------------------------------------------------------------------------------
+
+    def start(self, operator: str) -> None:
+        """Enter the first phase."""
+        self._enter(RolloutPhase.RUNNING, f"started by {operator}")
 
-    def resume(self, who: str) -> bool:
-        if self.phase is not RolloutPhase.HALTED or self.record.version_is_bad or self.record.excluded:
+    def halt(self, reason: str) -> bool:
+        """Halt at once; only an operator continues from here. False where it neither runs nor rolls back."""
+        return self._fire(RolloutEvent.HALT, reason)
+
+    def resume(self, operator: str) -> bool:
+        """Resume a halted rollout. False where the version is bad or a member starts in neither version."""
+        if self.record.version_is_bad or self.record.excluded:
             return False
-        self.enter(RolloutPhase.RUNNING, f"resumed by {who}")
-        return True
+        return self._fire(RolloutEvent.RESUME, f"resumed by {operator}")
 
-    def roll_back(self, who: str) -> bool:
-        if self.phase not in (RolloutPhase.HALTED, RolloutPhase.RUNNING, RolloutPhase.COMPLETED):
+    def roll_back(self, operator: str) -> bool:
+        """Begin to take every member back to the previous version; the new one counts as bad from now on."""
+        if (self.phase, RolloutEvent.ROLL_BACK) not in TRANSITIONS:
             return False
         self.record.version_is_bad = True
-        self.enter(RolloutPhase.ROLLING_BACK, f"back by {who}")
-        return True
+        return self._fire(RolloutEvent.ROLL_BACK, f"back by {operator}")
 
-    # ---- a look ----------------------------------------------------------------------------------------
+    def complete(self, reason: str) -> bool:
+        """Every batch has passed."""
+        return self._fire(RolloutEvent.COMPLETE, reason)
 
-    def step(
-        self,
-        platform: Mapping[str, InstanceView],
-        seen: Mapping[str, MemberObservation],
-        shown: Mapping[str, MemberSample],
-        lost: Iterable[str],
-        now: int,
-    ) -> list[PlatformOrder]:
-        """What is to be asked of the platform now; `lost` are sites that are out."""
-        self.passed += now - self.looked_at if self.looked_at >= 0 else 0
-        self.looked_at, self.progress = now, ""
-        if self.moved_at < 0:
-            self.moved_at = now
-        self.guard(lost)
-        self.look_at_left_out(platform)
+    def finish_rollback(self, reason: str) -> bool:
+        """Every member is in the previous version."""
+        return self._fire(RolloutEvent.FINISH_ROLLBACK, reason)
+
+    def _fire(self, event: RolloutEvent, reason: str) -> bool:
+        """Take the transition of an event, if the phase has one."""
+        phase = TRANSITIONS.get((self.phase, event))
+        if phase is None:
+            return False
+        self._enter(phase, reason)
+        return True
+
+    def _enter(self, phase: RolloutPhase, reason: str) -> None:
+        self.record.phase = phase.value
+        self.record.reason = reason[:MAX_TEXT_LENGTH]
+        self.record_event(f"{phase.value}: {reason}")
+        self._phase_entered_at = -1
+        self._stall.reset()
+        self._watch.end()
+        if phase is not RolloutPhase.RUNNING:
+            self._steps.cancel_waiting()
+
+    def record_event(self, text: str) -> None:
+        """Append a line to the history, with the time since the start, and drop the oldest past its bound."""
+        self.record.age += self._unrecorded_time
+        self._unrecorded_time = 0
+        line = f"{self.record.age / TICKS_PER_SECOND:.1f} s: {text}"
+        self.record.history.append(line[:MAX_TEXT_LENGTH])
+        del self.record.history[:-MAX_HISTORY_LINES]
+
+    # ---- steps -----------------------------------------------------------------------------------------
+
+    def step(self, view: FleetView, now: int) -> list[PlatformOrder]:
+        """Decide on the fleet as it is now; returns what the platform is to be ordered."""
+        self._pass_time(now)
+        self.halt_on_lost_sites(view.lost_sites)
+        self._readmit_excluded(view)
         if self.phase is RolloutPhase.RUNNING:
-            self.judge(platform, shown, now)
-        orders = self.rescue(platform)
+            self._evaluate_watch(view, now)
+        orders = self._restart_stopped(view)
         if self.phase is RolloutPhase.RUNNING:
-            orders += self.forward(platform, seen, now)
+            orders += self._roll_forward(view, now)
         elif self.phase is RolloutPhase.ROLLING_BACK:
-            orders += self.backward(platform, seen)
-        if self.phase in (RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK):
-            self.hand_back(platform, seen, now)
-        self.stall(platform, seen, now)
+            orders += self._roll_backward(view)
+        self._release_unused_permits(view, now)
+        self._halt_on_stall(view, now)
         return orders
 
-    def guard(self, lost: Iterable[str]) -> None:
-        """The loss of a site halts a release, and its return resumes none."""
-        gone = sorted(lost)
-        if gone and self.phase is RolloutPhase.RUNNING:
-            self.halt(f"site lost: {', '.join(gone)}; a person resumes")
-
-    def hand_back(
-        self, platform: Mapping[str, InstanceView], seen: Mapping[str, MemberObservation], now: int
-    ) -> None:
-        """Permits that a halt has left unused, once no order to drain can be on its way any more."""
-        if now - self.moved_at < ORDERS_DIE:
-            return
-        for name in self.all_members():
-            one, permit, shown = platform.get(name), self.own_permit(name), seen.get(name)
-            if permit is None or one is None or shown is None or one.status is not InstanceStatus.UP:
-                continue
-            of_use = self.phase is RolloutPhase.ROLLING_BACK and one.version != self.spec.previous_version
-            if permit.incarnation == shown.incarnation and not of_use:
-                self.budget.release(name, permit.incarnation, seen)
-
-    def stall(
-        self, platform: Mapping[str, InstanceView], seen: Mapping[str, MemberObservation], now: int
-    ) -> None:
-        """Guards against whatever never comes: a permit, an end, a start, a warm one. A person looks."""
-        if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.ROLLING_BACK):
-            return
-        stands = [
-            (
-                name,
-                one.status,
-                one.version,
-                name in seen and seen[name].unavailability,
-                self.own_permit(name) is None,
-            )
-            for name in self.all_members()
-            if (one := platform.get(name)) is not None
-        ]
-        if self.since < 0 or stands != self.stood or self.analysis is not None:
-            self.since, self.stood = now, stands
-        elif now - self.since >= self.spec.stall_timeout_ms * 10:
-            self.halt(f"no step for {self.spec.stall_timeout_ms / 1000:g} s: {self.progress}")
-
-    def update_members(self, known: Iterable[str], joined: Iterable[str]) -> None:
-        """The fleet file has changed: who has left is passed over, who has joined comes last."""
-        names, taken = set(known), set(self.all_members())
-        gone = sorted(taken - names)
-        for batch in self.record.batches:
-            batch[:] = [name for name in batch if name in names]
-        self.record.excluded[:] = [name for name in self.record.excluded if name in names]
-        more = [name for name in joined if name not in taken]
-        if more and self.phase not in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK):
-            self.record.batches.append(more)
-        if gone or more:
-            left, came = ", ".join(gone) or "nobody", ", ".join(more) or "nobody"
-            self.record_event(f"the fleet has changed: left {left}; joined {came}")
-
-    def look_at_left_out(self, platform: Mapping[str, InstanceView]) -> None:
-        """One whose permit is over was struck, or started by hand and seen back: it holds nothing up."""
-        for name in [name for name in self.record.excluded if self.own_permit(name) is None]:
+    def _pass_time(self, now: int) -> None:
+        if self._stepped_at is not None:
+            self._unrecorded_time += now - self._stepped_at
+        self._stepped_at = now
+        if self._phase_entered_at < 0:
+            self._phase_entered_at = now
+        self.progress = ""
+
+    def halt_on_lost_sites(self, lost_sites: Iterable[str]) -> None:
+        """Halt a running rollout at the loss of a site; its return resumes none."""
+        names = sorted(lost_sites)
+        if names and self.phase is RolloutPhase.RUNNING:
+            self.halt(f"site lost: {', '.join(names)}; a person resumes")
+
+    def _readmit_excluded(self, view: FleetView) -> None:
+        """Readmit members whose permit has ended: revoked, or started by hand and observed back."""
+        for name in [name for name in self.record.excluded if self._steps.own_permit(name) is None]:
             self.record.excluded.remove(name)
-            one = platform.get(name)
-            if one is None or one.status is not InstanceStatus.UP:
-                for batch in self.record.batches:
-                    batch[:] = [other for other in batch if other != name]
+            instance = view.instances.get(name)
+            if instance is None or instance.status is not InstanceStatus.UP:
+                self.record.remove_member(name)
             self.record_event(f"{name} is left out no more")
 
-    def all_members(self) -> list[str]:
-        return [name for batch in self.record.batches for name in batch]
-
-    def target(self, name: str) -> str:
-        """The version that this one is to be started in, if it is down: a bad one never again."""
-        return self.spec.previous_version if self.record.version_is_bad else self.spec.version
+    def _evaluate_watch(self, view: FleetView, now: int) -> None:
+        outcome = self._watch.evaluate(view, now)
+        match outcome.result:
+            case WatchResult.BAD:
+                self.record.version_is_bad = True
+                self.halt(outcome.reason)
+            case WatchResult.INCONCLUSIVE:
+                self.halt(outcome.reason)
+            case WatchResult.PASSED:
+                self._begin_next_batch(outcome.reason)
+            case WatchResult.CONTINUES:
+                pass
+
+    def _begin_next_batch(self, reason: str) -> None:
+        self._watch.end()
+        self.record.batch_index += 1
+        self.record_event(f"batch {self.record.batch_index}: {reason}")
+        if self.record.batch_index >= len(self.record.batches):
+            self.complete("every batch is released")
 
-    def rescue(self, platform: Mapping[str, InstanceView]) -> list[PlatformOrder]:
-        """Whoever is down on this release's account is started again, whatever the phase: a halt leaves
-        none out.
-        """
+    def _restart_stopped(self, view: FleetView) -> list[PlatformOrder]:
+        """Start stopped members in every phase: a halt leaves none down."""
         orders = []
-        for name in self.all_members():
-            is_now, permit = platform.get(name), self.own_permit(name)
-            if is_now is None or permit is None or name in self.record.excluded:
-                continue
-            if is_now.status is InstanceStatus.STOPPED:
-                orders.append(PlatformOrder("start", name, self.target(name), permit.number))
-            elif is_now.status is InstanceStatus.FAILED:
-                orders += self.failed(name, is_now, permit.number)
+        for instance, order in self._steps.stopped_members(view):
+            if instance.status is InstanceStatus.FAILED:
+                orders += self._restart_failed(instance, order)
+            else:
+                orders.append(order)
         return orders
 
-    def failed(self, name: str, is_now: InstanceView, number: int) -> list[PlatformOrder]:
-        """It did not come up: once more, then in the other version, and then it is left out and all halts."""
-        if is_now.failed_starts < STARTS_MOST:
-            return [PlatformOrder("start", name, is_now.version, number)]
-        if is_now.version == self.spec.version:
-            if not self.record.version_is_bad:
-                self.record.version_is_bad = True
-                self.halt(f"{name} does not start in {self.spec.version}")
-            return [PlatformOrder("start", name, self.spec.previous_version, number)]
-        self.record.excluded.append(name)
-        self.halt(f"{name} starts in neither version: left out")
+    def _restart_failed(self, instance: InstanceView, order: PlatformOrder) -> list[PlatformOrder]:
+        """Try a failed start again, then the previous version, and then exclude the member and halt."""
+        name, number = order.member, order.permit_number
+        match decide_restart(self.record, instance):
+            case RestartDecision.RETRY:
+                return [PlatformOrder(OrderAction.START, name, instance.version, number)]
+            case RestartDecision.PREVIOUS_VERSION:
+                if not self.record.version_is_bad:
+                    self.record.version_is_bad = True
+                    self.halt(f"{name} does not start in {self.spec.version}")
+                return [PlatformOrder(OrderAction.START, name, self.spec.previous_version, number)]
+            case RestartDecision.EXCLUDE:
+                self.record.excluded.append(name)
+                self.halt(f"{name} starts in neither version: left out")
         return []
 
-    # ---- forward ---------------------------------------------------------------------------------------
-
-    def batch(self) -> list[str]:
-        at = self.record.batch_index
-        return self.record.batches[at] if at < len(self.record.batches) else []
-
-    def released(self, platform: Mapping[str, InstanceView]) -> list[str]:
-        return [
-            name
-            for name in self.all_members()
-            if (one := platform.get(name)) is not None
-            and one.status is InstanceStatus.UP
-            and one.version == self.spec.version
-        ]
-
-    def forward(
-        self, platform: Mapping[str, InstanceView], seen: Mapping[str, MemberObservation], now: int
-    ) -> list[PlatformOrder]:
-        batch = [name for name in self.batch() if name not in self.record.excluded]
-        waiting = [name for name in batch if not self.is_there(name, self.spec.version, platform, seen)]
-        if waiting:
-            return self.send_out(waiting, self.spec.version, platform, seen)
-        if self.analysis is None:
-            watch, most = self.spec.min_watch_ms * 10, self.spec.max_watch_ms * 10
-            sites = {self.site_of(name) for name in batch}
-            beside = [
-                name
-                for name, one in platform.items()
-                if one.version == self.spec.previous_version and self.site_of(name) in sites
-            ]
-            margins = dict(self.spec.margins)
-            if not beside:
-                margins = {
-                    name: min(1.0, margin * ACROSS)
-                    for name, margin in margins.items()
-                    if name.partition(":")[0] not in BY_LOAD
-                }
-            self.analysis = CanaryAnalysis(margins, watch, most, now, self.spec.max_memory_ratio)
-            kept = self.record.evidence
-            if kept is not None and kept.batch_index == self.record.batch_index:
-                self.analysis.resume(kept, now)
-            self.kept_at = now
+    def _roll_forward(self, view: FleetView, now: int) -> list[PlatformOrder]:
+        """Evict what is left of the batch; watch it once all of it serves in the new version."""
+        remaining = self._steps.remaining(self.record.current_batch(), self.spec.version, view)
+        if remaining:
+            orders, self.progress = self._steps.evict(remaining, self.spec.version, view)
+            return orders
+        if self._watch.analysis is None:
+            self._watch.begin(view, now)
         self.progress = f"batch {self.record.batch_index + 1} of {len(self.record.batches)} is watched"
         return []
 
-    def is_there(
-        self,
-        name: str,
-        version: str,
-        platform: Mapping[str, InstanceView],
-        seen: Mapping[str, MemberObservation],
-    ) -> bool:
-        """Up in that version, warm, and its permit over."""
-        one, shown = platform.get(name), seen.get(name)
-        up = one is not None and one.status is InstanceStatus.UP and one.version == version
-        return (
-            up and shown is not None and shown.unavailability is None and self.budget.permit_of(name) is None
-        )
-
-    def send_out(
-        self,
-        names: list[str],
-        version: str,
-        platform: Mapping[str, InstanceView],
-        seen: Mapping[str, MemberObservation],
-    ) -> list[PlatformOrder]:
-        """Permits for those that are not out yet, and a drain for each that has one and is still up in the
-        other version. It is told whose life the permit is of: a later one is none of this order's.
-        """
-        orders = []
-        words = []
-        for name in names:
-            one, shown = platform.get(name), seen.get(name)
-            if one is None or shown is None:
-                words.append(f"{name} is not known to the {'platform' if one is None else 'planners'}")
-                continue
-            if one.status is not InstanceStatus.UP or one.version == version:
-                out = f", {shown.unavailability.value}" if shown.unavailability is not None else ""
-                words.append(f"{name} {one.status.value} in {one.version}{out}")
-                continue
-            asker = EvictionWaiter(holder=name, incarnation=shown.incarnation, reason=self.permit_reason)
-            answer = self.budget.acquire(asker, seen)
-            permit = answer.permit
-            if permit is None:
-                place = f" at place {answer.position}" if answer.position else ""
-                words.append(f"{name} waits{place}: {answer.reason}")
-            elif permit.reason != self.permit_reason:
-                words.append(f"{name} waits: permit {permit.number} is another's: {permit.reason}")
-            elif permit.incarnation == shown.incarnation:
-                words.append(f"{name} is to drain by permit {permit.number}")
-                orders.append(PlatformOrder("drain", name, version, permit.number))
-        self.progress = "; ".join(words)[:400]
-        return orders
+    def _roll_backward(self, view: FleetView) -> list[PlatformOrder]:
+        """Evict members back to the previous version, the newest batch first."""
+        version = self.spec.previous_version
+        for batch in reversed(self.record.batches[: self.record.batch_index + 1]):
+            remaining = self._steps.remaining(batch, version, view)
+            if remaining:
+                orders, self.progress = self._steps.evict(remaining, version, view)
+                return orders
+        self.finish_rollback("every member is in the version before")
+        return []
 
-    def judge(
-        self, platform: Mapping[str, InstanceView], shown: Mapping[str, MemberSample], now: int
-    ) -> None:
-        """The batch under watch, against those that are still in the old version."""
-        # Told by the platform and not noted here: a crash that only a dead conductor saw would be forgotten.
-        members = [platform[name] for name in self.all_members() if name in platform]
-        crashes = sum(one.crashes for one in members if one.version == self.spec.version)
-        if crashes > self.spec.max_crashes:
-            self.record.version_is_bad = True
-            self.halt(f"bad: released members ended by themselves, {crashes} times")
+    def _release_unused_permits(self, view: FleetView, now: int) -> None:
+        """Release what a halt has left unused, once no order to drain can be on its way any more."""
+        phase = self.phase
+        if phase not in (RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK):
             return
-        if self.analysis is None:
+        if now - self._phase_entered_at < ORDER_LIFETIME:
             return
-        new = set(self.released(platform))
-        old = {
-            name
-            for name in shown
-            if name not in new and name in platform and platform[name].version == self.spec.previous_version
-        }
-        # Sites differ by their load: members are compared with those beside them, as long as there are any.
-        both = {self.site_of(name) for name in new} & {self.site_of(name) for name in old}
-        across = not both
-        released = [shown[name] for name in shown if name in new and (across or self.site_of(name) in both)]
-        others = [shown[name] for name in old if across or self.site_of(name) in both]
-        verdict = self.analysis.observe(released, others, now, [shown[name] for name in old])
-        if verdict is CanaryVerdict.BAD:
-            self.record.version_is_bad = True
-            self.halt(f"bad: {self.analysis.reason}")
-        elif verdict is CanaryVerdict.GOOD:
-            self.next_batch(f"good: {self.analysis.reason}")
-        elif not others and self.analysis.has_minimum_watch(now):
-            self.next_batch("nobody is left to compare with")
-        elif self.analysis.has_expired(now):
-            self.halt(f"unclear at the end of its watch: {self.analysis.reason}")
-        elif now - self.kept_at >= KEPT_EVERY:
-            self.kept_at = now
-            self.record.evidence = self.analysis.evidence(self.record.batch_index, now)
-
-    def next_batch(self, why: str) -> None:
-        self.analysis = self.record.evidence = None
-        self.record.batch_index += 1
-        self.record_event(f"batch {self.record.batch_index}: {why}")
-        if self.record.batch_index >= len(self.record.batches):
-            self.enter(RolloutPhase.COMPLETED, "every batch is released")
+        self._steps.release_unused_permits(phase, view)
 
-    # ---- the way back ----------------------------------------------------------------------------------
+    def _halt_on_stall(self, view: FleetView, now: int) -> None:
+        """Halt where nothing has changed for too long. A batch that is watched does not stall."""
+        if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.ROLLING_BACK):
+            return
+        if self._watch.analysis is not None:
+            self._stall.reset()
+        unchanged = self._stall.unchanged_for(self._member_states(view), now)
+        if unchanged >= self.spec.stall_timeout_ms * TICKS_PER_MS:
+            self.halt(f"no step for {self.spec.stall_timeout_ms / 1000:g} s: {self.progress}")
 
-    def backward(
-        self, platform: Mapping[str, InstanceView], seen: Mapping[str, MemberObservation]
-    ) -> list[PlatformOrder]:
-        """Newest batch first, through the same permits."""
-        for batch in reversed(self.record.batches[: self.record.batch_index + 1]):
-            left = [
-                name
-                for name in batch
-                if name not in self.record.excluded
-                and not self.is_there(name, self.spec.previous_version, platform, seen)
-            ]
-            if left:
-                return self.send_out(left, self.spec.previous_version, platform, seen)
-        self.enter(RolloutPhase.ROLLED_BACK, "every member is in the version before")
-        return []
+    def _member_states(self, view: FleetView) -> list[MemberState]:
+        states = []
+        for name in self.record.all_members():
+            instance, observation = view.instances.get(name), view.observations.get(name)
+            if instance is None:
+                continue
+            state = MemberState(
+                name=name,
+                status=instance.status,
+                version=instance.version,
+                is_observed=observation is not None,
+                unavailability=observation.unavailability if observation is not None else None,
+                holds_permit=self._steps.own_permit(name) is not None,
+            )
+            states.append(state)
+        return states
+
+    # ---- membership ------------------------------------------------------------------------------------
+
+    def update_members(self, known: Iterable[str], joined: Iterable[str]) -> None:
+        """Follow a changed fleet file.
+
+        Args:
+            known: All members of the fleet; others are removed from the rollout.
+            joined: Members that have joined its sites; they become its last batch, unless it has ended.
+        """
+        names, taken = set(known), set(self.record.all_members())
+        left = sorted(taken - names)
+        for batch in self.record.batches:
+            batch[:] = [name for name in batch if name in names]
+        self.record.excluded[:] = [name for name in self.record.excluded if name in names]
+        added = [name for name in joined if name not in taken]
+        if added and self.phase not in ENDED_PHASES:
+            self.record.batches.append(added)
+        if left or added:
+            left_names, added_names = ", ".join(left) or "nobody", ", ".join(added) or "nobody"
+            self.record_event(f"the fleet has changed: left {left_names}; joined {added_names}")
--- /dev/null
+++ b/birchslip/cluster/rollout_checks.py
@@ -0,0 +1,102 @@
+"""Checks before a rollout starts: everything that would stop it later, found before the first drain.
+
+Decides whether a release file can be carried out by the fleet as it is now, and never changes anything.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+
+from .disruption_budget import DisruptionBudget
+from .rollout import Rollout
+from .rollout_batches import find_unknown_part, plan_batches
+from .rollout_types import InstanceView, RolloutSpec
+
+METRIC_KINDS = ("late", "slow", "shed", "written_off", "calls")
+MAX_UNFINISHED_ROLLOUTS = 8
+MAX_NAMES_SHOWN = 3
+
+
+@dataclass(frozen=True, slots=True)
+class StartConditions:
+    """The fleet as it is when a rollout is to start.
+
+    Attributes:
+        parts: Members by site and by group.
+        budget: The fleet's disruption budget.
+        unfinished: Rollouts that have not ended.
+        instances: Processes as the platform reports them; None while its report is missing or too old.
+    """
+
+    parts: Mapping[str, list[str]]
+    budget: DisruptionBudget
+    unfinished: list[Rollout]
+    instances: Mapping[str, InstanceView] | None
+
+
+def find_obstacle(spec: RolloutSpec, conditions: StartConditions) -> str:
+    """Why a rollout can't start; empty where it can."""
+    obstacle = (
+        spec.validation_error() or find_unknown_metric(spec) or find_unknown_part(spec, conditions.parts)
+    )
+    if obstacle:
+        return obstacle
+    members = [name for batch in plan_batches(spec, conditions.parts) for name in batch]
+    if not members:
+        return "nobody would be released"
+    return (
+        _find_competing_rollout(members, conditions.unfinished)
+        or _find_missing_budget(members, conditions.budget)
+        or _find_unfit_instance(members, spec, conditions.instances)
+    )
+
+
+def find_unknown_metric(spec: RolloutSpec) -> str:
+    """Which margin is of a metric that members don't report; empty where all are known."""
+    for name in spec.margins:
+        if name.partition(":")[0] not in METRIC_KINDS:
+            kinds = ", ".join(METRIC_KINDS)
+            return f"margins: nobody tells of {name!r}; there are {kinds}, each also as KIND:PROFILE"
+    return ""
+
+
+def find_shared_members(members: Iterable[str], rollout: Rollout) -> str:
+    """Which of `members` an unfinished rollout has; empty where it has none."""
+    shared = sorted(set(members) & set(rollout.all_members()))
+    if not shared:
+        return ""
+    names = ", ".join(shared[:MAX_NAMES_SHOWN])
+    return f"release {rollout.record.number} is not finished and has {names}"
+
+
+def _find_competing_rollout(members: list[str], unfinished: list[Rollout]) -> str:
+    if len(unfinished) >= MAX_UNFINISHED_ROLLOUTS:
+        return f"{MAX_UNFINISHED_ROLLOUTS} releases are not finished"
+    found = (find_shared_members(members, rollout) for rollout in unfinished)
+    return next((obstacle for obstacle in found if obstacle), "")
+
+
+def _find_missing_budget(members: list[str], budget: DisruptionBudget) -> str:
+    for name in members:
+        groups = budget.groups_of.get(name, ())
+        if not groups:
+            return f"{name} is in no group: nothing says how many may be out"
+        for group in groups:
+            if not group.disruptions_allowed:
+                return f"{name} can never be out: group {group.name} lets nobody"
+    return ""
+
+
+def _find_unfit_instance(
+    members: list[str], spec: RolloutSpec, instances: Mapping[str, InstanceView] | None
+) -> str:
+    if instances is None:
+        return "the platform is not heard"
+    for name in members:
+        if name not in instances:
+            return f"the platform does not know {name}"
+        version = instances[name].version
+        if version not in (spec.version, spec.previous_version):
+            return f"{name} runs {version}: neither {spec.previous_version} nor {spec.version}"
+    return ""
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -1,314 +1,260 @@
-"""All releases of a fleet, as the leader conducts them: which may begin, whose word does what, what is asked.
+"""All rollouts of a fleet, as the leader runs them: which may start, what a command does, what is ordered.
 
-Free of I/O and of clocks, as `release.py` is, which decides on each. The platform's listing is looked at only
-while it is fresh and of this reign: a new leader orders nothing before it has seen for itself how things are.
+Free of I/O and of clocks, as `rollout.py`, which decides on each one. The platform's inventory is used only
+while it is fresh and of this term: a new leader orders nothing before it has seen the fleet for itself.
+Moments and spans are tenths of a millisecond.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Annotated
 
 import msgspec
 
-from .canary_analysis import MemberSample
 from .disruption_budget import DisruptionBudget
 from .disruption_types import MemberObservation, UnavailabilityReason
 from .inventory import Inventory
-from .messages import Count, Incarnation, MemberReport, Message, Words
-from .rollout import (
+from .member_samples import SampleReader
+from .messages import Incarnation, MemberReport
+from .rollout import Rollout
+from .rollout_batches import plan_batches
+from .rollout_checks import StartConditions, find_obstacle, find_shared_members
+from .rollout_messages import CommandResult, RolloutAction, RolloutCommand, RolloutReport, RolloutStates
+from .rollout_types import (
+    TICKS_PER_SECOND,
+    FleetView,
     InstanceView,
     PlatformOrder,
-    Rollout,
     RolloutPhase,
     RolloutRecord,
     RolloutSpec,
-    find_unknown_part,
-    plan_batches,
 )
 
-UNFINISHED = (RolloutPhase.RUNNING, RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK)
-RUNNING_MOST = 8
-ENDED_MOST = 16  # that are kept, for `history` and for a way back
-PATIENCE = 600_000  # a minute without the platform halts what runs
-KINDS = ("late", "slow", "shed", "written_off", "calls")
-
-
-class RolloutStates(Message, rename={"last_number": "number", "records": "courses"}):
-    """What the leader has a majority keep of them, the oldest first."""
-
-    last_number: Count = 0
-    records: list[RolloutRecord] = msgspec.field(default_factory=list)
-
-
-class RolloutCommand(Message, rename={"action": "what", "operator": "who", "reason": "why", "spec": "plan"}):
-    """What a person says of releases; `number` 0 means the only one it can be meant of, or all to halt."""
-
-    action: Annotated[str, msgspec.Meta(pattern="^(start|status|halt|resume|back|history)$")]
-    number: Count = 0
-    operator: Words = ""
-    reason: Words = ""
-    spec: RolloutSpec | None = None
-
-
-class CommandResult(Message, rename={"accepted": "done", "reason": "why"}):
-    """What came of a word; `why` where nothing did."""
-
-    accepted: bool
-    number: Count = 0
-    reason: str = ""
+UNFINISHED_PHASES = (RolloutPhase.RUNNING, RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK)
+MAX_ENDED_ROLLOUTS = 16  # that are stored, for their history and to be rolled back
+PLATFORM_TIMEOUT = 60 * TICKS_PER_SECOND  # without the platform, then rollouts halt
 
 
 class RolloutController:
-    """`parts` are app servers by site and group, `services` the names of those below, `homes` the site of
-    each member; a listing holds for `stale`.
+    """Runs the rollouts of a fleet.
+
+    Attributes:
+        members_by_part: App servers by site and by group.
+        services: Names of the services below.
+        inventory_ttl: For how long an inventory of the platform is used.
+        sites: The site of each member.
+        states: What is replicated.
+        rollouts: The rollouts, the oldest first.
+        orders: What the platform is to be ordered now; what was ordered before a step is over.
+        instances: Processes by the latest inventory.
     """
 
     def __init__(
         self,
-        parts: Mapping[str, list[str]],
+        members_by_part: Mapping[str, list[str]],
         services: Iterable[str],
-        permits: DisruptionBudget,
-        stale: int,
-        homes: Mapping[str, str] | None = None,
+        budget: DisruptionBudget,
+        inventory_ttl: int,
+        sites: Mapping[str, str] | None = None,
     ) -> None:
-        self.members_by_part, self.services, self.budget, self.inventory_ttl = (
-            parts,
-            list(services),
-            permits,
-            stale,
-        )
-        self.sites = homes or {}
+        """Start without rollouts, within the fleet's `budget`."""
+        self.members_by_part = members_by_part
+        self.services = list(services)
+        self.budget = budget
+        self.inventory_ttl = inventory_ttl
+        self.sites = sites or {}
         self.restore(RolloutStates(), 0)
 
-    def restore(self, book: RolloutStates, now: int) -> None:
-        """A new reign begins with what was kept, and knows nothing else."""
-        self.states = book
-        self.rollouts = [Rollout(course, self.budget, self.site_of) for course in book.records]
+    def restore(self, states: RolloutStates, now: int) -> None:
+        """Begin a term with what was replicated; nothing else is known."""
+        self.states = states
+        self.rollouts = [Rollout(record, self.budget, self.site_of) for record in states.records]
         self.inventory: Inventory | None = None
-        self.instances: dict[str, InstanceView] = {}
         self.inventory_at = now
+        self.instances: dict[str, InstanceView] = {}
         self.orders: list[PlatformOrder] = []
-        self.last_reports: dict[str, MemberReport] = {}  # the last that was read of each member
+        self._sample_reader = SampleReader()
 
     def site_of(self, name: str) -> str:
+        """The site of a member; empty where it is not known."""
         return self.sites.get(name, "")
 
     def update_fleet(
-        self, parts: Mapping[str, list[str]], services: Iterable[str], homes: Mapping[str, str]
+        self, parts: Mapping[str, list[str]], services: Iterable[str], sites: Mapping[str, str]
     ) -> None:
-        """The fleet file has changed under way."""
-        before = {name for names in self.members_by_part.values() for name in names}
-        self.members_by_part, self.services, self.sites = parts, list(services), homes
+        """Follow a changed fleet file; unfinished rollouts lose and gain members."""
+        previous = {name for names in self.members_by_part.values() for name in names}
+        self.members_by_part, self.services, self.sites = parts, list(services), sites
         known = [name for names in parts.values() for name in names]
-        for release in self.unfinished():
-            plan = release.spec
-            of_it = plan.sites or plan.groups or list(parts)
-            joined = [name for part in of_it for name in parts.get(part, ()) if name not in before]
-            release.update_members(known, dict.fromkeys(joined))
+        for rollout in self.unfinished():
+            spec = rollout.spec
+            own_parts = spec.sites or spec.groups or list(parts)
+            joined = [name for part in own_parts for name in parts.get(part, ()) if name not in previous]
+            rollout.update_members(known, dict.fromkeys(joined))
 
     # ---- the platform ----------------------------------------------------------------------------------
 
-    def receive_inventory(self, listing: Inventory, sent: int) -> None:
-        """`sent` is when it was asked for: what it tells may be as old as that."""
-        self.inventory, self.instances, self.inventory_at = listing, listing.platform(), sent
+    def receive_inventory(self, inventory: Inventory, sent_at: int) -> None:
+        """Take an inventory; it may be as old as `sent_at`, when it was requested."""
+        self.inventory = inventory
+        self.instances = inventory.platform()
+        self.inventory_at = sent_at
 
     def is_inventory_fresh(self, now: int) -> bool:
+        """Whether the latest inventory may be used."""
         return self.inventory is not None and now - self.inventory_at <= self.inventory_ttl
 
     def observe_services(self, now: int) -> dict[str, MemberObservation]:
-        """The services below; while the platform is not heard they count as out."""
+        """The services below; without a fresh inventory they count as unavailable."""
         if self.inventory is None or not self.is_inventory_fresh(now):
-            return {
-                name: MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
-                for name in self.services
-            }
+            silent = MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
+            return dict.fromkeys(self.services, silent)
         return {name: self.inventory.service(name) for name in self.services}
 
-    # ---- a look ----------------------------------------------------------------------------------------
+    # ---- steps -----------------------------------------------------------------------------------------
 
     def unfinished(self) -> list[Rollout]:
-        return [one for one in self.rollouts if one.phase in UNFINISHED]
+        """Rollouts that have not ended."""
+        return [rollout for rollout in self.rollouts if rollout.phase in UNFINISHED_PHASES]
 
     def step(
         self,
-        seen: Mapping[str, MemberObservation],
+        observations: Mapping[str, MemberObservation],
         reports: Mapping[str, MemberReport],
-        lost: Iterable[str],
+        lost_sites: Iterable[str],
         now: int,
     ) -> None:
-        """What is to be asked of the platform now, as `orders`: what was to be asked before is over."""
+        """Decide on the fleet as it is now, and set `orders`.
+
+        Args:
+            observations: Members and services, as the membership and the platform show them.
+            reports: The latest report of each member that is heard.
+            lost_sites: Sites that are lost or evacuated.
+            now: When this is.
+        """
         self.orders = []
-        gone = list(lost)
-        shown = self.samples(reports)
-        for release in self.unfinished():
+        samples = self._sample_reader.read(reports)
+        view = FleetView(self.instances, observations, samples, list(lost_sites))
+        for rollout in self.unfinished():
             if self.is_inventory_fresh(now):
-                self.orders += release.step(self.instances, seen, shown, gone, now)
-                continue
-            release.guard(gone)
-            release.progress = "the platform is not heard"
-            if now - self.inventory_at >= PATIENCE:
-                release.halt("the platform was not heard for a minute")
-
-    def samples(self, reports: Mapping[str, MemberReport]) -> dict[str, MemberSample]:
-        """What each member has counted since the look before, by its reports' sums."""
-        found, later = {}, {}
-        for name, report in reports.items():
-            before = self.last_reports.get(name, report)
-            if before.incarnation != report.incarnation:
-                before = report  # of a life that is new here nothing is known to be new
-            figures = {}
-            for told, (bad, every) in report.figures.items():
-                bad_before, every_before = before.figures.get(told, (0, 0))
-                figures[told] = (max(0, bad - bad_before), max(0, every - every_before))
-            took = {}
-            for told, counts in report.took.items():
-                counts_before = before.took.get(told) or [0] * len(counts)
-                took[told] = [max(0, now - was) for now, was in zip(counts, counts_before, strict=False)]
-            later[name] = report
-            found[name] = MemberSample(report.warm, figures, report.memory, took)
-        self.last_reports = later
-        return found
-
-    # ---- words -----------------------------------------------------------------------------------------
-
-    def execute(self, word: RolloutCommand, now: int) -> CommandResult:
-        match word.action:
-            case "start" if word.spec is not None:
-                return self.start(word.spec, word.operator, now)
-            case "halt":
-                return self.each(word, lambda one: one.halt(f"by {word.operator}: {word.reason}"), "runs")
-            case "resume":
-                return self.one(word, RolloutPhase.HALTED, self.resume)
-            case "back":
-                return self.one(word, RolloutPhase.HALTED, self.back)
-        return CommandResult(accepted=False, reason=f"nothing is known of {word.action!r}")
-
-    def start(self, plan: RolloutSpec, who: str, now: int) -> CommandResult:
-        why = plan.validation_error() or self.refused(plan, now)
-        if why:
-            return CommandResult(accepted=False, reason=why)
+                self.orders += rollout.step(view, now)
+            else:
+                self._wait_for_platform(rollout, view, now)
+
+    def _wait_for_platform(self, rollout: Rollout, view: FleetView, now: int) -> None:
+        rollout.halt_on_lost_sites(view.lost_sites)
+        rollout.progress = "the platform is not heard"
+        if now - self.inventory_at >= PLATFORM_TIMEOUT:
+            rollout.halt("the platform was not heard for a minute")
+
+    # ---- commands --------------------------------------------------------------------------------------
+
+    def execute(self, command: RolloutCommand, now: int) -> CommandResult:
+        """Carry out a command of an operator that changes a rollout."""
+        match command.action:
+            case RolloutAction.START if command.spec is not None:
+                return self.start(command.spec, command.operator, now)
+            case RolloutAction.HALT:
+                return self._halt(command)
+            case RolloutAction.RESUME:
+                return self._apply_to_one(command, self._resume)
+            case RolloutAction.ROLL_BACK:
+                return self._apply_to_one(command, self._roll_back)
+        return CommandResult(accepted=False, reason=f"nothing is known of {command.action.value!r}")
+
+    def start(self, spec: RolloutSpec, operator: str, now: int) -> CommandResult:
+        """Start a rollout, unless something stands in its way."""
+        instances = self.instances if self.is_inventory_fresh(now) else None
+        conditions = StartConditions(self.members_by_part, self.budget, self.unfinished(), instances)
+        obstacle = find_obstacle(spec, conditions)
+        if obstacle:
+            return CommandResult(accepted=False, reason=obstacle)
         self.states.last_number += 1
-        batches = plan_batches(plan, self.members_by_part)
-        release = Rollout(
-            RolloutRecord(spec=plan, batches=batches, number=self.states.last_number),
-            self.budget,
-            self.site_of,
-        )
-        release.enter(RolloutPhase.RUNNING, f"started by {who}")
-        self.rollouts.append(release)
-        self.states.records.append(release.record)
-        ended = [one for one in self.rollouts if one.phase not in UNFINISHED]
-        for old in ended[: max(0, len(ended) - ENDED_MOST)]:
-            self.rollouts.remove(old)
-            self.states.records.remove(old.record)
-        return CommandResult(accepted=True, number=self.states.last_number)
-
-    def refused(self, plan: RolloutSpec, now: int) -> str:
-        """What forbids that it begins, found before the first drain."""
-        kind = next((name for name in plan.margins if name.partition(":")[0] not in KINDS), None)
-        if kind is not None:
-            return (
-                f"margins: nobody tells of {kind!r}; there are {', '.join(KINDS)}, each also as KIND:PROFILE"
-            )
-        stranger = find_unknown_part(plan, self.members_by_part)
-        if stranger:
-            return stranger
-        members = [name for batch in plan_batches(plan, self.members_by_part) for name in batch]
-        if not members:
-            return "nobody would be released"
-        if len(self.unfinished()) >= RUNNING_MOST:
-            return f"{RUNNING_MOST} releases are not finished"
-        for release in self.unfinished():
-            shared = sorted(set(members) & set(release.all_members()))
-            if shared:
-                return f"release {release.record.number} is not finished and has {', '.join(shared[:3])}"
-        for name in members:
-            groups = self.budget.groups_of.get(name, ())
-            if not groups:
-                return f"{name} is in no group: nothing says how many may be out"
-            shut = next((group.name for group in groups if not group.disruptions_allowed), None)
-            if shut is not None:
-                return f"{name} can never be out: group {shut} lets nobody"
-        if not self.is_inventory_fresh(now):
-            return "the platform is not heard"
-        for name in members:
-            if name not in self.instances:
-                return f"the platform does not know {name}"
-            version = self.instances[name].version
-            if version not in (plan.version, plan.previous_version):
-                return f"{name} runs {version}: neither {plan.previous_version} nor {plan.version}"
-        return ""
-
-    def resume(self, release: Rollout, who: str) -> str:
-        if release.record.version_is_bad:
-            return f"{release.spec.version} was found bad: only back is left"
-        if release.record.excluded:
-            out = ", ".join(release.record.excluded)
-            return f"{out} starts in neither version: strike it, or start it by hand"
-        return "" if release.resume(who) else "it is not halted"
-
-    def back(self, release: Rollout, who: str) -> str:
+        number = self.states.last_number
+        record = RolloutRecord(spec=spec, batches=plan_batches(spec, self.members_by_part), number=number)
+        rollout = Rollout(record, self.budget, self.site_of)
+        rollout.start(operator)
+        self.rollouts.append(rollout)
+        self.states.records.append(record)
+        self._forget_old_rollouts()
+        return CommandResult(accepted=True, number=number)
+
+    def _forget_old_rollouts(self) -> None:
+        ended = [rollout for rollout in self.rollouts if rollout.phase not in UNFINISHED_PHASES]
+        excess = max(0, len(ended) - MAX_ENDED_ROLLOUTS)
+        for rollout in ended[:excess]:
+            self.rollouts.remove(rollout)
+            self.states.records.remove(rollout.record)
+
+    def _halt(self, command: RolloutCommand) -> CommandResult:
+        """Halt one rollout, or all where no number is given; their orders are dropped at once."""
+        reason = f"by {command.operator}: {command.reason}"
+        chosen = [one for one in self.unfinished() if command.number in (0, one.record.number)]
+        halted = [rollout for rollout in chosen if rollout.halt(reason)]
+        stopped = {name for rollout in halted for name in rollout.all_members()}
+        self.orders = [order for order in self.orders if order.member not in stopped]
+        if halted:
+            return CommandResult(accepted=True, number=halted[0].record.number)
+        which = f"no release {command.number}" if command.number else "no release"
+        return CommandResult(accepted=False, reason=f"{which} runs")
+
+    def _apply_to_one(self, command: RolloutCommand, apply: Callable[[Rollout, str], str]) -> CommandResult:
+        """Apply to the rollout with the command's number, or to the only one that is halted."""
+        if command.number:
+            chosen = [one for one in self.rollouts if one.record.number == command.number]
+        else:
+            chosen = [one for one in self.rollouts if one.phase is RolloutPhase.HALTED]
+        if not chosen:
+            which = command.number or f"is {RolloutPhase.HALTED.value}"
+            return CommandResult(accepted=False, reason=f"no release {which}")
+        if len(chosen) > 1:
+            numbers = ", ".join(str(one.record.number) for one in chosen)
+            return CommandResult(accepted=False, reason=f"which of {numbers}?")
+        refusal = apply(chosen[0], command.operator)
+        return CommandResult(accepted=not refusal, number=chosen[0].record.number, reason=refusal)
+
+    def _resume(self, rollout: Rollout, operator: str) -> str:
+        """Resume a rollout; returns why it is refused, or nothing."""
+        if rollout.record.version_is_bad:
+            return f"{rollout.spec.version} was found bad: only back is left"
+        if rollout.record.excluded:
+            names = ", ".join(rollout.record.excluded)
+            return f"{names} starts in neither version: strike it, or start it by hand"
+        return "" if rollout.resume(operator) else "it is not halted"
+
+    def _roll_back(self, rollout: Rollout, operator: str) -> str:
+        """Roll a rollout back; returns why it is refused, or nothing."""
         for other in self.unfinished():
-            shared = sorted(set(other.all_members()) & set(release.all_members()))
-            if other is not release and shared:
-                return f"release {other.record.number} is not finished and has {', '.join(shared[:3])}"
-        return "" if release.roll_back(who) else "there is nothing to take back"
-
-    def each(self, word: RolloutCommand, act: Callable[[Rollout], bool], state: str) -> CommandResult:
-        some = [one for one in self.unfinished() if word.number in (0, one.record.number)]
-        done = [one for one in some if act(one)]
-        # What was to be asked may not go out any more, not even once.
-        self.orders = [
-            order for order in self.orders if not any(order.member in one.all_members() for one in done)
-        ]
-        if done:
-            return CommandResult(accepted=True, number=done[0].record.number)
-        return CommandResult(
-            accepted=False, reason=f"no release {word.number or ''} {state}".replace("  ", " ")
-        )
+            obstacle = find_shared_members(rollout.all_members(), other)
+            if other is not rollout and obstacle:
+                return obstacle
+        return "" if rollout.roll_back(operator) else "there is nothing to take back"
 
-    def one(
-        self, word: RolloutCommand, usual: RolloutPhase, act: Callable[[Rollout, str], str]
-    ) -> CommandResult:
-        if word.number:
-            some = [one for one in self.rollouts if one.record.number == word.number]
-        else:
-            some = [one for one in self.rollouts if one.phase is usual]
-        if len(some) != 1:
-            numbers = ", ".join(str(one.record.number) for one in some)
-            why = f"which of {numbers}?" if some else f"no release {word.number or 'is ' + usual.value}"
-            return CommandResult(accepted=False, reason=why)
-        why = act(some[0], word.operator)
-        return CommandResult(accepted=not why, number=some[0].record.number, reason=why)
-
-    # ---- what is shown ---------------------------------------------------------------------------------
-
-    def report(self, number: int = 0, history: bool = False) -> list[dict[str, object]]:
-        """The newest first."""
-        return [
-            self.tell(one, history) for one in reversed(self.rollouts) if number in (0, one.record.number)
-        ]
-
-    def tell(self, release: Rollout, history: bool) -> dict[str, object]:
-        course, version = release.record, release.spec.version
-        members = release.all_members()
+    # ---- reports ---------------------------------------------------------------------------------------
+
+    def report(self, number: int = 0, history: bool = False) -> list[RolloutReport]:
+        """Rollouts as operators see them, the newest first; all of them where `number` is 0."""
+        chosen = [one for one in self.rollouts if number in (0, one.record.number)]
+        return [self._report_of(rollout, history) for rollout in reversed(chosen)]
+
+    def _report_of(self, rollout: Rollout, history: bool) -> RolloutReport:
+        record, spec, analysis = rollout.record, rollout.spec, rollout.analysis
+        members = rollout.all_members()
         known = [self.instances[name] for name in members if name in self.instances]
-        judged = release.analysis
-        return {
-            "number": course.number,
-            "version": version,
-            "before": release.spec.previous_version,
-            "phase": course.phase,
-            "why": course.reason,
-            "bad": course.version_is_bad,
-            "batch": min(course.batch_index + 1, len(course.batches)),
-            "batches": len(course.batches),
-            "members": len(members),
-            "released": sum(1 for one in known if one.version == version),
-            "doing": release.progress,
-            "left_out": list(course.excluded),
-            "figures": judged.report() if judged is not None else [],
-            "verdict": judged.reason if judged is not None else "",
-            **({"history": list(course.history)} if history else {}),
-        }
+        return RolloutReport(
+            number=record.number,
+            version=spec.version,
+            previous_version=spec.previous_version,
+            phase=record.phase,
+            reason=record.reason,
+            version_is_bad=record.version_is_bad,
+            batch=min(record.batch_index + 1, len(record.batches)),
+            batches=len(record.batches),
+            members=len(members),
+            released=sum(1 for instance in known if instance.version == spec.version),
+            progress=rollout.progress,
+            excluded=list(record.excluded),
+            metrics=analysis.report() if analysis is not None else [],
+            verdict=analysis.reason if analysis is not None else "",
+            history=list(record.history) if history else msgspec.UNSET,
+        )
--- /dev/null
+++ b/birchslip/cluster/rollout_types.py
@@ -0,0 +1,233 @@
+"""Types of rollouts: the release file, the record that is replicated, and what the platform reports and does.
+
+Owns no decision. The keys of the messages are the operators' and those stored by planners, and never change;
+attributes that have another name are mapped in each class's `rename`. Moments and spans that do not name
+their unit are clock ticks: tenths of a millisecond.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import Enum
+from typing import Annotated
+
+import msgspec
+
+from .canary_analysis import CanaryEvidence, MemberSample
+from .disruption_types import MemberObservation
+from .messages import Count, Message, Name, Part, Span, Words
+
+TICKS_PER_MS = 10
+TICKS_PER_SECOND = 10_000
+DAY_MS = 86_400_000
+
+Version = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
+DurationMs = Annotated[int, msgspec.Meta(ge=1, le=DAY_MS)]
+
+
+class RolloutPhase(Enum):
+    """States of a rollout; the values are stored and reported."""
+
+    RUNNING = "running"
+    HALTED = "halted"
+    ROLLING_BACK = "backing"
+    COMPLETED = "done"
+    ROLLED_BACK = "back"
+
+
+class InstanceStatus(Enum):
+    """Status of a member's process, as the platform reports it."""
+
+    UP = "up"
+    DRAINING = "draining"
+    STOPPED = "stopped"
+    FAILED = "failed"  # its last start did not come up
+
+
+class OrderAction(Enum):
+    """What the platform can be ordered to do; the values are parts of its URLs."""
+
+    DRAIN = "drain"
+    START = "start"
+
+
+class RolloutSpec(
+    Message,
+    rename={
+        "previous_version": "before",
+        "batch_size": "batch",
+        "min_watch_ms": "watch_ms",
+        "max_watch_ms": "watch_most_ms",
+        "max_crashes": "crashes",
+        "max_memory_ratio": "memory",
+        "stall_timeout_ms": "stall_ms",
+    },
+):
+    """A release file.
+
+    Attributes:
+        version: The version to release.
+        previous_version: The version that members run before.
+        sites: Sites in the order of the rollout; all of the fleet file where neither these nor groups are
+            named.
+        groups: The same by groups of the fleet file.
+        canaries: Members of the first batch.
+        batch_size: Members of each later batch.
+        min_watch_ms: A batch is watched for at least this long.
+        max_watch_ms: A batch whose verdict is unclear after this long halts the rollout.
+        margins: By metric, the difference of shares past which the new version is bad.
+        max_crashes: Crashes in the new version that are borne.
+        max_memory_ratio: Times the memory of the other members that is too much; 0 sets no bound.
+        stall_timeout_ms: A rollout without a step for this long halts.
+    """
+
+    version: Version
+    previous_version: Version
+    sites: list[Name] = msgspec.field(default_factory=list)
+    groups: list[Name] = msgspec.field(default_factory=list)
+    canaries: Annotated[int, msgspec.Meta(ge=1, le=100)] = 1
+    batch_size: Annotated[int, msgspec.Meta(ge=1, le=1_000)] = 2
+    min_watch_ms: DurationMs = 10_000
+    max_watch_ms: DurationMs = 120_000
+    margins: dict[Name, Part] = msgspec.field(
+        default_factory=lambda: {"late": 0.05, "slow": 0.15, "shed": 0.05, "written_off": 0.02}
+    )
+    max_crashes: Annotated[int, msgspec.Meta(ge=0, le=100)] = 0
+    max_memory_ratio: Annotated[float, msgspec.Meta(ge=0, le=100)] = 2.0
+    stall_timeout_ms: DurationMs = 600_000
+
+    def validation_error(self) -> str:
+        """What is wrong between fields, by their keys in the file; empty where nothing is."""
+        if self.version == self.previous_version:
+            return f"version: {self.version!r} is the one before too"
+        if self.max_watch_ms < self.min_watch_ms:
+            return f"watch_most_ms: {self.max_watch_ms} is under watch_ms, {self.min_watch_ms}"
+        if self.sites and self.groups:
+            return "groups: sites are named too, and one of the two says who is released"
+        for key, names in (("sites", self.sites), ("groups", self.groups)):
+            if len(set(names)) < len(names):
+                return f"{key}: one stands there twice"
+        if not self.margins:
+            return "margins: nothing would be judged"
+        return ""
+
+
+class RolloutRecord(
+    Message,
+    rename={
+        "spec": "plan",
+        "batch_index": "at",
+        "reason": "why",
+        "version_is_bad": "bad",
+        "excluded": "left_out",
+    },
+):
+    """One rollout as the leader replicates it to a majority of planners.
+
+    Attributes:
+        spec: The release file that it was started with.
+        batches: Names of members, by batch.
+        number: Number of the rollout.
+        age: Time since its start, as of the last line of its history.
+        batch_index: The batch under way, from 0.
+        phase: Value of its `RolloutPhase`.
+        reason: Why it is in that phase.
+        version_is_bad: Whether the new version was found bad; it is never started again.
+        excluded: Members that start in neither version.
+        history: One line for each event, the oldest first.
+        evidence: Of the watch of this batch, at most `EVIDENCE_INTERVAL` old.
+    """
+
+    spec: RolloutSpec
+    batches: list[list[Name]]
+    number: Count = 0
+    age: Span = 0
+    batch_index: Count = 0
+    phase: Name = RolloutPhase.RUNNING.value
+    reason: Words = ""
+    version_is_bad: bool = False
+    excluded: list[Name] = msgspec.field(default_factory=list)
+    history: list[Words] = msgspec.field(default_factory=list)
+    evidence: CanaryEvidence | None = None
+
+    def all_members(self) -> list[str]:
+        """Members of every batch, in the order of the rollout."""
+        return [name for batch in self.batches for name in batch]
+
+    def current_batch(self) -> list[str]:
+        """Members of the batch under way that are not excluded; none after the last batch."""
+        if self.batch_index >= len(self.batches):
+            return []
+        return [name for name in self.batches[self.batch_index] if name not in self.excluded]
+
+    def restart_version(self) -> str:
+        """The version in which a stopped member is started: a bad one never again."""
+        return self.spec.previous_version if self.version_is_bad else self.spec.version
+
+    def remove_member(self, name: str) -> None:
+        """Take a member out of its batch."""
+        for batch in self.batches:
+            batch[:] = [other for other in batch if other != name]
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceView:
+    """One member's process as the platform reports it.
+
+    Attributes:
+        status: Its status.
+        version: The version that it runs, or was last started in.
+        failed_starts: Starts in that version that did not come up.
+        crashes: How often it has ended by itself in that version.
+    """
+
+    status: InstanceStatus
+    version: str
+    failed_starts: int = 0
+    crashes: int = 0
+
+    def is_up_in(self, version: str) -> bool:
+        """Whether it is up, and in that version."""
+        return self.status is InstanceStatus.UP and self.version == version
+
+
+@dataclass(frozen=True, slots=True)
+class PlatformOrder:
+    """An order to the platform.
+
+    Attributes:
+        action: Drain stops a member in its own time; start starts it in `version`.
+        member: Name of the member.
+        version: The version that is to run next.
+        permit_number: Of the permit that it rests on; the platform ignores a drain that it has carried out.
+    """
+
+    action: OrderAction
+    member: str
+    version: str
+    permit_number: int
+
+
+@dataclass(frozen=True, slots=True)
+class FleetView:
+    """The fleet at one moment, by name of the member.
+
+    Attributes:
+        instances: Processes, as the platform reports them.
+        observations: Members, as the membership shows them.
+        samples: What members served since the last step.
+        lost_sites: Sites that are lost or evacuated.
+    """
+
+    instances: Mapping[str, InstanceView]
+    observations: Mapping[str, MemberObservation]
+    samples: Mapping[str, MemberSample]
+    lost_sites: list[str]
+
+    def is_serving(self, name: str, version: str) -> bool:
+        """Whether a member is up in that version, and observed in service."""
+        instance, observation = self.instances.get(name), self.observations.get(name)
+        if instance is None or observation is None:
+            return False
+        return instance.is_up_in(version) and observation.unavailability is None
--- /dev/null
+++ b/birchslip/cluster/rollout_watch.py
@@ -0,0 +1,136 @@
+"""The watch of one batch: members in the new version against members that are still in the previous one.
+
+Decides whom to compare and what a verdict means for the batch; `canary_analysis` decides the verdict. It
+never orders anything and never changes the phase of the rollout.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from enum import Enum
+from typing import NamedTuple
+
+from .canary_analysis import CanaryAnalysis, MemberSample, margins_across_sites
+from .canary_metrics import CanaryVerdict
+from .rollout_types import TICKS_PER_MS, TICKS_PER_SECOND, FleetView, InstanceView, RolloutRecord
+
+EVIDENCE_INTERVAL = TICKS_PER_SECOND  # how often evidence is stored
+
+
+class WatchResult(Enum):
+    """What the watch of a batch has come to."""
+
+    CONTINUES = "continues"
+    PASSED = "passed"
+    BAD = "bad"
+    INCONCLUSIVE = "inconclusive"
+
+
+class WatchOutcome(NamedTuple):
+    """A result, and the reason for the history of the rollout."""
+
+    result: WatchResult
+    reason: str = ""
+
+
+class ComparedSamples(NamedTuple):
+    """Samples of both sides; `previous_version` are all of that version, `baseline` those compared with."""
+
+    canary: list[MemberSample]
+    baseline: list[MemberSample]
+    previous_version: list[MemberSample]
+
+
+class BatchWatch:
+    """Watches the batch under way of one rollout; `analysis` is None while no batch is watched."""
+
+    def __init__(self, record: RolloutRecord, site_of: Callable[[str], str]) -> None:
+        """Watch the batches of `record`; `site_of` names the site of a member."""
+        self.record = record
+        self.site_of = site_of
+        self.analysis: CanaryAnalysis | None = None
+        self._evidence_stored_at = 0
+
+    def begin(self, view: FleetView, now: int) -> None:
+        """Begin to watch the batch under way, from stored evidence where there is some of this batch."""
+        spec = self.record.spec
+        margins = dict(spec.margins)
+        if not self._has_peers(view.instances):
+            margins = margins_across_sites(margins)
+        min_watch = spec.min_watch_ms * TICKS_PER_MS
+        max_watch = spec.max_watch_ms * TICKS_PER_MS
+        self.analysis = CanaryAnalysis(margins, min_watch, max_watch, now, spec.max_memory_ratio)
+        evidence = self.record.evidence
+        if evidence is not None and evidence.batch_index == self.record.batch_index:
+            self.analysis.resume(evidence, now)
+        self._evidence_stored_at = now
+
+    def end(self) -> None:
+        """End the watch and drop its evidence."""
+        self.analysis = None
+        self.record.evidence = None
+
+    def evaluate(self, view: FleetView, now: int) -> WatchOutcome:
+        """Crashes of members in the new version, and what the analysis of the latest samples says."""
+        crashes = self._count_crashes(view.instances)
+        if crashes > self.record.spec.max_crashes:
+            reason = f"bad: released members ended by themselves, {crashes} times"
+            return WatchOutcome(WatchResult.BAD, reason)
+        if self.analysis is None:
+            return WatchOutcome(WatchResult.CONTINUES)
+        samples = self._compared_samples(view)
+        verdict = self.analysis.observe(samples.canary, samples.baseline, now, samples.previous_version)
+        if verdict is CanaryVerdict.BAD:
+            return WatchOutcome(WatchResult.BAD, f"bad: {self.analysis.reason}")
+        if verdict is CanaryVerdict.GOOD:
+            return WatchOutcome(WatchResult.PASSED, f"good: {self.analysis.reason}")
+        return self._evaluate_unclear(self.analysis, bool(samples.baseline), now)
+
+    def _evaluate_unclear(self, analysis: CanaryAnalysis, has_baseline: bool, now: int) -> WatchOutcome:
+        if not has_baseline and analysis.has_minimum_watch(now):
+            return WatchOutcome(WatchResult.PASSED, "nobody is left to compare with")
+        if analysis.has_expired(now):
+            reason = f"unclear at the end of its watch: {analysis.reason}"
+            return WatchOutcome(WatchResult.INCONCLUSIVE, reason)
+        if now - self._evidence_stored_at >= EVIDENCE_INTERVAL:
+            self._evidence_stored_at = now
+            self.record.evidence = analysis.evidence(self.record.batch_index, now)
+        return WatchOutcome(WatchResult.CONTINUES)
+
+    def _has_peers(self, instances: Mapping[str, InstanceView]) -> bool:
+        """Whether a member of the previous version serves on a site of this batch."""
+        previous_version = self.record.spec.previous_version
+        sites = {self.site_of(name) for name in self.record.current_batch()}
+        return any(
+            instance.version == previous_version and self.site_of(name) in sites
+            for name, instance in instances.items()
+        )
+
+    def _count_crashes(self, instances: Mapping[str, InstanceView]) -> int:
+        """Crashes in the new version, by the platform's count: one that only an earlier leader saw counts."""
+        members = [instances[name] for name in self.record.all_members() if name in instances]
+        return sum(one.crashes for one in members if one.version == self.record.spec.version)
+
+    def _compared_samples(self, view: FleetView) -> ComparedSamples:
+        """Samples of both sides on sites that have both, as load differs by site; all where none has."""
+        spec, instances, samples = self.record.spec, view.instances, view.samples
+        canaries = {
+            name
+            for name in self.record.all_members()
+            if name in instances and instances[name].is_up_in(spec.version)
+        }
+        previous = [
+            name
+            for name in samples
+            if name not in canaries and name in instances and instances[name].version == spec.previous_version
+        ]
+        shared_sites = {self.site_of(name) for name in canaries} & {self.site_of(name) for name in previous}
+
+        def is_compared(name: str) -> bool:
+            return not shared_sites or self.site_of(name) in shared_sites
+
+        return ComparedSamples(
+            canary=[samples[name] for name in samples if name in canaries and is_compared(name)],
+            baseline=[samples[name] for name in previous if is_compared(name)],
+            previous_version=[samples[name] for name in previous],
+        )
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -15,8 +15,8 @@
 from ...cluster.messages import Incarnation, MemberReport, ProbeResult, ReportReply
 from ...cluster.plan_subscription import PlanSubscription, override_of
 from ...cluster.planner_state import LOOK, PlannerState
-from ...cluster.rollout import PlatformOrder, RolloutSpec
-from ...cluster.rollout_controller import RolloutCommand
+from ...cluster.rollout_messages import RolloutAction, RolloutCommand
+from ...cluster.rollout_types import OrderAction, PlatformOrder, RolloutSpec
 from .clock import SECOND
 
 if TYPE_CHECKING:
@@ -235,7 +235,7 @@
         if not self.fleet.groups:
             return "the fleet file has no groups"
         _, said = self.mind.say(
-            RolloutCommand(action="start", operator="the model", spec=plan), self.world.clock.now
+            RolloutCommand(action=RolloutAction.START, operator="the model", spec=plan), self.world.clock.now
         )
         self.have_kept()
         if said.accepted:
@@ -245,7 +245,7 @@
     def carry(self, order: PlatformOrder) -> None:
         world, name = self.world, order.member
         server = world.by_name[name]
-        if order.action == "start":
+        if order.action is OrderAction.START:
             if self.states[name] == "stopped":
                 self.versions[name], self.states[name] = order.version, "up"
                 world.start(server, cold=True)
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -16,8 +16,9 @@
 
 from ..cluster.disruption_types import BudgetGroup
 from ..cluster.messages import EvictionRequest, Message, OperatorCommand, encode
-from ..cluster.rollout import RolloutSpec, plan_batches
-from ..cluster.rollout_controller import RolloutCommand
+from ..cluster.rollout_batches import plan_batches
+from ..cluster.rollout_messages import RolloutAction, RolloutCommand
+from ..cluster.rollout_types import RolloutSpec
 from ..cluster.transport import PeerConnection
 from .clients import Profile, Server
 from .peers import Vault
@@ -49,7 +50,7 @@
 def must_come_from_leader(command: Message) -> bool:
     """Whether a planner that follows would answer from its copy of the state."""
     if isinstance(command, RolloutCommand):
-        return command.action == "status"
+        return command.action is RolloutAction.STATUS
     return isinstance(command, OperatorCommand) and command.what == "show"
 
 
@@ -165,12 +166,12 @@
         return {"done": False, "granted": False, "releases": [], "trouble": trouble}
 
     def say(self, what: str, **more: Any) -> dict[str, Any]:
-        answer = self.ask(RolloutCommand(action=what, operator="the play", **more), "release")
+        answer = self.ask(RolloutCommand(action=RolloutAction(what), operator="the play", **more), "release")
         self.operator_s.append(f"{what}: {answer.get('why') or answer.get('trouble') or 'done'}")
         return answer
 
     def status(self, number: int = 1) -> dict[str, Any]:
-        answer = self.ask(RolloutCommand(action="status", number=number), "release")
+        answer = self.ask(RolloutCommand(action=RolloutAction.STATUS, number=number), "release")
         return answer["releases"][0] if answer["releases"] else {}
 
     def permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
--- a/birchslip/lab/rollouts.py
+++ b/birchslip/lab/rollouts.py
@@ -16,15 +16,17 @@
 from ..cluster.disruption_budget import DisruptionBudget
 from ..cluster.disruption_types import BudgetGroup, BudgetState, MemberObservation, UnavailabilityReason
 from ..cluster.messages import Incarnation
-from ..cluster.rollout import (
+from ..cluster.rollout import Rollout
+from ..cluster.rollout_batches import plan_batches
+from ..cluster.rollout_types import (
+    FleetView,
     InstanceStatus,
     InstanceView,
+    OrderAction,
     PlatformOrder,
-    Rollout,
     RolloutPhase,
     RolloutRecord,
     RolloutSpec,
-    plan_batches,
 )
 
 SECOND = 10_000
@@ -192,7 +194,7 @@
         draw = self.chance.random()
         for _ in range(0 if draw < 0.1 else 2 if draw > 0.9 else 1):
             one = self.machines[order.member]
-            if order.action == "drain":
+            if order.action is OrderAction.DRAIN:
                 mark = (order.member, "drain", order.permit_number, "")
                 if mark in self.carried or not one.up:
                     continue
@@ -214,7 +216,8 @@
             self.begin()
         phase = self.release.phase
         self.release.budget.reconcile(self.seen())
-        orders = self.release.step(self.platform(), self.seen(), self.shown(), (), self.now)
+        view = FleetView(self.platform(), self.seen(), self.shown(), [])
+        orders = self.release.step(view, self.now)
         # Kept before anything is asked: a conductor that dies here leaves no order that nobody knows of.
         self.kept = msgspec.json.encode(self.release.record)
         self.book = self.release.budget.encode()
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from birchslip.cluster.canary_analysis import CanaryAnalysis, CanaryVerdict, MemberSample
+from birchslip.cluster.canary_analysis import CanaryAnalysis, MemberSample
+from birchslip.cluster.canary_metrics import CanaryVerdict
 
 SECOND = 10_000
 MARGINS = {"late": 0.05, "shed": 0.05}
@@ -77,8 +78,8 @@
         [MemberSample(True, {"late": (2, 500)})], [MemberSample(True, {"late": (2, 500), "shed": (0, 9)})], 1
     )
     late, shed = analysis.report()
-    assert (late["released"], late["others"], late["of"]) == (0.004, 0.004, [500, 500])
-    assert shed["verdict"] == "unclear"
+    assert (late.canary, late.baseline, late.outcomes) == (0.004, 0.004, (500, 500))
+    assert shed.verdict == "unclear"
     assert not analysis.has_expired(1)
     assert analysis.has_expired(SECOND)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,14 +7,15 @@
 from birchslip.cluster.disruption_budget import DisruptionBudget
 from birchslip.cluster.disruption_types import BudgetGroup, MemberObservation, UnavailabilityReason
 from birchslip.cluster.messages import Incarnation
-from birchslip.cluster.rollout import (
+from birchslip.cluster.rollout import Rollout
+from birchslip.cluster.rollout_batches import plan_batches
+from birchslip.cluster.rollout_types import (
+    FleetView,
     InstanceStatus,
     InstanceView,
-    Rollout,
     RolloutPhase,
     RolloutRecord,
     RolloutSpec,
-    plan_batches,
 )
 from birchslip.lab.rollouts import VERSIONS, RolloutScenario
 
@@ -28,9 +29,11 @@
 class Scene:
     """A release whose platform and members are set by hand."""
 
-    def __init__(self, most=2, plan=PLAN):
+    def __init__(self, most=2, plan=PLAN, site_of=lambda name: ""):
         self.permits = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), max_unavailable=most)])
-        self.release = Rollout(RolloutRecord(spec=plan, batches=plan_batches(plan, SITES)), self.permits)
+        self.release = Rollout(
+            RolloutRecord(spec=plan, batches=plan_batches(plan, SITES)), self.permits, site_of
+        )
         self.is_now = {name: InstanceView(InstanceStatus.UP, "old") for name in NAMES}
         self.seen = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
         self.now = 0
@@ -38,8 +41,9 @@
     def look(self, lost=(), shown=None):
         self.now += 5_000
         self.permits.reconcile(self.seen)
-        orders = self.release.step(self.is_now, self.seen, shown or {}, lost, self.now)
-        return [(one.action, one.member, one.version) for one in orders]
+        view = FleetView(self.is_now, self.seen, shown or {}, list(lost))
+        orders = self.release.step(view, self.now)
+        return [(one.action.value, one.member, one.version) for one in orders]
 
     def out(self, name, state, version="old", starts=0):
         self.is_now[name] = InstanceView(state, version, starts)
@@ -176,8 +180,7 @@
 
 
 def test_members_are_compared_within_their_site_and_what_load_makes_is_not_across_sites():
-    scene = Scene()
-    scene.release.site_of = by_site
+    scene = Scene(site_of=by_site)
     scene.come_up("a-0")
     scene.look()
     assert scene.release.analysis.margins == PLAN.margins
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -15,9 +15,11 @@
 )
 from birchslip.cluster.fleet_file import read_fleet
 from birchslip.cluster.inventory import read_inventory
+from birchslip.cluster.member_samples import SampleReader
 from birchslip.cluster.messages import Incarnation
-from birchslip.cluster.rollout import RolloutPhase, RolloutSpec
-from birchslip.cluster.rollout_controller import RolloutCommand, RolloutController, RolloutStates
+from birchslip.cluster.rollout_controller import RolloutController
+from birchslip.cluster.rollout_messages import RolloutAction, RolloutCommand, RolloutStates
+from birchslip.cluster.rollout_types import RolloutSpec
 
 from .fleetdesk import Stage, fleet_told, report
 
@@ -46,13 +48,13 @@
         self.conductor.receive_inventory(listing(), 0)
 
     def say(self, what, now=1, **more):
-        return self.conductor.execute(RolloutCommand(action=what, operator="ann", **more), now)
+        return self.conductor.execute(RolloutCommand(action=RolloutAction(what), operator="ann", **more), now)
 
     def look(self, now=2, lost=()):
         reports = {name: report(name, now) for name in NAMES}
         self.permits.reconcile(self.seen)
         self.conductor.step(self.seen, reports, lost, now)
-        return [(one.action, one.member) for one in self.conductor.orders]
+        return [(one.action.value, one.member) for one in self.conductor.orders]
 
 
 @pytest.mark.parametrize(
@@ -99,7 +101,7 @@
     assert desk.say("resume").reason == "which of 1, 2?"
     assert desk.say("resume", number=2).accepted
     assert desk.say("back", number=1).accepted
-    assert [one["phase"] for one in desk.conductor.report()] == ["running", "backing"]
+    assert [one.phase for one in desk.conductor.report()] == ["running", "backing"]
 
 
 def test_a_halt_leaves_nothing_to_ask_not_even_before_the_next_look():
@@ -109,7 +111,7 @@
     assert desk.say("halt", reason="smoke").accepted
     assert desk.conductor.orders == []
     assert desk.look(3) == []
-    assert "ann: smoke" in desk.conductor.report(1, history=True)[0]["history"][-1]
+    assert "ann: smoke" in desk.conductor.report(1, history=True)[0].history[-1]
 
 
 def test_permits_that_a_halt_left_unused_are_handed_back_once_no_order_can_be_on_its_way():
@@ -146,7 +148,7 @@
     desk.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(mark=1), reason="repairs"))
     desk.say("start", spec=plan())
     assert desk.look() == []
-    assert "another's: repairs" in desk.conductor.report()[0]["doing"]
+    assert "another's: repairs" in desk.conductor.report()[0].progress
     desk.conductor.receive_inventory(listing(a_0={"state": "stopped"}), 3)
     assert desk.look(4) == []
 
@@ -157,11 +159,11 @@
     desk.conductor.receive_inventory(listing(a_0={"version": "2", "ends": 1}), 3)
     desk.look(4)
     told = desk.conductor.report()[0]
-    assert told["phase"] == "halted"
-    assert told["bad"]
-    assert "ended by themselves" in told["why"]
+    assert told.phase == "halted"
+    assert told.version_is_bad
+    assert "ended by themselves" in told.reason
     assert "only back is left" in desk.say("resume").reason
-    desk.conductor.rollouts[0].enter(RolloutPhase.COMPLETED, "played")
+    desk.conductor.rollouts[0].complete("played")
     assert desk.say("start", spec=plan(sites=["b"])).accepted
     assert desk.say("back", number=1).accepted
     assert desk.look(5) == [("drain", "b-0"), ("drain", "a-0")][::-1]
@@ -174,11 +176,11 @@
     desk.seen["a-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
     desk.conductor.receive_inventory(listing(a_0={"state": "failed", "version": "1", "starts": 2}), 3)
     desk.look(4)
-    assert desk.conductor.report()[0]["left_out"] == ["a-0"]
+    assert desk.conductor.report()[0].excluded == ["a-0"]
     assert "starts in neither version" in desk.say("resume").reason
     desk.permits.revoke("a-0", "ann")
     desk.look(5)
-    assert desk.conductor.report()[0]["left_out"] == []
+    assert desk.conductor.report()[0].excluded == []
     assert desk.say("resume").accepted
     assert desk.conductor.rollouts[0].all_members() == ["a-1"]
 
@@ -187,9 +189,9 @@
     desk = Desk()
     desk.say("start", spec=plan())
     assert desk.look(30_001) == []
-    assert desk.conductor.report()[0]["doing"] == "the platform is not heard"
+    assert desk.conductor.report()[0].progress == "the platform is not heard"
     assert desk.look(600_000) == []
-    assert desk.conductor.report()[0]["phase"] == "halted"
+    assert desk.conductor.report()[0].phase == "halted"
 
 
 def test_a_release_without_a_step_halts_and_says_what_it_waited_for():
@@ -202,7 +204,7 @@
     desk.conductor.receive_inventory(listing(), 20_010)
     desk.look(20_010)
     told = desk.conductor.report()[0]
-    assert told["why"] == "no step for 2 s: a-0 waits at place 1: fleet: 2 would be out, 1 may be"
+    assert told.reason == "no step for 2 s: a-0 waits at place 1: fleet: 2 would be out, 1 may be"
     assert not desk.permits.state.waiters  # who has halted asks for nothing
 
 
@@ -219,11 +221,11 @@
 
 
 def test_figures_are_differences_of_one_life_and_lost_reports_lose_nothing():
-    conductor = Desk().conductor
+    reader = SampleReader()
 
     def shown(number, mark, bad, every):
         told = report("a-0", number, mark, figures={"late:order": (bad, every)}, memory=7)
-        return conductor.samples({"a-0": told})["a-0"]
+        return reader.read({"a-0": told})["a-0"]
 
     assert shown(1, 1, 5, 100).outcomes == {"late:order": (0, 0)}  # it was counted before anybody looked
     assert shown(9, 1, 7, 130).outcomes == {"late:order": (2, 30)}
@@ -262,7 +264,7 @@
 
 def begin(stage, **more):
     number, said = stage.mind.say(
-        RolloutCommand(action="start", operator="ann", spec=plan(**more)), stage.now
+        RolloutCommand(action=RolloutAction.START, operator="ann", spec=plan(**more)), stage.now
     )
     assert said.accepted, said.reason
     return number
@@ -305,12 +307,12 @@
     stage.lose("b")
     stage.pass_time(6)
     told = stage.mind.told_releases(stage.now)[0]
-    assert told["phase"] == "halted"
-    assert "site lost: b" in told["why"]
+    assert told.phase == "halted"
+    assert "site lost: b" in told.reason
     stage.give_back("b")
     stage.mind.conductor.receive_inventory(listing(), stage.now)
     stage.pass_time(20)
-    assert stage.mind.told_releases(stage.now)[0]["phase"] == "halted"
+    assert stage.mind.told_releases(stage.now)[0].phase == "halted"
 
 
 def test_a_member_whose_service_below_is_out_is_out_with_it(tmp_path):
--- a/tests/test_stored_rollout.py
+++ b/tests/test_stored_rollout.py
@@ -20,13 +20,9 @@
 from birchslip.cluster.inventory import read_inventory
 from birchslip.cluster.messages import Incarnation
 from birchslip.cluster.release_file import read_release
-from birchslip.cluster.rollout import InstanceStatus, RolloutPhase, RolloutSpec
-from birchslip.cluster.rollout_controller import (
-    CommandResult,
-    RolloutCommand,
-    RolloutController,
-    RolloutStates,
-)
+from birchslip.cluster.rollout_controller import RolloutController
+from birchslip.cluster.rollout_messages import CommandResult, RolloutCommand, RolloutStates
+from birchslip.cluster.rollout_types import InstanceStatus, RolloutPhase, RolloutSpec
 
 from .fleetdesk import report
 
@@ -204,5 +200,5 @@
     }
     made.step(seen, reports, (), NOW)
     assert msgspec.json.encode(made.report()) == REPORTED_STATUS
-    orders = [(order.action, order.member, order.version, order.permit_number) for order in made.orders]
+    orders = [(order.action.value, order.member, order.version, order.permit_number) for order in made.orders]
     assert orders == [("drain", "d-0", "1", 4)]
