--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -111,20 +111,20 @@
         transaction = passage.transaction
         tenant = self.names.get(id(transaction.tenant), "") if transaction.tenant is not None else ""
         at_home = not self.routers or transaction.caller in self.routers
-        self.rates.arrived(self.scheduler.now, tenant, at_home, transaction.is_retry)
+        self.rates.record_arrival(self.scheduler.now, tenant, at_home, transaction.is_retry)
 
     def answered(self, passage: Passage, what: str) -> None:
         transaction = passage.transaction
         now = self.scheduler.now
         late = now - transaction.arrived_at > transaction.request_class.latency_objective
         ran = now - passage.launched_at if passage.launched else -1
-        self.figures.answered(passage.profile, what, ran, late)
+        self.figures.record_answer(passage.profile, what, ran, late)
 
     def sample(self) -> None:
         """What was answered is read off the counters ten times a second."""
         now = self.scheduler.now
         counts = self.counters.counts
-        self.rates.answered(now, counts["book.honoured"], counts["book.shed"])
+        self.rates.record_answers(now, counts["book.honoured"], counts["book.shed"])
         self.scheduler.at(now + SAMPLE, self.sample)
 
     def check(self) -> None:
@@ -196,7 +196,7 @@
         self.number += 1
         moment = self.scheduler.now
         rates, controller = self.rates, self.driver.controller if self.driver is not None else None
-        load, visits, again, honoured, shed = rates.now(moment)
+        load, visits, again, honoured, shed = rates.snapshot(moment)
         if moment >= self.memory_due:
             self.memory, self.memory_due = memory(), moment + MEMORY
         site = self.deployment
@@ -227,8 +227,8 @@
             epoch=self.obey.epoch,
             plan=self.obey.number,
             knocks=[ProbeResult(name=name, met=what) for name, (_, what) in self.met.items()][:KNOCKS_MOST],
-            figures=self.figures.told(self.counters.counts),
-            took={name: list(counts) for name, counts in self.figures.took.items()},
+            figures=self.figures.totals(self.counters.counts),
+            took={name: list(counts) for name, counts in self.figures.durations.items()},
             memory=self.memory,
         )
 
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -57,18 +57,18 @@
     def seen(self, transaction: Request) -> None:
         at_home = not self.routers or transaction.caller in self.routers
         account = transaction.context.a_try.deed.account if transaction.tenant is not None else ""
-        self.rates.arrived(self.planners.world.clock.now, account, at_home, transaction.is_retry)
+        self.rates.record_arrival(self.planners.world.clock.now, account, at_home, transaction.is_retry)
 
     def answered(self, transaction: Request, what: str, ran: int) -> None:
         now = self.planners.world.clock.now
         late = now - transaction.arrived_at > transaction.request_class.latency_objective
-        self.figures.answered(transaction.context.a_try.deed.kind, what, ran, late)
+        self.figures.record_answer(transaction.context.a_try.deed.kind, what, ran, late)
 
     def sample(self) -> None:
         if not self.alive:
             return
         counts, clock = self.server.counts, self.planners.world.clock
-        self.rates.answered(clock.now, counts["honoured"] - self.honoured, counts["shed"] - self.shed)
+        self.rates.record_answers(clock.now, counts["honoured"] - self.honoured, counts["shed"] - self.shed)
         clock.after(SAMPLE, self.sample)
 
     def check(self) -> None:
@@ -101,7 +101,7 @@
         server, site = self.server, self.site
         assert server.driver is not None and site is not None
         controller = server.driver.controller
-        load, visits, again, honoured, shed = self.rates.now(now)
+        load, visits, again, honoured, shed = self.rates.snapshot(now)
         self.met = {name: (at, what) for name, (at, what) in self.met.items() if now - at <= KNOCK_KEPT}
         return MemberReport(
             name=server.name,
@@ -126,8 +126,8 @@
             epoch=self.obey.epoch,
             plan=self.obey.number,
             knocks=[ProbeResult(name=name, met=what) for name, (_, what) in self.met.items()][:KNOCKS_MOST],
-            figures=self.figures.told({"relay.called": server.counts["called"]}),
-            took={name: list(counts) for name, counts in self.figures.took.items()},
+            figures=self.figures.totals({"relay.called": server.counts["called"]}),
+            took={name: list(counts) for name, counts in self.figures.durations.items()},
         )
 
     def take(self, reply: ReportReply, sent: int) -> None:
--- a/tests/test_bond.py
+++ b/tests/test_bond.py
@@ -120,8 +120,8 @@
         ("blue", False, False),
         ("blue", True, True),
     ]:
-        rates.arrived(SECOND, tenant, at_home, again)
-    rates.answered(SECOND, 3, 2)
+        rates.record_arrival(SECOND, tenant, at_home, again)
+    rates.record_answers(SECOND, 3, 2)
     tie.bond.scheduler.now = SECOND
     told = decode(encode(tie.bond.told(SECOND)), type(report()))
     assert (told.load, told.visits, told.again) == ({"blue": 2.0}, 0.5, 0.5)
@@ -132,10 +132,10 @@
     figures = tie.bond.figures
     for what, late in [("honoured", False), ("honoured", True), ("shed", False), ("written_off", False),
                        ("gone", True), ("gone", False), ("erred", False)]:  # fmt: skip
-        figures.answered("order", what, 500, late)
-    told = figures.told({"relay.called": 4, "relay.overdue": 1, "relay.severed": 1})
+        figures.record_answer("order", what, 500, late)
+    told = figures.totals({"relay.called": 4, "relay.overdue": 1, "relay.severed": 1})
     assert told == {"late:order": (2, 3), "shed:order": (1, 5), "written_off:order": (2, 4), "calls": (2, 4)}
-    figures.answered("order", "honoured", -1, False)  # a repeat
+    figures.record_answer("order", "honoured", -1, False)  # a repeat
     report = tie.bond.told(SECOND)
     assert report.memory > 1_000 and report.took["order"][5] == 2  # 50 ms lies below 56.6 ms
 
