--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""A release: what is asked of the platform in each state, and whole releases in virtual time."""
+"""A rollout: what the platform is ordered in each phase, and whole rollouts in virtual time."""
 
 import msgspec
 import pytest
@@ -7,7 +7,7 @@
 from birchslip.cluster.disruption_budget import DisruptionBudget
 from birchslip.cluster.disruption_types import BudgetGroup, MemberObservation, UnavailabilityReason
 from birchslip.cluster.messages import Incarnation
-from birchslip.cluster.rollout import Rollout
+from birchslip.cluster.rollout import Rollout, RolloutEvent
 from birchslip.cluster.rollout_batches import plan_batches
 from birchslip.cluster.rollout_types import (
     FleetView,
@@ -26,42 +26,46 @@
 )
 
 
-class Scene:
-    """A release whose platform and members are set by hand."""
+class Harness:
+    """A rollout whose platform and members are set by the test."""
 
     def __init__(self, most=2, plan=PLAN, site_of=lambda name: ""):
-        self.permits = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), max_unavailable=most)])
-        self.release = Rollout(
-            RolloutRecord(spec=plan, batches=plan_batches(plan, SITES)), self.permits, site_of
+        self.budget = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), max_unavailable=most)])
+        self.rollout = Rollout(
+            RolloutRecord(spec=plan, batches=plan_batches(plan, SITES)), self.budget, site_of
         )
-        self.is_now = {name: InstanceView(InstanceStatus.UP, "old") for name in NAMES}
-        self.seen = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
+        self.instances = {name: InstanceView(InstanceStatus.UP, "old") for name in NAMES}
+        self.observations = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
         self.now = 0
 
-    def look(self, lost=(), shown=None):
+    def step(self, lost_sites=(), samples=None):
         self.now += 5_000
-        self.permits.reconcile(self.seen)
-        view = FleetView(self.is_now, self.seen, shown or {}, list(lost))
-        orders = self.release.step(view, self.now)
+        self.budget.reconcile(self.observations)
+        view = FleetView(self.instances, self.observations, samples or {}, list(lost_sites))
+        orders = self.rollout.step(view, self.now)
         return [(one.action.value, one.member, one.version) for one in orders]
 
-    def out(self, name, state, version="old", starts=0):
-        self.is_now[name] = InstanceView(state, version, starts)
-        self.seen[name] = MemberObservation(self.seen[name].incarnation, 10.0, UnavailabilityReason.LEAVING)
+    def take_down(self, name, state, version="old", starts=0):
+        self.instances[name] = InstanceView(state, version, starts)
+        self.observations[name] = MemberObservation(
+            self.observations[name].incarnation, 10.0, UnavailabilityReason.LEAVING
+        )
 
     def come_up(self, name, version="new"):
-        self.is_now[name] = InstanceView(InstanceStatus.UP, version)
-        self.seen[name] = MemberObservation(Incarnation(mark=self.seen[name].incarnation.mark + 1), 10.0)
+        self.instances[name] = InstanceView(InstanceStatus.UP, version)
+        self.observations[name] = MemberObservation(
+            Incarnation(mark=self.observations[name].incarnation.mark + 1), 10.0
+        )
 
 
-def good(scene):
+def good_samples():
     return {
         name: MemberSample(True, {"late": (0, 500), "shed": (0, 500), "written_off": (0, 500)})
         for name in NAMES
     }
 
 
-def test_canaries_first_and_no_batch_across_two_sites():
+def test_canaries_come_first_and_no_batch_spans_two_sites():
     assert plan_batches(PLAN, SITES) == [["a-0"], ["a-1", "a-2"], ["b-0", "b-1"]]
     assert plan_batches(RolloutSpec(version="n", previous_version="o", sites=["b"], batch_size=1), SITES) == [
         ["b-0"],
@@ -70,150 +74,150 @@
 
 
 def test_a_member_is_drained_once_started_and_watched_before_the_next_batch():
-    scene = Scene()
-    assert scene.look() == scene.look() == [("drain", "a-0", "new")]  # with the same permit's number
-    assert [one.number for one in scene.permits.state.permits] == [1]
-    scene.out("a-0", InstanceStatus.DRAINING)
-    assert scene.look() == []
-    scene.out("a-0", InstanceStatus.STOPPED)
-    assert scene.look() == [("start", "a-0", "new")]
-    scene.come_up("a-0")
-    assert scene.look() == []
-    assert scene.release.analysis is not None
+    harness = Harness()
+    assert harness.step() == harness.step() == [("drain", "a-0", "new")]  # with the same permit's number
+    assert [one.number for one in harness.budget.state.permits] == [1]
+    harness.take_down("a-0", InstanceStatus.DRAINING)
+    assert harness.step() == []
+    harness.take_down("a-0", InstanceStatus.STOPPED)
+    assert harness.step() == [("start", "a-0", "new")]
+    harness.come_up("a-0")
+    assert harness.step() == []
+    assert harness.rollout.analysis is not None
     for _ in range(3):
-        scene.look(shown=good(scene))
-    assert scene.release.record.batch_index == 1
-    assert scene.look() == [("drain", "a-1", "new"), ("drain", "a-2", "new")]
-
-
-def test_a_halt_takes_hold_at_once_and_leaves_nobody_down():
-    scene = Scene()
-    scene.look()
-    scene.out("a-0", InstanceStatus.STOPPED)
-    assert scene.release.halt("a word")
-    assert not scene.release.halt("again")
-    assert scene.look() == [("start", "a-0", "new")]  # not found bad: it goes on in the new one
-    scene.come_up("a-0")
-    assert scene.look() == scene.look() == []
-    assert scene.release.resume("ann")
-    assert scene.release.phase is RolloutPhase.RUNNING
-
-
-def test_a_permitted_one_that_has_not_begun_to_drain_is_not_drained_after_a_halt():
-    scene = Scene()
-    assert scene.look() == [("drain", "a-0", "new")]
-    scene.release.halt("a word")
-    assert scene.look() == []
-
-
-def test_the_loss_of_a_site_halts_and_its_return_does_not_resume():
-    scene = Scene()
-    scene.look(lost=["b"])
-    assert scene.release.phase is RolloutPhase.HALTED
-    assert "b" in scene.release.record.reason
-    assert scene.look() == []
-    assert scene.release.phase is RolloutPhase.HALTED
-
-
-def test_a_permit_of_an_earlier_life_drains_nobody():
-    scene = Scene()
-    scene.look()
-    scene.seen["a-0"] = MemberObservation(
+        harness.step(samples=good_samples())
+    assert harness.rollout.record.batch_index == 1
+    assert harness.step() == [("drain", "a-1", "new"), ("drain", "a-2", "new")]
+
+
+def test_a_halt_is_immediate_and_restarts_stopped_members():
+    harness = Harness()
+    harness.step()
+    harness.take_down("a-0", InstanceStatus.STOPPED)
+    assert harness.rollout.halt("a word")
+    assert not harness.rollout.halt("again")
+    assert harness.step() == [("start", "a-0", "new")]  # not found bad: it goes on in the new one
+    harness.come_up("a-0")
+    assert harness.step() == harness.step() == []
+    assert harness.rollout.resume("ann")
+    assert harness.rollout.phase is RolloutPhase.RUNNING
+
+
+def test_a_member_with_an_unused_permit_is_not_drained_after_a_halt():
+    harness = Harness()
+    assert harness.step() == [("drain", "a-0", "new")]
+    harness.rollout.halt("a word")
+    assert harness.step() == []
+
+
+def test_a_lost_site_halts_the_rollout_and_its_return_does_not_resume_it():
+    harness = Harness()
+    harness.step(lost_sites=["b"])
+    assert harness.rollout.phase is RolloutPhase.HALTED
+    assert "b" in harness.rollout.record.reason
+    assert harness.step() == []
+    assert harness.rollout.phase is RolloutPhase.HALTED
+
+
+def test_a_permit_of_an_earlier_incarnation_drains_nobody():
+    harness = Harness()
+    harness.step()
+    harness.observations["a-0"] = MemberObservation(
         Incarnation(mark=2), 10.0, UnavailabilityReason.COLD
     )  # it crashed and came back by itself
-    assert scene.look() == []
-    scene.seen["a-0"] = MemberObservation(Incarnation(mark=2), 10.0)
-    assert scene.look() == [("drain", "a-0", "new")]
-    assert scene.permits.state.permits[0].number == 2
-
-
-def test_one_that_does_not_start_goes_back_and_one_that_starts_in_neither_is_left_out():
-    scene = Scene()
-    scene.look()
-    scene.out("a-0", InstanceStatus.FAILED, "new", 1)
-    assert scene.look() == [("start", "a-0", "new")]
-    scene.out("a-0", InstanceStatus.FAILED, "new", 2)
-    assert scene.look() == [("start", "a-0", "old")]
-    assert scene.release.record.version_is_bad
-    assert scene.release.phase is RolloutPhase.HALTED
-    assert not scene.release.resume("ann")
-    scene.out("a-0", InstanceStatus.FAILED, "old", 2)
-    assert scene.look() == []
-    assert scene.release.record.excluded == ["a-0"]
-    assert scene.release.roll_back("ann")
-    scene.look()
-    assert scene.release.phase is RolloutPhase.ROLLED_BACK  # the others never left
-
-
-def test_the_way_back_is_newest_batch_first_through_the_same_permits():
-    scene = Scene(most=1)
+    assert harness.step() == []
+    harness.observations["a-0"] = MemberObservation(Incarnation(mark=2), 10.0)
+    assert harness.step() == [("drain", "a-0", "new")]
+    assert harness.budget.state.permits[0].number == 2
+
+
+def test_a_failed_start_falls_back_and_a_member_that_starts_in_neither_version_is_excluded():
+    harness = Harness()
+    harness.step()
+    harness.take_down("a-0", InstanceStatus.FAILED, "new", 1)
+    assert harness.step() == [("start", "a-0", "new")]
+    harness.take_down("a-0", InstanceStatus.FAILED, "new", 2)
+    assert harness.step() == [("start", "a-0", "old")]
+    assert harness.rollout.record.version_is_bad
+    assert harness.rollout.phase is RolloutPhase.HALTED
+    assert not harness.rollout.resume("ann")
+    harness.take_down("a-0", InstanceStatus.FAILED, "old", 2)
+    assert harness.step() == []
+    assert harness.rollout.record.excluded == ["a-0"]
+    assert harness.rollout.roll_back("ann")
+    harness.step()
+    assert harness.rollout.phase is RolloutPhase.ROLLED_BACK  # the others never left
+
+
+def test_a_rollback_takes_the_newest_batch_first_with_permits():
+    harness = Harness(most=1)
     for name in ("a-0", "a-1"):
-        scene.come_up(name)
-    scene.release.record.batch_index = 1
-    scene.release.halt("a word")
-    scene.release.roll_back("ann")
-    assert scene.look() == [("drain", "a-1", "old")]
-    scene.out("a-1", InstanceStatus.STOPPED, "new")
-    assert scene.look() == [("start", "a-1", "old")]
-    scene.come_up("a-1", "old")
-    assert scene.look() == [("drain", "a-0", "old")]
-    scene.out("a-0", InstanceStatus.STOPPED, "new")
-    scene.look()
-    scene.come_up("a-0", "old")
-    scene.look()
-    assert scene.release.phase is RolloutPhase.ROLLED_BACK
-    assert len(scene.release.record.history) == 3
+        harness.come_up(name)
+    harness.rollout.record.batch_index = 1
+    harness.rollout.halt("a word")
+    harness.rollout.roll_back("ann")
+    assert harness.step() == [("drain", "a-1", "old")]
+    harness.take_down("a-1", InstanceStatus.STOPPED, "new")
+    assert harness.step() == [("start", "a-1", "old")]
+    harness.come_up("a-1", "old")
+    assert harness.step() == [("drain", "a-0", "old")]
+    harness.take_down("a-0", InstanceStatus.STOPPED, "new")
+    harness.step()
+    harness.come_up("a-0", "old")
+    harness.step()
+    assert harness.rollout.phase is RolloutPhase.ROLLED_BACK
+    assert len(harness.rollout.record.history) == 3
 
 
 @pytest.mark.parametrize(("ends", "phase"), [(1, RolloutPhase.RUNNING), (2, RolloutPhase.HALTED)])
-def test_crashes_need_no_statistics_and_no_conductor_that_saw_them(ends, phase):
-    scene = Scene(plan=msgspec.structs.replace(PLAN, max_crashes=1))
-    scene.is_now["a-0"] = InstanceView(InstanceStatus.UP, "new", crashes=ends)
-    scene.is_now["a-1"] = InstanceView(InstanceStatus.UP, "old", crashes=9)
-    scene.look()
-    assert scene.release.phase is phase
-    assert scene.release.record.version_is_bad is (phase is RolloutPhase.HALTED)
+def test_crashes_count_without_statistics_and_whoever_observed_them(ends, phase):
+    harness = Harness(plan=msgspec.structs.replace(PLAN, max_crashes=1))
+    harness.instances["a-0"] = InstanceView(InstanceStatus.UP, "new", crashes=ends)
+    harness.instances["a-1"] = InstanceView(InstanceStatus.UP, "old", crashes=9)
+    harness.step()
+    assert harness.rollout.phase is phase
+    assert harness.rollout.record.version_is_bad is (phase is RolloutPhase.HALTED)
 
 
-def by_site(name):
+def site_of_name(name):
     return name[0]
 
 
-def test_members_are_compared_within_their_site_and_what_load_makes_is_not_across_sites():
-    scene = Scene(site_of=by_site)
-    scene.come_up("a-0")
-    scene.look()
-    assert scene.release.analysis.margins == PLAN.margins
+def test_load_dependent_metrics_are_compared_only_within_a_site():
+    harness = Harness(site_of=site_of_name)
+    harness.come_up("a-0")
+    harness.step()
+    assert harness.rollout.analysis.margins == PLAN.margins
     busy = {
         name: MemberSample(True, {"shed": (900, 1_000) if name[0] == "a" else (0, 1_000)}) for name in NAMES
     }
     for _ in range(4):
-        scene.look(shown=busy)
-    assert scene.release.record.batch_index == 1
-    assert not scene.release.record.version_is_bad
+        harness.step(samples=busy)
+    assert harness.rollout.record.batch_index == 1
+    assert not harness.rollout.record.version_is_bad
     for name in ("a-1", "a-2"):
-        scene.come_up(name)
-    scene.look()
-    margins = scene.release.analysis.margins
+        harness.come_up(name)
+    harness.step()
+    margins = harness.rollout.analysis.margins
     assert margins == {"slow": 0.3, "written_off": 0.04}
     busy = {name: MemberSample(True, {"shed": (900, 1_000) if name[0] == "a" else (0, 1_000),
                                "written_off": (0, 900)}) for name in NAMES}  # fmt: skip
     for _ in range(4):
-        scene.look(shown=busy)
-    assert scene.release.record.batch_index == 2
-    assert scene.release.phase is RolloutPhase.RUNNING
+        harness.step(samples=busy)
+    assert harness.rollout.record.batch_index == 2
+    assert harness.rollout.phase is RolloutPhase.RUNNING
 
 
-def test_unclear_at_its_end_halts_and_says_so():
-    scene = Scene()
-    scene.come_up("a-0")
-    scene.look()
+def test_an_unclear_verdict_at_the_end_of_the_watch_halts():
+    harness = Harness()
+    harness.come_up("a-0")
+    harness.step()
     few = {name: MemberSample(True, {"late": (0, 1)}) for name in NAMES}
     for _ in range(12):
-        scene.look(shown=few)
-    assert scene.release.phase is RolloutPhase.HALTED
-    assert "unclear" in scene.release.record.reason
-    assert not scene.release.record.version_is_bad
+        harness.step(samples=few)
+    assert harness.rollout.phase is RolloutPhase.HALTED
+    assert "unclear" in harness.rollout.record.reason
+    assert not harness.rollout.record.version_is_bad
 
 
 @pytest.mark.parametrize(
@@ -226,7 +230,7 @@
         ({}, ""),
     ],
 )
-def test_what_is_wrong_with_a_release_file(more, words):
+def test_contradictions_in_a_release_file_are_found(more, words):
     told = {"version": "new", "before": "old", "watch_ms": 1_000, "watch_most_ms": 2_000} | more
     found = msgspec.convert(told, RolloutSpec).validation_error()
     assert words in found
@@ -234,7 +238,7 @@
 
 
 @pytest.mark.parametrize("version", VERSIONS)
-def test_whole_releases_in_virtual_time(version):
+def test_whole_rollouts_in_virtual_time(version):
     told = [RolloutScenario(seed, version).run(longest=400).told() for seed in range(25)]
     assert not any(one["breaches"] or one["drained_twice"] or one["stuck"] for one in told)
     assert {one["ended"] for one in told} == ({"done"} if version == "good" else {"back"})
@@ -244,43 +248,81 @@
     assert not halts or max(halts) <= (30 if version in ("slow", "profile") else 10)
 
 
-def test_one_seed_gives_one_release():
+def test_a_seed_determines_the_rollout():
     assert RolloutScenario(5, "slow").run().told() == RolloutScenario(5, "slow").run().told()
 
 
-def test_another_conductor_goes_on_with_the_watch_of_the_one_before():
-    scene = Scene(
+def test_the_next_leader_continues_the_watch_of_the_one_before():
+    harness = Harness(
         plan=RolloutSpec(
             version="new", previous_version="old", batch_size=2, min_watch_ms=60_000, max_watch_ms=90_000
         )
     )
-    scene.come_up("a-0")
-    shown = {name: MemberSample(True, {"late": (1, 10)}, 0, {"lookup": [30, 10]}) for name in NAMES}
+    harness.come_up("a-0")
+    samples = {name: MemberSample(True, {"late": (1, 10)}, 0, {"lookup": [30, 10]}) for name in NAMES}
     for _ in range(8):
-        scene.look(shown=shown)
-    kept, before = scene.release.record, scene.release.analysis
+        harness.step(samples=samples)
+    kept, before = harness.rollout.record, harness.rollout.analysis
     assert kept.evidence.batch_index == 0
     assert kept.evidence.watched >= 20_000
-    scene.release = Rollout(msgspec.json.decode(msgspec.json.encode(kept), type=RolloutRecord), scene.permits)
-    scene.now += 500_000  # nobody led for a while: that time was not watched
-    scene.look(shown=shown)
-    after = scene.release.analysis
+    harness.rollout = Rollout(
+        msgspec.json.decode(msgspec.json.encode(kept), type=RolloutRecord), harness.budget
+    )
+    harness.now += 500_000  # nobody led for a while: that time was not watched
+    harness.step(samples=samples)
+    after = harness.rollout.analysis
     assert (after.slow_bounds, after.duration_histograms) == (
         before.slow_bounds,
         before.duration_histograms,
     )
     assert after.slow_bounds
     assert before.metrics["late"].canary.total - after.metrics["late"].canary.total <= 2 * 10
-    assert after.has_minimum_watch(scene.now) is False
-    assert not after.has_expired(scene.now)
-    scene.release.halt("a word")
-    assert scene.release.record.evidence is None  # who resumes watches it anew
+    assert after.has_minimum_watch(harness.now) is False
+    assert not after.has_expired(harness.now)
+    harness.rollout.halt("a word")
+    assert harness.rollout.record.evidence is None  # who resumes watches it anew
 
 
 @pytest.mark.parametrize(("version", "ended"), [("good", "done"), ("slow", "back")])
-def test_conductors_that_follow_each_other_every_two_seconds_hold_no_watch_up(version, ended):
+def test_frequent_changes_of_the_leader_delay_no_watch(version, ended):
     for seed in range(8):
         told = RolloutScenario(seed, version, deaths=0.25).run().told()
-        assert told["ended"] == ended and told["conductors"] >= 4, told
-        assert not told["breaches"] and not told["drained_twice"], told
+        assert told["ended"] == ended, told
+        assert told["conductors"] >= 4, told
+        assert not told["breaches"], told
+        assert not told["drained_twice"], told
         assert version == "good" or told["halt_s"] < 10, told
+
+
+EVENTS = {
+    RolloutEvent.HALT: lambda rollout: rollout.halt("the test"),
+    RolloutEvent.RESUME: lambda rollout: rollout.resume("ann"),
+    RolloutEvent.ROLL_BACK: lambda rollout: rollout.roll_back("ann"),
+    RolloutEvent.COMPLETE: lambda rollout: rollout.complete("the test"),
+    RolloutEvent.FINISH_ROLLBACK: lambda rollout: rollout.finish_rollback("the test"),
+}
+EXPECTED_TRANSITIONS = {
+    ("running", "halt"): "halted",
+    ("running", "roll back"): "backing",
+    ("running", "complete"): "done",
+    ("halted", "resume"): "running",
+    ("halted", "roll back"): "backing",
+    ("backing", "halt"): "halted",
+    ("backing", "finish rollback"): "back",
+    ("done", "roll back"): "backing",
+}
+
+
+@pytest.mark.parametrize("event", RolloutEvent, ids=lambda event: event.value)
+@pytest.mark.parametrize("phase", RolloutPhase, ids=lambda phase: phase.value)
+def test_each_event_takes_its_transition_or_changes_nothing(phase, event):
+    rollout = Harness().rollout
+    rollout.record.phase = phase.value
+    expected = EXPECTED_TRANSITIONS.get((phase.value, event.value))
+    before = msgspec.json.encode(rollout.record)
+    assert EVENTS[event](rollout) is (expected is not None)
+    if expected is None:
+        assert msgspec.json.encode(rollout.record) == before
+    else:
+        assert rollout.phase is RolloutPhase(expected)
+        assert rollout.record.history[-1].startswith(f"0.0 s: {expected}: ")
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -1,4 +1,4 @@
-"""Releases as the leader conducts them: words, what must be kept first, takeovers, a fleet that changes."""
+"""Rollouts as the leader runs them: commands, what is stored first, new leaders, a fleet that changes."""
 
 import json
 from copy import deepcopy
@@ -28,33 +28,35 @@
 MARGINS = {"late": 0.05}
 
 
-def plan(**more):
+def spec(**more):
     told = {"version": "2", "before": "1", "sites": ["a"], "watch_ms": 1_000, "watch_most_ms": 2_000}
     return msgspec.convert(told | {"margins": MARGINS} | more, RolloutSpec)
 
 
-def listing(services=(), **members):
+def inventory(services=(), **members):
     told = {name: {"state": "up", "version": "1"} for name in NAMES}
     told |= {name.replace("_", "-"): {"state": "up", "version": "1"} | more for name, more in members.items()}
     below = {name: {"state": state, "life": 1} for name, state in services}
     return read_inventory(json.dumps({"members": told, "services": below, "more": 1}).encode())
 
 
-class Desk:
+class Harness:
     def __init__(self, most=2):
-        self.permits = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), max_unavailable=most)])
-        self.conductor = RolloutController(PARTS, ["store-1"], self.permits, 30_000)
-        self.seen = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
-        self.conductor.receive_inventory(listing(), 0)
+        self.budget = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), max_unavailable=most)])
+        self.controller = RolloutController(PARTS, ["store-1"], self.budget, 30_000)
+        self.observations = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
+        self.controller.receive_inventory(inventory(), 0)
 
-    def say(self, what, now=1, **more):
-        return self.conductor.execute(RolloutCommand(action=RolloutAction(what), operator="ann", **more), now)
+    def command(self, what, now=1, **more):
+        return self.controller.execute(
+            RolloutCommand(action=RolloutAction(what), operator="ann", **more), now
+        )
 
-    def look(self, now=2, lost=()):
+    def step(self, now=2, lost=()):
         reports = {name: report(name, now) for name in NAMES}
-        self.permits.reconcile(self.seen)
-        self.conductor.step(self.seen, reports, lost, now)
-        return [(one.action.value, one.member) for one in self.conductor.orders]
+        self.budget.reconcile(self.observations)
+        self.controller.step(self.observations, reports, lost, now)
+        return [(one.action.value, one.member) for one in self.controller.orders]
 
 
 @pytest.mark.parametrize(
@@ -68,159 +70,160 @@
         ({"margins": {"late:order": 0.1}, "sites": ["b", "a"]}, ""),
     ],
 )
-def test_what_is_found_before_the_first_drain(more, why):
-    said = Desk().say("start", spec=plan(**more))
+def test_obstacles_are_found_before_the_first_drain(more, why):
+    said = Harness().command("start", spec=spec(**more))
     assert said.accepted is not bool(why)
     assert why in said.reason
 
 
-def test_no_release_begins_where_nobody_may_be_out_or_the_platform_is_not_heard():
-    assert "group fleet lets nobody" in Desk(most=0).say("start", spec=plan()).reason
-    assert "not heard" in Desk().say("start", now=30_001, spec=plan()).reason
-    desk = Desk()
-    desk.permits.set_groups([])
-    assert "is in no group" in desk.say("start", spec=plan()).reason
-    desk = Desk()
-    del desk.conductor.instances["a-1"]
-    assert "does not know a-1" in desk.say("start", spec=plan()).reason
+def test_no_rollout_starts_without_a_budget_or_without_a_fresh_inventory():
+    assert "group fleet lets nobody" in Harness(most=0).command("start", spec=spec()).reason
+    assert "not heard" in Harness().command("start", now=30_001, spec=spec()).reason
+    harness = Harness()
+    harness.budget.set_groups([])
+    assert "is in no group" in harness.command("start", spec=spec()).reason
+    harness = Harness()
+    del harness.controller.instances["a-1"]
+    assert "does not know a-1" in harness.command("start", spec=spec()).reason
 
 
-def test_two_releases_share_no_member_and_each_goes_its_way():
-    desk = Desk()
-    assert desk.say("start", spec=plan()).number == 1
+def test_two_rollouts_share_no_member_and_are_independent():
+    harness = Harness()
+    assert harness.command("start", spec=spec()).number == 1
     assert (
-        "release 1 is not finished and has a-0, a-1" in desk.say("start", spec=plan(sites=["b", "a"])).reason
+        "release 1 is not finished and has a-0, a-1"
+        in harness.command("start", spec=spec(sites=["b", "a"])).reason
     )
-    assert desk.say("start", spec=plan(sites=["b"])).number == 2
-    assert desk.look() == [("drain", "a-0"), ("drain", "b-0")]
-    assert desk.say("resume").reason == "no release is halted"
-    assert desk.say("halt", number=2).accepted
-    assert desk.look() == [("drain", "a-0")]
-    assert desk.say("halt").accepted
-    assert desk.say("halt").reason == "no release runs"
-    assert desk.say("resume").reason == "which of 1, 2?"
-    assert desk.say("resume", number=2).accepted
-    assert desk.say("back", number=1).accepted
-    assert [one.phase for one in desk.conductor.report()] == ["running", "backing"]
-
-
-def test_a_halt_leaves_nothing_to_ask_not_even_before_the_next_look():
-    desk = Desk()
-    desk.say("start", spec=plan())
-    assert desk.look()
-    assert desk.say("halt", reason="smoke").accepted
-    assert desk.conductor.orders == []
-    assert desk.look(3) == []
-    assert "ann: smoke" in desk.conductor.report(1, history=True)[0].history[-1]
-
-
-def test_permits_that_a_halt_left_unused_are_handed_back_once_no_order_can_be_on_its_way():
-    desk = Desk()
-    desk.say("start", spec=plan())
-    desk.look()
-    desk.say("halt")
-    desk.look(3)
-    assert desk.permits.permit_of("a-0")
-    desk.conductor.receive_inventory(listing(), 50_003)
-    desk.look(50_004)
-    assert desk.permits.permit_of("a-0") is None
-    assert desk.say("resume").accepted
-    assert desk.look(50_005) == [("drain", "a-0")]
-
-
-def test_the_way_back_hands_back_what_the_way_there_left_unused():
+    assert harness.command("start", spec=spec(sites=["b"])).number == 2
+    assert harness.step() == [("drain", "a-0"), ("drain", "b-0")]
+    assert harness.command("resume").reason == "no release is halted"
+    assert harness.command("halt", number=2).accepted
+    assert harness.step() == [("drain", "a-0")]
+    assert harness.command("halt").accepted
+    assert harness.command("halt").reason == "no release runs"
+    assert harness.command("resume").reason == "which of 1, 2?"
+    assert harness.command("resume", number=2).accepted
+    assert harness.command("back", number=1).accepted
+    assert [one.phase for one in harness.controller.report()] == ["running", "backing"]
+
+
+def test_a_halt_drops_pending_orders_at_once():
+    harness = Harness()
+    harness.command("start", spec=spec())
+    assert harness.step()
+    assert harness.command("halt", reason="smoke").accepted
+    assert harness.controller.orders == []
+    assert harness.step(3) == []
+    assert "ann: smoke" in harness.controller.report(1, history=True)[0].history[-1]
+
+
+def test_permits_unused_at_a_halt_are_released_once_no_order_can_be_pending():
+    harness = Harness()
+    harness.command("start", spec=spec())
+    harness.step()
+    harness.command("halt")
+    harness.step(3)
+    assert harness.budget.permit_of("a-0")
+    harness.controller.receive_inventory(inventory(), 50_003)
+    harness.step(50_004)
+    assert harness.budget.permit_of("a-0") is None
+    assert harness.command("resume").accepted
+    assert harness.step(50_005) == [("drain", "a-0")]
+
+
+def test_a_rollback_releases_permits_that_the_rollout_left_unused():
     """Granted in the moment of the halt: its holder is in the old version, and will never go."""
-    desk = Desk(most=1)
-    desk.say("start", spec=plan(canaries=1, batch=1))
-    desk.conductor.receive_inventory(listing(a_0={"version": "2"}), 1)
-    desk.conductor.rollouts[0].record.batch_index = 1
-    assert desk.look() == [("drain", "a-1")]
-    desk.say("halt")
-    desk.say("back")
-    assert desk.look(3) == []  # an order to drain a-1 may still be on its way
-    desk.conductor.receive_inventory(listing(a_0={"version": "2"}), 50_003)
-    desk.look(50_003)
-    assert desk.look(50_004) == [("drain", "a-0")]
-
-
-def test_another_s_permit_is_not_drained_on_and_another_s_stop_is_not_started():
-    desk = Desk()
-    desk.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(mark=1), reason="repairs"))
-    desk.say("start", spec=plan())
-    assert desk.look() == []
-    assert "another's: repairs" in desk.conductor.report()[0].progress
-    desk.conductor.receive_inventory(listing(a_0={"state": "stopped"}), 3)
-    assert desk.look(4) == []
-
-
-def test_a_version_found_bad_is_not_resumed_and_a_done_one_can_be_taken_back():
-    desk = Desk()
-    desk.say("start", spec=plan())
-    desk.conductor.receive_inventory(listing(a_0={"version": "2", "ends": 1}), 3)
-    desk.look(4)
-    told = desk.conductor.report()[0]
+    harness = Harness(most=1)
+    harness.command("start", spec=spec(canaries=1, batch=1))
+    harness.controller.receive_inventory(inventory(a_0={"version": "2"}), 1)
+    harness.controller.rollouts[0].record.batch_index = 1
+    assert harness.step() == [("drain", "a-1")]
+    harness.command("halt")
+    harness.command("back")
+    assert harness.step(3) == []  # an order to drain a-1 may still be on its way
+    harness.controller.receive_inventory(inventory(a_0={"version": "2"}), 50_003)
+    harness.step(50_003)
+    assert harness.step(50_004) == [("drain", "a-0")]
+
+
+def test_permits_and_stops_of_other_requesters_are_left_alone():
+    harness = Harness()
+    harness.budget.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(mark=1), reason="repairs"))
+    harness.command("start", spec=spec())
+    assert harness.step() == []
+    assert "another's: repairs" in harness.controller.report()[0].progress
+    harness.controller.receive_inventory(inventory(a_0={"state": "stopped"}), 3)
+    assert harness.step(4) == []
+
+
+def test_a_bad_version_is_not_resumed_and_a_completed_rollout_can_be_rolled_back():
+    harness = Harness()
+    harness.command("start", spec=spec())
+    harness.controller.receive_inventory(inventory(a_0={"version": "2", "ends": 1}), 3)
+    harness.step(4)
+    told = harness.controller.report()[0]
     assert told.phase == "halted"
     assert told.version_is_bad
     assert "ended by themselves" in told.reason
-    assert "only back is left" in desk.say("resume").reason
-    desk.conductor.rollouts[0].complete("played")
-    assert desk.say("start", spec=plan(sites=["b"])).accepted
-    assert desk.say("back", number=1).accepted
-    assert desk.look(5) == [("drain", "b-0"), ("drain", "a-0")][::-1]
-
-
-def test_one_that_starts_in_neither_version_holds_up_nobody_once_it_is_struck():
-    desk = Desk()
-    desk.say("start", spec=plan())
-    desk.look()
-    desk.seen["a-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
-    desk.conductor.receive_inventory(listing(a_0={"state": "failed", "version": "1", "starts": 2}), 3)
-    desk.look(4)
-    assert desk.conductor.report()[0].excluded == ["a-0"]
-    assert "starts in neither version" in desk.say("resume").reason
-    desk.permits.revoke("a-0", "ann")
-    desk.look(5)
-    assert desk.conductor.report()[0].excluded == []
-    assert desk.say("resume").accepted
-    assert desk.conductor.rollouts[0].all_members() == ["a-1"]
-
-
-def test_a_platform_that_is_not_heard_gets_no_orders_and_halts_in_the_end():
-    desk = Desk()
-    desk.say("start", spec=plan())
-    assert desk.look(30_001) == []
-    assert desk.conductor.report()[0].progress == "the platform is not heard"
-    assert desk.look(600_000) == []
-    assert desk.conductor.report()[0].phase == "halted"
-
-
-def test_a_release_without_a_step_halts_and_says_what_it_waited_for():
-    desk = Desk(most=1)
-    desk.seen["b-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
-    desk.say("start", spec=plan(stall_ms=2_000))
+    assert "only back is left" in harness.command("resume").reason
+    harness.controller.rollouts[0].complete("played")
+    assert harness.command("start", spec=spec(sites=["b"])).accepted
+    assert harness.command("back", number=1).accepted
+    assert harness.step(5) == [("drain", "b-0"), ("drain", "a-0")][::-1]
+
+
+def test_an_excluded_member_blocks_nothing_once_its_permit_is_revoked():
+    harness = Harness()
+    harness.command("start", spec=spec())
+    harness.step()
+    harness.observations["a-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
+    harness.controller.receive_inventory(inventory(a_0={"state": "failed", "version": "1", "starts": 2}), 3)
+    harness.step(4)
+    assert harness.controller.report()[0].excluded == ["a-0"]
+    assert "starts in neither version" in harness.command("resume").reason
+    harness.budget.revoke("a-0", "ann")
+    harness.step(5)
+    assert harness.controller.report()[0].excluded == []
+    assert harness.command("resume").accepted
+    assert harness.controller.rollouts[0].all_members() == ["a-1"]
+
+
+def test_a_silent_platform_gets_no_orders_and_halts_the_rollout_in_the_end():
+    harness = Harness()
+    harness.command("start", spec=spec())
+    assert harness.step(30_001) == []
+    assert harness.controller.report()[0].progress == "the platform is not heard"
+    assert harness.step(600_000) == []
+    assert harness.controller.report()[0].phase == "halted"
+
+
+def test_a_stalled_rollout_halts_and_reports_what_it_waited_for():
+    harness = Harness(most=1)
+    harness.observations["b-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
+    harness.command("start", spec=spec(stall_ms=2_000))
     for now in (10, 10_000, 19_999):
-        desk.conductor.receive_inventory(listing(), now)
-        assert desk.look(now) == []
-    desk.conductor.receive_inventory(listing(), 20_010)
-    desk.look(20_010)
-    told = desk.conductor.report()[0]
+        harness.controller.receive_inventory(inventory(), now)
+        assert harness.step(now) == []
+    harness.controller.receive_inventory(inventory(), 20_010)
+    harness.step(20_010)
+    told = harness.controller.report()[0]
     assert told.reason == "no step for 2 s: a-0 waits at place 1: fleet: 2 would be out, 1 may be"
-    assert not desk.permits.state.waiters  # who has halted asks for nothing
+    assert not harness.budget.state.waiters  # who has halted asks for nothing
 
 
-def test_a_new_reign_goes_on_with_what_was_kept_and_orders_nothing_before_it_has_seen():
-    desk = Desk()
-    desk.say("start", spec=plan())
-    desk.look()
-    kept = msgspec.json.decode(msgspec.json.encode(desk.conductor.states), type=RolloutStates)
-    desk.conductor.restore(kept, 100)
-    assert desk.look(101) == []
-    desk.conductor.receive_inventory(listing(), 102)
-    assert desk.look(103) == [("drain", "a-0")]
-    assert len(desk.permits.state.permits) == 1
+def test_a_new_leader_continues_and_orders_nothing_before_its_first_inventory():
+    harness = Harness()
+    harness.command("start", spec=spec())
+    harness.step()
+    kept = msgspec.json.decode(msgspec.json.encode(harness.controller.states), type=RolloutStates)
+    harness.controller.restore(kept, 100)
+    assert harness.step(101) == []
+    harness.controller.receive_inventory(inventory(), 102)
+    assert harness.step(103) == [("drain", "a-0")]
+    assert len(harness.budget.state.permits) == 1
 
 
-def test_figures_are_differences_of_one_life_and_lost_reports_lose_nothing():
+def test_samples_are_differences_within_one_incarnation_and_survive_lost_reports():
     reader = SampleReader()
 
     def shown(number, mark, bad, every):
@@ -234,23 +237,23 @@
     assert shown(11, 2, 1, 9).memory_kb == 7
 
 
-def test_services_below_are_as_the_platform_tells_and_out_while_it_is_not_heard():
-    conductor = Desk().conductor
+def test_services_are_observed_by_the_inventory_and_unavailable_without_one():
+    controller = Harness().controller
     for state, out in [
         ("up", None),
         ("draining", UnavailabilityReason.LEAVING),
         ("stopped", UnavailabilityReason.SILENT),
     ]:
-        conductor.receive_inventory(listing(services=[("store-1", state)]), 10)
-        assert conductor.observe_services(11)["store-1"].unavailability is out
-    assert conductor.observe_services(40_000)["store-1"].unavailability is UnavailabilityReason.SILENT
-    conductor.receive_inventory(listing(), 10)
+        controller.receive_inventory(inventory(services=[("store-1", state)]), 10)
+        assert controller.observe_services(11)["store-1"].unavailability is out
+    assert controller.observe_services(40_000)["store-1"].unavailability is UnavailabilityReason.SILENT
+    controller.receive_inventory(inventory(), 10)
     assert (
-        conductor.observe_services(11)["store-1"].unavailability is UnavailabilityReason.SILENT
+        controller.observe_services(11)["store-1"].unavailability is UnavailabilityReason.SILENT
     )  # the platform does not know it
 
 
-# ---- in the mind of a leader ------------------------------------------------------------------------------
+# ---- in the state of a leading planner ----------------------------------------------------------------
 
 GROUPS = [{"name": "fleet", "all": True, "most_out": 1}]
 PLATFORM = {"address": "127.0.0.1:9", "stale_ms": 600_000}
@@ -258,19 +261,19 @@
 
 def leader(folder, **more):
     stage = Stage(folder, sites=("a", "b"), **{"groups": GROUPS, "platform": PLATFORM} | more).pass_time(3)
-    stage.mind.conductor.receive_inventory(listing(), stage.now)
+    stage.mind.conductor.receive_inventory(inventory(), stage.now)
     return stage
 
 
 def begin(stage, **more):
     number, said = stage.mind.say(
-        RolloutCommand(action=RolloutAction.START, operator="ann", spec=plan(**more)), stage.now
+        RolloutCommand(action=RolloutAction.START, operator="ann", spec=spec(**more)), stage.now
     )
     assert said.accepted, said.reason
     return number
 
 
-def test_nothing_is_asked_of_the_platform_before_a_majority_keeps_it(tmp_path):
+def test_nothing_is_ordered_before_a_majority_has_stored_it(tmp_path):
     stage = leader(tmp_path)
     number = begin(stage)
     assert number > stage.mind.kept_number
@@ -286,7 +289,7 @@
     assert stage.mind.orders(stage.now) == []
 
 
-def test_a_permit_that_a_want_has_granted_is_kept_before_it_is_drained_on(tmp_path):
+def test_a_permit_granted_by_a_request_is_stored_before_it_is_drained_on(tmp_path):
     stage = leader(tmp_path, groups=[{"name": "fleet", "all": True, "most_out": 2}])
     begin(stage)
     stage.pass_time(0.3)
@@ -300,7 +303,7 @@
     assert mind.orders(stage.now + 2_500) == []
 
 
-def test_the_loss_of_a_site_halts_a_release_and_its_return_does_not_resume_it(tmp_path):
+def test_a_lost_site_halts_a_rollout_and_its_return_does_not_resume_it(tmp_path):
     stage = leader(tmp_path)
     begin(stage)
     stage.pass_time(0.5)
@@ -310,12 +313,12 @@
     assert told.phase == "halted"
     assert "site lost: b" in told.reason
     stage.give_back("b")
-    stage.mind.conductor.receive_inventory(listing(), stage.now)
+    stage.mind.conductor.receive_inventory(inventory(), stage.now)
     stage.pass_time(20)
     assert stage.mind.told_releases(stage.now)[0].phase == "halted"
 
 
-def test_a_member_whose_service_below_is_out_is_out_with_it(tmp_path):
+def test_a_member_is_unavailable_with_the_service_it_depends_on(tmp_path):
     told = fleet_told(sites=("a", "b"), planners=1)
     told["sites"][0]["members"][0]["needs"] = ["store-1"]
     stage = leader(tmp_path)
@@ -324,7 +327,7 @@
     path.write_text(json.dumps(told))
     assert stage.mind.amend(read_fleet(path), stage.now) == []
     assert stage.mind.seen(stage.now)["a-0"].unavailability is UnavailabilityReason.BELOW
-    stage.mind.conductor.receive_inventory(listing(services=[("store-1", "up")]), stage.now)
+    stage.mind.conductor.receive_inventory(inventory(services=[("store-1", "up")]), stage.now)
     assert stage.mind.seen(stage.now)["a-0"].unavailability is None
 
 
@@ -359,7 +362,7 @@
     return read_fleet(path)
 
 
-def test_a_lowered_budget_grants_nothing_until_enough_are_back(tmp_path):
+def test_a_lowered_budget_grants_nothing_until_enough_members_are_back(tmp_path):
     stage = fixed(tmp_path)
     begin(stage)
     stage.pass_time(0.5)
@@ -370,7 +373,7 @@
     assert stage.mind.permits.groups[0].disruptions_allowed == 0
 
 
-def test_members_join_and_leave_half_way_and_a_name_comes_back(tmp_path):
+def test_members_join_and_leave_during_a_rollout_and_a_name_returns(tmp_path):
     stage = fixed(tmp_path)
     begin(stage)
     stage.pass_time(0.5)
@@ -405,7 +408,7 @@
         (lambda told: told["platform"].update(address="127.0.0.1:10"), "platform.address"),
     ],
 )
-def test_what_can_not_be_taken_over_under_way_and_then_nothing_is(tmp_path, change, why):
+def test_a_fleet_file_with_a_forbidden_change_is_refused_as_a_whole(tmp_path, change, why):
     stage = fixed(tmp_path)
     before = stage.mind.fleet
     troubles = amended(stage, tmp_path, change)
