--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -100,7 +100,7 @@
         self._steps = MemberSteps(record, budget)
         self._watch = BatchWatch(record, site_of)
         self._stall = StallDetector()
-        self._phase_entered_at = -1  # the first step in this phase; before it -1
+        self._phase_entered_at = -1  # the first step in this phase; -1 until then
         self._stepped_at: int | None = None
         self._unrecorded_time = 0  # since the last line of the history
 
@@ -300,7 +300,11 @@
         return []
 
     def _release_unused_permits(self, view: FleetView, now: int) -> None:
-        """Release what a halt has left unused, once no order to drain can be on its way any more."""
+        """Release what a halt has left unused, once no order to drain can be on its way any more.
+
+        The lifetime of orders is counted from the first step after the halt; a halt decided within this step
+        releases at once.
+        """
         phase = self.phase
         if phase not in (RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK):
             return
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -41,7 +41,9 @@
     assert sum(verdict is CanaryVerdict.GOOD for verdict, _ in found) >= 145
 
 
-@pytest.mark.parametrize(("worse", "looks"), [(0.5, 10), (0.3, 20), (0.15, 60)])
+@pytest.mark.parametrize(
+    ("worse", "looks"), [(0.5, 10), (0.3, 20), (0.15, 60)], ids=["much worse", "worse", "slightly worse"]
+)
 def test_worse_versions_are_found_sooner(worse, looks):
     found = [watch(seed, worse) for seed in range(60)]
     assert all(verdict is CanaryVerdict.BAD for verdict, _ in found)
@@ -114,6 +116,7 @@
         (45_000, 20, CanaryVerdict.GOOD),
         (0, 20, CanaryVerdict.GOOD),
     ],
+    ids=["one look short", "leak", "within the bound", "not reported"],
 )
 def test_lasting_memory_far_above_the_baseline_is_a_leak(held, looks, verdict):
     figures = {"late": (0, 500)}
--- a/tests/test_disruption_budget.py
+++ b/tests/test_disruption_budget.py
@@ -38,7 +38,9 @@
 
 
 @pytest.mark.parametrize(
-    ("most", "share", "allowed"), [(None, None, 10), (3, None, 3), (None, 0.25, 2), (3, 0.2, 2), (1, 0.9, 1)]
+    ("most", "share", "allowed"),
+    [(None, None, 10), (3, None, 3), (None, 0.25, 2), (3, 0.2, 2), (1, 0.9, 1)],
+    ids=["no bound", "number", "share", "lower share", "lower number"],
 )
 def test_the_lower_of_both_bounds_is_allowed_to_be_unavailable(most, share, allowed):
     assert BudgetGroup("g", frozenset(map(str, range(10))), most, share).disruptions_allowed == allowed
@@ -60,7 +62,7 @@
     assert budget.acquire(waiter("a-0", 2), observations).permit is not None
 
 
-@pytest.mark.parametrize("why", list(UnavailabilityReason)[1:])
+@pytest.mark.parametrize("why", list(UnavailabilityReason)[1:], ids=lambda reason: reason.value)
 def test_unplanned_unavailability_counts_and_planned_eviction_waits(why):
     budget, observations = budget_and_fleet()
     observations["a-1"] = MemberObservation(incarnation(), 10.0, why)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -169,7 +169,11 @@
     assert len(harness.rollout.record.history) == 3
 
 
-@pytest.mark.parametrize(("ends", "phase"), [(1, RolloutPhase.RUNNING), (2, RolloutPhase.HALTED)])
+@pytest.mark.parametrize(
+    ("ends", "phase"),
+    [(1, RolloutPhase.RUNNING), (2, RolloutPhase.HALTED)],
+    ids=["within the bound", "past it"],
+)
 def test_crashes_count_without_statistics_and_whoever_observed_them(ends, phase):
     harness = Harness(plan=msgspec.structs.replace(PLAN, max_crashes=1))
     harness.instances["a-0"] = InstanceView(InstanceStatus.UP, "new", crashes=ends)
@@ -229,6 +233,7 @@
         ({"margins": {}}, "nothing would be judged"),
         ({}, ""),
     ],
+    ids=["same version", "watch bounds", "repeated site", "no margins", "valid"],
 )
 def test_contradictions_in_a_release_file_are_found(more, words):
     told = {"version": "new", "before": "old", "watch_ms": 1_000, "watch_most_ms": 2_000} | more
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -69,6 +69,7 @@
         ({}, ""),
         ({"margins": {"late:order": 0.1}, "sites": ["b", "a"]}, ""),
     ],
+    ids=["unknown site", "other version", "unknown metric", "sites and groups", "valid", "valid for a class"],
 )
 def test_obstacles_are_found_before_the_first_drain(more, why):
     said = Harness().command("start", spec=spec(**more))
@@ -407,6 +408,7 @@
         (lambda told: told.update(platform=None), "platform: comes and goes"),
         (lambda told: told["platform"].update(address="127.0.0.1:10"), "platform.address"),
     ],
+    ids=["planners", "site names", "calls of a member", "plan span", "no platform", "platform address"],
 )
 def test_a_fleet_file_with_a_forbidden_change_is_refused_as_a_whole(tmp_path, change, why):
     stage = fixed(tmp_path)
