--- a/birchslip/cluster/disruption_tally.py
+++ b/birchslip/cluster/disruption_tally.py
@@ -8,7 +8,12 @@
 
 from collections.abc import Iterable, Mapping
 
-from .disruption_types import TOLERANCE, BudgetGroup, MemberObservation, UnavailabilityReason
+from .disruption_types import (
+    TOLERANCE,
+    BudgetGroup,
+    MemberObservation,
+    UnavailabilityReason,
+)
 
 
 class BudgetIndex:
--- a/birchslip/cluster/disruption_types.py
+++ b/birchslip/cluster/disruption_types.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from .messages import Count, Incarnation, Message, Name, Span, Words
+from .messages import Count, Incarnation, Message, Name, Span, Text
 
 TOLERANCE = 1e-9  # rounding errors of float sums and products
 
@@ -79,7 +79,7 @@
 
     holder: Name
     incarnation: Incarnation
-    reason: Words
+    reason: Text
     number: Count
     override: bool = False
 
@@ -89,7 +89,7 @@
 
     holder: Name
     incarnation: Incarnation
-    reason: Words
+    reason: Text
 
 
 class BudgetOverride(Message, rename={"requester": "who", "reason": "why", "remaining": "left"}):
@@ -98,8 +98,8 @@
     `count` is the number of permits left in it, `remaining` the time left by the leader's clock.
     """
 
-    requester: Words
-    reason: Words
+    requester: Text
+    reason: Text
     count: Count
     remaining: Span
 
@@ -112,7 +112,7 @@
     permits: list[Permit] = msgspec.field(default_factory=list)
     waiters: list[EvictionWaiter] = msgspec.field(default_factory=list)
     overrides: list[BudgetOverride] = msgspec.field(default_factory=list)
-    audit_log: list[Words] = msgspec.field(default_factory=list)
+    audit_log: list[Text] = msgspec.field(default_factory=list)
     last_permit_number: Count = 0
 
 
--- a/birchslip/cluster/member_samples.py
+++ b/birchslip/cluster/member_samples.py
@@ -29,14 +29,14 @@
         if last.incarnation != report.incarnation:
             last = report
         outcomes: dict[str, tuple[float, float]] = {}
-        for metric, (bad, total) in report.figures.items():
-            last_bad, last_total = last.figures.get(metric, (0, 0))
+        for metric, (bad, total) in report.metrics.items():
+            last_bad, last_total = last.metrics.get(metric, (0, 0))
             outcomes[metric] = (max(0, bad - last_bad), max(0, total - last_total))
         durations = {}
-        for request_class, counts in report.took.items():
-            last_counts = last.took.get(request_class) or [0] * len(counts)
+        for request_class, counts in report.latency_histograms.items():
+            last_counts = last.latency_histograms.get(request_class) or [0] * len(counts)
             durations[request_class] = histogram_difference(counts, last_counts)
-        return MemberSample(report.warm, outcomes, report.memory, durations)
+        return MemberSample(report.is_warm, outcomes, report.resident_memory_kb, durations)
 
 
 def histogram_difference(counts: list[int], last_counts: list[int]) -> list[int]:
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -19,7 +19,13 @@
 from .rollout import Rollout
 from .rollout_batches import plan_batches
 from .rollout_checks import StartConditions, find_obstacle, find_shared_members
-from .rollout_messages import CommandResult, RolloutAction, RolloutCommand, RolloutReport, RolloutStates
+from .rollout_messages import (
+    CommandResult,
+    RolloutAction,
+    RolloutCommand,
+    RolloutReport,
+    RolloutStates,
+)
 from .rollout_types import (
     TICKS_PER_SECOND,
     FleetView,
--- a/birchslip/cluster/rollout_messages.py
+++ b/birchslip/cluster/rollout_messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from .canary_metrics import MetricReport
-from .messages import Count, Message, Words
+from .messages import Count, Message, Text
 from .rollout_types import RolloutRecord, RolloutSpec
 
 
@@ -42,8 +42,8 @@
 
     action: RolloutAction
     number: Count = 0
-    operator: Words = ""
-    reason: Words = ""
+    operator: Text = ""
+    reason: Text = ""
     spec: RolloutSpec | None = None
 
 
--- a/birchslip/cluster/rollout_types.py
+++ b/birchslip/cluster/rollout_types.py
@@ -16,7 +16,7 @@
 
 from .canary_analysis import CanaryEvidence, MemberSample
 from .disruption_types import MemberObservation
-from .messages import Count, Message, Name, Part, Span, Words
+from .messages import Count, Message, Name, Fraction, Span, Text
 
 TICKS_PER_MS = 10
 TICKS_PER_SECOND = 10_000
@@ -90,7 +90,7 @@
     batch_size: Annotated[int, msgspec.Meta(ge=1, le=1_000)] = 2
     min_watch_ms: DurationMs = 10_000
     max_watch_ms: DurationMs = 120_000
-    margins: dict[Name, Part] = msgspec.field(
+    margins: dict[Name, Fraction] = msgspec.field(
         default_factory=lambda: {"late": 0.05, "slow": 0.15, "shed": 0.05, "written_off": 0.02}
     )
     max_crashes: Annotated[int, msgspec.Meta(ge=0, le=100)] = 0
@@ -145,10 +145,10 @@
     age: Span = 0
     batch_index: Count = 0
     phase: Name = RolloutPhase.RUNNING.value
-    reason: Words = ""
+    reason: Text = ""
     version_is_bad: bool = False
     excluded: list[Name] = msgspec.field(default_factory=list)
-    history: list[Words] = msgspec.field(default_factory=list)
+    history: list[Text] = msgspec.field(default_factory=list)
     evidence: CanaryEvidence | None = None
 
     def all_members(self) -> list[str]:
--- a/birchslip/cluster/rollout_watch.py
+++ b/birchslip/cluster/rollout_watch.py
@@ -12,7 +12,13 @@
 
 from .canary_analysis import CanaryAnalysis, MemberSample, margins_across_sites
 from .canary_metrics import CanaryVerdict
-from .rollout_types import TICKS_PER_MS, TICKS_PER_SECOND, FleetView, InstanceView, RolloutRecord
+from .rollout_types import (
+    TICKS_PER_MS,
+    TICKS_PER_SECOND,
+    FleetView,
+    InstanceView,
+    RolloutRecord,
+)
 
 EVIDENCE_INTERVAL = TICKS_PER_SECOND  # how often evidence is stored
 
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -51,7 +51,7 @@
     """Whether a planner that follows would answer from its copy of the state."""
     if isinstance(command, RolloutCommand):
         return command.action is RolloutAction.STATUS
-    return isinstance(command, OperatorCommand) and command.what == "show"
+    return isinstance(command, OperatorCommand) and command.operation == "show"
 
 
 class Play(World):
@@ -151,7 +151,7 @@
             for name in planners or self.names:
                 line = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
                 try:
-                    raw = line.ask(method, encode(record), self.scheduler.now + ASK)
+                    raw = line.call(method, encode(record), self.scheduler.now + ASK)
                     answer: dict[str, Any] = json.loads(raw)
                     if must_come_from_leader(record) and not answer["leads"]:
                         continue
@@ -175,7 +175,9 @@
         return answer["releases"][0] if answer["releases"] else {}
 
     def permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
-        return self.ask(EvictionRequest(what="permit", holder=holder, why="by hand"), "want", planners)
+        return self.ask(
+            EvictionRequest(operation="permit", holder=holder, reason="by hand"), "want", planners
+        )
 
     # ---- moments ---------------------------------------------------------------------------------------
 
@@ -253,7 +255,7 @@
 
     def known(self) -> bool:
         """The leader hears all members, warm, and nobody is out."""
-        shown = self.ask(OperatorCommand(what="show"), "wish")
+        shown = self.ask(OperatorCommand(operation="show"), "wish")
         return len(shown.get("members", ())) == len(self.servers) and not shown["out"]
 
     def follow(self) -> None:
@@ -467,7 +469,7 @@
                 raise RuntimeError(f"no such step: {what}")
 
     def at_home(self) -> bool:
-        shown = self.ask(OperatorCommand(what="show"), "wish")
+        shown = self.ask(OperatorCommand(operation="show"), "wish")
         return bool(shown.get("sites")) and all(site["stage"] == "home" for site in shown["sites"])
 
     def by_hand(self) -> None:
@@ -494,7 +496,7 @@
         self.operator_s.append(f"alone: {alone.get('granted')}; others: {others.get('granted')}")
         self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
         hand_back: Callable[[], dict[str, Any]] = partial(
-            self.ask, EvictionRequest(what="hand-back", holder=name), "want"
+            self.ask, EvictionRequest(operation="hand-back", holder=name), "want"
         )
         until = self.scheduler.now + 60 * SECOND
         # Granted in the end or not, it does not go: its place is given back.
--- a/birchslip/lab/rollouts.py
+++ b/birchslip/lab/rollouts.py
@@ -14,7 +14,12 @@
 
 from ..cluster.canary_analysis import MemberSample
 from ..cluster.disruption_budget import DisruptionBudget
-from ..cluster.disruption_types import BudgetGroup, BudgetState, MemberObservation, UnavailabilityReason
+from ..cluster.disruption_types import (
+    BudgetGroup,
+    BudgetState,
+    MemberObservation,
+    UnavailabilityReason,
+)
 from ..cluster.messages import Incarnation
 from ..cluster.rollout import Rollout
 from ..cluster.rollout_batches import plan_batches
@@ -113,7 +118,7 @@
                 )
             elif self.now < one.warm_at:
                 why = UnavailabilityReason.COLD
-            found[name] = MemberObservation(Incarnation(mark=one.life), 10.0, why)
+            found[name] = MemberObservation(Incarnation(nonce=one.life), 10.0, why)
         return found
 
     def platform(self) -> dict[str, InstanceView]:
--- a/tests/fleetdesk.py
+++ b/tests/fleetdesk.py
@@ -32,9 +32,9 @@
         "plan": 0,
     }
     site = site or name.rpartition("-")[0]
-    met = [ProbeResult(name=door, met=what) for door, what in knocks]
+    met = [ProbeResult(member=door, outcome=what) for door, what in knocks]
     return MemberReport(
-        name=name, number=number, site=site, incarnation=Incarnation(mark=mark), knocks=met, **usual | more
+        name=name, sequence=number, site=site, incarnation=Incarnation(nonce=mark), probes=met, **usual | more
     )
 
 
@@ -85,16 +85,18 @@
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += LOOK
-            ask = self.mind.ballot.ask(self.now)
+            ask = self.mind.ballot.next_vote_request(self.now)
             if ask is not None:
-                own = self.mind.ballot.asked(ask, self.now)
-                self.mind.ballot.answered(own, ask.epoch, self.now, self.now)
+                own = self.mind.ballot.handle_vote_request(ask, self.now)
+                self.mind.ballot.handle_vote_response(own, ask.term, self.now, self.now)
             if self.now % (2 * LOOK) == 0:
                 self.reports()
             self.mind.look(self.now)
             keep = self.mind.keep()
-            if keep is not None and self.mind.ballot.kept(self.mind.ballot.keep(keep, self.now), keep.number):
-                self.mind.kept(keep.number)
+            if keep is not None and self.mind.ballot.handle_replication_response(
+                self.mind.ballot.handle_replication_request(keep, self.now), keep.state_number
+            ):
+                self.mind.kept(keep.state_number)
             self.events += [(self.now, event, more) for event, more in self.mind.take_remarks()]
         return self
 
--- a/tests/test_mind.py
+++ b/tests/test_mind.py
@@ -144,7 +144,7 @@
 
 def want(stage, holder, what="permit", **more):
     number, granted = stage.mind.want(
-        EvictionRequest(what=what, holder=holder, why="a release", **more), stage.now
+        EvictionRequest(operation=what, holder=holder, reason="a release", **more), stage.now
     )
     stage.pass_time(0.2)
     assert number <= stage.mind.kept_number
@@ -211,5 +211,5 @@
 
 def test_a_mind_is_told_by_its_own_incarnation(tmp_path):
     stage = Stage(tmp_path).pass_time(4)
-    assert stage.replies["a-0"].author == Incarnation(life=1, mark=1)
+    assert stage.replies["a-0"].author == Incarnation(generation=1, nonce=1)
     assert fleet(tmp_path).order[0].value == "beyond" and stage.now == 4 * SECOND
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -35,7 +35,7 @@
             RolloutRecord(spec=plan, batches=plan_batches(plan, SITES)), self.budget, site_of
         )
         self.instances = {name: InstanceView(InstanceStatus.UP, "old") for name in NAMES}
-        self.observations = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
+        self.observations = {name: MemberObservation(Incarnation(nonce=1), 10.0) for name in NAMES}
         self.now = 0
 
     def step(self, lost_sites=(), samples=None):
@@ -54,7 +54,7 @@
     def come_up(self, name, version="new"):
         self.instances[name] = InstanceView(InstanceStatus.UP, version)
         self.observations[name] = MemberObservation(
-            Incarnation(mark=self.observations[name].incarnation.mark + 1), 10.0
+            Incarnation(nonce=self.observations[name].incarnation.nonce + 1), 10.0
         )
 
 
@@ -123,10 +123,10 @@
     harness = Harness()
     harness.step()
     harness.observations["a-0"] = MemberObservation(
-        Incarnation(mark=2), 10.0, UnavailabilityReason.COLD
+        Incarnation(nonce=2), 10.0, UnavailabilityReason.COLD
     )  # it crashed and came back by itself
     assert harness.step() == []
-    harness.observations["a-0"] = MemberObservation(Incarnation(mark=2), 10.0)
+    harness.observations["a-0"] = MemberObservation(Incarnation(nonce=2), 10.0)
     assert harness.step() == [("drain", "a-0", "new")]
     assert harness.budget.state.permits[0].number == 2
 
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -44,7 +44,7 @@
     def __init__(self, most=2):
         self.budget = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), max_unavailable=most)])
         self.controller = RolloutController(PARTS, ["store-1"], self.budget, 30_000)
-        self.observations = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
+        self.observations = {name: MemberObservation(Incarnation(nonce=1), 10.0) for name in NAMES}
         self.controller.receive_inventory(inventory(), 0)
 
     def command(self, what, now=1, **more):
@@ -149,7 +149,7 @@
 
 def test_permits_and_stops_of_other_requesters_are_left_alone():
     harness = Harness()
-    harness.budget.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(mark=1), reason="repairs"))
+    harness.budget.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(nonce=1), reason="repairs"))
     harness.command("start", spec=spec())
     assert harness.step() == []
     assert "another's: repairs" in harness.controller.report()[0].progress
@@ -177,7 +177,7 @@
     harness = Harness()
     harness.command("start", spec=spec())
     harness.step()
-    harness.observations["a-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
+    harness.observations["a-0"] = MemberObservation(Incarnation(nonce=1), 10.0, UnavailabilityReason.SILENT)
     harness.controller.receive_inventory(inventory(a_0={"state": "failed", "version": "1", "starts": 2}), 3)
     harness.step(4)
     assert harness.controller.report()[0].excluded == ["a-0"]
@@ -200,7 +200,7 @@
 
 def test_a_stalled_rollout_halts_and_reports_what_it_waited_for():
     harness = Harness(most=1)
-    harness.observations["b-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
+    harness.observations["b-0"] = MemberObservation(Incarnation(nonce=1), 10.0, UnavailabilityReason.SILENT)
     harness.command("start", spec=spec(stall_ms=2_000))
     for now in (10, 10_000, 19_999):
         harness.controller.receive_inventory(inventory(), now)
@@ -297,7 +297,7 @@
     mind = stage.mind
     mind.permits.state.permits.clear()  # as if only a want's serving granted it, and nobody kept that yet
     why = mind.conductor.rollouts[0].permit_reason
-    mind.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(mark=1), reason=why))
+    mind.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(nonce=1), reason=why))
     mind.renew(stage.now)
     mind.look(stage.now + 2_500)
     assert mind.conductor.orders
--- a/tests/test_stored_rollout.py
+++ b/tests/test_stored_rollout.py
@@ -141,8 +141,11 @@
     def life(name):
         return 2 if name in ON_NEW_VERSION else 1
 
-    seen = {name: MemberObservation(Incarnation(life=life(name), mark=life(name)), 10.0) for name in SITE_OF}
-    seen["b-0"] = MemberObservation(Incarnation(life=1, mark=1), 10.0, UnavailabilityReason.SILENT)
+    seen = {
+        name: MemberObservation(Incarnation(generation=life(name), nonce=life(name)), 10.0)
+        for name in SITE_OF
+    }
+    seen["b-0"] = MemberObservation(Incarnation(generation=1, nonce=1), 10.0, UnavailabilityReason.SILENT)
     return seen
 
 
