--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -85,23 +85,23 @@
         now = 3 * SECOND
         names = [(member.name, site.name) for site in told for member in site.members]
         for step in range(8):
-            now += mind.every()
+            now += mind.report_interval()
             ask = ballot.ask(now)
             if ask is not None:
                 ballot.answered(ballot.asked(ask, now), ask.epoch, now, now)
             for name, site in names:
-                mind.hear(report(name, site, step + 1), now)
-            mind.look(now)
-            keep = mind.keep()
+                mind.receive_report(report(name, site, step + 1), now)
+            mind.tick(now)
+            keep = mind.replication_request()
             if keep is not None and ballot.kept(ballot.keep(keep, now), keep.number):
-                mind.kept(keep.number)
-        mind.evacuate("s0", "bench", "bench", now)
-        planned = took(partial(mind.renew, now))
-        looked = took(partial(mind.look, now))
+                mind.mark_replicated(keep.number)
+        mind.evacuate_site("s0", "bench", "bench", now)
+        planned = took(partial(mind.replan, now))
+        looked = took(partial(mind.tick, now))
         raws = [encode(report(name, site, 100)) for name, site in names[:500]]
         began = time.perf_counter()
         for raw in raws:
-            encode(mind.hear(decode(raw, MemberReport), now))
+            encode(mind.receive_report(decode(raw, MemberReport), now))
         each = (time.perf_counter() - began) / len(raws) * 1e6
         scale = planned / (members * log2(members)) * 1e3
         print(f"{members:7} {planned:8.2f} {scale:12.3f} {looked:8.2f} {each:10.0f}")
--- a/birchslip/cluster/fleet_diff.py
+++ b/birchslip/cluster/fleet_diff.py
@@ -1,51 +1,74 @@
-"""What of a later fleet file may be taken over while planners run, and what needs their restart.
+"""Fleet file changes: what of a later file may be applied while planners run, and what needs a restart.
 
-| part | may change under way |
+| part | may change while planners run |
 | --- | --- |
 | `groups`, `services`, `platform.stale_ms` | yes: a budget below what is out grants nothing for a while |
-| members, `needs`, `routers`, `links`, `tenants`, `refuse` | yes, where all who stay keep their share |
-| `planners` | no: who is a majority would be told differently to each |
-| sites by name, `vault` | no: plans, and leases that are out, rest on them |
-| spans | no: leases and plans were told by them |
+| members, `needs`, `routers`, `links`, `tenants`, `refuse` | yes, if all members that stay keep their quota |
+| `planners` | no: planners would count different majorities |
+| sites by name, `vault` | no: plans and leases in force rest on them |
+| spans | no: leases and plans in force were granted by them |
 
-A member's share of the vault is even where it isn't told, so one that joins would make all others' smaller:
-each of them would go on using more until it read the file again. `calls` told for each member avoids that.
+A member's quota of the vault is an even share if `calls` is not given, so one member that joins would make
+all others' smaller, and each would go on using more until it read the file again. `calls` given for each
+member avoids that.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from typing import NamedTuple
 
 from .fleet_file import Fleet
 
-FIXED = ("planners", "vault", "report_ms", "plan_ms", "fade_ms", "patience_ms")
+RESTART_ONLY_FIELDS = ("planners", "vault", "report_ms", "plan_ms", "fade_ms", "patience_ms")
+QUOTA_TOLERANCE = 1e-9  # calls
 
 
-def hindered(old: Fleet, new: Fleet) -> Iterator[str]:
-    """Why the later file can't be taken over under way, a line each."""
-    for part in FIXED:
-        if getattr(old, part) != getattr(new, part):
-            yield f"{part}: changes at a restart of the planners only"
+class MemberChanges(NamedTuple):
+    """The names of members that leave and join, sorted; a member that changes its site does both."""
+
+    left: list[str]
+    joined: list[str]
+
+
+def blocked_changes(old: Fleet, new: Fleet) -> Iterator[str]:
+    """Yields a line for each change that needs a restart of the planners."""
+    for field in RESTART_ONLY_FIELDS:
+        if getattr(old, field) != getattr(new, field):
+            yield f"{field}: changes at a restart of the planners only"
     if [site.name for site in old.sites] != [site.name for site in new.sites]:
         yield "sites: their names change at a restart of the planners only"
-    before, after = old.bases(), new.bases()
+    yield from _changed_quota(old, new)
+    yield from _changed_platform(old, new)
+
+
+def _changed_quota(old: Fleet, new: Fleet) -> Iterator[str]:
+    """Yields a line for the first member whose quota would change."""
+    before = old.bases()
+    after = new.bases()
     for name in before.keys() & after.keys():
-        if abs(before[name] - after[name]) > 1e-9:
+        if abs(before[name] - after[name]) > QUOTA_TOLERANCE:
             yield (
                 f"sites: {name!r} would have {after[name]:g} calls of the vault, "
                 f"where it has {before[name]:g}: tell `calls` of each member"
             )
-            break
+            return
+
+
+def _changed_platform(old: Fleet, new: Fleet) -> Iterator[str]:
     if (old.platform is None) != (new.platform is None):
         yield "platform: comes and goes at a restart of the planners only"
-    elif (
-        old.platform is not None and new.platform is not None and old.platform.address != new.platform.address
-    ):
+    if old.platform is None or new.platform is None:
+        return
+    if old.platform.address != new.platform.address:
         yield "platform.address: changes at a restart of the planners only"
 
 
-def moved(old: Fleet, new: Fleet) -> tuple[list[str], list[str]]:
-    """Members that leave and that join; one at another site does both."""
-    before = {(one.name, site.name) for site in old.sites for one in site.members}
-    after = {(one.name, site.name) for site in new.sites for one in site.members}
-    return sorted(name for name, _ in before - after), sorted(name for name, _ in after - before)
+def member_changes(old: Fleet, new: Fleet) -> MemberChanges:
+    """Returns the members that leave and that join."""
+    before = {(member.name, site.name) for site in old.sites for member in site.members}
+    after = {(member.name, site.name) for site in new.sites for member in site.members}
+    return MemberChanges(
+        left=sorted(name for name, _ in before - after),
+        joined=sorted(name for name, _ in after - before),
+    )
--- a/birchslip/cluster/inventory.py
+++ b/birchslip/cluster/inventory.py
@@ -1,10 +1,8 @@
-"""What the platform tells of processes, read off its JSON: its own form, in which what is not known here is
-passed over.
+"""The platform's inventory of processes, decoded from its JSON.
 
     {"members": {"a-1": {"state": "up", "version": "7", "starts": 0, "ends": 0}}, "services": {...}}
 
-`state` is `up`, `draining`, `stopped` or `failed`; `starts` counts starts in `version` that did not come up,
-`ends` how often it ended by itself in it, `life` all its starts.
+Unlike our own messages it may have keys that are unknown here; they are ignored.
 """
 
 from __future__ import annotations
@@ -18,38 +16,67 @@
 from .messages import Count, Incarnation, Name
 from .rollout import InstanceStatus, PlatformView, Version
 
+SERVICE_CAPACITY = 1.0  # services have no measured capacity: each counts as one
+
+
+class ProcessReport(
+    msgspec.Struct, rename={"failed_starts": "starts", "crashes": "ends", "start_count": "life"}
+):
+    """One process as the platform sees it.
+
+    Attributes:
+        state: A value of `InstanceStatus`.
+        version: The version that it runs or was last to run.
+        failed_starts: Starts in that version that did not come up.
+        crashes: How often it ended by itself in that version.
+        start_count: All its starts.
+    """
 
-class ProcessReport(msgspec.Struct):
     state: Annotated[str, msgspec.Meta(pattern="^(up|draining|stopped|failed)$")]
     version: Version = "unknown"
-    starts: Count = 0
-    ends: Count = 0
-    life: Count = 0
+    failed_starts: Count = 0
+    crashes: Count = 0
+    start_count: Count = 0
 
 
 class Inventory(msgspec.Struct):
+    """All processes that the platform knows, by name: app servers and the services below them."""
+
     members: dict[Name, ProcessReport]
     services: dict[Name, ProcessReport] = {}
 
-    def platform(self) -> dict[str, PlatformView]:
+    def instances(self) -> dict[str, PlatformView]:
+        """Returns the app servers as rollouts see them."""
         return {
-            name: PlatformView(InstanceStatus(one.state), one.version, one.starts, one.ends)
-            for name, one in self.members.items()
+            name: PlatformView(
+                InstanceStatus(process.state), process.version, process.failed_starts, process.crashes
+            )
+            for name, process in self.members.items()
         }
 
-    def service(self, name: str) -> MemberObservation:
-        """As it is seen among the members; one that the platform does not know is out."""
-        one = self.services.get(name)
-        if one is None:
+    def observe_service(self, name: str) -> MemberObservation:
+        """Returns whether a service is out; one that the platform does not know is."""
+        process = self.services.get(name)
+        if process is None:
             return MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
-        why = {"up": None, "draining": UnavailabilityReason.LEAVING}.get(
-            one.state, UnavailabilityReason.SILENT
-        )
-        return MemberObservation(Incarnation(life=one.life), 1.0, why)
+        incarnation = Incarnation(life=process.start_count)
+        match InstanceStatus(process.state):
+            case InstanceStatus.UP:
+                reason = None
+            case InstanceStatus.DRAINING:
+                reason = UnavailabilityReason.LEAVING
+            case _:
+                reason = UnavailabilityReason.SILENT
+        return MemberObservation(incarnation, SERVICE_CAPACITY, reason)
 
 
 def read_inventory(raw: bytes) -> Inventory:
+    """Decodes the platform's answer.
+
+    Raises:
+        InvalidInputError: It is not an inventory.
+    """
     try:
         return msgspec.json.decode(raw, type=Inventory)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise InvalidInputError(f"a listing of the platform: {trouble}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise InvalidInputError(f"a listing of the platform: {error}") from None
--- /dev/null
+++ b/birchslip/cluster/member_observations.py
@@ -0,0 +1,43 @@
+"""Observations: for each member of the fleet file, whether it counts as out of service, and why."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from .disruption_budget import MemberObservation, UnavailabilityReason
+from .membership import Member, MemberLiveness
+from .messages import Incarnation
+from .site_supervisor import SiteSupervisor
+
+NEVER_HEARD = MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
+
+
+def observe_members(
+    site_of_member: Mapping[str, str], sites: SiteSupervisor, report_interval: int, now: int
+) -> dict[str, MemberObservation]:
+    """Returns an observation of each member; one that was never heard is out."""
+    observations = {}
+    for name, site in site_of_member.items():
+        member = sites.membership.members.get(name)
+        if member is None:
+            observations[name] = NEVER_HEARD
+            continue
+        reason = _unavailability(member, sites.ramps[site].is_serving, report_interval, now)
+        capacity = sites.member_capacity(member)
+        observations[name] = MemberObservation(member.incarnation, capacity, reason)
+    return observations
+
+
+def _unavailability(
+    member: Member, site_is_serving: bool, report_interval: int, now: int
+) -> UnavailabilityReason | None:
+    liveness = member.liveness(now, report_interval)
+    if liveness is MemberLiveness.LEFT:
+        return UnavailabilityReason.LEAVING
+    if liveness is not MemberLiveness.ALIVE:
+        return UnavailabilityReason.SILENT
+    if not site_is_serving:
+        return UnavailabilityReason.LOST
+    if not member.report.serving or not member.report.warm:
+        return UnavailabilityReason.COLD
+    return None
--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -1,211 +1,297 @@
-"""Who is there, in which site, in which life of it; and which sites are lost.
+"""Membership: which members are alive, in which incarnation, and what that says about their sites.
 
-| verdict on a site | what tells it apart |
+Decides verdicts on members and sites; it never acts on them.
+
+| verdict on a site | evidence |
 | --- | --- |
-| here | a planner hears most of its members |
-| slow | its members are heard, but late or with a pace of twice the usual and more |
-| restarting | members are gone and come back in a new life, or said that they leave; the others are heard |
-| cut off | no planner hears it, and a witness of another site knocked at a door there and was answered |
-| lost | no planner hears it, and witnesses of other sites were refused or met silence at several doors |
-| dark | no planner hears it, and there is no evidence of witnesses yet: nothing is done about it |
-
-One planner's silence is no evidence: members that any planner hears count as heard, and a site is called lost
-only on knocks of several members that are themselves heard. Indirect probes by other members are those of
-SWIM (Das, Gupta and Motivala 2002).
+| reachable | a planner hears most of its members |
+| slow | its members are heard, but most of them run at twice their usual time and more |
+| restarting | most members are missing, leaving or in a new incarnation; the others are heard |
+| partitioned | no planner hears it, and a probe by a member of another site was answered |
+| lost | no planner hears it, and probes by several members of other sites were refused or timed out |
+| unknown | no planner hears it, and there is no such evidence yet: nothing is done about it |
+
+Silence to one planner is no evidence: members that any planner hears count as heard, and a site is lost only
+on the probes of several members that are heard themselves. Indirect probes are those of SWIM (Das, Gupta and
+Motivala 2002).
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
+from typing import NamedTuple
 
+from ..admission.types import MS, SECOND
 from .messages import Incarnation, MemberReport
 from .phi_accrual import PhiAccrualDetector
 
-SUSPECT = 5.0  # phi: one silence in a hundred thousand is that long by chance
-GONE = 100_000  # ten seconds of silence
-WITNESSES = 2  # that must agree on a lost site, where there are so many
-DOORS = 2  # of a site that must be found shut
-KNOCK_KEPT = 20_000  # what a knock met is evidence for two seconds
-PACE_SLOW = 2.0
-GONE_KEPT = 1_024  # names that were used before
-STALE_LIVES = 16  # lives remembered of one name, so that a late report of an earlier one is known
+SUSPICION_THRESHOLD_PHI = 5.0
+GONE_AFTER = 10 * SECOND
+MIN_WITNESSES = 2  # of a lost site, where there are so many
+MIN_UNREACHABLE_MEMBERS = 2  # of a lost site, where it has so many
+PROBE_VALIDITY = 2_000 * MS
+PEER_HEARD_INTERVALS = 4  # report intervals for which another planner's word counts
+SLOW_PACE = 2.0  # run times against the usual
+MAX_DEPARTED = 1_024
+MAX_PREVIOUS_INCARNATIONS = 16  # of one name, so that a late report of an earlier one is recognised
 
 
 class MemberLiveness(Enum):
+    """Whether a member is there, as far as all planners together know."""
+
     ALIVE = "alive"
     SUSPECTED = "suspected"
     GONE = "gone"
-    CUT_OFF = "cut off"
+    PARTITIONED = "cut off"
     LEFT = "left"
 
 
 class SiteVerdict(Enum):
-    HERE = "here"
+    """What the evidence says about a site; see the table of this module."""
+
+    REACHABLE = "here"
     SLOW = "slow"
     RESTARTING = "restarting"
-    CUT_OFF = "cut off"
-    DARK = "dark"
+    PARTITIONED = "cut off"
+    UNKNOWN = "dark"
     LOST = "lost"
 
 
+class ProbeOutcome(StrEnum):
+    """What a member met that connected to the address of another one."""
+
+    ANSWERED = "answered"
+    REFUSED = "refused"
+    SILENT = "silent"
+
+
+class ProbeEvidence(NamedTuple):
+    """The newest probe of a member by one witness."""
+
+    at: int
+    outcome: str
+
+
 @dataclass(eq=False, slots=True)
 class Member:
+    """One member and the evidence about it. Times are in tenths of a millisecond.
+
+    Attributes:
+        incarnation_since: When its present incarnation was first heard.
+        disconnected: Whether its connections to this planner ended and it has not been heard since.
+        last_heard_by_peers: When another planner last said that it hears this member, -1 for never.
+        probes: The newest probe by each witness.
+        restarts: Changes of incarnation that this planner has seen.
+    """
+
     name: str
     site: str
     incarnation: Incarnation
-    suspicion: PhiAccrualDetector
+    detector: PhiAccrualDetector
     report: MemberReport
-    since: int  # of this life
-    broken: bool = False  # its links ended and it has not been heard since
-    heard_by_others: int = -1
-    earlier: list[Incarnation] = field(default_factory=list)
-    knocks: dict[str, tuple[int, str]] = field(default_factory=dict)  # witness: when, what was met
+    incarnation_since: int
+    disconnected: bool = False
+    last_heard_by_peers: int = -1
+    previous_incarnations: list[Incarnation] = field(default_factory=list)
+    probes: dict[str, ProbeEvidence] = field(default_factory=dict)
     restarts: int = 0
 
-    def heard(self, now: int, usual: int) -> bool:
-        """Whether some planner hears it."""
-        if self.heard_by_others >= 0 and now - self.heard_by_others <= 4 * usual:
+    def is_heard(self, now: int, report_interval: int) -> bool:
+        """Returns whether any planner hears it."""
+        peers_heard_it = self.last_heard_by_peers >= 0
+        if peers_heard_it and now - self.last_heard_by_peers <= PEER_HEARD_INTERVALS * report_interval:
             return True
-        return not self.broken and self.suspicion.phi(now) < SUSPECT
+        return not self.disconnected and self.detector.phi(now) < SUSPICION_THRESHOLD_PHI
+
+    def valid_probes(self, now: int) -> dict[str, ProbeEvidence]:
+        """Returns by witness the probes that are recent and newer than the last report."""
+        return {
+            witness: probe
+            for witness, probe in self.probes.items()
+            if now - probe.at <= PROBE_VALIDITY and probe.at >= self.detector.last_heartbeat
+        }
 
-    def met(self, now: int) -> list[str]:
-        return [
-            what for at, what in self.knocks.values() if now - at <= KNOCK_KEPT and at >= self.suspicion.last
-        ]
+    def answered_a_probe(self, now: int) -> bool:
+        """Returns whether a valid probe reached it."""
+        return any(probe.outcome == ProbeOutcome.ANSWERED for probe in self.valid_probes(now).values())
 
-    def life(self, now: int, usual: int) -> MemberLiveness:
+    def liveness(self, now: int, report_interval: int) -> MemberLiveness:
+        """Returns the verdict on this member."""
         if self.report.leaving:
             return MemberLiveness.LEFT
-        if self.heard(now, usual):
+        if self.is_heard(now, report_interval):
             return MemberLiveness.ALIVE
-        if "answered" in self.met(now):
-            return MemberLiveness.CUT_OFF
-        return MemberLiveness.GONE if now - self.suspicion.last >= GONE else MemberLiveness.SUSPECTED
+        if self.answered_a_probe(now):
+            return MemberLiveness.PARTITIONED
+        if now - self.detector.last_heartbeat >= GONE_AFTER:
+            return MemberLiveness.GONE
+        return MemberLiveness.SUSPECTED
+
+    def start_incarnation(self, incarnation: Incarnation, now: int, report_interval: int) -> None:
+        """Forgets the evidence about the incarnation before."""
+        kept = self.previous_incarnations[1 - MAX_PREVIOUS_INCARNATIONS :]
+        self.previous_incarnations = [*kept, self.incarnation]
+        self.incarnation = incarnation
+        self.incarnation_since = now
+        self.detector = PhiAccrualDetector(now, report_interval)
+        self.restarts += 1
+        self.probes.clear()
 
 
 class Membership:
-    """All members that reports have told of. `sites` names the sites of the fleet file."""
+    """All members that have reported.
+
+    Attributes:
+        members: By name, those of the present fleet file.
+        departed: By name, those that have left the fleet file: their late reports are recognised.
+        sites: The members of each site of the fleet file, by name.
+        report_interval: How often a member reports, in tenths of a millisecond.
+    """
 
-    def __init__(self, sites: Iterable[str], every: int) -> None:
+    def __init__(self, sites: Iterable[str], report_interval: int) -> None:
+        """Starts with nobody in `sites`, the names of the sites in the fleet file."""
         self.members: dict[str, Member] = {}
-        self.gone: dict[str, Member] = {}  # that have left the fleet file: a late report of theirs is none
+        self.departed: dict[str, Member] = {}
         self.sites: dict[str, dict[str, Member]] = {site: {} for site in sites}
-        self.every = every
+        self.report_interval = report_interval
 
-    # ---- what comes in ---------------------------------------------------------------------------------
+    # ---- events ----------------------------------------------------------------------------------------
 
-    def hear(self, report: MemberReport, now: int) -> bool:
-        """Whether it is news: one of an earlier life, of an unknown site, doubled or late is none."""
+    def receive_report(self, report: MemberReport, now: int) -> bool:
+        """Takes a report; returns False for one of an old incarnation, an unknown site, doubled or late."""
         if report.site not in self.sites:
             return False
-        member = self.members.get(report.name) or self.come_again(report)
+        member = self.members.get(report.name) or self._restore(report.name)
         if member is None:
-            member = Member(
-                report.name, report.site, report.incarnation, PhiAccrualDetector(now, self.every), report, now
-            )
-            self.members[report.name] = self.sites[report.site][report.name] = member
+            self._add(report, now)
             return True
-        if report.incarnation in member.earlier:
-            return False
-        if report.incarnation != member.incarnation:
-            if 0 < report.incarnation.life < member.incarnation.life:
+        if report.incarnation == member.incarnation:
+            if report.number <= member.report.number:
                 return False
-            member.earlier = [*member.earlier[1 - STALE_LIVES :], member.incarnation]
-            member.incarnation, member.since = report.incarnation, now
-            member.suspicion = PhiAccrualDetector(now, self.every)
-            member.restarts += 1
-            member.knocks.clear()
-        elif report.number <= member.report.number:
+            member.detector.record_heartbeat(now)
+        elif self._is_outdated(report.incarnation, member):
             return False
         else:
-            member.suspicion.heard(now)
+            member.start_incarnation(report.incarnation, now, self.report_interval)
         if report.site != member.site:
-            del self.sites[member.site][member.name]
-            self.sites[report.site][member.name] = member
-            member.site = report.site
-        member.report, member.broken = report, False
+            self._move(member, report.site)
+        member.report = report
+        member.disconnected = False
         return True
 
-    def leave(self, name: str) -> None:
-        """It is in the fleet file no more."""
+    def remove(self, name: str) -> None:
+        """Takes a member out that the fleet file does not name any more."""
         member = self.members.pop(name, None)
-        if member is not None:
-            del self.sites[member.site][name]
-            self.gone[name] = member
-            for old in list(self.gone)[:-GONE_KEPT]:
-                del self.gone[old]
-
-    def come_again(self, report: MemberReport) -> Member | None:
-        """One under a name used before: late reports of its earlier lives change nothing."""
-        member = self.gone.pop(report.name, None)
-        if member is not None:
-            self.members[report.name] = self.sites[member.site][report.name] = member
-        return member
-
-    def broke(self, name: str, incarnation: Incarnation) -> None:
-        """The member's last link here has ended: it is suspected at once, where it is still that life."""
+        if member is None:
+            return
+        del self.sites[member.site][name]
+        self.departed[name] = member
+        for oldest in list(self.departed)[:-MAX_DEPARTED]:
+            del self.departed[oldest]
+
+    def mark_disconnected(self, name: str, incarnation: Incarnation) -> None:
+        """Suspects a member at once whose last connection has ended, if it is still that incarnation."""
         member = self.members.get(name)
         if member is not None and member.incarnation == incarnation:
-            member.broken = True
+            member.disconnected = True
 
-    def heard_elsewhere(self, names: Iterable[str], now: int) -> None:
+    def mark_heard_by_peers(self, names: Iterable[str], now: int) -> None:
+        """Takes the word of another planner that it hears these members."""
         for name in names:
             if name in self.members:
-                self.members[name].heard_by_others = now
+                self.members[name].last_heard_by_peers = now
+
+    def record_probe(self, witness: str, name: str, outcome: str, now: int) -> None:
+        """Takes a probe as evidence, if the witness is of another site and heard itself."""
+        member = self.members.get(name)
+        prober = self.members.get(witness)
+        if member is None or prober is None or prober.site == member.site:
+            return
+        if prober.is_heard(now, self.report_interval):
+            member.probes[witness] = ProbeEvidence(now, outcome)
+
+    def _add(self, report: MemberReport, now: int) -> None:
+        detector = PhiAccrualDetector(now, self.report_interval)
+        member = Member(report.name, report.site, report.incarnation, detector, report, now)
+        self.members[report.name] = member
+        self.sites[report.site][report.name] = member
+
+    def _restore(self, name: str) -> Member | None:
+        """Brings a departed member back, so that late reports of its old incarnations change nothing."""
+        member = self.departed.pop(name, None)
+        if member is not None:
+            self.members[name] = member
+            self.sites[member.site][name] = member
+        return member
 
-    def knocked(self, witness: str, name: str, met: str, now: int) -> None:
-        """Evidence counts from members of another site that are heard themselves."""
-        member, by = self.members.get(name), self.members.get(witness)
-        if member is not None and by is not None and by.site != member.site and by.heard(now, self.every):
-            member.knocks[witness] = (now, met)
+    def _move(self, member: Member, site: str) -> None:
+        del self.sites[member.site][member.name]
+        self.sites[site][member.name] = member
+        member.site = site
 
-    # ---- what it comes to ------------------------------------------------------------------------------
+    @staticmethod
+    def _is_outdated(incarnation: Incarnation, member: Member) -> bool:
+        if incarnation in member.previous_incarnations:
+            return True
+        return 0 < incarnation.life < member.incarnation.life
 
-    def alive(self, site: str, now: int) -> list[Member]:
-        return [one for one in self.sites[site].values() if one.life(now, self.every) is MemberLiveness.ALIVE]
+    # ---- verdicts --------------------------------------------------------------------------------------
 
-    def unheard(self, site: str, now: int) -> list[Member]:
-        """Those that should be there and no planner hears."""
-        there = (one for one in self.sites[site].values() if not one.report.leaving)
-        return [one for one in there if not one.heard(now, self.every)]
+    def alive_members(self, site: str, now: int) -> list[Member]:
+        """Returns the members of a site that are heard and not leaving."""
+        interval = self.report_interval
+        return [
+            member
+            for member in self.sites[site].values()
+            if member.liveness(now, interval) is MemberLiveness.ALIVE
+        ]
 
-    def doubtful(self, now: int) -> list[Member]:
-        """Whose doors should be knocked at: of sites that have fallen silent as a whole."""
-        return [one for site in self.sites for one in self.dark(site, now)]
+    def suspected_members(self, now: int) -> list[Member]:
+        """Returns the members that should be probed: those of sites that are silent as a whole."""
+        return [member for site in self.sites for member in self.silent_site_members(site, now)]
 
-    def dark(self, site: str, now: int) -> list[Member]:
-        """The members of a site none of which is heard; none of a site that is heard in part or empty."""
-        unheard = self.unheard(site, now)
-        there = sum(1 for one in self.sites[site].values() if not one.report.leaving)
-        return unheard if unheard and len(unheard) == there else []
+    def silent_site_members(self, site: str, now: int) -> list[Member]:
+        """Returns the members of a site none of which is heard; nobody if any is, or if it is empty."""
+        expected = [member for member in self.sites[site].values() if not member.report.leaving]
+        unheard = [member for member in expected if not member.is_heard(now, self.report_interval)]
+        return unheard if len(unheard) == len(expected) else []
 
     def verdict(self, site: str, now: int) -> SiteVerdict:
-        dark = self.dark(site, now)
-        if dark:
-            return self.verdict_on_silence(site, dark, now)
-        there = self.alive(site, now)
-        if not there:
-            return SiteVerdict.RESTARTING if self.sites[site] else SiteVerdict.HERE
-        slow = sum(1 for one in there if one.report.pace >= PACE_SLOW)
-        if 2 * slow > len(there):
+        """Returns what the evidence says about a site."""
+        silent = self.silent_site_members(site, now)
+        if silent:
+            return self._verdict_on_silent_site(site, silent, now)
+        members = self.sites[site]
+        alive = self.alive_members(site, now)
+        if not alive:
+            return SiteVerdict.RESTARTING if members else SiteVerdict.REACHABLE
+        slow = sum(1 for member in alive if member.report.pace >= SLOW_PACE)
+        if 2 * slow > len(alive):
             return SiteVerdict.SLOW
-        fresh = sum(1 for one in there if one.restarts and now - one.since < GONE)
-        missing = len(self.sites[site]) - len(there)
-        return SiteVerdict.RESTARTING if 2 * (fresh + missing) > len(self.sites[site]) else SiteVerdict.HERE
-
-    def verdict_on_silence(self, site: str, dark: list[Member], now: int) -> SiteVerdict:
-        met = [what for one in dark for what in one.met(now)]
-        if "answered" in met:
-            return SiteVerdict.CUT_OFF
-        able = sum(1 for one in self.members.values() if one.site != site and one.heard(now, self.every))
-        shut = {one.name for one in dark if one.met(now)}
-        witnesses = {
-            name
-            for one in dark
-            for name, (at, _) in one.knocks.items()
-            if now - at <= KNOCK_KEPT and at >= one.suspicion.last
-        }
-        enough = able and len(witnesses) >= min(WITNESSES, able) and len(shut) >= min(DOORS, len(dark))
-        return SiteVerdict.LOST if enough else SiteVerdict.DARK
+        restarted = sum(
+            1 for member in alive if member.restarts and now - member.incarnation_since < GONE_AFTER
+        )
+        missing = len(members) - len(alive)
+        if 2 * (restarted + missing) > len(members):
+            return SiteVerdict.RESTARTING
+        return SiteVerdict.REACHABLE
+
+    def _verdict_on_silent_site(self, site: str, silent: list[Member], now: int) -> SiteVerdict:
+        probes = {member.name: member.valid_probes(now) for member in silent}
+        outcomes = [probe.outcome for by_witness in probes.values() for probe in by_witness.values()]
+        if ProbeOutcome.ANSWERED in outcomes:
+            return SiteVerdict.PARTITIONED
+        able_to_witness = sum(
+            1
+            for member in self.members.values()
+            if member.site != site and member.is_heard(now, self.report_interval)
+        )
+        witnesses = {witness for by_witness in probes.values() for witness in by_witness}
+        unreachable = sum(1 for by_witness in probes.values() if by_witness)
+        if not able_to_witness or len(witnesses) < min(MIN_WITNESSES, able_to_witness):
+            return SiteVerdict.UNKNOWN
+        if unreachable < min(MIN_UNREACHABLE_MEMBERS, len(silent)):
+            return SiteVerdict.UNKNOWN
+        return SiteVerdict.LOST
--- a/birchslip/cluster/monotonic_clock.py
+++ b/birchslip/cluster/monotonic_clock.py
@@ -1,12 +1,13 @@
-"""A clock that does not jump: set back or forward by nobody, and running on while the machine sleeps."""
+"""The clock of leases and timeouts: monotonic, and running on while the machine is suspended."""
 
 from __future__ import annotations
 
 import time
 
-SOURCE = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+NANOSECONDS_PER_TICK = 100_000
 
 
 def monotonic_now() -> int:
-    """Tenths of a millisecond since some moment of the past; only differences mean anything."""
-    return time.clock_gettime_ns(SOURCE) // 100_000
+    """Returns the tenths of a millisecond since an arbitrary start; only differences mean anything."""
+    return time.clock_gettime_ns(CLOCK_ID) // NANOSECONDS_PER_TICK
--- /dev/null
+++ b/birchslip/cluster/operator_views.py
@@ -0,0 +1,171 @@
+"""Operator views: the JSON reports of a planner on its fleet, by the keys that operators' tools read.
+
+Read only: nothing here changes the planner's state or takes part in its decisions.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from .disruption_budget import BudgetState, DisruptionBudget
+from .membership import Member
+from .planner_state import PlannerState
+from .recovery_ramp import RecoveryRamp
+from .rollout_controller import RolloutController
+from .site_plan import SiteCapacity, plan_without_site
+from .site_supervisor import restore_ramps
+
+RECORD_LINES = 16  # the newest lines of the permits' record that are shown
+
+Report = dict[str, object]
+
+
+def fleet_status(state: PlannerState, now: int) -> Report:
+    """Returns all that `fleet show` prints; a follower reports what the leader had it store."""
+    is_leader = state.is_effective_leader(now)
+    stored = state.stored_state()
+    ramps = state.sites.ramps
+    permits = state.budget.book
+    if not is_leader:
+        ramps = restore_ramps(stored.sites, ramps, now)
+        permits = stored.permits
+    durable = state.election.durable
+    published = state.plans.published
+    interval = state.report_interval()
+    members = sorted(state.membership.members.values(), key=lambda member: (member.site, member.name))
+    return {
+        "planner": state.election.name,
+        "leads": is_leader,
+        "leader": state.election.name if is_leader else state.leader_name(now),
+        "epoch": durable.promised,
+        "plan": durable.state_number,
+        "short": published.is_short,
+        "refused": {tier.value: round(rate, 1) for tier, rate in published.rejected.items()},
+        "blank": durable.blank,
+        "releases": rollouts_status(state, now),
+        "sites": [site_row(state, site, ramp, now) for site, ramp in ramps.items()],
+        "members": [member_row(member, interval, now) for member in members],
+        **permits_status(state, permits, now),
+    }
+
+
+def member_row(member: Member, report_interval: int, now: int) -> Report:
+    """Returns one member as it has reported."""
+    report = member.report
+    return {
+        "name": member.name,
+        "site": member.site,
+        "life": member.liveness(now, report_interval).value,
+        "incarnation": member.incarnation.mark,
+        "restarts": member.restarts,
+        "phi": round(member.detector.phi(now), 2),
+        "room": round(report.room, 1),
+        "load": round(sum(report.load.values()), 1),
+        "visits": round(report.visits, 1),
+        "shed": round(report.shed, 1),
+        "pace": round(report.pace, 2),
+        "calls": report.calls,
+        "share": round(report.share, 2),
+        "plan": f"{report.epoch}.{report.plan}",
+    }
+
+
+def site_row(state: PlannerState, site: str, ramp: RecoveryRamp, now: int) -> Report:
+    """Returns one site with its verdict and stage."""
+    published = state.plans.published
+    return {
+        "name": site,
+        "verdict": state.membership.verdict(site, now).value,
+        "stage": ramp.stage.value,
+        "level": ramp.level,
+        "flaps": ramp.flap_count,
+        "by_hand": ramp.evacuated_by_operator,
+        "why": ramp.reason,
+        "load": round(sum(state.sites.usual_load[site].values()), 1),
+        "visiting": round(published.visiting_load.get(site, 0.0), 1),
+        "refused": round(published.rejected_by_site.get(site, 0.0), 1),
+    }
+
+
+def permits_status(state: PlannerState, book: BudgetState, now: int) -> Report:
+    """Returns budgets, permits and who is out."""
+    budget = DisruptionBudget(state.budget.groups, book)
+    out = budget.out(state.observations(now))
+    groups = [
+        {"name": group.name, "allowed": group.allowed, "out": len(group.members.intersection(out))}
+        for group in budget.groups
+    ]
+    permits = [
+        {
+            "holder": permit.holder,
+            "number": permit.number,
+            "why": permit.why,
+            "override": permit.override,
+        }
+        for permit in book.permits
+    ]
+    return {
+        "groups": groups,
+        "out": {name: reason.value for name, reason in sorted(out.items())} if groups else {},
+        "permits": permits,
+        "waiting": [waiter.holder for waiter in book.waiting],
+        "record": book.record[-RECORD_LINES:],
+    }
+
+
+def rollouts_status(
+    state: PlannerState, now: int, number: int = 0, with_history: bool = False
+) -> list[Report]:
+    """Returns the rollouts, the newest first; a follower reports what the leader had it store.
+
+    Args:
+        state: The planner.
+        now: The time.
+        number: Of the only rollout to return, 0 for all.
+        with_history: Whether each has the lines of its history.
+    """
+    controller = state.rollouts.controller
+    if state.is_effective_leader(now):
+        return controller.told(number, with_history)
+    stored = RolloutController(controller.parts, (), state.budget, 0)
+    stored.take(state.stored_state().rollouts, now)
+    return stored.told(number, with_history)
+
+
+def site_loss_forecast(state: PlannerState, lost_site: str) -> Report:
+    """Returns what the loss of a site would mean now: where its load would go, and what would be short."""
+    fleet = state.fleet
+    capacities = state.sites.capacities()
+    plan = plan_without_site(capacities, lost_site, fleet.tenants, fleet.costs, fleet.order)
+    flows = [
+        [source, target, rate] for (source, target), rate in sorted(plan.flows.items()) if source == lost_site
+    ]
+    forecast: Report = {
+        "lose": lost_site,
+        "load": sum(site.total_load for site in capacities if site.name == lost_site),
+        "flows": flows,
+        "refused": {tier.value: rate for tier, rate in plan.rejected.items()},
+        "refused_at": plan.rejected_by_site,
+        "room": _remaining_capacity(capacities, lost_site),
+        "short_by": plan.total_rejected(),
+    }
+    vault = _vault_forecast(state, lost_site)
+    if vault:
+        forecast["vault"] = vault
+    return forecast
+
+
+def _remaining_capacity(capacities: list[SiteCapacity], lost_site: str) -> Mapping[str, float]:
+    return {site.name: site.capacity for site in capacities if site.name != lost_site}
+
+
+def _vault_forecast(state: PlannerState, lost_site: str) -> Report:
+    """Concurrent calls that the vault gets now, and that the remaining members might make."""
+    leases = state.quotas.leases
+    if leases is None:
+        return {}
+    lost = {name for name, site in state.site_of_member.items() if site == lost_site}
+    calls = sum(member.report.calls for member in state.membership.members.values())
+    quota = sum(base for name, base in state.quotas.base_quotas.items() if name not in lost)
+    quota += sum(leases.leasable_quota(name) for name in lost)
+    return {"calls": calls, "may_be": quota, "short_by": max(0.0, calls - quota)}
--- a/birchslip/cluster/phi_accrual.py
+++ b/birchslip/cluster/phi_accrual.py
@@ -1,7 +1,10 @@
-"""How much a silence means: the phi of an accrual failure detector.
+"""Phi accrual failure detection: how suspicious the silence of one member is.
 
-Source: Hayashibara, Defago, Yared and Katayama, "The phi accrual failure detector" (SRDS 2004): gaps between
-reports are taken as normally distributed, and phi is -log10 of the chance that a report is still to come.
+Decides nothing: it returns phi, and callers compare it with their own threshold.
+
+Source: Hayashibara, Defago, Yared and Katayama, "The phi accrual failure detector" (SRDS 2004): the intervals
+between heartbeats are taken as normally distributed, and phi is -log10 of the probability that a heartbeat is
+still to come.
 """
 
 from __future__ import annotations
@@ -9,35 +12,44 @@
 from collections import deque
 from math import erfc, log10, sqrt
 
-KEPT = 64  # gaps; older ones say little about now
-LEAST_SPREAD = 0.25  # of the usual gap: reports sent by one clock come with gaps that are all alike
-MOST = 40.0  # past it the chance is nought to a float
+WINDOW_SIZE = 64  # intervals
+MIN_DEVIATION_RATIO = 0.25  # of the mean: heartbeats sent by one clock come at intervals that are all alike
+MIN_DEVIATION = 1.0  # tenths of a millisecond
+MAX_PHI = 40.0  # past it the probability is zero to a float
 
 
 class PhiAccrualDetector:
-    """The gaps between one member's reports, in tenths of a millisecond."""
-
-    def __init__(self, now: int, usual: int) -> None:
-        self.last = now
-        self.gaps: deque[int] = deque((usual,), maxlen=KEPT)
-        self.sum, self.squares = usual, usual * usual
-
-    def heard(self, now: int) -> None:
-        gap = max(0, now - self.last)
-        if len(self.gaps) == KEPT:
-            old = self.gaps[0]
-            self.sum -= old
-            self.squares -= old * old
-        self.gaps.append(gap)
-        self.sum += gap
-        self.squares += gap * gap
-        self.last = max(now, self.last)
+    """A window of the intervals between one member's heartbeats, in tenths of a millisecond.
+
+    Attributes:
+        last_heartbeat: When the newest heartbeat arrived.
+    """
+
+    def __init__(self, now: int, expected_interval: int) -> None:
+        """Starts as if one heartbeat had arrived `now`, and one `expected_interval` before it."""
+        self.last_heartbeat = now
+        self._intervals: deque[int] = deque((expected_interval,), maxlen=WINDOW_SIZE)
+        self._sum = expected_interval
+        self._sum_of_squares = expected_interval * expected_interval
+
+    def record_heartbeat(self, now: int) -> None:
+        """Adds the interval since the last heartbeat to the window."""
+        interval = max(0, now - self.last_heartbeat)
+        if len(self._intervals) == WINDOW_SIZE:
+            oldest = self._intervals[0]
+            self._sum -= oldest
+            self._sum_of_squares -= oldest * oldest
+        self._intervals.append(interval)
+        self._sum += interval
+        self._sum_of_squares += interval * interval
+        self.last_heartbeat = max(now, self.last_heartbeat)
 
     def phi(self, now: int) -> float:
-        count = len(self.gaps)
-        mean = self.sum / count
-        spread = sqrt(max(0.0, self.squares / count - mean * mean))
-        # A detector that has seen even gaps alone would take the first uneven one for a death.
-        spread = max(spread, LEAST_SPREAD * mean, 1.0)
-        chance = erfc((now - self.last - mean) / (spread * sqrt(2))) / 2
-        return -log10(chance) if chance > 10**-MOST else MOST
+        """Returns the suspicion: phi 1 is a false alarm in 10 cases, phi 5 one in 100,000."""
+        count = len(self._intervals)
+        mean = self._sum / count
+        deviation = sqrt(max(0.0, self._sum_of_squares / count - mean * mean))
+        # A detector that has only seen even intervals would take the first uneven one for a failure.
+        deviation = max(deviation, MIN_DEVIATION_RATIO * mean, MIN_DEVIATION)
+        probability = erfc((now - self.last_heartbeat - mean) / (deviation * sqrt(2))) / 2
+        return -log10(probability) if probability > 10**-MAX_PHI else MAX_PHI
--- /dev/null
+++ b/birchslip/cluster/plan_publisher.py
@@ -0,0 +1,66 @@
+"""Plan publication: the newest site plan, and the one that a majority has stored and members are told.
+
+No member is told a plan before `publish`, which the caller calls once a majority has stored its version.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from .fleet_file import Fleet, span
+from .messages import PlanAssignment
+from .site_plan import SiteCapacity, SitePlan, plan_sites
+
+
+class PlanPublisher:
+    """The pending and the published plan.
+
+    Attributes:
+        pending: The newest plan.
+        pending_since: When it was made, in tenths of a millisecond.
+        published: The plan that members are told.
+        published_levels: The part of each site's cores that may be used, as of the published plan.
+    """
+
+    def __init__(self) -> None:
+        """Starts with empty plans."""
+        self.pending = SitePlan()
+        self.pending_since = 0
+        self.published = SitePlan()
+        self.published_levels: dict[str, float] = {}
+
+    def replan(self, fleet: Fleet, capacities: list[SiteCapacity], now: int) -> None:
+        """Makes a new plan from what is measured."""
+        self.pending_since = now
+        self.pending = plan_sites(capacities, fleet.tenants, fleet.costs, fleet.order)
+
+    def publish(self, levels: dict[str, float]) -> None:
+        """Makes the pending plan the one that members are told, with the sites' present levels."""
+        self.published = self.pending
+        self.published_levels = levels
+
+    def assignment(
+        self, fleet: Fleet, site_of_member: Mapping[str, str], name: str, epoch: int, version: int
+    ) -> PlanAssignment:
+        """Returns the published plan as one member is told it.
+
+        With every site serving it changes nothing, so that members drop what was in force before.
+        """
+        levels = self.published_levels
+        plan = self.published
+        level = levels[site_of_member[name]]
+        recovering = [site for site, part in levels.items() if part < 1]
+        visitors = [router for site in fleet.sites if site.name in recovering for router in site.routers]
+        return PlanAssignment(
+            epoch=epoch,
+            plan=version,
+            span=span(fleet.plan_ms),
+            fade=span(fleet.fade_ms),
+            quotas=plan.member_tenant_quotas(name) if recovering else {},
+            visitors=visitors if level == 1 else [],
+            visits=plan.member_visitor_quota(name),
+            order=list(fleet.refuse) if recovering else [],
+            level=level,
+            listed=level > 0,
+            short=plan.is_short and bool(recovering),
+        )
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -39,7 +39,8 @@
     encode,
 )
 from .monotonic_clock import monotonic_now
-from .planner_state import LOOK, PlannerState
+from .operator_views import fleet_status, rollouts_status, site_loss_forecast
+from .planner_state import TICK_INTERVAL, PlannerState
 from .platform_link import PlatformLink
 from .rollout_controller import RolloutCommand
 from .transport import (
@@ -202,7 +203,7 @@
     def reload(self) -> None:
         """The fleet file again; one that can't be taken over leaves the old one in force, and says why."""
         try:
-            troubles = self.mind.amend(read_fleet(self.path), self.scheduler.tell_time())
+            troubles = self.mind.apply_fleet(read_fleet(self.path), self.scheduler.tell_time())
         except (InvalidInputError, OSError) as trouble:
             troubles = str(trouble).splitlines()
         self.counters.count("fleet.not_taken_over" if troubles else "fleet.taken_over")
@@ -239,16 +240,16 @@
         self.scheduler.at(now + TICK, self.tick)
         self.vote(now)
         if now >= self.next_look:
-            self.next_look = now + LOOK
-            self.mind.look(now)
+            self.next_look = now + TICK_INTERVAL
+            self.mind.tick(now)
         leads = self.ballot.leads(now)
         if leads != self.led:
             self.led = leads
             self.counters.count("vote.won" if leads else "vote.lost")
-            self.mind.look(now)
+            self.mind.tick(now)
         self.have_kept(now)
         self.pay()
-        for event, more in self.mind.take_remarks():
+        for event, more in self.mind.drain_events():
             self.log.info(event, **more)
 
     def vote(self, now: int) -> None:
@@ -259,13 +260,13 @@
         own = self.ballot.asked(ask, now)
         self.flush()
         self.ballot.answered(own, ask.epoch, now, now)
-        ask.doubt = [one.name for one in self.mind.doubt][:64]
+        ask.doubt = [one.name for one in self.mind.probes.suspected][:64]
         for peer in self.peers:
             peer.put("ask", ask)
 
     def have_kept(self, now: int) -> None:
         """What is decided is kept by a majority before anybody is told."""
-        told = self.mind.keep()
+        told = self.mind.replication_request()
         if told is None or (told.number == self.keeping and now < self.next_keep):
             return
         self.keeping, self.next_keep = told.number, now + KEEP_AGAIN
@@ -275,7 +276,7 @@
         with suppress(StoreWriteError):
             self.flush()
             if self.ballot.kept(own, told.number):
-                self.mind.kept(told.number)
+                self.mind.mark_replicated(told.number)
                 self.hurry()
         for peer in self.peers:
             peer.put("keep", told)
@@ -287,19 +288,19 @@
             answer = decode(raw, VoteResponse)
             self.ballot.answered(answer, asked.epoch, sent, now)
             if answer.granted:
-                self.mind.membership.heard_elsewhere(answer.heard, now)
+                self.mind.membership.mark_heard_by_peers(answer.heard, now)
             self.flush()
         elif isinstance(asked, ReplicationRequest):
             kept = decode(raw, ReplicationResponse)
             self.counters.count("keep.kept" if kept.kept else "keep.refused")
-            if asked.epoch == self.mind.reign and self.ballot.kept(kept, asked.number):
-                self.mind.kept(asked.number)
+            if asked.epoch == self.mind.leadership.term and self.ballot.kept(kept, asked.number):
+                self.mind.mark_replicated(asked.number)
                 self.pay()
                 self.hurry()
 
     def hurry(self) -> None:
         """What the platform is to be asked may be asked now."""
-        if self.platform is not None and self.mind.orders(self.scheduler.now):
+        if self.platform is not None and self.mind.platform_orders(self.scheduler.now):
             self.platform.hurry()
 
     # ---- the door --------------------------------------------------------------------------------------
@@ -325,7 +326,7 @@
             self.counters.count("members.malformed")
             self.log.fault("a report that can't be read", why=str(trouble))
             raise
-        reply = self.mind.hear(report, now)
+        reply = self.mind.receive_report(report, now)
         if guest.about is None or guest.about[1] != report.incarnation:
             self.forget(guest)
             guest.about = (report.name, report.incarnation)
@@ -338,7 +339,7 @@
         self.flush()
         if answer.granted:
             self.counters.count("vote.granted")
-        answer.heard = self.mind.heard_here(ask.doubt, now)
+        answer.heard = self.mind.members_heard_here(ask.doubt, now)
         return encode(answer)
 
     def take_keep(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
@@ -349,20 +350,20 @@
     def take_wish(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
         wish = decode(value, OperatorCommand)
         if wish.what == "show":
-            return msgspec.json.encode(self.mind.show(now))
-        if wish.site not in self.mind.comebacks:
+            return msgspec.json.encode(fleet_status(self.mind, now))
+        if wish.site not in self.mind.sites.ramps:
             raise InvalidInputError(
-                f"no site is named {wish.site!r}; there are {', '.join(self.mind.comebacks)}"
+                f"no site is named {wish.site!r}; there are {', '.join(self.mind.sites.ramps)}"
             )
         if wish.what == "what-if":
-            return msgspec.json.encode(self.mind.foresee(wish.site))
-        if not self.mind.rules(now):
+            return msgspec.json.encode(site_loss_forecast(self.mind, wish.site))
+        if not self.mind.is_effective_leader(now):
             self.counters.count("wishes.refused")
-            raise InvalidInputError(f"not the leader: ask {self.mind.silence(now).leader or 'again soon'}")
+            raise InvalidInputError(f"not the leader: ask {self.mind.leader_name(now) or 'again soon'}")
         if wish.what == "evacuate":
-            done = self.mind.evacuate(wish.site, wish.who, wish.why, now)
+            done = self.mind.evacuate_site(wish.site, wish.who, wish.why, now)
         else:
-            done = self.mind.give_back(wish.site, wish.who, now)
+            done = self.mind.return_site(wish.site, wish.who, now)
         self.counters.count("wishes.taken")
         return msgspec.json.encode({"done": done, "site": wish.site, "what": wish.what})
 
@@ -372,32 +373,32 @@
         """
         want = decode(value, EvictionRequest)
         self.lead(now)
-        number, granted = self.mind.want(want, now)
+        number, granted = self.mind.handle_eviction(want, now)
         return self.owe(number, encode(granted), now)
 
     def take_word(self, guest: IncomingConnection, value: bytes, now: int) -> bytes | DeferredReply:
         """Of releases: any planner shows them, the leader alone takes a word on them."""
         word = decode(value, RolloutCommand)
         if word.what in ("status", "history"):
-            told = self.mind.told_releases(now, word.number, word.what == "history")
-            return msgspec.json.encode({"leads": self.mind.rules(now), "releases": told})
+            told = rollouts_status(self.mind, now, word.number, word.what == "history")
+            return msgspec.json.encode({"leads": self.mind.is_effective_leader(now), "releases": told})
         self.lead(now)
-        number, said = self.mind.say(word, now)
+        number, said = self.mind.handle_rollout_command(word, now)
         return self.owe(number, encode(said), now)
 
     def lead(self, now: int) -> None:
         """Who does not lead takes no word that changes anything."""
-        if not self.mind.rules(now):
+        if not self.mind.is_effective_leader(now):
             self.counters.count("wants.refused")
-            raise InvalidInputError(f"not the leader: ask {self.mind.silence(now).leader or 'again soon'}")
+            raise InvalidInputError(f"not the leader: ask {self.mind.leader_name(now) or 'again soon'}")
         self.counters.count("wants.taken")
 
     def owe(self, number: int, answer: bytes, now: int) -> bytes | DeferredReply:
         """The answer, once a majority keeps what it tells of."""
-        if number <= self.mind.kept_number:
+        if number <= self.mind.leadership.replicated_version:
             return answer
         later = DeferredReply()
-        self.owed.append((self.mind.reign, number, answer, later))
+        self.owed.append((self.mind.leadership.term, number, answer, later))
         self.have_kept(now)
         self.pay()
         return later
@@ -406,9 +407,9 @@
         """What a majority keeps now may be told."""
         left = []
         for reign, number, answer, later in self.owed:
-            if reign != self.mind.reign:
+            if reign != self.mind.leadership.term:
                 later.done(InvalidInputError("no longer the leader: ask the next one"))
-            elif number <= self.mind.kept_number:
+            elif number <= self.mind.leadership.replicated_version:
                 later.done(answer)
             else:
                 left.append((reign, number, answer, later))
@@ -427,7 +428,7 @@
         links.discard(guest)
         if not any(one.about == (name, incarnation) for one in links):
             self.counters.count("members.broken")
-            self.mind.membership.broke(name, incarnation)
+            self.mind.membership.mark_disconnected(name, incarnation)
 
 
 def run_planner(fleet: Fleet, name: str, folder: Path, listen: str = "", path: str = "") -> None:
--- /dev/null
+++ b/birchslip/cluster/planner_events.py
@@ -0,0 +1,34 @@
+"""Events of a planner's decisions, buffered until the process that carries them writes them to its log."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import NamedTuple
+
+MAX_BUFFERED_EVENTS = 256
+
+
+class PlannerEvent(NamedTuple):
+    """One event: a stable snake_case name and its fields."""
+
+    name: str
+    fields: dict[str, object]
+
+
+class EventBuffer:
+    """A bounded buffer of events; what does not fit is dropped."""
+
+    def __init__(self) -> None:
+        """Starts empty."""
+        self._events: list[PlannerEvent] = []
+
+    def record(self, name: str, **fields: object) -> None:
+        """Adds an event."""
+        if len(self._events) < MAX_BUFFERED_EVENTS:
+            self._events.append(PlannerEvent(name, fields))
+
+    def drain(self) -> Iterator[PlannerEvent]:
+        """Yields all buffered events, the oldest first, and empties the buffer."""
+        events = self._events
+        self._events = []
+        yield from events
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -1,656 +1,391 @@
-"""What a planner decides: it hears reports, judges sites, makes plans and says what each member is told.
-
-Free of I/O and of clocks; `planner.py` carries it. All planners hear the members, so that whoever comes to
-lead knows them; only the leader tells anybody anything, and only what a majority keeps.
+"""Planner state: what one planner knows and decides, composed of one module for each concern.
+
+Owns the order in which the others are asked; the decisions are theirs:
+
+| module | decides |
+| --- | --- |
+| `leadership` | whether this planner leads, and which version of its state a majority has stored |
+| `membership`, `probe_scheduler` | who is alive, which sites are lost, who probes whom |
+| `site_supervisor` | evacuation and recovery of sites |
+| `plan_publisher`, `site_plan` | the plan, and what members are told of it |
+| `quota_allocator` | leases of the vault's quota |
+| `eviction_handler`, `member_observations` | permits |
+| `rollout_supervisor` | rollouts |
+
+It does no I/O and reads no clock: `planner.py` runs it. Every planner hears the members, so that a new leader
+knows them; only the leader instructs anybody, and only as a majority has stored it. Times are in tenths of a
+millisecond.
 """
 
 from __future__ import annotations
 
+from collections import Counter
 from collections.abc import Iterator
+from typing import NamedTuple
 
-import msgspec
-
-from .disruption_budget import (
-    BudgetState,
-    DisruptionBudget,
-    EvictionWaiter,
-    MemberObservation,
-    UnavailabilityReason,
-    with_dependents,
-)
+from ..admission.types import MS, SECOND
+from .disruption_budget import DisruptionBudget, MemberObservation, UnavailabilityReason, with_dependents
 from .election import Election
-from .fleet_diff import hindered, moved
+from .eviction_handler import EvictionAction, handle_eviction
+from .fleet_diff import blocked_changes, member_changes
 from .fleet_file import Fleet, span
-from .membership import Member, MemberLiveness, Membership, SiteVerdict
+from .inventory import Inventory
+from .leadership import Leadership, LeadershipChange
+from .member_observations import observe_members
+from .membership import Membership
 from .messages import (
-    Count,
     EvictionRequest,
     EvictionResponse,
-    Incarnation,
     MemberReport,
-    Message,
-    Name,
     PlanAssignment,
-    Rate,
     ReplicationRequest,
     ReportReply,
-    Span,
-    Words,
 )
-from .quota_leases import QuotaLeases
-from .recovery_ramp import RecoveryRamp, RecoveryStage
+from .plan_publisher import PlanPublisher
+from .planner_events import EventBuffer, PlannerEvent
+from .probe_scheduler import ProbeScheduler
+from .quota_allocator import QuotaAllocator
+from .replicated_state import ReplicatedState, UnreadableStateError, decode_state, encode_state
 from .rollout import PlatformOrder
-from .rollout_controller import (
-    CommandResult,
-    RolloutCommand,
-    RolloutController,
-    RolloutStates,
-)
-from .site_plan import SiteCapacity, SitePlan, plan, what_if
+from .rollout_controller import CommandResult, RolloutCommand, RolloutController
+from .rollout_supervisor import RolloutSupervisor
+from .site_supervisor import SiteSupervisor
 
-AGAIN = 10_000  # while a site is out the plan is worked out anew once a second, from what is measured
-SMOOTH = 0.1  # of each look that goes into a site's usual load: about two seconds of it
-LOOK = 1_000  # sites are looked at ten times a second
-CONDUCT = 2_500  # releases four times
-REPORTS = 1_200  # a second that one planner takes in half a core; larger fleets report less often
-WITNESSES = 3  # that are asked to knock at the doors of a site
-DOORS = 3  # that each is asked to knock at
+TICK_INTERVAL = 100 * MS
+REPLAN_INTERVAL = 1 * SECOND  # while a site is not serving, as what is measured changes
+MAX_REPORTS_PER_SECOND = 1_200  # that one planner takes; members of larger fleets report less often
+RECENTLY_HEARD_INTERVALS = 4  # report intervals
 
 
-class SiteState(Message):
-    """What must survive of a site that is not at home."""
+class EvictionOutcome(NamedTuple):
+    """A response, and the version that a majority has to store before it may be sent."""
 
-    stage: Name
-    step: Count
-    flaps: Count
-    by_hand: bool
-    why: Words
-    load: dict[Name, Rate]
-    hold: Span
+    version: int
+    response: EvictionResponse
 
 
-class ReplicatedState(Message):
-    """What the leader has a majority keep."""
+class CommandOutcome(NamedTuple):
+    """A result, and the version that a majority has to store before it may be sent."""
 
-    sites: dict[Name, SiteState] = msgspec.field(default_factory=dict)
-    permits: BudgetState = msgspec.field(default_factory=BudgetState)
-    releases: RolloutStates = msgspec.field(default_factory=RolloutStates)
+    version: int
+    result: CommandResult
 
 
 class PlannerState:
-    def __init__(self, fleet: Fleet, ballot: Election, now: int) -> None:
-        self.fleet, self.ballot = fleet, ballot
-        self.membership = Membership((site.name for site in fleet.sites), span(fleet.report_ms))
-        self.comebacks = {site.name: RecoveryRamp(site.name, since=now) for site in fleet.sites}
-        self.usual: dict[str, dict[str, float]] = {site.name: {} for site in fleet.sites}
-        self.again = dict.fromkeys(self.usual, 0.0)
-        self.home = {member.name: site.name for site in fleet.sites for member in site.members}
-        self.verdicts = dict.fromkeys(self.usual, SiteVerdict.HERE)
-        self.bases = fleet.bases()
-        self.away = 0.0  # leased parts of members of lost sites
-        self.beside: dict[str, int] = {}  # by site: members that are heard, as of the last look
-        self.rooms: dict[str, float] = {}  # the last that was measured of each member
-        self.permits = DisruptionBudget(fleet.budgets(), needs=fleet.needs())
-        stale = span(fleet.platform.stale_ms) if fleet.platform is not None else 0
-        services = [one.name for one in fleet.services]
-        self.conductor = RolloutController(fleet.parts(), services, self.permits, stale, self.home)
-        self.conducted_at = now
-        self.orders_number = 0  # that a majority has to keep before anything is asked of the platform
-        self.looked_at = now
-        self.shares: QuotaLeases | None = None
-        self.reign = 0  # the epoch that this mind has taken over, 0 while it does not lead
-        self.number = 0
-        self.kept_number = 0  # the newest that a majority keeps
-        self.made = SitePlan()
-        self.told = SitePlan()  # the plan of the newest kept number
-        self.told_levels: dict[str, float] = {}
-        self.made_at = 0
-        self.remarks: list[tuple[str, dict[str, object]]] = []
-        self.doubt: list[Member] = []  # members of sites that have fallen silent
-        self.witnesses: list[Member] = []  # who may knock at their doors
-
-    # ---- who leads -------------------------------------------------------------------------------------
-
-    def rules(self, now: int) -> bool:
-        """Whether it leads and has told a majority what it found."""
-        return self.ballot.leads(now) and self.reign == self.ballot.epoch and self.kept_number > 0
-
-    def reigning(self, now: int) -> bool:
-        """Take over, or let go, as the vote has gone."""
-        if not self.ballot.leads(now):
-            if self.reign:
-                self.remark("no longer leads", epoch=self.reign)
-            self.reign = 0
-            return False
-        if self.reign != self.ballot.epoch:
-            self.reign, self.number, self.kept_number = self.ballot.epoch, 0, 0
-            self.take_state(self.ballot.newest[2], now)
-            vault = self.fleet.vault
-            if vault is not None:
-                self.shares = QuotaLeases(self.bases, vault.total, vault.kept, span(vault.lease_ms), now)
-            self.remark("leads", epoch=self.reign)
-            self.renew(now)
-        return True
-
-    def take_state(self, raw: bytes, now: int) -> None:
-        """What the leader before had others keep."""
-        state = self.read_state(raw)
-        self.comebacks, loads = self.read_sites(state, now)
-        self.usual |= loads
-        self.permits.book = state.permits
-        self.conductor.take(state.releases, now)
-        self.orders_number = 1
-
-    def read_state(self, raw: bytes) -> ReplicatedState:
-        """One that can't be read is of a later version: nothing of it is known."""
+    """One planner's knowledge of the fleet, and its decisions while it leads.
+
+    Attributes:
+        fleet: The fleet file in force.
+        site_of_member: The site of each member of the fleet file, by name.
+        leadership: This planner's term.
+        membership: The members that have reported.
+        sites: The recovery ramp and load of each site.
+        probes: The members of silent sites, and who probes them.
+        plans: The pending and the published plan.
+        quotas: The leases of the vault's quota.
+        budget: The disruption budgets and permits.
+        rollouts: The rollouts.
+    """
+
+    def __init__(self, fleet: Fleet, election: Election, now: int) -> None:
+        """Starts as a follower that has heard nobody."""
+        site_names = [site.name for site in fleet.sites]
+        self.fleet = fleet
+        self.election = election
+        self.events = EventBuffer()
+        self.leadership = Leadership(election)
+        self.membership = Membership(site_names, span(fleet.report_ms))
+        self.sites = SiteSupervisor(site_names, self.membership, self.events, now)
+        self.probes = ProbeScheduler(self.membership)
+        self.plans = PlanPublisher()
+        self.quotas = QuotaAllocator(fleet.vault, fleet.bases())
+        self.budget = DisruptionBudget(fleet.budgets(), needs=fleet.needs())
+        self._index_members()
+        self.rollouts = RolloutSupervisor(self._rollout_controller(), self.budget, self.events, now)
+        self._last_tick = now
+
+    def _index_members(self) -> None:
+        self.site_of_member = {member.name: site.name for site in self.fleet.sites for member in site.members}
+        self._site_sizes = Counter(self.site_of_member.values())
+
+    def _rollout_controller(self) -> RolloutController:
+        platform = self.fleet.platform
+        stale = span(platform.stale_ms) if platform is not None else 0
+        services = [service.name for service in self.fleet.services]
+        return RolloutController(self.fleet.parts(), services, self.budget, stale, self.site_of_member)
+
+    # ---- leadership ------------------------------------------------------------------------------------
+
+    def is_effective_leader(self, now: int) -> bool:
+        """Returns whether it may instruct members, operators and the platform."""
+        return self.leadership.is_effective_leader(now)
+
+    def leader_name(self, now: int) -> str:
+        """Returns the planner that is thought to lead, or an empty string."""
+        return self.leadership.known_leader(now)
+
+    def _update_leadership(self, now: int) -> bool:
+        term_before = self.leadership.term
+        match self.leadership.update(now):
+            case LeadershipChange.LOST:
+                self.events.record("leadership_lost", epoch=term_before)
+            case LeadershipChange.ACQUIRED:
+                self.restore(self.election.newest[2], now)
+                self.quotas.start_term(now)
+                self.events.record("leadership_acquired", epoch=self.leadership.term)
+                self.replan(now)
+        return self.leadership.is_leading
+
+    # ---- replication -----------------------------------------------------------------------------------
+
+    def stored_state(self) -> ReplicatedState:
+        """Returns the state that this planner stores, its own or the leader's; empty if it is unreadable."""
+        return self._decode(self.election.durable.state)
+
+    def _decode(self, raw: bytes) -> ReplicatedState:
         try:
-            return msgspec.json.decode(raw, type=ReplicatedState) if raw else ReplicatedState()
-        except msgspec.DecodeError as trouble:
-            self.remark("a kept state that can't be read", why=str(trouble))
+            return decode_state(raw)
+        except UnreadableStateError as error:
+            self.events.record("replicated_state_unreadable", why=error.reason)
             return ReplicatedState()
 
-    def read_sites(
-        self, state: ReplicatedState, now: int
-    ) -> tuple[dict[str, RecoveryRamp], dict[str, dict[str, float]]]:
-        """A kept state's sites and their loads."""
-        sites = {name: RecoveryRamp(name, since=now) for name in self.usual}
-        loads = {}
-        for name, kept in state.sites.items():
-            if name in sites:
-                sites[name] = RecoveryRamp(
-                    name,
-                    RecoveryStage(kept.stage),
-                    kept.step,
-                    now,
-                    kept.flaps,
-                    hold=kept.hold,
-                    by_hand=kept.by_hand,
-                    why=kept.why,
-                )
-                loads[name] = dict(kept.load)
-        return sites, loads
-
-    def state(self) -> bytes:
-        sites = {
-            name: SiteState(
-                stage=one.stage.value,
-                step=one.step,
-                flaps=one.flaps,
-                by_hand=one.by_hand,
-                why=one.why[:400],
-                load=self.usual[name],
-                hold=one.hold,
-            )
-            for name, one in self.comebacks.items()
-            if one.stage is not RecoveryStage.HOME or one.flaps
-        }
-        return msgspec.json.encode(
-            ReplicatedState(sites=sites, permits=self.permits.book, releases=self.conductor.book)
-        )
-
-    def amend(self, fleet: Fleet, now: int) -> list[str]:
-        """A later fleet file; why it can't be taken over, and then nothing of it is."""
-        troubles = list(hindered(self.fleet, fleet))
-        if troubles:
-            return troubles
-        gone, joined = moved(self.fleet, fleet)
-        self.fleet, self.bases = fleet, fleet.bases()
-        self.home = {member.name: site.name for site in fleet.sites for member in site.members}
-        for name in gone:
-            self.membership.leave(name)
-        self.permits.regroup(fleet.budgets(), fleet.needs())
-        if fleet.platform is not None:
-            self.conductor.stale = span(fleet.platform.stale_ms)
-        self.conductor.amend(fleet.parts(), (one.name for one in fleet.services), self.home)
-        if self.shares is not None:
-            self.shares.amend(self.bases)
-        self.remark("fleet file taken over", left=gone, joined=joined)
-        if self.reign:
-            known = {*self.home, *(one.name for one in fleet.services)}
-            for name in [one.holder for one in self.permits.book.permits if one.holder not in known]:
-                self.permits.strike(name, "the fleet file")
-            self.renew(now)
-        return []
+    def restore(self, raw: bytes, now: int) -> None:
+        """Takes over the state that a previous leader had a majority store."""
+        state = self._decode(raw)
+        self.sites.restore(state.sites, now)
+        self.budget.book = state.permits
+        self.rollouts.controller.take(state.rollouts, now)
+        self.rollouts.orders_version = 1
+
+    def encoded_state(self) -> bytes:
+        """Returns the bytes that a majority has to store."""
+        sites = self.sites.stored_sites()
+        rollouts = self.rollouts.controller.book
+        return encode_state(ReplicatedState(sites=sites, permits=self.budget.book, rollouts=rollouts))
+
+    def replication_request(self) -> ReplicationRequest | None:
+        """Returns what all planners are to store, or None if a majority has the newest version."""
+        if not self.leadership.needs_replication():
+            return None
+        return self.leadership.replication_request(self.encoded_state())
 
-    # ---- what comes in ---------------------------------------------------------------------------------
-
-    def hear(self, report: MemberReport, now: int) -> ReportReply:
-        if self.home.get(report.name) != report.site:
-            self.remark("a report of one that is not in the fleet", member=report.name, site=report.site)
-            return self.silence(now)
-        self.membership.hear(report, now)
-        for knock in report.knocks:
-            self.membership.knocked(report.name, knock.name, knock.met, now)
-        if report.epoch > self.ballot.highest:
-            self.ballot.outrun(report.epoch)
+    def mark_replicated(self, version: int) -> None:
+        """Publishes the plan of a version that a majority has stored."""
+        if not self.leadership.mark_replicated(version):
+            return
+        self.plans.publish(self.sites.levels())
+        self.quotas.follow_plan(self.plans.published, self.plans.published_levels, self.site_of_member)
+
+    def replan(self, now: int) -> None:
+        """Makes a new plan and version; members are told once a majority has stored it."""
+        self.leadership.advance_version()
+        self.plans.replan(self.fleet, self.sites.capacities(), now)
+
+    # ---- members ---------------------------------------------------------------------------------------
+
+    def receive_report(self, report: MemberReport, now: int) -> ReportReply:
+        """Takes a member's report and returns what it is told."""
+        if self.site_of_member.get(report.name) != report.site:
+            self.events.record("report_from_unknown_member", member=report.name, site=report.site)
+            return self._follower_reply(now)
+        self.membership.receive_report(report, now)
+        for probe in report.knocks:
+            self.membership.record_probe(report.name, probe.name, probe.met, now)
+        self.leadership.observe_epoch(report.epoch)
         member = self.membership.members.get(report.name)
-        if not self.rules(now) or member is None or member.incarnation != report.incarnation:
-            return self.silence(now)
-        lease = share = 0.0
-        if self.shares is not None:
-            kept = self.shares.kept * self.bases[report.name]
-            held = max(0.0, report.share - kept) if report.lease else 0.0
-            share = kept + self.shares.grant(report.name, self.wanted(member, now), held, now)
-            lease = self.shares.span
+        if not self.is_effective_leader(now):
+            return self._follower_reply(now)
+        if member is None or member.incarnation != report.incarnation:
+            return self._follower_reply(now)
+        grant = self.quotas.grant(report, member.site, now)
         return ReportReply(
-            epoch=self.reign,
-            author=self.ballot.incarnation,
+            epoch=self.leadership.term,
+            author=self.election.incarnation,
             leads=True,
-            leader=self.ballot.name,
-            every=self.every(),
-            tell=self.tell(report.name),
-            share=share,
-            lease=int(lease),
-            knock=self.doors(report, now),
+            leader=self.election.name,
+            every=self.report_interval(),
+            tell=self.assignment(report.name),
+            share=grant.quota,
+            lease=grant.lease_span,
+            knock=self.probes.targets(report, self.sites.ramps),
         )
 
-    def silence(self, now: int) -> ReportReply:
-        """Nothing to obey: only where to ask."""
-        leader = self.ballot.granted_to[0] if now < self.ballot.granted_until else ""
+    def _follower_reply(self, now: int) -> ReportReply:
+        """Instructs nothing; tells only where to ask."""
         return ReportReply(
-            epoch=self.ballot.durable.promised,
-            author=self.ballot.incarnation,
+            epoch=self.election.durable.promised,
+            author=self.election.incarnation,
             leads=False,
-            leader=leader,
-            every=self.every(),
+            leader=self.leader_name(now),
+            every=self.report_interval(),
         )
 
-    def every(self) -> int:
-        """How often a member reports: seldomer in a large fleet, so that a planner is not drowned."""
-        return max(span(self.fleet.report_ms), len(self.home) * 10_000 // REPORTS)
-
-    def doors(self, report: MemberReport, now: int) -> dict[str, str]:
-        """At which doors this member is asked to knock: few, and of silent sites that are not its own."""
-        # Those of a site that is known to be lost tell nothing more: the doors of the next one come first.
-        doubtful = [
-            one
-            for one in self.doubt
-            if one.site != report.site and self.comebacks[one.site].stage is not RecoveryStage.LOST
-        ]
-        if not doubtful:
-            return {}
-        able = [one.name for one in self.witnesses if one.site == report.site][:WITNESSES]
-        if report.name not in able:
-            return {}
-        first = able.index(report.name)
-        some = [doubtful[(first + step) % len(doubtful)] for step in range(min(DOORS, len(doubtful)))]
-        return {one.name: one.report.door for one in some}
-
-    def heard_here(self, names: list[str], now: int) -> list[str]:
-        """Those of the leader's doubtful members whose own reports come here."""
+    def assignment(self, name: str) -> PlanAssignment:
+        """Returns the published plan as this member is told it."""
+        epoch = self.leadership.term
+        version = self.leadership.replicated_version
+        return self.plans.assignment(self.fleet, self.site_of_member, name, epoch, version)
+
+    def report_interval(self) -> int:
+        """Returns how often a member reports: less often in a fleet that would overload a planner."""
+        slowest = len(self.site_of_member) * SECOND // MAX_REPORTS_PER_SECOND
+        return max(span(self.fleet.report_ms), slowest)
+
+    def members_heard_here(self, names: list[str], now: int) -> list[str]:
+        """Returns those of the leader's suspects whose reports come to this planner."""
         members = (self.membership.members.get(name) for name in names)
-        lately = 4 * self.every()
+        max_silence = RECENTLY_HEARD_INTERVALS * self.report_interval()
         return [
-            one.name
-            for one in members
-            if one is not None and not one.broken and now - one.suspicion.last <= lately
+            member.name
+            for member in members
+            if member is not None
+            and not member.disconnected
+            and now - member.detector.last_heartbeat <= max_silence
         ]
 
-    # ---- what it comes to ------------------------------------------------------------------------------
+    # ---- time ------------------------------------------------------------------------------------------
 
-    def look(self, now: int) -> None:
-        """A look at all sites; changes of the plan wait for a majority to keep them."""
-        self.membership.every = self.every()
-        self.measure(now)
-        self.doubt = self.membership.doubtful(now)
-        self.beside = {site: len(self.membership.alive(site, now)) for site in self.comebacks}
-        self.witnesses = (
-            [one for site in self.comebacks for one in self.membership.alive(site, now)] if self.doubt else []
-        )
-        if not self.reigning(now):
+    def tick(self, now: int) -> None:
+        """Evaluates all sites, permits and rollouts; to be called each `TICK_INTERVAL`."""
+        self._observe(now)
+        if not self._update_leadership(now):
             return
-        changed = False
-        for site, comeback in self.comebacks.items():
-            verdict = self.membership.verdict(site, now)
-            if verdict is not self.verdicts[site]:
-                self.remark(
-                    "verdict on a site", site=site, before=self.verdicts[site].value, now=verdict.value
-                )
-                self.verdicts[site] = verdict
-            if verdict is SiteVerdict.LOST and comeback.lost(
-                now, "no planner hears it and its doors are shut"
-            ):
-                self.remark("site lost", site=site, flaps=comeback.flaps, why=comeback.why)
-                changed = True
-            elif comeback.stage is not RecoveryStage.HOME:
-                shown = [one.report for one in self.membership.alive(site, now)]
-                usual = sum(self.usual[site].values())
-                word = comeback.look(shown, len(self.members_of(site)), usual, now)
-                if word:
-                    self.remark(
-                        "site moves", site=site, stage=comeback.stage.value, level=comeback.level, why=word
-                    )
-                    changed = True
-        self.permits.pass_time(now - self.looked_at)
-        self.looked_at = now
-        seen = self.seen(now)
-        changed = self.permits.look(seen) or changed
-        changed = self.conduct(seen, now) or changed
-        out = any(one.stage is not RecoveryStage.HOME for one in self.comebacks.values())
-        if changed or (out and now - self.made_at >= AGAIN):
-            self.renew(now)
-        if self.conducted_at == now:
-            # Whatever granted the permits they rest on, a want in between too: all of it is kept first.
-            self.orders_number = self.number
-
-    def conduct(self, seen: dict[str, MemberObservation], now: int) -> bool:
-        """A look at the releases; whether anything has changed that a majority has to keep."""
-        if not self.conductor.unfinished() or now - self.conducted_at < CONDUCT:
+        sites_changed = self.sites.evaluate(self._site_sizes, now)
+        self.budget.pass_time(now - self._last_tick)
+        self._last_tick = now
+        observations = self.observations(now)
+        permits_changed = self.budget.look(observations)
+        rollouts_changed = self._evaluate_rollouts(observations, now)
+        state_changed = sites_changed or permits_changed or rollouts_changed
+        if state_changed or self._is_plan_outdated(now):
+            self.replan(now)
+        if self.rollouts.evaluated_at == now:
+            # Whichever step granted the permits that orders rest on, all of it is stored first.
+            self.rollouts.orders_version = self.leadership.version
+
+    def _is_plan_outdated(self, now: int) -> bool:
+        age = now - self.plans.pending_since
+        return age >= REPLAN_INTERVAL and bool(self.sites.sites_not_serving())
+
+    def _observe(self, now: int) -> None:
+        """Updates what followers know too."""
+        self.membership.report_interval = self.report_interval()
+        if not self.sites.sites_not_serving() and not self.probes.suspected:
+            self.sites.measure_load(now)
+        alive = {site: self.membership.alive_members(site, now) for site in self.sites.ramps}
+        self.quotas.alive_members = {site: len(members) for site, members in alive.items()}
+        self.probes.update(alive, now)
+
+    def _evaluate_rollouts(self, observations: dict[str, MemberObservation], now: int) -> bool:
+        if not self.rollouts.is_due(now):
             return False
-        self.conducted_at = now
-        phases = {one.course.number: one.phase for one in self.conductor.unfinished()}
-        before = msgspec.json.encode(self.conductor.book), self.permits.keep()
+        reporting = (None, UnavailabilityReason.COLD)
         reports = {
             name: member.report
             for name, member in self.membership.members.items()
-            if seen[name].out in (None, UnavailabilityReason.COLD)
+            if observations[name].out in reporting
         }
-        out = [name for name, one in self.comebacks.items() if one.stage is not RecoveryStage.HOME]
-        self.conductor.look(seen, reports, out, now)
-        for release in self.conductor.releases:
-            was = phases.get(release.course.number)
-            if was is not None and was is not release.phase:
-                self.remark(
-                    "release", number=release.course.number, phase=release.phase.value, why=release.course.why
-                )
-        return before != (msgspec.json.encode(self.conductor.book), self.permits.keep())
-
-    def orders(self, now: int) -> list[PlatformOrder]:
-        """What the platform is to be asked now: all that it rests on is kept by a majority."""
-        if not self.rules(now) or self.kept_number < self.orders_number:
-            return []
-        return self.conductor.orders
-
-    def say(self, word: RolloutCommand, now: int) -> tuple[int, CommandResult]:
-        """A person's word on releases, and the number that a majority has to keep before it is answered."""
-        said = self.conductor.word(word, now)
-        self.remark("word on a release", what=word.what, number=said.number, who=word.who, why=said.why)
-        if said.done:
-            self.renew(now)
-            self.orders_number = self.number
-            self.conducted_at = now - CONDUCT  # looked at with the next look, not a quarter of a second later
-        return self.number, said
-
-    def measure(self, now: int) -> None:
-        """The usual load of each site, as long as it is at home and heard."""
-        if any(one.stage is not RecoveryStage.HOME for one in self.comebacks.values()) or self.doubt:
-            return
-        for site, usual in self.usual.items():
-            there = self.membership.alive(site, now)
-            for tenant in {name for one in there for name in one.report.load} | set(usual):
-                rate = sum(one.report.load.get(tenant, 0.0) for one in there)
-                usual[tenant] = usual.get(tenant, rate) * (1 - SMOOTH) + rate * SMOOTH
-            again = sum(one.report.again for one in there)
-            self.again[site] += (again - self.again[site]) * SMOOTH
-
-    def places(self) -> list[SiteCapacity]:
-        """The sites as they are now, for the plan."""
-        made = []
-        for site, comeback in self.comebacks.items():
-            members = self.membership.sites[site].values()
-            rooms = {one.name: self.room(one) for one in members if not one.report.leaving}
-            lost = comeback.stage in (RecoveryStage.LOST, RecoveryStage.WAITING)
-            made.append(SiteCapacity(site, rooms, self.usual[site], self.again[site], lost, comeback.level))
-        return made
-
-    def room(self, member: Member) -> float:
-        """As measured; of one that has just started, what was measured before it did."""
-        if member.report.room > 0:
-            self.rooms[member.name] = member.report.room
-        return self.rooms.get(member.name, 0.0)
-
-    def renew(self, now: int) -> None:
-        """A new plan; it is told once a majority keeps it."""
-        self.number += 1
-        self.made_at = now
-        self.made = plan(self.places(), self.fleet.tenants, self.fleet.costs, self.fleet.order)
-
-    def keep(self) -> ReplicationRequest | None:
-        """What others are to keep, where the newest plan is not kept yet."""
-        if not self.reign or self.kept_number >= self.number:
-            return None
-        return ReplicationRequest(
-            epoch=self.reign,
-            number=self.number,
-            name=self.ballot.name,
-            incarnation=self.ballot.incarnation,
-            state=self.state(),
-        )
-
-    def kept(self, number: int) -> None:
-        """A majority keeps it: from now on members are told."""
-        if number == self.number and number > self.kept_number:
-            self.kept_number, self.told = number, self.made
-            self.told_levels = {name: one.level for name, one in self.comebacks.items()}
-            gone = [name for name, site in self.home.items() if self.told_levels[site] <= 0]
-            self.away = sum(self.shares.own(name) for name in gone) if self.shares is not None else 0.0
-
-    def tell(self, name: str) -> PlanAssignment:
-        """The plan as this member is told it.
-
-        With every site at home it changes nothing: what was in force is over, and need not run out.
-        """
-        levels = self.told_levels
-        level = levels[self.home[name]]
-        away = [site for site, part in levels.items() if part < 1]
-        visitors = [router for site in self.fleet.sites if site.name in away for router in site.routers]
-        return PlanAssignment(
-            epoch=self.reign,
-            plan=self.kept_number,
-            span=span(self.fleet.plan_ms),
-            fade=span(self.fleet.fade_ms),
-            quotas=self.told.quotas_of(name) if away else {},
-            visitors=visitors if level == 1 else [],
-            visits=self.told.visits_of(name),
-            order=list(self.fleet.refuse) if away else [],
-            level=level,
-            listed=level > 0,
-            short=self.told.short and bool(away),
-        )
-
-    def members_of(self, site: str) -> list[str]:
-        return [name for name, home in self.home.items() if home == site]
-
-    def wanted(self, member: Member, now: int) -> float:
-        """The leased part that a member should have: its own, and of what lost members had by what it
-        takes on.
-        """
-        assert self.shares is not None
-        own = self.shares.own(member.name)
-        levels = self.told_levels
-        visiting = self.told.visiting.get(member.site, 0.0)
-        if levels.get(member.site, 1.0) <= 0:
-            return 0.0
-        away = self.away
-        taken = sum(amount for site, amount in self.told.visiting.items() if levels.get(site, 1.0) > 0)
-        if not away or not taken or not visiting:
-            return own
-        beside = max(1, self.beside.get(member.site, 0))
-        return own + away * visiting / taken / beside
-
-    # ---- who may be out --------------------------------------------------------------------------------
-
-    def seen(self, now: int) -> dict[str, MemberObservation]:
-        """Every member of the fleet file as it is seen; one that was never heard is out."""
-        found = {}
-        for name, site in self.home.items():
-            member = self.membership.members.get(name)
-            if member is None:
-                found[name] = MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
-                continue
-            report, why = member.report, None
-            life = member.life(now, self.every())
-            if life is MemberLiveness.LEFT:
-                why = UnavailabilityReason.LEAVING
-            elif life is not MemberLiveness.ALIVE:
-                why = UnavailabilityReason.SILENT
-            elif self.comebacks[site].stage is not RecoveryStage.HOME:
-                why = UnavailabilityReason.LOST
-            elif not report.serving or not report.warm:
-                why = UnavailabilityReason.COLD
-            found[name] = MemberObservation(member.incarnation, self.room(member), why)
-        if not self.reign:
-            return found  # the leader alone asks the platform
-        return with_dependents(found | self.conductor.seen(now), self.permits.needs)
-
-    def want(self, want: EvictionRequest, now: int) -> tuple[int, EvictionResponse]:
-        """What comes of it, and the number that a majority has to keep before it may be told."""
-        seen = self.seen(now)
-        before = self.permits.keep()
-        if want.what == "override":
-            why = self.permits.override(want.who, want.why, want.count, want.span)
-            granted = EvictionResponse(granted=not why, why=why)
-        elif want.holder not in seen:
-            return self.kept_number, EvictionResponse(
-                granted=False, why=f"no member is named {want.holder!r}"
+        return self.rollouts.evaluate(observations, reports, self.sites.sites_not_serving(), now)
+
+    def observations(self, now: int) -> dict[str, MemberObservation]:
+        """Returns for each member, and for each service while it leads, whether it is out and why."""
+        members = observe_members(self.site_of_member, self.sites, self.report_interval(), now)
+        if not self.leadership.is_leading:
+            return members  # the leader alone asks the platform for services
+        return with_dependents(members | self.rollouts.controller.seen(now), self.budget.needs)
+
+    # ---- requests of operators and the platform --------------------------------------------------------
+
+    def handle_eviction(self, request: EvictionRequest, now: int) -> EvictionOutcome:
+        """Carries out a request for permits."""
+        observations = self.observations(now)
+        if request.what != EvictionAction.OVERRIDE and request.holder not in observations:
+            response = handle_eviction(self.budget, request, observations)
+            return EvictionOutcome(self.leadership.replicated_version, response)
+        before = self.budget.keep()
+        response = handle_eviction(self.budget, request, observations)
+        if self.budget.keep() != before:
+            self.events.record(
+                "permits_changed",
+                what=request.what,
+                holder=request.holder,
+                granted=response.granted,
+                why=response.why,
             )
-        elif want.what == "strike":
-            self.permits.strike(want.holder, want.who)
-            granted = EvictionResponse(granted=True)
-        else:
-            granted = self.want_out(want, want.incarnation or seen[want.holder].incarnation, seen)
-        if self.permits.keep() != before:
-            self.remark(
-                "permits", what=want.what, holder=want.holder, granted=granted.granted, why=granted.why
-            )
-            self.renew(now)
-        return self.number, granted
-
-    def want_out(
-        self, want: EvictionRequest, incarnation: Incarnation, seen: dict[str, MemberObservation]
-    ) -> EvictionResponse:
-        if want.what == "hand-back":
-            return EvictionResponse(granted=self.permits.hand_back(want.holder, incarnation, seen))
-        asker = EvictionWaiter(holder=want.holder, incarnation=incarnation, why=want.why)
-        ask = self.permits.ask_past if want.what == "past" else self.permits.ask
-        answer = ask(asker, seen)
-        number = answer.permit.number if answer.permit is not None else 0
-        return EvictionResponse(
-            granted=answer.permit is not None, number=number, place=answer.place, why=answer.why
-        )
-
-    def shown_permits(self, book: BudgetState, now: int) -> dict[str, object]:
-        permits = DisruptionBudget(self.permits.groups, book)
-        out = permits.out(self.seen(now))
-        return {
-            "groups": [
-                {"name": one.name, "allowed": one.allowed, "out": len(one.members.intersection(out))}
-                for one in permits.groups
-            ],
-            "out": {name: why.value for name, why in sorted(out.items())} if permits.groups else {},
-            "permits": [
-                {"holder": one.holder, "number": one.number, "why": one.why, "override": one.override}
-                for one in book.permits
-            ],
-            "waiting": [one.holder for one in book.waiting],
-            "record": book.record[-16:],
-        }
-
-    # ---- operators -------------------------------------------------------------------------------------
-
-    def evacuate(self, site: str, who: str, why: str, now: int) -> bool:
-        if not self.comebacks[site].lost(now, f"by hand: {who}: {why}"[:300], by_hand=True):
-            return False
-        self.remark("site evacuated by hand", site=site, who=who, why=why)
-        self.renew(now)
-        return True
-
-    def give_back(self, site: str, who: str, now: int) -> bool:
-        if not self.comebacks[site].let_back(now):
-            return False
-        self.remark("site let back by hand", site=site, who=who)
-        self.renew(now)
-        return True
-
-    def foresee(self, lose: str) -> dict[str, object]:
-        """What the loss of a site would mean today."""
-        places = self.places()
-        made = what_if(places, lose, self.fleet.tenants, self.fleet.costs, self.fleet.order)
-        rooms = {place.name: place.room for place in places if place.name != lose}
-        out: dict[str, object] = {
-            "lose": lose,
-            "load": sum(sum(place.load.values()) for place in places if place.name == lose),
-            "flows": [[a, b, amount] for (a, b), amount in sorted(made.flows.items()) if a == lose],
-            "refused": {kind.value: amount for kind, amount in made.refused.items()},
-            "refused_at": made.refused_at,
-            "room": rooms,
-            "short_by": made.refused_in_all(),
-        }
-        if self.shares is not None:
-            gone = set(self.members_of(lose))
-            calls = sum(one.report.calls for one in self.membership.members.values())
-            stays = sum(base for name, base in self.bases.items() if name not in gone)
-            stays += sum(self.shares.own(name) for name in gone)
-            out["vault"] = {"calls": calls, "may_be": stays, "short_by": max(0.0, calls - stays)}
-        return out
-
-    def show(self, now: int) -> dict[str, object]:
-        """Everything an operator may want to see, from any planner."""
-        members = [
-            {
-                "name": one.name,
-                "site": one.site,
-                "life": one.life(now, self.every()).value,
-                "incarnation": one.incarnation.mark,
-                "restarts": one.restarts,
-                "phi": round(one.suspicion.phi(now), 2),
-                "room": round(one.report.room, 1),
-                "load": round(sum(one.report.load.values()), 1),
-                "visits": round(one.report.visits, 1),
-                "shed": round(one.report.shed, 1),
-                "pace": round(one.report.pace, 2),
-                "calls": one.report.calls,
-                "share": round(one.report.share, 2),
-                "plan": f"{one.report.epoch}.{one.report.plan}",
-            }
-            for one in sorted(self.membership.members.values(), key=lambda one: (one.site, one.name))
-        ]
-        rules = self.rules(now)
-        # One that follows shows what the leader had it keep.
-        state = self.read_state(self.ballot.durable.state)
-        comebacks = self.comebacks if rules else self.read_sites(state, now)[0]
-        sites = [
-            {
-                "name": name,
-                "verdict": self.membership.verdict(name, now).value,
-                "stage": comeback.stage.value,
-                "level": comeback.level,
-                "flaps": comeback.flaps,
-                "by_hand": comeback.by_hand,
-                "why": comeback.why,
-                "load": round(sum(self.usual[name].values()), 1),
-                "visiting": round(self.told.visiting.get(name, 0.0), 1),
-                "refused": round(self.told.refused_at.get(name, 0.0), 1),
-            }
-            for name, comeback in comebacks.items()
-        ]
-        return {
-            "planner": self.ballot.name,
-            "leads": rules,
-            "leader": self.ballot.name if rules else self.silence(now).leader,
-            "epoch": self.ballot.durable.promised,
-            "plan": self.ballot.durable.state_number,
-            "short": self.told.short,
-            "refused": {kind.value: round(amount, 1) for kind, amount in self.told.refused.items()},
-            "blank": self.ballot.durable.blank,
-            "releases": self.told_releases(now),
-            "sites": sites,
-            "members": members,
-            **self.shown_permits(self.permits.book if rules else state.permits, now),
-        }
+            self.replan(now)
+        return EvictionOutcome(self.leadership.version, response)
+
+    def handle_rollout_command(self, command: RolloutCommand, now: int) -> CommandOutcome:
+        """Carries out an operator's command on rollouts."""
+        result = self.rollouts.execute(command, now)
+        if result.done:
+            self.replan(now)
+            self.rollouts.orders_version = self.leadership.version
+            self.rollouts.evaluate_soon(now)
+        return CommandOutcome(self.leadership.version, result)
+
+    def platform_orders(self, now: int) -> list[PlatformOrder]:
+        """Returns the orders that may go to the platform now: a majority has stored all they rest on."""
+        if not self.is_effective_leader(now):
+            return []
+        if self.leadership.replicated_version < self.rollouts.orders_version:
+            return []
+        return self.rollouts.controller.orders
+
+    def receive_inventory(self, inventory: Inventory, sent: int) -> None:
+        """Takes what the platform has answered; `sent` is when it was asked."""
+        self.rollouts.controller.hear(inventory, sent)
+
+    def evacuate_site(self, site: str, who: str, why: str, now: int) -> bool:
+        """Evacuates a site by hand; returns whether that is a change."""
+        changed = self.sites.evacuate(site, who, why, now)
+        if changed:
+            self.replan(now)
+        return changed
+
+    def return_site(self, site: str, who: str, now: int) -> bool:
+        """Lets a site recover that was evacuated by hand; returns whether that is a change."""
+        changed = self.sites.end_evacuation(site, who, now)
+        if changed:
+            self.replan(now)
+        return changed
+
+    # ---- fleet file and events -------------------------------------------------------------------------
+
+    def apply_fleet(self, fleet: Fleet, now: int) -> list[str]:
+        """Applies a later fleet file; returns why it can't be, a line each, and then nothing of it is."""
+        blocked = list(blocked_changes(self.fleet, fleet))
+        if blocked:
+            return blocked
+        changes = member_changes(self.fleet, fleet)
+        self.fleet = fleet
+        self._index_members()
+        for name in changes.left:
+            self.membership.remove(name)
+        self.budget.regroup(fleet.budgets(), fleet.needs())
+        self._apply_fleet_to_rollouts(fleet)
+        self.quotas.update_members(fleet.bases())
+        self.events.record("fleet_file_applied", left=changes.left, joined=changes.joined)
+        if self.leadership.is_leading:
+            self._revoke_permits_of_unknown_holders()
+            self.replan(now)
+        return []
 
-    def told_releases(self, now: int, number: int = 0, history: bool = False) -> list[dict[str, object]]:
-        """From any planner; one that follows tells what the leader had it keep."""
-        if self.rules(now):
-            return self.conductor.told(number, history)
-        kept = RolloutController(self.conductor.parts, (), self.permits, 0)
-        kept.take(self.read_state(self.ballot.durable.state).releases, now)
-        return kept.told(number, history)
-
-    def remark(self, event: str, **more: object) -> None:
-        if len(self.remarks) < 256:
-            self.remarks.append((event, more))
-
-    def take_remarks(self) -> Iterator[tuple[str, dict[str, object]]]:
-        remarks, self.remarks = self.remarks, []
-        yield from remarks
+    def _apply_fleet_to_rollouts(self, fleet: Fleet) -> None:
+        controller = self.rollouts.controller
+        if fleet.platform is not None:
+            controller.stale = span(fleet.platform.stale_ms)
+        services = [service.name for service in fleet.services]
+        controller.amend(fleet.parts(), services, self.site_of_member)
+
+    def _revoke_permits_of_unknown_holders(self) -> None:
+        services = (service.name for service in self.fleet.services)
+        known = {*self.site_of_member, *services}
+        holders = [permit.holder for permit in self.budget.book.permits]
+        for holder in holders:
+            if holder not in known:
+                self.budget.strike(holder, "the fleet file")
+
+    def drain_events(self) -> Iterator[PlannerEvent]:
+        """Yields the events since the last call, to be logged."""
+        return self.events.drain()
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -50,7 +50,7 @@
         """For as long as the planner lives; one that does not lead asks nothing."""
         while True:
             began = self.scheduler.now
-            if self.mind.rules(self.scheduler.tell_time()):
+            if self.mind.is_effective_leader(self.scheduler.tell_time()):
                 try:
                     self.ask_listing()
                     self.give_orders()
@@ -65,26 +65,27 @@
         self.nap.end()
 
     def ask_listing(self) -> None:
-        reign, sent = self.mind.reign, self.scheduler.tell_time()
+        reign, sent = self.mind.leadership.term, self.scheduler.tell_time()
         answer = self.ask("GET", f"/fleet/members?epoch={reign}", b"")
         if answer.status != 200:
             raise OSError(f"answered {answer.status}")
         listing = read_inventory(answer.body)
         self.counters.count("platform.listings")
-        if self.mind.reign == reign:  # or it was asked in a reign that is over
-            self.mind.conductor.hear(listing, sent)
+        if self.mind.leadership.term == reign:  # or it was asked in a reign that is over
+            self.mind.receive_inventory(listing, sent)
 
     def give_orders(self) -> None:
         """Each is looked up anew: a halt meanwhile leaves nothing to give."""
         given: set[PlatformOrder] = set()
         while True:
             order = next(
-                (one for one in self.mind.orders(self.scheduler.tell_time()) if one not in given), None
+                (one for one in self.mind.platform_orders(self.scheduler.tell_time()) if one not in given),
+                None,
             )
             if order is None:
                 return
             given.add(order)
-            body = {"epoch": self.mind.reign, "number": order.number, "version": order.version}
+            body = {"epoch": self.mind.leadership.term, "number": order.number, "version": order.version}
             path = f"/fleet/members/{quote(order.member, safe='')}/{order.what}"
             answer = self.ask("POST", path, json.dumps(body).encode())
             good = 200 <= answer.status < 300
--- /dev/null
+++ b/birchslip/cluster/quota_allocator.py
@@ -0,0 +1,93 @@
+"""Quota allocation: how much of the vault's quota each member should have while sites are evacuated.
+
+Decides what a member wants; `quota_leases.py` decides what it gets of that.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import NamedTuple
+
+from .fleet_file import Vault, span
+from .messages import MemberReport
+from .quota_leases import QuotaLeases
+from .site_plan import SitePlan
+
+
+class QuotaGrant(NamedTuple):
+    """Concurrent calls that a member may make, and for how long from when it sent its report."""
+
+    quota: float = 0.0
+    lease_span: int = 0
+
+
+class QuotaAllocator:
+    """The leases of this leader's term and the published plan that they follow.
+
+    Attributes:
+        base_quotas: The quota of each member by the fleet file, in concurrent calls.
+        leases: None before the first term and without a vault.
+        evacuated_quota: The leased parts of all members of evacuated sites together.
+        alive_members: The number of members of each site that are alive.
+    """
+
+    def __init__(self, vault: Vault | None, base_quotas: Mapping[str, float]) -> None:
+        """Starts without leases; without a vault there never are any."""
+        self.vault = vault
+        self.base_quotas = base_quotas
+        self.leases: QuotaLeases | None = None
+        self.evacuated_quota = 0.0
+        self.alive_members: dict[str, int] = {}
+        self._levels: Mapping[str, float] = {}
+        self._visiting_load: Mapping[str, float] = {}
+
+    def start_term(self, now: int) -> None:
+        """Starts with what may still be in use of a previous leader's leases."""
+        vault = self.vault
+        if vault is not None:
+            lease_span = span(vault.lease_ms)
+            self.leases = QuotaLeases(self.base_quotas, vault.total, vault.kept, lease_span, now)
+
+    def update_members(self, base_quotas: Mapping[str, float]) -> None:
+        """Takes over the quotas of a later fleet file."""
+        self.base_quotas = base_quotas
+        if self.leases is not None:
+            self.leases.update_members(base_quotas)
+
+    def follow_plan(
+        self, plan: SitePlan, levels: Mapping[str, float], site_of_member: Mapping[str, str]
+    ) -> None:
+        """Allocates by a published plan and the sites' levels at its publication."""
+        self._levels = levels
+        self._visiting_load = plan.visiting_load
+        if self.leases is None:
+            self.evacuated_quota = 0.0
+            return
+        evacuated = [name for name, site in site_of_member.items() if levels[site] <= 0]
+        self.evacuated_quota = sum(self.leases.leasable_quota(name) for name in evacuated)
+
+    def grant(self, report: MemberReport, site: str, now: int) -> QuotaGrant:
+        """Renews the lease of the sender of a report; `site` is where it is now."""
+        if self.leases is None:
+            return QuotaGrant()
+        reserved = self.leases.reserved_part * self.base_quotas[report.name]
+        held = max(0.0, report.share - reserved) if report.lease else 0.0
+        wanted = self._wanted(self.leases, report.name, site)
+        leased = self.leases.grant(report.name, wanted, held, now)
+        return QuotaGrant(reserved + leased, self.leases.lease_span)
+
+    def _wanted(self, leases: QuotaLeases, name: str, site: str) -> float:
+        """The leased part that a member should have: its own, and a share of the evacuated quota.
+
+        A site's share is in proportion to the visiting load that it takes on.
+        """
+        own = leases.leasable_quota(name)
+        levels = self._levels
+        if levels.get(site, 1.0) <= 0:
+            return 0.0
+        site_visiting = self._visiting_load.get(site, 0.0)
+        visiting = sum(rate for place, rate in self._visiting_load.items() if levels.get(place, 1.0) > 0)
+        if not self.evacuated_quota or not visiting or not site_visiting:
+            return own
+        alive = max(1, self.alive_members.get(site, 0))
+        return own + self.evacuated_quota * site_visiting / visiting / alive
--- a/birchslip/cluster/quota_leases.py
+++ b/birchslip/cluster/quota_leases.py
@@ -1,100 +1,142 @@
-"""Who may have how many calls in hand at the shared vault, while sites are lost and come back.
-
-Every member has a base share. A *kept* part of it is never lent, so that one that hears nobody keeps calling;
-the rest is a lease of a known end (Gray and Cheriton 1989). Lent on to others is only the leased part of
-members of a lost site whose lease has surely ended. At no instant may the parts that somebody may use add
-up to more than the vault has room for, whoever is paused, cut off or led by whom: a lease counts from when
-the member *sent* the report that it answers, on the member's own clock; here it counts from when the answer
-is *given*, and longer by a margin for clocks that go at different speeds.
+"""Quota leases: how many concurrent calls to the shared vault each member may make.
+
+Every member has a base quota. A *reserved* part of it is never lent, so that a member that hears no planner
+can go on calling; the rest is a lease with a known end (Gray and Cheriton 1989). What is lent on is only the
+leased part of members of a lost site whose leases have surely ended. At no instant may the quotas in use add
+up to more than the vault's total, whoever is paused, partitioned or led by whom: the member counts a lease
+from when it *sent* the report that the lease answers, on its own clock; the leader counts it from when the
+answer is *given*, and longer by a margin for clocks that run at different speeds.
 """
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Callable, Mapping
+from typing import NamedTuple
 
-DRIFT = 0.02  # two clocks that don't jump differ by less than this part
+from ..admission.types import MS
 
+MAX_CLOCK_DRIFT = 0.02  # relative, of two monotonic clocks
+EXPIRY_MARGIN = 10 * MS
 
-def surely_over(span: int) -> int:
-    """After so long here, a lease of `span` has ended there."""
-    return int(span * (1 + DRIFT)) + 100
+
+def safe_expiry(lease_span: int) -> int:
+    """Returns after how long on this clock a lease of that span has ended on its holder's clock."""
+    return int(lease_span * (1 + MAX_CLOCK_DRIFT)) + EXPIRY_MARGIN
+
+
+class QuotaLimit(NamedTuple):
+    """An amount that may be in use until a moment."""
+
+    until: int
+    amount: float
 
 
 class LeaseRecord:
-    """What one member may still use of its leased part: amounts that fall, each with the time until it
-    may.
-    """
+    """What one member may still use of its leased part: falling amounts, each with its end."""
 
     def __init__(self) -> None:
-        self.steps: list[tuple[int, float]] = []
+        """Starts with nothing leased."""
+        self.limits: list[QuotaLimit] = []
 
     @property
     def amount(self) -> float:
-        return self.steps[0][1] if self.steps else 0.0
+        """The most that may be in use now."""
+        return self.limits[0].amount if self.limits else 0.0
 
     def add(self, amount: float, until: int) -> None:
-        self.steps = [step for step in self.steps if step[0] > until or step[1] > amount]
-        self.steps.append((until, amount))
-        self.steps.sort(key=lambda step: -step[1])
+        """Adds a grant; larger amounts granted before stay in force until their own end."""
+        self.limits = [limit for limit in self.limits if limit.until > until or limit.amount > amount]
+        self.limits.append(QuotaLimit(until, amount))
+        self.limits.sort(key=lambda limit: -limit.amount)
 
-    def lapse(self, now: int) -> None:
-        self.steps = [step for step in self.steps if step[0] > now]
+    def expire(self, now: int) -> None:
+        """Drops what has ended."""
+        self.limits = [limit for limit in self.limits if limit.until > now]
 
 
 class QuotaLeases:
-    """The leader's book. `bases` are calls by member, of the fleet file; `since` is when it began to lead."""
-
-    def __init__(self, bases: Mapping[str, float], total: float, kept: float, span: int, since: int) -> None:
-        self.bases, self.total, self.kept, self.span = bases, total, kept, span
-        self.sure_from = since + surely_over(span)
-        self.parts = {name: LeaseRecord() for name in bases}
-        self.ends: list[tuple[int, str]] = []
-        self.out = 0.0
-        self.kept_sum = kept * sum(bases.values())
-
-    def amend(self, bases: Mapping[str, float]) -> None:
-        """Members have joined or left; who stays has the base it had. What one that left may still use stays
-        booked to its end, its kept part too: until the next reign its base counts as used.
+    """The leader's record of all leases, in concurrent calls.
+
+    Attributes:
+        base_quotas: The quota of each member by the fleet file.
+        total: What all members may use together.
+        reserved_part: The part of each base quota that is never lent.
+        lease_span: How long a grant holds, in tenths of a millisecond.
+        leased_total: The sum of what members may use of their leased parts.
+        reserved_total: The sum of the reserved parts, those of departed members included.
+    """
+
+    def __init__(
+        self,
+        base_quotas: Mapping[str, float],
+        total: float,
+        reserved_part: float,
+        lease_span: int,
+        since: int,
+    ) -> None:
+        """Starts with nothing leased; `since` is when this leader's term began."""
+        self.base_quotas = base_quotas
+        self.total = total
+        self.reserved_part = reserved_part
+        self.lease_span = lease_span
+        self.leased_total = 0.0
+        self.reserved_total = reserved_part * sum(base_quotas.values())
+        self._previous_leases_end = since + safe_expiry(lease_span)
+        self._records = {name: LeaseRecord() for name in base_quotas}
+        self._expirations: list[tuple[int, str]] = []
+
+    def update_members(self, base_quotas: Mapping[str, float]) -> None:
+        """Takes over a later fleet file, in which each member that stays has the same base quota.
+
+        What a departed member may still use stays recorded to its end, and its reserved part to the end of
+        the term.
         """
-        self.kept_sum += self.kept * sum(base for name, base in bases.items() if name not in self.parts)
-        self.bases = {**self.bases, **bases}
-        for name in bases:
-            self.parts.setdefault(name, LeaseRecord())
-
-    def lapse(self, now: int) -> None:
-        while self.ends and self.ends[0][0] <= now:
-            name = heapq.heappop(self.ends)[1]
-            self.change(name, lambda booked: booked.lapse(now))
-
-    def change(self, name: str, act: Callable[[LeaseRecord], None]) -> None:
-        booked = self.parts[name]
-        self.out -= booked.amount
-        act(booked)
-        self.out += booked.amount
-
-    def own(self, member: str) -> float:
-        return (1 - self.kept) * self.bases[member]
-
-    def free(self, now: int) -> float:
-        """What nobody may use any more and is not granted again."""
-        self.lapse(now)
-        return max(0.0, self.total - self.kept_sum - self.out)
-
-    def sure(self, now: int) -> bool:
-        """Whether all leases that a leader before may have given have ended."""
-        return now >= self.sure_from
+        joined = [quota for name, quota in base_quotas.items() if name not in self._records]
+        self.reserved_total += self.reserved_part * sum(joined)
+        self.base_quotas = {**self.base_quotas, **base_quotas}
+        for name in base_quotas:
+            self._records.setdefault(name, LeaseRecord())
+
+    def reserved_quota(self, member: str) -> float:
+        """Returns the part of a member's base quota that is never lent."""
+        return self.reserved_part * self.base_quotas[member]
+
+    def leasable_quota(self, member: str) -> float:
+        """Returns the leased part of a member's base quota."""
+        return (1 - self.reserved_part) * self.base_quotas[member]
+
+    def available(self, now: int) -> float:
+        """Returns what nobody may use any more and has not been granted again."""
+        self._expire(now)
+        return max(0.0, self.total - self.reserved_total - self.leased_total)
+
+    def previous_leases_ended(self, now: int) -> bool:
+        """Returns whether all leases that a previous leader may have granted have ended."""
+        return now >= self._previous_leases_end
 
     def grant(self, member: str, wanted: float, held: float, now: int) -> float:
-        """The leased part that this member may use from now on, for `span`.
+        """Grants a member its leased part for `lease_span` from now on.
 
-        Until all leases of the leader before are over, only what is reported as still held is renewed: that
-        has been granted beside all others. After that, as much of what it wants as is free. A part that was
-        larger may be used up to its own end, and is booked until then.
+        Until all leases of the previous leader have ended, only what the member reports as still held is
+        renewed. After that it gets as much of what it wants as is available. A larger amount granted before
+        may be used up to its own end, and is recorded until then.
         """
-        free = self.free(now) + self.parts[member].amount
-        amount = min(wanted, held) if not self.sure(now) else min(wanted, free)
-        until = now + surely_over(self.span)
-        self.change(member, lambda booked: booked.add(amount, until))
-        heapq.heappush(self.ends, (until, member))
+        available = self.available(now) + self._records[member].amount
+        limit = available if self.previous_leases_ended(now) else held
+        amount = min(wanted, limit)
+        until = now + safe_expiry(self.lease_span)
+        self._change(member, lambda record: record.add(amount, until))
+        heapq.heappush(self._expirations, (until, member))
         return amount
+
+    def _expire(self, now: int) -> None:
+        while self._expirations and self._expirations[0][0] <= now:
+            name = heapq.heappop(self._expirations)[1]
+            self._change(name, lambda record: record.expire(now))
+
+    def _change(self, name: str, action: Callable[[LeaseRecord], None]) -> None:
+        record = self._records[name]
+        self.leased_total -= record.amount
+        action(record)
+        self.leased_total += record.amount
--- a/birchslip/cluster/recovery_ramp.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -1,137 +1,225 @@
-"""How a site comes back: in steps, paced by what its members show, taken back where a step hurts.
+"""Recovery ramp: the steps in which a lost site gets its load back.
 
-    home -> lost -> waiting -> step 1 .. step n -> home
-               ^_______________________|   it is lost again: the next wait is twice as long
+    SERVING -> LOST -> WAITING -> STEP 1 .. STEP n -> SERVING
+                 ^__________________|   it is lost again: the next wait is twice as long
 
-A step is held until the members have shown, report after report, that they carry it: warm enough for it, at a
-usual pace, hardly shedding. A clock alone never moves one on; it only bounds the waits from below.
+A step lasts until the members have shown, report after report, that they carry it: warm, at a usual pace and
+rejecting little. Time alone never advances a step; it only bounds the waits from below. This module decides
+the stage of one site and never whether the site is lost: that is `membership.py`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
+from ..admission.types import MS, SECOND
 from .messages import MemberReport
 
-STEPS = (0.5, 0.75, 1.0)  # of the cores of each member
-SHOWN = 2  # good looks in a row before the next step
-HURT = 2  # bad ones in a row before a step is taken back
-PACE_GOOD, PACE_BAD = 1.6, 2.5  # against the usual
-SHED_BAD = (
-    0.5  # of what was asked at a step; routers ask for all of it from the first, so it is no small part
-)
-LEANT = 0.4  # of what a step could do, asked for, before it counts as carried
-IDLE = 8  # times a step's hold after which it goes on all the same: there is no load to carry
-DWELL = 3_000  # a step is held for at least 300 ms: a report and a half, and what they show
-WAIT_FIRST, WAIT_MOST = 5_000, 600_000  # one that flaps waits half a second at first, a minute at most
-FORGIVEN = 6_000_000  # ten minutes at home, and earlier losses count no more
+STEP_LEVELS = (0.5, 0.75, 1.0)  # of the cores of each member
+GOOD_EVALUATIONS = 2  # in a row before the next step
+BAD_EVALUATIONS = 2  # in a row before a step is taken back
+MAX_GOOD_PACE = 1.6  # run times against the usual
+MIN_BAD_PACE = 2.5
+MAX_REJECTED_RATIO = 0.5  # so large as routers offer all of the load from the first step on
+MIN_OFFERED_RATIO = 0.4  # of the load of a step, before it counts as carried
+MIN_SERVED_RATIO = 0.5  # of the capacity of a step, at which rejections come of the level alone
+IDLE_STEP_FACTOR = 8  # times the least duration of a step after which it advances without load
+MIN_STEP_DURATION = 300 * MS
+FIRST_WAIT = SECOND // 2
+MAX_WAIT = 60 * SECOND
+MAX_WAIT_DOUBLINGS = 16
+FLAPS_FORGIVEN_AFTER = 600 * SECOND
 
 
 class RecoveryStage(Enum):
-    HOME = "home"
+    """Where a site is on its way back; the values are stored and shown to operators."""
+
+    SERVING = "home"
     LOST = "lost"
     WAITING = "waiting"
     STEP = "step"
 
 
+class StepObservation(NamedTuple):
+    """What the members of a site show during a step; rates in requests a second."""
+
+    members: int
+    pace: float
+    offered: float
+    served: float
+    rejected_ratio: float
+    capacity: float
+
+
+def observe_step(reports: list[MemberReport]) -> StepObservation:
+    """Sums up the newest reports of the members of a site."""
+    offered = sum(report.honoured + report.shed for report in reports)
+    rejected_ratio = sum(report.shed for report in reports) / offered if offered else 0.0
+    return StepObservation(
+        members=len(reports),
+        pace=max((report.pace for report in reports), default=0.0),
+        offered=offered,
+        served=sum(report.honoured for report in reports),
+        rejected_ratio=rejected_ratio,
+        capacity=sum(report.room for report in reports),
+    )
+
+
 @dataclass(slots=True)
 class RecoveryRamp:
-    """One site. `by_hand` says that an operator has evacuated it: only an operator lets it back in."""
+    """The stage of one site. Times are in tenths of a millisecond.
+
+    Attributes:
+        step: The place in `STEP_LEVELS`, while the stage is STEP.
+        since: When the stage or step was entered.
+        flap_count: Losses in a row; each doubles the wait.
+        good_streak: Evaluations in a row that showed the step carried.
+        bad_streak: Evaluations in a row that showed it overloaded.
+        min_step_duration: How long a step lasts at least.
+        evacuated_by_operator: Only an operator ends the evacuation.
+        reason: Why the stage was entered.
+    """
 
     site: str
-    stage: RecoveryStage = RecoveryStage.HOME
+    stage: RecoveryStage = RecoveryStage.SERVING
     step: int = 0
     since: int = 0
-    flaps: int = 0
-    good: int = 0
-    bad: int = 0
-    hold: int = DWELL  # how long this step is held at least
-    by_hand: bool = False
-    why: str = ""
+    flap_count: int = 0
+    good_streak: int = 0
+    bad_streak: int = 0
+    min_step_duration: int = MIN_STEP_DURATION
+    evacuated_by_operator: bool = False
+    reason: str = ""
 
     @property
     def level(self) -> float:
-        if self.stage is RecoveryStage.HOME:
+        """The part of its members' cores that may be used."""
+        if self.stage is RecoveryStage.SERVING:
             return 1.0
-        return STEPS[self.step] if self.stage is RecoveryStage.STEP else 0.0
+        return STEP_LEVELS[self.step] if self.stage is RecoveryStage.STEP else 0.0
+
+    @property
+    def is_serving(self) -> bool:
+        """Whether it carries all of its load."""
+        return self.stage is RecoveryStage.SERVING
 
-    def lost(self, now: int, why: str, by_hand: bool = False) -> bool:
-        """Whether that is news. One that is lost again while it comes back waits longer the next time."""
-        self.by_hand = self.by_hand or by_hand
+    @property
+    def wait_duration(self) -> int:
+        """How long it waits between its loss and the first step: a site that flaps waits longer."""
+        if self.flap_count <= 1:
+            return 0
+        doublings = min(MAX_WAIT_DOUBLINGS, self.flap_count - 2)
+        return min(MAX_WAIT, FIRST_WAIT << doublings)
+
+    # ---- events ----------------------------------------------------------------------------------------
+
+    def mark_lost(self, now: int, reason: str, by_operator: bool = False) -> bool:
+        """Enters LOST; returns whether that is a change."""
+        self.evacuated_by_operator = self.evacuated_by_operator or by_operator
         if self.stage is RecoveryStage.LOST:
             return False
-        if self.stage is RecoveryStage.HOME and now - self.since >= FORGIVEN:
-            self.flaps = 0
-        self.flaps += 1
-        self.enter(RecoveryStage.LOST, now, why)
+        if self.stage is RecoveryStage.SERVING and now - self.since >= FLAPS_FORGIVEN_AFTER:
+            self.flap_count = 0
+        self.flap_count += 1
+        self._enter(RecoveryStage.LOST, now, reason)
         return True
 
-    def enter(self, stage: RecoveryStage, now: int, why: str) -> None:
-        self.stage, self.since, self.why = stage, now, why
-        self.good = self.bad = 0
+    def end_evacuation(self, now: int) -> bool:
+        """Lets a site recover that an operator has evacuated; returns whether that is a change."""
+        if self.stage is not RecoveryStage.LOST or not self.evacuated_by_operator:
+            return False
+        self.evacuated_by_operator = False
+        self._enter(RecoveryStage.WAITING, now, "let back by hand")
+        return True
 
-    def wait(self) -> int:
-        return 0 if self.flaps < 2 else min(WAIT_MOST, WAIT_FIRST << min(16, self.flaps - 2))
+    def evaluate(
+        self, reports: list[MemberReport], expected_members: int, usual_load: float, now: int
+    ) -> str:
+        """Moves on, or back, by what the members show.
 
-    def look(self, shown: list[MemberReport], expected: int, usual: float, now: int) -> str:
-        """One look at what the site's members have reported; a word on what was changed, or none.
+        Args:
+            reports: The newest report of each member that is alive.
+            expected_members: How many members the site has in the fleet file.
+            usual_load: The load of the site before its loss, in requests a second.
+            now: The time.
 
-        `expected` is how many there should be, `usual` the site's own load, in transactions a second.
+        Returns:
+            Why the stage or step has changed, or an empty string if it has not.
         """
-        if self.stage is RecoveryStage.HOME:
+        if self.stage is RecoveryStage.SERVING:
             return ""
         if self.stage is RecoveryStage.LOST:
-            if self.by_hand or 2 * len(shown) < expected or not shown:
+            if self.evacuated_by_operator or 2 * len(reports) < expected_members or not reports:
                 return ""
-            self.enter(RecoveryStage.WAITING, now, "its members are heard again")
-            if self.wait():
-                return self.why
+            self._enter(RecoveryStage.WAITING, now, "its members are heard again")
+            if self.wait_duration:
+                return self.reason
         if self.stage is RecoveryStage.WAITING:
-            if now - self.since < self.wait() or not shown:
-                return ""
-            self.step, self.hold = 0, DWELL
-            self.enter(RecoveryStage.STEP, now, f"waited {self.wait() // 10} ms, flap {self.flaps}")
-            return self.why
-        return self.judge_step(shown, usual, now)
-
-    def judge_step(self, shown: list[MemberReport], usual: float, now: int) -> str:
-        pace = max((one.pace for one in shown), default=0.0)
-        asked = sum(one.honoured + one.shed for one in shown)
-        refused = sum(one.shed for one in shown) / asked if asked else 0.0
-        if not shown or pace >= PACE_BAD:
-            self.good, self.bad = 0, self.bad + 1
-        elif pace <= PACE_GOOD and (refused < SHED_BAD or self.bounded(shown)):
-            self.good, self.bad = self.good + 1, 0
-        if self.bad >= HURT and self.step:
-            self.step -= 1
-            self.hold = min(WAIT_MOST, 2 * self.hold)
-            self.enter(RecoveryStage.STEP, now, f"the step hurt: pace {pace:.1f}, back to {self.level:.2f}")
-            return self.why
-        # A step that nobody has leant on yet has shown nothing: routers learn late who is listed.
-        leant = asked >= LEANT * self.level * usual
-        if self.good < SHOWN or now - self.since < self.hold:
+            return self._evaluate_wait(reports, now)
+        return self._evaluate_step(reports, usual_load, now)
+
+    # ---- transitions -----------------------------------------------------------------------------------
+
+    def _enter(self, stage: RecoveryStage, now: int, reason: str) -> None:
+        self.stage = stage
+        self.since = now
+        self.reason = reason
+        self.good_streak = 0
+        self.bad_streak = 0
+
+    def _evaluate_wait(self, reports: list[MemberReport], now: int) -> str:
+        if now - self.since < self.wait_duration or not reports:
             return ""
-        if not leant and now - self.since < IDLE * self.hold:
+        self.step = 0
+        self.min_step_duration = MIN_STEP_DURATION
+        waited_ms = self.wait_duration // MS
+        self._enter(RecoveryStage.STEP, now, f"waited {waited_ms} ms, flap {self.flap_count}")
+        return self.reason
+
+    def _evaluate_step(self, reports: list[MemberReport], usual_load: float, now: int) -> str:
+        shown = observe_step(reports)
+        self._count_streaks(shown)
+        if self.bad_streak >= BAD_EVALUATIONS and self.step:
+            return self._step_back(shown, now)
+        if not self._is_carried(shown, usual_load, now):
             return ""
-        if self.step + 1 < len(STEPS):
+        if self.step + 1 < len(STEP_LEVELS):
             self.step += 1
-            self.enter(RecoveryStage.STEP, now, f"carried the step: pace {pace:.1f}, shed {refused:.2f}")
-            return self.why
-        if all(one.warm for one in shown):
-            self.enter(RecoveryStage.HOME, now, "carries all of its load")
-            return self.why
+            reason = f"carried the step: pace {shown.pace:.1f}, shed {shown.rejected_ratio:.2f}"
+            self._enter(RecoveryStage.STEP, now, reason)
+            return self.reason
+        if all(report.warm for report in reports):
+            self._enter(RecoveryStage.SERVING, now, "carries all of its load")
+            return self.reason
         return ""
 
-    def bounded(self, shown: list[MemberReport]) -> bool:
-        """Whether its sheds come of the level alone: it runs as much as the step lets it, at a usual pace."""
-        room = sum(one.room for one in shown)
-        return sum(one.honoured for one in shown) >= 0.5 * self.level * room
-
-    def let_back(self, now: int) -> bool:
-        """By hand."""
-        if self.stage is not RecoveryStage.LOST or not self.by_hand:
+    def _count_streaks(self, shown: StepObservation) -> None:
+        if not shown.members or shown.pace >= MIN_BAD_PACE:
+            self.good_streak = 0
+            self.bad_streak += 1
+            return
+        rejects_little = shown.rejected_ratio < MAX_REJECTED_RATIO or self._is_limited_by_level(shown)
+        if shown.pace <= MAX_GOOD_PACE and rejects_little:
+            self.good_streak += 1
+            self.bad_streak = 0
+
+    def _is_limited_by_level(self, shown: StepObservation) -> bool:
+        """Whether it rejects only because it already serves as much as the step lets it."""
+        return shown.served >= MIN_SERVED_RATIO * self.level * shown.capacity
+
+    def _is_carried(self, shown: StepObservation, usual_load: float, now: int) -> bool:
+        in_step = now - self.since
+        if self.good_streak < GOOD_EVALUATIONS or in_step < self.min_step_duration:
             return False
-        self.by_hand = False
-        self.enter(RecoveryStage.WAITING, now, "let back by hand")
-        return True
+        # A step without load has shown nothing: routers learn late which members are listed.
+        has_load = shown.offered >= MIN_OFFERED_RATIO * self.level * usual_load
+        return has_load or in_step >= IDLE_STEP_FACTOR * self.min_step_duration
+
+    def _step_back(self, shown: StepObservation, now: int) -> str:
+        self.step -= 1
+        self.min_step_duration = min(MAX_WAIT, 2 * self.min_step_duration)
+        reason = f"the step hurt: pace {shown.pace:.1f}, back to {self.level:.2f}"
+        self._enter(RecoveryStage.STEP, now, reason)
+        return self.reason
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -105,7 +105,7 @@
 
     def hear(self, listing: Inventory, sent: int) -> None:
         """`sent` is when it was asked for: what it tells may be as old as that."""
-        self.listing, self.platform, self.heard_at = listing, listing.platform(), sent
+        self.listing, self.platform, self.heard_at = listing, listing.instances(), sent
 
     def fresh(self, now: int) -> bool:
         return self.listing is not None and now - self.heard_at <= self.stale
@@ -117,7 +117,7 @@
                 name: MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
                 for name in self.services
             }
-        return {name: self.listing.service(name) for name in self.services}
+        return {name: self.listing.observe_service(name) for name in self.services}
 
     # ---- a look ----------------------------------------------------------------------------------------
 
--- /dev/null
+++ b/birchslip/cluster/rollout_supervisor.py
@@ -0,0 +1,82 @@
+"""Rollout supervision: when rollouts are evaluated, and when their orders may go to the platform.
+
+`rollout_controller.py` decides on rollouts; this module calls it at its interval, reports what has changed,
+and holds orders back until a majority has stored all that they rest on.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+import msgspec
+
+from ..admission.types import MS
+from .disruption_budget import DisruptionBudget, MemberObservation
+from .messages import MemberReport
+from .planner_events import EventBuffer
+from .rollout import RolloutPhase
+from .rollout_controller import CommandResult, RolloutCommand, RolloutController
+
+EVALUATION_INTERVAL = 250 * MS
+
+
+class RolloutSupervisor:
+    """The rollouts of a fleet within one planner.
+
+    Attributes:
+        controller: The decisions on rollouts.
+        evaluated_at: When they were last evaluated, in tenths of a millisecond.
+        orders_version: The version of the state that a majority has to store before orders may go out.
+    """
+
+    def __init__(
+        self, controller: RolloutController, budget: DisruptionBudget, events: EventBuffer, now: int
+    ) -> None:
+        """Starts without a rollout evaluated."""
+        self.controller = controller
+        self.budget = budget
+        self.events = events
+        self.evaluated_at = now
+        self.orders_version = 0
+
+    def is_due(self, now: int) -> bool:
+        """Returns whether there are rollouts to evaluate, and it is time."""
+        return bool(self.controller.unfinished()) and now - self.evaluated_at >= EVALUATION_INTERVAL
+
+    def evaluate(
+        self,
+        observations: Mapping[str, MemberObservation],
+        reports: Mapping[str, MemberReport],
+        lost_sites: Iterable[str],
+        now: int,
+    ) -> bool:
+        """Evaluates all unfinished rollouts; returns whether the stored state has changed."""
+        self.evaluated_at = now
+        phases = {rollout.course.number: rollout.phase for rollout in self.controller.unfinished()}
+        before = self._stored_parts()
+        self.controller.look(observations, reports, lost_sites, now)
+        self._record_phase_changes(phases)
+        return before != self._stored_parts()
+
+    def execute(self, command: RolloutCommand, now: int) -> CommandResult:
+        """Carries out an operator's command on rollouts."""
+        result = self.controller.word(command, now)
+        self.events.record(
+            "rollout_command", what=command.what, number=result.number, who=command.who, why=result.why
+        )
+        return result
+
+    def evaluate_soon(self, now: int) -> None:
+        """Has the next tick evaluate, whenever the last evaluation was."""
+        self.evaluated_at = now - EVALUATION_INTERVAL
+
+    def _stored_parts(self) -> tuple[bytes, bytes]:
+        return msgspec.json.encode(self.controller.book), self.budget.keep()
+
+    def _record_phase_changes(self, phases_before: Mapping[int, RolloutPhase]) -> None:
+        for rollout in self.controller.releases:
+            course = rollout.course
+            before = phases_before.get(course.number)
+            if before is not None and before is not rollout.phase:
+                phase = rollout.phase.value
+                self.events.record("rollout_phase_changed", number=course.number, phase=phase, why=course.why)
--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -1,237 +1,337 @@
-"""Where the load of lost sites goes, the level that each survivor takes, and what is refused first.
+"""Site plan: where the load of lost sites goes, what each site admits, and what is rejected first.
 
-Worked out from measured room, not from nominal size. What routers do is not ours to say: the plan says what
-survivors let in. Three steps, each over sites or tenants, and one pass over members:
+Works with measured capacity, not with nominal size, and never directs routers: the plan says what surviving
+sites admit. Three steps:
 
-1. *What must be refused*: as much as all load is past all room, in the operators' order.
-2. *Where the rest goes*: home load stays at home, the rest takes the cheapest link that still has room.
-3. *Quotas*: visitors have one of their own; the rest of a site's room is shared out to tenants at home by
-   water-filling, so that none within its share gets less than that while another gets more than its own.
+1. *Reject*: as much as all load exceeds all capacity, tier by tier in the operators' order.
+2. *Place*: home load stays at home, the rest takes the cheapest link that still has capacity behind it.
+3. *Quotas*: visitors have one of their own; the rest of a site's capacity is divided among home tenants by
+   water-filling (max-min fairness), so that none within its share gets less than that while another gets more
+   than its own.
 
-Rates are transactions a second.
+Rates are requests a second. The order of every sum is part of the behaviour: plans are compared to the last
+digit.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from ..admission.types import SheddingTier
 
-DUST = 1e-9
+EPSILON = 1e-9
+DEFAULT_LINK_COST = 1.0
+ALL_TIERS = tuple(SheddingTier)
+
+TenantRates = dict[str, float]
+SiteTenantRates = dict[tuple[str, str], float]
+LinkCosts = Mapping[tuple[str, str], float]
 
 
 @dataclass(slots=True)
 class SiteCapacity:
-    """A site as it was measured: the room of each member, and the first tries of its own callers by
-    tenant.
+    """A site as it was measured.
+
+    Attributes:
+        member_capacity: What each member could serve.
+        load: First tries of callers at home in this site, by tenant.
+        retry_load: Further tries.
+        is_lost: Whether it can serve nothing.
+        level: The part of its capacity that may be used, less than 1 while it recovers.
     """
 
     name: str
-    rooms: dict[str, float]
-    load: dict[str, float]
-    again: float = 0.0  # further tries
-    lost: bool = False
-    level: float = 1.0  # of its room that may be used: less while it comes back
+    member_capacity: dict[str, float]
+    load: TenantRates
+    retry_load: float = 0.0
+    is_lost: bool = False
+    level: float = 1.0
+
+    @property
+    def capacity(self) -> float:
+        """What the site can serve now."""
+        return 0.0 if self.is_lost else self.level * sum(self.member_capacity.values())
 
     @property
-    def room(self) -> float:
-        return 0.0 if self.lost else self.level * sum(self.rooms.values())
+    def total_load(self) -> float:
+        """The first tries of all tenants together."""
+        return sum(self.load.values())
+
+
+class MemberShare(NamedTuple):
+    """A member's site and its part of the site's capacity."""
+
+    site: str
+    part: float
+
+
+NO_SHARE = MemberShare(site="", part=0.0)
 
 
 @dataclass(slots=True)
 class SitePlan:
-    """`flows` are from site to site, home load included; `refused` is by what it was refused for."""
+    """What each site admits.
+
+    Attributes:
+        flows: Rates from home site to serving site, load that stays at home included.
+        rejected: Rates by the tier that they were rejected in.
+        rejected_by_site: The same by home site.
+        utilization: The planned load of each site over its capacity, at most 1.
+        tenant_quotas: What each site admits of its home tenants.
+        visitor_quotas: What each site admits of all visitors together.
+        member_shares: The site and part of each member.
+        visiting_load: What each site takes on from others.
+        is_short: Whether anything has to be rejected.
+    """
 
     flows: dict[tuple[str, str], float] = field(default_factory=dict)
-    refused: dict[SheddingTier, float] = field(default_factory=dict)
-    refused_at: dict[str, float] = field(default_factory=dict)  # by home site
-    level: dict[str, float] = field(default_factory=dict)  # by site: what it takes over its room
-    quotas: dict[str, dict[str, float]] = field(default_factory=dict)  # by site and tenant
-    visits: dict[str, float] = field(default_factory=dict)  # by site: of all visitors together
-    parts: dict[str, tuple[str, float]] = field(
-        default_factory=dict
-    )  # by member: its site, its part of the room
-    visiting: dict[str, float] = field(default_factory=dict)  # by site: visitors that it takes
-    short: bool = False
-
-    def quotas_of(self, member: str) -> dict[str, float]:
-        """Worked out when it is told: for all members at each plan it would be most of the work."""
-        site, part = self.parts.get(member, ("", 0.0))
-        return {tenant: rate * part for tenant, rate in self.quotas.get(site, {}).items()}
-
-    def visits_of(self, member: str) -> float:
-        site, part = self.parts.get(member, ("", 0.0))
-        return self.visits.get(site, 0.0) * part
-
-    def refused_in_all(self) -> float:
-        return sum(self.refused.values())
-
-
-def water(room: float, demands: Mapping[str, float], weights: Mapping[str, float]) -> dict[str, float]:
-    """Max-min fair parts of the room: nobody within its weighted share gets less than it asks for."""
-    parts = dict.fromkeys(demands, 0.0)
-    thirsty = sorted(demands, key=lambda name: demands[name] / max(DUST, weights.get(name, 0.0)))
-    weight = sum(max(DUST, weights.get(name, 0.0)) for name in thirsty)
-    for name in thirsty:
-        share = max(DUST, weights.get(name, 0.0))
-        parts[name] = min(demands[name], room * share / weight)
-        room -= parts[name]
-        weight -= share
-    return parts
-
-
-def even(tenants: Mapping[str, float], places: list[SiteCapacity]) -> dict[str, float]:
-    """The tenants' shares, made to add up to 1; even ones where none are told."""
-    names = {tenant for place in places for tenant in place.load} | set(tenants)
-    told = {name: tenants.get(name, 0.0) for name in sorted(names)}
-    total = sum(told.values())
+    rejected: dict[SheddingTier, float] = field(default_factory=dict)
+    rejected_by_site: dict[str, float] = field(default_factory=dict)
+    utilization: dict[str, float] = field(default_factory=dict)
+    tenant_quotas: dict[str, TenantRates] = field(default_factory=dict)
+    visitor_quotas: dict[str, float] = field(default_factory=dict)
+    member_shares: dict[str, MemberShare] = field(default_factory=dict)
+    visiting_load: dict[str, float] = field(default_factory=dict)
+    is_short: bool = False
+
+    def member_tenant_quotas(self, member: str) -> TenantRates:
+        """Returns a member's part of its site's quotas; computed on demand, as all members' would be slow."""
+        share = self.member_shares.get(member, NO_SHARE)
+        return {tenant: rate * share.part for tenant, rate in self.tenant_quotas.get(share.site, {}).items()}
+
+    def member_visitor_quota(self, member: str) -> float:
+        """Returns a member's part of what its site admits of visitors."""
+        share = self.member_shares.get(member, NO_SHARE)
+        return self.visitor_quotas.get(share.site, 0.0) * share.part
+
+    def total_rejected(self) -> float:
+        """Returns the sum over all tiers."""
+        return sum(self.rejected.values())
+
+
+# ---- fairness ------------------------------------------------------------------------------------------
+
+
+def water_fill(capacity: float, demands: Mapping[str, float], weights: Mapping[str, float]) -> TenantRates:
+    """Divides a capacity max-min fairly: nobody within its weighted share gets less than it demands."""
+    allotted = dict.fromkeys(demands, 0.0)
+    by_demand = sorted(demands, key=lambda name: demands[name] / max(EPSILON, weights.get(name, 0.0)))
+    remaining_weight = sum(max(EPSILON, weights.get(name, 0.0)) for name in by_demand)
+    for name in by_demand:
+        weight = max(EPSILON, weights.get(name, 0.0))
+        allotted[name] = min(demands[name], capacity * weight / remaining_weight)
+        capacity -= allotted[name]
+        remaining_weight -= weight
+    return allotted
+
+
+def normalized_shares(tenants: Mapping[str, float], sites: list[SiteCapacity]) -> TenantRates:
+    """Returns the tenants' shares scaled to a sum of 1; even ones if none are configured."""
+    names = {tenant for site in sites for tenant in site.load} | set(tenants)
+    configured = {name: tenants.get(name, 0.0) for name in sorted(names)}
+    total = sum(configured.values())
     if total <= 0:
-        return dict.fromkeys(told, 1 / max(1, len(told)))
-    return {name: share / total for name, share in told.items()}
-
-
-def refuse(
-    places: list[SiteCapacity], shares: Mapping[str, float], order: tuple[SheddingTier, ...], room: float
-) -> tuple[dict[str, dict[str, float]], dict[SheddingTier, float]]:
-    """What is still let in of each site's load by tenant, and what was refused for which reason."""
-    left = {place.name: dict(place.load) for place in places}
-    lost = {place.name for place in places if place.lost or place.level < 1}
-    again = sum(place.again for place in places)
-    refused = dict.fromkeys(SheddingTier, 0.0)
-    excess = sum(sum(load.values()) for load in left.values()) + again - room
-    for kind in (*order, SheddingTier.LOCAL):
-        if kind is SheddingTier.RETRY:
-            refused[kind] = max(0.0, min(again, excess))
-            excess -= refused[kind]
+        return dict.fromkeys(configured, 1 / max(1, len(configured)))
+    return {name: share / total for name, share in configured.items()}
+
+
+# ---- step 1: reject ------------------------------------------------------------------------------------
+
+
+class RejectionResult(NamedTuple):
+    """What is still admitted of each site's load by tenant, and what was rejected in which tier."""
+
+    admitted: dict[str, TenantRates]
+    rejected: dict[SheddingTier, float]
+
+
+def reject_excess(
+    sites: list[SiteCapacity],
+    shares: Mapping[str, float],
+    order: tuple[SheddingTier, ...],
+    capacity: float,
+) -> RejectionResult:
+    """Rejects the load beyond `capacity`, one tier after the other, home load last."""
+    admitted = {site.name: dict(site.load) for site in sites}
+    evacuated = {site.name for site in sites if site.is_lost or site.level < 1}
+    retry_load = sum(site.retry_load for site in sites)
+    rejected = dict.fromkeys(SheddingTier, 0.0)
+    excess = sum(sum(load.values()) for load in admitted.values()) + retry_load - capacity
+    for tier in (*order, SheddingTier.LOCAL):
+        if tier is SheddingTier.RETRY:
+            rejected[tier] = max(0.0, min(retry_load, excess))
+            excess -= rejected[tier]
             continue
-        for pool in pools_of(kind, left, lost, shares, room):
+        for pool in rejection_pools(tier, admitted, evacuated, shares, capacity):
             size = sum(pool.values())
-            if excess <= DUST or size <= DUST:
+            if excess <= EPSILON or size <= EPSILON:
                 continue
             part = min(1.0, excess / size)
-            for (site, tenant), amount in pool.items():
-                left[site][tenant] -= part * amount
-            refused[kind] += part * size
+            for (site, tenant), rate in pool.items():
+                admitted[site][tenant] -= part * rate
+            rejected[tier] += part * size
             excess -= part * size
-    return left, {kind: amount for kind, amount in refused.items() if amount > DUST}
-
+    return RejectionResult(admitted, {tier: rate for tier, rate in rejected.items() if rate > EPSILON})
 
-Pool = dict[tuple[str, str], float]
 
-
-def pools_of(
-    kind: SheddingTier,
-    left: dict[str, dict[str, float]],
-    lost: set[str],
+def rejection_pools(
+    tier: SheddingTier,
+    admitted: dict[str, TenantRates],
+    evacuated: set[str],
     shares: Mapping[str, float],
-    room: float,
-) -> list[Pool]:
-    """What a kind of refusal may take, by home site and tenant; one pool is used up before the next."""
-    if kind is SheddingTier.EVACUATED:
-        return [{(site, tenant): rate for site in lost for tenant, rate in left[site].items()}]
-    if kind is SheddingTier.LOCAL:
-        return [{(site, tenant): rate for site in left for tenant, rate in left[site].items()}]
-    asked: dict[str, float] = {}
-    away: dict[str, float] = {}
-    for site, load in left.items():
+    capacity: float,
+) -> list[SiteTenantRates]:
+    """Returns what a tier may reject by home site and tenant; one pool is exhausted before the next."""
+    if tier is SheddingTier.EVACUATED:
+        return [{(site, tenant): rate for site in evacuated for tenant, rate in admitted[site].items()}]
+    if tier is SheddingTier.LOCAL:
+        return [{(site, tenant): rate for site in admitted for tenant, rate in admitted[site].items()}]
+    return _over_quota_pools(admitted, evacuated, shares, capacity)
+
+
+def _over_quota_pools(
+    admitted: dict[str, TenantRates], evacuated: set[str], shares: Mapping[str, float], capacity: float
+) -> list[SiteTenantRates]:
+    """What exceeds the tenants' shares: visitors first, as at home the tenant may be within its share."""
+    total: TenantRates = {}
+    visiting: TenantRates = {}
+    for site, load in admitted.items():
         for tenant, rate in load.items():
-            asked[tenant] = asked.get(tenant, 0.0) + rate
-            away[tenant] = away.get(tenant, 0.0) + (rate if site in lost else 0.0)
-    # Of what is beyond a tenant's share, its visitors go first: at home it may be within it.
-    visitors, home = Pool(), Pool()
-    for tenant, rate in asked.items():
-        beyond = max(0.0, rate - shares.get(tenant, 0.0) * room)
-        first = min(beyond, away[tenant])
-        for site, load in left.items():
-            if site in lost and away[tenant] > 0:
-                visitors[site, tenant] = first * load.get(tenant, 0.0) / away[tenant]
-            elif site not in lost and rate > away[tenant]:
-                home[site, tenant] = (beyond - first) * load.get(tenant, 0.0) / (rate - away[tenant])
-    return [visitors, home]
-
-
-def plan(
-    places: list[SiteCapacity],
+            visiting_rate = rate if site in evacuated else 0.0
+            total[tenant] = total.get(tenant, 0.0) + rate
+            visiting[tenant] = visiting.get(tenant, 0.0) + visiting_rate
+    visitors: SiteTenantRates = {}
+    residents: SiteTenantRates = {}
+    for tenant, rate in total.items():
+        excess = max(0.0, rate - shares.get(tenant, 0.0) * capacity)
+        of_visitors = min(excess, visiting[tenant])
+        for site, load in admitted.items():
+            home_rate = load.get(tenant, 0.0)
+            if site in evacuated and visiting[tenant] > 0:
+                visitors[site, tenant] = of_visitors * home_rate / visiting[tenant]
+            elif site not in evacuated and rate > visiting[tenant]:
+                residents[site, tenant] = (excess - of_visitors) * home_rate / (rate - visiting[tenant])
+    return [visitors, residents]
+
+
+# ---- step 2: place -------------------------------------------------------------------------------------
+
+
+class LoadPlacement:
+    """Places the admitted load of each site, at home first and then over the cheapest links."""
+
+    def __init__(self, sites: list[SiteCapacity], admitted: dict[str, TenantRates]) -> None:
+        """Starts with nothing placed."""
+        self.flows: dict[tuple[str, str], float] = {}
+        self._spare = {site.name: site.capacity for site in sites if site.capacity > 0}
+        self._unplaced = {site.name: sum(admitted[site.name].values()) for site in sites}
+
+    def place_at_home(self) -> None:
+        """Keeps at home what fits there."""
+        for site in self._spare:
+            self._place(site, site, self._spare[site])
+
+    def place_away(self, costs: LinkCosts) -> None:
+        """Sends the rest over the cheapest links; links of one cost share it by spare capacity."""
+        targets_by_cost: dict[tuple[float, str], list[str]] = {}
+        for source in self._unplaced:
+            for target in self._spare:
+                if source != target and self._unplaced[source] > EPSILON:
+                    cost = costs.get((source, target), DEFAULT_LINK_COST)
+                    targets_by_cost.setdefault((cost, source), []).append(target)
+        for cost, source in sorted(targets_by_cost):
+            targets = targets_by_cost[cost, source]
+            spare = sum(self._spare[target] for target in targets)
+            remaining = self._unplaced[source]
+            for target in targets:
+                if spare > EPSILON:
+                    self._place(source, target, min(1.0, remaining / spare) * self._spare[target])
+
+    def _place(self, source: str, target: str, limit: float) -> None:
+        rate = min(self._unplaced[source], self._spare[target], limit)
+        if rate > EPSILON:
+            self.flows[source, target] = self.flows.get((source, target), 0.0) + rate
+            self._unplaced[source] -= rate
+            self._spare[target] -= rate
+
+
+# ---- step 3: quotas ------------------------------------------------------------------------------------
+
+
+def _set_quotas(
+    plan: SitePlan, site: SiteCapacity, admitted: TenantRates, shares: Mapping[str, float]
+) -> None:
+    """Divides a site's capacity among its home tenants and visitors, and its quotas among its members."""
+    home = plan.flows.get((site.name, site.name), 0.0)
+    placed = sum(rate for (_, target), rate in plan.flows.items() if target == site.name)
+    visiting = placed - home
+    total = max(EPSILON, sum(admitted.values()))
+    demands = {tenant: home * admitted.get(tenant, 0.0) / total for tenant in shares}
+    allotted = water_fill(site.capacity - visiting, demands, shares)
+    # Unused capacity is free for whoever comes: a quota binds only where capacity is short.
+    unused = max(0.0, site.capacity - placed)
+    plan.visiting_load[site.name] = visiting
+    plan.utilization[site.name] = min(1.0, placed / site.capacity)
+    plan.visitor_quotas[site.name] = visiting + unused
+    plan.tenant_quotas[site.name] = {
+        tenant: allotted[tenant] + unused * share for tenant, share in shares.items()
+    }
+    total_capacity = sum(site.member_capacity.values())
+    for member, capacity in site.member_capacity.items():
+        plan.member_shares[member] = MemberShare(site.name, capacity / total_capacity)
+
+
+# ---- the plan ------------------------------------------------------------------------------------------
+
+
+def plan_sites(
+    sites: list[SiteCapacity],
     tenants: Mapping[str, float],
-    costs: Mapping[tuple[str, str], float],
-    order: tuple[SheddingTier, ...] = tuple(SheddingTier),
+    costs: LinkCosts,
+    order: tuple[SheddingTier, ...] = ALL_TIERS,
 ) -> SitePlan:
-    """The plan for the sites as they are. `costs` are of links between sites; one that is not told costs
-    1.
-    """
-    made = SitePlan()
-    shares = even(tenants, places)
-    room = sum(place.room for place in places)
-    left, made.refused = refuse(places, shares, order, room)
-    made.short = made.refused_in_all() > DUST
-    for place in places:
-        asked, let = sum(place.load.values()), sum(left[place.name].values())
-        made.refused_at[place.name] = max(0.0, asked - let)
-    spare = {place.name: place.room for place in places if place.room > 0}
-    owing = {place.name: sum(left[place.name].values()) for place in places}
-    # Home load stays where it is as far as it fits, and only then what has no home takes what is free.
-    for site in spare:
-        move(made, owing, spare, site, site, spare[site])
-    pairs: dict[tuple[float, str], list[str]] = {}
-    for a in owing:
-        for b in spare:
-            if a != b and owing[a] > DUST:
-                pairs.setdefault((costs.get((a, b), 1.0), a), []).append(b)
-    for _, a in sorted(pairs):
-        # Links that cost the same share what is to go by what is free behind them.
-        targets = pairs[_, a]
-        free, rest = sum(spare[b] for b in targets), owing[a]
-        for b in targets:
-            if free > DUST:
-                move(made, owing, spare, a, b, min(1.0, rest / free) * spare[b])
-    for place in places:
-        if not place.room:
-            continue
-        hand_out(made, place, left, shares)
-    return made
-
-
-def move(
-    made: SitePlan, owing: dict[str, float], spare: dict[str, float], a: str, b: str, most: float
-) -> None:
-    amount = min(owing[a], spare[b], most)
-    if amount > DUST:
-        made.flows[a, b] = made.flows.get((a, b), 0.0) + amount
-        owing[a] -= amount
-        spare[b] -= amount
+    """Returns the plan for the sites as they are.
 
-
-def hand_out(
-    made: SitePlan, place: SiteCapacity, left: dict[str, dict[str, float]], shares: dict[str, float]
-) -> None:
-    """A site's room to its members, and there to tenants at home and to visitors; all members stand alike."""
-    home = made.flows.get((place.name, place.name), 0.0)
-    taken = sum(amount for (_, b), amount in made.flows.items() if b == place.name)
-    visiting = made.visiting[place.name] = taken - home
-    total = sum(left[place.name].values())
-    demands = {tenant: home * left[place.name].get(tenant, 0.0) / max(DUST, total) for tenant in shares}
-    parts = water(place.room - visiting, demands, shares)
-    # What nobody asks for is there for whoever comes: a quota binds only where there is no room.
-    over = max(0.0, place.room - taken)
-    whole = sum(place.rooms.values())
-    made.level[place.name] = min(1.0, taken / place.room)
-    made.visits[place.name] = visiting + over
-    made.quotas[place.name] = {tenant: parts[tenant] + over * shares[tenant] for tenant in shares}
-    for member, room in place.rooms.items():
-        made.parts[member] = (place.name, room / whole)
-
-
-def what_if(
-    places: list[SiteCapacity],
-    lose: str,
+    Args:
+        sites: The measured sites.
+        tenants: The configured share of each tenant.
+        costs: Of links from site to site, `DEFAULT_LINK_COST` where there is none.
+        order: The tiers in which load is rejected; home load is always the last one.
+    """
+    shares = normalized_shares(tenants, sites)
+    capacity = sum(site.capacity for site in sites)
+    admitted, rejected = reject_excess(sites, shares, order, capacity)
+    placement = LoadPlacement(sites, admitted)
+    placement.place_at_home()
+    placement.place_away(costs)
+    plan = SitePlan(flows=placement.flows, rejected=rejected)
+    plan.is_short = plan.total_rejected() > EPSILON
+    for site in sites:
+        plan.rejected_by_site[site.name] = max(0.0, site.total_load - sum(admitted[site.name].values()))
+        if site.capacity:
+            _set_quotas(plan, site, admitted[site.name], shares)
+    return plan
+
+
+def plan_without_site(
+    sites: list[SiteCapacity],
+    lost_site: str,
     tenants: Mapping[str, float],
-    costs: Mapping[tuple[str, str], float],
-    order: tuple[SheddingTier, ...] = tuple(SheddingTier),
+    costs: LinkCosts,
+    order: tuple[SheddingTier, ...] = ALL_TIERS,
 ) -> SitePlan:
-    """What the loss of a site would mean today."""
-    then = [
-        SiteCapacity(one.name, one.rooms, one.load, one.again, one.lost or one.name == lose, one.level)
-        for one in places
+    """Returns the plan that the loss of a site would bring about now."""
+    remaining = [
+        SiteCapacity(
+            site.name,
+            site.member_capacity,
+            site.load,
+            site.retry_load,
+            is_lost=site.is_lost or site.name == lost_site,
+            level=site.level,
+        )
+        for site in sites
     ]
-    return plan(then, tenants, costs, order)
+    return plan_sites(remaining, tenants, costs, order)
--- /dev/null
+++ b/birchslip/cluster/site_supervisor.py
@@ -0,0 +1,162 @@
+"""Site supervision: the verdict on each site, its evacuation and its way back.
+
+Owns the recovery ramps and the usual load of the sites. It evacuates a site only on the verdict LOST or an
+operator's command, and never works out where the load goes: that is `site_plan.py`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+from .membership import Member, Membership, SiteVerdict
+from .planner_events import EventBuffer
+from .recovery_ramp import RecoveryRamp, RecoveryStage
+from .replicated_state import SiteState
+from .site_plan import SiteCapacity
+
+LOAD_SMOOTHING = 0.1  # of each sample: a mean over about two seconds
+MAX_OPERATOR_REASON_LENGTH = 300  # characters
+LOST_REASON = "no planner hears it and its doors are shut"
+
+
+def restore_ramps(stored: Mapping[str, SiteState], sites: Iterable[str], now: int) -> dict[str, RecoveryRamp]:
+    """Returns the ramp of each site; stored sites that the fleet file does not name are ignored."""
+    return {
+        site: stored[site].to_ramp(site, now) if site in stored else RecoveryRamp(site, since=now)
+        for site in sites
+    }
+
+
+class SiteSupervisor:
+    """The state of all sites. Rates are in requests a second, times in tenths of a millisecond.
+
+    Attributes:
+        ramps: The recovery ramp of each site.
+        verdicts: The verdict on each site at the last evaluation as leader.
+        usual_load: The smoothed load of each site by tenant.
+        usual_retry_load: The same of further tries.
+    """
+
+    def __init__(self, sites: Iterable[str], membership: Membership, events: EventBuffer, now: int) -> None:
+        """Starts with every site serving."""
+        self.membership = membership
+        self.events = events
+        self.ramps = {site: RecoveryRamp(site, since=now) for site in sites}
+        self.verdicts = dict.fromkeys(self.ramps, SiteVerdict.REACHABLE)
+        self.usual_load: dict[str, dict[str, float]] = {site: {} for site in self.ramps}
+        self.usual_retry_load = dict.fromkeys(self.ramps, 0.0)
+        self._last_capacity: dict[str, float] = {}
+
+    def sites_not_serving(self) -> list[str]:
+        """Returns the sites that do not carry all of their load."""
+        return [site for site, ramp in self.ramps.items() if not ramp.is_serving]
+
+    def levels(self) -> dict[str, float]:
+        """Returns the part of each site's cores that may be used."""
+        return {site: ramp.level for site, ramp in self.ramps.items()}
+
+    # ---- stored state ----------------------------------------------------------------------------------
+
+    def stored_sites(self) -> dict[str, SiteState]:
+        """Returns what is to be stored: sites that are not serving or have flapped."""
+        return {
+            site: SiteState.from_ramp(ramp, self.usual_load[site])
+            for site, ramp in self.ramps.items()
+            if not ramp.is_serving or ramp.flap_count
+        }
+
+    def restore(self, stored: Mapping[str, SiteState], now: int) -> None:
+        """Takes over what the previous leader had stored."""
+        self.ramps = restore_ramps(stored, self.ramps, now)
+        for site, state in stored.items():
+            if site in self.ramps:
+                self.usual_load[site] = dict(state.load)
+
+    # ---- measurements ----------------------------------------------------------------------------------
+
+    def measure_load(self, now: int) -> None:
+        """Updates the usual load of each site; to be called only while all sites serve and are heard."""
+        for site, usual in self.usual_load.items():
+            reports = [member.report for member in self.membership.alive_members(site, now)]
+            for tenant in {name for report in reports for name in report.load} | set(usual):
+                rate = sum(report.load.get(tenant, 0.0) for report in reports)
+                usual[tenant] = usual.get(tenant, rate) * (1 - LOAD_SMOOTHING) + rate * LOAD_SMOOTHING
+            retry_load = sum(report.again for report in reports)
+            self.usual_retry_load[site] += (retry_load - self.usual_retry_load[site]) * LOAD_SMOOTHING
+
+    def member_capacity(self, member: Member) -> float:
+        """Returns a member's measured capacity; of one that has just started, the last one before that."""
+        if member.report.room > 0:
+            self._last_capacity[member.name] = member.report.room
+        return self._last_capacity.get(member.name, 0.0)
+
+    def capacities(self) -> list[SiteCapacity]:
+        """Returns the sites as they are now, for the plan."""
+        return [self._site_capacity(site, ramp) for site, ramp in self.ramps.items()]
+
+    def _site_capacity(self, site: str, ramp: RecoveryRamp) -> SiteCapacity:
+        members = self.membership.sites[site].values()
+        return SiteCapacity(
+            name=site,
+            member_capacity={
+                member.name: self.member_capacity(member) for member in members if not member.report.leaving
+            },
+            load=self.usual_load[site],
+            retry_load=self.usual_retry_load[site],
+            is_lost=ramp.stage in (RecoveryStage.LOST, RecoveryStage.WAITING),
+            level=ramp.level,
+        )
+
+    # ---- events ----------------------------------------------------------------------------------------
+
+    def evaluate(self, site_sizes: Mapping[str, int], now: int) -> bool:
+        """Judges all sites; returns whether any has changed its stage or step.
+
+        Args:
+            site_sizes: The number of members of each site in the fleet file.
+            now: The time.
+        """
+        changes = [
+            self._evaluate_site(site, ramp, site_sizes[site], now) for site, ramp in self.ramps.items()
+        ]
+        return any(changes)
+
+    def _evaluate_site(self, site: str, ramp: RecoveryRamp, expected_members: int, now: int) -> bool:
+        verdict = self._update_verdict(site, now)
+        if verdict is SiteVerdict.LOST and ramp.mark_lost(now, LOST_REASON):
+            self.events.record("site_lost", site=site, flaps=ramp.flap_count, why=ramp.reason)
+            return True
+        if ramp.is_serving:
+            return False
+        reports = [member.report for member in self.membership.alive_members(site, now)]
+        usual_load = sum(self.usual_load[site].values())
+        reason = ramp.evaluate(reports, expected_members, usual_load, now)
+        if not reason:
+            return False
+        self.events.record(
+            "site_stage_changed", site=site, stage=ramp.stage.value, level=ramp.level, why=reason
+        )
+        return True
+
+    def _update_verdict(self, site: str, now: int) -> SiteVerdict:
+        verdict = self.membership.verdict(site, now)
+        before = self.verdicts[site]
+        if verdict is not before:
+            self.events.record("site_verdict_changed", site=site, before=before.value, now=verdict.value)
+            self.verdicts[site] = verdict
+        return verdict
+
+    def evacuate(self, site: str, who: str, why: str, now: int) -> bool:
+        """Evacuates a site on an operator's command; returns whether that is a change."""
+        reason = f"by hand: {who}: {why}"[:MAX_OPERATOR_REASON_LENGTH]
+        if not self.ramps[site].mark_lost(now, reason, by_operator=True):
+            return False
+        self.events.record("site_evacuated", site=site, who=who, why=why)
+        return True
+
+    def end_evacuation(self, site: str, who: str, now: int) -> bool:
+        """Lets a site recover on an operator's command; returns whether that is a change."""
+        if not self.ramps[site].end_evacuation(now):
+            return False
+        self.events.record("site_returned", site=site, who=who)
+        return True
--- a/birchslip/expect/plays.py
+++ b/birchslip/expect/plays.py
@@ -18,7 +18,12 @@
 from .words import Claim, Compare, Measure, Subject, When
 
 JOBS_MOST = 8
-TOLD = ("site lost", "site moves", "no release", "release")  # of what the fleet made of it
+TOLD = {  # of what the fleet made of it: the event, and how people are told of it
+    "site_lost": "site lost",
+    "site_stage_changed": "site moves",
+    "no release": "no release",
+    "rollout_phase_changed": "release",
+}
 Note = tuple[int, str, dict[str, object]]
 
 
@@ -51,7 +56,7 @@
     world = World(task.setting, task.seed, task.capacity)
     world.run(task.script.steps, task.script.until)
     found = spans(task.when, world.marks, task.script.until)
-    notes = tuple((at, event, more) for at, event, more in world.notes if event in TOLD)
+    notes = tuple((at, TOLD[event], more) for at, event, more in world.notes if event in TOLD)
     names = Names(task.setting)
 
     def weighed(claims: Sequence[Claim], within: list[tuple[int, int]]) -> tuple[Said, ...]:
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -14,7 +14,7 @@
 from ...cluster.member_metrics import Figures, Rates, room_of
 from ...cluster.messages import Incarnation, MemberReport, ProbeResult, ReportReply
 from ...cluster.plan_subscription import PlanSubscription, override_of
-from ...cluster.planner_state import LOOK, PlannerState
+from ...cluster.planner_state import TICK_INTERVAL, PlannerState
 from ...cluster.rollout import PlatformOrder, RolloutSpec
 from ...cluster.rollout_controller import RolloutCommand
 from .clock import SECOND
@@ -93,7 +93,7 @@
         clock.after(planners.world.delay, self.arrive, told, sent)
 
     def arrive(self, told: MemberReport, sent: int) -> None:
-        reply = self.planners.mind.hear(told, self.planners.world.clock.now)
+        reply = self.planners.mind.receive_report(told, self.planners.world.clock.now)
         self.planners.world.clock.after(self.planners.world.delay, self.take, reply, sent)
 
     def told(self, now: int) -> MemberReport:
@@ -183,7 +183,7 @@
         self.bonds[server.name] = Bond(self, server)
 
     def broke(self, server: AppServer, life: int) -> None:
-        self.mind.membership.broke(server.name, Incarnation(mark=life))
+        self.mind.membership.mark_disconnected(server.name, Incarnation(mark=life))
 
     def may_be_found(self, server: AppServer) -> bool:
         bond = self.bonds.get(server.name)
@@ -193,23 +193,25 @@
 
     def look(self) -> None:
         clock, mind = self.world.clock, self.mind
-        clock.after(LOOK, self.look)
+        clock.after(TICK_INTERVAL, self.look)
         if self.gone:
             return
         now = clock.now
-        ask = mind.ballot.ask(now)
+        ask = mind.election.ask(now)
         if ask is not None:
-            mind.ballot.answered(mind.ballot.asked(ask, now), ask.epoch, now, now)
-        mind.look(now)
+            mind.election.answered(mind.election.asked(ask, now), ask.epoch, now, now)
+        mind.tick(now)
         self.have_kept()
-        for event, more in mind.take_remarks():
+        for event, more in mind.drain_events():
             self.world.note(event, **more)
 
     def have_kept(self) -> None:
         mind = self.mind
-        told = mind.keep()
-        if told is not None and mind.ballot.kept(mind.ballot.keep(told, self.world.clock.now), told.number):
-            mind.kept(told.number)
+        told = mind.replication_request()
+        if told is not None and mind.election.kept(
+            mind.election.keep(told, self.world.clock.now), told.number
+        ):
+            mind.mark_replicated(told.number)
 
     # ---- a release, and its platform -------------------------------------------------------------------
 
@@ -217,16 +219,16 @@
         clock = self.world.clock
         platform = self.fleet.platform
         clock.after(span(platform.ask_ms) if platform is not None else ASK, self.ask)
-        if not self.mind.rules(clock.now) or self.gone:
+        if not self.mind.is_effective_leader(clock.now) or self.gone:
             return
         members = {
             name: ProcessReport(state=self.states[name], version=self.versions[name]) for name in self.states
         }
-        services = {one.name: ProcessReport(state="up", life=1) for one in self.fleet.services}
-        self.mind.conductor.hear(Inventory(members, services), clock.now)
-        for order in list(self.mind.orders(clock.now)):
+        services = {one.name: ProcessReport(state="up", start_count=1) for one in self.fleet.services}
+        self.mind.receive_inventory(Inventory(members, services), clock.now)
+        for order in list(self.mind.platform_orders(clock.now)):
             self.carry(order)
-        releases = self.mind.conductor.releases
+        releases = self.mind.rollouts.controller.releases
         if releases:
             self.phase = releases[-1].phase.value
 
@@ -234,7 +236,7 @@
         """Why it can't begin; nothing where it has."""
         if not self.fleet.groups:
             return "the fleet file has no groups"
-        _, said = self.mind.say(
+        _, said = self.mind.handle_rollout_command(
             RolloutCommand(what="start", who="the model", plan=plan), self.world.clock.now
         )
         self.have_kept()
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -13,7 +13,7 @@
 from ..cluster.election import DurableVote, Election
 from ..cluster.fleet_file import Fleet, Member, Planner, Site
 from ..cluster.messages import Incarnation, MemberReport, ProbeResult
-from ..cluster.planner_state import LOOK, PlannerState
+from ..cluster.planner_state import TICK_INTERVAL, PlannerState
 
 SECOND = 10_000
 DAY = 86_400 * SECOND
@@ -68,7 +68,7 @@
     def run(self, until: int) -> dict[str, int]:
         for life in self.lives.values():
             self.at(self.chance.randrange(self.every), lambda life=life: self.report(life))  # type: ignore[misc]
-        self.at(LOOK, self.look)
+        self.at(TICK_INTERVAL, self.look)
         self.at(10 * SECOND, self.trouble)
         while self.due and self.due[0][0] <= until:
             self.now, _, act = heapq.heappop(self.due)
@@ -114,7 +114,7 @@
             plan=0,
             knocks=[ProbeResult(name=name, met=met) for name, met in life.knocks.items()][:8],
         )
-        reply = self.mind.hear(told, self.now)
+        reply = self.mind.receive_report(told, self.now)
         life.knocks = {name: self.met(name) for name in reply.knock}
 
     def met(self, name: str) -> str:
@@ -126,17 +126,17 @@
     # ---- time ------------------------------------------------------------------------------------------
 
     def look(self) -> None:
-        self.at(self.now + max(LOOK, self.every // 2), self.look)
+        self.at(self.now + max(TICK_INTERVAL, self.every // 2), self.look)
         mind = self.mind
-        ask = mind.ballot.ask(self.now)
+        ask = mind.election.ask(self.now)
         if ask is not None:
-            mind.ballot.answered(mind.ballot.asked(ask, self.now), ask.epoch, self.now, self.now)
-        mind.look(self.now)
-        told = mind.keep()
-        if told is not None and mind.ballot.kept(mind.ballot.keep(told, self.now), told.number):
-            mind.kept(told.number)
-        for event, more in mind.take_remarks():
-            if event == "site lost":
+            mind.election.answered(mind.election.asked(ask, self.now), ask.epoch, self.now, self.now)
+        mind.tick(self.now)
+        told = mind.replication_request()
+        if told is not None and mind.election.kept(mind.election.keep(told, self.now), told.number):
+            mind.mark_replicated(told.number)
+        for event, more in mind.drain_events():
+            if event == "site_lost":
                 self.count["evacuations"] += 1
                 if not self.dark(str(more["site"])):
                     self.count["false_evacuations"] += 1
@@ -159,7 +159,7 @@
             self.count["restarts"] += 1
             member = self.mind.membership.members.get(life.name)
             if member is not None:
-                self.mind.membership.broke(life.name, member.incarnation)
+                self.mind.membership.mark_disconnected(life.name, member.incarnation)
         elif draw < 0.7:
             life.stopped_until = self.now + self.chance.randrange(SECOND // 10, 10 * SECOND)
             self.count["pauses"] += 1
--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -269,7 +269,7 @@
             held.append(min(times) - zero if times else None)
         lost, home = [], []
         for one in self.planners.values():
-            for at, line in one.lines('event="site lost"'):
+            for at, line in one.lines("event=site_lost"):
                 site = next(word[5:] for word in line.split() if word.startswith("site="))
                 lost.append((at, site))
             for at, line in one.lines("stage=home"):
--- a/tests/fleetdesk.py
+++ b/tests/fleetdesk.py
@@ -1,4 +1,4 @@
-"""Records of a fleet with everything told that a test does not care for."""
+"""Messages and documents of a fleet with defaults for what a test does not set, and a planner to test."""
 
 import json
 import random
@@ -6,7 +6,7 @@
 from birchslip.cluster.election import DurableVote, Election
 from birchslip.cluster.fleet_file import read_fleet
 from birchslip.cluster.messages import Incarnation, MemberReport, ProbeResult
-from birchslip.cluster.planner_state import LOOK, PlannerState
+from birchslip.cluster.planner_state import TICK_INTERVAL, PlannerState
 
 SECOND = 10_000
 
@@ -38,7 +38,7 @@
     )
 
 
-def fleet_told(sites=("a", "b", "c"), each=2, planners=1, **more):
+def fleet_document(sites=("a", "b", "c"), each=2, planners=1, **more):
     told = {
         "planners": [{"name": f"p{n}", "address": f"127.0.0.1:{100 + n}"} for n in range(planners)],
         "sites": [
@@ -60,69 +60,81 @@
 
 def fleet(folder, **more):
     path = folder / "fleet.json"
-    path.write_text(json.dumps(fleet_told(**more)))
+    path.write_text(json.dumps(fleet_document(**more)))
     return read_fleet(path)
 
 
-class Stage:
-    """One planner's mind among members whose reports are made here, in virtual time; it leads at once."""
+class SimulatedPlanner:
+    """One planner's state among members whose reports are made here, in virtual time; it leads at once."""
 
     def __init__(self, folder, **more):
         self.now = 0
         self.fleet = fleet(folder, **more)
-        ballot = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
-        self.mind = PlannerState(self.fleet, ballot, 0)
-        self.names = [one.name for site in self.fleet.sites for one in site.members]
-        self.marks = dict.fromkeys(self.names, 1)
-        self.told = {name: {} for name in self.names}
-        self.silent, self.number = set(), 0
+        election = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
+        self.state = PlannerState(self.fleet, election, 0)
+        self.names = [member.name for site in self.fleet.sites for member in site.members]
+        self.incarnations = dict.fromkeys(self.names, 1)
+        self.report_fields = {name: {} for name in self.names}
+        self.silent, self.report_number = set(), 0
         self.replies = {}
-        self.shut = "refused"
+        self.probe_outcome = "refused"  # of a silent member
         self.events = []
 
-    def pass_time(self, seconds):
-        """Reports five times a second, looks ten times a second."""
+    def advance(self, seconds):
+        """Reports arrive five times a second, ticks come ten times a second."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
-            self.now += LOOK
-            ask = self.mind.ballot.ask(self.now)
-            if ask is not None:
-                own = self.mind.ballot.asked(ask, self.now)
-                self.mind.ballot.answered(own, ask.epoch, self.now, self.now)
-            if self.now % (2 * LOOK) == 0:
-                self.reports()
-            self.mind.look(self.now)
-            keep = self.mind.keep()
-            if keep is not None and self.mind.ballot.kept(self.mind.ballot.keep(keep, self.now), keep.number):
-                self.mind.kept(keep.number)
-            self.events += [(self.now, event, more) for event, more in self.mind.take_remarks()]
+            self.now += TICK_INTERVAL
+            self.vote()
+            if self.now % (2 * TICK_INTERVAL) == 0:
+                self.send_reports()
+            self.state.tick(self.now)
+            self.replicate()
+            self.events += [(self.now, event, fields) for event, fields in self.state.drain_events()]
         return self
 
-    def reports(self):
-        self.number += 1
+    def vote(self):
+        election = self.state.election
+        request = election.ask(self.now)
+        if request is not None:
+            election.answered(election.asked(request, self.now), request.epoch, self.now, self.now)
+
+    def replicate(self):
+        election = self.state.election
+        request = self.state.replication_request()
+        if request is not None and election.kept(election.keep(request, self.now), request.number):
+            self.state.mark_replicated(request.number)
+
+    def send_reports(self):
+        self.report_number += 1
         for name in self.names:
-            if name in self.silent:
-                continue
-            before = self.replies.get(name)
-            knocks = [
-                (door, self.shut if door in self.silent else "answered")
-                for door in (before.knock if before is not None else {})
+            if name not in self.silent:
+                self.send_report(name)
+
+    def send_report(self, name):
+        fields, probes = {}, []
+        before = self.replies.get(name)
+        if before is not None:
+            fields = {"lease": before.lease, "share": before.share}
+            probes = [
+                (target, self.probe_outcome if target in self.silent else "answered")
+                for target in before.knock
             ]
-            more = {"lease": before.lease, "share": before.share} if before is not None else {}
-            told = report(name, self.number, self.marks[name], knocks=knocks, **more | self.told[name])
-            self.replies[name] = self.mind.hear(told, self.now)
+        fields |= self.report_fields[name]
+        sent = report(name, self.report_number, self.incarnations[name], knocks=probes, **fields)
+        self.replies[name] = self.state.receive_report(sent, self.now)
 
-    def lose(self, site):
+    def lose_site(self, site):
         self.silent |= {name for name in self.names if name.startswith(f"{site}-")}
         for name in self.silent:
-            member = self.mind.membership.members[name]
-            self.mind.membership.broke(name, member.incarnation)
+            member = self.state.membership.members[name]
+            self.state.membership.mark_disconnected(name, member.incarnation)
 
-    def give_back(self, site, **more):
-        for name in [one for one in self.silent if one.startswith(f"{site}-")]:
+    def restore_site(self, site, **fields):
+        for name in [name for name in self.silent if name.startswith(f"{site}-")]:
             self.silent.discard(name)
-            self.marks[name] += 1
-            self.told[name] = more
+            self.incarnations[name] += 1
+            self.report_fields[name] = fields
 
-    def said(self, event):
-        return [(at / SECOND, more) for at, what, more in self.events if what == event]
+    def events_named(self, name):
+        return [(at / SECOND, fields) for at, event, fields in self.events if event == name]
