--- a/birchslip/cluster/quota_leases.py
+++ b/birchslip/cluster/quota_leases.py
@@ -12,7 +12,6 @@
 
 import heapq
 from collections.abc import Callable, Mapping
-from typing import NamedTuple
 
 from ..admission.types import MS
 
@@ -25,34 +24,35 @@
     return int(lease_span * (1 + MAX_CLOCK_DRIFT)) + EXPIRY_MARGIN
 
 
-class QuotaLimit(NamedTuple):
-    """An amount that may be in use until a moment."""
-
-    until: int
-    amount: float
+def _descending_amount(limit: tuple[float, int]) -> float:
+    return -limit[0]
 
 
 class LeaseRecord:
-    """What one member may still use of its leased part: falling amounts, each with its end."""
+    """What one member may still use of its leased part.
+
+    Attributes:
+        limits: Falling amounts, each with the time until which it may be in use.
+    """
 
     def __init__(self) -> None:
         """Starts with nothing leased."""
-        self.limits: list[QuotaLimit] = []
+        self.limits: list[tuple[float, int]] = []
 
     @property
     def amount(self) -> float:
         """The most that may be in use now."""
-        return self.limits[0].amount if self.limits else 0.0
+        return self.limits[0][0] if self.limits else 0.0
 
     def add(self, amount: float, until: int) -> None:
         """Adds a grant; larger amounts granted before stay in force until their own end."""
-        self.limits = [limit for limit in self.limits if limit.until > until or limit.amount > amount]
-        self.limits.append(QuotaLimit(until, amount))
-        self.limits.sort(key=lambda limit: -limit.amount)
+        kept = [(larger, end) for larger, end in self.limits if end > until or larger > amount]
+        self.limits = [*kept, (amount, until)]
+        self.limits.sort(key=_descending_amount)
 
     def expire(self, now: int) -> None:
         """Drops what has ended."""
-        self.limits = [limit for limit in self.limits if limit.until > now]
+        self.limits = [(amount, end) for amount, end in self.limits if end > now]
 
 
 class QuotaLeases:
--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -60,16 +60,6 @@
         return sum(self.load.values())
 
 
-class MemberShare(NamedTuple):
-    """A member's site and its part of the site's capacity."""
-
-    site: str
-    part: float
-
-
-NO_SHARE = MemberShare(site="", part=0.0)
-
-
 @dataclass(slots=True)
 class SitePlan:
     """What each site admits.
@@ -81,7 +71,8 @@
         utilization: The planned load of each site over its capacity, at most 1.
         tenant_quotas: What each site admits of its home tenants.
         visitor_quotas: What each site admits of all visitors together.
-        member_shares: The site and part of each member.
+        member_sites: The site of each member that has a quota.
+        member_parts: The part of its site's quotas that each of them gets.
         visiting_load: What each site takes on from others.
         is_short: Whether anything has to be rejected.
     """
@@ -92,19 +83,24 @@
     utilization: dict[str, float] = field(default_factory=dict)
     tenant_quotas: dict[str, TenantRates] = field(default_factory=dict)
     visitor_quotas: dict[str, float] = field(default_factory=dict)
-    member_shares: dict[str, MemberShare] = field(default_factory=dict)
+    member_sites: dict[str, str] = field(default_factory=dict)
+    member_parts: dict[str, float] = field(default_factory=dict)
     visiting_load: dict[str, float] = field(default_factory=dict)
     is_short: bool = False
 
     def member_tenant_quotas(self, member: str) -> TenantRates:
         """Returns a member's part of its site's quotas; computed on demand, as all members' would be slow."""
-        share = self.member_shares.get(member, NO_SHARE)
-        return {tenant: rate * share.part for tenant, rate in self.tenant_quotas.get(share.site, {}).items()}
+        if member not in self.member_sites:
+            return {}
+        part = self.member_parts[member]
+        quotas = self.tenant_quotas[self.member_sites[member]]
+        return {tenant: rate * part for tenant, rate in quotas.items()}
 
     def member_visitor_quota(self, member: str) -> float:
         """Returns a member's part of what its site admits of visitors."""
-        share = self.member_shares.get(member, NO_SHARE)
-        return self.visitor_quotas.get(share.site, 0.0) * share.part
+        if member not in self.member_sites:
+            return 0.0
+        return self.visitor_quotas[self.member_sites[member]] * self.member_parts[member]
 
     def total_rejected(self) -> float:
         """Returns the sum over all tiers."""
@@ -280,7 +276,8 @@
     }
     total_capacity = sum(site.member_capacity.values())
     for member, capacity in site.member_capacity.items():
-        plan.member_shares[member] = MemberShare(site.name, capacity / total_capacity)
+        plan.member_sites[member] = site.name
+        plan.member_parts[member] = capacity / total_capacity
 
 
 # ---- the plan ------------------------------------------------------------------------------------------
--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -282,7 +282,7 @@
             "false_evacuations": sum(1 for at, site in lost if not self.truth.was_dark(site, at)),
             "evacuations": len(lost),
             "back_s": round((min(back) - self.returns[-1]) / SECOND, 2) if back else None,
-            "leaders": sum(len(one.lines("event=leads")) for one in self.planners.values()),
+            "leaders": sum(len(one.lines("event=leadership_acquired")) for one in self.planners.values()),
         }
 
 
