--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -38,25 +38,25 @@
     return MemberReport(
         name=name,
         site=site,
-        incarnation=Incarnation(mark=1),
-        number=number,
-        door="127.0.0.1:1",
-        age=SECOND,
-        serving=True,
-        leaving=False,
-        warm=True,
-        room=50.0,
-        pace=1.0,
-        load=load,
-        visits=0.0,
-        again=0.0,
-        honoured=40.0,
-        shed=0.0,
-        calls=1.0,
-        share=2.0,
-        lease=0,
-        epoch=0,
-        plan=0,
+        incarnation=Incarnation(nonce=1),
+        sequence=number,
+        address="127.0.0.1:1",
+        uptime=SECOND,
+        is_serving=True,
+        is_draining=False,
+        is_warm=True,
+        capacity=50.0,
+        slowdown=1.0,
+        local_load=load,
+        evacuated_load=0.0,
+        retries=0.0,
+        served=40.0,
+        rejected=0.0,
+        calls_in_flight=1.0,
+        call_limit=2.0,
+        lease_remaining=0,
+        plan_term=0,
+        plan_number=0,
     )
 
 
@@ -86,15 +86,17 @@
         names = [(member.name, site.name) for site in told for member in site.members]
         for step in range(8):
             now += mind.report_interval()
-            ask = ballot.ask(now)
+            ask = ballot.next_vote_request(now)
             if ask is not None:
-                ballot.answered(ballot.asked(ask, now), ask.epoch, now, now)
+                ballot.handle_vote_response(ballot.handle_vote_request(ask, now), ask.term, now, now)
             for name, site in names:
                 mind.receive_report(report(name, site, step + 1), now)
             mind.tick(now)
             keep = mind.replication_request()
-            if keep is not None and ballot.kept(ballot.keep(keep, now), keep.number):
-                mind.mark_replicated(keep.number)
+            if keep is not None and ballot.handle_replication_response(
+                ballot.handle_replication_request(keep, now), keep.state_number
+            ):
+                mind.mark_replicated(keep.state_number)
         mind.evacuate_site("s0", "bench", "bench", now)
         planned = took(partial(mind.replan, now))
         looked = took(partial(mind.tick, now))
--- a/benchmarks/permit_grants.py
+++ b/benchmarks/permit_grants.py
@@ -26,10 +26,10 @@
         took = []
         for _ in range(asks):
             began = time.perf_counter()
-            told = ask(address, EvictionRequest(what="permit", holder="a-0", why="a measurement"))
+            told = ask(address, EvictionRequest(operation="permit", holder="a-0", reason="a measurement"))
             took.append((time.perf_counter() - began) * 1000)
             assert told["granted"], told
-            ask(address, EvictionRequest(what="hand-back", holder="a-0"))
+            ask(address, EvictionRequest(operation="hand-back", holder="a-0"))
         took.sort()
         p99 = took[int(0.99 * len(took))]
         median = statistics.median(took)
--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -35,28 +35,28 @@
     told = MemberReport(
         name=name,
         site=site,
-        incarnation=Incarnation(mark=1),
-        number=NUMBER,
-        door="127.0.0.1:1",
-        age=10**6,
-        serving=True,
-        leaving=False,
-        warm=True,
-        room=100.0,
-        pace=1.0,
-        load={"blue": 40.0, "green": 20.0},
-        visits=0.0,
-        again=0.0,
-        honoured=60.0,
-        shed=0.0,
-        calls=1.0,
-        share=1.0,
-        lease=0,
-        epoch=0,
-        plan=0,
-        figures=figures,
-        took={one: [7] * 20 for one in "abc"},
-        memory=30_000,
+        incarnation=Incarnation(nonce=1),
+        sequence=NUMBER,
+        address="127.0.0.1:1",
+        uptime=10**6,
+        is_serving=True,
+        is_draining=False,
+        is_warm=True,
+        capacity=100.0,
+        slowdown=1.0,
+        local_load={"blue": 40.0, "green": 20.0},
+        evacuated_load=0.0,
+        retries=0.0,
+        served=60.0,
+        rejected=0.0,
+        calls_in_flight=1.0,
+        call_limit=1.0,
+        lease_remaining=0,
+        plan_term=0,
+        plan_number=0,
+        metrics=figures,
+        latency_histograms={one: [7] * 20 for one in "abc"},
+        resident_memory_kb=30_000,
     )
     return encode(told)
 
@@ -117,7 +117,7 @@
             number += 1
             began = scheduler.tell_time()
             try:
-                raw = line.ask("report", head + str(number).encode() + tail, began + SECOND)
+                raw = line.call("report", head + str(number).encode() + tail, began + SECOND)
                 if every == 5_000:
                     every = json.loads(raw)["every"]
             except OSError as trouble:
@@ -129,14 +129,16 @@
         line = PeerConnection(scheduler, ("127.0.0.1", port))
         began = time.perf_counter()
         try:
-            line.ask(
+            line.call(
                 "want",
-                encode(EvictionRequest(what="permit", holder=name, why="a measurement")),
+                encode(EvictionRequest(operation="permit", holder=name, reason="a measurement")),
                 scheduler.now + SECOND,
             )
             took.append((time.perf_counter() - began) * 1000)
             scheduler.sleep(scheduler.now + 10 * SECOND)  # it stays out, or waits, for ten seconds
-            line.ask("want", encode(EvictionRequest(what="hand-back", holder=name)), scheduler.now + SECOND)
+            line.call(
+                "want", encode(EvictionRequest(operation="hand-back", holder=name)), scheduler.now + SECOND
+            )
         except OSError as trouble:
             faults.append(str(trouble))
         finally:
--- a/birchslip/cluster/election.py
+++ b/birchslip/cluster/election.py
@@ -44,15 +44,15 @@
 class DurableVote:
     """What survives a restart. `blank` says that it is not, or may not be, what this planner last had."""
 
-    life: int = 0
-    promised: int = 0
-    promised_to: str = ""
-    promised_mark: int = 0
-    state_epoch: int = 0
+    generation: int = 0
+    promised_term: int = 0
+    promised_candidate: str = ""
+    promised_nonce: int = 0
+    state_term: int = 0
     state_number: int = 0
     state: bytes = b""
-    blank: bool = True
-    seen: str = ""  # of the others, as JSON
+    is_blank: bool = True
+    observations: str = ""  # of the others, as JSON
 
 
 @dataclass(slots=True)
@@ -62,283 +62,299 @@
     name: str
     planners: list[str]
     durable: DurableVote
-    mark: int
+    nonce: int
     now: int
-    chance: random.Random
-    dirty: bool = True
-    seen: dict[str, PeerObservation] = field(default_factory=dict)
-    told: dict[str, VoteResponse] = field(default_factory=dict)  # by all others, since this one is blank
+    rng: random.Random
+    needs_flush: bool = True
+    observations: dict[str, PeerObservation] = field(default_factory=dict)
+    recovery_responses: dict[str, VoteResponse] = field(
+        default_factory=dict
+    )  # by all others, since this one is blank
     granted_to: tuple[str, int] = ("", 0)
     granted_until: int = 0
-    quiet_until: int = 0
-    epoch: int = 0  # of its own candidacy or leadership
-    grants: dict[str, int] = field(default_factory=dict)  # voter: when the question was sent
-    highest: int = 0  # epoch heard of, from whomever: the next candidacy begins above it
-    won: bool = False
-    overtaken: int = 0  # the highest that is known to be obeyed
-    next_ask: int = 0
-    newest: tuple[int, int, bytes] = (0, 0, b"")
-    kept_by: dict[int, set[str]] = field(default_factory=dict)  # number: planners that keep it
-    unsure: set[str] = field(
+    silent_until: int = 0
+    term: int = 0  # of its own candidacy or leadership
+    votes: dict[str, int] = field(default_factory=dict)  # voter: when the question was sent
+    highest_term: int = 0  # epoch heard of, from whomever: the next candidacy begins above it
+    is_elected: bool = False
+    fencing_term: int = 0  # the highest that is known to be obeyed
+    next_request_at: int = 0
+    newest_state: tuple[int, int, bytes] = (0, 0, b"")
+    replicas: dict[int, set[str]] = field(default_factory=dict)  # number: planners that keep it
+    unconfirmed_peers: set[str] = field(
         default_factory=set
     )  # others that have not shown yet which of my lives they know
-    sure_from: int = 0
-    forgone: tuple[int, int] = (
+    confirmed_from: int = 0
+    lost_version: tuple[int, int] = (
         0,
         0,
     )  # what it is known to have lost: that is found once, not again and again
 
     def __post_init__(self) -> None:
-        self.durable.life += 1
-        if self.durable.seen:
-            self.seen = msgspec.json.decode(self.durable.seen, type=dict[str, PeerObservation])
-        self.quiet_until = self.now + self.quiet
-        self.next_ask = self.now + self.chance.randrange(JITTER)
-        self.highest = self.durable.promised
-        self.unsure = {name for name in self.planners if name != self.name}
-        self.sure_from = self.now + SURE_LEASES * self.quiet
+        self.durable.generation += 1
+        if self.durable.observations:
+            self.observations = msgspec.json.decode(
+                self.durable.observations, type=dict[str, PeerObservation]
+            )
+        self.silent_until = self.now + self.silent_span
+        self.next_request_at = self.now + self.rng.randrange(JITTER)
+        self.highest_term = self.durable.promised_term
+        self.unconfirmed_peers = {name for name in self.planners if name != self.name}
+        self.confirmed_from = self.now + SURE_LEASES * self.silent_span
         if len(self.planners) == 1:
-            self.durable.blank = False
+            self.durable.is_blank = False
 
     @property
-    def quiet(self) -> int:
+    def silent_span(self) -> int:
         """After so long here, a lease that was granted just before has ended wherever it is counted."""
         return int(LEASE * (1 + DRIFT))
 
-    def sure(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether the others have had the time to say that this disk is older than what they have seen."""
-        return not self.unsure or self.now >= self.sure_from
+        return not self.unconfirmed_peers or self.now >= self.confirmed_from
 
     @property
     def incarnation(self) -> Incarnation:
-        return Incarnation(life=self.durable.life, mark=self.mark)
+        return Incarnation(generation=self.durable.generation, nonce=self.nonce)
 
     @property
-    def majority(self) -> int:
+    def quorum(self) -> int:
         return len(self.planners) // 2 + 1
 
     # ---- as a voter ------------------------------------------------------------------------------------
 
-    def meet(self, name: str, shown: PeerObservation, seen: dict[str, PeerObservation]) -> None:
+    def observe_peer(self, name: str, shown: PeerObservation, seen: dict[str, PeerObservation]) -> None:
         """What another planner shows of itself, and what it has seen of me."""
-        self.unsure.discard(name)
-        known = self.seen.get(name)
-        if known is None or (known.mark != shown.mark and shown.life >= known.life):
+        self.unconfirmed_peers.discard(name)
+        known = self.observations.get(name)
+        if known is None or (known.nonce != shown.nonce and shown.generation >= known.generation):
             # A new life: on the disk, as a third planner may have to tell it one day that its disk is old.
-            self.seen[name] = known = PeerObservation(
-                life=shown.life,
-                mark=shown.mark,
-                promised=known.promised if known is not None else 0,
-                epoch=known.epoch if known is not None else 0,
-                number=known.number if known is not None else 0,
+            self.observations[name] = known = PeerObservation(
+                generation=shown.generation,
+                nonce=shown.nonce,
+                promised_term=known.promised_term if known is not None else 0,
+                state_term=known.state_term if known is not None else 0,
+                state_number=known.state_number if known is not None else 0,
             )
-            self.durable.seen = msgspec.json.encode(self.seen).decode()
-            self.dirty = True
-        known.promised = max(known.promised, shown.promised)
-        known.epoch, known.number = max((known.epoch, known.number), (shown.epoch, shown.number))
+            self.durable.observations = msgspec.json.encode(self.observations).decode()
+            self.needs_flush = True
+        known.promised_term = max(known.promised_term, shown.promised_term)
+        known.state_term, known.state_number = max(
+            (known.state_term, known.state_number), (shown.state_term, shown.state_number)
+        )
         mine = seen.get(self.name)
-        if mine is not None and self.older_than(mine):
+        if mine is not None and self.has_lost_state(mine):
             # What I promised and kept since is not on this disk.
-            self.durable.life = max(self.durable.life, mine.life + 1)
-            self.durable.promised = max(self.durable.promised, mine.promised)
-            self.forgone = max(self.forgone, (mine.epoch, mine.number))
-            self.durable.blank = True
-            self.told.clear()
-            self.dirty = True
-
-    def older_than(self, mine: PeerObservation) -> bool:
+            self.durable.generation = max(self.durable.generation, mine.generation + 1)
+            self.durable.promised_term = max(self.durable.promised_term, mine.promised_term)
+            self.lost_version = max(self.lost_version, (mine.state_term, mine.state_number))
+            self.durable.is_blank = True
+            self.recovery_responses.clear()
+            self.needs_flush = True
+
+    def has_lost_state(self, mine: PeerObservation) -> bool:
         """Whether another has seen more of me than my disk holds: it is empty, cut short or of an earlier
         day.
         """
         durable = self.durable
         return (
-            (mine.life >= durable.life and mine.mark != self.mark)
-            or mine.promised > durable.promised
-            or (mine.epoch, mine.number) > max(self.forgone, (durable.state_epoch, durable.state_number))
+            (mine.generation >= durable.generation and mine.nonce != self.nonce)
+            or mine.promised_term > durable.promised_term
+            or (mine.state_term, mine.state_number)
+            > max(self.lost_version, (durable.state_term, durable.state_number))
         )
 
-    def note(self, name: str, epoch: int, number: int) -> None:
+    def observe_stored_state(self, name: str, epoch: int, number: int) -> None:
         """Another has shown that it keeps this."""
-        seen = self.seen.get(name)
+        seen = self.observations.get(name)
         if seen is not None:
-            seen.promised = max(seen.promised, epoch)
-            seen.epoch, seen.number = max((seen.epoch, seen.number), (epoch, number))
+            seen.promised_term = max(seen.promised_term, epoch)
+            seen.state_term, seen.state_number = max((seen.state_term, seen.state_number), (epoch, number))
 
     def shows(self, answer: VoteResponse) -> PeerObservation:
         return PeerObservation(
-            life=answer.incarnation.life,
-            mark=answer.incarnation.mark,
-            promised=answer.epoch,
-            epoch=answer.state_epoch,
-            number=answer.state_number,
+            generation=answer.incarnation.generation,
+            nonce=answer.incarnation.nonce,
+            promised_term=answer.promised_term,
+            state_term=answer.state_term,
+            state_number=answer.state_number,
         )
 
-    def asked(self, ask: VoteRequest, now: int) -> VoteResponse:
+    def handle_vote_request(self, ask: VoteRequest, now: int) -> VoteResponse:
         self.now = max(self.now, now)
-        if ask.name != self.name:
-            self.meet(
-                ask.name, PeerObservation(life=ask.incarnation.life, mark=ask.incarnation.mark), ask.seen
+        if ask.candidate != self.name:
+            self.observe_peer(
+                ask.candidate,
+                PeerObservation(generation=ask.incarnation.generation, nonce=ask.incarnation.nonce),
+                ask.observations,
             )
-        asker = (ask.name, ask.incarnation.mark)
+        asker = (ask.candidate, ask.incarnation.nonce)
         durable = self.durable
-        self.highest = max(self.highest, ask.epoch)
+        self.highest_term = max(self.highest_term, ask.term)
         granted = (
-            ask.epoch > 0
-            and not durable.blank
-            and self.sure()
-            and self.now >= self.quiet_until
+            ask.term > 0
+            and not durable.is_blank
+            and self.is_confirmed()
+            and self.now >= self.silent_until
             and (self.now >= self.granted_until or self.granted_to == asker)
             and (
-                ask.epoch > durable.promised
-                or (ask.epoch, *asker) == (durable.promised, durable.promised_to, durable.promised_mark)
+                ask.term > durable.promised_term
+                or (ask.term, *asker)
+                == (durable.promised_term, durable.promised_candidate, durable.promised_nonce)
             )
         )
         if granted:
-            if ask.epoch != durable.promised:
-                durable.promised, durable.promised_to, durable.promised_mark = ask.epoch, *asker
-                self.dirty = True
+            if ask.term != durable.promised_term:
+                durable.promised_term, durable.promised_candidate, durable.promised_nonce = ask.term, *asker
+                self.needs_flush = True
             self.granted_to, self.granted_until = asker, self.now + LEASE
-            if ask.name != self.name:
-                self.next_ask = self.granted_until + self.chance.randrange(JITTER)
+            if ask.candidate != self.name:
+                self.next_request_at = self.granted_until + self.rng.randrange(JITTER)
         return self.answer(granted)
 
     def answer(self, granted: bool) -> VoteResponse:
         durable = self.durable
         return VoteResponse(
             granted=granted,
-            epoch=durable.promised,
-            name=self.name,
+            promised_term=durable.promised_term,
+            voter=self.name,
             incarnation=self.incarnation,
-            new=durable.blank,
-            held=max(0, max(self.granted_until, self.quiet_until) - self.now),
-            state_epoch=durable.state_epoch,
+            is_blank=durable.is_blank,
+            lease_remaining=max(0, max(self.granted_until, self.silent_until) - self.now),
+            state_term=durable.state_term,
             state_number=durable.state_number,
             state=durable.state,
-            seen=self.seen,
+            observations=self.observations,
         )
 
-    def keep(self, told: ReplicationRequest, now: int) -> ReplicationResponse:
+    def handle_replication_request(self, told: ReplicationRequest, now: int) -> ReplicationResponse:
         """The leader's state, to be kept before anybody is told of it; a leader of older days is refused."""
         self.now = max(self.now, now)
         durable = self.durable
-        self.highest = max(self.highest, told.epoch)
-        if told.epoch < durable.promised:
-            return ReplicationResponse(kept=False, epoch=durable.promised, name=self.name)
-        if told.epoch > durable.promised:
-            durable.promised, durable.promised_to = told.epoch, told.name
-            durable.promised_mark = told.incarnation.mark
-            self.dirty = True
-        if (told.epoch, told.number) > (durable.state_epoch, durable.state_number) or durable.blank:
-            durable.state_epoch, durable.state_number = told.epoch, told.number
+        self.highest_term = max(self.highest_term, told.term)
+        if told.term < durable.promised_term:
+            return ReplicationResponse(
+                is_stored=False, promised_term=durable.promised_term, replica=self.name
+            )
+        if told.term > durable.promised_term:
+            durable.promised_term, durable.promised_candidate = told.term, told.leader
+            durable.promised_nonce = told.incarnation.nonce
+            self.needs_flush = True
+        if (told.term, told.state_number) > (durable.state_term, durable.state_number) or durable.is_blank:
+            durable.state_term, durable.state_number = told.term, told.state_number
             durable.state = told.state
-            durable.blank = False
-            self.note(told.name, told.epoch, told.number)
+            durable.is_blank = False
+            self.observe_stored_state(told.leader, told.term, told.state_number)
             # It is flushed now anyway: what is known of the others survives with it, and may unmask an old
             # disk.
-            durable.seen = msgspec.json.encode(self.seen).decode()
-            self.dirty = True
-        return ReplicationResponse(kept=True, epoch=durable.promised, name=self.name)
+            durable.observations = msgspec.json.encode(self.observations).decode()
+            self.needs_flush = True
+        return ReplicationResponse(is_stored=True, promised_term=durable.promised_term, replica=self.name)
 
     # ---- as a candidate and a leader -------------------------------------------------------------------
 
-    def ask(self, now: int) -> VoteRequest | None:
+    def next_vote_request(self, now: int) -> VoteRequest | None:
         """The question to put to all planners, oneself included, where it is time for one."""
         self.now = max(self.now, now)
-        if self.now < self.next_ask:
+        if self.now < self.next_request_at:
             return None
-        if self.durable.blank or not self.sure():
-            self.next_ask = self.now + RENEW
-            return self.question(0)  # it asks what the others know, and for nothing
-        if self.leads(now):
-            self.next_ask = self.now + RENEW
-            return self.question(self.epoch)
-        if self.epoch:
+        if self.durable.is_blank or not self.is_confirmed():
+            self.next_request_at = self.now + RENEW
+            return self.vote_request(0)  # it asks what the others know, and for nothing
+        if self.is_leading(now):
+            self.next_request_at = self.now + RENEW
+            return self.vote_request(self.term)
+        if self.term:
             # Not elected: its own vote is free again, as it will never lead in that epoch. Guards against two
             # that each keep their vote for themselves and so never agree.
-            self.epoch = 0
+            self.term = 0
             if self.granted_to[0] == self.name:
                 self.granted_until = self.now
-            self.next_ask = self.now + self.chance.randrange(2 * JITTER)
+            self.next_request_at = self.now + self.rng.randrange(2 * JITTER)
             return None
         if self.now < self.granted_until and self.granted_to[0] != self.name:
-            self.next_ask = self.granted_until + self.chance.randrange(JITTER)
+            self.next_request_at = self.granted_until + self.rng.randrange(JITTER)
             return None
-        if self.now < self.quiet_until:
-            self.next_ask = self.quiet_until + self.chance.randrange(JITTER)
+        if self.now < self.silent_until:
+            self.next_request_at = self.silent_until + self.rng.randrange(JITTER)
             return None
-        self.epoch, self.won = self.next_epoch(), False
-        self.grants.clear()
-        self.kept_by.clear()
-        self.newest = (0, 0, b"")
-        self.next_ask = self.now + RENEW
-        return self.question(self.epoch)
-
-    def question(self, epoch: int) -> VoteRequest:
-        return VoteRequest(epoch=epoch, name=self.name, incarnation=self.incarnation, seen=self.seen)
+        self.term, self.is_elected = self.next_term(), False
+        self.votes.clear()
+        self.replicas.clear()
+        self.newest_state = (0, 0, b"")
+        self.next_request_at = self.now + RENEW
+        return self.vote_request(self.term)
+
+    def vote_request(self, epoch: int) -> VoteRequest:
+        return VoteRequest(
+            term=epoch, candidate=self.name, incarnation=self.incarnation, observations=self.observations
+        )
 
-    def next_epoch(self) -> int:
+    def next_term(self) -> int:
         """Above all that was heard of, and never another planner's."""
         place = self.planners.index(self.name)
-        return (max(self.highest, self.durable.promised) // WIDTH + 1) * WIDTH + place
+        return (max(self.highest_term, self.durable.promised_term) // WIDTH + 1) * WIDTH + place
 
-    def answered(self, answer: VoteResponse, epoch: int, sent: int, now: int) -> None:
+    def handle_vote_response(self, answer: VoteResponse, epoch: int, sent: int, now: int) -> None:
         """`epoch` and `sent` are of the question that this answers."""
         self.now = max(self.now, now)
-        if answer.name != self.name:
-            self.meet(answer.name, self.shows(answer), answer.seen)
-        self.highest = max(self.highest, answer.epoch)
-        if self.durable.blank:
-            self.learn(answer)
+        if answer.voter != self.name:
+            self.observe_peer(answer.voter, self.shows(answer), answer.observations)
+        self.highest_term = max(self.highest_term, answer.promised_term)
+        if self.durable.is_blank:
+            self.recover_state(answer)
             return
-        if not answer.granted or epoch != self.epoch or not epoch:
+        if not answer.granted or epoch != self.term or not epoch:
             return
-        self.grants[answer.name] = max(sent, self.grants.get(answer.name, 0))
-        self.newest = max(self.newest, (answer.state_epoch, answer.state_number, answer.state))
+        self.votes[answer.voter] = max(sent, self.votes.get(answer.voter, 0))
+        self.newest_state = max(self.newest_state, (answer.state_term, answer.state_number, answer.state))
 
-    def learn(self, answer: VoteResponse) -> None:
+    def recover_state(self, answer: VoteResponse) -> None:
         """Blank: once all others have told what they keep, nothing that a majority kept is missing here."""
-        if answer.name == self.name:
+        if answer.voter == self.name:
             return
-        self.told[answer.name] = answer
-        if len(self.told) < len(self.planners) - 1:
+        self.recovery_responses[answer.voter] = answer
+        if len(self.recovery_responses) < len(self.planners) - 1:
             return
         durable = self.durable
-        newest = max(self.told.values(), key=lambda one: (one.state_epoch, one.state_number))
-        if (newest.state_epoch, newest.state_number) > (durable.state_epoch, durable.state_number):
-            durable.state_epoch, durable.state_number = newest.state_epoch, newest.state_number
+        newest = max(self.recovery_responses.values(), key=lambda one: (one.state_term, one.state_number))
+        if (newest.state_term, newest.state_number) > (durable.state_term, durable.state_number):
+            durable.state_term, durable.state_number = newest.state_term, newest.state_number
             durable.state = newest.state
-        durable.promised = max(durable.promised, max(one.epoch for one in self.told.values()))
-        durable.blank = False
-        self.told.clear()
-        self.dirty = True
+        durable.promised_term = max(
+            durable.promised_term, max(one.promised_term for one in self.recovery_responses.values())
+        )
+        durable.is_blank = False
+        self.recovery_responses.clear()
+        self.needs_flush = True
 
     def lease_end(self) -> int:
         """Its lease runs from the question that the last of a majority has granted, by the sender's clock."""
-        sent = sorted(self.grants.values(), reverse=True)
-        return sent[self.majority - 1] + int(LEASE * (1 - DRIFT)) if len(sent) >= self.majority else 0
+        sent = sorted(self.votes.values(), reverse=True)
+        return sent[self.quorum - 1] + int(LEASE * (1 - DRIFT)) if len(sent) >= self.quorum else 0
 
-    def leads(self, now: int) -> bool:
+    def is_leading(self, now: int) -> bool:
         """Whether it holds the lease at this moment; to be looked at just before each answer."""
         self.now = max(self.now, now)
-        if self.epoch and (self.now >= self.lease_end() or self.epoch < self.overtaken):
-            if self.won:
+        if self.term and (self.now >= self.lease_end() or self.term < self.fencing_term):
+            if self.is_elected:
                 # One that has lapsed is never taken up again: others may have led, and kept more, meanwhile.
-                self.epoch, self.won = 0, False
+                self.term, self.is_elected = 0, False
             return False
-        self.won = self.epoch > 0
-        return self.won
+        self.is_elected = self.term > 0
+        return self.is_elected
 
-    def outrun(self, epoch: int) -> None:
+    def observe_term(self, epoch: int) -> None:
         """Somebody obeys a higher epoch: this one is over, and the next candidacy begins above it."""
-        self.highest = max(self.highest, epoch)
-        self.overtaken = max(self.overtaken, epoch)
+        self.highest_term = max(self.highest_term, epoch)
+        self.fencing_term = max(self.fencing_term, epoch)
 
-    def kept(self, answer: ReplicationResponse, number: int) -> bool:
+    def handle_replication_response(self, answer: ReplicationResponse, number: int) -> bool:
         """Whether that number is kept by a majority now."""
-        self.highest = max(self.highest, answer.epoch)
-        if answer.kept:
-            for old in [one for one in self.kept_by if one < number - KEPT_NUMBERS]:
-                del self.kept_by[old]
-            self.kept_by.setdefault(number, set()).add(answer.name)
-            self.note(answer.name, self.epoch, number)
-        return len(self.kept_by.get(number, ())) >= self.majority
+        self.highest_term = max(self.highest_term, answer.promised_term)
+        if answer.is_stored:
+            for old in [one for one in self.replicas if one < number - KEPT_NUMBERS]:
+                del self.replicas[old]
+            self.replicas.setdefault(number, set()).add(answer.replica)
+            self.observe_stored_state(answer.replica, self.term, number)
+        return len(self.replicas.get(number, ())) >= self.quorum
--- a/birchslip/cluster/election_store.py
+++ b/birchslip/cluster/election_store.py
@@ -37,18 +37,18 @@
 
     def __init__(self, folder: Path, name: str) -> None:
         self.path = folder / f"{name}.planner"
-        self.trouble = ""
+        self.damage = ""
         folder.mkdir(parents=True, exist_ok=True)
         try:
-            self.link = self.open()
-            self.found = self.load()
+            self.connection = self.open()
+            self.vote = self.load()
         except sqlite3.OperationalError as trouble:
             raise StoreWriteError(f"{self.path}: {trouble}") from None
         except (sqlite3.DatabaseError, ValueError) as trouble:
-            self.trouble = str(trouble)
+            self.damage = str(trouble)
             self.put_aside()
-            self.link = self.open()
-            self.found = DurableVote()
+            self.connection = self.open()
+            self.vote = DurableVote()
 
     def open(self) -> sqlite3.Connection:
         link = sqlite3.connect(self.path, isolation_level=None, timeout=0)
@@ -70,14 +70,14 @@
         return link
 
     def load(self) -> DurableVote:
-        with closing(self.link.execute(f"select checksum, {', '.join(COLUMNS)} from ballot")) as rows:
+        with closing(self.connection.execute(f"select checksum, {', '.join(COLUMNS)} from ballot")) as rows:
             row = rows.fetchone()
         if row is None:
             return DurableVote()
         durable = DurableVote(*row[1:])
-        durable.blank = bool(durable.blank)
+        durable.is_blank = bool(durable.is_blank)
         if row[0] != checksum(durable):
-            self.link.close()
+            self.connection.close()
             raise ValueError("the row does not match its checksum")
         return durable
 
@@ -85,7 +85,7 @@
         """On the disk when it returns; Unkept where that could not be."""
         marks = ", ".join("?" * (len(COLUMNS) + 2))
         try:
-            self.link.execute(
+            self.connection.execute(
                 f"insert or replace into ballot values ({marks})", (1, checksum(durable), *astuple(durable))
             )
         except sqlite3.Error as trouble:
@@ -98,4 +98,4 @@
                 path.replace(f"{self.path}.damaged{tail}")
 
     def close(self) -> None:
-        self.link.close()
+        self.connection.close()
--- a/birchslip/cluster/eviction_handler.py
+++ b/birchslip/cluster/eviction_handler.py
@@ -27,17 +27,17 @@
     budget: DisruptionBudget, request: EvictionRequest, observations: Mapping[str, MemberObservation]
 ) -> EvictionResponse:
     """Carries a request out; `observations` has every member and service that may hold a permit."""
-    if request.what == EvictionAction.OVERRIDE:
-        reason = budget.override(request.who, request.why, request.count, request.span)
-        return EvictionResponse(granted=not reason, why=reason)
+    if request.operation == EvictionAction.OVERRIDE:
+        reason = budget.override(request.operator, request.reason, request.count, request.span)
+        return EvictionResponse(granted=not reason, reason=reason)
     observed = observations.get(request.holder)
     if observed is None:
-        return EvictionResponse(granted=False, why=f"no member is named {request.holder!r}")
-    if request.what == EvictionAction.REVOKE:
-        budget.strike(request.holder, request.who)
+        return EvictionResponse(granted=False, reason=f"no member is named {request.holder!r}")
+    if request.operation == EvictionAction.REVOKE:
+        budget.strike(request.holder, request.operator)
         return EvictionResponse(granted=True)
     incarnation = request.incarnation or observed.incarnation
-    if request.what == EvictionAction.HAND_BACK:
+    if request.operation == EvictionAction.HAND_BACK:
         return EvictionResponse(granted=budget.hand_back(request.holder, incarnation, observations))
     return _ask_permit(budget, request, incarnation, observations)
 
@@ -48,12 +48,15 @@
     incarnation: Incarnation,
     observations: Mapping[str, MemberObservation],
 ) -> EvictionResponse:
-    waiter = EvictionWaiter(holder=request.holder, incarnation=incarnation, why=request.why)
-    if request.what == EvictionAction.PERMIT_BY_OVERRIDE:
+    waiter = EvictionWaiter(holder=request.holder, incarnation=incarnation, why=request.reason)
+    if request.operation == EvictionAction.PERMIT_BY_OVERRIDE:
         decision = budget.ask_past(waiter, observations)
     else:
         decision = budget.ask(waiter, observations)
     number = decision.permit.number if decision.permit is not None else 0
     return EvictionResponse(
-        granted=decision.permit is not None, number=number, place=decision.place, why=decision.why
+        granted=decision.permit is not None,
+        permit_number=number,
+        queue_position=decision.place,
+        reason=decision.why,
     )
--- a/birchslip/cluster/inventory.py
+++ b/birchslip/cluster/inventory.py
@@ -59,7 +59,7 @@
         process = self.services.get(name)
         if process is None:
             return MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
-        incarnation = Incarnation(life=process.start_count)
+        incarnation = Incarnation(generation=process.start_count)
         match InstanceStatus(process.state):
             case InstanceStatus.UP:
                 reason = None
--- a/birchslip/cluster/leadership.py
+++ b/birchslip/cluster/leadership.py
@@ -43,26 +43,26 @@
 
     def is_effective_leader(self, now: int) -> bool:
         """Returns whether it holds the lease at this moment and may instruct members."""
-        holds_lease = self.election.leads(now) and self.term == self.election.epoch
+        holds_lease = self.election.is_leading(now) and self.term == self.election.term
         return holds_lease and self.replicated_version > 0
 
     def update(self, now: int) -> LeadershipChange:
         """Follows the election; a new term starts at version 0."""
-        if not self.election.leads(now):
+        if not self.election.is_leading(now):
             was_leading = self.is_leading
             self.term = 0
             return LeadershipChange.LOST if was_leading else LeadershipChange.UNCHANGED
-        if self.term == self.election.epoch:
+        if self.term == self.election.term:
             return LeadershipChange.UNCHANGED
-        self.term = self.election.epoch
+        self.term = self.election.term
         self.version = 0
         self.replicated_version = 0
         return LeadershipChange.ACQUIRED
 
     def observe_epoch(self, epoch: int) -> None:
         """Ends the term if somebody obeys a higher epoch; the next candidacy starts above it."""
-        if epoch > self.election.highest:
-            self.election.outrun(epoch)
+        if epoch > self.election.highest_term:
+            self.election.observe_term(epoch)
 
     def known_leader(self, now: int) -> str:
         """Returns the name of the planner that this one has voted for, empty if its lease is over."""
@@ -81,9 +81,9 @@
     def replication_request(self, state: bytes) -> ReplicationRequest:
         """Returns the request to store the newest version."""
         return ReplicationRequest(
-            epoch=self.term,
-            number=self.version,
-            name=self.election.name,
+            term=self.term,
+            state_number=self.version,
+            leader=self.election.name,
             incarnation=self.election.incarnation,
             state=state,
         )
--- a/birchslip/cluster/member_observations.py
+++ b/birchslip/cluster/member_observations.py
@@ -38,6 +38,6 @@
         return UnavailabilityReason.SILENT
     if not site_is_serving:
         return UnavailabilityReason.LOST
-    if not member.report.serving or not member.report.warm:
+    if not member.report.is_serving or not member.report.is_warm:
         return UnavailabilityReason.COLD
     return None
--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -119,7 +119,7 @@
 
     def liveness(self, now: int, report_interval: int) -> MemberLiveness:
         """Returns the verdict on this member."""
-        if self.report.leaving:
+        if self.report.is_draining:
             return MemberLiveness.LEFT
         if self.is_heard(now, report_interval):
             return MemberLiveness.ALIVE
@@ -168,7 +168,7 @@
             self._add(report, now)
             return True
         if report.incarnation == member.incarnation:
-            if report.number <= member.report.number:
+            if report.sequence <= member.report.sequence:
                 return False
             member.detector.record_heartbeat(now)
         elif self._is_outdated(report.incarnation, member):
@@ -235,7 +235,7 @@
     def _is_outdated(incarnation: Incarnation, member: Member) -> bool:
         if incarnation in member.previous_incarnations:
             return True
-        return 0 < incarnation.life < member.incarnation.life
+        return 0 < incarnation.generation < member.incarnation.generation
 
     # ---- verdicts --------------------------------------------------------------------------------------
 
@@ -254,7 +254,7 @@
 
     def silent_site_members(self, site: str, now: int) -> list[Member]:
         """Returns the members of a site none of which is heard; nobody if any is, or if it is empty."""
-        expected = [member for member in self.sites[site].values() if not member.report.leaving]
+        expected = [member for member in self.sites[site].values() if not member.report.is_draining]
         unheard = [member for member in expected if not member.is_heard(now, self.report_interval)]
         return unheard if len(unheard) == len(expected) else []
 
@@ -267,7 +267,7 @@
         alive = self.alive_members(site, now)
         if not alive:
             return SiteVerdict.RESTARTING if members else SiteVerdict.REACHABLE
-        slow = sum(1 for member in alive if member.report.pace >= SLOW_PACE)
+        slow = sum(1 for member in alive if member.report.slowdown >= SLOW_PACE)
         if 2 * slow > len(alive):
             return SiteVerdict.SLOW
         restarted = sum(
--- a/birchslip/cluster/messages.py
+++ b/birchslip/cluster/messages.py
@@ -15,11 +15,11 @@
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Span = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
-Epoch = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
-Buckets = Annotated[list[Count], msgspec.Meta(max_length=64)]
-Words = Annotated[str, msgspec.Meta(max_length=400)]
+Term = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
+HistogramBuckets = Annotated[list[Count], msgspec.Meta(max_length=64)]
+Text = Annotated[str, msgspec.Meta(max_length=400)]
 
 
 class Message(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -29,25 +29,25 @@
 class Incarnation(Message):
     """Which life of a process: `life` counts its starts where that is known, `mark` is random at each."""
 
-    life: Count = 0
-    mark: Count = 0
+    generation: Count = 0
+    nonce: Count = 0
 
 
 class PeerObservation(Message):
     """The most that one planner has shown another: its last life, and what it said that its disk holds."""
 
-    life: Count
-    mark: Count
-    promised: Epoch = 0
-    epoch: Epoch = 0
-    number: Count = 0
+    generation: Count
+    nonce: Count
+    promised_term: Term = 0
+    state_term: Term = 0
+    state_number: Count = 0
 
 
 class ProbeResult(Message):
     """What a witness met at a door: `answered`, `refused` or `silent`."""
 
-    name: Name
-    met: Annotated[str, msgspec.Meta(pattern="^(answered|refused|silent)$")]
+    member: Name
+    outcome: Annotated[str, msgspec.Meta(pattern="^(answered|refused|silent)$")]
 
 
 class MemberReport(Message):
@@ -56,100 +56,100 @@
     name: Name
     site: Name
     incarnation: Incarnation
-    number: Count  # of this report within its life: a doubled or late one changes nothing
-    door: Words  # HOST:PORT where routers find it
-    age: Span  # since it began to serve
-    serving: bool
-    leaving: bool
-    warm: bool
-    room: Rate  # what its cores could do
-    pace: Rate  # run times against the usual, 1 as usual
-    load: dict[Name, Rate]  # first tries by tenant of callers at home here
-    visits: Rate  # first tries of callers whose home is elsewhere
-    again: Rate  # further tries
-    honoured: Rate
-    shed: Rate
-    calls: Rate  # calls below in hand
-    share: Rate  # calls that it may have in hand
-    lease: Span  # left of the leased part of that
-    epoch: Epoch  # of the plan that it holds
-    plan: Count
-    knocks: list[ProbeResult] = []
+    sequence: Count  # of this report within its life: a doubled or late one changes nothing
+    address: Text  # HOST:PORT where routers find it
+    uptime: Span  # since it began to serve
+    is_serving: bool
+    is_draining: bool
+    is_warm: bool
+    capacity: Rate  # what its cores could do
+    slowdown: Rate  # run times against the usual, 1 as usual
+    local_load: dict[Name, Rate]  # first tries by tenant of callers at home here
+    evacuated_load: Rate  # first tries of callers whose home is elsewhere
+    retries: Rate  # further tries
+    served: Rate
+    rejected: Rate
+    calls_in_flight: Rate  # calls below in hand
+    call_limit: Rate  # calls that it may have in hand
+    lease_remaining: Span  # left of the leased part of that
+    plan_term: Term  # of the plan that it holds
+    plan_number: Count
+    probes: list[ProbeResult] = []
     # since this life began: of each kind and profile, bad ones and all (`gauges.py`)
-    figures: Annotated[dict[Name, tuple[Count, Count]], msgspec.Meta(max_length=512)] = {}
+    metrics: Annotated[dict[Name, tuple[Count, Count]], msgspec.Meta(max_length=512)] = {}
     # honoured ones of each profile since then, by how long they ran
-    took: Annotated[dict[Name, Buckets], msgspec.Meta(max_length=64)] = {}
-    memory: Count = 0  # resident, in KB
+    latency_histograms: Annotated[dict[Name, HistogramBuckets], msgspec.Meta(max_length=64)] = {}
+    resident_memory_kb: Count = 0  # resident, in KB
 
 
 class PlanAssignment(Message):
     """A plan as told to one member."""
 
-    epoch: Epoch
-    plan: Count
-    span: Span  # that it holds, counted from when the report that it answers was sent
-    fade: Span
+    term: Term
+    number: Count
+    validity_span: Span  # that it holds, counted from when the report that it answers was sent
+    fade_span: Span
     quotas: dict[Name, Rate]
-    visitors: list[Count]
-    visits: Rate  # of all visitors together
-    order: list[Name]
-    level: Part  # of its cores that may be used
-    listed: bool  # whether routers may find it
-    short: bool
+    evacuated_callers: list[Count]
+    evacuated_quota: Rate  # of all visitors together
+    shedding_order: list[Name]
+    serving_fraction: Fraction  # of its cores that may be used
+    is_listed: bool  # whether routers may find it
+    is_capacity_short: bool
 
 
 class ReportReply(Message):
     """A planner's answer to a report. Only the leader fills more than `leader` and `epoch`."""
 
-    epoch: Epoch
-    author: Incarnation
-    leads: bool
+    term: Term
+    planner: Incarnation
+    is_leading: bool
     leader: str = ""  # the name of the planner that is thought to lead
-    every: Span = 2_000  # how often to report
-    tell: PlanAssignment | None = None
-    share: Rate = 0.0  # calls that may be in hand under the lease, kept part included
-    lease: Span = 0  # of the share, counted from when the report was sent
-    knock: dict[Name, Words] = {}  # doors to knock at
+    report_interval: Span = 2_000  # how often to report
+    assignment: PlanAssignment | None = None
+    call_limit: Rate = 0.0  # calls that may be in hand under the lease, kept part included
+    lease_span: Span = 0  # of the share, counted from when the report was sent
+    probe_addresses: dict[Name, Text] = {}  # doors to knock at
 
 
 class VoteRequest(Message):
     """A planner asks for votes, or for its lease to go on."""
 
-    epoch: Epoch
-    name: Name
+    term: Term
+    candidate: Name
     incarnation: Incarnation
-    seen: dict[Name, PeerObservation] = {}  # what was seen of each planner, which unmasks an old disk
-    doubt: list[Name] = []  # members that the leader does not hear
+    observations: dict[Name, PeerObservation] = {}  # what was seen of each planner, which unmasks an old disk
+    suspects: list[Name] = []  # members that the leader does not hear
 
 
 class VoteResponse(Message):
     granted: bool
-    epoch: Epoch  # the highest promised
-    name: Name
+    promised_term: Term  # the highest promised
+    voter: Name
     incarnation: Incarnation
-    new: bool  # whether it has lost, or never had, what it should remember
-    held: Span = 0  # left of the lease that it has granted to another
-    state_epoch: Epoch = 0
+    is_blank: bool  # whether it has lost, or never had, what it should remember
+    lease_remaining: Span = 0  # left of the lease that it has granted to another
+    state_term: Term = 0
     state_number: Count = 0
     state: bytes = b""
-    heard: list[Name] = []  # of the members in doubt, those heard here
-    seen: dict[Name, PeerObservation] = {}
+    heard_suspects: list[Name] = []  # of the members in doubt, those heard here
+    observations: dict[Name, PeerObservation] = {}
 
 
 class ReplicationRequest(Message):
     """What the leader has others keep before it tells it to anybody."""
 
-    epoch: Epoch
-    number: Count
-    name: Name
+    term: Term
+    state_number: Count
+    leader: Name
     incarnation: Incarnation
     state: bytes
 
 
 class ReplicationResponse(Message):
-    kept: bool
-    epoch: Epoch
-    name: Name
+    is_stored: bool
+    promised_term: Term
+    replica: Name
 
 
 class EvictionRequest(Message):
@@ -157,11 +157,11 @@
     is meant.
     """
 
-    what: Annotated[str, msgspec.Meta(pattern="^(permit|past|hand-back|strike|override)$")]
+    operation: Annotated[str, msgspec.Meta(pattern="^(permit|past|hand-back|strike|override)$")]
     holder: str = ""
     incarnation: Incarnation | None = None
-    who: Words = ""
-    why: Words = ""
+    operator: Text = ""
+    reason: Text = ""
     count: Count = 1
     span: Span = 0
 
@@ -170,28 +170,28 @@
     """What came of it: a permit and its number, or the place among those who wait, and why."""
 
     granted: bool
-    number: Count = 0
-    place: Count = 0
-    why: str = ""
+    permit_number: Count = 0
+    queue_position: Count = 0
+    reason: str = ""
 
 
 class OperatorCommand(Message):
     """What an operator asks of the fleet by hand."""
 
-    what: Annotated[str, msgspec.Meta(pattern="^(show|what-if|evacuate|return)$")]
+    operation: Annotated[str, msgspec.Meta(pattern="^(show|what-if|evacuate|return)$")]
     site: str = ""
-    who: Words = ""
-    why: Words = ""
+    operator: Text = ""
+    reason: Text = ""
 
 
 def encode(record: Message) -> bytes:
     return msgspec.json.encode(record)
 
 
-Kind = TypeVar("Kind", bound=Message)
+MessageT = TypeVar("Kind", bound=Message)
 
 
-def decode(raw: object, kind: type[Kind]) -> Kind:
+def decode(raw: object, kind: type[MessageT]) -> MessageT:
     if not isinstance(raw, bytes):
         raise InvalidInputError(f"{kind.__name__}: not a value of bytes")
     try:
--- a/birchslip/cluster/operator_views.py
+++ b/birchslip/cluster/operator_views.py
@@ -37,11 +37,11 @@
         "planner": state.election.name,
         "leads": is_leader,
         "leader": state.election.name if is_leader else state.leader_name(now),
-        "epoch": durable.promised,
+        "epoch": durable.promised_term,
         "plan": durable.state_number,
         "short": published.is_short,
         "refused": {tier.value: round(rate, 1) for tier, rate in published.rejected.items()},
-        "blank": durable.blank,
+        "blank": durable.is_blank,
         "releases": rollouts_status(state, now),
         "sites": [site_row(state, site, ramp, now) for site, ramp in ramps.items()],
         "members": [member_row(member, interval, now) for member in members],
@@ -56,17 +56,17 @@
         "name": member.name,
         "site": member.site,
         "life": member.liveness(now, report_interval).value,
-        "incarnation": member.incarnation.mark,
+        "incarnation": member.incarnation.nonce,
         "restarts": member.restarts,
         "phi": round(member.detector.phi(now), 2),
-        "room": round(report.room, 1),
-        "load": round(sum(report.load.values()), 1),
-        "visits": round(report.visits, 1),
-        "shed": round(report.shed, 1),
-        "pace": round(report.pace, 2),
-        "calls": report.calls,
-        "share": round(report.share, 2),
-        "plan": f"{report.epoch}.{report.plan}",
+        "room": round(report.capacity, 1),
+        "load": round(sum(report.local_load.values()), 1),
+        "visits": round(report.evacuated_load, 1),
+        "shed": round(report.rejected, 1),
+        "pace": round(report.slowdown, 2),
+        "calls": report.calls_in_flight,
+        "share": round(report.call_limit, 2),
+        "plan": f"{report.plan_term}.{report.plan_number}",
     }
 
 
@@ -165,7 +165,7 @@
     if leases is None:
         return {}
     lost = {name for name, site in state.site_of_member.items() if site == lost_site}
-    calls = sum(member.report.calls for member in state.membership.members.values())
+    calls = sum(member.report.calls_in_flight for member in state.membership.members.values())
     quota = sum(base for name, base in state.quotas.base_quotas.items() if name not in lost)
     quota += sum(leases.leasable_quota(name) for name in lost)
     return {"calls": calls, "may_be": quota, "short_by": max(0.0, calls - quota)}
--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -52,15 +52,15 @@
         recovering = [site for site, part in levels.items() if part < 1]
         visitors = [router for site in fleet.sites if site.name in recovering for router in site.routers]
         return PlanAssignment(
-            epoch=epoch,
-            plan=version,
-            span=span(fleet.plan_ms),
-            fade=span(fleet.fade_ms),
+            term=epoch,
+            number=version,
+            validity_span=span(fleet.plan_ms),
+            fade_span=span(fleet.fade_ms),
             quotas=plan.member_tenant_quotas(name) if recovering else {},
-            visitors=visitors if level == 1 else [],
-            visits=plan.member_visitor_quota(name),
-            order=list(fleet.refuse) if recovering else [],
-            level=level,
-            listed=level > 0,
-            short=plan.is_short and bool(recovering),
+            evacuated_callers=visitors if level == 1 else [],
+            evacuated_quota=plan.member_visitor_quota(name),
+            shedding_order=list(fleet.refuse) if recovering else [],
+            serving_fraction=level,
+            is_listed=level > 0,
+            is_capacity_short=plan.is_short and bool(recovering),
         )
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -95,7 +95,7 @@
                 record = self.waiting.pop(method)
                 sent = self.planner.scheduler.tell_time()
                 try:
-                    answer = self.line.ask(method, encode(record), sent + LIMIT)
+                    answer = self.line.call(method, encode(record), sent + LIMIT)
                     self.planner.heard(record, answer, sent)
                 except (OSError, InvalidInputError) as trouble:
                     self.planner.log.fault("a planner can't be asked", planner=self.name, why=str(trouble))
@@ -121,7 +121,7 @@
         self.ballot = Election(
             name,
             [one.name for one in fleet.planners],
-            self.store.found,
+            self.store.vote,
             chance.getrandbits(48),
             self.scheduler.now,
             chance,
@@ -170,9 +170,9 @@
         self.log.info(
             "listening",
             address=f"{host}:{port}",
-            life=self.ballot.durable.life,
-            blank=self.ballot.durable.blank,
-            **({"put_aside": self.store.trouble} if self.store.trouble else {}),
+            life=self.ballot.durable.generation,
+            blank=self.ballot.durable.is_blank,
+            **({"put_aside": self.store.damage} if self.store.damage else {}),
         )
         self.scheduler.spawn("door", self.door.accept)
         self.scheduler.spawn("signals", self.take_signals)
@@ -223,7 +223,7 @@
 
     def flush(self) -> None:
         """Before anything is said that rests on it."""
-        if self.ballot.dirty:
+        if self.ballot.needs_flush:
             try:
                 self.store.save(self.ballot.durable)
             except StoreWriteError as trouble:
@@ -231,7 +231,7 @@
                 self.log.fault("the disk does not keep what it must", why=str(trouble))
                 raise
             self.counters.count("disk.flushes")
-            self.ballot.dirty = False
+            self.ballot.needs_flush = False
 
     # ---- time ------------------------------------------------------------------------------------------
 
@@ -242,7 +242,7 @@
         if now >= self.next_look:
             self.next_look = now + TICK_INTERVAL
             self.mind.tick(now)
-        leads = self.ballot.leads(now)
+        leads = self.ballot.is_leading(now)
         if leads != self.led:
             self.led = leads
             self.counters.count("vote.won" if leads else "vote.lost")
@@ -253,30 +253,30 @@
             self.log.info(event, **more)
 
     def vote(self, now: int) -> None:
-        ask = self.ballot.ask(now)
+        ask = self.ballot.next_vote_request(now)
         if ask is None:
             return
         self.counters.count("vote.asked")
-        own = self.ballot.asked(ask, now)
+        own = self.ballot.handle_vote_request(ask, now)
         self.flush()
-        self.ballot.answered(own, ask.epoch, now, now)
-        ask.doubt = [one.name for one in self.mind.probes.suspected][:64]
+        self.ballot.handle_vote_response(own, ask.term, now, now)
+        ask.suspects = [one.name for one in self.mind.probes.suspected][:64]
         for peer in self.peers:
             peer.put("ask", ask)
 
     def have_kept(self, now: int) -> None:
         """What is decided is kept by a majority before anybody is told."""
         told = self.mind.replication_request()
-        if told is None or (told.number == self.keeping and now < self.next_keep):
+        if told is None or (told.state_number == self.keeping and now < self.next_keep):
             return
-        self.keeping, self.next_keep = told.number, now + KEEP_AGAIN
+        self.keeping, self.next_keep = told.state_number, now + KEEP_AGAIN
         self.counters.count("keep.told")
-        own = self.ballot.keep(told, now)
+        own = self.ballot.handle_replication_request(told, now)
         # A leader whose disk is full is none of its own keepers; the others may still be a majority.
         with suppress(StoreWriteError):
             self.flush()
-            if self.ballot.kept(own, told.number):
-                self.mind.mark_replicated(told.number)
+            if self.ballot.handle_replication_response(own, told.state_number):
+                self.mind.mark_replicated(told.state_number)
                 self.hurry()
         for peer in self.peers:
             peer.put("keep", told)
@@ -286,15 +286,17 @@
         now = self.scheduler.tell_time()
         if isinstance(asked, VoteRequest):
             answer = decode(raw, VoteResponse)
-            self.ballot.answered(answer, asked.epoch, sent, now)
+            self.ballot.handle_vote_response(answer, asked.term, sent, now)
             if answer.granted:
                 self.mind.membership.mark_heard_by_peers(answer.heard, now)
             self.flush()
         elif isinstance(asked, ReplicationRequest):
             kept = decode(raw, ReplicationResponse)
             self.counters.count("keep.kept" if kept.kept else "keep.refused")
-            if asked.epoch == self.mind.leadership.term and self.ballot.kept(kept, asked.number):
-                self.mind.mark_replicated(asked.number)
+            if asked.term == self.mind.leadership.term and self.ballot.handle_replication_response(
+                kept, asked.state_number
+            ):
+                self.mind.mark_replicated(asked.state_number)
                 self.pay()
                 self.hurry()
 
@@ -335,15 +337,15 @@
 
     def take_ask(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
         ask = decode(value, VoteRequest)
-        answer = self.ballot.asked(ask, now)
+        answer = self.ballot.handle_vote_request(ask, now)
         self.flush()
         if answer.granted:
             self.counters.count("vote.granted")
-        answer.heard = self.mind.members_heard_here(ask.doubt, now)
+        answer.heard_suspects = self.mind.members_heard_here(ask.doubt, now)
         return encode(answer)
 
     def take_keep(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
-        kept = self.ballot.keep(decode(value, ReplicationRequest), now)
+        kept = self.ballot.handle_replication_request(decode(value, ReplicationRequest), now)
         self.flush()
         return encode(kept)
 
@@ -408,9 +410,9 @@
         left = []
         for reign, number, answer, later in self.owed:
             if reign != self.mind.leadership.term:
-                later.done(InvalidInputError("no longer the leader: ask the next one"))
+                later.complete(InvalidInputError("no longer the leader: ask the next one"))
             elif number <= self.mind.leadership.replicated_version:
-                later.done(answer)
+                later.complete(answer)
             else:
                 left.append((reign, number, answer, later))
         self.owed = left
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -24,7 +24,12 @@
 from typing import NamedTuple
 
 from ..admission.types import MS, SECOND
-from .disruption_budget import DisruptionBudget, MemberObservation, UnavailabilityReason, with_dependents
+from .disruption_budget import (
+    DisruptionBudget,
+    MemberObservation,
+    UnavailabilityReason,
+    with_dependents,
+)
 from .election import Election
 from .eviction_handler import EvictionAction, handle_eviction
 from .fleet_diff import blocked_changes, member_changes
@@ -45,7 +50,12 @@
 from .planner_events import EventBuffer, PlannerEvent
 from .probe_scheduler import ProbeScheduler
 from .quota_allocator import QuotaAllocator
-from .replicated_state import ReplicatedState, UnreadableStateError, decode_state, encode_state
+from .replicated_state import (
+    ReplicatedState,
+    UnreadableStateError,
+    decode_state,
+    encode_state,
+)
 from .rollout import PlatformOrder
 from .rollout_controller import CommandResult, RolloutCommand, RolloutController
 from .rollout_supervisor import RolloutSupervisor
@@ -130,7 +140,7 @@
             case LeadershipChange.LOST:
                 self.events.record("leadership_lost", epoch=term_before)
             case LeadershipChange.ACQUIRED:
-                self.restore(self.election.newest[2], now)
+                self.restore(self.election.newest_state[2], now)
                 self.quotas.start_term(now)
                 self.events.record("leadership_acquired", epoch=self.leadership.term)
                 self.replan(now)
@@ -189,9 +199,9 @@
             self.events.record("report_from_unknown_member", member=report.name, site=report.site)
             return self._follower_reply(now)
         self.membership.receive_report(report, now)
-        for probe in report.knocks:
-            self.membership.record_probe(report.name, probe.name, probe.met, now)
-        self.leadership.observe_epoch(report.epoch)
+        for probe in report.probes:
+            self.membership.record_probe(report.name, probe.member, probe.outcome, now)
+        self.leadership.observe_epoch(report.plan_term)
         member = self.membership.members.get(report.name)
         if not self.is_effective_leader(now):
             return self._follower_reply(now)
@@ -199,25 +209,25 @@
             return self._follower_reply(now)
         grant = self.quotas.grant(report, member.site, now)
         return ReportReply(
-            epoch=self.leadership.term,
-            author=self.election.incarnation,
-            leads=True,
+            term=self.leadership.term,
+            planner=self.election.incarnation,
+            is_leading=True,
             leader=self.election.name,
-            every=self.report_interval(),
-            tell=self.assignment(report.name),
-            share=grant.quota,
-            lease=grant.lease_span,
-            knock=self.probes.targets(report, self.sites.ramps),
+            report_interval=self.report_interval(),
+            assignment=self.assignment(report.name),
+            call_limit=grant.quota,
+            lease_span=grant.lease_span,
+            probe_addresses=self.probes.targets(report, self.sites.ramps),
         )
 
     def _follower_reply(self, now: int) -> ReportReply:
         """Instructs nothing; tells only where to ask."""
         return ReportReply(
-            epoch=self.election.durable.promised,
-            author=self.election.incarnation,
-            leads=False,
+            term=self.election.durable.promised_term,
+            planner=self.election.incarnation,
+            is_leading=False,
             leader=self.leader_name(now),
-            every=self.report_interval(),
+            report_interval=self.report_interval(),
         )
 
     def assignment(self, name: str) -> PlanAssignment:
@@ -299,7 +309,7 @@
     def handle_eviction(self, request: EvictionRequest, now: int) -> EvictionOutcome:
         """Carries out a request for permits."""
         observations = self.observations(now)
-        if request.what != EvictionAction.OVERRIDE and request.holder not in observations:
+        if request.operation != EvictionAction.OVERRIDE and request.holder not in observations:
             response = handle_eviction(self.budget, request, observations)
             return EvictionOutcome(self.leadership.replicated_version, response)
         before = self.budget.keep()
@@ -307,10 +317,10 @@
         if self.budget.keep() != before:
             self.events.record(
                 "permits_changed",
-                what=request.what,
+                what=request.operation,
                 holder=request.holder,
                 granted=response.granted,
-                why=response.why,
+                why=response.reason,
             )
             self.replan(now)
         return EvictionOutcome(self.leadership.version, response)
--- a/birchslip/cluster/probe_scheduler.py
+++ b/birchslip/cluster/probe_scheduler.py
@@ -51,4 +51,4 @@
         first = chosen.index(report.name)
         count = min(PROBES_PER_WITNESS, len(suspects))
         targets = [suspects[(first + offset) % len(suspects)] for offset in range(count)]
-        return {member.name: member.report.door for member in targets}
+        return {member.name: member.report.address for member in targets}
--- a/birchslip/cluster/quota_allocator.py
+++ b/birchslip/cluster/quota_allocator.py
@@ -71,7 +71,7 @@
         if self.leases is None:
             return QuotaGrant()
         reserved = self.leases.reserved_part * self.base_quotas[report.name]
-        held = max(0.0, report.share - reserved) if report.lease else 0.0
+        held = max(0.0, report.call_limit - reserved) if report.lease_remaining else 0.0
         wanted = self._wanted(self.leases, report.name, site)
         leased = self.leases.grant(report.name, wanted, held, now)
         return QuotaGrant(reserved + leased, self.leases.lease_span)
--- a/birchslip/cluster/recovery_ramp.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -55,15 +55,15 @@
 
 def observe_step(reports: list[MemberReport]) -> StepObservation:
     """Sums up the newest reports of the members of a site."""
-    offered = sum(report.honoured + report.shed for report in reports)
-    rejected_ratio = sum(report.shed for report in reports) / offered if offered else 0.0
+    offered = sum(report.served + report.rejected for report in reports)
+    rejected_ratio = sum(report.rejected for report in reports) / offered if offered else 0.0
     return StepObservation(
         members=len(reports),
-        pace=max((report.pace for report in reports), default=0.0),
+        pace=max((report.slowdown for report in reports), default=0.0),
         offered=offered,
-        served=sum(report.honoured for report in reports),
+        served=sum(report.served for report in reports),
         rejected_ratio=rejected_ratio,
-        capacity=sum(report.room for report in reports),
+        capacity=sum(report.capacity for report in reports),
     )
 
 
@@ -190,7 +190,7 @@
             reason = f"carried the step: pace {shown.pace:.1f}, shed {shown.rejected_ratio:.2f}"
             self._enter(RecoveryStage.STEP, now, reason)
             return self.reason
-        if all(report.warm for report in reports):
+        if all(report.is_warm for report in reports):
             self._enter(RecoveryStage.SERVING, now, "carries all of its load")
             return self.reason
         return ""
--- a/birchslip/cluster/replicated_state.py
+++ b/birchslip/cluster/replicated_state.py
@@ -10,11 +10,11 @@
 
 from ..errors import BirchslipError
 from .disruption_budget import BudgetState
-from .messages import Count, Message, Name, Rate, Span, Words
+from .messages import Count, Message, Name, Rate, Span, Text
 from .recovery_ramp import RecoveryRamp, RecoveryStage
 from .rollout_controller import RolloutStates
 
-MAX_REASON_LENGTH = 400  # characters, the limit of `Words`
+MAX_REASON_LENGTH = 400  # characters, the limit of `Text`
 
 
 class UnreadableStateError(BirchslipError):
@@ -49,7 +49,7 @@
     step: Count
     flap_count: Count
     evacuated_by_operator: bool
-    reason: Words
+    reason: Text
     load: dict[Name, Rate]
     min_step_duration: Span
 
--- a/birchslip/cluster/site_supervisor.py
+++ b/birchslip/cluster/site_supervisor.py
@@ -78,16 +78,16 @@
         """Updates the usual load of each site; to be called only while all sites serve and are heard."""
         for site, usual in self.usual_load.items():
             reports = [member.report for member in self.membership.alive_members(site, now)]
-            for tenant in {name for report in reports for name in report.load} | set(usual):
-                rate = sum(report.load.get(tenant, 0.0) for report in reports)
+            for tenant in {name for report in reports for name in report.local_load} | set(usual):
+                rate = sum(report.local_load.get(tenant, 0.0) for report in reports)
                 usual[tenant] = usual.get(tenant, rate) * (1 - LOAD_SMOOTHING) + rate * LOAD_SMOOTHING
-            retry_load = sum(report.again for report in reports)
+            retry_load = sum(report.retries for report in reports)
             self.usual_retry_load[site] += (retry_load - self.usual_retry_load[site]) * LOAD_SMOOTHING
 
     def member_capacity(self, member: Member) -> float:
         """Returns a member's measured capacity; of one that has just started, the last one before that."""
-        if member.report.room > 0:
-            self._last_capacity[member.name] = member.report.room
+        if member.report.capacity > 0:
+            self._last_capacity[member.name] = member.report.capacity
         return self._last_capacity.get(member.name, 0.0)
 
     def capacities(self) -> list[SiteCapacity]:
@@ -99,7 +99,9 @@
         return SiteCapacity(
             name=site,
             member_capacity={
-                member.name: self.member_capacity(member) for member in members if not member.report.leaving
+                member.name: self.member_capacity(member)
+                for member in members
+                if not member.report.is_draining
             },
             load=self.usual_load[site],
             retry_load=self.usual_retry_load[site],
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -39,12 +39,12 @@
         self.send: Callable[[tuple[Any, Any]], None] | None = None
         self.said: tuple[Any, Any] | None = None
 
-    def done(self, value: bytes | Exception) -> None:
+    def complete(self, value: bytes | Exception) -> None:
         self.said = (str(value)[:400], None) if isinstance(value, Exception) else (None, pieces(value))
         if self.send is not None:
             self.send(self.said)
 
-    def bind(self, send: Callable[[tuple[Any, Any]], None]) -> None:
+    def deliver_to(self, send: Callable[[tuple[Any, Any]], None]) -> None:
         self.send = send
         if self.said is not None:
             send(self.said)
@@ -54,23 +54,23 @@
     """One connection at a door; `about` is what the handlers know of who is there."""
 
     def __init__(self, door: PlannerEndpoint, connection: Connection) -> None:
-        self.door, self.connection = door, connection
+        self.endpoint, self.connection = door, connection
         self.about: Any = None
 
-    def take(self, buffer: Buffer) -> None:
+    def receive(self, buffer: Buffer) -> None:
         read, trouble = messages(buffer)
         for message in read:
             match message:
                 case [0, int(number), str(method), [bytes(value)]]:
-                    self.answer(number, self.door.answer(self, method, value))
+                    self.reply(number, self.endpoint.answer(self, method, value))
                 case _:
                     raise Unreadable("a message of no known form")
         if trouble:
             raise Unreadable(trouble)
 
-    def answer(self, number: int, answer: DeferredReply | tuple[Any, Any]) -> None:
+    def reply(self, number: int, answer: DeferredReply | tuple[Any, Any]) -> None:
         if isinstance(answer, DeferredReply):
-            answer.bind(lambda then: self.connection.write(pack([1, number, *then])))
+            answer.deliver_to(lambda then: self.connection.write(pack([1, number, *then])))
         else:
             self.connection.write(pack([1, number, *answer]))
 
@@ -88,8 +88,8 @@
         serve: Callable[[IncomingConnection, str, bytes], bytes | DeferredReply],
         gone: Callable[[IncomingConnection, str], None],
     ) -> None:
-        self.scheduler, self.most, self.serve, self.gone = scheduler, most, serve, gone
-        self.guests: dict[IncomingConnection, None] = {}
+        self.scheduler, self.max_connections, self.handler, self.on_close = scheduler, most, serve, gone
+        self.connections: dict[IncomingConnection, None] = {}
         self.listener: socket.socket
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
@@ -113,27 +113,27 @@
                     if trouble.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
                         self.scheduler.sleep(self.scheduler.now + NO_ROOM)
                     break
-                if len(self.guests) >= self.most:
+                if len(self.connections) >= self.max_connections:
                     sock.close()
                     continue
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 guest = IncomingConnection(self, Connection(self.scheduler, sock, BOUND, BOUND))
-                self.guests[guest] = None
-                self.scheduler.spawn("guest", lambda guest=guest: self.keep(guest))  # type: ignore[misc]
+                self.connections[guest] = None
+                self.scheduler.spawn("guest", lambda guest=guest: self.serve_connection(guest))  # type: ignore[misc]
 
-    def keep(self, guest: IncomingConnection) -> None:
+    def serve_connection(self, guest: IncomingConnection) -> None:
         why = "a fault"
         try:
-            why = guest.connection.serve(guest.take)
+            why = guest.connection.serve(guest.receive)
         finally:
             guest.connection.close(why)
-            del self.guests[guest]
-            self.gone(guest, why)
+            del self.connections[guest]
+            self.on_close(guest, why)
 
-    def answer(self, guest: IncomingConnection, method: str, value: bytes) -> DeferredReply | tuple[Any, Any]:
+    def handle(self, guest: IncomingConnection, method: str, value: bytes) -> DeferredReply | tuple[Any, Any]:
         try:
-            answer = self.serve(guest, method, value)
+            answer = self.handler(guest, method, value)
             return answer if isinstance(answer, DeferredReply) else (None, pieces(answer))
         except (ValueError, OSError) as trouble:
             return str(trouble)[:400], None
@@ -144,27 +144,27 @@
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int]) -> None:
         self.scheduler, self.address = scheduler, address
-        self.link: Connection | None = None
-        self.number = 0
-        self.heard: dict[int, tuple[Any, Any]] = {}
+        self.connection: Connection | None = None
+        self.last_request_id = 0
+        self.results: dict[int, tuple[Any, Any]] = {}
 
-    def ask(self, method: str, value: bytes, limit: int, params: list[Any] | None = None) -> bytes:
+    def call(self, method: str, value: bytes, limit: int, params: list[Any] | None = None) -> bytes:
         """The answer, waited for until `limit` of the scheduler's clock; OSError says why there is none."""
-        if self.link is None or not self.link.open:
-            self.link = Connection(self.scheduler, connect(self.scheduler, self.address), BOUND, BOUND)
-        link = self.link
-        self.number += 1
-        number = self.number
-        self.heard.clear()
+        if self.connection is None or not self.connection.open:
+            self.connection = Connection(self.scheduler, connect(self.scheduler, self.address), BOUND, BOUND)
+        link = self.connection
+        self.last_request_id += 1
+        number = self.last_request_id
+        self.results.clear()
         link.write(pack([0, number, method, [value] if params is None else params]))
-        while number not in self.heard:
-            events = link.step(self.take, limit)
+        while number not in self.results:
+            events = link.step(self.receive, limit)
             if not link.open:
                 raise OSError(link.why)
-            if number not in self.heard and (not events or self.scheduler.now >= limit):
+            if number not in self.results and (not events or self.scheduler.now >= limit):
                 link.close("no answer in time")
                 raise OSError("no answer in time")
-        error, result = self.heard.pop(number)
+        error, result = self.results.pop(number)
         if error is not None:
             raise RequestRefusedError(str(error)[:400])
         if not isinstance(result, list):
@@ -172,12 +172,12 @@
             raise OSError("an answer of no known form")
         return b"".join(one for one in result if isinstance(one, bytes))
 
-    def take(self, buffer: Buffer) -> None:
+    def receive(self, buffer: Buffer) -> None:
         read, trouble = messages(buffer)
         for message in read:
             match message:
                 case [1, int(number), error, result]:
-                    self.heard[number] = (error, result)
+                    self.results[number] = (error, result)
                 case [2, *_]:
                     pass
                 case _:
@@ -186,9 +186,9 @@
             raise Unreadable(trouble)
 
     def close(self) -> None:
-        if self.link is not None:
-            self.link.close("dropped")
-            self.link = None
+        if self.connection is not None:
+            self.connection.close("dropped")
+            self.connection = None
 
 
 class RequestRefusedError(OSError):
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -106,28 +106,30 @@
         return MemberReport(
             name=server.name,
             site=site.name,
-            incarnation=Incarnation(mark=self.life),
-            number=self.number,
-            door="127.0.0.1:1",
-            age=now - server.began,
-            serving=server.serving,
-            leaving=server.leaving,
-            warm=server.warm,
-            room=room_of(server.cores.count, controller.all_runs.usual, honoured),
-            pace=max(0.0, controller.stretch),
-            load=load,
-            visits=visits,
-            again=again,
-            honoured=honoured,
-            shed=shed,
-            calls=float(controller.in_hand),
-            share=max(0.0, self.obey.calls(now)),
-            lease=self.obey.lease_left(now),
-            epoch=self.obey.epoch,
-            plan=self.obey.number,
-            knocks=[ProbeResult(name=name, met=what) for name, (_, what) in self.met.items()][:KNOCKS_MOST],
-            figures=self.figures.told({"relay.called": server.counts["called"]}),
-            took={name: list(counts) for name, counts in self.figures.took.items()},
+            incarnation=Incarnation(nonce=self.life),
+            sequence=self.number,
+            address="127.0.0.1:1",
+            uptime=now - server.began,
+            is_serving=server.serving,
+            is_draining=server.leaving,
+            is_warm=server.warm,
+            capacity=room_of(server.cores.count, controller.all_runs.usual, honoured),
+            slowdown=max(0.0, controller.stretch),
+            local_load=load,
+            evacuated_load=visits,
+            retries=again,
+            served=honoured,
+            rejected=shed,
+            calls_in_flight=float(controller.in_hand),
+            call_limit=max(0.0, self.obey.calls(now)),
+            lease_remaining=self.obey.lease_left(now),
+            plan_term=self.obey.epoch,
+            plan_number=self.obey.number,
+            probes=[ProbeResult(member=name, outcome=what) for name, (_, what) in self.met.items()][
+                :KNOCKS_MOST
+            ],
+            metrics=self.figures.told({"relay.called": server.counts["called"]}),
+            latency_histograms={name: list(counts) for name, counts in self.figures.took.items()},
         )
 
     def take(self, reply: ReportReply, sent: int) -> None:
@@ -136,9 +138,9 @@
         now, server = self.planners.world.clock.now, self.server
         if not self.obey.take(reply, sent, now):
             return
-        for name in reply.knock:
+        for name in reply.probe_addresses:
             self.knock(name)
-        tell = reply.tell
+        tell = reply.assignment
         if tell is not None and tell is self.obey.plan and server.driver is not None:
             server.driver.advance_clock(now)
             until = now + self.obey.left(now)
@@ -183,7 +185,7 @@
         self.bonds[server.name] = Bond(self, server)
 
     def broke(self, server: AppServer, life: int) -> None:
-        self.mind.membership.mark_disconnected(server.name, Incarnation(mark=life))
+        self.mind.membership.mark_disconnected(server.name, Incarnation(nonce=life))
 
     def may_be_found(self, server: AppServer) -> bool:
         bond = self.bonds.get(server.name)
@@ -197,9 +199,11 @@
         if self.gone:
             return
         now = clock.now
-        ask = mind.election.ask(now)
+        ask = mind.election.next_vote_request(now)
         if ask is not None:
-            mind.election.answered(mind.election.asked(ask, now), ask.epoch, now, now)
+            mind.election.handle_vote_response(
+                mind.election.handle_vote_request(ask, now), ask.term, now, now
+            )
         mind.tick(now)
         self.have_kept()
         for event, more in mind.drain_events():
@@ -208,10 +212,10 @@
     def have_kept(self) -> None:
         mind = self.mind
         told = mind.replication_request()
-        if told is not None and mind.election.kept(
-            mind.election.keep(told, self.world.clock.now), told.number
+        if told is not None and mind.election.handle_replication_response(
+            mind.election.handle_replication_request(told, self.world.clock.now), told.state_number
         ):
-            mind.mark_replicated(told.number)
+            mind.mark_replicated(told.state_number)
 
     # ---- a release, and its platform -------------------------------------------------------------------
 
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -138,7 +138,7 @@
             for name in planners or self.names:
                 line = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
                 try:
-                    raw = line.ask(method, encode(record), self.scheduler.now + ASK)
+                    raw = line.call(method, encode(record), self.scheduler.now + ASK)
                     answer: dict[str, Any] = json.loads(raw)
                     if record.what in ("status", "show") and not answer["leads"]:  # type: ignore[attr-defined]
                         continue
@@ -162,7 +162,9 @@
         return answer["releases"][0] if answer["releases"] else {}
 
     def permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
-        return self.ask(EvictionRequest(what="permit", holder=holder, why="by hand"), "want", planners)
+        return self.ask(
+            EvictionRequest(operation="permit", holder=holder, reason="by hand"), "want", planners
+        )
 
     # ---- moments ---------------------------------------------------------------------------------------
 
@@ -240,7 +242,7 @@
 
     def known(self) -> bool:
         """The leader hears all members, warm, and nobody is out."""
-        shown = self.ask(OperatorCommand(what="show"), "wish")
+        shown = self.ask(OperatorCommand(operation="show"), "wish")
         return len(shown.get("members", ())) == len(self.servers) and not shown["out"]
 
     def follow(self) -> None:
@@ -454,7 +456,7 @@
                 raise RuntimeError(f"no such step: {what}")
 
     def at_home(self) -> bool:
-        shown = self.ask(OperatorCommand(what="show"), "wish")
+        shown = self.ask(OperatorCommand(operation="show"), "wish")
         return bool(shown.get("sites")) and all(site["stage"] == "home" for site in shown["sites"])
 
     def by_hand(self) -> None:
@@ -481,7 +483,7 @@
         self.operator_s.append(f"alone: {alone.get('granted')}; others: {others.get('granted')}")
         self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
         hand_back: Callable[[], dict[str, Any]] = partial(
-            self.ask, EvictionRequest(what="hand-back", holder=name), "want"
+            self.ask, EvictionRequest(operation="hand-back", holder=name), "want"
         )
         until = self.scheduler.now + 60 * SECOND
         # Granted in the end or not, it does not go: its place is given back.
--- a/tests/fleetdesk.py
+++ b/tests/fleetdesk.py
@@ -32,9 +32,9 @@
         "plan": 0,
     }
     site = site or name.rpartition("-")[0]
-    met = [ProbeResult(name=door, met=what) for door, what in knocks]
+    met = [ProbeResult(member=door, outcome=what) for door, what in knocks]
     return MemberReport(
-        name=name, number=number, site=site, incarnation=Incarnation(mark=mark), knocks=met, **usual | more
+        name=name, sequence=number, site=site, incarnation=Incarnation(nonce=mark), probes=met, **usual | more
     )
 
 
@@ -95,15 +95,19 @@
 
     def vote(self):
         election = self.state.election
-        request = election.ask(self.now)
+        request = election.next_vote_request(self.now)
         if request is not None:
-            election.answered(election.asked(request, self.now), request.epoch, self.now, self.now)
+            election.handle_vote_response(
+                election.handle_vote_request(request, self.now), request.term, self.now, self.now
+            )
 
     def replicate(self):
         election = self.state.election
         request = self.state.replication_request()
-        if request is not None and election.kept(election.keep(request, self.now), request.number):
-            self.state.mark_replicated(request.number)
+        if request is not None and election.handle_replication_response(
+            election.handle_replication_request(request, self.now), request.state_number
+        ):
+            self.state.mark_replicated(request.state_number)
 
     def send_reports(self):
         self.report_number += 1
--- a/tests/test_bond.py
+++ b/tests/test_bond.py
@@ -27,7 +27,7 @@
 
 from .fleetdesk import SECOND, fleet, report
 
-AUTHOR = Incarnation(life=1, mark=7)
+AUTHOR = Incarnation(generation=1, nonce=7)
 
 
 class Tie:
@@ -50,7 +50,7 @@
 
     def hear(self, sent, now, **more):
         self.now = self.bond.scheduler.now = now
-        reply = ReportReply(epoch=64, author=AUTHOR, leads=True, **more)
+        reply = ReportReply(term=64, planner=AUTHOR, is_leading=True, **more)
         if self.bond.obey.take(reply, sent, now):
             self.bond.carry_out(reply, now)
         self.bond.check()
@@ -109,7 +109,7 @@
 def test_a_plan_that_came_too_late_or_from_nobody_who_leads_is_not_taken_over(tie):
     tie.hear(0, 5 * SECOND, tell=tell())
     tie.now = 6 * SECOND
-    reply = ReportReply(epoch=65, author=AUTHOR, leads=False, tell=tell(epoch=65, plan=9))
+    reply = ReportReply(term=65, planner=AUTHOR, is_leading=False, assignment=tell(epoch=65, plan=9))
     assert not tie.bond.obey.take(reply, tie.now, tie.now)
     assert tie.controller.plan.epoch == 0 and not tie.controller.force
 
--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -96,7 +96,7 @@
         self.planners[name].wait(PATIENCE)
 
     def show(self, name=""):
-        return ask_any(self.fleet, OperatorCommand(what="show"), name)
+        return ask_any(self.fleet, OperatorCommand(operation="show"), name)
 
     def leader(self):
         try:
@@ -111,7 +111,9 @@
 
         def answered():
             try:
-                found.append(ask_any(self.fleet, EvictionRequest(what=what, holder=holder, why="a release")))
+                found.append(
+                    ask_any(self.fleet, EvictionRequest(operation=what, holder=holder, reason="a release"))
+                )
             except Exception:
                 return False
             return True
@@ -173,9 +175,9 @@
         os.kill(place.planners[name].pid, signal.SIGSTOP)
     address = next(one.address for one in place.fleet.planners if one.name == leader)
     with pytest.raises((OSError, InvalidInputError)):
-        ask(address, EvictionRequest(what="permit", holder="a-0", why="a release"))
+        ask(address, EvictionRequest(operation="permit", holder="a-0", reason="a release"))
     with pytest.raises(InvalidInputError, match="not the leader"):
-        ask(address, EvictionRequest(what="permit", holder="a-0", why="a release"))
+        ask(address, EvictionRequest(operation="permit", holder="a-0", reason="a release"))
     for name in others:
         os.kill(place.planners[name].pid, signal.SIGCONT)
     assert place.want("a-0")["granted"]
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -21,7 +21,7 @@
 
 
 def life(mark=1):
-    return Incarnation(mark=mark)
+    return Incarnation(nonce=mark)
 
 
 def asks(name, mark=1):
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -146,7 +146,7 @@
 
 def request_eviction(planner, holder, what="permit", **more):
     version, response = planner.state.handle_eviction(
-        EvictionRequest(what=what, holder=holder, why="a release", **more), planner.now
+        EvictionRequest(operation=what, holder=holder, reason="a release", **more), planner.now
     )
     planner.advance(0.2)
     assert version <= planner.state.leadership.replicated_version
@@ -216,5 +216,5 @@
 
 def test_replies_carry_the_incarnation_of_the_planner(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
-    assert planner.replies["a-0"].author == Incarnation(life=1, mark=1)
+    assert planner.replies["a-0"].author == Incarnation(generation=1, nonce=1)
     assert fleet(tmp_path).order[0].value == "beyond" and planner.now == 4 * SECOND
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -29,12 +29,12 @@
     """Each grant answers a report that was sent some time before; members' own clocks bound their use."""
     leases, now = leases_of(), 0
     uses = {name: PlanSubscription(0.5 * base, 0, 0) for name, base in BASES.items()}
-    author = Incarnation(mark=1)
+    author = Incarnation(nonce=1)
     for name, wanted, later, on_its_way in grants:
         now += later
         amount = leases.grant(name, wanted, 0.0, now)
         assert 0 <= amount <= wanted
-        reply = ReportReply(epoch=1, author=author, leads=True, share=2.0 + amount, lease=SPAN)
+        reply = ReportReply(term=1, planner=author, is_leading=True, call_limit=2.0 + amount, lease_span=SPAN)
         uses[name].take(reply, now - on_its_way, now)
         for moment in (now, now + SPAN // 2):
             assert sum(one.calls(moment) for one in uses.values()) <= 12.0 + 1e-6
@@ -68,28 +68,28 @@
 
 # ---- what a member obeys ------------------------------------------------------------------------------
 
-FIRST, SECOND_AUTHOR = Incarnation(mark=1), Incarnation(mark=2)
+FIRST, SECOND_AUTHOR = Incarnation(nonce=1), Incarnation(nonce=2)
 
 
 def tell(epoch, number, span=40_000, listed=True):
     return PlanAssignment(
-        epoch=epoch,
-        plan=number,
-        span=span,
-        fade=10_000,
+        term=epoch,
+        number=number,
+        validity_span=span,
+        fade_span=10_000,
         quotas={},
-        visitors=[],
-        visits=0.0,
-        order=[],
-        level=1.0,
-        listed=listed,
-        short=False,
+        evacuated_callers=[],
+        evacuated_quota=0.0,
+        shedding_order=[],
+        serving_fraction=1.0,
+        is_listed=listed,
+        is_capacity_short=False,
     )
 
 
 def word(epoch=5, author=FIRST, leads=True, number=1, **more):
     plan = tell(epoch, number, **{name: more.pop(name) for name in ("span", "listed") if name in more})
-    return ReportReply(epoch=epoch, author=author, leads=leads, tell=plan, **more)
+    return ReportReply(term=epoch, planner=author, is_leading=leads, assignment=plan, **more)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,7 +16,7 @@
 
 def written(folder):
     store = ElectionStore(folder, "p0")
-    assert store.found == DurableVote() and store.found.blank
+    assert store.vote == DurableVote() and store.vote.is_blank
     store.save(KEPT)
     store.close()
     return folder / "p0.planner"
@@ -25,7 +25,7 @@
 def test_what_was_saved_is_found_again(tmp_path):
     written(tmp_path)
     store = ElectionStore(tmp_path, "p0")
-    assert store.found == KEPT and not store.trouble
+    assert store.vote == KEPT and not store.damage
     store.close()
 
 
@@ -37,9 +37,9 @@
         folder.mkdir()
         (folder / "p0.planner").write_bytes(raw[:size])
         store = ElectionStore(folder, "p0")
-        assert store.found in (KEPT, DurableVote())
-        assert store.found.blank or not store.trouble
-        outcomes.add(bool(store.trouble))
+        assert store.vote in (KEPT, DurableVote())
+        assert store.vote.is_blank or not store.damage
+        outcomes.add(bool(store.damage))
         store.save(KEPT)  # whatever it was, it serves again
         store.close()
     assert outcomes == {True, False}
@@ -51,7 +51,7 @@
     at = raw.index(b'{"sites":{}}')
     path.write_bytes(raw[:at] + b'{"sitez":{}}' + raw[at + 12 :])
     store = ElectionStore(tmp_path, "p0")
-    assert store.found == DurableVote() and "checksum" in store.trouble
+    assert store.vote == DurableVote() and "checksum" in store.damage
     assert (tmp_path / "p0.planner.damaged").exists()
     store.close()
 
@@ -63,7 +63,7 @@
     link.commit()
     link.close()
     store = ElectionStore(tmp_path, "p0")
-    assert store.found.blank and "version 9" in store.trouble
+    assert store.vote.is_blank and "version 9" in store.damage
     store.close()
 
 
@@ -77,11 +77,11 @@
 
 def test_a_disk_that_does_not_take_it_says_so(tmp_path):
     store = ElectionStore(tmp_path, "p0")
-    store.link.execute("pragma max_page_count = 1")
-    store.link.execute("pragma query_only = on")
+    store.connection.execute("pragma max_page_count = 1")
+    store.connection.execute("pragma query_only = on")
     with pytest.raises(StoreWriteError):
         store.save(KEPT)
-    store.link.execute("pragma query_only = off")
+    store.connection.execute("pragma query_only = off")
     store.save(KEPT)
     store.close()
 
@@ -92,7 +92,7 @@
     for peer in planner.peers:
         peer.put = lambda method, record: told.append((method, record))
     ballot, mind = planner.ballot, planner.mind
-    ballot.durable.blank, ballot.epoch = False, 64
+    ballot.durable.is_blank, ballot.term = False, 64
     mind.leadership.term, mind.leadership.version = 64, 1
 
     def full(durable):
@@ -104,19 +104,19 @@
     for name, kept in (("p1", 0), ("p2", 1)):
         assert mind.leadership.replicated_version == 0  # one of three is no majority
         keep = next(record for _, record in told if isinstance(record, ReplicationRequest))
-        planner.heard(keep, encode(ReplicationResponse(kept=True, epoch=64, name=name)), 0)
+        planner.heard(keep, encode(ReplicationResponse(is_stored=True, promised_term=64, replica=name)), 0)
         assert mind.leadership.replicated_version == kept
     planner.store.close()
 
 
 def test_a_planner_that_can_not_keep_its_vote_does_not_give_it(tmp_path):
     planner = Planner(fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
-    planner.ballot.dirty = True
+    planner.ballot.needs_flush = True
 
     def full(durable):
         raise StoreWriteError("no space left")
 
     planner.store.save = full
     with pytest.raises(StoreWriteError):
-        planner.serve(None, "ask", encode(planner.ballot.question(128)))
+        planner.serve(None, "ask", encode(planner.ballot.vote_request(128)))
     planner.store.close()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -117,7 +117,7 @@
     with pytest.raises(OSError):
         room.ask(line, wait=3_000)
     assert room.scheduler.clock() - began < SECOND
-    assert line.link is not None and not line.link.open
+    assert line.connection is not None and not line.connection.open
     listener.close()
 
 
@@ -149,5 +149,5 @@
 def test_an_answer_that_is_ready_before_its_door_has_asked_for_it_is_not_lost(value, first):
     later, sent = DeferredReply(), []
     for act in [first, "bind" if first == "done" else "done"]:
-        later.done(value) if act == "done" else later.bind(sent.append)
+        later.complete(value) if act == "done" else later.deliver_to(sent.append)
     assert sent == [(None, [b"granted"]) if isinstance(value, bytes) else ("no longer the leader", None)]
