--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -613,11 +613,20 @@
     threads = [threading.Thread(target=flood, args=kind, daemon=True) for kind in kinds]
     for thread in threads:
         thread.start()
+    sent_again = 0
     try:
         for _ in range(5):
             router = place.router()
             assert router.answer(router.ping())[0] is None
-            error, _ = router.answer(router.call("lookup", b"1", timeout="5000"))
+            try:
+                error, _ = router.answer(router.call("lookup", b"1", timeout="5000"))
+            except EOFError:
+                # At its bound the program may close a connection with no open request on it. A request that
+                # crosses such a close is sent once more, on a new connection.
+                sent_again += 1
+                router.link.close()
+                router = place.router()
+                error, _ = router.answer(router.call("lookup", b"1", timeout="5000"))
             router.link.close()
             assert error is None or error[0] == "Overloaded"
     finally:
@@ -626,6 +635,7 @@
             thread.join(PATIENCE)
     assert place.process.poll() is None
     seen = place.counters()
+    assert sent_again <= seen["clients.made_room"]
     assert seen["process.memory_kb_most"] < 64 << 10
     assert seen["book.faults"] == seen.get("program.faults", 0) == 0
 
