--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -24,7 +24,7 @@
     desk = Desk(profile(latency_objective=3000), profile(latency_objective=1000), cores=1)
     busy, late, soon = desk.read(0), desk.read(0), desk.read(0, 1)
     desk.at(0, busy, late, soon).at(100, (busy, SERVED))
-    assert desk.wishes(soon) == ["Start"] and desk.wishes(late) == []
+    assert desk.wishes(soon) == ["StartRun"] and desk.wishes(late) == []
 
 
 # the window is over; too early; too early, but told; room
@@ -41,7 +41,7 @@
     assert (desk.controller.count(tx) > 0) is binds
 
 
-@pytest.mark.parametrize(("over", "wish"), [(50, ["Shed"]), (0, [])])
+@pytest.mark.parametrize(("over", "wish"), [(50, ["Reject"]), (0, [])])
 def test_a_told_quota_delays_or_sheds_its_own_tenant_only(over, wish):
     heavy, light = Tenant(quota=2.0), Tenant(quota=2.0)
     desk = Desk(cores=1, tenants=[heavy, light], sends_retry_after=True, max_retry_after=1000 * MS)
@@ -72,7 +72,7 @@
     heavy = [desk.read(12_000, caller=1) for _ in range(4)]
     light = desk.read(12_000, caller=2)
     desk.at(12_000, *heavy, light)
-    shed = [tx for tx in [*heavy, light] if "Shed" in desk.wishes(tx)]
+    shed = [tx for tx in [*heavy, light] if "Reject" in desk.wishes(tx)]
     assert shed and light not in shed
 
 
@@ -80,8 +80,8 @@
     ("busy", "left", "wishes"),
     [
         (True, 800, []),
-        (True, 600, ["Shed"]),  # room for two of the mean of 260 ms, not for one and a slow one
-        (False, 400, ["Start"]),  # on empty cores it is tried
+        (True, 600, ["Reject"]),  # room for two of the mean of 260 ms, not for one and a slow one
+        (False, 400, ["StartRun"]),  # on empty cores it is tried
     ],
 )
 def test_behind_others_it_is_tried_at_what_slow_ones_like_it_take(busy, left, wishes):
@@ -157,10 +157,10 @@
     some, more, most = desk.read(0), desk.read(0), desk.read(0, 1)
     desk.at(0, some, more, most).at(10, *[(tx, CallNeeded()) for tx in (some, more, most)])
     desk.at(60, (some, CallEnded(Outcome.SERVED))).at(160)
-    assert desk.wishes(more) == ["Start"] and desk.wishes(most) == ["Start", "Call"]
+    assert desk.wishes(more) == ["StartRun"] and desk.wishes(most) == ["StartRun", "CallDownstream"]
 
 
-@pytest.mark.parametrize(("left", "wish"), [(250, "Call"), (150, "SkipCall")])
+@pytest.mark.parametrize(("left", "wish"), [(250, "CallDownstream"), (150, "SkipCall")])
 def test_a_call_that_may_be_left_out_is_made_where_it_fits_though_times_scatter(left, wish):
     """Guards against calls that run out of time: they hold up the others and are left out all the same."""
     desk = Desk(profile(weight_without_call=0.3), downstream=Downstream.SHARED, downstream_quota=4.0)
@@ -170,7 +170,7 @@
     assert desk.wishes(tx)[-1] == wish
 
 
-@pytest.mark.parametrize(("skip", "wish"), [(0.3, "SkipCall"), (0.0, "WriteOff")])
+@pytest.mark.parametrize(("skip", "wish"), [(0.3, "SkipCall"), (0.0, "Fail")])
 def test_a_call_that_cannot_fit_is_left_out_or_ends_it_at_once(skip, wish):
     desk = Desk(profile(weight_without_call=skip), downstream=Downstream.SHARED, downstream_quota=1.0)
     first, second = desk.read(0), desk.read(0)
@@ -191,7 +191,7 @@
     desk = Desk(cores=1, preemption=Preemption(halt))
     tx = desk.read(0)
     desk.at(0, tx).at(1050, *[desk.read(1050) for _ in range(held)])
-    assert ("Stop" in desk.wishes(tx)) is stopped
+    assert ("StopRun" in desk.wishes(tx)) is stopped
 
 
 def test_health_turns_bad_when_runs_begin_and_none_ends_and_good_again():
@@ -216,7 +216,7 @@
 
 def test_an_empty_app_server_tries_whatever_the_figures_say():
     desk = Desk().warm(took=1500, until=14_000)
-    assert desk.at(14_000, tx := desk.read(14_000)).wishes(tx) == ["Start"]
+    assert desk.at(14_000, tx := desk.read(14_000)).wishes(tx) == ["StartRun"]
 
 
 def test_a_stuck_app_server_asks_to_be_left_for_longest():
@@ -225,7 +225,7 @@
     for ms in range(12_050, 14_000, 50):
         desk.at(ms, cpu=1.0)
     desk.at(14_000, desk.read(14_000))
-    assert desk.said[-1][1].after > 600 * MS
+    assert desk.said[-1][1].retry_after > 600 * MS
 
 
 def test_the_recent_time_of_calls_forgets_a_slow_spell():
@@ -238,7 +238,7 @@
     assert desk.controller.call_time == 100 * MS
 
 
-@pytest.mark.parametrize(("stretch", "wish"), [(1.0, "Start"), (1.5, "Shed")])
+@pytest.mark.parametrize(("stretch", "wish"), [(1.0, "StartRun"), (1.5, "Reject")])
 def test_a_free_core_tries_at_base_time_while_the_pace_is_usual(stretch, wish):
     desk = Desk(cores=2).warm(until=9000)
     desk.controller.runs[desk.profiles[0]].base = 200 * MS
@@ -260,7 +260,7 @@
         desk.controller.meter(desk.read(ms, tenant=tenant)).ring.add(ms * MS, 10_000)
     tx = desk.read(12_500, tenant=tenant)
     desk.at(12_500, tx)
-    assert desk.wishes(tx) == ["Shed"] and (desk.said[-1][1].after > 500 * MS) is longer
+    assert desk.wishes(tx) == ["Reject"] and (desk.said[-1][1].retry_after > 500 * MS) is longer
 
 
 # a gap after the one call; the rate that follows 300 ms
@@ -278,8 +278,8 @@
     if share > 1:
         desk.at(1000, (second, CallNeeded()))
     desk.at(max(took, 1000), (third, CallNeeded())).at(early)
-    assert desk.wishes(third) == ["Start"]
-    assert desk.at(due).wishes(third) == ["Start", "Call"]
+    assert desk.wishes(third) == ["StartRun"]
+    assert desk.at(due).wishes(third) == ["StartRun", "CallDownstream"]
 
 
 @pytest.mark.parametrize(("call_time", "allowed"), [(100, 9.0), (200, 4.5), (9000, 9.0 * CALLS_KEPT)])
@@ -314,7 +314,7 @@
     first = desk.read(12_000, tenant=light)
     others = [desk.read(12_000, tenant=heavy, is_retry=again) for _ in range(4)]
     desk.at(12_000, first, *others)
-    assert "Shed" not in desk.wishes(first) and any("Shed" in desk.wishes(tx) for tx in others)
+    assert "Reject" not in desk.wishes(first) and any("Reject" in desk.wishes(tx) for tx in others)
 
 
 @pytest.mark.parametrize(
@@ -375,7 +375,7 @@
     desk.controller.turned.add(12_000 * MS, 1)
     first, again = desk.read(12_000), desk.read(12_000, is_retry=True)
     desk.at(12_000, first, again)
-    assert desk.wishes(first) == ["Start"] and desk.wishes(again) == ["Shed"]
+    assert desk.wishes(first) == ["StartRun"] and desk.wishes(again) == ["Reject"]
 
 
 def test_what_waited_unread_has_waited_and_the_advice_covers_it():
@@ -394,17 +394,17 @@
     [
         (21, 50, 0, Idempotency.KEYED, []),
         (20, -5, 0, Idempotency.KEYED, []),
-        (20, 50, 0, Idempotency.KEYED, ["Shed"]),
+        (20, 50, 0, Idempotency.KEYED, ["Reject"]),
         (20, -5, 16, Idempotency.KEYED, []),
         (
             20,
             -5,
             15,
             Idempotency.KEYED,
-            ["Shed"],
+            ["Reject"],
         ),  # within its quota, but it has had more of it than the other
         (21, -5, 1, Idempotency.KEYED, []),
-        (0, -5, 0, Idempotency.KEYED, ["Shed"]),
+        (0, -5, 0, Idempotency.KEYED, ["Reject"]),
         (0, 50, 0, Idempotency.IDEMPOTENT, []),
     ],
 )
@@ -425,7 +425,7 @@
     before = desk.controller.tenants[tenant].ring.total(0)
     tx = desk.read(0, tenant=tenant)
     desk.at(0, desk.read(0, tenant=Tenant()), tx)
-    assert desk.wishes(tx)[:1] == (wish or ["Remember"] if kind is Idempotency.KEYED else wish)
+    assert desk.wishes(tx)[:1] == (wish or ["StoreKey"] if kind is Idempotency.KEYED else wish)
     if wish:
         (shed,) = [said for who, said in desk.said if who is tx]
-        assert shed.after >= advice * 3 // 4 and desk.controller.tenants[tenant].ring.total(0) == before
+        assert shed.retry_after >= advice * 3 // 4 and desk.controller.tenants[tenant].ring.total(0) == before
--- a/tests/test_override.py
+++ b/tests/test_override.py
@@ -37,9 +37,9 @@
 )
 def test_an_older_plan_changes_nothing(age, until, taken):
     desk = wide()
-    assert desk.driver.override(plan(2, 1, 60_000))
-    assert desk.driver.override(plan(*age, until=until * 1000)) is taken
-    assert (desk.controller.plan.epoch, desk.controller.plan.number) == (age if taken else (2, 1))
+    assert desk.driver.apply_plan(plan(2, 1, 60_000))
+    assert desk.driver.apply_plan(plan(*age, until=until * 1000)) is taken
+    assert (desk.controller.plan.term, desk.controller.plan.number) == (age if taken else (2, 1))
 
 
 def test_a_plan_that_runs_out_leaves_todays_quota_step_by_step():
@@ -48,14 +48,14 @@
     meter = desk.controller.tenants[tenant]
     usual = desk.controller.quota(meter)
     desk.at(1000, cpu=0.5)
-    desk.driver.override(plan(until=20_000, quotas={tenant: 2.0}))
+    desk.driver.apply_plan(plan(until=20_000, quotas={tenant: 2.0}))
     seen = []
     for ms in range(20_000, 30_001, 2_500):
         desk.at(ms, cpu=0.5)
         seen.append(desk.controller.quota(meter))
     assert seen == pytest.approx([2.0 + (usual - 2.0) * step / 4 for step in range(5)])
-    assert not desk.controller.force and desk.driver.override(plan(number=2))
-    assert not desk.driver.override(plan(number=1, until=90_000))  # also after its end
+    assert not desk.controller.force and desk.driver.apply_plan(plan(number=2))
+    assert not desk.driver.apply_plan(plan(number=1, until=90_000))  # also after its end
 
 
 def held(desk, ms, order, **more):
@@ -63,7 +63,7 @@
     desk.warm(took=1000, until=12_000)
     running = desk.read(ms)
     desk.at(ms, running, cpu=1.0)
-    desk.driver.override(plan(order=order, visitors=frozenset((7,)), **more))
+    desk.driver.apply_plan(plan(shedding_order=order, evacuated_callers=frozenset((7,)), **more))
     return running
 
 
@@ -79,7 +79,7 @@
     desk.at(13_100, *ask.values())
     desk.at(13_150, cpu=1.0)
     names = {id(tx): kind for kind, tx in ask.items()}
-    gone = [names[id(who)] for who, wish in desk.said if type(wish).__name__ == "Shed" and id(who) in names]
+    gone = [names[id(who)] for who, wish in desk.said if type(wish).__name__ == "Reject" and id(who) in names]
     assert gone == list(order)
 
 
@@ -91,24 +91,24 @@
     desk = Desk(dear, cheap, cores=1)
     desk.warm(took=1000, until=8_000).warm(took=1000, until=8_000, which=1)
     desk.at(13_000, desk.read(13_000), cpu=1.0)
-    desk.driver.apply_plan(plan(visitors=frozenset((7,))))
+    desk.driver.apply_plan(plan(evacuated_callers=frozenset((7,))))
     first, second = desk.read(13_050, caller=7), desk.read(13_060, which=1, caller=7)
     desk.at(13_060, first, second, cpu=1.0)
     desk.at(13_110, cpu=1.0)
-    assert "Shed" in desk.wishes(second) and "Shed" not in desk.wishes(first)
+    assert "Reject" in desk.wishes(second) and "Reject" not in desk.wishes(first)
 
 
 def test_a_repeat_of_a_labelled_one_that_has_run_is_never_refused():
     desk = wide(profile(Idempotency.KEYED, latency_objective=2000, deadline=8000, key_retention=20_000 * MS))
-    running = held(desk, 13_000, tuple(SheddingTier), short=True)
+    running = held(desk, 13_000, tuple(SheddingTier), is_capacity_short=True)
     repeats = [desk.read(13_000 + n, caller=7, is_retry=True, original=running) for n in range(8)]
     desk.at(13_010, *repeats, cpu=1.0).at(13_100, cpu=1.0)
-    assert all(desk.wishes(tx) == ["Attach"] for tx in repeats)
+    assert all(desk.wishes(tx) == ["AttachToOriginal"] for tx in repeats)
 
 
 def test_one_let_back_in_uses_so_many_of_its_cores_and_more_as_the_plan_fades():
     desk = Desk(profile(latency_objective=9000, deadline=20_000), cores=8)
-    desk.driver.apply_plan(plan(until=5_000, fade=8_000, level=0.25))
+    desk.driver.apply_plan(plan(until=5_000, fade=8_000, serving_fraction=0.25))
     desk.at(100, cpu=0.1)
     asked = [desk.read(150) for _ in range(12)]
     desk.at(150, *asked, cpu=0.1)
@@ -120,10 +120,10 @@
 @pytest.mark.parametrize("short", [True, False])
 def test_where_no_app_server_has_room_a_shed_asks_not_to_try_elsewhere(short):
     desk = wide(memory_limit=1000, sends_retry_after=True, max_retry_after=SECOND)
-    desk.driver.override(plan(short=short))
+    desk.driver.apply_plan(plan(is_capacity_short=short))
     tx = desk.read(1000, size=2000)
     desk.at(1000, tx, cpu=0.1)
-    assert [wish.last for who, wish in desk.said if who is tx] == [short]
+    assert [wish.stop_retrying for who, wish in desk.said if who is tx] == [short]
 
 
 def test_a_share_of_the_calls_told_anew_binds_at_once():
@@ -153,14 +153,14 @@
         max_retry_after=SECOND,
     )
     desk.warm(took=1000, until=12_000)
-    desk.driver.override(plan(visitors=frozenset((7,)), visits=0.5))
+    desk.driver.apply_plan(plan(evacuated_callers=frozenset((7,)), evacuated_quota=0.5))
     desk.at(13_000, desk.read(13_000, tenant=tenant), cpu=1.0)
     desk.at(13_310, desk.read(13_000, tenant=tenant), cpu=1.0)  # read late: work has waited
     home, visitor = (desk.read(13_320, tenant=tenant, caller=caller) for caller in (1, 7))
     desk.at(13_320, visitor, home)
     assert desk.controller.crowded and desk.wishes(home) == []
-    (shed,) = [wish for who, wish in desk.said if who is visitor and type(wish).__name__ == "Shed"]
+    (shed,) = [wish for who, wish in desk.said if who is visitor and type(wish).__name__ == "Reject"]
     assert (
-        shed.after >= 0.75 * SECOND
+        shed.retry_after >= 0.75 * SECOND
     )  # a whole one past half a transaction a second: a delay of over a second
     assert desk.controller.tenants[tenant].ring.total(desk.now) == 3  # visitors count against their own alone
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,17 +25,17 @@
 @pytest.mark.parametrize(
     ("halt", "kind", "end"),
     [
-        (Preemption.OFF, Idempotency.IDEMPOTENT, ["Start", "WriteOff"]),
-        (Preemption.DROP, Idempotency.IDEMPOTENT, ["Start", "WriteOff", "Stop"]),
-        (Preemption.PAUSE, Idempotency.IDEMPOTENT, ["Start", "WriteOff", "Stop"]),
-        (Preemption.DROP, Idempotency.NON_IDEMPOTENT, ["Start", "WriteOff"]),
+        (Preemption.OFF, Idempotency.IDEMPOTENT, ["StartRun", "Fail"]),
+        (Preemption.DROP, Idempotency.IDEMPOTENT, ["StartRun", "Fail", "StopRun"]),
+        (Preemption.PAUSE, Idempotency.IDEMPOTENT, ["StartRun", "Fail", "StopRun"]),
+        (Preemption.DROP, Idempotency.NON_IDEMPOTENT, ["StartRun", "Fail"]),
     ],
 )
 def test_running_at_its_due_time_is_written_off(halt, kind, end):
     desk = Desk(profile(kind), preemption=halt)
     tx = desk.read(0)
     desk.at(0, tx).at(3900)
-    assert desk.wishes(tx) == ["Start"]
+    assert desk.wishes(tx) == ["StartRun"]
     desk.at(3950)
     assert desk.wishes(tx) == end
 
@@ -43,12 +43,12 @@
 @pytest.mark.parametrize(
     ("fate", "repeat"),
     [
-        ("held", ["Attach"]),
-        ("running", ["Attach"]),
-        ("ended", ["Attach"]),
-        ("written off", ["Attach"]),
-        ("shed", ["Remember", "Start"]),  # it never ran: the repeat is new work
-        ("gone", ["Remember", "Start"]),
+        ("held", ["AttachToOriginal"]),
+        ("running", ["AttachToOriginal"]),
+        ("ended", ["AttachToOriginal"]),
+        ("written off", ["AttachToOriginal"]),
+        ("shed", ["StoreKey", "StartRun"]),  # it never ran: the repeat is new work
+        ("gone", ["StoreKey", "StartRun"]),
     ],
 )
 def test_a_repeat_shares_what_has_run(fate, repeat):
@@ -64,7 +64,7 @@
         desk.at(590)
     elif fate == "shed":
         desk.at(590).at(595, (busy, SERVED))
-        assert desk.wishes(first) == ["Remember", "Forget", "Shed"]
+        assert desk.wishes(first) == ["StoreKey", "ReleaseKey", "Reject"]
     again = desk.read(600, original=first)
     desk.at(600, again)
     assert desk.wishes(again) == repeat
@@ -74,7 +74,7 @@
     desk = Desk(KEYED)
     first = desk.read(0)
     desk.at(0, first, desk.read(0, original=first))
-    assert [type(wish).__name__ for _, wish in desk.said].count("Start") == 1
+    assert [type(wish).__name__ for _, wish in desk.said].count("StartRun") == 1
 
 
 def test_a_repeat_at_its_due_time_is_written_off_not_shed():
@@ -82,7 +82,7 @@
     first = desk.read(0)
     again = desk.read(10, wait=500, original=first)
     desk.at(0, first).at(10, again).at(500)
-    assert desk.wishes(again) == ["Attach", "WriteOff"]
+    assert desk.wishes(again) == ["AttachToOriginal", "Fail"]
 
 
 def test_a_label_is_kept_for_its_whole_window_and_its_memory_counted():
@@ -91,7 +91,7 @@
     desk.at(0, tx).at(20, (tx, SERVED)).at(50, more)
     assert next(wish for _, wish in desk.said if isinstance(wish, StoreKey)).retention >= KEYED.key_retention
     assert desk.controller.memory == 5_000
-    assert desk.wishes(more) == ["Shed"]  # no room for its label
+    assert desk.wishes(more) == ["Reject"]  # no room for its label
     late = desk.read(13_200)
     desk.at(13_200, late, cpu=0.1).at(13_250, desk.read(13_250))
     assert desk.controller.memory <= 10_000
@@ -115,7 +115,7 @@
     assert len(desk.controller.on_cores) == 1 and desk.controller.memory <= 900
 
 
-@pytest.mark.parametrize(("reached", "wish"), [(900, "Start"), (2900, "Start"), (3100, "Shed")])
+@pytest.mark.parametrize(("reached", "wish"), [(900, "StartRun"), (2900, "StartRun"), (3100, "Reject")])
 def test_nothing_runs_that_arrived_after_the_grace(reached, wish):
     desk = Desk(drain_grace=2000 * MS).at(1000, leave=10_000)
     tx = desk.read(reached)
@@ -128,7 +128,7 @@
     running, held = desk.read(0), desk.read(0)
     desk.at(0, running, held).at(10, leave=800).at(750)
     assert SetHealth(False) in desk.told
-    assert desk.wishes(running)[-1] == "WriteOff" and desk.wishes(held)[-1] in ("Shed", "WriteOff")
+    assert desk.wishes(running)[-1] == "Fail" and desk.wishes(held)[-1] in ("Reject", "Fail")
 
 
 @pytest.mark.parametrize(("share", "most"), [(0.5, 1), (1.0, 1), (3.2, 3)])
@@ -136,12 +136,12 @@
     desk = Desk(cores=8, downstream=Downstream.SHARED, downstream_quota=share, abandoned_call_linger=200 * MS)
     txs = [desk.read(0) for _ in range(8)]
     desk.at(0, *txs).at(10, *[(tx, CallNeeded()) for tx in txs])
-    calling = [tx for tx in txs if "Call" in desk.wishes(tx)]
+    calling = [tx for tx in txs if "CallDownstream" in desk.wishes(tx)]
     assert len(calling) == most
     desk.at(20, *[(tx, CallEnded(Outcome.TIMED_OUT, 10 * MS)) for tx in calling]).at(30)
-    assert sum(desk.wishes(tx).count("Call") for tx in txs) == most  # they linger
+    assert sum(desk.wishes(tx).count("CallDownstream") for tx in txs) == most  # they linger
     desk.at(230).at(600)
-    assert sum(desk.wishes(tx).count("Call") for tx in txs) > most
+    assert sum(desk.wishes(tx).count("CallDownstream") for tx in txs) > most
 
 
 def test_one_call_alone_does_not_fill_the_span_of_a_share_under_one():
@@ -159,27 +159,32 @@
 @pytest.mark.parametrize(
     ("kind", "outcome", "skip", "wishes"),
     [
-        (Idempotency.KEYED, Outcome.SERVED, 0.0, ["Start", "Call"]),
-        (Idempotency.KEYED, Outcome.REJECTED, 0.0, ["Start", "Call", "Call"]),
-        (Idempotency.KEYED, Outcome.UNREACHABLE, 0.3, ["Start", "Call", "Call"]),
-        (Idempotency.KEYED, Outcome.TIMED_OUT, 0.0, ["Start", "Call", "WriteOff"]),
-        (Idempotency.KEYED, Outcome.CONNECTION_LOST, 0.0, ["Start", "Call", "WriteOff"]),
-        (Idempotency.NON_IDEMPOTENT, Outcome.CONNECTION_LOST, 0.3, ["Start", "Call", "SkipCall"]),
+        (Idempotency.KEYED, Outcome.SERVED, 0.0, ["StartRun", "CallDownstream"]),
+        (Idempotency.KEYED, Outcome.REJECTED, 0.0, ["StartRun", "CallDownstream", "CallDownstream"]),
+        (Idempotency.KEYED, Outcome.UNREACHABLE, 0.3, ["StartRun", "CallDownstream", "CallDownstream"]),
+        (Idempotency.KEYED, Outcome.TIMED_OUT, 0.0, ["StartRun", "CallDownstream", "Fail"]),
+        (Idempotency.KEYED, Outcome.CONNECTION_LOST, 0.0, ["StartRun", "CallDownstream", "Fail"]),
+        (
+            Idempotency.NON_IDEMPOTENT,
+            Outcome.CONNECTION_LOST,
+            0.3,
+            ["StartRun", "CallDownstream", "SkipCall"],
+        ),
         (
             Idempotency.IDEMPOTENT,
             Outcome.CONNECTION_LOST,
             0.3,
-            ["Start", "Call", "Call"],
+            ["StartRun", "CallDownstream", "CallDownstream"],
         ),  # its call may be made twice
-        (Idempotency.IDEMPOTENT, Outcome.FAILED, 0.3, ["Start", "Call", "SkipCall"]),
-        (Idempotency.IDEMPOTENT, Outcome.TIMED_OUT, 0.3, ["Start", "Call", "SkipCall"]),
+        (Idempotency.IDEMPOTENT, Outcome.FAILED, 0.3, ["StartRun", "CallDownstream", "SkipCall"]),
+        (Idempotency.IDEMPOTENT, Outcome.TIMED_OUT, 0.3, ["StartRun", "CallDownstream", "SkipCall"]),
     ],
 )
 def test_a_call_is_repeated_only_if_it_never_ran_or_does_no_harm(kind, outcome, skip, wishes):
     desk = Desk(profile(kind, key_retention=5000 * MS, weight_without_call=skip), downstream=Downstream.TIER)
     tx = desk.read(0)
     desk.at(0, tx).at(10, (tx, CallNeeded())).at(30, (tx, CallEnded(outcome, 20 * MS))).at(80)
-    assert [wish for wish in desk.wishes(tx) if wish != "Remember"] == wishes
+    assert [wish for wish in desk.wishes(tx) if wish != "StoreKey"] == wishes
 
 
 def test_crowd_on_the_cores_stays_under_the_survivable_and_lower_when_cold():
@@ -196,7 +201,7 @@
     tx = desk.read(0)
     desk.at(0, tx).at(10, (tx, SERVED))
     desk.at(20, (tx, CallerGone()), (tx, RunEnded(Outcome.SUPERSEDED)), (tx, CallEnded(Outcome.FAILED)))
-    assert desk.wishes(tx) == ["Start"] and desk.controller.memory == 0
+    assert desk.wishes(tx) == ["StartRun"] and desk.controller.memory == 0
 
 
 def test_a_shed_says_when_to_come_back_within_what_is_heeded():
@@ -210,21 +215,21 @@
 @pytest.mark.parametrize(
     "site",
     [
-        {"cores": 1, "crowd_multiple": 1.0},
-        {"below": Downstream.SHARED, "calls_share": 0.0},
-        {"below": Downstream.SHARED, "calls_share": 0.05, "linger": 500 * MS},
-        {"memory": 1},
-        {"cold": True, "cold_from": 0.0, "cold_span": 0, "crowd_multiple": 1.0},
-        {"fleet": 1000, "halt": Preemption.DROP},
+        {"cores": 1, "overload_multiple": 1.0},
+        {"downstream": Downstream.SHARED, "downstream_quota": 0.0},
+        {"downstream": Downstream.SHARED, "downstream_quota": 0.05, "abandoned_call_linger": 500 * MS},
+        {"memory_limit": 1},
+        {"starts_cold": True, "cold_start_speed": 0.0, "warm_up_span": 0, "overload_multiple": 1.0},
+        {"fleet_size": 1000, "preemption": Preemption.DROP},
     ],
 )
 def test_extreme_settings_answer_everything_once(site):
     desk = Desk(profile(), KEYED, profile(Idempotency.NON_IDEMPOTENT), **site)
     txs = [desk.read(ms, ms % 3, caller=ms % 7) for ms in range(0, 500, 10)]
     for tx in txs:
-        desk.at(tx.arrived // MS, tx, cpu=1.0)
-        desk.at(tx.arrived // MS + 5, *[(one, CallNeeded()) for one in list(desk.controller.on_cores)])
+        desk.at(tx.arrived_at // MS, tx, cpu=1.0)
+        desk.at(tx.arrived_at // MS + 5, *[(one, CallNeeded()) for one in list(desk.controller.on_cores)])
     for ms in range(500, 5000, 50):
         desk.at(ms, cpu=1.0)
-    answers = [tx for tx, wish in desk.said if type(wish).__name__ in ("Shed", "WriteOff")]
+    answers = [tx for tx, wish in desk.said if type(wish).__name__ in ("Reject", "Fail")]
     assert sorted(map(id, answers)) == sorted(map(id, txs))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -88,42 +88,74 @@
         (
             "settings.family_info.halt",
             "softly",
-            lambda d: d.halt is Preemption.OFF,
+            lambda d: d.preemption is Preemption.OFF,
         ),  # not used where not known
-        ("settings.family_info.halt", ..., lambda d: d.halt is Preemption.OFF),
-        ("settings.family_info.halt", "pause", lambda d: d.halt is Preemption.PAUSE),
-        ("settings.family_info.downstream", ..., lambda d: d.below is Downstream.NONE),
-        ("settings.family_info.linger_s", ..., lambda d: d.linger == d.calls_span),  # as long as the span
-        ("settings.family_info.cold", "perhaps", lambda d: d.cold),
-        ("settings.family_info.cold", ..., lambda d: not d.cold),
-        ("settings.contract.cold_from", ..., lambda d: d.cold_from == 0),
-        ("settings.contract.drain_grace_s", ..., lambda d: d.grace == 0),
-        ("settings.classes.0.effect", ..., lambda d: d.profiles[0].kind is Idempotency.NON_IDEMPOTENT),
-        ("settings.classes.1.window_s", ..., lambda d: d.profiles[1].window == 4 * SECOND),  # the deadline
-        ("settings.classes.1.window_s", 0, lambda d: d.profiles[1].window == 0),
-        ("settings.classes.0.aim_s", ..., lambda d: d.profiles[0].goal == d.profiles[0].deadline),
-        ("settings.classes.0.name", "-", lambda d: len(d.profiles) == 2),
-        ("settings.classes.0.name", "a, b/c \u00fc", lambda d: len(d.profiles) == 2),
-        ("settings.family_info.class_skip_worth", ..., lambda d: not d.profiles[0].skip_payoff),
-        ("settings.family_info.class_skip_worth", [0.5], lambda d: not d.profiles[1].skip_payoff),
+        ("settings.family_info.halt", ..., lambda d: d.preemption is Preemption.OFF),
+        ("settings.family_info.halt", "pause", lambda d: d.preemption is Preemption.PAUSE),
+        ("settings.family_info.downstream", ..., lambda d: d.downstream is Downstream.NONE),
+        (
+            "settings.family_info.linger_s",
+            ...,
+            lambda d: d.abandoned_call_linger == d.downstream_quota_window,
+        ),  # as long as the span
+        ("settings.family_info.cold", "perhaps", lambda d: d.starts_cold),
+        ("settings.family_info.cold", ..., lambda d: not d.starts_cold),
+        ("settings.contract.cold_from", ..., lambda d: d.cold_start_speed == 0),
+        ("settings.contract.drain_grace_s", ..., lambda d: d.drain_grace == 0),
+        (
+            "settings.classes.0.effect",
+            ...,
+            lambda d: d.request_classes[0].idempotency is Idempotency.NON_IDEMPOTENT,
+        ),
+        (
+            "settings.classes.1.window_s",
+            ...,
+            lambda d: d.request_classes[1].key_retention == 4 * SECOND,
+        ),  # the deadline
+        ("settings.classes.1.window_s", 0, lambda d: d.request_classes[1].key_retention == 0),
+        (
+            "settings.classes.0.aim_s",
+            ...,
+            lambda d: d.request_classes[0].latency_objective == d.request_classes[0].deadline,
+        ),
+        ("settings.classes.0.name", "-", lambda d: len(d.request_classes) == 2),
+        ("settings.classes.0.name", "a, b/c \u00fc", lambda d: len(d.request_classes) == 2),
+        (
+            "settings.family_info.class_skip_worth",
+            ...,
+            lambda d: not d.request_classes[0].weight_without_call,
+        ),
+        (
+            "settings.family_info.class_skip_worth",
+            [0.5],
+            lambda d: not d.request_classes[1].weight_without_call,
+        ),
         ("settings.tenants", ..., lambda d: d.tenants == []),
         ("settings.tenants", [], lambda d: d.tenants == []),
         ("settings.tenants.0.quota_per_s", -1, lambda d: d.tenants[0].quota == 0),  # none is told
-        ("settings.ceilings.retry_after", "maybe", lambda d: not d.advises),
+        ("settings.ceilings.retry_after", "maybe", lambda d: not d.sends_retry_after),
         ("settings.family_info.cores", 0.5, lambda d: d.cores == 1),
-        ("settings.group_size", 0, lambda d: d.fleet == 1),
-        ("settings.family_info.keepalive_max_s", ..., lambda d: d.keepalive == 30 * SECOND),
-        ("settings.family_info.keepalive_max_s", 15, lambda d: d.keepalive == 15 * SECOND),
-        ("settings.family_info.keepalive_max_s", -1, lambda d: d.keepalive == SECOND // 100),
-        ("settings.family_info.signal", ..., lambda d: not d.levels),
-        ("settings.family_info.signal", "level", lambda d: d.levels),
-        ("settings.family_info.signal", "credit", lambda d: not d.levels),
-        ("settings.family_info.signal", "later word", lambda d: not d.levels),  # what is unknown is not used
-        ("settings.family_info.clients_total", ..., lambda d: d.callers == 0),
-        ("settings.family_info.clients_total", 40, lambda d: d.callers == 40),
-        ("settings.family_info.clients_total", -3, lambda d: d.callers == 0),
+        ("settings.group_size", 0, lambda d: d.fleet_size == 1),
+        ("settings.family_info.keepalive_max_s", ..., lambda d: d.keepalive_timeout == 30 * SECOND),
+        ("settings.family_info.keepalive_max_s", 15, lambda d: d.keepalive_timeout == 15 * SECOND),
+        ("settings.family_info.keepalive_max_s", -1, lambda d: d.keepalive_timeout == SECOND // 100),
+        ("settings.family_info.signal", ..., lambda d: not d.sends_criticality),
+        ("settings.family_info.signal", "level", lambda d: d.sends_criticality),
+        ("settings.family_info.signal", "credit", lambda d: not d.sends_criticality),
+        (
+            "settings.family_info.signal",
+            "later word",
+            lambda d: not d.sends_criticality,
+        ),  # what is unknown is not used
+        ("settings.family_info.clients_total", ..., lambda d: d.caller_count == 0),
+        ("settings.family_info.clients_total", 40, lambda d: d.caller_count == 40),
+        ("settings.family_info.clients_total", -3, lambda d: d.caller_count == 0),
         ("settings.family_info", {"downstream": "tier", "share_span_s": 0, "calls_out": -1}, lambda d: True),
-        ("settings.classes.0.window_s", -1, lambda d: d.profiles[0].window == 0),  # of no labelled class
+        (
+            "settings.classes.0.window_s",
+            -1,
+            lambda d: d.request_classes[0].key_retention == 0,
+        ),  # of no labelled class
         ("settings.new_key", {"deep": [{"er": 1}]}, lambda d: d.cores == 2),  # further keys are ignored
     ],
 )
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -353,7 +353,7 @@
         first = chain.passage("a", KEYED, "key")
         chain.admit.arrive(first)
         if fate == "shed":
-            first.transaction.due = first.transaction.arrived
+            first.transaction.deadline = first.transaction.arrived_at
         chain.admit.settle()
         watched = [weakref.ref(first.transaction)]
         if fate == "repeated":
@@ -398,7 +398,7 @@
     passages = [chain.passage("a"), chain.passage("b")]
 
     def carry(transaction, wish):
-        if transaction.outside.name == "a" and isinstance(wish, StartRun):
+        if transaction.context.name == "a" and isinstance(wish, StartRun):
             raise KeyError("made up")
         chain.route.carry(transaction, wish)
 
