--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -38,25 +38,25 @@
     return MemberReport(
         name=name,
         site=site,
-        incarnation=Incarnation(mark=1),
-        number=number,
-        door="127.0.0.1:1",
-        age=SECOND,
-        serving=True,
-        leaving=False,
-        warm=True,
-        room=50.0,
-        pace=1.0,
-        load=load,
-        visits=0.0,
-        again=0.0,
-        honoured=40.0,
-        shed=0.0,
-        calls=1.0,
-        share=2.0,
-        lease=0,
-        epoch=0,
-        plan=0,
+        incarnation=Incarnation(nonce=1),
+        sequence=number,
+        address="127.0.0.1:1",
+        uptime=SECOND,
+        is_serving=True,
+        is_draining=False,
+        is_warm=True,
+        capacity=50.0,
+        slowdown=1.0,
+        local_load=load,
+        evacuated_load=0.0,
+        retries=0.0,
+        served=40.0,
+        rejected=0.0,
+        calls_in_flight=1.0,
+        call_limit=2.0,
+        lease_remaining=0,
+        plan_term=0,
+        plan_number=0,
     )
 
 
@@ -88,13 +88,13 @@
             now += mind.every()
             ask = ballot.ask(now)
             if ask is not None:
-                ballot.answered(ballot.asked(ask, now), ask.epoch, now, now)
+                ballot.answered(ballot.asked(ask, now), ask.term, now, now)
             for name, site in names:
                 mind.hear(report(name, site, step + 1), now)
             mind.look(now)
             keep = mind.keep()
-            if keep is not None and ballot.kept(ballot.keep(keep, now), keep.number):
-                mind.kept(keep.number)
+            if keep is not None and ballot.kept(ballot.keep(keep, now), keep.state_number):
+                mind.kept(keep.state_number)
         mind.evacuate("s0", "bench", "bench", now)
         planned = took(partial(mind.renew, now))
         looked = took(partial(mind.look, now))
--- a/benchmarks/permit_grants.py
+++ b/benchmarks/permit_grants.py
@@ -13,7 +13,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from birchslip.cli import ask
-from birchslip.cluster.messages import EvictionRequest
+from birchslip.cluster.messages import EvictionOperation, EvictionRequest
 from tests.test_permit_processes import Place
 
 
@@ -26,10 +26,15 @@
         took = []
         for _ in range(asks):
             began = time.perf_counter()
-            told = ask(address, EvictionRequest(what="permit", holder="a-0", why="a measurement"))
+            told = ask(
+                address,
+                EvictionRequest(
+                    operation=EvictionOperation.REQUEST_PERMIT, holder="a-0", reason="a measurement"
+                ),
+            )
             took.append((time.perf_counter() - began) * 1000)
             assert told["granted"], told
-            ask(address, EvictionRequest(what="hand-back", holder="a-0"))
+            ask(address, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder="a-0"))
         took.sort()
         p99 = took[int(0.99 * len(took))]
         median = statistics.median(took)
--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.cluster.messages import EvictionRequest, Incarnation, MemberReport, encode
+from birchslip.cluster.messages import EvictionOperation, EvictionRequest, Incarnation, MemberReport, encode
 from birchslip.cluster.planner import descriptors
 from birchslip.cluster.transport import PeerConnection
 from birchslip.lab.processes import ROOT
@@ -35,28 +35,28 @@
     told = MemberReport(
         name=name,
         site=site,
-        incarnation=Incarnation(mark=1),
-        number=NUMBER,
-        door="127.0.0.1:1",
-        age=10**6,
-        serving=True,
-        leaving=False,
-        warm=True,
-        room=100.0,
-        pace=1.0,
-        load={"blue": 40.0, "green": 20.0},
-        visits=0.0,
-        again=0.0,
-        honoured=60.0,
-        shed=0.0,
-        calls=1.0,
-        share=1.0,
-        lease=0,
-        epoch=0,
-        plan=0,
-        figures=figures,
-        took={one: [7] * 20 for one in "abc"},
-        memory=30_000,
+        incarnation=Incarnation(nonce=1),
+        sequence=NUMBER,
+        address="127.0.0.1:1",
+        uptime=10**6,
+        is_serving=True,
+        is_draining=False,
+        is_warm=True,
+        capacity=100.0,
+        slowdown=1.0,
+        local_load={"blue": 40.0, "green": 20.0},
+        evacuated_load=0.0,
+        retries=0.0,
+        served=60.0,
+        rejected=0.0,
+        calls_in_flight=1.0,
+        call_limit=1.0,
+        lease_remaining=0,
+        plan_term=0,
+        plan_number=0,
+        metrics=figures,
+        latency_histograms={one: [7] * 20 for one in "abc"},
+        resident_memory_kb=30_000,
     )
     return encode(told)
 
@@ -131,12 +131,20 @@
         try:
             line.ask(
                 "want",
-                encode(EvictionRequest(what="permit", holder=name, why="a measurement")),
+                encode(
+                    EvictionRequest(
+                        operation=EvictionOperation.REQUEST_PERMIT, holder=name, reason="a measurement"
+                    )
+                ),
                 scheduler.now + SECOND,
             )
             took.append((time.perf_counter() - began) * 1000)
             scheduler.sleep(scheduler.now + 10 * SECOND)  # it stays out, or waits, for ten seconds
-            line.ask("want", encode(EvictionRequest(what="hand-back", holder=name)), scheduler.now + SECOND)
+            line.ask(
+                "want",
+                encode(EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name)),
+                scheduler.now + SECOND,
+            )
         except OSError as trouble:
             faults.append(str(trouble))
         finally:
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -18,7 +18,7 @@
 import click
 
 from .cluster.fleet_file import Fleet, read_fleet, schema
-from .cluster.messages import EvictionRequest, OperatorCommand, encode
+from .cluster.messages import EvictionOperation, EvictionRequest, OperatorCommand, OperatorOperation, encode
 from .cluster.release_file import read_release, release_schema
 from .cluster.rollout import RolloutSpec, batches_of, unknown
 from .cluster.rollout_controller import RolloutCommand
@@ -81,11 +81,13 @@
     planners = [one for one in fleet.planners if planner in ("", one.name)]
     if not planners:
         raise NotAsked(f"no planner is named {planner!r}")
+    operation = wish.what if isinstance(wish, RolloutCommand) else wish.operation
+    shows_only = operation in SHOWN
     answers, troubles = [], []
     for one in planners:
         try:
             answer = ask(one.address, wish)
-            if wish.what not in SHOWN or answer.get("leads") or planner:
+            if not shows_only or answer.get("leads") or planner:
                 return answer
             answers.append(answer)
         except (OSError, ValueError) as trouble:
@@ -144,7 +146,7 @@
 @click.option("--planner", "name", default="", help="Ask this one; else the leader.")
 def show(path: str, as_json: bool, name: str) -> None:
     """Members, sites, epoch, the plan in force and why."""
-    told = ask_any(fleet_of(path), OperatorCommand(what="show"), name)
+    told = ask_any(fleet_of(path), OperatorCommand(operation=OperatorOperation.SHOW), name)
     if as_json:
         click.echo(json.dumps(told))
         return
@@ -159,7 +161,7 @@
 @click.option("--lose", required=True, help="The site that is lost.")
 def foresee(path: str, as_json: bool, lose: str) -> None:
     """What the loss of a site would mean today; exit code 1 where load would be refused."""
-    told = ask_any(fleet_of(path), OperatorCommand(what="what-if", site=lose))
+    told = ask_any(fleet_of(path), OperatorCommand(operation=OperatorOperation.WHAT_IF, site=lose))
     if as_json:
         click.echo(json.dumps(told))
     else:
@@ -173,7 +175,7 @@
 def by_hand(path: str, as_json: bool, wish: OperatorCommand) -> None:
     told = ask_any(fleet_of(path), wish)
     done = "done" if told["done"] else "nothing to do"
-    click.echo(json.dumps(told) if as_json else f"{wish.what} {wish.site}: {done}")
+    click.echo(json.dumps(told) if as_json else f"{wish.operation} {wish.site}: {done}")
     if not told["done"]:
         raise SystemExit(1)
 
@@ -186,7 +188,11 @@
 @click.option("--why", required=True)
 def evacuate(path: str, as_json: bool, site: str, who: str, why: str) -> None:
     """Send a site's load elsewhere by hand; only `return` lets it back."""
-    by_hand(path, as_json, OperatorCommand(what="evacuate", site=site, who=who, why=why))
+    by_hand(
+        path,
+        as_json,
+        OperatorCommand(operation=OperatorOperation.EVACUATE, site=site, operator=who, reason=why),
+    )
 
 
 @fleet.command("return")
@@ -196,7 +202,7 @@
 @click.option("--who", required=True)
 def give_back(path: str, as_json: bool, site: str, who: str) -> None:
     """Let a site back that was evacuated by hand, in the usual steps."""
-    by_hand(path, as_json, OperatorCommand(what="return", site=site, who=who))
+    by_hand(path, as_json, OperatorCommand(operation=OperatorOperation.RESTORE, site=site, operator=who))
 
 
 def wanted(path: str, as_json: bool, want: EvictionRequest) -> None:
@@ -206,11 +212,12 @@
         click.echo(json.dumps(told))
     elif told["granted"]:
         click.echo(
-            f"{want.what} {want.holder}: granted" + (f", permit {told['number']}" if told["number"] else "")
+            f"{want.operation} {want.holder}: granted"
+            + (f", permit {told['number']}" if told["number"] else "")
         )
     else:
         place = f", place {told['place']}" if told["place"] else ""
-        click.echo(f"{want.what} {want.holder}: not granted{place}: {told['why']}")
+        click.echo(f"{want.operation} {want.holder}: not granted{place}: {told['why']}")
     if not told["granted"]:
         raise SystemExit(1)
 
@@ -223,7 +230,8 @@
 @click.option("--past", is_flag=True, help="Past the budgets, by an override that stands.")
 def permit(path: str, as_json: bool, member: str, why: str, past: bool) -> None:
     """Ask that a member may be out; asking again keeps its place, or tells of the same permit."""
-    wanted(path, as_json, EvictionRequest(what="past" if past else "permit", holder=member, why=why))
+    operation = EvictionOperation.BYPASS_BUDGET if past else EvictionOperation.REQUEST_PERMIT
+    wanted(path, as_json, EvictionRequest(operation=operation, holder=member, reason=why))
 
 
 @fleet.command("hand-back")
@@ -232,7 +240,7 @@
 @click.argument("member")
 def hand_back(path: str, as_json: bool, member: str) -> None:
     """A member that has not gone out will not go; one that has is seen back by itself."""
-    wanted(path, as_json, EvictionRequest(what="hand-back", holder=member))
+    wanted(path, as_json, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=member))
 
 
 @fleet.command()
@@ -242,7 +250,9 @@
 @click.option("--who", required=True)
 def strike(path: str, as_json: bool, member: str, who: str) -> None:
     """A member will not come back: its permit ends."""
-    wanted(path, as_json, EvictionRequest(what="strike", holder=member, who=who))
+    wanted(
+        path, as_json, EvictionRequest(operation=EvictionOperation.REVOKE_PERMIT, holder=member, operator=who)
+    )
 
 
 @fleet.command()
@@ -255,7 +265,13 @@
 def override(path: str, as_json: bool, who: str, why: str, count: int, minutes: int) -> None:
     """In an emergency: let so many out past the budgets. It stands in the record."""
     span = minutes * 60 * 10_000
-    wanted(path, as_json, EvictionRequest(what="override", who=who, why=why, count=count, span=span))
+    wanted(
+        path,
+        as_json,
+        EvictionRequest(
+            operation=EvictionOperation.GRANT_OVERRIDE, operator=who, reason=why, count=count, span=span
+        ),
+    )
 
 
 @cli.group()
--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -27,7 +27,7 @@
 
 import msgspec
 
-from .messages import Count, Incarnation, Message, Name, Span, Words
+from .messages import Count, Incarnation, Message, Name, Span, Text
 
 RECORD_MOST = 256  # lines of the record that are kept
 OVERRIDE_MOST = 3  # members that one override may let out
@@ -80,7 +80,7 @@
 
     holder: Name
     incarnation: Incarnation
-    why: Words
+    why: Text
     number: Count
     override: bool = False
 
@@ -88,14 +88,14 @@
 class EvictionWaiter(Message):
     holder: Name
     incarnation: Incarnation
-    why: Words
+    why: Text
 
 
 class BudgetOverride(Message):
     """`left` is how much of its time is left, by the leader's clock."""
 
-    who: Words
-    why: Words
+    who: Text
+    why: Text
     count: Count
     left: Span
 
@@ -106,7 +106,7 @@
     permits: list[Permit] = msgspec.field(default_factory=list)
     waiting: list[EvictionWaiter] = msgspec.field(default_factory=list)
     overrides: list[BudgetOverride] = msgspec.field(default_factory=list)
-    record: list[Words] = msgspec.field(default_factory=list)
+    record: list[Text] = msgspec.field(default_factory=list)
     number: Count = 0
 
 
--- a/birchslip/cluster/election.py
+++ b/birchslip/cluster/election.py
@@ -111,7 +111,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        return Incarnation(life=self.durable.life, mark=self.mark)
+        return Incarnation(generation=self.durable.life, nonce=self.mark)
 
     @property
     def majority(self) -> int:
@@ -123,25 +123,27 @@
         """What another planner shows of itself, and what it has seen of me."""
         self.unsure.discard(name)
         known = self.seen.get(name)
-        if known is None or (known.mark != shown.mark and shown.life >= known.life):
+        if known is None or (known.nonce != shown.nonce and shown.generation >= known.generation):
             # A new life: on the disk, as a third planner may have to tell it one day that its disk is old.
             self.seen[name] = known = PeerObservation(
-                life=shown.life,
-                mark=shown.mark,
-                promised=known.promised if known is not None else 0,
-                epoch=known.epoch if known is not None else 0,
-                number=known.number if known is not None else 0,
+                generation=shown.generation,
+                nonce=shown.nonce,
+                promised_term=known.promised_term if known is not None else 0,
+                state_term=known.state_term if known is not None else 0,
+                state_number=known.state_number if known is not None else 0,
             )
             self.durable.seen = msgspec.json.encode(self.seen).decode()
             self.dirty = True
-        known.promised = max(known.promised, shown.promised)
-        known.epoch, known.number = max((known.epoch, known.number), (shown.epoch, shown.number))
+        known.promised_term = max(known.promised_term, shown.promised_term)
+        known.state_term, known.state_number = max(
+            (known.state_term, known.state_number), (shown.state_term, shown.state_number)
+        )
         mine = seen.get(self.name)
         if mine is not None and self.older_than(mine):
             # What I promised and kept since is not on this disk.
-            self.durable.life = max(self.durable.life, mine.life + 1)
-            self.durable.promised = max(self.durable.promised, mine.promised)
-            self.forgone = max(self.forgone, (mine.epoch, mine.number))
+            self.durable.life = max(self.durable.life, mine.generation + 1)
+            self.durable.promised = max(self.durable.promised, mine.promised_term)
+            self.forgone = max(self.forgone, (mine.state_term, mine.state_number))
             self.durable.blank = True
             self.told.clear()
             self.dirty = True
@@ -152,53 +154,56 @@
         """
         durable = self.durable
         return (
-            (mine.life >= durable.life and mine.mark != self.mark)
-            or mine.promised > durable.promised
-            or (mine.epoch, mine.number) > max(self.forgone, (durable.state_epoch, durable.state_number))
+            (mine.generation >= durable.life and mine.nonce != self.mark)
+            or mine.promised_term > durable.promised
+            or (mine.state_term, mine.state_number)
+            > max(self.forgone, (durable.state_epoch, durable.state_number))
         )
 
     def note(self, name: str, epoch: int, number: int) -> None:
         """Another has shown that it keeps this."""
         seen = self.seen.get(name)
         if seen is not None:
-            seen.promised = max(seen.promised, epoch)
-            seen.epoch, seen.number = max((seen.epoch, seen.number), (epoch, number))
+            seen.promised_term = max(seen.promised_term, epoch)
+            seen.state_term, seen.state_number = max((seen.state_term, seen.state_number), (epoch, number))
 
     def shows(self, answer: VoteResponse) -> PeerObservation:
         return PeerObservation(
-            life=answer.incarnation.life,
-            mark=answer.incarnation.mark,
-            promised=answer.epoch,
-            epoch=answer.state_epoch,
-            number=answer.state_number,
+            generation=answer.incarnation.generation,
+            nonce=answer.incarnation.nonce,
+            promised_term=answer.promised_term,
+            state_term=answer.state_term,
+            state_number=answer.state_number,
         )
 
     def asked(self, ask: VoteRequest, now: int) -> VoteResponse:
         self.now = max(self.now, now)
-        if ask.name != self.name:
+        if ask.candidate != self.name:
             self.meet(
-                ask.name, PeerObservation(life=ask.incarnation.life, mark=ask.incarnation.mark), ask.seen
+                ask.candidate,
+                PeerObservation(generation=ask.incarnation.generation, nonce=ask.incarnation.nonce),
+                ask.observations,
             )
-        asker = (ask.name, ask.incarnation.mark)
+        asker = (ask.candidate, ask.incarnation.nonce)
         durable = self.durable
-        self.highest = max(self.highest, ask.epoch)
+        self.highest = max(self.highest, ask.term)
         granted = (
-            ask.epoch > 0
+            ask.term > 0
             and not durable.blank
             and self.sure()
             and self.now >= self.quiet_until
             and (self.now >= self.granted_until or self.granted_to == asker)
             and (
-                ask.epoch > durable.promised
-                or (ask.epoch, *asker) == (durable.promised, durable.promised_to, durable.promised_mark)
+                ask.term > durable.promised
+                or (ask.term, *asker) == (durable.promised, durable.promised_to, durable.promised_mark)
             )
         )
         if granted:
-            if ask.epoch != durable.promised:
-                durable.promised, durable.promised_to, durable.promised_mark = ask.epoch, *asker
+            if ask.term != durable.promised:
+                durable.promised, durable.promised_to, durable.promised_mark = ask.term, *asker
                 self.dirty = True
             self.granted_to, self.granted_until = asker, self.now + LEASE
-            if ask.name != self.name:
+            if ask.candidate != self.name:
                 self.next_ask = self.granted_until + self.chance.randrange(JITTER)
         return self.answer(granted)
 
@@ -206,38 +211,38 @@
         durable = self.durable
         return VoteResponse(
             granted=granted,
-            epoch=durable.promised,
-            name=self.name,
+            promised_term=durable.promised,
+            voter=self.name,
             incarnation=self.incarnation,
-            new=durable.blank,
-            held=max(0, max(self.granted_until, self.quiet_until) - self.now),
-            state_epoch=durable.state_epoch,
+            is_blank=durable.blank,
+            lease_remaining=max(0, max(self.granted_until, self.quiet_until) - self.now),
+            state_term=durable.state_epoch,
             state_number=durable.state_number,
             state=durable.state,
-            seen=self.seen,
+            observations=self.seen,
         )
 
     def keep(self, told: ReplicationRequest, now: int) -> ReplicationResponse:
         """The leader's state, to be kept before anybody is told of it; a leader of older days is refused."""
         self.now = max(self.now, now)
         durable = self.durable
-        self.highest = max(self.highest, told.epoch)
-        if told.epoch < durable.promised:
-            return ReplicationResponse(kept=False, epoch=durable.promised, name=self.name)
-        if told.epoch > durable.promised:
-            durable.promised, durable.promised_to = told.epoch, told.name
-            durable.promised_mark = told.incarnation.mark
+        self.highest = max(self.highest, told.term)
+        if told.term < durable.promised:
+            return ReplicationResponse(is_stored=False, promised_term=durable.promised, replica=self.name)
+        if told.term > durable.promised:
+            durable.promised, durable.promised_to = told.term, told.leader
+            durable.promised_mark = told.incarnation.nonce
             self.dirty = True
-        if (told.epoch, told.number) > (durable.state_epoch, durable.state_number) or durable.blank:
-            durable.state_epoch, durable.state_number = told.epoch, told.number
+        if (told.term, told.state_number) > (durable.state_epoch, durable.state_number) or durable.blank:
+            durable.state_epoch, durable.state_number = told.term, told.state_number
             durable.state = told.state
             durable.blank = False
-            self.note(told.name, told.epoch, told.number)
+            self.note(told.leader, told.term, told.state_number)
             # It is flushed now anyway: what is known of the others survives with it, and may unmask an old
             # disk.
             durable.seen = msgspec.json.encode(self.seen).decode()
             self.dirty = True
-        return ReplicationResponse(kept=True, epoch=durable.promised, name=self.name)
+        return ReplicationResponse(is_stored=True, promised_term=durable.promised, replica=self.name)
 
     # ---- as a candidate and a leader -------------------------------------------------------------------
 
@@ -274,7 +279,9 @@
         return self.question(self.epoch)
 
     def question(self, epoch: int) -> VoteRequest:
-        return VoteRequest(epoch=epoch, name=self.name, incarnation=self.incarnation, seen=self.seen)
+        return VoteRequest(
+            term=epoch, candidate=self.name, incarnation=self.incarnation, observations=self.seen
+        )
 
     def next_epoch(self) -> int:
         """Above all that was heard of, and never another planner's."""
@@ -284,30 +291,30 @@
     def answered(self, answer: VoteResponse, epoch: int, sent: int, now: int) -> None:
         """`epoch` and `sent` are of the question that this answers."""
         self.now = max(self.now, now)
-        if answer.name != self.name:
-            self.meet(answer.name, self.shows(answer), answer.seen)
-        self.highest = max(self.highest, answer.epoch)
+        if answer.voter != self.name:
+            self.meet(answer.voter, self.shows(answer), answer.observations)
+        self.highest = max(self.highest, answer.promised_term)
         if self.durable.blank:
             self.learn(answer)
             return
         if not answer.granted or epoch != self.epoch or not epoch:
             return
-        self.grants[answer.name] = max(sent, self.grants.get(answer.name, 0))
-        self.newest = max(self.newest, (answer.state_epoch, answer.state_number, answer.state))
+        self.grants[answer.voter] = max(sent, self.grants.get(answer.voter, 0))
+        self.newest = max(self.newest, (answer.state_term, answer.state_number, answer.state))
 
     def learn(self, answer: VoteResponse) -> None:
         """Blank: once all others have told what they keep, nothing that a majority kept is missing here."""
-        if answer.name == self.name:
+        if answer.voter == self.name:
             return
-        self.told[answer.name] = answer
+        self.told[answer.voter] = answer
         if len(self.told) < len(self.planners) - 1:
             return
         durable = self.durable
-        newest = max(self.told.values(), key=lambda one: (one.state_epoch, one.state_number))
-        if (newest.state_epoch, newest.state_number) > (durable.state_epoch, durable.state_number):
-            durable.state_epoch, durable.state_number = newest.state_epoch, newest.state_number
+        newest = max(self.told.values(), key=lambda one: (one.state_term, one.state_number))
+        if (newest.state_term, newest.state_number) > (durable.state_epoch, durable.state_number):
+            durable.state_epoch, durable.state_number = newest.state_term, newest.state_number
             durable.state = newest.state
-        durable.promised = max(durable.promised, max(one.epoch for one in self.told.values()))
+        durable.promised = max(durable.promised, max(one.promised_term for one in self.told.values()))
         durable.blank = False
         self.told.clear()
         self.dirty = True
@@ -335,10 +342,10 @@
 
     def kept(self, answer: ReplicationResponse, number: int) -> bool:
         """Whether that number is kept by a majority now."""
-        self.highest = max(self.highest, answer.epoch)
-        if answer.kept:
+        self.highest = max(self.highest, answer.promised_term)
+        if answer.is_stored:
             for old in [one for one in self.kept_by if one < number - KEPT_NUMBERS]:
                 del self.kept_by[old]
-            self.kept_by.setdefault(number, set()).add(answer.name)
-            self.note(answer.name, self.epoch, number)
+            self.kept_by.setdefault(number, set()).add(answer.replica)
+            self.note(answer.replica, self.epoch, number)
         return len(self.kept_by.get(number, ())) >= self.majority
--- a/birchslip/cluster/fleet_file.py
+++ b/birchslip/cluster/fleet_file.py
@@ -11,7 +11,7 @@
 from ..admission.types import MS, SheddingTier
 from ..errors import InvalidInputError
 from .disruption_budget import BudgetGroup
-from .messages import Name, Part
+from .messages import Fraction, Name
 
 Address = Annotated[
     str, msgspec.Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$", description="HOST:PORT"),
@@ -92,7 +92,7 @@
     kinds: list[Word] = []
     all: bool = False
     most_out: Annotated[int, msgspec.Meta(ge=0, le=100_000)] | None = None
-    share_out: Part | None = None
+    share_out: Fraction | None = None
     least_room: Annotated[float, msgspec.Meta(ge=0, le=1e9)] = 0.0
 
 
@@ -102,7 +102,7 @@
     """
 
     total: Positive
-    kept: Part = 0.5
+    kept: Fraction = 0.5
     lease_ms: Milliseconds = 5_000
 
 
@@ -112,7 +112,7 @@
     planners: list[Planner]
     sites: list[Site]
     links: list[Link] = []
-    tenants: dict[Name, Part] = {}
+    tenants: dict[Name, Fraction] = {}
     refuse: list[Name] = msgspec.field(default_factory=lambda: [kind.value for kind in SheddingTier])
     vault: Vault | None = None
     groups: list[Budget] = []
--- a/birchslip/cluster/inventory.py
+++ b/birchslip/cluster/inventory.py
@@ -45,7 +45,7 @@
         why = {"up": None, "draining": UnavailabilityReason.LEAVING}.get(
             one.state, UnavailabilityReason.SILENT
         )
-        return MemberObservation(Incarnation(life=one.life), 1.0, why)
+        return MemberObservation(Incarnation(generation=one.life), 1.0, why)
 
 
 def read_inventory(raw: bytes) -> Inventory:
--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -76,7 +76,7 @@
         ]
 
     def life(self, now: int, usual: int) -> MemberLiveness:
-        if self.report.leaving:
+        if self.report.is_draining:
             return MemberLiveness.LEFT
         if self.heard(now, usual):
             return MemberLiveness.ALIVE
@@ -110,14 +110,14 @@
         if report.incarnation in member.earlier:
             return False
         if report.incarnation != member.incarnation:
-            if 0 < report.incarnation.life < member.incarnation.life:
+            if 0 < report.incarnation.generation < member.incarnation.generation:
                 return False
             member.earlier = [*member.earlier[1 - STALE_LIVES :], member.incarnation]
             member.incarnation, member.since = report.incarnation, now
             member.suspicion = PhiAccrualDetector(now, self.every)
             member.restarts += 1
             member.knocks.clear()
-        elif report.number <= member.report.number:
+        elif report.sequence <= member.report.sequence:
             return False
         else:
             member.suspicion.heard(now)
@@ -168,7 +168,7 @@
 
     def unheard(self, site: str, now: int) -> list[Member]:
         """Those that should be there and no planner hears."""
-        there = (one for one in self.sites[site].values() if not one.report.leaving)
+        there = (one for one in self.sites[site].values() if not one.report.is_draining)
         return [one for one in there if not one.heard(now, self.every)]
 
     def doubtful(self, now: int) -> list[Member]:
@@ -178,7 +178,7 @@
     def dark(self, site: str, now: int) -> list[Member]:
         """The members of a site none of which is heard; none of a site that is heard in part or empty."""
         unheard = self.unheard(site, now)
-        there = sum(1 for one in self.sites[site].values() if not one.report.leaving)
+        there = sum(1 for one in self.sites[site].values() if not one.report.is_draining)
         return unheard if unheard and len(unheard) == there else []
 
     def verdict(self, site: str, now: int) -> SiteVerdict:
@@ -188,7 +188,7 @@
         there = self.alive(site, now)
         if not there:
             return SiteVerdict.RESTARTING if self.sites[site] else SiteVerdict.HERE
-        slow = sum(1 for one in there if one.report.pace >= PACE_SLOW)
+        slow = sum(1 for one in there if one.report.slowdown >= PACE_SLOW)
         if 2 * slow > len(there):
             return SiteVerdict.SLOW
         fresh = sum(1 for one in there if one.restarts and now - one.since < GONE)
--- a/birchslip/cluster/messages.py
+++ b/birchslip/cluster/messages.py
@@ -1,11 +1,16 @@
-"""What members, planners and operators tell each other, as checked records; each goes as one value of a
-message.
+"""Messages between members, planners and operators, and their encoding.
 
-Times are spans in tenths of a millisecond: no moment of one machine's clock is ever told to another.
+Each message is one JSON object and travels as one value of an RPC (see `transport.py`). An attribute's key
+on the wire is the attribute's own name unless the class's `rename` gives an older one; these keys, and the
+values of the enumerations, never change.
+
+All spans are in units of 0.1 ms. A message never carries a time of one machine's clock: clocks are not
+comparable between machines.
 """
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Annotated, TypeVar
 
 import msgspec
@@ -15,186 +20,391 @@
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Span = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
-Epoch = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
-Buckets = Annotated[list[Count], msgspec.Meta(max_length=64)]
-Words = Annotated[str, msgspec.Meta(max_length=400)]
+Term = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
+HistogramBuckets = Annotated[list[Count], msgspec.Meta(max_length=64)]
+MetricCounts = Annotated[dict[Name, tuple[Count, Count]], msgspec.Meta(max_length=512)]
+LatencyHistograms = Annotated[dict[Name, HistogramBuckets], msgspec.Meta(max_length=64)]
+Text = Annotated[str, msgspec.Meta(max_length=400)]
 
+DEFAULT_REPORT_INTERVAL = 2_000
 
-class Message(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Unknown fields are refused: a record of a later version is not half understood."""
 
+class ProbeOutcome(StrEnum):
+    """How a member's address reacted to a probe."""
 
-class Incarnation(Message):
-    """Which life of a process: `life` counts its starts where that is known, `mark` is random at each."""
+    ANSWERED = "answered"
+    REFUSED = "refused"
+    SILENT = "silent"
 
-    life: Count = 0
-    mark: Count = 0
 
+class EvictionOperation(StrEnum):
+    """What a requester asks of the disruption budget."""
 
-class PeerObservation(Message):
-    """The most that one planner has shown another: its last life, and what it said that its disk holds."""
+    REQUEST_PERMIT = "permit"
+    BYPASS_BUDGET = "past"
+    RETURN_PERMIT = "hand-back"
+    REVOKE_PERMIT = "strike"
+    GRANT_OVERRIDE = "override"
 
-    life: Count
-    mark: Count
-    promised: Epoch = 0
-    epoch: Epoch = 0
-    number: Count = 0
 
+class OperatorOperation(StrEnum):
+    """What an operator asks of the planners by hand."""
 
-class ProbeResult(Message):
-    """What a witness met at a door: `answered`, `refused` or `silent`."""
+    SHOW = "show"
+    WHAT_IF = "what-if"
+    EVACUATE = "evacuate"
+    RESTORE = "return"
 
-    name: Name
-    met: Annotated[str, msgspec.Meta(pattern="^(answered|refused|silent)$")]
 
+class Message(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """Base class of all messages; unknown keys are an error, so a later version is never half understood."""
 
-class MemberReport(Message):
-    """What a member shows, several times a second. Rates are transactions a second, as measured just now."""
 
-    name: Name
-    site: Name
-    incarnation: Incarnation
-    number: Count  # of this report within its life: a doubled or late one changes nothing
-    door: Words  # HOST:PORT where routers find it
-    age: Span  # since it began to serve
-    serving: bool
-    leaving: bool
-    warm: bool
-    room: Rate  # what its cores could do
-    pace: Rate  # run times against the usual, 1 as usual
-    load: dict[Name, Rate]  # first tries by tenant of callers at home here
-    visits: Rate  # first tries of callers whose home is elsewhere
-    again: Rate  # further tries
-    honoured: Rate
-    shed: Rate
-    calls: Rate  # calls below in hand
-    share: Rate  # calls that it may have in hand
-    lease: Span  # left of the leased part of that
-    epoch: Epoch  # of the plan that it holds
-    plan: Count
-    knocks: list[ProbeResult] = []
-    # since this life began: of each kind and profile, bad ones and all (`gauges.py`)
-    figures: Annotated[dict[Name, tuple[Count, Count]], msgspec.Meta(max_length=512)] = {}
-    # honoured ones of each profile since then, by how long they ran
-    took: Annotated[dict[Name, Buckets], msgspec.Meta(max_length=64)] = {}
-    memory: Count = 0  # resident, in KB
-
-
-class PlanAssignment(Message):
-    """A plan as told to one member."""
-
-    epoch: Epoch
-    plan: Count
-    span: Span  # that it holds, counted from when the report that it answers was sent
-    fade: Span
-    quotas: dict[Name, Rate]
-    visitors: list[Count]
-    visits: Rate  # of all visitors together
-    order: list[Name]
-    level: Part  # of its cores that may be used
-    listed: bool  # whether routers may find it
-    short: bool
+class Incarnation(Message, rename={"generation": "life", "nonce": "mark"}):
+    """Identifies one run of a process.
 
+    Attributes:
+        generation: Number of starts, where the process keeps it on disk; else 0.
+        nonce: Drawn at random at each start.
+    """
 
-class ReportReply(Message):
-    """A planner's answer to a report. Only the leader fills more than `leader` and `epoch`."""
-
-    epoch: Epoch
-    author: Incarnation
-    leads: bool
-    leader: str = ""  # the name of the planner that is thought to lead
-    every: Span = 2_000  # how often to report
-    tell: PlanAssignment | None = None
-    share: Rate = 0.0  # calls that may be in hand under the lease, kept part included
-    lease: Span = 0  # of the share, counted from when the report was sent
-    knock: dict[Name, Words] = {}  # doors to knock at
+    generation: Count = 0
+    nonce: Count = 0
+
+
+class PeerObservation(
+    Message,
+    rename={
+        "generation": "life",
+        "nonce": "mark",
+        "promised_term": "promised",
+        "state_term": "epoch",
+        "state_number": "number",
+    },
+):
+    """The latest that a planner knows of another one: its run, its promise and its stored state."""
+
+    generation: Count
+    nonce: Count
+    promised_term: Term = 0
+    state_term: Term = 0
+    state_number: Count = 0
 
 
-class VoteRequest(Message):
-    """A planner asks for votes, or for its lease to go on."""
+class ProbeResult(Message, rename={"member": "name", "outcome": "met"}):
+    """Result of a health check of one member by another."""
+
+    member: Name
+    outcome: ProbeOutcome
+
+
+class MemberReport(
+    Message,
+    rename={
+        "sequence": "number",
+        "address": "door",
+        "uptime": "age",
+        "is_serving": "serving",
+        "is_draining": "leaving",
+        "is_warm": "warm",
+        "capacity": "room",
+        "slowdown": "pace",
+        "local_load": "load",
+        "evacuated_load": "visits",
+        "retries": "again",
+        "served": "honoured",
+        "rejected": "shed",
+        "calls_in_flight": "calls",
+        "call_limit": "share",
+        "lease_remaining": "lease",
+        "plan_term": "epoch",
+        "plan_number": "plan",
+        "probes": "knocks",
+        "metrics": "figures",
+        "latency_histograms": "took",
+        "resident_memory_kb": "memory",
+    },
+):
+    """A member's heartbeat with its current load; all rates are in requests per second.
+
+    Attributes:
+        name: The member's name in the fleet file.
+        site: The member's site.
+        incarnation: The run of the process that reports.
+        sequence: Number of this report in its run; a repeated or late report is ignored.
+        address: HOST:PORT where routers find the member.
+        uptime: Span since it began to serve.
+        is_serving: Whether it accepts requests.
+        is_draining: Whether it has been told to stop.
+        is_warm: Whether its warm-up is over.
+        capacity: Requests per second that its cores could do.
+        slowdown: Run times relative to the usual ones; 1 is as usual.
+        local_load: First tries of local callers, by tenant.
+        evacuated_load: First tries of callers of other sites.
+        retries: Further tries of any caller.
+        served: Requests answered with a result.
+        rejected: Requests rejected with Retry-After.
+        calls_in_flight: Downstream calls that are running.
+        call_limit: Downstream calls that may run at once.
+        lease_remaining: Time left of the leased part of `call_limit`.
+        plan_term: Term of the plan that it holds.
+        plan_number: Number of the plan that it holds.
+        probes: Results of the last probes of other members.
+        metrics: Bad and all requests since the start of this run, by metric and request class.
+        latency_histograms: Run times of served requests since the start of this run, by request class.
+        resident_memory_kb: Resident memory.
+    """
 
-    epoch: Epoch
     name: Name
+    site: Name
     incarnation: Incarnation
-    seen: dict[Name, PeerObservation] = {}  # what was seen of each planner, which unmasks an old disk
-    doubt: list[Name] = []  # members that the leader does not hear
+    sequence: Count
+    address: Text
+    uptime: Span
+    is_serving: bool
+    is_draining: bool
+    is_warm: bool
+    capacity: Rate
+    slowdown: Rate
+    local_load: dict[Name, Rate]
+    evacuated_load: Rate
+    retries: Rate
+    served: Rate
+    rejected: Rate
+    calls_in_flight: Rate
+    call_limit: Rate
+    lease_remaining: Span
+    plan_term: Term
+    plan_number: Count
+    probes: list[ProbeResult] = []
+    metrics: MetricCounts = {}
+    latency_histograms: LatencyHistograms = {}
+    resident_memory_kb: Count = 0
+
+
+class PlanAssignment(
+    Message,
+    rename={
+        "term": "epoch",
+        "number": "plan",
+        "validity_span": "span",
+        "fade_span": "fade",
+        "evacuated_callers": "visitors",
+        "evacuated_quota": "visits",
+        "shedding_order": "order",
+        "serving_fraction": "level",
+        "is_listed": "listed",
+        "is_capacity_short": "short",
+    },
+):
+    """One member's part of a plan.
+
+    Attributes:
+        term: Term of the leader that made the plan.
+        number: The plan's number within its term.
+        validity_span: How long it holds, from when the report it answers was sent.
+        fade_span: Over how long it loses its effect once it is no longer valid.
+        quotas: Requests per second by tenant.
+        evacuated_callers: Routers whose own site is evacuated.
+        evacuated_quota: Requests per second of all evacuated callers together.
+        shedding_order: Shedding tiers, first to be shed first.
+        serving_fraction: Fraction of the member's cores that may be used.
+        is_listed: Whether routers may find the member.
+        is_capacity_short: Whether the fleet has too little capacity for its load.
+    """
+
+    term: Term
+    number: Count
+    validity_span: Span
+    fade_span: Span
+    quotas: dict[Name, Rate]
+    evacuated_callers: list[Count]
+    evacuated_quota: Rate
+    shedding_order: list[Name]
+    serving_fraction: Fraction
+    is_listed: bool
+    is_capacity_short: bool
+
+
+class ReportReply(
+    Message,
+    rename={
+        "term": "epoch",
+        "planner": "author",
+        "is_leading": "leads",
+        "report_interval": "every",
+        "assignment": "tell",
+        "call_limit": "share",
+        "lease_span": "lease",
+        "probe_addresses": "knock",
+    },
+):
+    """A planner's reply to a `MemberReport`; only the leader's is binding.
+
+    Attributes:
+        term: The leader's term, or the highest that the planner has promised.
+        planner: The run of the planner that replies.
+        is_leading: Whether it leads; all that follows but `report_interval` is empty if not.
+        leader: Name of the planner that is believed to lead.
+        report_interval: Span between two reports.
+        assignment: The member's part of the plan in force.
+        call_limit: Downstream calls that may run at once during the lease, unleased part included.
+        lease_span: Length of that lease, from when the report was sent.
+        probe_addresses: Members to probe, with their addresses.
+    """
+
+    term: Term
+    planner: Incarnation
+    is_leading: bool
+    leader: str = ""
+    report_interval: Span = DEFAULT_REPORT_INTERVAL
+    assignment: PlanAssignment | None = None
+    call_limit: Rate = 0.0
+    lease_span: Span = 0
+    probe_addresses: dict[Name, Text] = {}
+
+
+class VoteRequest(
+    Message,
+    rename={"term": "epoch", "candidate": "name", "observations": "seen", "suspects": "doubt"},
+):
+    """A planner asks for votes, or to extend its lease; with term 0 only for what the others know.
+
+    Attributes:
+        term: Term of the candidacy or leadership.
+        candidate: Name of the planner that asks.
+        incarnation: Its run.
+        observations: What it knows of the other planners, which may show one that its disk is outdated.
+        suspects: Members that it does not hear.
+    """
 
+    term: Term
+    candidate: Name
+    incarnation: Incarnation
+    observations: dict[Name, PeerObservation] = {}
+    suspects: list[Name] = []
+
+
+class VoteResponse(
+    Message,
+    rename={
+        "promised_term": "epoch",
+        "voter": "name",
+        "is_blank": "new",
+        "lease_remaining": "held",
+        "state_term": "state_epoch",
+        "heard_suspects": "heard",
+        "observations": "seen",
+    },
+):
+    """Reply to a `VoteRequest`.
+
+    Attributes:
+        granted: Whether the vote is given.
+        promised_term: The highest term that the voter has promised.
+        voter: Name of the planner that replies.
+        incarnation: Its run.
+        is_blank: Whether it has lost, or never had, the state it should have stored.
+        lease_remaining: Time left of the lease that it has granted.
+        state_term: Term of the state that it has stored.
+        state_number: Number of that state.
+        state: The state itself.
+        heard_suspects: Those of the request's suspects that it hears.
+        observations: What it knows of the other planners.
+    """
 
-class VoteResponse(Message):
     granted: bool
-    epoch: Epoch  # the highest promised
-    name: Name
+    promised_term: Term
+    voter: Name
     incarnation: Incarnation
-    new: bool  # whether it has lost, or never had, what it should remember
-    held: Span = 0  # left of the lease that it has granted to another
-    state_epoch: Epoch = 0
+    is_blank: bool
+    lease_remaining: Span = 0
+    state_term: Term = 0
     state_number: Count = 0
     state: bytes = b""
-    heard: list[Name] = []  # of the members in doubt, those heard here
-    seen: dict[Name, PeerObservation] = {}
+    heard_suspects: list[Name] = []
+    observations: dict[Name, PeerObservation] = {}
 
 
-class ReplicationRequest(Message):
-    """What the leader has others keep before it tells it to anybody."""
+class ReplicationRequest(Message, rename={"term": "epoch", "state_number": "number", "leader": "name"}):
+    """State that the leader has the other planners store before it acts on it."""
 
-    epoch: Epoch
-    number: Count
-    name: Name
+    term: Term
+    state_number: Count
+    leader: Name
     incarnation: Incarnation
     state: bytes
 
 
-class ReplicationResponse(Message):
-    kept: bool
-    epoch: Epoch
-    name: Name
+class ReplicationResponse(Message, rename={"is_stored": "kept", "promised_term": "epoch", "replica": "name"}):
+    """Reply to a `ReplicationRequest`: whether the named planner has stored it."""
+
+    is_stored: bool
+    promised_term: Term
+    replica: Name
 
 
-class EvictionRequest(Message):
-    """Somebody wants a member to be out, or to hand its permit back. Without an incarnation, the one seen
-    is meant.
+class EvictionRequest(Message, rename={"operation": "what", "operator": "who", "reason": "why"}):
+    """A request to the disruption budget.
+
+    Attributes:
+        operation: What is asked for.
+        holder: The member concerned.
+        incarnation: Its run; the one that the planner sees by default.
+        operator: Who asks.
+        reason: Why.
+        count: Number of permits of an override.
+        span: How long an override holds.
     """
 
-    what: Annotated[str, msgspec.Meta(pattern="^(permit|past|hand-back|strike|override)$")]
+    operation: EvictionOperation
     holder: str = ""
     incarnation: Incarnation | None = None
-    who: Words = ""
-    why: Words = ""
+    operator: Text = ""
+    reason: Text = ""
     count: Count = 1
     span: Span = 0
 
 
-class EvictionResponse(Message):
-    """What came of it: a permit and its number, or the place among those who wait, and why."""
+class EvictionResponse(
+    Message, rename={"permit_number": "number", "queue_position": "place", "reason": "why"}
+):
+    """Reply to an `EvictionRequest`: the permit's number, or the place in the queue and the reason."""
 
     granted: bool
-    number: Count = 0
-    place: Count = 0
-    why: str = ""
+    permit_number: Count = 0
+    queue_position: Count = 0
+    reason: str = ""
 
 
-class OperatorCommand(Message):
-    """What an operator asks of the fleet by hand."""
+class OperatorCommand(Message, rename={"operation": "what", "operator": "who", "reason": "why"}):
+    """An operator's command on the whole fleet or on one site."""
 
-    what: Annotated[str, msgspec.Meta(pattern="^(show|what-if|evacuate|return)$")]
+    operation: OperatorOperation
     site: str = ""
-    who: Words = ""
-    why: Words = ""
+    operator: Text = ""
+    reason: Text = ""
+
 
+def encode(message: Message) -> bytes:
+    """Encodes a message as JSON."""
+    return msgspec.json.encode(message)
 
-def encode(record: Message) -> bytes:
-    return msgspec.json.encode(record)
 
+MessageT = TypeVar("MessageT", bound=Message)
 
-Kind = TypeVar("Kind", bound=Message)
 
+def decode(raw: object, message_type: type[MessageT]) -> MessageT:
+    """Decodes and validates a message.
 
-def decode(raw: object, kind: type[Kind]) -> Kind:
+    Raises:
+        InvalidInputError: If `raw` is not bytes, not JSON or not a valid message of that type.
+    """
     if not isinstance(raw, bytes):
-        raise InvalidInputError(f"{kind.__name__}: not a value of bytes")
+        raise InvalidInputError(f"{message_type.__name__}: not a value of bytes")
     try:
-        return msgspec.json.decode(raw, type=kind)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise InvalidInputError(f"{kind.__name__}: {trouble}") from None
+        return msgspec.json.decode(raw, type=message_type)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise InvalidInputError(f"{message_type.__name__}: {error}") from None
--- a/birchslip/cluster/plan_subscription.py
+++ b/birchslip/cluster/plan_subscription.py
@@ -17,16 +17,16 @@
     """The plan in the decisions' own terms; what it says of tenants that are not told here is left out."""
     words = {kind.value: kind for kind in SheddingTier}
     return PlanOverride(
-        term=tell.epoch,
-        number=tell.plan,
+        term=tell.term,
+        number=tell.number,
         expires_at=until,
-        fade_span=max(1, tell.fade),
+        fade_span=max(1, tell.fade_span),
         quotas={tenants[name]: rate for name, rate in tell.quotas.items() if name in tenants},
-        evacuated_callers=frozenset(tell.visitors),
-        evacuated_quota=tell.visits,
-        shedding_order=tuple(words[word] for word in tell.order if word in words),
-        serving_fraction=tell.level,
-        is_capacity_short=tell.short,
+        evacuated_callers=frozenset(tell.evacuated_callers),
+        evacuated_quota=tell.evacuated_quota,
+        shedding_order=tuple(words[word] for word in tell.shedding_order if word in words),
+        serving_fraction=tell.serving_fraction,
+        is_capacity_short=tell.is_capacity_short,
     )
 
 
@@ -50,25 +50,25 @@
 
     def take(self, reply: ReportReply, sent: int, now: int) -> bool:
         """Whether the word is one to obey."""
-        if not reply.leads:
+        if not reply.is_leading:
             return False
-        if reply.epoch < self.epoch or (reply.epoch == self.epoch and reply.author != self.author):
+        if reply.term < self.epoch or (reply.term == self.epoch and reply.planner != self.author):
             self.refused += 1
             return False
-        if reply.epoch > self.epoch:
-            self.epoch, self.author, self.number = reply.epoch, reply.author, 0
-        self.every = reply.every
-        self.knock = reply.knock
-        tell = reply.tell
+        if reply.term > self.epoch:
+            self.epoch, self.author, self.number = reply.term, reply.planner, 0
+        self.every = reply.report_interval
+        self.knock = reply.probe_addresses
+        tell = reply.assignment
         if tell is None:
             self.told_listed = True
-        elif tell.epoch == self.epoch and tell.plan >= self.number and sent + tell.span > now:
+        elif tell.term == self.epoch and tell.number >= self.number and sent + tell.validity_span > now:
             # A word that came late may be over already, or older than the plan that is held.
-            if tell.plan > self.number or sent + tell.span > self.plan_until:
-                self.plan_until = sent + tell.span
-            self.plan, self.number, self.told_listed = tell, tell.plan, tell.listed
-        if reply.lease and sent + reply.lease > max(now, self.lease_until):
-            self.share, self.lease_until = max(self.kept, reply.share), sent + reply.lease
+            if tell.number > self.number or sent + tell.validity_span > self.plan_until:
+                self.plan_until = sent + tell.validity_span
+            self.plan, self.number, self.told_listed = tell, tell.number, tell.is_listed
+        if reply.lease_span and sent + reply.lease_span > max(now, self.lease_until):
+            self.share, self.lease_until = max(self.kept, reply.call_limit), sent + reply.lease_span
         return True
 
     def calls(self, now: int) -> float:
@@ -87,5 +87,5 @@
         if self.told_listed is None:
             return now >= self.listed_from
         if self.plan is not None and not self.told_listed:
-            return now >= self.plan_until + self.plan.fade
+            return now >= self.plan_until + self.plan.fade_span
         return self.told_listed
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -258,24 +258,24 @@
         self.counters.count("vote.asked")
         own = self.ballot.asked(ask, now)
         self.flush()
-        self.ballot.answered(own, ask.epoch, now, now)
-        ask.doubt = [one.name for one in self.mind.doubt][:64]
+        self.ballot.answered(own, ask.term, now, now)
+        ask.suspects = [one.name for one in self.mind.doubt][:64]
         for peer in self.peers:
             peer.put("ask", ask)
 
     def have_kept(self, now: int) -> None:
         """What is decided is kept by a majority before anybody is told."""
         told = self.mind.keep()
-        if told is None or (told.number == self.keeping and now < self.next_keep):
+        if told is None or (told.state_number == self.keeping and now < self.next_keep):
             return
-        self.keeping, self.next_keep = told.number, now + KEEP_AGAIN
+        self.keeping, self.next_keep = told.state_number, now + KEEP_AGAIN
         self.counters.count("keep.told")
         own = self.ballot.keep(told, now)
         # A leader whose disk is full is none of its own keepers; the others may still be a majority.
         with suppress(StoreWriteError):
             self.flush()
-            if self.ballot.kept(own, told.number):
-                self.mind.kept(told.number)
+            if self.ballot.kept(own, told.state_number):
+                self.mind.kept(told.state_number)
                 self.hurry()
         for peer in self.peers:
             peer.put("keep", told)
@@ -285,15 +285,15 @@
         now = self.scheduler.tell_time()
         if isinstance(asked, VoteRequest):
             answer = decode(raw, VoteResponse)
-            self.ballot.answered(answer, asked.epoch, sent, now)
+            self.ballot.answered(answer, asked.term, sent, now)
             if answer.granted:
-                self.mind.membership.heard_elsewhere(answer.heard, now)
+                self.mind.membership.heard_elsewhere(answer.heard_suspects, now)
             self.flush()
         elif isinstance(asked, ReplicationRequest):
             kept = decode(raw, ReplicationResponse)
-            self.counters.count("keep.kept" if kept.kept else "keep.refused")
-            if asked.epoch == self.mind.reign and self.ballot.kept(kept, asked.number):
-                self.mind.kept(asked.number)
+            self.counters.count("keep.kept" if kept.is_stored else "keep.refused")
+            if asked.term == self.mind.reign and self.ballot.kept(kept, asked.state_number):
+                self.mind.kept(asked.state_number)
                 self.pay()
                 self.hurry()
 
@@ -338,7 +338,7 @@
         self.flush()
         if answer.granted:
             self.counters.count("vote.granted")
-        answer.heard = self.mind.heard_here(ask.doubt, now)
+        answer.heard_suspects = self.mind.heard_here(ask.suspects, now)
         return encode(answer)
 
     def take_keep(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
@@ -348,23 +348,23 @@
 
     def take_wish(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
         wish = decode(value, OperatorCommand)
-        if wish.what == "show":
+        if wish.operation == "show":
             return msgspec.json.encode(self.mind.show(now))
         if wish.site not in self.mind.comebacks:
             raise InvalidInputError(
                 f"no site is named {wish.site!r}; there are {', '.join(self.mind.comebacks)}"
             )
-        if wish.what == "what-if":
+        if wish.operation == "what-if":
             return msgspec.json.encode(self.mind.foresee(wish.site))
         if not self.mind.rules(now):
             self.counters.count("wishes.refused")
             raise InvalidInputError(f"not the leader: ask {self.mind.silence(now).leader or 'again soon'}")
-        if wish.what == "evacuate":
-            done = self.mind.evacuate(wish.site, wish.who, wish.why, now)
+        if wish.operation == "evacuate":
+            done = self.mind.evacuate(wish.site, wish.operator, wish.reason, now)
         else:
-            done = self.mind.give_back(wish.site, wish.who, now)
+            done = self.mind.give_back(wish.site, wish.operator, now)
         self.counters.count("wishes.taken")
-        return msgspec.json.encode({"done": done, "site": wish.site, "what": wish.what})
+        return msgspec.json.encode({"done": done, "site": wish.site, "what": wish.operation})
 
     def take_want(self, guest: IncomingConnection, value: bytes, now: int) -> bytes | DeferredReply:
         """Told once a majority keeps it; one that loses its lead meanwhile says so, and the next one
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -26,6 +26,7 @@
 from .messages import (
     Incarnation,
     MemberReport,
+    ProbeOutcome,
     ProbeResult,
     ReportReply,
     decode,
@@ -76,7 +77,7 @@
         self.tenants: dict[str, Tenant] = dict(zip(tenants, deployment.tenants, strict=True))
         self.names = {id(tenant): told for told, tenant in self.tenants.items()}
         self.deployment = deployment
-        self.incarnation = Incarnation(mark=int.from_bytes(os.urandom(6)))
+        self.incarnation = Incarnation(nonce=int.from_bytes(os.urandom(6)))
         base = fleet.bases().get(name, 0.0)
         vault = fleet.vault
         self.obey = PlanSubscription(
@@ -93,7 +94,7 @@
         self.listed = False
         self.listing_changed: Callable[[], None] = lambda: None
         self.driver: AdmissionDriver | None = None  # the decisions, once they have begun
-        self.chance = random.Random(self.incarnation.mark)
+        self.chance = random.Random(self.incarnation.nonce)
 
     def start(self) -> None:
         planners = list(self.fleet.planners)
@@ -101,7 +102,7 @@
         for planner in planners:
             line = PeerConnection(self.scheduler, address(planner.address, "address"))
             self.scheduler.spawn(f"planner {planner.name}", partial(self.keep, planner.name, line))
-        self.log.info("in a fleet", site=self.site, planners=len(planners), mark=self.incarnation.mark)
+        self.log.info("in a fleet", site=self.site, planners=len(planners), mark=self.incarnation.nonce)
         self.scheduler.at(self.scheduler.now + SAMPLE, self.sample)
 
     # ---- what the program tells ------------------------------------------------------------------------
@@ -190,7 +191,7 @@
             self.carry_out(reply, now)
         elif self.obey.refused > refused:
             self.counters.count("fleet.outdated")
-            self.log.fault("a word of a leader of older days", epoch=reply.epoch, obeyed=self.obey.epoch)
+            self.log.fault("a word of a leader of older days", epoch=reply.term, obeyed=self.obey.epoch)
 
     def told(self, now: int) -> MemberReport:
         self.number += 1
@@ -206,36 +207,40 @@
             name=self.name,
             site=self.site,
             incarnation=self.incarnation,
-            number=self.number,
-            door=self.standing.door,
-            age=age,
-            serving=self.standing.serving,
-            leaving=self.standing.leaving,
-            warm=controller is not None and (not controller.site.starts_cold or age >= site.warm_up_span),
-            room=room_of(site.cores, controller.all_runs.usual, honoured) if controller is not None else 0.0,
-            pace=max(0.0, controller.stretch) if controller is not None else 1.0,
-            load=load,
-            visits=visits,
-            again=again,
-            honoured=honoured,
-            shed=shed,
-            calls=float(controller.in_hand) if controller is not None else 0.0,
-            share=max(0.0, self.obey.calls(now)),
-            lease=self.obey.lease_left(now),
-            epoch=self.obey.epoch,
-            plan=self.obey.number,
-            knocks=[ProbeResult(name=name, met=what) for name, (_, what) in self.met.items()][:KNOCKS_MOST],
-            figures=self.figures.told(self.counters.counts),
-            took={name: list(counts) for name, counts in self.figures.took.items()},
-            memory=self.memory,
+            sequence=self.number,
+            address=self.standing.door,
+            uptime=age,
+            is_serving=self.standing.serving,
+            is_draining=self.standing.leaving,
+            is_warm=controller is not None and (not controller.site.starts_cold or age >= site.warm_up_span),
+            capacity=room_of(site.cores, controller.all_runs.usual, honoured)
+            if controller is not None
+            else 0.0,
+            slowdown=max(0.0, controller.stretch) if controller is not None else 1.0,
+            local_load=load,
+            evacuated_load=visits,
+            retries=again,
+            served=honoured,
+            rejected=shed,
+            calls_in_flight=float(controller.in_hand) if controller is not None else 0.0,
+            call_limit=max(0.0, self.obey.calls(now)),
+            lease_remaining=self.obey.lease_left(now),
+            plan_term=self.obey.epoch,
+            plan_number=self.obey.number,
+            probes=[
+                ProbeResult(member=name, outcome=ProbeOutcome(what)) for name, (_, what) in self.met.items()
+            ][:KNOCKS_MOST],
+            metrics=self.figures.told(self.counters.counts),
+            latency_histograms={name: list(counts) for name, counts in self.figures.took.items()},
+            resident_memory_kb=self.memory,
         )
 
     def carry_out(self, reply: ReportReply, now: int) -> None:
-        for name, door in list(reply.knock.items())[:KNOCKS_MOST]:
+        for name, door in list(reply.probe_addresses.items())[:KNOCKS_MOST]:
             self.knock(name, door)
         if self.listed != self.obey.listed(now):
             self.listing_changed()
-        tell = reply.tell
+        tell = reply.assignment
         if tell is None or self.driver is None or tell is not self.obey.plan:
             return
         until = self.scheduler.now + self.obey.left(now)
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -24,6 +24,7 @@
 from .membership import Member, MemberLiveness, Membership, SiteVerdict
 from .messages import (
     Count,
+    EvictionOperation,
     EvictionRequest,
     EvictionResponse,
     Incarnation,
@@ -35,7 +36,7 @@
     ReplicationRequest,
     ReportReply,
     Span,
-    Words,
+    Text,
 )
 from .quota_leases import QuotaLeases
 from .recovery_ramp import RecoveryRamp, RecoveryStage
@@ -64,7 +65,7 @@
     step: Count
     flaps: Count
     by_hand: bool
-    why: Words
+    why: Text
     load: dict[Name, Rate]
     hold: Span
 
@@ -219,40 +220,40 @@
             self.remark("a report of one that is not in the fleet", member=report.name, site=report.site)
             return self.silence(now)
         self.membership.hear(report, now)
-        for knock in report.knocks:
-            self.membership.knocked(report.name, knock.name, knock.met, now)
-        if report.epoch > self.ballot.highest:
-            self.ballot.outrun(report.epoch)
+        for knock in report.probes:
+            self.membership.knocked(report.name, knock.member, knock.outcome, now)
+        if report.plan_term > self.ballot.highest:
+            self.ballot.outrun(report.plan_term)
         member = self.membership.members.get(report.name)
         if not self.rules(now) or member is None or member.incarnation != report.incarnation:
             return self.silence(now)
         lease = share = 0.0
         if self.shares is not None:
             kept = self.shares.kept * self.bases[report.name]
-            held = max(0.0, report.share - kept) if report.lease else 0.0
+            held = max(0.0, report.call_limit - kept) if report.lease_remaining else 0.0
             share = kept + self.shares.grant(report.name, self.wanted(member, now), held, now)
             lease = self.shares.span
         return ReportReply(
-            epoch=self.reign,
-            author=self.ballot.incarnation,
-            leads=True,
+            term=self.reign,
+            planner=self.ballot.incarnation,
+            is_leading=True,
             leader=self.ballot.name,
-            every=self.every(),
-            tell=self.tell(report.name),
-            share=share,
-            lease=int(lease),
-            knock=self.doors(report, now),
+            report_interval=self.every(),
+            assignment=self.tell(report.name),
+            call_limit=share,
+            lease_span=int(lease),
+            probe_addresses=self.doors(report, now),
         )
 
     def silence(self, now: int) -> ReportReply:
         """Nothing to obey: only where to ask."""
         leader = self.ballot.granted_to[0] if now < self.ballot.granted_until else ""
         return ReportReply(
-            epoch=self.ballot.durable.promised,
-            author=self.ballot.incarnation,
-            leads=False,
+            term=self.ballot.durable.promised,
+            planner=self.ballot.incarnation,
+            is_leading=False,
             leader=leader,
-            every=self.every(),
+            report_interval=self.every(),
         )
 
     def every(self) -> int:
@@ -274,7 +275,7 @@
             return {}
         first = able.index(report.name)
         some = [doubtful[(first + step) % len(doubtful)] for step in range(min(DOORS, len(doubtful)))]
-        return {one.name: one.report.door for one in some}
+        return {one.name: one.report.address for one in some}
 
     def heard_here(self, names: list[str], now: int) -> list[str]:
         """Those of the leader's doubtful members whose own reports come here."""
@@ -377,10 +378,10 @@
             return
         for site, usual in self.usual.items():
             there = self.membership.alive(site, now)
-            for tenant in {name for one in there for name in one.report.load} | set(usual):
-                rate = sum(one.report.load.get(tenant, 0.0) for one in there)
+            for tenant in {name for one in there for name in one.report.local_load} | set(usual):
+                rate = sum(one.report.local_load.get(tenant, 0.0) for one in there)
                 usual[tenant] = usual.get(tenant, rate) * (1 - SMOOTH) + rate * SMOOTH
-            again = sum(one.report.again for one in there)
+            again = sum(one.report.retries for one in there)
             self.again[site] += (again - self.again[site]) * SMOOTH
 
     def places(self) -> list[SiteCapacity]:
@@ -388,15 +389,15 @@
         made = []
         for site, comeback in self.comebacks.items():
             members = self.membership.sites[site].values()
-            rooms = {one.name: self.room(one) for one in members if not one.report.leaving}
+            rooms = {one.name: self.room(one) for one in members if not one.report.is_draining}
             lost = comeback.stage in (RecoveryStage.LOST, RecoveryStage.WAITING)
             made.append(SiteCapacity(site, rooms, self.usual[site], self.again[site], lost, comeback.level))
         return made
 
     def room(self, member: Member) -> float:
         """As measured; of one that has just started, what was measured before it did."""
-        if member.report.room > 0:
-            self.rooms[member.name] = member.report.room
+        if member.report.capacity > 0:
+            self.rooms[member.name] = member.report.capacity
         return self.rooms.get(member.name, 0.0)
 
     def renew(self, now: int) -> None:
@@ -410,9 +411,9 @@
         if not self.reign or self.kept_number >= self.number:
             return None
         return ReplicationRequest(
-            epoch=self.reign,
-            number=self.number,
-            name=self.ballot.name,
+            term=self.reign,
+            state_number=self.number,
+            leader=self.ballot.name,
             incarnation=self.ballot.incarnation,
             state=self.state(),
         )
@@ -435,17 +436,17 @@
         away = [site for site, part in levels.items() if part < 1]
         visitors = [router for site in self.fleet.sites if site.name in away for router in site.routers]
         return PlanAssignment(
-            epoch=self.reign,
-            plan=self.kept_number,
-            span=span(self.fleet.plan_ms),
-            fade=span(self.fleet.fade_ms),
+            term=self.reign,
+            number=self.kept_number,
+            validity_span=span(self.fleet.plan_ms),
+            fade_span=span(self.fleet.fade_ms),
             quotas=self.told.quotas_of(name) if away else {},
-            visitors=visitors if level == 1 else [],
-            visits=self.told.visits_of(name),
-            order=list(self.fleet.refuse) if away else [],
-            level=level,
-            listed=level > 0,
-            short=self.told.short and bool(away),
+            evacuated_callers=visitors if level == 1 else [],
+            evacuated_quota=self.told.visits_of(name),
+            shedding_order=list(self.fleet.refuse) if away else [],
+            serving_fraction=level,
+            is_listed=level > 0,
+            is_capacity_short=self.told.short and bool(away),
         )
 
     def members_of(self, site: str) -> list[str]:
@@ -486,7 +487,7 @@
                 why = UnavailabilityReason.SILENT
             elif self.comebacks[site].stage is not RecoveryStage.HOME:
                 why = UnavailabilityReason.LOST
-            elif not report.serving or not report.warm:
+            elif not report.is_serving or not report.is_warm:
                 why = UnavailabilityReason.COLD
             found[name] = MemberObservation(member.incarnation, self.room(member), why)
         if not self.reign:
@@ -497,21 +498,25 @@
         """What comes of it, and the number that a majority has to keep before it may be told."""
         seen = self.seen(now)
         before = self.permits.keep()
-        if want.what == "override":
-            why = self.permits.override(want.who, want.why, want.count, want.span)
-            granted = EvictionResponse(granted=not why, why=why)
+        if want.operation is EvictionOperation.GRANT_OVERRIDE:
+            why = self.permits.override(want.operator, want.reason, want.count, want.span)
+            granted = EvictionResponse(granted=not why, reason=why)
         elif want.holder not in seen:
             return self.kept_number, EvictionResponse(
-                granted=False, why=f"no member is named {want.holder!r}"
+                granted=False, reason=f"no member is named {want.holder!r}"
             )
-        elif want.what == "strike":
-            self.permits.strike(want.holder, want.who)
+        elif want.operation is EvictionOperation.REVOKE_PERMIT:
+            self.permits.strike(want.holder, want.operator)
             granted = EvictionResponse(granted=True)
         else:
             granted = self.want_out(want, want.incarnation or seen[want.holder].incarnation, seen)
         if self.permits.keep() != before:
             self.remark(
-                "permits", what=want.what, holder=want.holder, granted=granted.granted, why=granted.why
+                "permits",
+                what=want.operation,
+                holder=want.holder,
+                granted=granted.granted,
+                why=granted.reason,
             )
             self.renew(now)
         return self.number, granted
@@ -519,14 +524,17 @@
     def want_out(
         self, want: EvictionRequest, incarnation: Incarnation, seen: dict[str, MemberObservation]
     ) -> EvictionResponse:
-        if want.what == "hand-back":
+        if want.operation is EvictionOperation.RETURN_PERMIT:
             return EvictionResponse(granted=self.permits.hand_back(want.holder, incarnation, seen))
-        asker = EvictionWaiter(holder=want.holder, incarnation=incarnation, why=want.why)
-        ask = self.permits.ask_past if want.what == "past" else self.permits.ask
+        asker = EvictionWaiter(holder=want.holder, incarnation=incarnation, why=want.reason)
+        ask = self.permits.ask_past if want.operation is EvictionOperation.BYPASS_BUDGET else self.permits.ask
         answer = ask(asker, seen)
         number = answer.permit.number if answer.permit is not None else 0
         return EvictionResponse(
-            granted=answer.permit is not None, number=number, place=answer.place, why=answer.why
+            granted=answer.permit is not None,
+            permit_number=number,
+            queue_position=answer.place,
+            reason=answer.why,
         )
 
     def shown_permits(self, book: BudgetState, now: int) -> dict[str, object]:
@@ -578,7 +586,7 @@
         }
         if self.shares is not None:
             gone = set(self.members_of(lose))
-            calls = sum(one.report.calls for one in self.membership.members.values())
+            calls = sum(one.report.calls_in_flight for one in self.membership.members.values())
             stays = sum(base for name, base in self.bases.items() if name not in gone)
             stays += sum(self.shares.own(name) for name in gone)
             out["vault"] = {"calls": calls, "may_be": stays, "short_by": max(0.0, calls - stays)}
@@ -591,17 +599,17 @@
                 "name": one.name,
                 "site": one.site,
                 "life": one.life(now, self.every()).value,
-                "incarnation": one.incarnation.mark,
+                "incarnation": one.incarnation.nonce,
                 "restarts": one.restarts,
                 "phi": round(one.suspicion.phi(now), 2),
-                "room": round(one.report.room, 1),
-                "load": round(sum(one.report.load.values()), 1),
-                "visits": round(one.report.visits, 1),
-                "shed": round(one.report.shed, 1),
-                "pace": round(one.report.pace, 2),
-                "calls": one.report.calls,
-                "share": round(one.report.share, 2),
-                "plan": f"{one.report.epoch}.{one.report.plan}",
+                "room": round(one.report.capacity, 1),
+                "load": round(sum(one.report.local_load.values()), 1),
+                "visits": round(one.report.evacuated_load, 1),
+                "shed": round(one.report.rejected, 1),
+                "pace": round(one.report.slowdown, 2),
+                "calls": one.report.calls_in_flight,
+                "share": round(one.report.call_limit, 2),
+                "plan": f"{one.report.plan_term}.{one.report.plan_number}",
             }
             for one in sorted(self.membership.members.values(), key=lambda one: (one.site, one.name))
         ]
--- a/birchslip/cluster/recovery_ramp.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -96,9 +96,9 @@
         return self.judge_step(shown, usual, now)
 
     def judge_step(self, shown: list[MemberReport], usual: float, now: int) -> str:
-        pace = max((one.pace for one in shown), default=0.0)
-        asked = sum(one.honoured + one.shed for one in shown)
-        refused = sum(one.shed for one in shown) / asked if asked else 0.0
+        pace = max((one.slowdown for one in shown), default=0.0)
+        asked = sum(one.served + one.rejected for one in shown)
+        refused = sum(one.rejected for one in shown) / asked if asked else 0.0
         if not shown or pace >= PACE_BAD:
             self.good, self.bad = 0, self.bad + 1
         elif pace <= PACE_GOOD and (refused < SHED_BAD or self.bounded(shown)):
@@ -118,15 +118,15 @@
             self.step += 1
             self.enter(RecoveryStage.STEP, now, f"carried the step: pace {pace:.1f}, shed {refused:.2f}")
             return self.why
-        if all(one.warm for one in shown):
+        if all(one.is_warm for one in shown):
             self.enter(RecoveryStage.HOME, now, "carries all of its load")
             return self.why
         return ""
 
     def bounded(self, shown: list[MemberReport]) -> bool:
         """Whether its sheds come of the level alone: it runs as much as the step lets it, at a usual pace."""
-        room = sum(one.room for one in shown)
-        return sum(one.honoured for one in shown) >= 0.5 * self.level * room
+        room = sum(one.capacity for one in shown)
+        return sum(one.served for one in shown) >= 0.5 * self.level * room
 
     def let_back(self, now: int) -> bool:
         """By hand."""
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -36,7 +36,7 @@
     Shown,
 )
 from .disruption_budget import DisruptionBudget, EvictionWaiter, MemberObservation, Permit
-from .messages import Count, Message, Name, Part, Span, Words
+from .messages import Count, Fraction, Message, Name, Span, Text
 
 STARTS_MOST = 2  # in one version before another is tried
 KEPT_EVERY = 10_000  # what a watch has come to is kept every second
@@ -74,7 +74,7 @@
     batch: Annotated[int, msgspec.Meta(ge=1, le=1_000)] = 2
     watch_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 10_000
     watch_most_ms: Annotated[int, msgspec.Meta(ge=1, le=86_400_000)] = 120_000
-    margins: dict[Name, Part] = msgspec.field(
+    margins: dict[Name, Fraction] = msgspec.field(
         default_factory=lambda: {"late": 0.05, "slow": 0.15, "shed": 0.05, "written_off": 0.02}
     )
     crashes: Annotated[int, msgspec.Meta(ge=0, le=100)] = 0
@@ -106,10 +106,10 @@
     age: Span = 0  # since its start, as of the last line of its history
     at: Count = 0  # the batch that is on its way
     phase: Name = RolloutPhase.RUNNING.value
-    why: Words = ""
+    why: Text = ""
     bad: bool = False  # whether the new version was found bad
     left_out: list[Name] = msgspec.field(default_factory=list)
-    history: list[Words] = msgspec.field(default_factory=list)
+    history: list[Text] = msgspec.field(default_factory=list)
     evidence: Evidence | None = None  # of the watch of this batch, as of a second ago at most
 
 
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -14,7 +14,7 @@
 from .canary_analysis import Shown
 from .disruption_budget import DisruptionBudget, MemberObservation, UnavailabilityReason
 from .inventory import Inventory
-from .messages import Count, Incarnation, MemberReport, Message, Words
+from .messages import Count, Incarnation, MemberReport, Message, Text
 from .rollout import (
     PlatformOrder,
     PlatformView,
@@ -45,8 +45,8 @@
 
     what: Annotated[str, msgspec.Meta(pattern="^(start|status|halt|resume|back|history)$")]
     number: Count = 0
-    who: Words = ""
-    why: Words = ""
+    who: Text = ""
+    why: Text = ""
     plan: RolloutSpec | None = None
 
 
@@ -152,15 +152,15 @@
             if before.incarnation != report.incarnation:
                 before = report  # of a life that is new here nothing is known to be new
             figures = {}
-            for told, (bad, every) in report.figures.items():
-                bad_before, every_before = before.figures.get(told, (0, 0))
+            for told, (bad, every) in report.metrics.items():
+                bad_before, every_before = before.metrics.get(told, (0, 0))
                 figures[told] = (max(0, bad - bad_before), max(0, every - every_before))
             took = {}
-            for told, counts in report.took.items():
-                counts_before = before.took.get(told) or [0] * len(counts)
+            for told, counts in report.latency_histograms.items():
+                counts_before = before.latency_histograms.get(told) or [0] * len(counts)
                 took[told] = [max(0, now - was) for now, was in zip(counts, counts_before, strict=False)]
             later[name] = report
-            found[name] = Shown(report.warm, figures, report.memory, took)
+            found[name] = Shown(report.is_warm, figures, report.resident_memory_kb, took)
         self.counts = later
         return found
 
--- a/birchslip/lab/explore.py
+++ b/birchslip/lab/explore.py
@@ -172,9 +172,9 @@
         now = node.clock(self.true)
         if isinstance(record, VoteRequest):
             answer = node.ballot.asked(record, now)
-            answer.seen = deepcopy(answer.seen)
+            answer.observations = deepcopy(answer.observations)
             self.flush(node)
-            self.to_node(sender, lambda: self.answered(sender, answer, record.epoch, sent))
+            self.to_node(sender, lambda: self.answered(sender, answer, record.term, sent))
         elif isinstance(record, ReplicationRequest):
             kept = node.ballot.keep(record, now)
             self.flush(node)
@@ -185,9 +185,9 @@
         self.flush(node)
 
     def kept(self, node: Node, kept: ReplicationResponse, told: ReplicationRequest) -> None:
-        if told.epoch == node.reign and node.ballot.kept(kept, told.number):
-            node.kept_number = max(node.kept_number, told.number)
-            self.agreed = max(self.agreed, (told.epoch, told.number))
+        if told.term == node.reign and node.ballot.kept(kept, told.state_number):
+            node.kept_number = max(node.kept_number, told.state_number)
+            self.agreed = max(self.agreed, (told.term, told.state_number))
 
     # ---- planners act ----------------------------------------------------------------------------------
 
@@ -195,10 +195,10 @@
         now = node.clock(self.true)
         ask = node.ballot.ask(now)
         if ask is not None:
-            ask.seen = deepcopy(ask.seen)
+            ask.observations = deepcopy(ask.observations)
             own = node.ballot.asked(ask, now)
             self.flush(node)
-            node.ballot.answered(own, ask.epoch, now, now)
+            node.ballot.answered(own, ask.term, now, now)
             self.send(node, ask)
         if not node.ballot.leads(now):
             node.reign = 0
@@ -214,9 +214,9 @@
             node.number += 1
         if node.kept_number < node.number and self.chance.random() < 0.3:
             told = ReplicationRequest(
-                epoch=node.reign,
-                number=node.number,
-                name=node.name,
+                term=node.reign,
+                state_number=node.number,
+                leader=node.name,
                 incarnation=node.ballot.incarnation,
                 state=b"%d" % node.number,
             )
@@ -244,25 +244,25 @@
         assert node.shares is not None
         share = KEPT_PART * seat.base + node.shares.grant(seat.name, wanted, held, now)
         tell = PlanAssignment(
-            epoch=node.reign,
-            plan=node.kept_number,
-            span=PLAN_SPAN,
-            fade=SECOND,
+            term=node.reign,
+            number=node.kept_number,
+            validity_span=PLAN_SPAN,
+            fade_span=SECOND,
             quotas={},
-            visitors=[],
-            visits=0.0,
-            order=[],
-            level=1.0,
-            listed=True,
-            short=False,
+            evacuated_callers=[],
+            evacuated_quota=0.0,
+            shedding_order=[],
+            serving_fraction=1.0,
+            is_listed=True,
+            is_capacity_short=False,
         )
         reply = ReportReply(
-            epoch=node.reign,
-            author=node.ballot.incarnation,
-            leads=True,
-            tell=tell,
-            share=share,
-            lease=SPAN,
+            term=node.reign,
+            planner=node.ballot.incarnation,
+            is_leading=True,
+            assignment=tell,
+            call_limit=share,
+            lease_span=SPAN,
         )
         self.post(lambda: self.obeyed(seat, reply, sent))
 
@@ -271,7 +271,7 @@
             self.flight.append((seat.paused_until, lambda: self.obeyed(seat, reply, sent)))
             return
         if seat.obey.take(reply, sent, seat.clock(self.true)):
-            seat.history.append((reply.epoch, reply.author.mark))
+            seat.history.append((reply.term, reply.planner.nonce))
 
     # ---- trouble ---------------------------------------------------------------------------------------
 
--- a/birchslip/lab/model/layout.py
+++ b/birchslip/lab/model/layout.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ...cluster.messages import Message, Name, Part
+from ...cluster.messages import Fraction, Message, Name
 from .habits import HABITS
 
 SERVERS_MOST = 1_000
@@ -21,7 +21,7 @@
 
     share: Weight = 1.0
     work_ms: Positive | None = None  # an eighth of the latency goal where it is not told
-    calls: Part = 0.0
+    calls: Fraction = 0.0
 
 
 class RouterTold(Message):
@@ -62,7 +62,7 @@
     crowd: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = (
         0  # on the cores, from where less gets done in all
     )
-    loss: Part = 0.0  # for each one more
+    loss: Fraction = 0.0  # for each one more
 
     def trouble(self, profiles: list[str], tenants: list[str], sites: list[str]) -> list[str]:
         """Names that nothing else knows, a line each."""
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -12,7 +12,7 @@
 from ...cluster.fleet_file import Fleet, span
 from ...cluster.inventory import Inventory, ProcessReport
 from ...cluster.member_metrics import Figures, Rates, room_of
-from ...cluster.messages import Incarnation, MemberReport, ProbeResult, ReportReply
+from ...cluster.messages import Incarnation, MemberReport, ProbeOutcome, ProbeResult, ReportReply
 from ...cluster.plan_subscription import PlanSubscription, override_of
 from ...cluster.planner_state import LOOK, PlannerState
 from ...cluster.rollout import PlatformOrder, RolloutSpec
@@ -106,28 +106,30 @@
         return MemberReport(
             name=server.name,
             site=site.name,
-            incarnation=Incarnation(mark=self.life),
-            number=self.number,
-            door="127.0.0.1:1",
-            age=now - server.began,
-            serving=server.serving,
-            leaving=server.leaving,
-            warm=server.warm,
-            room=room_of(server.cores.count, controller.all_runs.usual, honoured),
-            pace=max(0.0, controller.stretch),
-            load=load,
-            visits=visits,
-            again=again,
-            honoured=honoured,
-            shed=shed,
-            calls=float(controller.in_hand),
-            share=max(0.0, self.obey.calls(now)),
-            lease=self.obey.lease_left(now),
-            epoch=self.obey.epoch,
-            plan=self.obey.number,
-            knocks=[ProbeResult(name=name, met=what) for name, (_, what) in self.met.items()][:KNOCKS_MOST],
-            figures=self.figures.told({"relay.called": server.counts["called"]}),
-            took={name: list(counts) for name, counts in self.figures.took.items()},
+            incarnation=Incarnation(nonce=self.life),
+            sequence=self.number,
+            address="127.0.0.1:1",
+            uptime=now - server.began,
+            is_serving=server.serving,
+            is_draining=server.leaving,
+            is_warm=server.warm,
+            capacity=room_of(server.cores.count, controller.all_runs.usual, honoured),
+            slowdown=max(0.0, controller.stretch),
+            local_load=load,
+            evacuated_load=visits,
+            retries=again,
+            served=honoured,
+            rejected=shed,
+            calls_in_flight=float(controller.in_hand),
+            call_limit=max(0.0, self.obey.calls(now)),
+            lease_remaining=self.obey.lease_left(now),
+            plan_term=self.obey.epoch,
+            plan_number=self.obey.number,
+            probes=[
+                ProbeResult(member=name, outcome=ProbeOutcome(what)) for name, (_, what) in self.met.items()
+            ][:KNOCKS_MOST],
+            metrics=self.figures.told({"relay.called": server.counts["called"]}),
+            latency_histograms={name: list(counts) for name, counts in self.figures.took.items()},
         )
 
     def take(self, reply: ReportReply, sent: int) -> None:
@@ -136,9 +138,9 @@
         now, server = self.planners.world.clock.now, self.server
         if not self.obey.take(reply, sent, now):
             return
-        for name in reply.knock:
+        for name in reply.probe_addresses:
             self.knock(name)
-        tell = reply.tell
+        tell = reply.assignment
         if tell is not None and tell is self.obey.plan and server.driver is not None:
             server.driver.advance_clock(now)
             until = now + self.obey.left(now)
@@ -183,7 +185,7 @@
         self.bonds[server.name] = Bond(self, server)
 
     def broke(self, server: AppServer, life: int) -> None:
-        self.mind.membership.broke(server.name, Incarnation(mark=life))
+        self.mind.membership.broke(server.name, Incarnation(nonce=life))
 
     def may_be_found(self, server: AppServer) -> bool:
         bond = self.bonds.get(server.name)
@@ -199,7 +201,7 @@
         now = clock.now
         ask = mind.ballot.ask(now)
         if ask is not None:
-            mind.ballot.answered(mind.ballot.asked(ask, now), ask.epoch, now, now)
+            mind.ballot.answered(mind.ballot.asked(ask, now), ask.term, now, now)
         mind.look(now)
         self.have_kept()
         for event, more in mind.take_remarks():
@@ -208,8 +210,10 @@
     def have_kept(self) -> None:
         mind = self.mind
         told = mind.keep()
-        if told is not None and mind.ballot.kept(mind.ballot.keep(told, self.world.clock.now), told.number):
-            mind.kept(told.number)
+        if told is not None and mind.ballot.kept(
+            mind.ballot.keep(told, self.world.clock.now), told.state_number
+        ):
+            mind.kept(told.state_number)
 
     # ---- a release, and its platform -------------------------------------------------------------------
 
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -12,7 +12,7 @@
 
 from ..cluster.election import DurableVote, Election
 from ..cluster.fleet_file import Fleet, Member, Planner, Site
-from ..cluster.messages import Incarnation, MemberReport, ProbeResult
+from ..cluster.messages import Incarnation, MemberReport, ProbeOutcome, ProbeResult
 from ..cluster.planner_state import LOOK, PlannerState
 
 SECOND = 10_000
@@ -93,29 +93,31 @@
         told = MemberReport(
             name=life.name,
             site=life.site,
-            incarnation=Incarnation(mark=life.mark),
-            number=life.number,
-            door="127.0.0.1:1",
-            age=SECOND,
-            serving=True,
-            leaving=False,
-            warm=True,
-            room=100.0,
-            pace=1.0 if self.now >= life.slow_until else 2.2,
-            load={"blue": self.chance.uniform(30, 60)},
-            visits=0.0,
-            again=0.0,
-            honoured=45.0,
-            shed=0.0,
-            calls=0.0,
-            share=0.0,
-            lease=0,
-            epoch=0,
-            plan=0,
-            knocks=[ProbeResult(name=name, met=met) for name, met in life.knocks.items()][:8],
+            incarnation=Incarnation(nonce=life.mark),
+            sequence=life.number,
+            address="127.0.0.1:1",
+            uptime=SECOND,
+            is_serving=True,
+            is_draining=False,
+            is_warm=True,
+            capacity=100.0,
+            slowdown=1.0 if self.now >= life.slow_until else 2.2,
+            local_load={"blue": self.chance.uniform(30, 60)},
+            evacuated_load=0.0,
+            retries=0.0,
+            served=45.0,
+            rejected=0.0,
+            calls_in_flight=0.0,
+            call_limit=0.0,
+            lease_remaining=0,
+            plan_term=0,
+            plan_number=0,
+            probes=[ProbeResult(member=name, outcome=ProbeOutcome(met)) for name, met in life.knocks.items()][
+                :8
+            ],
         )
         reply = self.mind.hear(told, self.now)
-        life.knocks = {name: self.met(name) for name in reply.knock}
+        life.knocks = {name: self.met(name) for name in reply.probe_addresses}
 
     def met(self, name: str) -> str:
         life = self.lives[name]
@@ -130,11 +132,11 @@
         mind = self.mind
         ask = mind.ballot.ask(self.now)
         if ask is not None:
-            mind.ballot.answered(mind.ballot.asked(ask, self.now), ask.epoch, self.now, self.now)
+            mind.ballot.answered(mind.ballot.asked(ask, self.now), ask.term, self.now, self.now)
         mind.look(self.now)
         told = mind.keep()
-        if told is not None and mind.ballot.kept(mind.ballot.keep(told, self.now), told.number):
-            mind.kept(told.number)
+        if told is not None and mind.ballot.kept(mind.ballot.keep(told, self.now), told.state_number):
+            mind.kept(told.state_number)
         for event, more in mind.take_remarks():
             if event == "site lost":
                 self.count["evacuations"] += 1
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -15,7 +15,14 @@
 import msgspec
 
 from ..cluster.disruption_budget import BudgetGroup
-from ..cluster.messages import EvictionRequest, Message, OperatorCommand, encode
+from ..cluster.messages import (
+    EvictionOperation,
+    EvictionRequest,
+    Message,
+    OperatorCommand,
+    OperatorOperation,
+    encode,
+)
 from ..cluster.rollout import RolloutSpec, batches_of
 from ..cluster.rollout_controller import RolloutCommand
 from ..cluster.transport import PeerConnection
@@ -134,13 +141,16 @@
         """Whoever leads answers; asked until somebody does."""
         until = self.scheduler.now + 20 * SECOND
         trouble = ""
+        is_query = (isinstance(record, RolloutCommand) and record.what == "status") or (
+            isinstance(record, OperatorCommand) and record.operation is OperatorOperation.SHOW
+        )
         while self.scheduler.now < until:
             for name in planners or self.names:
                 line = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
                 try:
                     raw = line.ask(method, encode(record), self.scheduler.now + ASK)
                     answer: dict[str, Any] = json.loads(raw)
-                    if record.what in ("status", "show") and not answer["leads"]:  # type: ignore[attr-defined]
+                    if is_query and not answer["leads"]:
                         continue
                     return answer
                 except OSError as why:
@@ -162,7 +172,11 @@
         return answer["releases"][0] if answer["releases"] else {}
 
     def permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
-        return self.ask(EvictionRequest(what="permit", holder=holder, why="by hand"), "want", planners)
+        return self.ask(
+            EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder=holder, reason="by hand"),
+            "want",
+            planners,
+        )
 
     # ---- moments ---------------------------------------------------------------------------------------
 
@@ -240,7 +254,7 @@
 
     def known(self) -> bool:
         """The leader hears all members, warm, and nobody is out."""
-        shown = self.ask(OperatorCommand(what="show"), "wish")
+        shown = self.ask(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
         return len(shown.get("members", ())) == len(self.servers) and not shown["out"]
 
     def follow(self) -> None:
@@ -454,7 +468,7 @@
                 raise RuntimeError(f"no such step: {what}")
 
     def at_home(self) -> bool:
-        shown = self.ask(OperatorCommand(what="show"), "wish")
+        shown = self.ask(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
         return bool(shown.get("sites")) and all(site["stage"] == "home" for site in shown["sites"])
 
     def by_hand(self) -> None:
@@ -481,7 +495,7 @@
         self.operator_s.append(f"alone: {alone.get('granted')}; others: {others.get('granted')}")
         self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
         hand_back: Callable[[], dict[str, Any]] = partial(
-            self.ask, EvictionRequest(what="hand-back", holder=name), "want"
+            self.ask, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name), "want"
         )
         until = self.scheduler.now + 60 * SECOND
         # Granted in the end or not, it does not go: its place is given back.
--- a/birchslip/lab/rollouts.py
+++ b/birchslip/lab/rollouts.py
@@ -114,7 +114,7 @@
                 )
             elif self.now < one.warm_at:
                 why = UnavailabilityReason.COLD
-            found[name] = MemberObservation(Incarnation(mark=one.life), 10.0, why)
+            found[name] = MemberObservation(Incarnation(nonce=one.life), 10.0, why)
         return found
 
     def platform(self) -> dict[str, PlatformView]:
--- a/birchslip/lab/small_scope.py
+++ b/birchslip/lab/small_scope.py
@@ -88,7 +88,7 @@
     def seen(world: World) -> dict[str, MemberObservation]:
         why = {"in": None, "out": UnavailabilityReason.SILENT, "cold": UnavailabilityReason.COLD}
         return {
-            name: MemberObservation(Incarnation(mark=life.mark), 1.0, why[life.where])
+            name: MemberObservation(Incarnation(nonce=life.mark), 1.0, why[life.where])
             for name, life in zip(NAMES, world.lives, strict=True)
         }
 
@@ -131,7 +131,7 @@
             if life.where == "in":
                 permits = self.permits(world.book)
                 permits.ask(
-                    EvictionWaiter(holder=NAMES[n], incarnation=Incarnation(mark=life.mark), why=""), seen
+                    EvictionWaiter(holder=NAMES[n], incarnation=Incarnation(nonce=life.mark), why=""), seen
                 )
                 yield f"{NAMES[n]} asks", self.decided(world, permits)
         permits = self.permits(world.book)
@@ -146,7 +146,7 @@
             yield f"planner {p} keeps", replace(world, disks=tuple(disks), kept_by=world.kept_by | {p})
         if len(world.kept_by) >= (1 if self.mistake == "minority" else 2):
             told = {
-                (NAMES.index(one.holder), one.incarnation.mark)
+                (NAMES.index(one.holder), one.incarnation.nonce)
                 for one in self.permits(world.book).book.permits
             }
             yield "tells", replace(world, tells=world.tells | told)
--- a/tests/fleetdesk.py
+++ b/tests/fleetdesk.py
@@ -5,7 +5,7 @@
 
 from birchslip.cluster.election import DurableVote, Election
 from birchslip.cluster.fleet_file import read_fleet
-from birchslip.cluster.messages import Incarnation, MemberReport, ProbeResult
+from birchslip.cluster.messages import Incarnation, MemberReport, ProbeOutcome, ProbeResult
 from birchslip.cluster.planner_state import LOOK, PlannerState
 
 SECOND = 10_000
@@ -13,28 +13,28 @@
 
 def report(name="a-1", number=1, mark=1, site=None, knocks=(), **more):
     usual = {
-        "door": "127.0.0.1:1",
-        "age": 100 * SECOND,
-        "serving": True,
-        "leaving": False,
-        "warm": True,
-        "room": 100.0,
-        "pace": 1.0,
-        "load": {"blue": 40.0, "green": 20.0},
-        "visits": 0.0,
-        "again": 0.0,
-        "honoured": 60.0,
-        "shed": 0.0,
-        "calls": 1.0,
-        "share": 2.0,
-        "lease": 0,
-        "epoch": 0,
-        "plan": 0,
+        "address": "127.0.0.1:1",
+        "uptime": 100 * SECOND,
+        "is_serving": True,
+        "is_draining": False,
+        "is_warm": True,
+        "capacity": 100.0,
+        "slowdown": 1.0,
+        "local_load": {"blue": 40.0, "green": 20.0},
+        "evacuated_load": 0.0,
+        "retries": 0.0,
+        "served": 60.0,
+        "rejected": 0.0,
+        "calls_in_flight": 1.0,
+        "call_limit": 2.0,
+        "lease_remaining": 0,
+        "plan_term": 0,
+        "plan_number": 0,
     }
     site = site or name.rpartition("-")[0]
-    met = [ProbeResult(name=door, met=what) for door, what in knocks]
+    met = [ProbeResult(member=door, outcome=ProbeOutcome(what)) for door, what in knocks]
     return MemberReport(
-        name=name, number=number, site=site, incarnation=Incarnation(mark=mark), knocks=met, **usual | more
+        name=name, sequence=number, site=site, incarnation=Incarnation(nonce=mark), probes=met, **usual | more
     )
 
 
@@ -88,13 +88,15 @@
             ask = self.mind.ballot.ask(self.now)
             if ask is not None:
                 own = self.mind.ballot.asked(ask, self.now)
-                self.mind.ballot.answered(own, ask.epoch, self.now, self.now)
+                self.mind.ballot.answered(own, ask.term, self.now, self.now)
             if self.now % (2 * LOOK) == 0:
                 self.reports()
             self.mind.look(self.now)
             keep = self.mind.keep()
-            if keep is not None and self.mind.ballot.kept(self.mind.ballot.keep(keep, self.now), keep.number):
-                self.mind.kept(keep.number)
+            if keep is not None and self.mind.ballot.kept(
+                self.mind.ballot.keep(keep, self.now), keep.state_number
+            ):
+                self.mind.kept(keep.state_number)
             self.events += [(self.now, event, more) for event, more in self.mind.take_remarks()]
         return self
 
@@ -106,9 +108,13 @@
             before = self.replies.get(name)
             knocks = [
                 (door, self.shut if door in self.silent else "answered")
-                for door in (before.knock if before is not None else {})
+                for door in (before.probe_addresses if before is not None else {})
             ]
-            more = {"lease": before.lease, "share": before.share} if before is not None else {}
+            more = (
+                {"lease_remaining": before.lease_span, "call_limit": before.call_limit}
+                if before is not None
+                else {}
+            )
             told = report(name, self.number, self.marks[name], knocks=knocks, **more | self.told[name])
             self.replies[name] = self.mind.hear(told, self.now)
 
--- a/tests/test_bond.py
+++ b/tests/test_bond.py
@@ -27,7 +27,7 @@
 
 from .fleetdesk import SECOND, fleet, report
 
-AUTHOR = Incarnation(life=1, mark=7)
+AUTHOR = Incarnation(generation=1, nonce=7)
 
 
 class Tie:
@@ -50,7 +50,7 @@
 
     def hear(self, sent, now, **more):
         self.now = self.bond.scheduler.now = now
-        reply = ReportReply(epoch=64, author=AUTHOR, leads=True, **more)
+        reply = ReportReply(term=64, planner=AUTHOR, is_leading=True, **more)
         if self.bond.obey.take(reply, sent, now):
             self.bond.carry_out(reply, now)
         self.bond.check()
@@ -63,17 +63,17 @@
 
 def tell(**more):
     usual = {
-        "epoch": 64,
-        "plan": 1,
-        "span": 4 * SECOND,
-        "fade": SECOND,
+        "term": 64,
+        "number": 1,
+        "validity_span": 4 * SECOND,
+        "fade_span": SECOND,
         "quotas": {"blue": 3.0, "nobody": 9.0},
-        "visitors": [5],
-        "visits": 2.0,
-        "order": ["visitor", "something new", "home"],
-        "level": 0.5,
-        "listed": True,
-        "short": True,
+        "evacuated_callers": [5],
+        "evacuated_quota": 2.0,
+        "shedding_order": ["visitor", "something new", "home"],
+        "serving_fraction": 0.5,
+        "is_listed": True,
+        "is_capacity_short": True,
     }
     return PlanAssignment(**usual | more)
 
@@ -84,7 +84,7 @@
 
 
 def test_a_lease_that_ended_in_a_pause_binds_before_the_next_batch(tie):
-    tie.hear(0, 100, share=5.0, lease=3 * SECOND)
+    tie.hear(0, 100, call_limit=5.0, lease_span=3 * SECOND)
     assert tie.controller.calls_share == 5.0
     tie.now = 60 * SECOND  # stopped for a minute
     tie.bond.check()
@@ -99,19 +99,20 @@
 
 
 def test_a_plan_reaches_the_decisions_with_what_is_known_here(tie):
-    tie.hear(0, 1_000, tell=tell())
+    tie.hear(0, 1_000, assignment=tell())
     plan = tie.controller.plan
-    assert (plan.epoch, plan.number, plan.until) == (64, 1, 4 * SECOND)
-    assert plan.quotas == {tie.tenant: 3.0} and plan.visitors == {5} and plan.visits == 2.0
-    assert plan.order == (SheddingTier.EVACUATED, SheddingTier.LOCAL) and plan.level == 0.5 and plan.short
+    assert (plan.term, plan.number, plan.expires_at) == (64, 1, 4 * SECOND)
+    assert plan.quotas == {tie.tenant: 3.0} and plan.evacuated_callers == {5} and plan.evacuated_quota == 2.0
+    assert plan.shedding_order == (SheddingTier.EVACUATED, SheddingTier.LOCAL)
+    assert plan.serving_fraction == 0.5 and plan.is_capacity_short
 
 
 def test_a_plan_that_came_too_late_or_from_nobody_who_leads_is_not_taken_over(tie):
-    tie.hear(0, 5 * SECOND, tell=tell())
+    tie.hear(0, 5 * SECOND, assignment=tell())
     tie.now = 6 * SECOND
-    reply = ReportReply(epoch=65, author=AUTHOR, leads=False, tell=tell(epoch=65, plan=9))
+    reply = ReportReply(term=65, planner=AUTHOR, is_leading=False, assignment=tell(term=65, number=9))
     assert not tie.bond.obey.take(reply, tie.now, tie.now)
-    assert tie.controller.plan.epoch == 0 and not tie.controller.force
+    assert tie.controller.plan.term == 0 and not tie.controller.force
 
 
 def test_what_it_reports_counts_first_tries_at_home_visits_and_further_tries_apart(tie):
@@ -124,8 +125,8 @@
     rates.answered(SECOND, 3, 2)
     tie.bond.scheduler.now = SECOND
     told = decode(encode(tie.bond.told(SECOND)), type(report()))
-    assert (told.load, told.visits, told.again) == ({"blue": 2.0}, 0.5, 0.5)
-    assert (told.honoured, told.shed, told.share, told.room) == (1.5, 1.0, 2.0, 0.0)
+    assert (told.local_load, told.evacuated_load, told.retries) == ({"blue": 2.0}, 0.5, 0.5)
+    assert (told.served, told.rejected, told.call_limit, told.capacity) == (1.5, 1.0, 2.0, 0.0)
 
 
 def test_figures_grow_by_profile_and_late_ones_whose_caller_left_count(tie):
@@ -137,14 +138,16 @@
     assert told == {"late:order": (2, 3), "shed:order": (1, 5), "written_off:order": (2, 4), "calls": (2, 4)}
     figures.answered("order", "honoured", -1, False)  # a repeat
     report = tie.bond.told(SECOND)
-    assert report.memory > 1_000 and report.took["order"][5] == 2  # 50 ms lies below 56.6 ms
+    assert (
+        report.resident_memory_kb > 1_000 and report.latency_histograms["order"][5] == 2
+    )  # 50 ms lies below 56.6 ms
 
 
 def test_a_listing_that_changes_is_said_at_once(tie):
     said = []
     tie.bond.listing_changed = lambda: said.append(tie.now)
     assert not tie.bond.may_be_listed()
-    tie.hear(0, 10, tell=tell())
+    tie.hear(0, 10, assignment=tell())
     assert said == [10] and tie.bond.may_be_listed()
 
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -34,7 +34,7 @@
 
 def test_it_comes_back_by_steps_and_is_home_after_the_last():
     comeback = lost()
-    said = go(comeback, shown(honoured=50.0), 0, 10 * SECOND)
+    said = go(comeback, shown(served=50.0), 0, 10 * SECOND)
     assert [stage for _, stage, _ in said] == [*[RecoveryStage.STEP] * len(STEPS), RecoveryStage.HOME]
     assert [level for *_, level in said][:-1] == list(STEPS) and comeback.level == 1.0
 
@@ -44,10 +44,10 @@
     [
         ([], RecoveryStage.LOST, 0),
         (shown(1), RecoveryStage.LOST, 0),
-        (shown(honoured=0.0), RecoveryStage.STEP, 0),
-        (shown(pace=2.0), RecoveryStage.STEP, 0),
-        (shown(honoured=5.0, shed=50.0), RecoveryStage.STEP, 0),
-        (shown(warm=False, honoured=50.0), RecoveryStage.STEP, 2),
+        (shown(served=0.0), RecoveryStage.STEP, 0),
+        (shown(slowdown=2.0), RecoveryStage.STEP, 0),
+        (shown(served=5.0, rejected=50.0), RecoveryStage.STEP, 0),
+        (shown(is_warm=False, served=50.0), RecoveryStage.STEP, 2),
     ],
     ids=["nobody", "one of four", "nobody leans on it", "slow", "sheds nearly all", "cold"],
 )
@@ -59,19 +59,19 @@
 
 def test_sheds_that_come_of_the_level_alone_do_not_hold_it():
     comeback = lost()
-    go(comeback, shown(honoured=50.0, shed=60.0), 0, 5 * SECOND)
+    go(comeback, shown(served=50.0, rejected=60.0), 0, 5 * SECOND)
     assert comeback.stage is RecoveryStage.HOME
 
 
 def test_a_step_that_hurts_is_taken_back_and_held_for_longer():
     comeback = lost()
     while comeback.step < 1:
-        go(comeback, shown(honoured=50.0), 0, LOOK)
+        go(comeback, shown(served=50.0), 0, LOOK)
         comeback.since = 0 if comeback.stage is not RecoveryStage.STEP else comeback.since
-        comeback.look(shown(honoured=50.0), 4, 200.0, comeback.since + SECOND)
+        comeback.look(shown(served=50.0), 4, 200.0, comeback.since + SECOND)
     hold = comeback.hold
     now = comeback.since
-    said = go(comeback, shown(pace=3.0), now, now + 3 * LOOK)
+    said = go(comeback, shown(slowdown=3.0), now, now + 3 * LOOK)
     assert said[0][2] == STEPS[0] and comeback.hold == 2 * hold and comeback.stage is RecoveryStage.STEP
 
 
@@ -88,7 +88,7 @@
 
 def test_flaps_are_forgiven_after_long_at_home():
     comeback = lost()
-    go(comeback, shown(honoured=50.0), 0, 10 * SECOND)
+    go(comeback, shown(served=50.0), 0, 10 * SECOND)
     comeback.lost(comeback.since + 700 * SECOND, "shut")
     assert comeback.flaps == 1
 
@@ -96,7 +96,7 @@
 def test_one_evacuated_by_hand_is_let_back_by_hand_alone():
     comeback = RecoveryRamp("a")
     comeback.lost(0, "work on the cooling", by_hand=True)
-    assert not go(comeback, shown(honoured=50.0), 0, 60 * SECOND)
+    assert not go(comeback, shown(served=50.0), 0, 60 * SECOND)
     assert comeback.let_back(60 * SECOND) and not comeback.let_back(60 * SECOND)
-    go(comeback, shown(honoured=50.0), 60 * SECOND, 70 * SECOND)
+    go(comeback, shown(served=50.0), 60 * SECOND, 70 * SECOND)
     assert comeback.stage is RecoveryStage.HOME
--- a/tests/test_conduct.py
+++ b/tests/test_conduct.py
@@ -42,7 +42,7 @@
     def __init__(self, most=2):
         self.permits = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), most=most)])
         self.conductor = RolloutController(PARTS, ["store-1"], self.permits, 30_000)
-        self.seen = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
+        self.seen = {name: MemberObservation(Incarnation(nonce=1), 10.0) for name in NAMES}
         self.conductor.hear(listing(), 0)
 
     def say(self, what, now=1, **more):
@@ -134,7 +134,7 @@
 
 def test_another_s_permit_is_not_drained_on_and_another_s_stop_is_not_started():
     desk = Desk()
-    desk.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(mark=1), why="repairs"))
+    desk.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(nonce=1), why="repairs"))
     desk.say("start", plan=plan())
     assert desk.look() == [] and "another's: repairs" in desk.conductor.told()[0]["doing"]
     desk.conductor.hear(listing(a_0={"state": "stopped"}), 3)
@@ -158,7 +158,7 @@
     desk = Desk()
     desk.say("start", plan=plan())
     desk.look()
-    desk.seen["a-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
+    desk.seen["a-0"] = MemberObservation(Incarnation(nonce=1), 10.0, UnavailabilityReason.SILENT)
     desk.conductor.hear(listing(a_0={"state": "failed", "version": "1", "starts": 2}), 3)
     desk.look(4)
     assert desk.conductor.told()[0]["left_out"] == ["a-0"]
@@ -178,7 +178,7 @@
 
 def test_a_release_without_a_step_halts_and_says_what_it_waited_for():
     desk = Desk(most=1)
-    desk.seen["b-0"] = MemberObservation(Incarnation(mark=1), 10.0, UnavailabilityReason.SILENT)
+    desk.seen["b-0"] = MemberObservation(Incarnation(nonce=1), 10.0, UnavailabilityReason.SILENT)
     desk.say("start", plan=plan(stall_ms=2_000))
     for now in (10, 10_000, 19_999):
         desk.conductor.hear(listing(), now)
@@ -205,7 +205,7 @@
     conductor = Desk().conductor
 
     def shown(number, mark, bad, every):
-        told = report("a-0", number, mark, figures={"late:order": (bad, every)}, memory=7)
+        told = report("a-0", number, mark, metrics={"late:order": (bad, every)}, resident_memory_kb=7)
         return conductor.shown({"a-0": told})["a-0"]
 
     assert shown(1, 1, 5, 100).figures == {"late:order": (0, 0)}  # it was counted before anybody looked
@@ -267,7 +267,7 @@
     mind = stage.mind
     mind.permits.book.permits.clear()  # as if only a want's serving granted it, and nobody kept that yet
     why = mind.conductor.releases[0].why_out
-    mind.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(mark=1), why=why))
+    mind.permits.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(nonce=1), why=why))
     mind.renew(stage.now)
     mind.look(stage.now + 2_500)
     assert mind.conductor.orders and mind.orders(stage.now + 2_500) == []
@@ -361,7 +361,7 @@
     stage.pass_time(1)
     late = report("a-0", 10**6, mark=1)  # of the life before it left
     assert not stage.mind.membership.hear(late, stage.now)
-    assert stage.mind.seen(stage.now)["a-0"].incarnation.mark == 2
+    assert stage.mind.seen(stage.now)["a-0"].incarnation.nonce == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -18,8 +18,8 @@
     """Obeys whoever speaks last."""
 
     def take(self, reply, sent, now):
-        self.epoch = min(self.epoch, reply.epoch)
-        self.author = reply.author if reply.epoch == self.epoch else self.author
+        self.epoch = min(self.epoch, reply.term)
+        self.author = reply.planner if reply.term == self.epoch else self.author
         return super().take(reply, sent, now)
 
 
@@ -75,7 +75,7 @@
         def sure(self, now):
             return True
 
-    monkeypatch.setattr(exploring, "Shares", Eager)
+    monkeypatch.setattr(exploring, "QuotaLeases", Eager)
     with pytest.raises(Fault, match="calls of"):
         explore(range(400), 2_000)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -59,7 +59,7 @@
     membership.hear(report("a-0", 1, mark=2), SECOND + 10)
     assert not membership.hear(report("a-0", 10**6, mark=1), SECOND + 20)
     member = membership.members["a-0"]
-    assert member.incarnation.mark == 2 and member.restarts == 1
+    assert member.incarnation.nonce == 2 and member.restarts == 1
     membership.broke("a-0", report(mark=1).incarnation)  # the end of the earlier life's link
     assert member.life(SECOND + 30, EVERY) is MemberLiveness.ALIVE
 
@@ -125,12 +125,12 @@
 def test_slow_and_restarting_sites_are_told_from_lost_ones():
     membership = told(each=4)
     for n in range(3):
-        membership.hear(report(f"a-{n}", 10**6, pace=2.5), SECOND + 10)
+        membership.hear(report(f"a-{n}", 10**6, slowdown=2.5), SECOND + 10)
     for n in range(3):
         membership.hear(report(f"b-{n}", 1, mark=2), SECOND + 10)
     assert membership.verdict("a", SECOND + 20) is SiteVerdict.SLOW
     assert membership.verdict("b", SECOND + 20) is SiteVerdict.RESTARTING
-    membership.hear(report("c-0", 10**6, leaving=True), SECOND + 10)
+    membership.hear(report("c-0", 10**6, is_draining=True), SECOND + 10)
     assert membership.members["c-0"].life(SECOND + 20, EVERY) is MemberLiveness.LEFT
     assert membership.verdict("c", SECOND + 20) is SiteVerdict.HERE
 
--- a/tests/test_mind.py
+++ b/tests/test_mind.py
@@ -6,7 +6,7 @@
 import pytest
 
 from birchslip.cluster.election import Election
-from birchslip.cluster.messages import EvictionRequest, Incarnation
+from birchslip.cluster.messages import EvictionOperation, EvictionRequest, Incarnation
 from birchslip.cluster.planner_state import PlannerState
 from birchslip.cluster.site_plan import SiteCapacity, plan
 from birchslip.lab.months import play_month
@@ -15,15 +15,21 @@
 
 
 def levels(stage, site):
-    tells = [reply.tell for name, reply in stage.replies.items() if name.startswith(f"{site}-")]
-    return {tell.level for tell in tells if tell is not None}
+    tells = [reply.assignment for name, reply in stage.replies.items() if name.startswith(f"{site}-")]
+    return {tell.serving_fraction for tell in tells if tell is not None}
 
 
 def test_with_every_site_at_home_the_plan_changes_nothing(tmp_path):
     stage = Stage(tmp_path).pass_time(4)
-    told = stage.replies["a-0"].tell
-    assert (told.level, told.quotas, told.order, told.visitors, told.short) == (1.0, {}, [], [], False)
-    assert told.listed and stage.replies["a-0"].leads
+    told = stage.replies["a-0"].assignment
+    assert (
+        told.serving_fraction,
+        told.quotas,
+        told.shedding_order,
+        told.evacuated_callers,
+        told.is_capacity_short,
+    ) == (1.0, {}, [], [], False)
+    assert told.is_listed and stage.replies["a-0"].is_leading
 
 
 def test_a_site_that_is_killed_is_evacuated_within_a_second_and_comes_back_by_steps(tmp_path):
@@ -32,21 +38,27 @@
     stage.pass_time(1)
     (at, lost), *more = stage.said("site lost")
     assert lost["site"] == "a" and at <= 5.0 and not more
-    told = stage.replies["b-1"].tell
+    told = stage.replies["b-1"].assignment
     assert (
-        told.visitors == [0] and told.order == ["beyond", "again", "visitor", "home"] and told.short is False
+        told.evacuated_callers == [0]
+        and told.shedding_order == ["beyond", "again", "visitor", "home"]
+        and told.is_capacity_short is False
     )
-    assert sum(told.quotas.values()) + told.visits >= 100.0 and told.visits == pytest.approx(40.0)
-    stage.give_back("a", warm=False)
+    assert sum(told.quotas.values()) + told.evacuated_quota >= 100.0
+    assert told.evacuated_quota == pytest.approx(40.0)
+    stage.give_back("a", is_warm=False)
     stage.pass_time(0.5)
-    assert stage.replies["a-0"].tell.level in (0.0, 0.5)
+    assert stage.replies["a-0"].assignment.serving_fraction in (0.0, 0.5)
     stage.pass_time(2)
     assert (
         levels(stage, "a") == {1.0} and stage.mind.comebacks["a"].stage.value == "step"
     )  # cold: not home yet
     stage.told = {name: {} for name in stage.names}
     stage.pass_time(3)
-    assert stage.mind.comebacks["a"].stage.value == "home" and stage.replies["b-0"].tell.visitors == []
+    assert (
+        stage.mind.comebacks["a"].stage.value == "home"
+        and stage.replies["b-0"].assignment.evacuated_callers == []
+    )
 
 
 def test_a_site_that_is_cut_off_and_answers_at_its_doors_is_left_alone(tmp_path):
@@ -55,22 +67,22 @@
     stage.lose("a")
     stage.pass_time(20)
     assert not stage.said("site lost") and levels(stage, "b") == {1.0}
-    assert stage.replies["b-0"].share == 4.0  # its own, and nothing of those that go on calling
+    assert stage.replies["b-0"].call_limit == 4.0  # its own, and nothing of those that go on calling
 
 
 def test_a_survivor_gets_of_a_lost_share_only_after_its_lease_and_gives_it_back(tmp_path):
     stage = Stage(tmp_path).pass_time(8)
-    assert stage.replies["a-0"].share == stage.replies["b-0"].share == 4.0
+    assert stage.replies["a-0"].call_limit == stage.replies["b-0"].call_limit == 4.0
     stage.lose("a")
     stage.pass_time(2)
-    assert stage.replies["b-0"].share == 4.0
+    assert stage.replies["b-0"].call_limit == 4.0
     stage.pass_time(3)
-    assert stage.replies["b-0"].share == 5.0  # 2 of each of two members, among four survivors
+    assert stage.replies["b-0"].call_limit == 5.0  # 2 of each of two members, among four survivors
     stage.give_back("a")
     stage.pass_time(0.4)
-    assert stage.replies["a-0"].share == 2.0  # the kept part: the rest is still out
+    assert stage.replies["a-0"].call_limit == 2.0  # the kept part: the rest is still out
     stage.pass_time(8)
-    assert {reply.share for reply in stage.replies.values()} == {4.0}
+    assert {reply.call_limit for reply in stage.replies.values()} == {4.0}
 
 
 def test_two_lost_sites_are_both_found_and_home_load_goes_last(tmp_path):
@@ -79,8 +91,8 @@
     stage.lose("b")
     stage.pass_time(3)
     assert {more["site"] for _, more in stage.said("site lost")} == {"a", "b"}
-    told = stage.replies["c-0"].tell
-    assert told.short and sorted(told.visitors) == [0, 1]
+    told = stage.replies["c-0"].assignment
+    assert told.is_capacity_short and sorted(told.evacuated_callers) == [0, 1]
     made = stage.mind.told
     assert made.refused_at["c"] == 0.0 or made.refused_at["c"] < made.refused_at["a"]
 
@@ -103,7 +115,7 @@
 
 def test_a_higher_epoch_that_members_obey_ends_the_reign_and_the_next_begins_above_it(tmp_path):
     stage = Stage(tmp_path).pass_time(4)
-    stage.told["c-1"] = {"epoch": 6400}
+    stage.told["c-1"] = {"plan_term": 6400}
     stage.pass_time(4)
     assert stage.mind.reign > 6400 and stage.said("no longer leads")
 
@@ -123,7 +135,7 @@
     reply = stage.mind.hear(odd, stage.now)
     assert stage.mind.membership.members["a-0"].report is before
     assert set(stage.mind.membership.members) == set(stage.names)
-    assert reply.leads is (odd.name == "a-0" and odd.site == "a")
+    assert reply.is_leading is (odd.name == "a-0" and odd.site == "a")
 
 
 def test_what_if_tells_where_load_would_go_and_what_would_be_short(tmp_path):
@@ -143,9 +155,9 @@
 
 
 def want(stage, holder, what="permit", **more):
-    number, granted = stage.mind.want(
-        EvictionRequest(what=what, holder=holder, why="a release", **more), stage.now
-    )
+    operation = EvictionOperation(what)
+    request = EvictionRequest(operation=operation, holder=holder, reason="a release", **more)
+    number, granted = stage.mind.want(request, stage.now)
     stage.pass_time(0.2)
     assert number <= stage.mind.kept_number
     return granted
@@ -153,12 +165,12 @@
 
 def test_permits_count_the_lost_the_leaving_and_the_cold_and_end_when_seen_back(tmp_path):
     stage = Stage(tmp_path, groups=GROUPS).pass_time(4)
-    assert want(stage, "a-0").granted and want(stage, "a-0").number == 1
-    stage.told["b-0"] = {"leaving": True}
+    assert want(stage, "a-0").granted and want(stage, "a-0").permit_number == 1
+    stage.told["b-0"] = {"is_draining": True}
     stage.pass_time(1)
     waiting = want(stage, "b-1")
-    assert (waiting.granted, waiting.place) == (False, 1) and "may be" in waiting.why
-    stage.marks["a-0"], stage.told["a-0"] = 2, {"warm": False}
+    assert (waiting.granted, waiting.queue_position) == (False, 1) and "may be" in waiting.reason
+    stage.marks["a-0"], stage.told["a-0"] = 2, {"is_warm": False}
     stage.marks["b-0"], stage.told["b-0"] = 2, {}
     stage.pass_time(1)
     shown = stage.mind.show(stage.now)
@@ -184,8 +196,8 @@
     ballot = Election("p0", ["p0"], stage.mind.ballot.durable, 2, stage.now, random.Random(2))
     stage.mind = PlannerState(stage.fleet, ballot, stage.now)
     stage.pass_time(4)
-    assert want(stage, "a-0").number == 1
-    assert want(stage, "", "override", who="ann", count=1, span=SECOND * 60).granted
+    assert want(stage, "a-0").permit_number == 1
+    assert want(stage, "", "override", operator="ann", count=1, span=SECOND * 60).granted
     assert want(stage, "a-1", "past").granted
     assert any("ann" in line for line in stage.mind.show(stage.now)["record"])
     assert not want(stage, "nobody").granted and want(stage, "a-1", "hand-back").granted
@@ -211,5 +223,5 @@
 
 def test_a_mind_is_told_by_its_own_incarnation(tmp_path):
     stage = Stage(tmp_path).pass_time(4)
-    assert stage.replies["a-0"].author == Incarnation(life=1, mark=1)
+    assert stage.replies["a-0"].planner == Incarnation(generation=1, nonce=1)
     assert fleet(tmp_path).order[0].value == "beyond" and stage.now == 4 * SECOND
--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -14,7 +14,13 @@
 
 from birchslip.cli import ask, ask_any
 from birchslip.cluster.fleet_file import read_fleet
-from birchslip.cluster.messages import EvictionRequest, OperatorCommand, encode
+from birchslip.cluster.messages import (
+    EvictionOperation,
+    EvictionRequest,
+    OperatorCommand,
+    OperatorOperation,
+    encode,
+)
 from birchslip.errors import InvalidInputError
 from birchslip.lab.wires import free_port
 from birchslip.net.buffer import Buffer
@@ -96,7 +102,7 @@
         self.planners[name].wait(PATIENCE)
 
     def show(self, name=""):
-        return ask_any(self.fleet, OperatorCommand(what="show"), name)
+        return ask_any(self.fleet, OperatorCommand(operation=OperatorOperation.SHOW), name)
 
     def leader(self):
         try:
@@ -108,10 +114,11 @@
     def want(self, holder, what="permit"):
         """Asked until somebody leads."""
         found = []
+        request = EvictionRequest(operation=EvictionOperation(what), holder=holder, reason="a release")
 
         def answered():
             try:
-                found.append(ask_any(self.fleet, EvictionRequest(what=what, holder=holder, why="a release")))
+                found.append(ask_any(self.fleet, request))
             except Exception:
                 return False
             return True
@@ -173,9 +180,15 @@
         os.kill(place.planners[name].pid, signal.SIGSTOP)
     address = next(one.address for one in place.fleet.planners if one.name == leader)
     with pytest.raises((OSError, InvalidInputError)):
-        ask(address, EvictionRequest(what="permit", holder="a-0", why="a release"))
+        ask(
+            address,
+            EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder="a-0", reason="a release"),
+        )
     with pytest.raises(InvalidInputError, match="not the leader"):
-        ask(address, EvictionRequest(what="permit", holder="a-0", why="a release"))
+        ask(
+            address,
+            EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder="a-0", reason="a release"),
+        )
     for name in others:
         os.kill(place.planners[name].pid, signal.SIGCONT)
     assert place.want("a-0")["granted"]
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -21,7 +21,7 @@
 
 
 def life(mark=1):
-    return Incarnation(mark=mark)
+    return Incarnation(nonce=mark)
 
 
 def asks(name, mark=1):
@@ -234,7 +234,7 @@
     def ask(self, name):
         answer = self.permits.ask(asks(name, self.marks[name]), self.seen)
         if answer.permit is not None:
-            assert answer.permit.incarnation.mark == self.marks[name]
+            assert answer.permit.incarnation.nonce == self.marks[name]
             assert self.permits.ask(asks(name, self.marks[name]), self.seen).permit == answer.permit
 
     @rule(name=names)
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -34,7 +34,7 @@
         self.permits = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), most=most)])
         self.release = Rollout(RolloutRecord(plan=plan, batches=batches_of(plan, SITES)), self.permits)
         self.is_now = {name: PlatformView(InstanceStatus.UP, "old") for name in NAMES}
-        self.seen = {name: MemberObservation(Incarnation(mark=1), 10.0) for name in NAMES}
+        self.seen = {name: MemberObservation(Incarnation(nonce=1), 10.0) for name in NAMES}
         self.now = 0
 
     def look(self, lost=(), shown=None):
@@ -49,7 +49,7 @@
 
     def come_up(self, name, version="new"):
         self.is_now[name] = PlatformView(InstanceStatus.UP, version)
-        self.seen[name] = MemberObservation(Incarnation(mark=self.seen[name].incarnation.mark + 1), 10.0)
+        self.seen[name] = MemberObservation(Incarnation(nonce=self.seen[name].incarnation.nonce + 1), 10.0)
 
 
 def good(scene):
@@ -108,10 +108,10 @@
     scene = Scene()
     scene.look()
     scene.seen["a-0"] = MemberObservation(
-        Incarnation(mark=2), 10.0, UnavailabilityReason.COLD
+        Incarnation(nonce=2), 10.0, UnavailabilityReason.COLD
     )  # it crashed and came back by itself
     assert scene.look() == []
-    scene.seen["a-0"] = MemberObservation(Incarnation(mark=2), 10.0)
+    scene.seen["a-0"] = MemberObservation(Incarnation(nonce=2), 10.0)
     assert scene.look() == [("drain", "a-0", "new")] and scene.permits.book.permits[0].number == 2
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -29,12 +29,12 @@
     """Each grant answers a report that was sent some time before; members' own clocks bound their use."""
     shares, now = book(), 0
     uses = {name: PlanSubscription(0.5 * base, 0, 0) for name, base in BASES.items()}
-    author = Incarnation(mark=1)
+    author = Incarnation(nonce=1)
     for name, wanted, later, on_its_way in grants:
         now += later
         amount = shares.grant(name, wanted, 0.0, now)
         assert 0 <= amount <= wanted
-        reply = ReportReply(epoch=1, author=author, leads=True, share=2.0 + amount, lease=SPAN)
+        reply = ReportReply(term=1, planner=author, is_leading=True, call_limit=2.0 + amount, lease_span=SPAN)
         uses[name].take(reply, now - on_its_way, now)
         for moment in (now, now + SPAN // 2):
             assert sum(one.calls(moment) for one in uses.values()) <= 12.0 + 1e-6
@@ -68,28 +68,28 @@
 
 # ---- what a member obeys ------------------------------------------------------------------------------
 
-FIRST, SECOND_AUTHOR = Incarnation(mark=1), Incarnation(mark=2)
+FIRST, SECOND_AUTHOR = Incarnation(nonce=1), Incarnation(nonce=2)
 
 
 def tell(epoch, number, span=40_000, listed=True):
     return PlanAssignment(
-        epoch=epoch,
-        plan=number,
-        span=span,
-        fade=10_000,
+        term=epoch,
+        number=number,
+        validity_span=span,
+        fade_span=10_000,
         quotas={},
-        visitors=[],
-        visits=0.0,
-        order=[],
-        level=1.0,
-        listed=listed,
-        short=False,
+        evacuated_callers=[],
+        evacuated_quota=0.0,
+        shedding_order=[],
+        serving_fraction=1.0,
+        is_listed=listed,
+        is_capacity_short=False,
     )
 
 
 def word(epoch=5, author=FIRST, leads=True, number=1, **more):
     plan = tell(epoch, number, **{name: more.pop(name) for name in ("span", "listed") if name in more})
-    return ReportReply(epoch=epoch, author=author, leads=leads, tell=plan, **more)
+    return ReportReply(term=epoch, planner=author, is_leading=leads, assignment=plan, **more)
 
 
 @pytest.mark.parametrize(
@@ -113,12 +113,12 @@
     member = PlanSubscription(1.0, 0, 0)
     assert member.take(word(), 0, 10)
     assert member.take(said, 20, 30) is obeyed
-    assert member.epoch == max(5, said.epoch if obeyed else 0)
+    assert member.epoch == max(5, said.term if obeyed else 0)
 
 
 def test_a_word_that_was_long_on_its_way_is_over_when_it_comes():
     member = PlanSubscription(1.0, 0, 0)
-    assert member.take(word(share=3.0, lease=30_000), 0, 50_000)
+    assert member.take(word(call_limit=3.0, lease_span=30_000), 0, 50_000)
     assert member.plan is None and member.calls(50_000) == 1.0
 
 
@@ -141,5 +141,5 @@
 
 def test_a_lease_that_was_paused_over_is_found_ended_at_the_next_look():
     member = PlanSubscription(1.0, 0, 0)
-    member.take(word(share=3.0, lease=30_000), 0, 10)
+    member.take(word(call_limit=3.0, lease_span=30_000), 0, 10)
     assert member.calls(29_999) == 3.0 and member.calls(30_000) == 1.0 and member.lease_left(40_000) == 0
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -104,7 +104,7 @@
     for name, kept in (("p1", 0), ("p2", 1)):
         assert mind.kept_number == 0  # one of three is no majority
         keep = next(record for _, record in told if isinstance(record, ReplicationRequest))
-        planner.heard(keep, encode(ReplicationResponse(kept=True, epoch=64, name=name)), 0)
+        planner.heard(keep, encode(ReplicationResponse(is_stored=True, promised_term=64, replica=name)), 0)
         assert mind.kept_number == kept
     planner.store.close()
 
