--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -15,7 +15,8 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.cluster.election import DurableVote, Election
+from birchslip.cluster.durable_vote import DurableVote
+from birchslip.cluster.election import Election
 from birchslip.cluster.fleet_file import Fleet, Member, Planner, Site, Vault
 from birchslip.cluster.messages import Incarnation, MemberReport, decode, encode
 from birchslip.cluster.planner_state import PlannerState
@@ -86,14 +87,16 @@
         names = [(member.name, site.name) for site in told for member in site.members]
         for step in range(8):
             now += mind.every()
-            ask = ballot.ask(now)
+            ask = ballot.next_vote_request(now)
             if ask is not None:
-                ballot.answered(ballot.asked(ask, now), ask.term, now, now)
+                ballot.handle_vote_response(ballot.handle_vote_request(ask, now), ask.term, now, now)
             for name, site in names:
                 mind.hear(report(name, site, step + 1), now)
             mind.look(now)
             keep = mind.keep()
-            if keep is not None and ballot.kept(ballot.keep(keep, now), keep.state_number):
+            if keep is not None and ballot.handle_replication_response(
+                ballot.handle_replication_request(keep, now), keep.state_number
+            ):
                 mind.kept(keep.state_number)
         mind.evacuate("s0", "bench", "bench", now)
         planned = took(partial(mind.renew, now))
--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -16,7 +16,13 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.cluster.messages import EvictionOperation, EvictionRequest, Incarnation, MemberReport, encode
+from birchslip.cluster.messages import (
+    EvictionOperation,
+    EvictionRequest,
+    Incarnation,
+    MemberReport,
+    encode,
+)
 from birchslip.cluster.planner import descriptors
 from birchslip.cluster.transport import PeerConnection
 from birchslip.lab.processes import ROOT
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -18,7 +18,13 @@
 import click
 
 from .cluster.fleet_file import Fleet, read_fleet, schema
-from .cluster.messages import EvictionOperation, EvictionRequest, OperatorCommand, OperatorOperation, encode
+from .cluster.messages import (
+    EvictionOperation,
+    EvictionRequest,
+    OperatorCommand,
+    OperatorOperation,
+    encode,
+)
 from .cluster.release_file import read_release, release_schema
 from .cluster.rollout import RolloutSpec, batches_of, unknown
 from .cluster.rollout_controller import RolloutCommand
--- a/birchslip/cluster/election.py
+++ b/birchslip/cluster/election.py
@@ -1,351 +1,399 @@
-"""Who leads: a lease by a majority of planners, under an epoch that fences the leader before.
-
-The roads weighed are in `docs/fleet.md`. What holds, and by which rule:
-
-- *Never two leaders at once.* A planner grants its vote to one at a time, for `LEASE` counted from when it
-  was asked for; the leader counts the same lease from when it *sent* the question, and less by a margin for
-  clocks that go at different speeds. One that has just started grants nothing for a whole lease: it may
-  have granted one in its life before.
-- *A leader that has been paused can't be obeyed.* Epochs rise and are never used by two planners; those who
-  obey know the highest that they have heard, and refuse what is older.
-- *What was kept by a majority is not forgotten.* Whoever leads takes the newest state that its voters keep.
-  One with an empty or old disk does not vote until it has heard all the others or the leader has told it
-  again; an old disk shows by a life that the others have seen go by, which it asks for at its start.
-
-`asked` and `keep` change what must survive: the caller flushes `durable` before it answers.
+"""Leader election among the planners: a lease granted by a quorum, in numbered terms that fence old leaders.
+
+Decides who leads and which state survives; does no I/O and reads no clock. The alternatives are compared in
+`docs/fleet.md`. It guarantees:
+
+- *At most one leader at a time.* A planner votes for one candidate at a time, for `LEASE_SPAN` from when the
+  request arrived. The leader counts the same lease from when it *sent* the request, less a margin for clock
+  drift. A planner that has just started votes for nobody for a whole lease: it may have voted before.
+- *A paused leader is fenced.* Terms rise and no two planners use the same one; members refuse replies of a
+  term below the highest that they have heard.
+- *State stored by a quorum is not lost.* A new leader adopts the newest state among its voters. A planner
+  whose disk is empty or outdated does not vote until all others, or the leader, have sent their state. An
+  outdated disk shows by a generation or a state that the others have already seen.
+
+Handling a request may change `durable`: the caller must store it before it sends the response, or the
+guarantees do not hold.
 """
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, field
+from enum import Enum, auto
 
-import msgspec
-
+from .durable_vote import NO_STATE, NOBODY, Candidate, DurableVote, StoredState
 from .messages import (
     Incarnation,
     PeerObservation,
     ReplicationRequest,
     ReplicationResponse,
+    StateVersion,
     VoteRequest,
     VoteResponse,
 )
+from .quorum import CLOCK_DRIFT, LEASE_SPAN, QuorumLease, QuorumReplicas
 
-LEASE = 10_000  # a second
-DRIFT = 0.02
-RENEW = 2_500  # four questions in a lease: three may be lost
-SURE_LEASES = 3  # that one which has just started waits for others that do not answer, before it votes
-JITTER = 2_500  # candidates try at different times, or they would split the votes for ever
-KEPT_NUMBERS = 8  # whose keepers are still counted
-WIDTH = 64  # planners: an epoch's rest by it names the planner that may use it
+# All spans are in units of 0.1 ms.
+RENEWAL_INTERVAL = 2_500  # four requests in a lease: three may be lost
+CONFIRMATION_LEASES = 3  # leases that a starting planner waits for the others before it trusts its disk
+MAX_JITTER = 2_500  # candidates that start at the same time would split the votes
+TERM_STRIDE = 64  # a term's remainder by it is the place of the planner that may use it
 
 
-@dataclass(slots=True)
-class DurableVote:
-    """What survives a restart. `blank` says that it is not, or may not be, what this planner last had."""
+class ElectionRole(Enum):
+    """A planner's part in the election."""
 
-    life: int = 0
-    promised: int = 0
-    promised_to: str = ""
-    promised_mark: int = 0
-    state_epoch: int = 0
-    state_number: int = 0
-    state: bytes = b""
-    blank: bool = True
-    seen: str = ""  # of the others, as JSON
+    RECOVERING = auto()  # its own state is missing or not yet confirmed by the others
+    FOLLOWER = auto()
+    CANDIDATE = auto()
+    LEADER = auto()
 
 
 @dataclass(slots=True)
 class Election:
-    """One planner's part in the vote. Times are of a clock that doesn't jump."""
+    """One planner's voter and candidate. All times are of its monotonic clock.
+
+    Attributes:
+        name: The planner's name.
+        planners: Names of all planners, in the fleet file's order.
+        durable: What has to be stored before a response is sent.
+        nonce: Identifies this run.
+        now: The latest time that was passed in.
+        rng: Source of the jitter.
+        needs_flush: Whether `durable` has changed since it was stored.
+        observations: The latest known of each other planner.
+        recovery_responses: Responses of the other planners while this one is blank.
+        granted_to: Who holds this planner's vote.
+        granted_until: When that vote ends.
+        silent_until: Until when it does not vote after its start.
+        term: Term of its own candidacy or leadership; 0 if none.
+        lease: Votes for `term` and the lease that they grant.
+        highest_term: Highest term heard of; the next candidacy is above it.
+        is_elected: Whether it has been elected in `term`.
+        fencing_term: Highest term that a member is known to follow.
+        next_request_at: When the next vote request is due.
+        newest_state: Newest state among the voters.
+        replicas: Which planners have stored the states of `term`.
+        unconfirmed_peers: Planners that have not yet sent what they know of this one.
+        confirmed_from: When it trusts its disk even without them.
+        lost_version: State that it is known to have lost, so that the loss is noticed once.
+    """
 
     name: str
     planners: list[str]
     durable: DurableVote
-    mark: int
+    nonce: int
     now: int
-    chance: random.Random
-    dirty: bool = True
-    seen: dict[str, PeerObservation] = field(default_factory=dict)
-    told: dict[str, VoteResponse] = field(default_factory=dict)  # by all others, since this one is blank
-    granted_to: tuple[str, int] = ("", 0)
+    rng: random.Random
+    needs_flush: bool = True
+    observations: dict[str, PeerObservation] = field(default_factory=dict)
+    recovery_responses: dict[str, VoteResponse] = field(default_factory=dict)
+    granted_to: Candidate = NOBODY
     granted_until: int = 0
-    quiet_until: int = 0
-    epoch: int = 0  # of its own candidacy or leadership
-    grants: dict[str, int] = field(default_factory=dict)  # voter: when the question was sent
-    highest: int = 0  # epoch heard of, from whomever: the next candidacy begins above it
-    won: bool = False
-    overtaken: int = 0  # the highest that is known to be obeyed
-    next_ask: int = 0
-    newest: tuple[int, int, bytes] = (0, 0, b"")
-    kept_by: dict[int, set[str]] = field(default_factory=dict)  # number: planners that keep it
-    unsure: set[str] = field(
-        default_factory=set
-    )  # others that have not shown yet which of my lives they know
-    sure_from: int = 0
-    forgone: tuple[int, int] = (
-        0,
-        0,
-    )  # what it is known to have lost: that is found once, not again and again
+    silent_until: int = 0
+    term: int = 0
+    lease: QuorumLease = field(init=False)
+    highest_term: int = 0
+    is_elected: bool = False
+    fencing_term: int = 0
+    next_request_at: int = 0
+    newest_state: StoredState = NO_STATE
+    replicas: QuorumReplicas = field(init=False)
+    unconfirmed_peers: set[str] = field(default_factory=set)
+    confirmed_from: int = 0
+    lost_version: StateVersion = NO_STATE.version
 
     def __post_init__(self) -> None:
-        self.durable.life += 1
-        if self.durable.seen:
-            self.seen = msgspec.json.decode(self.durable.seen, type=dict[str, PeerObservation])
-        self.quiet_until = self.now + self.quiet
-        self.next_ask = self.now + self.chance.randrange(JITTER)
-        self.highest = self.durable.promised
-        self.unsure = {name for name in self.planners if name != self.name}
-        self.sure_from = self.now + SURE_LEASES * self.quiet
+        """Counts the start and begins the silent span."""
+        self.durable.generation += 1
+        self.observations = self.durable.load_observations()
+        self.lease = QuorumLease(self.quorum)
+        self.replicas = QuorumReplicas(self.quorum)
+        self.silent_until = self.now + self.silent_span
+        self.next_request_at = self.now + self.rng.randrange(MAX_JITTER)
+        self.highest_term = self.durable.promised_term
+        self.unconfirmed_peers = {name for name in self.planners if name != self.name}
+        self.confirmed_from = self.now + CONFIRMATION_LEASES * self.silent_span
         if len(self.planners) == 1:
-            self.durable.blank = False
+            self.durable.is_blank = False
 
     @property
-    def quiet(self) -> int:
-        """After so long here, a lease that was granted just before has ended wherever it is counted."""
-        return int(LEASE * (1 + DRIFT))
-
-    def sure(self) -> bool:
-        """Whether the others have had the time to say that this disk is older than what they have seen."""
-        return not self.unsure or self.now >= self.sure_from
+    def silent_span(self) -> int:
+        """Span after which a lease granted just before has ended by every clock."""
+        return int(LEASE_SPAN * (1 + CLOCK_DRIFT))
 
     @property
     def incarnation(self) -> Incarnation:
-        return Incarnation(generation=self.durable.life, nonce=self.mark)
+        """This run of the planner."""
+        return Incarnation(generation=self.durable.generation, nonce=self.nonce)
 
     @property
-    def majority(self) -> int:
+    def quorum(self) -> int:
+        """Number of planners that form a majority."""
         return len(self.planners) // 2 + 1
 
-    # ---- as a voter ------------------------------------------------------------------------------------
+    def is_confirmed(self) -> bool:
+        """Whether the others had the time to say that this disk is outdated."""
+        return not self.unconfirmed_peers or self.now >= self.confirmed_from
 
-    def meet(self, name: str, shown: PeerObservation, seen: dict[str, PeerObservation]) -> None:
-        """What another planner shows of itself, and what it has seen of me."""
-        self.unsure.discard(name)
-        known = self.seen.get(name)
-        if known is None or (known.nonce != shown.nonce and shown.generation >= known.generation):
-            # A new life: on the disk, as a third planner may have to tell it one day that its disk is old.
-            self.seen[name] = known = PeerObservation(
-                generation=shown.generation,
-                nonce=shown.nonce,
-                promised_term=known.promised_term if known is not None else 0,
-                state_term=known.state_term if known is not None else 0,
-                state_number=known.state_number if known is not None else 0,
-            )
-            self.durable.seen = msgspec.json.encode(self.seen).decode()
-            self.dirty = True
-        known.promised_term = max(known.promised_term, shown.promised_term)
-        known.state_term, known.state_number = max(
-            (known.state_term, known.state_number), (shown.state_term, shown.state_number)
-        )
-        mine = seen.get(self.name)
-        if mine is not None and self.older_than(mine):
-            # What I promised and kept since is not on this disk.
-            self.durable.life = max(self.durable.life, mine.generation + 1)
-            self.durable.promised = max(self.durable.promised, mine.promised_term)
-            self.forgone = max(self.forgone, (mine.state_term, mine.state_number))
-            self.durable.blank = True
-            self.told.clear()
-            self.dirty = True
-
-    def older_than(self, mine: PeerObservation) -> bool:
-        """Whether another has seen more of me than my disk holds: it is empty, cut short or of an earlier
-        day.
-        """
-        durable = self.durable
-        return (
-            (mine.generation >= durable.life and mine.nonce != self.mark)
-            or mine.promised_term > durable.promised
-            or (mine.state_term, mine.state_number)
-            > max(self.forgone, (durable.state_epoch, durable.state_number))
-        )
+    def role(self, now: int) -> ElectionRole:
+        """The planner's part at this moment."""
+        if self.durable.is_blank or not self.is_confirmed():
+            return ElectionRole.RECOVERING
+        if self.is_leading(now):
+            return ElectionRole.LEADER
+        return ElectionRole.CANDIDATE if self.term else ElectionRole.FOLLOWER
 
-    def note(self, name: str, epoch: int, number: int) -> None:
-        """Another has shown that it keeps this."""
-        seen = self.seen.get(name)
-        if seen is not None:
-            seen.promised_term = max(seen.promised_term, epoch)
-            seen.state_term, seen.state_number = max((seen.state_term, seen.state_number), (epoch, number))
-
-    def shows(self, answer: VoteResponse) -> PeerObservation:
-        return PeerObservation(
-            generation=answer.incarnation.generation,
-            nonce=answer.incarnation.nonce,
-            promised_term=answer.promised_term,
-            state_term=answer.state_term,
-            state_number=answer.state_number,
-        )
+    # ---- voter -----------------------------------------------------------------------------------------
 
-    def asked(self, ask: VoteRequest, now: int) -> VoteResponse:
+    def handle_vote_request(self, request: VoteRequest, now: int) -> VoteResponse:
+        """Grants or refuses a vote; `durable` has to be stored before the response is sent."""
         self.now = max(self.now, now)
-        if ask.candidate != self.name:
-            self.meet(
-                ask.candidate,
-                PeerObservation(generation=ask.incarnation.generation, nonce=ask.incarnation.nonce),
-                ask.observations,
-            )
-        asker = (ask.candidate, ask.incarnation.nonce)
-        durable = self.durable
-        self.highest = max(self.highest, ask.term)
-        granted = (
-            ask.term > 0
-            and not durable.blank
-            and self.sure()
-            and self.now >= self.quiet_until
-            and (self.now >= self.granted_until or self.granted_to == asker)
-            and (
-                ask.term > durable.promised
-                or (ask.term, *asker) == (durable.promised, durable.promised_to, durable.promised_mark)
-            )
-        )
+        candidate = Candidate(request.candidate, request.incarnation.nonce)
+        if candidate.name != self.name:
+            self.observe_peer(candidate.name, request.observation, request.observations)
+        self.highest_term = max(self.highest_term, request.term)
+        granted = self.may_grant(request.term, candidate)
         if granted:
-            if ask.term != durable.promised:
-                durable.promised, durable.promised_to, durable.promised_mark = ask.term, *asker
-                self.dirty = True
-            self.granted_to, self.granted_until = asker, self.now + LEASE
-            if ask.candidate != self.name:
-                self.next_ask = self.granted_until + self.chance.randrange(JITTER)
-        return self.answer(granted)
-
-    def answer(self, granted: bool) -> VoteResponse:
+            self.grant(request.term, candidate)
+        return self.vote_response(granted)
+
+    def may_grant(self, term: int, candidate: Candidate) -> bool:
+        """Whether the vote may be given without breaking an earlier one."""
+        if term <= 0 or self.durable.is_blank or not self.is_confirmed():
+            return False
+        if self.now < self.silent_until:
+            return False
+        if self.now < self.granted_until and self.granted_to != candidate:
+            return False
+        return term > self.durable.promised_term or self.durable.is_promised_to(term, candidate)
+
+    def grant(self, term: int, candidate: Candidate) -> None:
+        """Gives the vote for one lease."""
+        if term != self.durable.promised_term:
+            self.durable.promise(term, candidate)
+            self.needs_flush = True
+        self.granted_to = candidate
+        self.granted_until = self.now + LEASE_SPAN
+        if candidate.name != self.name:
+            self.next_request_at = self.granted_until + self.rng.randrange(MAX_JITTER)
+
+    def vote_response(self, granted: bool) -> VoteResponse:
+        """A response with all that this planner has stored and knows."""
         durable = self.durable
         return VoteResponse(
             granted=granted,
-            promised_term=durable.promised,
+            promised_term=durable.promised_term,
             voter=self.name,
             incarnation=self.incarnation,
-            is_blank=durable.blank,
-            lease_remaining=max(0, max(self.granted_until, self.quiet_until) - self.now),
-            state_term=durable.state_epoch,
+            is_blank=durable.is_blank,
+            lease_remaining=max(0, max(self.granted_until, self.silent_until) - self.now),
+            state_term=durable.state_term,
             state_number=durable.state_number,
             state=durable.state,
-            observations=self.seen,
+            observations=self.observations,
         )
 
-    def keep(self, told: ReplicationRequest, now: int) -> ReplicationResponse:
-        """The leader's state, to be kept before anybody is told of it; a leader of older days is refused."""
+    def handle_replication_request(self, request: ReplicationRequest, now: int) -> ReplicationResponse:
+        """Stores the leader's state unless a later term was promised.
+
+        `durable` has to be stored before the response is sent.
+        """
         self.now = max(self.now, now)
         durable = self.durable
-        self.highest = max(self.highest, told.term)
-        if told.term < durable.promised:
-            return ReplicationResponse(is_stored=False, promised_term=durable.promised, replica=self.name)
-        if told.term > durable.promised:
-            durable.promised, durable.promised_to = told.term, told.leader
-            durable.promised_mark = told.incarnation.nonce
-            self.dirty = True
-        if (told.term, told.state_number) > (durable.state_epoch, durable.state_number) or durable.blank:
-            durable.state_epoch, durable.state_number = told.term, told.state_number
-            durable.state = told.state
-            durable.blank = False
-            self.note(told.leader, told.term, told.state_number)
-            # It is flushed now anyway: what is known of the others survives with it, and may unmask an old
-            # disk.
-            durable.seen = msgspec.json.encode(self.seen).decode()
-            self.dirty = True
-        return ReplicationResponse(is_stored=True, promised_term=durable.promised, replica=self.name)
-
-    # ---- as a candidate and a leader -------------------------------------------------------------------
-
-    def ask(self, now: int) -> VoteRequest | None:
-        """The question to put to all planners, oneself included, where it is time for one."""
+        self.highest_term = max(self.highest_term, request.term)
+        if request.term < durable.promised_term:
+            return self.replication_response(is_stored=False)
+        if request.term > durable.promised_term:
+            durable.promise(request.term, Candidate(request.leader, request.incarnation.nonce))
+            self.needs_flush = True
+        if request.state_version > durable.state_version or durable.is_blank:
+            durable.store(request.state_version, request.state)
+            durable.is_blank = False
+            self.observe_stored_state(request.leader, request.state_version)
+            # It is flushed anyway: observations that survive may show another planner that its disk is old.
+            durable.save_observations(self.observations)
+            self.needs_flush = True
+        return self.replication_response(is_stored=True)
+
+    def replication_response(self, is_stored: bool) -> ReplicationResponse:
+        """A response with the term that is promised now."""
+        return ReplicationResponse(
+            is_stored=is_stored, promised_term=self.durable.promised_term, replica=self.name
+        )
+
+    # ---- what the planners know of each other ----------------------------------------------------------
+
+    def observe_peer(
+        self, name: str, shown: PeerObservation, observations: dict[str, PeerObservation]
+    ) -> None:
+        """Takes in what another planner shows of itself, and what it has observed of this one."""
+        self.unconfirmed_peers.discard(name)
+        known = self.observations.get(name)
+        if known is None or (known.nonce != shown.nonce and shown.generation >= known.generation):
+            known = self.observe_restart(name, shown, known)
+        known.promised_term = max(known.promised_term, shown.promised_term)
+        known.record_state(shown.state_version)
+        own = observations.get(self.name)
+        if own is not None and self.has_lost_state(own):
+            self.discard_state(own)
+
+    def observe_restart(
+        self, name: str, shown: PeerObservation, known: PeerObservation | None
+    ) -> PeerObservation:
+        """Stores that a planner runs anew: it may have to be told one day that its disk is outdated."""
+        renewed = PeerObservation(generation=shown.generation, nonce=shown.nonce)
+        if known is not None:
+            renewed.promised_term = known.promised_term
+            renewed.record_state(known.state_version)
+        self.observations[name] = renewed
+        self.durable.save_observations(self.observations)
+        self.needs_flush = True
+        return renewed
+
+    def has_lost_state(self, own: PeerObservation) -> bool:
+        """Whether another planner has seen more of this one than its disk holds."""
+        durable = self.durable
+        return (
+            (own.generation >= durable.generation and own.nonce != self.nonce)
+            or own.promised_term > durable.promised_term
+            or own.state_version > max(self.lost_version, durable.state_version)
+        )
+
+    def discard_state(self, own: PeerObservation) -> None:
+        """Becomes blank: promises and state of an earlier run are not on this disk."""
+        self.durable.generation = max(self.durable.generation, own.generation + 1)
+        self.durable.promised_term = max(self.durable.promised_term, own.promised_term)
+        self.lost_version = max(self.lost_version, own.state_version)
+        self.durable.is_blank = True
+        self.recovery_responses.clear()
+        self.needs_flush = True
+
+    def observe_stored_state(self, name: str, version: StateVersion) -> None:
+        """Takes in that another planner has stored a state."""
+        known = self.observations.get(name)
+        if known is not None:
+            known.promised_term = max(known.promised_term, version.term)
+            known.record_state(version)
+
+    def observe_term(self, term: int) -> None:
+        """Takes in that a member follows a term: leadership of an earlier one is over."""
+        self.highest_term = max(self.highest_term, term)
+        self.fencing_term = max(self.fencing_term, term)
+
+    def recover_state(self, response: VoteResponse) -> None:
+        """While blank: adopts the newest state once all others have responded."""
+        if response.voter == self.name:
+            return
+        self.recovery_responses[response.voter] = response
+        if len(self.recovery_responses) < len(self.planners) - 1:
+            return
+        responses = self.recovery_responses.values()
+        newest = max(responses, key=lambda one: one.state_version)
+        durable = self.durable
+        if newest.state_version > durable.state_version:
+            durable.store(newest.state_version, newest.state)
+        highest_promised = max(one.promised_term for one in responses)
+        durable.promised_term = max(durable.promised_term, highest_promised)
+        durable.is_blank = False
+        self.recovery_responses.clear()
+        self.needs_flush = True
+
+    # ---- candidate and leader --------------------------------------------------------------------------
+
+    def next_vote_request(self, now: int) -> VoteRequest | None:
+        """The request to send to all planners, this one included, if one is due."""
         self.now = max(self.now, now)
-        if self.now < self.next_ask:
+        if self.now < self.next_request_at:
             return None
-        if self.durable.blank or not self.sure():
-            self.next_ask = self.now + RENEW
-            return self.question(0)  # it asks what the others know, and for nothing
-        if self.leads(now):
-            self.next_ask = self.now + RENEW
-            return self.question(self.epoch)
-        if self.epoch:
-            # Not elected: its own vote is free again, as it will never lead in that epoch. Guards against two
-            # that each keep their vote for themselves and so never agree.
-            self.epoch = 0
-            if self.granted_to[0] == self.name:
-                self.granted_until = self.now
-            self.next_ask = self.now + self.chance.randrange(2 * JITTER)
-            return None
-        if self.now < self.granted_until and self.granted_to[0] != self.name:
-            self.next_ask = self.granted_until + self.chance.randrange(JITTER)
+        match self.role(now):
+            case ElectionRole.RECOVERING:
+                self.next_request_at = self.now + RENEWAL_INTERVAL
+                return self.vote_request(0)  # asks only what the others know
+            case ElectionRole.LEADER:
+                self.next_request_at = self.now + RENEWAL_INTERVAL
+                return self.vote_request(self.term)
+            case ElectionRole.CANDIDATE:
+                self.abandon_candidacy()
+                return None
+            case ElectionRole.FOLLOWER:
+                return self.start_candidacy()
+
+    def abandon_candidacy(self) -> None:
+        """Frees this planner's vote, as it will never lead in that term.
+
+        Candidates that all kept their votes for themselves would never agree.
+        """
+        self.term = 0
+        if self.granted_to.name == self.name:
+            self.granted_until = self.now
+        self.next_request_at = self.now + self.rng.randrange(2 * MAX_JITTER)
+
+    def start_candidacy(self) -> VoteRequest | None:
+        """Begins a new term, or waits until nobody else can hold the lease."""
+        if self.now < self.granted_until and self.granted_to.name != self.name:
+            self.next_request_at = self.granted_until + self.rng.randrange(MAX_JITTER)
             return None
-        if self.now < self.quiet_until:
-            self.next_ask = self.quiet_until + self.chance.randrange(JITTER)
+        if self.now < self.silent_until:
+            self.next_request_at = self.silent_until + self.rng.randrange(MAX_JITTER)
             return None
-        self.epoch, self.won = self.next_epoch(), False
-        self.grants.clear()
-        self.kept_by.clear()
-        self.newest = (0, 0, b"")
-        self.next_ask = self.now + RENEW
-        return self.question(self.epoch)
-
-    def question(self, epoch: int) -> VoteRequest:
+        self.term = self.next_term()
+        self.is_elected = False
+        self.lease.clear()
+        self.replicas.clear()
+        self.newest_state = NO_STATE
+        self.next_request_at = self.now + RENEWAL_INTERVAL
+        return self.vote_request(self.term)
+
+    def vote_request(self, term: int) -> VoteRequest:
+        """A request for votes in a term."""
         return VoteRequest(
-            term=epoch, candidate=self.name, incarnation=self.incarnation, observations=self.seen
+            term=term, candidate=self.name, incarnation=self.incarnation, observations=self.observations
         )
 
-    def next_epoch(self) -> int:
-        """Above all that was heard of, and never another planner's."""
+    def next_term(self) -> int:
+        """A term above all heard of, which no other planner uses."""
         place = self.planners.index(self.name)
-        return (max(self.highest, self.durable.promised) // WIDTH + 1) * WIDTH + place
+        highest = max(self.highest_term, self.durable.promised_term)
+        return (highest // TERM_STRIDE + 1) * TERM_STRIDE + place
 
-    def answered(self, answer: VoteResponse, epoch: int, sent: int, now: int) -> None:
-        """`epoch` and `sent` are of the question that this answers."""
+    def handle_vote_response(self, response: VoteResponse, term: int, sent: int, now: int) -> None:
+        """Counts a vote.
+
+        Args:
+            response: The response.
+            term: Term of the request that it answers.
+            sent: When that request was sent.
+            now: The present time.
+        """
         self.now = max(self.now, now)
-        if answer.voter != self.name:
-            self.meet(answer.voter, self.shows(answer), answer.observations)
-        self.highest = max(self.highest, answer.promised_term)
-        if self.durable.blank:
-            self.learn(answer)
+        if response.voter != self.name:
+            self.observe_peer(response.voter, response.observation, response.observations)
+        self.highest_term = max(self.highest_term, response.promised_term)
+        if self.durable.is_blank:
+            self.recover_state(response)
             return
-        if not answer.granted or epoch != self.epoch or not epoch:
+        if not response.granted or term != self.term or not term:
             return
-        self.grants[answer.voter] = max(sent, self.grants.get(answer.voter, 0))
-        self.newest = max(self.newest, (answer.state_term, answer.state_number, answer.state))
+        self.lease.record(response.voter, sent)
+        self.newest_state = max(self.newest_state, StoredState(*response.state_version, response.state))
 
-    def learn(self, answer: VoteResponse) -> None:
-        """Blank: once all others have told what they keep, nothing that a majority kept is missing here."""
-        if answer.voter == self.name:
-            return
-        self.told[answer.voter] = answer
-        if len(self.told) < len(self.planners) - 1:
-            return
-        durable = self.durable
-        newest = max(self.told.values(), key=lambda one: (one.state_term, one.state_number))
-        if (newest.state_term, newest.state_number) > (durable.state_epoch, durable.state_number):
-            durable.state_epoch, durable.state_number = newest.state_term, newest.state_number
-            durable.state = newest.state
-        durable.promised = max(durable.promised, max(one.promised_term for one in self.told.values()))
-        durable.blank = False
-        self.told.clear()
-        self.dirty = True
-
-    def lease_end(self) -> int:
-        """Its lease runs from the question that the last of a majority has granted, by the sender's clock."""
-        sent = sorted(self.grants.values(), reverse=True)
-        return sent[self.majority - 1] + int(LEASE * (1 - DRIFT)) if len(sent) >= self.majority else 0
-
-    def leads(self, now: int) -> bool:
-        """Whether it holds the lease at this moment; to be looked at just before each answer."""
+    def is_leading(self, now: int) -> bool:
+        """Whether it holds the lease at this moment; has to be asked just before each reply."""
         self.now = max(self.now, now)
-        if self.epoch and (self.now >= self.lease_end() or self.epoch < self.overtaken):
-            if self.won:
-                # One that has lapsed is never taken up again: others may have led, and kept more, meanwhile.
-                self.epoch, self.won = 0, False
+        if self.term and (self.now >= self.lease.end() or self.term < self.fencing_term):
+            if self.is_elected:
+                # A lapsed lease is never resumed: others may have led, and stored more, in the meantime.
+                self.term, self.is_elected = 0, False
             return False
-        self.won = self.epoch > 0
-        return self.won
-
-    def outrun(self, epoch: int) -> None:
-        """Somebody obeys a higher epoch: this one is over, and the next candidacy begins above it."""
-        self.highest = max(self.highest, epoch)
-        self.overtaken = max(self.overtaken, epoch)
-
-    def kept(self, answer: ReplicationResponse, number: int) -> bool:
-        """Whether that number is kept by a majority now."""
-        self.highest = max(self.highest, answer.promised_term)
-        if answer.is_stored:
-            for old in [one for one in self.kept_by if one < number - KEPT_NUMBERS]:
-                del self.kept_by[old]
-            self.kept_by.setdefault(number, set()).add(answer.replica)
-            self.note(answer.replica, self.epoch, number)
-        return len(self.kept_by.get(number, ())) >= self.majority
+        self.is_elected = self.term > 0
+        return self.is_elected
+
+    def handle_replication_response(self, response: ReplicationResponse, state_number: int) -> bool:
+        """Counts a replica; returns whether a quorum has stored that state."""
+        self.highest_term = max(self.highest_term, response.promised_term)
+        if response.is_stored:
+            self.replicas.record(response.replica, state_number)
+            self.observe_stored_state(response.replica, StateVersion(self.term, state_number))
+        return self.replicas.has_quorum(state_number)
--- a/birchslip/cluster/election_store.py
+++ b/birchslip/cluster/election_store.py
@@ -1,8 +1,8 @@
-"""What must survive a planner's restart, in SQLite: one row, flushed before anything is answered.
+"""Storage of a planner's durable vote: an SQLite file with one row, flushed before anything is answered.
 
-A file that is cut short, damaged or of a later version is no reason to stay away: it is put aside under
-another name, and the planner comes back blank, which it then says until the others have told it what it
-missed.
+A file that is truncated, damaged or of a later version doesn't keep the planner from starting: it is renamed
+and the planner starts blank, until the others have sent it what it missed. The table's name, its columns and
+the checksum never change.
 """
 
 from __future__ import annotations
@@ -10,92 +10,154 @@
 import sqlite3
 import zlib
 from contextlib import closing
-from dataclasses import astuple, fields
+from dataclasses import astuple
 from pathlib import Path
 
-from .election import DurableVote
+from ..errors import BirchslipError
+from .durable_vote import DurableVote
 
 VERSION = 1
-COLUMNS = [field.name for field in fields(DurableVote)]
-FORM = (
-    "create table if not exists ballot (one integer primary key check (one = 1), checksum integer not null, "
-    + ", ".join(COLUMNS)
-    + ")"
+# In the order of the fields of `DurableVote`.
+COLUMNS = (
+    "life",
+    "promised",
+    "promised_to",
+    "promised_mark",
+    "state_epoch",
+    "state_number",
+    "state",
+    "blank",
+    "seen",
 )
+COLUMN_LIST = ", ".join(COLUMNS)
+CREATE_TABLE = (
+    "create table if not exists ballot "
+    f"(one integer primary key check (one = 1), checksum integer not null, {COLUMN_LIST})"
+)
+SELECT_ROW = f"select checksum, {COLUMN_LIST} from ballot"
+PLACEHOLDERS = ", ".join("?" * (len(COLUMNS) + 2))
+REPLACE_ROW = f"insert or replace into ballot values ({PLACEHOLDERS})"
+ROW_KEY = 1
+FILE_SUFFIXES = ("", "-wal", "-shm")  # of the database and its companions
+
+
+class StoreWriteError(BirchslipError, OSError):
+    """The vote could not be flushed: nothing may be answered that rests on it.
+
+    Attributes:
+        path: The planner's file.
+        reason: What SQLite said.
+    """
 
+    def __init__(self, path: Path, reason: str) -> None:
+        """Makes the message of both."""
+        super().__init__(f"{path}: {reason}")
+        self.path = path
+        self.reason = reason
 
-class StoreWriteError(OSError):
-    """What had to be flushed could not be: nothing may be answered that rests on it."""
 
+class DamagedStoreError(BirchslipError, ValueError):
+    """The file is readable but is not, or is no longer, a vote that this version wrote."""
 
-def checksum(durable: DurableVote) -> int:
-    return zlib.crc32(repr(astuple(durable)).encode())
+
+def checksum(vote: DurableVote) -> int:
+    """Checksum of a vote, as it is stored beside it."""
+    return zlib.crc32(repr(astuple(vote)).encode())
 
 
 class ElectionStore:
-    """One planner's file. `trouble` says why an earlier one was put aside, if one was."""
+    """One planner's vote file, locked for as long as it is open.
+
+    Attributes:
+        path: The file.
+        vote: What was found in it.
+        damage: Why an earlier file was set aside; empty if none was.
+    """
 
     def __init__(self, folder: Path, name: str) -> None:
+        """Opens or creates the file.
+
+        Raises:
+            StoreWriteError: If it can't be written, or another planner of this name holds it.
+        """
         self.path = folder / f"{name}.planner"
-        self.trouble = ""
+        self.damage = ""
         folder.mkdir(parents=True, exist_ok=True)
         try:
-            self.link = self.open()
-            self.found = self.load()
-        except sqlite3.OperationalError as trouble:
-            raise StoreWriteError(f"{self.path}: {trouble}") from None
-        except (sqlite3.DatabaseError, ValueError) as trouble:
-            self.trouble = str(trouble)
-            self.put_aside()
-            self.link = self.open()
-            self.found = DurableVote()
+            self.connection = self.open()
+            self.vote = self.load()
+        except sqlite3.OperationalError as error:
+            raise StoreWriteError(self.path, str(error)) from None
+        except (sqlite3.DatabaseError, DamagedStoreError, ValueError) as error:
+            self.damage = str(error)
+            self.set_aside()
+            self.connection = self.open()
+            self.vote = DurableVote()
+
+    def __enter__(self) -> ElectionStore:
+        """Returns itself, open."""
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        """Closes the file."""
+        self.close()
 
     def open(self) -> sqlite3.Connection:
-        link = sqlite3.connect(self.path, isolation_level=None, timeout=0)
+        """Opens the file with an exclusive lock and creates its table."""
+        connection = sqlite3.connect(self.path, isolation_level=None, timeout=0)
         try:
-            # Held for as long as it lives: a second planner of this name is refused at its start.
-            link.execute("pragma locking_mode = exclusive")
-            link.execute("pragma journal_mode = wal")
-            link.execute("pragma synchronous = full")
-            (version,) = link.execute("pragma user_version").fetchone()
+            # The lock lasts as long as the connection: a second planner of this name can't start.
+            connection.execute("pragma locking_mode = exclusive")
+            connection.execute("pragma journal_mode = wal")
+            connection.execute("pragma synchronous = full")
+            (version,) = connection.execute("pragma user_version").fetchone()
             if version not in (0, VERSION):
-                raise ValueError(f"version {version}, and {VERSION} is the latest known")
-            link.execute("begin exclusive")
-            link.execute(FORM)
-            link.execute(f"pragma user_version = {VERSION}")
-            link.execute("commit")
+                raise DamagedStoreError(f"version {version}, and {VERSION} is the latest known")
+            connection.execute("begin exclusive")
+            connection.execute(CREATE_TABLE)
+            connection.execute(f"pragma user_version = {VERSION}")
+            connection.execute("commit")
         except BaseException:
-            link.close()
+            connection.close()
             raise
-        return link
+        return connection
 
     def load(self) -> DurableVote:
-        with closing(self.link.execute(f"select checksum, {', '.join(COLUMNS)} from ballot")) as rows:
+        """Reads the stored vote; a blank one if none is stored.
+
+        Raises:
+            DamagedStoreError: If the row does not match its checksum.
+        """
+        with closing(self.connection.execute(SELECT_ROW)) as rows:
             row = rows.fetchone()
         if row is None:
             return DurableVote()
-        durable = DurableVote(*row[1:])
-        durable.blank = bool(durable.blank)
-        if row[0] != checksum(durable):
-            self.link.close()
-            raise ValueError("the row does not match its checksum")
-        return durable
-
-    def save(self, durable: DurableVote) -> None:
-        """On the disk when it returns; Unkept where that could not be."""
-        marks = ", ".join("?" * (len(COLUMNS) + 2))
+        stored_checksum, *columns = row
+        vote = DurableVote(*columns)
+        vote.is_blank = bool(vote.is_blank)
+        if stored_checksum != checksum(vote):
+            self.connection.close()
+            raise DamagedStoreError("the row does not match its checksum")
+        return vote
+
+    def save(self, vote: DurableVote) -> None:
+        """Writes the vote; it is on the disk on return.
+
+        Raises:
+            StoreWriteError: If that failed.
+        """
         try:
-            self.link.execute(
-                f"insert or replace into ballot values ({marks})", (1, checksum(durable), *astuple(durable))
-            )
-        except sqlite3.Error as trouble:
-            raise StoreWriteError(f"{self.path}: {trouble}") from None
-
-    def put_aside(self) -> None:
-        for tail in ("", "-wal", "-shm"):
-            path = Path(f"{self.path}{tail}")
+            self.connection.execute(REPLACE_ROW, (ROW_KEY, checksum(vote), *astuple(vote)))
+        except sqlite3.Error as error:
+            raise StoreWriteError(self.path, str(error)) from None
+
+    def set_aside(self) -> None:
+        """Renames the file and its companions, so that a new one can be made."""
+        for suffix in FILE_SUFFIXES:
+            path = Path(f"{self.path}{suffix}")
             if path.exists():
-                path.replace(f"{self.path}.damaged{tail}")
+                path.replace(f"{self.path}.damaged{suffix}")
 
     def close(self) -> None:
-        self.link.close()
+        """Closes the file and releases its lock."""
+        self.connection.close()
--- a/birchslip/cluster/messages.py
+++ b/birchslip/cluster/messages.py
@@ -11,7 +11,7 @@
 from __future__ import annotations
 
 from enum import StrEnum
-from typing import Annotated, TypeVar
+from typing import Annotated, NamedTuple, TypeVar
 
 import msgspec
 
@@ -58,6 +58,13 @@
     RESTORE = "return"
 
 
+class StateVersion(NamedTuple):
+    """Orders replicated states: first by the leader's term, then by the number within it."""
+
+    term: int
+    number: int
+
+
 class Message(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """Base class of all messages; unknown keys are an error, so a later version is never half understood."""
 
@@ -92,6 +99,15 @@
     state_term: Term = 0
     state_number: Count = 0
 
+    @property
+    def state_version(self) -> StateVersion:
+        """Version of the state that the planner has stored."""
+        return StateVersion(self.state_term, self.state_number)
+
+    def record_state(self, version: StateVersion) -> None:
+        """Notes that the planner has stored a state, unless a newer one is known."""
+        self.state_term, self.state_number = max(self.state_version, version)
+
 
 class ProbeResult(Message, rename={"member": "name", "outcome": "met"}):
     """Result of a health check of one member by another."""
@@ -286,6 +302,11 @@
     observations: dict[Name, PeerObservation] = {}
     suspects: list[Name] = []
 
+    @property
+    def observation(self) -> PeerObservation:
+        """What the request shows of the planner that asks."""
+        return PeerObservation(generation=self.incarnation.generation, nonce=self.incarnation.nonce)
+
 
 class VoteResponse(
     Message,
@@ -327,6 +348,22 @@
     heard_suspects: list[Name] = []
     observations: dict[Name, PeerObservation] = {}
 
+    @property
+    def observation(self) -> PeerObservation:
+        """What the response shows of the voter."""
+        return PeerObservation(
+            generation=self.incarnation.generation,
+            nonce=self.incarnation.nonce,
+            promised_term=self.promised_term,
+            state_term=self.state_term,
+            state_number=self.state_number,
+        )
+
+    @property
+    def state_version(self) -> StateVersion:
+        """Version of the state that the voter has stored."""
+        return StateVersion(self.state_term, self.state_number)
+
 
 class ReplicationRequest(Message, rename={"term": "epoch", "state_number": "number", "leader": "name"}):
     """State that the leader has the other planners store before it acts on it."""
@@ -337,6 +374,11 @@
     incarnation: Incarnation
     state: bytes
 
+    @property
+    def state_version(self) -> StateVersion:
+        """Version of the state to store."""
+        return StateVersion(self.term, self.state_number)
+
 
 class ReplicationResponse(Message, rename={"is_stored": "kept", "promised_term": "epoch", "replica": "name"}):
     """Reply to a `ReplicationRequest`: whether the named planner has stored it."""
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -120,7 +120,7 @@
         self.ballot = Election(
             name,
             [one.name for one in fleet.planners],
-            self.store.found,
+            self.store.vote,
             chance.getrandbits(48),
             self.scheduler.now,
             chance,
@@ -169,9 +169,9 @@
         self.log.info(
             "listening",
             address=f"{host}:{port}",
-            life=self.ballot.durable.life,
-            blank=self.ballot.durable.blank,
-            **({"put_aside": self.store.trouble} if self.store.trouble else {}),
+            life=self.ballot.durable.generation,
+            blank=self.ballot.durable.is_blank,
+            **({"put_aside": self.store.damage} if self.store.damage else {}),
         )
         self.scheduler.spawn("door", self.door.accept)
         self.scheduler.spawn("signals", self.take_signals)
@@ -222,7 +222,7 @@
 
     def flush(self) -> None:
         """Before anything is said that rests on it."""
-        if self.ballot.dirty:
+        if self.ballot.needs_flush:
             try:
                 self.store.save(self.ballot.durable)
             except StoreWriteError as trouble:
@@ -230,7 +230,7 @@
                 self.log.fault("the disk does not keep what it must", why=str(trouble))
                 raise
             self.counters.count("disk.flushes")
-            self.ballot.dirty = False
+            self.ballot.needs_flush = False
 
     # ---- time ------------------------------------------------------------------------------------------
 
@@ -241,7 +241,7 @@
         if now >= self.next_look:
             self.next_look = now + LOOK
             self.mind.look(now)
-        leads = self.ballot.leads(now)
+        leads = self.ballot.is_leading(now)
         if leads != self.led:
             self.led = leads
             self.counters.count("vote.won" if leads else "vote.lost")
@@ -252,13 +252,13 @@
             self.log.info(event, **more)
 
     def vote(self, now: int) -> None:
-        ask = self.ballot.ask(now)
+        ask = self.ballot.next_vote_request(now)
         if ask is None:
             return
         self.counters.count("vote.asked")
-        own = self.ballot.asked(ask, now)
+        own = self.ballot.handle_vote_request(ask, now)
         self.flush()
-        self.ballot.answered(own, ask.term, now, now)
+        self.ballot.handle_vote_response(own, ask.term, now, now)
         ask.suspects = [one.name for one in self.mind.doubt][:64]
         for peer in self.peers:
             peer.put("ask", ask)
@@ -270,11 +270,11 @@
             return
         self.keeping, self.next_keep = told.state_number, now + KEEP_AGAIN
         self.counters.count("keep.told")
-        own = self.ballot.keep(told, now)
+        own = self.ballot.handle_replication_request(told, now)
         # A leader whose disk is full is none of its own keepers; the others may still be a majority.
         with suppress(StoreWriteError):
             self.flush()
-            if self.ballot.kept(own, told.state_number):
+            if self.ballot.handle_replication_response(own, told.state_number):
                 self.mind.kept(told.state_number)
                 self.hurry()
         for peer in self.peers:
@@ -285,14 +285,16 @@
         now = self.scheduler.tell_time()
         if isinstance(asked, VoteRequest):
             answer = decode(raw, VoteResponse)
-            self.ballot.answered(answer, asked.term, sent, now)
+            self.ballot.handle_vote_response(answer, asked.term, sent, now)
             if answer.granted:
                 self.mind.membership.heard_elsewhere(answer.heard_suspects, now)
             self.flush()
         elif isinstance(asked, ReplicationRequest):
             kept = decode(raw, ReplicationResponse)
             self.counters.count("keep.kept" if kept.is_stored else "keep.refused")
-            if asked.term == self.mind.reign and self.ballot.kept(kept, asked.state_number):
+            if asked.term == self.mind.reign and self.ballot.handle_replication_response(
+                kept, asked.state_number
+            ):
                 self.mind.kept(asked.state_number)
                 self.pay()
                 self.hurry()
@@ -334,7 +336,7 @@
 
     def take_ask(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
         ask = decode(value, VoteRequest)
-        answer = self.ballot.asked(ask, now)
+        answer = self.ballot.handle_vote_request(ask, now)
         self.flush()
         if answer.granted:
             self.counters.count("vote.granted")
@@ -342,7 +344,7 @@
         return encode(answer)
 
     def take_keep(self, guest: IncomingConnection, value: bytes, now: int) -> bytes:
-        kept = self.ballot.keep(decode(value, ReplicationRequest), now)
+        kept = self.ballot.handle_replication_request(decode(value, ReplicationRequest), now)
         self.flush()
         return encode(kept)
 
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -114,18 +114,18 @@
 
     def rules(self, now: int) -> bool:
         """Whether it leads and has told a majority what it found."""
-        return self.ballot.leads(now) and self.reign == self.ballot.epoch and self.kept_number > 0
+        return self.ballot.is_leading(now) and self.reign == self.ballot.term and self.kept_number > 0
 
     def reigning(self, now: int) -> bool:
         """Take over, or let go, as the vote has gone."""
-        if not self.ballot.leads(now):
+        if not self.ballot.is_leading(now):
             if self.reign:
                 self.remark("no longer leads", epoch=self.reign)
             self.reign = 0
             return False
-        if self.reign != self.ballot.epoch:
-            self.reign, self.number, self.kept_number = self.ballot.epoch, 0, 0
-            self.take_state(self.ballot.newest[2], now)
+        if self.reign != self.ballot.term:
+            self.reign, self.number, self.kept_number = self.ballot.term, 0, 0
+            self.take_state(self.ballot.newest_state.state, now)
             vault = self.fleet.vault
             if vault is not None:
                 self.shares = QuotaLeases(self.bases, vault.total, vault.kept, span(vault.lease_ms), now)
@@ -222,8 +222,8 @@
         self.membership.hear(report, now)
         for knock in report.probes:
             self.membership.knocked(report.name, knock.member, knock.outcome, now)
-        if report.plan_term > self.ballot.highest:
-            self.ballot.outrun(report.plan_term)
+        if report.plan_term > self.ballot.highest_term:
+            self.ballot.observe_term(report.plan_term)
         member = self.membership.members.get(report.name)
         if not self.rules(now) or member is None or member.incarnation != report.incarnation:
             return self.silence(now)
@@ -247,9 +247,9 @@
 
     def silence(self, now: int) -> ReportReply:
         """Nothing to obey: only where to ask."""
-        leader = self.ballot.granted_to[0] if now < self.ballot.granted_until else ""
+        leader = self.ballot.granted_to.name if now < self.ballot.granted_until else ""
         return ReportReply(
-            term=self.ballot.durable.promised,
+            term=self.ballot.durable.promised_term,
             planner=self.ballot.incarnation,
             is_leading=False,
             leader=leader,
@@ -636,11 +636,11 @@
             "planner": self.ballot.name,
             "leads": rules,
             "leader": self.ballot.name if rules else self.silence(now).leader,
-            "epoch": self.ballot.durable.promised,
+            "epoch": self.ballot.durable.promised_term,
             "plan": self.ballot.durable.state_number,
             "short": self.told.short,
             "refused": {kind.value: round(amount, 1) for kind, amount in self.told.refused.items()},
-            "blank": self.ballot.durable.blank,
+            "blank": self.ballot.durable.is_blank,
             "releases": self.told_releases(now),
             "sites": sites,
             "members": members,
--- a/birchslip/lab/explore.py
+++ b/birchslip/lab/explore.py
@@ -21,7 +21,8 @@
 from functools import partial
 from itertools import pairwise
 
-from ..cluster.election import DurableVote, Election
+from ..cluster.durable_vote import DurableVote
+from ..cluster.election import Election
 from ..cluster.messages import (
     Message,
     PlanAssignment,
@@ -156,11 +157,11 @@
         self.post(guarded)
 
     def flush(self, node: Node) -> None:
-        if node.ballot.dirty and not self.forgetful:
+        if node.ballot.needs_flush and not self.forgetful:
             if self.chance.random() < 0.1:
                 node.older = deepcopy(node.disk)
             node.disk = deepcopy(node.ballot.durable)
-        node.ballot.dirty = False
+        node.ballot.needs_flush = False
 
     def send(self, node: Node, record: Message) -> None:
         sent = node.clock(self.true)
@@ -171,21 +172,21 @@
     def take(self, node: Node, sender: Node, record: Message, sent: int) -> None:
         now = node.clock(self.true)
         if isinstance(record, VoteRequest):
-            answer = node.ballot.asked(record, now)
+            answer = node.ballot.handle_vote_request(record, now)
             answer.observations = deepcopy(answer.observations)
             self.flush(node)
             self.to_node(sender, lambda: self.answered(sender, answer, record.term, sent))
         elif isinstance(record, ReplicationRequest):
-            kept = node.ballot.keep(record, now)
+            kept = node.ballot.handle_replication_request(record, now)
             self.flush(node)
             self.to_node(sender, lambda: self.kept(sender, kept, record))
 
     def answered(self, node: Node, answer: VoteResponse, epoch: int, sent: int) -> None:
-        node.ballot.answered(answer, epoch, sent, node.clock(self.true))
+        node.ballot.handle_vote_response(answer, epoch, sent, node.clock(self.true))
         self.flush(node)
 
     def kept(self, node: Node, kept: ReplicationResponse, told: ReplicationRequest) -> None:
-        if told.term == node.reign and node.ballot.kept(kept, told.state_number):
+        if told.term == node.reign and node.ballot.handle_replication_response(kept, told.state_number):
             node.kept_number = max(node.kept_number, told.state_number)
             self.agreed = max(self.agreed, (told.term, told.state_number))
 
@@ -193,21 +194,21 @@
 
     def act(self, node: Node) -> None:
         now = node.clock(self.true)
-        ask = node.ballot.ask(now)
+        ask = node.ballot.next_vote_request(now)
         if ask is not None:
             ask.observations = deepcopy(ask.observations)
-            own = node.ballot.asked(ask, now)
+            own = node.ballot.handle_vote_request(ask, now)
             self.flush(node)
-            node.ballot.answered(own, ask.term, now, now)
+            node.ballot.handle_vote_response(own, ask.term, now, now)
             self.send(node, ask)
-        if not node.ballot.leads(now):
+        if not node.ballot.is_leading(now):
             node.reign = 0
             return
-        if node.reign != node.ballot.epoch:
-            node.reign, node.number, node.kept_number = node.ballot.epoch, 1, 0
+        if node.reign != node.ballot.term:
+            node.reign, node.number, node.kept_number = node.ballot.term, 1, 0
             node.shares = QuotaLeases(self.bases, TOTAL, KEPT_PART, SPAN, now)
             self.reigns += 1
-            found = node.ballot.newest[:2]
+            found = node.ballot.newest_state[:2]
             if found < self.agreed:
                 raise Fault(f"{node.name} leads with {found}, and a majority kept {self.agreed}")
         elif self.chance.random() < 0.02:
@@ -220,7 +221,7 @@
                 incarnation=node.ballot.incarnation,
                 state=b"%d" % node.number,
             )
-            own_kept = node.ballot.keep(told, now)
+            own_kept = node.ballot.handle_replication_request(told, now)
             self.flush(node)
             self.kept(node, own_kept, told)
             self.send(node, told)
@@ -237,9 +238,9 @@
 
     def heard(self, node: Node, seat: Seat, held: float, wanted: float, epoch: int, sent: int) -> None:
         now = node.clock(self.true)
-        if epoch > node.ballot.highest:
-            node.ballot.outrun(epoch)
-        if not node.ballot.leads(now) or node.reign != node.ballot.epoch or not node.kept_number:
+        if epoch > node.ballot.highest_term:
+            node.ballot.observe_term(epoch)
+        if not node.ballot.is_leading(now) or node.reign != node.ballot.term or not node.kept_number:
             return
         assert node.shares is not None
         share = KEPT_PART * seat.base + node.shares.grant(seat.name, wanted, held, now)
@@ -295,7 +296,7 @@
         draw = self.chance.random()
         others = [one for one in self.nodes.values() if one is not node]
         whole = all(
-            one.up and not one.ballot.durable.blank and one.paused_until < self.true for one in others
+            one.up and not one.ballot.durable.is_blank and one.paused_until < self.true for one in others
         )
         if draw < 0.6 and whole:
             # One disk at a time: nothing else fails until it had the time to hear of it.
@@ -336,7 +337,9 @@
         self.check()
 
     def check(self) -> None:
-        lead = [one.name for one in self.nodes.values() if one.up and one.ballot.leads(one.clock(self.true))]
+        lead = [
+            one.name for one in self.nodes.values() if one.up and one.ballot.is_leading(one.clock(self.true))
+        ]
         if len(lead) > 1:
             raise Fault(f"seed {self.seed}, step {self.steps}: {lead} lead at once")
         used = sum(seat.obey.calls(seat.clock(self.true)) for seat in self.seats.values())
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -8,11 +8,18 @@
 from typing import TYPE_CHECKING
 
 from ...admission.types import Request, Tenant
-from ...cluster.election import DurableVote, Election
+from ...cluster.durable_vote import DurableVote
+from ...cluster.election import Election
 from ...cluster.fleet_file import Fleet, span
 from ...cluster.inventory import Inventory, ProcessReport
 from ...cluster.member_metrics import Figures, Rates, room_of
-from ...cluster.messages import Incarnation, MemberReport, ProbeOutcome, ProbeResult, ReportReply
+from ...cluster.messages import (
+    Incarnation,
+    MemberReport,
+    ProbeOutcome,
+    ProbeResult,
+    ReportReply,
+)
 from ...cluster.plan_subscription import PlanSubscription, override_of
 from ...cluster.planner_state import LOOK, PlannerState
 from ...cluster.rollout import PlatformOrder, RolloutSpec
@@ -199,9 +206,9 @@
         if self.gone:
             return
         now = clock.now
-        ask = mind.ballot.ask(now)
+        ask = mind.ballot.next_vote_request(now)
         if ask is not None:
-            mind.ballot.answered(mind.ballot.asked(ask, now), ask.term, now, now)
+            mind.ballot.handle_vote_response(mind.ballot.handle_vote_request(ask, now), ask.term, now, now)
         mind.look(now)
         self.have_kept()
         for event, more in mind.take_remarks():
@@ -210,8 +217,8 @@
     def have_kept(self) -> None:
         mind = self.mind
         told = mind.keep()
-        if told is not None and mind.ballot.kept(
-            mind.ballot.keep(told, self.world.clock.now), told.state_number
+        if told is not None and mind.ballot.handle_replication_response(
+            mind.ballot.handle_replication_request(told, self.world.clock.now), told.state_number
         ):
             mind.kept(told.state_number)
 
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -10,7 +10,8 @@
 import random
 from collections.abc import Callable
 
-from ..cluster.election import DurableVote, Election
+from ..cluster.durable_vote import DurableVote
+from ..cluster.election import Election
 from ..cluster.fleet_file import Fleet, Member, Planner, Site
 from ..cluster.messages import Incarnation, MemberReport, ProbeOutcome, ProbeResult
 from ..cluster.planner_state import LOOK, PlannerState
@@ -130,12 +131,16 @@
     def look(self) -> None:
         self.at(self.now + max(LOOK, self.every // 2), self.look)
         mind = self.mind
-        ask = mind.ballot.ask(self.now)
+        ask = mind.ballot.next_vote_request(self.now)
         if ask is not None:
-            mind.ballot.answered(mind.ballot.asked(ask, self.now), ask.term, self.now, self.now)
+            mind.ballot.handle_vote_response(
+                mind.ballot.handle_vote_request(ask, self.now), ask.term, self.now, self.now
+            )
         mind.look(self.now)
         told = mind.keep()
-        if told is not None and mind.ballot.kept(mind.ballot.keep(told, self.now), told.state_number):
+        if told is not None and mind.ballot.handle_replication_response(
+            mind.ballot.handle_replication_request(told, self.now), told.state_number
+        ):
             mind.kept(told.state_number)
         for event, more in mind.take_remarks():
             if event == "site lost":
--- a/tests/fleetdesk.py
+++ b/tests/fleetdesk.py
@@ -3,7 +3,8 @@
 import json
 import random
 
-from birchslip.cluster.election import DurableVote, Election
+from birchslip.cluster.durable_vote import DurableVote
+from birchslip.cluster.election import Election
 from birchslip.cluster.fleet_file import read_fleet
 from birchslip.cluster.messages import Incarnation, MemberReport, ProbeOutcome, ProbeResult
 from birchslip.cluster.planner_state import LOOK, PlannerState
@@ -85,16 +86,16 @@
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += LOOK
-            ask = self.mind.ballot.ask(self.now)
+            ask = self.mind.ballot.next_vote_request(self.now)
             if ask is not None:
-                own = self.mind.ballot.asked(ask, self.now)
-                self.mind.ballot.answered(own, ask.term, self.now, self.now)
+                own = self.mind.ballot.handle_vote_request(ask, self.now)
+                self.mind.ballot.handle_vote_response(own, ask.term, self.now, self.now)
             if self.now % (2 * LOOK) == 0:
                 self.reports()
             self.mind.look(self.now)
             keep = self.mind.keep()
-            if keep is not None and self.mind.ballot.kept(
-                self.mind.ballot.keep(keep, self.now), keep.state_number
+            if keep is not None and self.mind.ballot.handle_replication_response(
+                self.mind.ballot.handle_replication_request(keep, self.now), keep.state_number
             ):
                 self.mind.kept(keep.state_number)
             self.events += [(self.now, event, more) for event, more in self.mind.take_remarks()]
--- a/tests/test_store.py
+++ b/tests/test_election_store.py
@@ -1,102 +1,103 @@
-"""What survives a planner's restart: whole or not at all, and never taken for more than it is."""
+"""The vote file of a planner: read back whole or not at all, and no vote is given before it is stored."""
 
 import sqlite3
+from pathlib import Path
 
 import pytest
 
-from birchslip.cluster.election import DurableVote
+from birchslip.cluster.durable_vote import DurableVote
 from birchslip.cluster.election_store import ElectionStore, StoreWriteError
 from birchslip.cluster.messages import ReplicationRequest, ReplicationResponse, encode
 from birchslip.cluster.planner import Planner
 
 from .fleetdesk import fleet
 
-KEPT = DurableVote(3, 128, "p1", 77, 128, 4, b'{"sites":{}}', False, '{"p1":{"life":1,"mark":5}}')
+SAVED_VOTE = DurableVote(3, 128, "p1", 77, 128, 4, b'{"sites":{}}', False, '{"p1":{"life":1,"mark":5}}')
 
 
-def written(folder):
+def write_vote(folder):
     store = ElectionStore(folder, "p0")
-    assert store.found == DurableVote() and store.found.blank
-    store.save(KEPT)
+    assert store.vote == DurableVote() and store.vote.is_blank
+    store.save(SAVED_VOTE)
     store.close()
     return folder / "p0.planner"
 
 
-def test_what_was_saved_is_found_again(tmp_path):
-    written(tmp_path)
+def test_a_saved_vote_is_read_back(tmp_path):
+    write_vote(tmp_path)
     store = ElectionStore(tmp_path, "p0")
-    assert store.found == KEPT and not store.trouble
+    assert store.vote == SAVED_VOTE and not store.damage
     store.close()
 
 
-def test_a_file_cut_anywhere_is_put_aside_or_found_as_it_was_or_as_never_written(tmp_path):
-    raw = written(tmp_path).read_bytes()
+def test_a_truncated_file_is_set_aside_or_read_as_saved_or_as_blank(tmp_path):
+    raw = write_vote(tmp_path).read_bytes()
     outcomes = set()
     for size in range(0, len(raw), 97):
         folder = tmp_path / str(size)
         folder.mkdir()
         (folder / "p0.planner").write_bytes(raw[:size])
         store = ElectionStore(folder, "p0")
-        assert store.found in (KEPT, DurableVote())
-        assert store.found.blank or not store.trouble
-        outcomes.add(bool(store.trouble))
-        store.save(KEPT)  # whatever it was, it serves again
+        assert store.vote in (SAVED_VOTE, DurableVote())
+        assert store.vote.is_blank or not store.damage
+        outcomes.add(bool(store.damage))
+        store.save(SAVED_VOTE)  # whatever it was, it serves again
         store.close()
     assert outcomes == {True, False}
 
 
-def test_a_flipped_byte_of_what_was_kept_is_not_believed(tmp_path):
-    path = written(tmp_path)
+def test_a_row_that_does_not_match_its_checksum_is_set_aside(tmp_path):
+    path = write_vote(tmp_path)
     raw = path.read_bytes()
     at = raw.index(b'{"sites":{}}')
     path.write_bytes(raw[:at] + b'{"sitez":{}}' + raw[at + 12 :])
     store = ElectionStore(tmp_path, "p0")
-    assert store.found == DurableVote() and "checksum" in store.trouble
+    assert store.vote == DurableVote() and "checksum" in store.damage
     assert (tmp_path / "p0.planner.damaged").exists()
     store.close()
 
 
-def test_a_later_version_is_put_aside(tmp_path):
-    path = written(tmp_path)
+def test_a_file_of_a_later_version_is_set_aside(tmp_path):
+    path = write_vote(tmp_path)
     link = sqlite3.connect(path)
     link.execute("pragma user_version = 9")
     link.commit()
     link.close()
     store = ElectionStore(tmp_path, "p0")
-    assert store.found.blank and "version 9" in store.trouble
+    assert store.vote.is_blank and "version 9" in store.damage
     store.close()
 
 
 def test_a_second_planner_of_the_same_name_is_refused(tmp_path):
     first = ElectionStore(tmp_path, "p0")
-    first.save(KEPT)
+    first.save(SAVED_VOTE)
     with pytest.raises(StoreWriteError, match="locked"):
         ElectionStore(tmp_path, "p0")
     first.close()
 
 
-def test_a_disk_that_does_not_take_it_says_so(tmp_path):
+def test_a_failed_write_raises_and_a_later_one_succeeds(tmp_path):
     store = ElectionStore(tmp_path, "p0")
-    store.link.execute("pragma max_page_count = 1")
-    store.link.execute("pragma query_only = on")
+    store.connection.execute("pragma max_page_count = 1")
+    store.connection.execute("pragma query_only = on")
     with pytest.raises(StoreWriteError):
-        store.save(KEPT)
-    store.link.execute("pragma query_only = off")
-    store.save(KEPT)
+        store.save(SAVED_VOTE)
+    store.connection.execute("pragma query_only = off")
+    store.save(SAVED_VOTE)
     store.close()
 
 
-def test_a_leader_whose_disk_is_full_is_no_keeper_of_its_own_state_and_others_may_be(tmp_path):
+def test_a_leader_with_a_full_disk_is_not_counted_as_a_replica_of_its_own_state(tmp_path):
     planner = Planner(fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
     told = []
     for peer in planner.peers:
         peer.put = lambda method, record: told.append((method, record))
     ballot, mind = planner.ballot, planner.mind
-    ballot.durable.blank, ballot.epoch = False, 64
+    ballot.durable.is_blank, ballot.term = False, 64
     mind.reign, mind.number = 64, 1
 
     def full(durable):
-        raise StoreWriteError("no space left")
+        raise StoreWriteError(Path("p0.planner"), "no space left")
 
     planner.store.save = full
     planner.have_kept(planner.scheduler.now)
@@ -109,14 +110,14 @@
     planner.store.close()
 
 
-def test_a_planner_that_can_not_keep_its_vote_does_not_give_it(tmp_path):
+def test_a_planner_that_can_not_store_its_vote_does_not_grant_it(tmp_path):
     planner = Planner(fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
-    planner.ballot.dirty = True
+    planner.ballot.needs_flush = True
 
     def full(durable):
-        raise StoreWriteError("no space left")
+        raise StoreWriteError(Path("p0.planner"), "no space left")
 
     planner.store.save = full
     with pytest.raises(StoreWriteError):
-        planner.serve(None, "ask", encode(planner.ballot.question(128)))
+        planner.serve(None, "ask", encode(planner.ballot.vote_request(128)))
     planner.store.close()
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -34,22 +34,22 @@
     """Votes at once after a start, whatever it had promised before."""
 
     @property
-    def quiet(self):
+    def silent_span(self):
         return 0
 
 
 class Fickle(Election):
     """Grants a second vote while the first one still holds."""
 
-    def asked(self, ask, now):
+    def handle_vote_request(self, request, now):
         self.granted_until = 0
-        return super().asked(ask, now)
+        return super().handle_vote_request(request, now)
 
 
 class Trusting(Election):
     """Takes its disk for what it last had."""
 
-    def older_than(self, mine):
+    def has_lost_state(self, own):
         return False
 
 
--- a/tests/test_planner_wire_record.py
+++ b/tests/test_planner_wire_record.py
@@ -9,7 +9,7 @@
 import pytest
 
 from birchslip.cluster import messages
-from birchslip.cluster.election import DurableVote
+from birchslip.cluster.durable_vote import DurableVote
 from birchslip.cluster.election_store import ElectionStore
 from birchslip.errors import InvalidInputError
 
@@ -169,14 +169,14 @@
 def test_a_recorded_vote_file_is_read(tmp_path):
     (tmp_path / "p0.planner").write_bytes(zlib.decompress(base64.b85decode(RECORDED_STORE)))
     store = ElectionStore(tmp_path, "p0")
-    assert (store.found, store.trouble) == (RECORDED_VOTE, "")
+    assert (store.vote, store.damage) == (RECORDED_VOTE, "")
     store.close()
 
 
 def test_a_vote_file_written_now_has_the_recorded_row(tmp_path):
     store = ElectionStore(tmp_path, "p0")
     store.save(RECORDED_VOTE)
-    row = store.link.execute("select * from ballot").fetchone()
+    row = store.connection.execute("select * from ballot").fetchone()
     store.close()
     assert row == (
         1,
