--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -23,7 +23,7 @@
     MemberReport,
     encode,
 )
-from birchslip.cluster.planner import descriptors
+from birchslip.cluster.planner import raise_descriptor_limit
 from birchslip.cluster.transport import PeerConnection
 from birchslip.lab.processes import ROOT
 from birchslip.lab.wires import free_port
@@ -74,7 +74,7 @@
 def main() -> None:
     words = [int(word) for word in sys.argv[1:]] + [1_000, 10, 20][len(sys.argv) - 1 :]
     count, asks, seconds = words
-    descriptors()  # one for each member here too
+    raise_descriptor_limit()  # one for each member here too
     folder = Path(tempfile.mkdtemp(prefix="birchslip-size-"))
     port = free_port()
     homes = {f"m{n}": f"site-{n % SITES}" for n in range(count)}
@@ -123,7 +123,7 @@
             number += 1
             began = scheduler.tell_time()
             try:
-                raw = line.ask("report", head + str(number).encode() + tail, began + SECOND)
+                raw = line.call("report", head + str(number).encode() + tail, began + SECOND)
                 if every == 5_000:
                     every = json.loads(raw)["every"]
             except OSError as trouble:
@@ -135,7 +135,7 @@
         line = PeerConnection(scheduler, ("127.0.0.1", port))
         began = time.perf_counter()
         try:
-            line.ask(
+            line.call(
                 "want",
                 encode(
                     EvictionRequest(
@@ -146,7 +146,7 @@
             )
             took.append((time.perf_counter() - began) * 1000)
             scheduler.sleep(scheduler.now + 10 * SECOND)  # it stays out, or waits, for ten seconds
-            line.ask(
+            line.call(
                 "want",
                 encode(EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name)),
                 scheduler.now + SECOND,
--- /dev/null
+++ b/birchslip/cluster/peer_channel.py
@@ -0,0 +1,86 @@
+"""Requests of one planner to another: only the newest of each method waits, and one is under way at a time.
+
+A slow or silent planner can delay nothing but the requests to itself. What a response means is decided by the
+caller.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from enum import StrEnum
+
+from ..errors import InvalidInputError
+from ..net.log import Log
+from ..net.scheduler import Scheduler
+from .messages import Message, encode
+from .transport import PeerConnection
+
+RESPONSE_TIMEOUT = 3_000  # 300 ms
+
+
+class PlannerMethod(StrEnum):
+    """The methods that a planner serves."""
+
+    REPORT = "report"
+    VOTE = "ask"
+    REPLICATE = "keep"
+    OPERATOR_COMMAND = "wish"
+    EVICTION = "want"
+    ROLLOUT = "release"
+
+
+ResponseHandler = Callable[[Message, bytes, int], None]
+
+
+class PeerChannel:
+    """The requests to one other planner."""
+
+    def __init__(
+        self,
+        name: str,
+        connection: PeerConnection,
+        scheduler: Scheduler,
+        log: Log,
+        on_response: ResponseHandler,
+    ) -> None:
+        """Sets it up without connecting yet.
+
+        Args:
+            name: The other planner's name.
+            connection: The connection to it.
+            scheduler: Runs the task that sends.
+            log: Where failures go.
+            on_response: Is given the request, the undecoded response and when the request was sent.
+        """
+        self.name = name
+        self.connection = connection
+        self.scheduler = scheduler
+        self.log = log
+        self.on_response = on_response
+        self.pending: dict[PlannerMethod, Message] = {}
+        self.is_sending = False
+
+    def send(self, method: PlannerMethod, request: Message) -> None:
+        """Sends a request, in place of one of the same method that has not been sent yet."""
+        self.pending[method] = request
+        if not self.is_sending:
+            self.is_sending = True
+            self.scheduler.spawn(f"to {self.name}", self.send_pending)
+
+    def send_pending(self) -> None:
+        """The task that sends until nothing is pending."""
+        try:
+            while self.pending:
+                method = next(iter(self.pending))
+                self.call(method, self.pending.pop(method))
+        finally:
+            self.is_sending = False
+
+    def call(self, method: PlannerMethod, request: Message) -> None:
+        """Sends one request and passes its response on; a failure is logged."""
+        sent = self.scheduler.tell_time()
+        try:
+            response = self.connection.call(method.value, encode(request), sent + RESPONSE_TIMEOUT)
+            self.on_response(request, response, sent)
+        except (OSError, InvalidInputError) as error:
+            self.log.fault("planner_unreachable", planner=self.name, why=str(error))
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -183,7 +183,7 @@
 
     def report(self, line: PeerConnection) -> None:
         sent = monotonic_now()
-        raw = line.ask("report", encode(self.told(sent)), self.scheduler.now + LIMIT)
+        raw = line.call("report", encode(self.told(sent)), self.scheduler.now + LIMIT)
         reply = decode(raw, ReportReply)
         now = monotonic_now()
         refused = self.obey.refused
@@ -267,7 +267,7 @@
         except ValueError:
             return
         try:
-            line.ask("ping", b"", self.scheduler.now + KNOCK_LIMIT, params=[{}])
+            line.call("ping", b"", self.scheduler.now + KNOCK_LIMIT, params=[{}])
             what = "answered"
         except ConnectionRefusedError:
             what = "refused"
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -1,7 +1,8 @@
-"""MessagePack-RPC among the fleet, on the program's own connections: a door that answers, a line that asks.
+"""MessagePack-RPC between members, planners and operators: an endpoint that replies, a peer that calls.
 
-A message is `[0, number, method, [value]]`, its answer `[1, number, error, [value, ...]]`. A value is bytes
-that hold a record; an answer longer than one value may hold goes as several.
+A request is `[0, id, method, [value]]`, its response `[1, id, error, [value, ...]]`. A value is bytes that
+hold one encoded message; a response that is longer than one value may be is split into several. Knows nothing
+of what the messages mean.
 """
 
 from __future__ import annotations
@@ -9,175 +10,278 @@
 import errno
 import socket
 from collections.abc import Callable
-from typing import Any
+from functools import partial
+from typing import Any, NamedTuple
 
+from ..errors import BirchslipError
 from ..net.buffer import Buffer, Unreadable
 from ..net.clients import messages
 from ..net.connection import Connection, connect
 from ..net.messagepack import LONGEST, WIDEST, pack
 from ..net.scheduler import READ, Scheduler
 
-BOUND = WIDEST * LONGEST + 65_536  # bytes unread or unsent on a connection: the longest answer
-BACKLOG = 1024
-NO_ROOM = 1_000
+REQUEST = 0  # message types of MessagePack-RPC
+RESPONSE = 1
+BUFFER_LIMIT = WIDEST * LONGEST + 65_536  # bytes unread or unsent on a connection: the longest response
+ACCEPT_BACKLOG = 1024
+ERROR_LIMIT = 400  # characters of an error's text
+ACCEPT_RETRY_DELAY = 1_000  # 100 ms, after the system had no descriptors or memory left
+EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-def pieces(raw: bytes) -> list[bytes]:
-    """As values of an answer; Unreadable where it is too long for one."""
-    parts = [raw[at : at + LONGEST] for at in range(0, len(raw), LONGEST)] or [b""]
+class RequestRefusedError(BirchslipError, OSError):
+    """The other side has responded with an error; the connection is still good."""
+
+
+class RpcResult(NamedTuple):
+    """The last two items of a response: an error's text, or the values."""
+
+    error: str | None
+    values: list[bytes] | None
+
+    @classmethod
+    def failure(cls, error: Exception) -> RpcResult:
+        """The result of a request that was refused."""
+        return cls(str(error)[:ERROR_LIMIT], None)
+
+    @classmethod
+    def success(cls, value: bytes) -> RpcResult:
+        """The result of a request that was carried out.
+
+        Raises:
+            Unreadable: If the value is too long for a response.
+        """
+        return cls(None, split_value(value))
+
+
+def split_value(value: bytes) -> list[bytes]:
+    """Splits a value into parts that may be sent; an empty one is one empty part.
+
+    Raises:
+        Unreadable: If it has too many parts for one response.
+    """
+    parts = [value[start : start + LONGEST] for start in range(0, len(value), LONGEST)] or [b""]
     if len(parts) > WIDEST:
-        raise Unreadable(f"{len(raw)} bytes in one answer")
+        raise Unreadable(f"{len(value)} bytes in one answer")
     return parts
 
 
 class DeferredReply:
-    """An answer that is still to come; `done` is called once, with value or error, before or after the door
-    has said by `bind` where it goes.
+    """A reply that is still to come.
+
+    `complete` is called once, before or after the endpoint has said with `deliver_to` where the reply goes.
     """
 
     def __init__(self) -> None:
-        self.send: Callable[[tuple[Any, Any]], None] | None = None
-        self.said: tuple[Any, Any] | None = None
-
-    def done(self, value: bytes | Exception) -> None:
-        self.said = (str(value)[:400], None) if isinstance(value, Exception) else (None, pieces(value))
+        """Begins without a result."""
+        self.send: Callable[[RpcResult], None] | None = None
+        self.result: RpcResult | None = None
+
+    def complete(self, value: bytes | Exception) -> None:
+        """Sets the value, or the error, to reply with."""
+        if isinstance(value, Exception):
+            self.result = RpcResult.failure(value)
+        else:
+            self.result = RpcResult.success(value)
         if self.send is not None:
-            self.send(self.said)
+            self.send(self.result)
 
-    def bind(self, send: Callable[[tuple[Any, Any]], None]) -> None:
+    def deliver_to(self, send: Callable[[RpcResult], None]) -> None:
+        """Sets what sends the reply."""
         self.send = send
-        if self.said is not None:
-            send(self.said)
+        if self.result is not None:
+            send(self.result)
 
 
 class IncomingConnection:
-    """One connection at a door; `about` is what the handlers know of who is there."""
-
-    def __init__(self, door: PlannerEndpoint, connection: Connection) -> None:
-        self.door, self.connection = door, connection
-        self.about: Any = None
-
-    def take(self, buffer: Buffer) -> None:
-        read, trouble = messages(buffer)
-        for message in read:
-            match message:
-                case [0, int(number), str(method), [bytes(value)]]:
-                    self.answer(number, self.door.answer(self, method, value))
+    """One accepted connection of an endpoint."""
+
+    def __init__(self, endpoint: PlannerEndpoint, connection: Connection) -> None:
+        """Wraps an open connection."""
+        self.endpoint = endpoint
+        self.connection = connection
+
+    def receive(self, buffer: Buffer) -> None:
+        """Handles all whole requests that have been read.
+
+        Raises:
+            Unreadable: If one is malformed; the connection is closed then.
+        """
+        requests, trouble = messages(buffer)
+        for request in requests:
+            match request:
+                case [0, int(request_id), str(method), [bytes(value)]]:
+                    self.reply(request_id, self.endpoint.handle(self, method, value))
                 case _:
                     raise Unreadable("a message of no known form")
         if trouble:
             raise Unreadable(trouble)
 
-    def answer(self, number: int, answer: DeferredReply | tuple[Any, Any]) -> None:
-        if isinstance(answer, DeferredReply):
-            answer.bind(lambda then: self.connection.write(pack([1, number, *then])))
+    def reply(self, request_id: int, result: DeferredReply | RpcResult) -> None:
+        """Sends a result, now or once it is there."""
+        send = partial(self.send, request_id)
+        if isinstance(result, DeferredReply):
+            result.deliver_to(send)
         else:
-            self.connection.write(pack([1, number, *answer]))
+            send(result)
+
+    def send(self, request_id: int, result: RpcResult) -> None:
+        """Writes a response."""
+        self.connection.write(pack([RESPONSE, request_id, *result]))
+
+
+RequestHandler = Callable[[IncomingConnection, str, bytes], bytes | DeferredReply]
+CloseHandler = Callable[[IncomingConnection, str], None]
 
 
 class PlannerEndpoint:
-    """Listens and answers. `serve` is told guest, method and value, and returns the answer, or one that is
-    still to come, or raises ValueError or OSError, whose text the other side hears; `gone` is told of each
-    guest that has left.
-    """
+    """Listens for connections and replies to requests."""
 
     def __init__(
         self,
         scheduler: Scheduler,
-        most: int,
-        serve: Callable[[IncomingConnection, str, bytes], bytes | DeferredReply],
-        gone: Callable[[IncomingConnection, str], None],
+        max_connections: int,
+        handler: RequestHandler,
+        on_close: CloseHandler,
     ) -> None:
-        self.scheduler, self.most, self.serve, self.gone = scheduler, most, serve, gone
-        self.guests: dict[IncomingConnection, None] = {}
+        """Sets it up without listening yet.
+
+        Args:
+            scheduler: Runs the tasks.
+            max_connections: Connections above this number are closed at once.
+            handler: Is given the connection, the method and the value, and returns the value to reply with,
+                or a `DeferredReply`. The text of a ValueError or OSError goes to the other side.
+            on_close: Is given each closed connection and the reason.
+        """
+        self.scheduler = scheduler
+        self.max_connections = max_connections
+        self.handler = handler
+        self.on_close = on_close
+        self.connections: dict[IncomingConnection, None] = {}
         self.listener: socket.socket
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
+        """Binds to an address; returns the one in force, as the port may be 0."""
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
-        self.listener.listen(BACKLOG)
+        self.listener.listen(ACCEPT_BACKLOG)
         host, port = self.listener.getsockname()
         return host, port
 
     def accept(self) -> None:
-        """The task that lets guests in."""
+        """The task that accepts connections; it never ends."""
         while True:
             self.scheduler.wait(self.listener.fileno(), READ)
-            while True:
-                try:
-                    sock, _ = self.listener.accept()
-                except BlockingIOError:
-                    break
-                except OSError as trouble:
-                    if trouble.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                        self.scheduler.sleep(self.scheduler.now + NO_ROOM)
-                    break
-                if len(self.guests) >= self.most:
-                    sock.close()
-                    continue
-                sock.setblocking(False)
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                guest = IncomingConnection(self, Connection(self.scheduler, sock, BOUND, BOUND))
-                self.guests[guest] = None
-                self.scheduler.spawn("guest", lambda guest=guest: self.keep(guest))  # type: ignore[misc]
-
-    def keep(self, guest: IncomingConnection) -> None:
-        why = "a fault"
+            self.accept_ready()
+
+    def accept_ready(self) -> None:
+        """Accepts all connections that wait."""
+        while True:
+            try:
+                accepted, _ = self.listener.accept()
+            except BlockingIOError:
+                return
+            except OSError as error:
+                if error.errno in EXHAUSTION_ERRORS:
+                    self.scheduler.sleep(self.scheduler.now + ACCEPT_RETRY_DELAY)
+                return
+            self.open_connection(accepted)
+
+    def open_connection(self, accepted: socket.socket) -> None:
+        """Starts to serve an accepted connection, or closes it if there are too many."""
+        if len(self.connections) >= self.max_connections:
+            accepted.close()
+            return
+        accepted.setblocking(False)
+        accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        connection = Connection(self.scheduler, accepted, BUFFER_LIMIT, BUFFER_LIMIT)
+        incoming = IncomingConnection(self, connection)
+        self.connections[incoming] = None
+        self.scheduler.spawn("connection", partial(self.serve_connection, incoming))
+
+    def serve_connection(self, incoming: IncomingConnection) -> None:
+        """The task of one connection, until it is closed."""
+        reason = "a fault"
         try:
-            why = guest.connection.serve(guest.take)
+            reason = incoming.connection.serve(incoming.receive)
         finally:
-            guest.connection.close(why)
-            del self.guests[guest]
-            self.gone(guest, why)
+            incoming.connection.close(reason)
+            del self.connections[incoming]
+            self.on_close(incoming, reason)
 
-    def answer(self, guest: IncomingConnection, method: str, value: bytes) -> DeferredReply | tuple[Any, Any]:
+    def handle(self, incoming: IncomingConnection, method: str, value: bytes) -> DeferredReply | RpcResult:
+        """Has a request handled; errors become its result."""
         try:
-            answer = self.serve(guest, method, value)
-            return answer if isinstance(answer, DeferredReply) else (None, pieces(answer))
-        except (ValueError, OSError) as trouble:
-            return str(trouble)[:400], None
+            reply = self.handler(incoming, method, value)
+            return reply if isinstance(reply, DeferredReply) else RpcResult.success(reply)
+        except (ValueError, OSError) as error:
+            return RpcResult.failure(error)
 
 
 class PeerConnection:
-    """Asks at one door, one question at a time; opened as needed and kept."""
+    """Calls one endpoint, one request at a time; connects when needed and stays connected."""
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int]) -> None:
-        self.scheduler, self.address = scheduler, address
-        self.link: Connection | None = None
-        self.number = 0
-        self.heard: dict[int, tuple[Any, Any]] = {}
-
-    def ask(self, method: str, value: bytes, limit: int, params: list[Any] | None = None) -> bytes:
-        """The answer, waited for until `limit` of the scheduler's clock; OSError says why there is none."""
-        if self.link is None or not self.link.open:
-            self.link = Connection(self.scheduler, connect(self.scheduler, self.address), BOUND, BOUND)
-        link = self.link
-        self.number += 1
-        number = self.number
-        self.heard.clear()
-        link.write(pack([0, number, method, [value] if params is None else params]))
-        while number not in self.heard:
-            events = link.step(self.take, limit)
-            if not link.open:
-                raise OSError(link.why)
-            if number not in self.heard and (not events or self.scheduler.now >= limit):
-                link.close("no answer in time")
+        """Sets it up without connecting yet."""
+        self.scheduler = scheduler
+        self.address = address
+        self.connection: Connection | None = None
+        self.last_request_id = 0
+        self.responses: dict[int, tuple[Any, Any]] = {}
+
+    def call(self, method: str, value: bytes, deadline: int, params: list[Any] | None = None) -> bytes:
+        """Sends a request and waits for its response.
+
+        Args:
+            method: The method's name.
+            value: The value, unless `params` is given.
+            deadline: How long to wait, as a time of the scheduler's clock.
+            params: Other parameters than one value.
+
+        Raises:
+            RequestRefusedError: If the other side responds with an error.
+            OSError: If there is no response in time, or none that can be read.
+        """
+        connection = self.connected()
+        self.last_request_id += 1
+        request_id = self.last_request_id
+        self.responses.clear()
+        connection.write(pack([REQUEST, request_id, method, [value] if params is None else params]))
+        while request_id not in self.responses:
+            events = connection.step(self.receive, deadline)
+            if not connection.open:
+                raise OSError(connection.why)
+            is_late = not events or self.scheduler.now >= deadline
+            if request_id not in self.responses and is_late:
+                connection.close("no answer in time")
                 raise OSError("no answer in time")
-        error, result = self.heard.pop(number)
+        error, values = self.responses.pop(request_id)
         if error is not None:
-            raise RequestRefusedError(str(error)[:400])
-        if not isinstance(result, list):
-            link.close("an answer of no known form")
+            raise RequestRefusedError(str(error)[:ERROR_LIMIT])
+        if not isinstance(values, list):
+            connection.close("an answer of no known form")
             raise OSError("an answer of no known form")
-        return b"".join(one for one in result if isinstance(one, bytes))
-
-    def take(self, buffer: Buffer) -> None:
-        read, trouble = messages(buffer)
-        for message in read:
-            match message:
-                case [1, int(number), error, result]:
-                    self.heard[number] = (error, result)
+        return b"".join(part for part in values if isinstance(part, bytes))
+
+    def connected(self) -> Connection:
+        """The open connection; a new one if it was closed."""
+        if self.connection is None or not self.connection.open:
+            opened = connect(self.scheduler, self.address)
+            self.connection = Connection(self.scheduler, opened, BUFFER_LIMIT, BUFFER_LIMIT)
+        return self.connection
+
+    def receive(self, buffer: Buffer) -> None:
+        """Takes in all whole responses that have been read; notifications are ignored.
+
+        Raises:
+            Unreadable: If one is malformed; the connection is closed then.
+        """
+        received, trouble = messages(buffer)
+        for response in received:
+            match response:
+                case [1, int(request_id), error, values]:
+                    self.responses[request_id] = (error, values)
                 case [2, *_]:
                     pass
                 case _:
@@ -186,10 +290,7 @@
             raise Unreadable(trouble)
 
     def close(self) -> None:
-        if self.link is not None:
-            self.link.close("dropped")
-            self.link = None
-
-
-class RequestRefusedError(OSError):
-    """The other side has answered that it won't; the line is as good as before."""
+        """Closes the connection; the next call opens another."""
+        if self.connection is not None:
+            self.connection.close("dropped")
+            self.connection = None
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -148,7 +148,7 @@
             for name in planners or self.names:
                 line = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
                 try:
-                    raw = line.ask(method, encode(record), self.scheduler.now + ASK)
+                    raw = line.call(method, encode(record), self.scheduler.now + ASK)
                     answer: dict[str, Any] = json.loads(raw)
                     if is_query and not answer["leads"]:
                         continue
--- a/tests/test_election_store.py
+++ b/tests/test_election_store.py
@@ -89,35 +89,36 @@
 
 def test_a_leader_with_a_full_disk_is_not_counted_as_a_replica_of_its_own_state(tmp_path):
     planner = Planner(fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
-    told = []
-    for peer in planner.peers:
-        peer.put = lambda method, record: told.append((method, record))
-    ballot, mind = planner.ballot, planner.mind
-    ballot.durable.is_blank, ballot.term = False, 64
-    mind.reign, mind.number = 64, 1
+    sent = []
+    for channel in planner.replicator.channels:
+        channel.send = lambda method, request: sent.append((method, request))
+    election, state = planner.election, planner.state
+    election.durable.is_blank, election.term = False, 64
+    state.reign, state.number = 64, 1
 
     def full(durable):
         raise StoreWriteError(Path("p0.planner"), "no space left")
 
     planner.store.save = full
-    planner.have_kept(planner.scheduler.now)
-    assert [method for method, _ in told] == ["keep", "keep"] and mind.kept_number == 0
-    for name, kept in (("p1", 0), ("p2", 1)):
-        assert mind.kept_number == 0  # one of three is no majority
-        keep = next(record for _, record in told if isinstance(record, ReplicationRequest))
-        planner.heard(keep, encode(ReplicationResponse(is_stored=True, promised_term=64, replica=name)), 0)
-        assert mind.kept_number == kept
+    planner.replicator.replicate(planner.scheduler.now)
+    assert [method for method, _ in sent] == ["keep", "keep"] and state.kept_number == 0
+    request = next(request for _, request in sent if isinstance(request, ReplicationRequest))
+    for name, kept_number in (("p1", 0), ("p2", 1)):
+        assert state.kept_number == 0  # one of three is no quorum
+        response = ReplicationResponse(is_stored=True, promised_term=64, replica=name)
+        planner.replicator.handle_response(request, encode(response), 0)
+        assert state.kept_number == kept_number
     planner.store.close()
 
 
 def test_a_planner_that_can_not_store_its_vote_does_not_grant_it(tmp_path):
     planner = Planner(fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
-    planner.ballot.needs_flush = True
+    planner.election.needs_flush = True
 
     def full(durable):
         raise StoreWriteError(Path("p0.planner"), "no space left")
 
     planner.store.save = full
     with pytest.raises(StoreWriteError):
-        planner.serve(None, "ask", encode(planner.ballot.vote_request(128)))
+        planner.service.handle(None, "ask", encode(planner.election.vote_request(128)))
     planner.store.close()
--- a/tests/test_wire.py
+++ b/tests/test_planner_transport.py
@@ -1,4 +1,4 @@
-"""Doors and lines of the fleet over loopback: what is wrong, silent or late harms nobody else."""
+"""Endpoints and connections of planners: a malformed, silent or late peer harms nobody else."""
 
 import socket
 import threading
@@ -19,17 +19,19 @@
 SECOND = 10_000
 
 
-class Room:
-    """A door and a line to it in one scheduler; `play` runs a task until it ends."""
+class Loopback:
+    """An endpoint in a scheduler of its own; `run` runs a task until it ends."""
 
     def __init__(self):
-        self.faults, self.served, self.left = [], [], []
+        self.faults, self.served, self.closed = [], [], []
         self.scheduler = Scheduler(lambda: None, lambda name, trouble: self.faults.append((name, trouble)))
-        self.door = PlannerEndpoint(self.scheduler, 4, self.serve, lambda guest, why: self.left.append(why))
-        self.address = self.door.listen(("127.0.0.1", 0))
-        self.scheduler.spawn("door", self.door.accept)
+        self.endpoint = PlannerEndpoint(
+            self.scheduler, 4, self.handle, lambda connection, reason: self.closed.append(reason)
+        )
+        self.address = self.endpoint.listen(("127.0.0.1", 0))
+        self.scheduler.spawn("accept", self.endpoint.accept)
 
-    def serve(self, guest, method, value):
+    def handle(self, connection, method, value):
         self.served.append((method, value))
         if method == "long":
             return b"x" * 40_000
@@ -37,7 +39,7 @@
             raise InvalidInputError("not today")
         return value.upper()
 
-    def play(self, work):
+    def run(self, work):
         found = []
 
         def task():
@@ -56,17 +58,18 @@
             raise found[0]
         return found[0]
 
-    def ask(self, line, method="echo", value=b"abc", wait=SECOND):
-        return self.play(lambda: line.ask(method, value, self.scheduler.now + wait))
+    def call(self, connection, method="echo", value=b"abc", wait=SECOND):
+        return self.run(lambda: connection.call(method, value, self.scheduler.now + wait))
 
 
-def test_an_answer_of_any_length_and_a_refusal_that_keeps_the_line():
-    room = Room()
-    line = PeerConnection(room.scheduler, room.address)
-    assert room.ask(line) == b"ABC" and len(room.ask(line, "long")) == 40_000
+def test_long_values_are_split_and_a_refusal_keeps_the_connection_open():
+    loopback = Loopback()
+    connection = PeerConnection(loopback.scheduler, loopback.address)
+    assert loopback.call(connection) == b"ABC" and len(loopback.call(connection, "long")) == 40_000
     with pytest.raises(RequestRefusedError, match="not today"):
-        room.ask(line, "no")
-    assert room.ask(line, value=b"again") == b"AGAIN" and not room.left and not room.faults
+        loopback.call(connection, "no")
+    assert loopback.call(connection, value=b"again") == b"AGAIN"
+    assert not loopback.closed and not loopback.faults
 
 
 @pytest.mark.parametrize(
@@ -80,17 +83,21 @@
     ],
     ids=["no message", "an answer", "no number", "no bytes", "another protocol"],
 )
-def test_what_can_not_be_read_ends_its_own_connection_alone(raw):
-    room = Room()
-    line = PeerConnection(room.scheduler, room.address)
-    room.ask(line)
-    with socket.create_connection(room.address, 5) as other:
+def test_a_malformed_request_closes_only_its_own_connection(raw):
+    loopback = Loopback()
+    connection = PeerConnection(loopback.scheduler, loopback.address)
+    loopback.call(connection)
+    with socket.create_connection(loopback.address, 5) as other:
         other.sendall(raw)
-        room.play(
-            lambda: [room.scheduler.sleep(room.scheduler.now + 20) for _ in range(100) if not room.left]
+        loopback.run(
+            lambda: [
+                loopback.scheduler.sleep(loopback.scheduler.now + 20)
+                for _ in range(100)
+                if not loopback.closed
+            ]
         )
         assert other.recv(1) == b""
-    assert room.ask(line) == b"ABC"
+    assert loopback.call(connection) == b"ABC"
 
 
 @pytest.mark.parametrize(
@@ -98,7 +105,7 @@
     [None, pack([1, 1, None, b"no list"]), pack([1, 1]), b"\xc1\xc1", pack([1, 99, None, [b"late"]])],
     ids=["silence", "no list", "cut short", "noise", "to another question"],
 )
-def test_a_planner_that_is_wrong_or_silent_costs_the_question_its_time_and_no_more(answer):
+def test_a_malformed_or_missing_response_fails_the_call_within_its_deadline(answer):
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve():
@@ -111,43 +118,43 @@
 
     thread = threading.Thread(target=serve, daemon=True)
     thread.start()
-    room = Room()
-    line = PeerConnection(room.scheduler, listener.getsockname())
-    began = room.scheduler.clock()
+    loopback = Loopback()
+    connection = PeerConnection(loopback.scheduler, listener.getsockname())
+    began = loopback.scheduler.clock()
     with pytest.raises(OSError):
-        room.ask(line, wait=3_000)
-    assert room.scheduler.clock() - began < SECOND
-    assert line.link is not None and not line.link.open
+        loopback.call(connection, wait=3_000)
+    assert loopback.scheduler.clock() - began < SECOND
+    assert connection.connection is not None and not connection.connection.open
     listener.close()
 
 
-def test_the_modes_of_a_wire():
-    room = Room()
-    wire = Wire(room.scheduler, room.address)
-    line = PeerConnection(room.scheduler, ("127.0.0.1", wire.port))
-    assert room.ask(line) == b"ABC"
+def test_each_mode_of_a_wire_loses_what_it_says():
+    loopback = Loopback()
+    wire = Wire(loopback.scheduler, loopback.address)
+    connection = PeerConnection(loopback.scheduler, ("127.0.0.1", wire.port))
+    assert loopback.call(connection) == b"ABC"
     wire.turn("late", 500)
-    began = room.scheduler.clock()
-    assert room.ask(line) == b"ABC" and room.scheduler.clock() - began >= 1_000
+    began = loopback.scheduler.clock()
+    assert loopback.call(connection) == b"ABC" and loopback.scheduler.clock() - began >= 1_000
     for mode, heard in (("silent", 0), ("deaf", 1), ("mute", 0)):
         wire.turn("pass")
-        assert room.ask(line) == b"ABC"
+        assert loopback.call(connection) == b"ABC"
         wire.turn(mode)
-        room.served.clear()
+        loopback.served.clear()
         with pytest.raises(OSError, match="no answer in time"):
-            room.ask(line, wait=2_000)
-        assert len(room.served) == heard, mode
+            loopback.call(connection, wait=2_000)
+        assert len(loopback.served) == heard, mode
     wire.turn("pass")
-    assert room.ask(line) == b"ABC"
+    assert loopback.call(connection) == b"ABC"
     wire.turn("cut")
     with pytest.raises(OSError):
-        room.ask(line)
+        loopback.call(connection)
 
 
 @pytest.mark.parametrize("value", [b"granted", ValueError("no longer the leader")], ids=["value", "error"])
 @pytest.mark.parametrize("first", ["done", "bind"])
-def test_an_answer_that_is_ready_before_its_door_has_asked_for_it_is_not_lost(value, first):
+def test_a_deferred_reply_that_is_complete_before_it_can_be_sent_is_not_lost(value, first):
     later, sent = DeferredReply(), []
     for act in [first, "bind" if first == "done" else "done"]:
-        later.done(value) if act == "done" else later.bind(sent.append)
+        later.complete(value) if act == "done" else later.deliver_to(sent.append)
     assert sent == [(None, [b"granted"]) if isinstance(value, bytes) else ("no longer the leader", None)]
