--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -16,8 +16,14 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.cluster.messages import EvictionRequest, Incarnation, MemberReport, encode
-from birchslip.cluster.planner import descriptors
+from birchslip.cluster.messages import (
+    EvictionOperation,
+    EvictionRequest,
+    Incarnation,
+    MemberReport,
+    encode,
+)
+from birchslip.cluster.planner import raise_descriptor_limit
 from birchslip.cluster.transport import PeerConnection
 from birchslip.lab.processes import ROOT
 from birchslip.lab.wires import free_port
@@ -35,28 +41,28 @@
     told = MemberReport(
         name=name,
         site=site,
-        incarnation=Incarnation(mark=1),
-        number=NUMBER,
-        door="127.0.0.1:1",
-        age=10**6,
-        serving=True,
-        leaving=False,
-        warm=True,
-        room=100.0,
-        pace=1.0,
-        load={"blue": 40.0, "green": 20.0},
-        visits=0.0,
-        again=0.0,
-        honoured=60.0,
-        shed=0.0,
-        calls=1.0,
-        share=1.0,
-        lease=0,
-        epoch=0,
-        plan=0,
-        figures=figures,
-        took={one: [7] * 20 for one in "abc"},
-        memory=30_000,
+        incarnation=Incarnation(nonce=1),
+        sequence=NUMBER,
+        address="127.0.0.1:1",
+        uptime=10**6,
+        is_serving=True,
+        is_draining=False,
+        is_warm=True,
+        capacity=100.0,
+        slowdown=1.0,
+        local_load={"blue": 40.0, "green": 20.0},
+        evacuated_load=0.0,
+        retries=0.0,
+        served=60.0,
+        rejected=0.0,
+        calls_in_flight=1.0,
+        call_limit=1.0,
+        lease_remaining=0,
+        plan_term=0,
+        plan_number=0,
+        metrics=figures,
+        latency_histograms={one: [7] * 20 for one in "abc"},
+        resident_memory_kb=30_000,
     )
     return encode(told)
 
@@ -68,7 +74,7 @@
 def main() -> None:
     words = [int(word) for word in sys.argv[1:]] + [1_000, 10, 20][len(sys.argv) - 1 :]
     count, asks, seconds = words
-    descriptors()  # one for each member here too
+    raise_descriptor_limit()  # one for each member here too
     folder = Path(tempfile.mkdtemp(prefix="birchslip-size-"))
     port = free_port()
     homes = {f"m{n}": f"site-{n % SITES}" for n in range(count)}
@@ -117,7 +123,7 @@
             number += 1
             began = scheduler.tell_time()
             try:
-                raw = line.ask("report", head + str(number).encode() + tail, began + SECOND)
+                raw = line.call("report", head + str(number).encode() + tail, began + SECOND)
                 if every == 5_000:
                     every = json.loads(raw)["every"]
             except OSError as trouble:
@@ -129,14 +135,22 @@
         line = PeerConnection(scheduler, ("127.0.0.1", port))
         began = time.perf_counter()
         try:
-            line.ask(
+            line.call(
                 "want",
-                encode(EvictionRequest(what="permit", holder=name, why="a measurement")),
+                encode(
+                    EvictionRequest(
+                        operation=EvictionOperation.REQUEST_PERMIT, holder=name, reason="a measurement"
+                    )
+                ),
                 scheduler.now + SECOND,
             )
             took.append((time.perf_counter() - began) * 1000)
             scheduler.sleep(scheduler.now + 10 * SECOND)  # it stays out, or waits, for ten seconds
-            line.ask("want", encode(EvictionRequest(what="hand-back", holder=name)), scheduler.now + SECOND)
+            line.call(
+                "want",
+                encode(EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name)),
+                scheduler.now + SECOND,
+            )
         except OSError as trouble:
             faults.append(str(trouble))
         finally:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -18,8 +18,8 @@
     """Obeys whoever speaks last."""
 
     def take(self, reply, sent, now):
-        self.epoch = min(self.epoch, reply.epoch)
-        self.author = reply.author if reply.epoch == self.epoch else self.author
+        self.epoch = min(self.epoch, reply.term)
+        self.author = reply.planner if reply.term == self.epoch else self.author
         return super().take(reply, sent, now)
 
 
@@ -34,22 +34,22 @@
     """Votes at once after a start, whatever it had promised before."""
 
     @property
-    def quiet(self):
+    def silent_span(self):
         return 0
 
 
 class Fickle(Election):
     """Grants a second vote while the first one still holds."""
 
-    def asked(self, ask, now):
+    def handle_vote_request(self, request, now):
         self.granted_until = 0
-        return super().asked(ask, now)
+        return super().handle_vote_request(request, now)
 
 
 class Trusting(Election):
     """Takes its disk for what it last had."""
 
-    def older_than(self, mine):
+    def has_lost_state(self, own):
         return False
 
 
@@ -75,7 +75,7 @@
         def sure(self, now):
             return True
 
-    monkeypatch.setattr(exploring, "Shares", Eager)
+    monkeypatch.setattr(exploring, "QuotaLeases", Eager)
     with pytest.raises(Fault, match="calls of"):
         explore(range(400), 2_000)
 
