--- a/birchslip/cluster/eviction_handler.py
+++ b/birchslip/cluster/eviction_handler.py
@@ -7,37 +7,26 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from enum import StrEnum
 
 from .disruption_budget import DisruptionBudget, EvictionWaiter, MemberObservation
-from .messages import EvictionRequest, EvictionResponse, Incarnation
-
-
-class EvictionAction(StrEnum):
-    """What an eviction request asks for; the values are those of the wire."""
-
-    PERMIT = "permit"
-    PERMIT_BY_OVERRIDE = "past"
-    HAND_BACK = "hand-back"
-    REVOKE = "strike"
-    OVERRIDE = "override"
+from .messages import EvictionOperation, EvictionRequest, EvictionResponse, Incarnation
 
 
 def handle_eviction(
     budget: DisruptionBudget, request: EvictionRequest, observations: Mapping[str, MemberObservation]
 ) -> EvictionResponse:
     """Carries a request out; `observations` has every member and service that may hold a permit."""
-    if request.operation == EvictionAction.OVERRIDE:
+    if request.operation is EvictionOperation.GRANT_OVERRIDE:
         reason = budget.override(request.operator, request.reason, request.count, request.span)
         return EvictionResponse(granted=not reason, reason=reason)
     observed = observations.get(request.holder)
     if observed is None:
         return EvictionResponse(granted=False, reason=f"no member is named {request.holder!r}")
-    if request.operation == EvictionAction.REVOKE:
+    if request.operation is EvictionOperation.REVOKE_PERMIT:
         budget.strike(request.holder, request.operator)
         return EvictionResponse(granted=True)
     incarnation = request.incarnation or observed.incarnation
-    if request.operation == EvictionAction.HAND_BACK:
+    if request.operation is EvictionOperation.RETURN_PERMIT:
         return EvictionResponse(granted=budget.hand_back(request.holder, incarnation, observations))
     return _ask_permit(budget, request, incarnation, observations)
 
@@ -49,7 +38,7 @@
     observations: Mapping[str, MemberObservation],
 ) -> EvictionResponse:
     waiter = EvictionWaiter(holder=request.holder, incarnation=incarnation, why=request.reason)
-    if request.operation == EvictionAction.PERMIT_BY_OVERRIDE:
+    if request.operation is EvictionOperation.BYPASS_BUDGET:
         decision = budget.ask_past(waiter, observations)
     else:
         decision = budget.ask(waiter, observations)
--- a/birchslip/cluster/fleet_file.py
+++ b/birchslip/cluster/fleet_file.py
@@ -11,7 +11,7 @@
 from ..admission.types import MS, SheddingTier
 from ..errors import InvalidInputError
 from .disruption_budget import BudgetGroup
-from .messages import Name, Fraction
+from .messages import Fraction, Name
 
 Address = Annotated[
     str, msgspec.Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$", description="HOST:PORT"),
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -26,6 +26,7 @@
 from .messages import (
     Incarnation,
     MemberReport,
+    ProbeOutcome,
     ProbeResult,
     ReportReply,
     decode,
@@ -190,7 +191,7 @@
             self.carry_out(reply, now)
         elif self.obey.refused > refused:
             self.counters.count("fleet.outdated")
-            self.log.fault("a word of a leader of older days", epoch=reply.epoch, obeyed=self.obey.epoch)
+            self.log.fault("a word of a leader of older days", epoch=reply.term, obeyed=self.obey.epoch)
 
     def told(self, now: int) -> MemberReport:
         self.number += 1
@@ -226,9 +227,9 @@
             lease_remaining=self.obey.lease_left(now),
             plan_term=self.obey.epoch,
             plan_number=self.obey.number,
-            probes=[ProbeResult(member=name, outcome=what) for name, (_, what) in self.met.items()][
-                :KNOCKS_MOST
-            ],
+            probes=[
+                ProbeResult(member=name, outcome=ProbeOutcome(what)) for name, (_, what) in self.met.items()
+            ][:KNOCKS_MOST],
             metrics=self.figures.told(self.counters.counts),
             latency_histograms={name: list(counts) for name, counts in self.figures.took.items()},
             resident_memory_kb=self.memory,
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -31,7 +31,7 @@
     with_dependents,
 )
 from .election import Election
-from .eviction_handler import EvictionAction, handle_eviction
+from .eviction_handler import handle_eviction
 from .fleet_diff import blocked_changes, member_changes
 from .fleet_file import Fleet, span
 from .inventory import Inventory
@@ -39,6 +39,7 @@
 from .member_observations import observe_members
 from .membership import Membership
 from .messages import (
+    EvictionOperation,
     EvictionRequest,
     EvictionResponse,
     MemberReport,
@@ -61,7 +62,7 @@
 from .rollout_supervisor import RolloutSupervisor
 from .site_supervisor import SiteSupervisor
 
-TICK_INTERVAL = 100 * MS
+EVALUATION_INTERVAL = 100 * MS
 REPLAN_INTERVAL = 1 * SECOND  # while a site is not serving, as what is measured changes
 MAX_REPORTS_PER_SECOND = 1_200  # that one planner takes; members of larger fleets report less often
 RECENTLY_HEARD_INTERVALS = 4  # report intervals
@@ -256,7 +257,7 @@
     # ---- time ------------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """Evaluates all sites, permits and rollouts; to be called each `TICK_INTERVAL`."""
+        """Evaluates all sites, permits and rollouts; to be called each `EVALUATION_INTERVAL`."""
         self._observe(now)
         if not self._update_leadership(now):
             return
@@ -309,7 +310,7 @@
     def handle_eviction(self, request: EvictionRequest, now: int) -> EvictionOutcome:
         """Carries out a request for permits."""
         observations = self.observations(now)
-        if request.operation != EvictionAction.OVERRIDE and request.holder not in observations:
+        if request.operation is not EvictionOperation.GRANT_OVERRIDE and request.holder not in observations:
             response = handle_eviction(self.budget, request, observations)
             return EvictionOutcome(self.leadership.replicated_version, response)
         before = self.budget.keep()
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -36,7 +36,7 @@
     Shown,
 )
 from .disruption_budget import DisruptionBudget, EvictionWaiter, MemberObservation, Permit
-from .messages import Count, Message, Name, Fraction, Span, Text
+from .messages import Count, Fraction, Message, Name, Span, Text
 
 STARTS_MOST = 2  # in one version before another is tried
 KEPT_EVERY = 10_000  # what a watch has come to is kept every second
--- a/birchslip/lab/model/layout.py
+++ b/birchslip/lab/model/layout.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ...cluster.messages import Message, Name, Fraction
+from ...cluster.messages import Fraction, Message, Name
 from .habits import HABITS
 
 SERVERS_MOST = 1_000
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -8,13 +8,20 @@
 from typing import TYPE_CHECKING
 
 from ...admission.types import Request, Tenant
-from ...cluster.election import DurableVote, Election
+from ...cluster.durable_vote import DurableVote
+from ...cluster.election import Election
 from ...cluster.fleet_file import Fleet, span
 from ...cluster.inventory import Inventory, ProcessReport
 from ...cluster.member_metrics import Figures, Rates, room_of
-from ...cluster.messages import Incarnation, MemberReport, ProbeResult, ReportReply
+from ...cluster.messages import (
+    Incarnation,
+    MemberReport,
+    ProbeOutcome,
+    ProbeResult,
+    ReportReply,
+)
 from ...cluster.plan_subscription import PlanSubscription, override_of
-from ...cluster.planner_state import TICK_INTERVAL, PlannerState
+from ...cluster.planner_state import EVALUATION_INTERVAL, PlannerState
 from ...cluster.rollout import PlatformOrder, RolloutSpec
 from ...cluster.rollout_controller import RolloutCommand
 from .clock import SECOND
@@ -125,9 +132,9 @@
             lease_remaining=self.obey.lease_left(now),
             plan_term=self.obey.epoch,
             plan_number=self.obey.number,
-            probes=[ProbeResult(member=name, outcome=what) for name, (_, what) in self.met.items()][
-                :KNOCKS_MOST
-            ],
+            probes=[
+                ProbeResult(member=name, outcome=ProbeOutcome(what)) for name, (_, what) in self.met.items()
+            ][:KNOCKS_MOST],
             metrics=self.figures.told({"relay.called": server.counts["called"]}),
             latency_histograms={name: list(counts) for name, counts in self.figures.took.items()},
         )
@@ -195,7 +202,7 @@
 
     def look(self) -> None:
         clock, mind = self.world.clock, self.mind
-        clock.after(TICK_INTERVAL, self.look)
+        clock.after(EVALUATION_INTERVAL, self.look)
         if self.gone:
             return
         now = clock.now
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -10,10 +10,11 @@
 import random
 from collections.abc import Callable
 
-from ..cluster.election import DurableVote, Election
+from ..cluster.durable_vote import DurableVote
+from ..cluster.election import Election
 from ..cluster.fleet_file import Fleet, Member, Planner, Site
-from ..cluster.messages import Incarnation, MemberReport, ProbeResult
-from ..cluster.planner_state import TICK_INTERVAL, PlannerState
+from ..cluster.messages import Incarnation, MemberReport, ProbeOutcome, ProbeResult
+from ..cluster.planner_state import EVALUATION_INTERVAL, PlannerState
 
 SECOND = 10_000
 DAY = 86_400 * SECOND
@@ -68,7 +69,7 @@
     def run(self, until: int) -> dict[str, int]:
         for life in self.lives.values():
             self.at(self.chance.randrange(self.every), lambda life=life: self.report(life))  # type: ignore[misc]
-        self.at(TICK_INTERVAL, self.look)
+        self.at(EVALUATION_INTERVAL, self.look)
         self.at(10 * SECOND, self.trouble)
         while self.due and self.due[0][0] <= until:
             self.now, _, act = heapq.heappop(self.due)
@@ -112,7 +113,9 @@
             lease_remaining=0,
             plan_term=0,
             plan_number=0,
-            probes=[ProbeResult(member=name, outcome=met) for name, met in life.knocks.items()][:8],
+            probes=[ProbeResult(member=name, outcome=ProbeOutcome(met)) for name, met in life.knocks.items()][
+                :8
+            ],
         )
         reply = self.mind.receive_report(told, self.now)
         life.knocks = {name: self.met(name) for name in reply.probe_addresses}
@@ -126,7 +129,7 @@
     # ---- time ------------------------------------------------------------------------------------------
 
     def look(self) -> None:
-        self.at(self.now + max(TICK_INTERVAL, self.every // 2), self.look)
+        self.at(self.now + max(EVALUATION_INTERVAL, self.every // 2), self.look)
         mind = self.mind
         ask = mind.election.next_vote_request(self.now)
         if ask is not None:
@@ -140,7 +143,7 @@
         ):
             mind.mark_replicated(told.state_number)
         for event, more in mind.drain_events():
-            if event == "site_lost":
+            if event == "site lost":
                 self.count["evacuations"] += 1
                 if not self.dark(str(more["site"])):
                     self.count["false_evacuations"] += 1
--- a/tests/fleetdesk.py
+++ b/tests/fleetdesk.py
@@ -6,7 +6,7 @@
 from birchslip.cluster.election import DurableVote, Election
 from birchslip.cluster.fleet_file import read_fleet
 from birchslip.cluster.messages import Incarnation, MemberReport, ProbeResult
-from birchslip.cluster.planner_state import TICK_INTERVAL, PlannerState
+from birchslip.cluster.planner_state import EVALUATION_INTERVAL, PlannerState
 
 SECOND = 10_000
 
@@ -84,9 +84,9 @@
         """Reports arrive five times a second, ticks come ten times a second."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
-            self.now += TICK_INTERVAL
+            self.now += EVALUATION_INTERVAL
             self.vote()
-            if self.now % (2 * TICK_INTERVAL) == 0:
+            if self.now % (2 * EVALUATION_INTERVAL) == 0:
                 self.send_reports()
             self.state.tick(self.now)
             self.replicate()
--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -14,14 +14,20 @@
 
 from birchslip.cli import ask, ask_any
 from birchslip.cluster.fleet_file import read_fleet
-from birchslip.cluster.messages import EvictionRequest, OperatorCommand, encode
+from birchslip.cluster.messages import (
+    EvictionOperation,
+    EvictionRequest,
+    OperatorCommand,
+    OperatorOperation,
+    encode,
+)
 from birchslip.errors import InvalidInputError
 from birchslip.lab.wires import free_port
 from birchslip.net.buffer import Buffer
 from birchslip.net.clients import messages
 from birchslip.net.messagepack import pack
 
-from .fleetdesk import fleet_document, report
+from .fleetdesk import fleet_told, report
 
 pytestmark = pytest.mark.xdist_group("processes")
 ROOT = Path(__file__).resolve().parent.parent
@@ -60,7 +66,7 @@
 
     def __init__(self, folder):
         self.folder = folder
-        told = fleet_document(sites=("a", "b"), planners=3)
+        told = fleet_told(sites=("a", "b"), planners=3)
         for planner in told["planners"]:
             planner["address"] = f"127.0.0.1:{free_port()}"
         told["groups"] = [{"name": "fleet", "all": True, "most_out": 1}]
@@ -96,7 +102,7 @@
         self.planners[name].wait(PATIENCE)
 
     def show(self, name=""):
-        return ask_any(self.fleet, OperatorCommand(operation="show"), name)
+        return ask_any(self.fleet, OperatorCommand(operation=OperatorOperation.SHOW), name)
 
     def leader(self):
         try:
@@ -108,12 +114,11 @@
     def want(self, holder, what="permit"):
         """Asked until somebody leads."""
         found = []
+        request = EvictionRequest(operation=EvictionOperation(what), holder=holder, reason="a release")
 
         def answered():
             try:
-                found.append(
-                    ask_any(self.fleet, EvictionRequest(operation=what, holder=holder, reason="a release"))
-                )
+                found.append(ask_any(self.fleet, request))
             except Exception:
                 return False
             return True
@@ -175,9 +180,15 @@
         os.kill(place.planners[name].pid, signal.SIGSTOP)
     address = next(one.address for one in place.fleet.planners if one.name == leader)
     with pytest.raises((OSError, InvalidInputError)):
-        ask(address, EvictionRequest(operation="permit", holder="a-0", reason="a release"))
+        ask(
+            address,
+            EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder="a-0", reason="a release"),
+        )
     with pytest.raises(InvalidInputError, match="not the leader"):
-        ask(address, EvictionRequest(operation="permit", holder="a-0", reason="a release"))
+        ask(
+            address,
+            EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder="a-0", reason="a release"),
+        )
     for name in others:
         os.kill(place.planners[name].pid, signal.SIGCONT)
     assert place.want("a-0")["granted"]
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -234,7 +234,7 @@
     def ask(self, name):
         answer = self.permits.ask(asks(name, self.marks[name]), self.seen)
         if answer.permit is not None:
-            assert answer.permit.incarnation.mark == self.marks[name]
+            assert answer.permit.incarnation.nonce == self.marks[name]
             assert self.permits.ask(asks(name, self.marks[name]), self.seen).permit == answer.permit
 
     @rule(name=names)
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -113,12 +113,12 @@
     member = PlanSubscription(1.0, 0, 0)
     assert member.take(word(), 0, 10)
     assert member.take(said, 20, 30) is obeyed
-    assert member.epoch == max(5, said.epoch if obeyed else 0)
+    assert member.epoch == max(5, said.term if obeyed else 0)
 
 
 def test_a_word_that_was_long_on_its_way_is_over_when_it_comes():
     member = PlanSubscription(1.0, 0, 0)
-    assert member.take(word(share=3.0, lease=30_000), 0, 50_000)
+    assert member.take(word(call_limit=3.0, lease_span=30_000), 0, 50_000)
     assert member.plan is None and member.calls(50_000) == 1.0
 
 
@@ -141,5 +141,5 @@
 
 def test_a_lease_that_was_paused_over_is_found_ended_at_the_next_look():
     member = PlanSubscription(1.0, 0, 0)
-    member.take(word(share=3.0, lease=30_000), 0, 10)
+    member.take(word(call_limit=3.0, lease_span=30_000), 0, 10)
     assert member.calls(29_999) == 3.0 and member.calls(30_000) == 1.0 and member.lease_left(40_000) == 0
--- a/tests/test_recovery_ramp.py
+++ b/tests/test_recovery_ramp.py
@@ -8,7 +8,7 @@
 
 from .fleetdesk import SECOND, report
 
-TICK_INTERVAL = 1_000
+EVALUATION_INTERVAL = 1_000
 
 
 def reports(count=4, **more):
@@ -19,7 +19,7 @@
     """Evaluates at each tick until that time; returns the changes."""
     changes = []
     while now < until:
-        now += TICK_INTERVAL
+        now += EVALUATION_INTERVAL
         reason = ramp.evaluate(shown, 4, usual, now)
         if reason:
             changes.append((now, ramp.stage, ramp.level))
@@ -69,12 +69,12 @@
 def test_an_overloaded_step_is_taken_back_and_lasts_longer():
     ramp = lost_ramp()
     while ramp.step < 1:
-        evaluate_until(ramp, reports(honoured=50.0), 0, TICK_INTERVAL)
+        evaluate_until(ramp, reports(honoured=50.0), 0, EVALUATION_INTERVAL)
         ramp.since = 0 if ramp.stage is not RecoveryStage.STEP else ramp.since
         ramp.evaluate(reports(honoured=50.0), 4, 200.0, ramp.since + SECOND)
     duration = ramp.min_step_duration
     now = ramp.since
-    changes = evaluate_until(ramp, reports(pace=3.0), now, now + 3 * TICK_INTERVAL)
+    changes = evaluate_until(ramp, reports(pace=3.0), now, now + 3 * EVALUATION_INTERVAL)
     assert (
         changes[0][2] == STEP_LEVELS[0]
         and ramp.min_step_duration == 2 * duration
