--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -204,11 +204,12 @@
         excess = max(0.0, rate - shares.get(tenant, 0.0) * capacity)
         of_visitors = min(excess, visiting[tenant])
         for site, load in admitted.items():
-            home_rate = load.get(tenant, 0.0)
+            if tenant not in load:
+                continue
             if site in evacuated and visiting[tenant] > 0:
-                visitors[site, tenant] = of_visitors * home_rate / visiting[tenant]
+                visitors[site, tenant] = of_visitors * load[tenant] / visiting[tenant]
             elif site not in evacuated and rate > visiting[tenant]:
-                residents[site, tenant] = (excess - of_visitors) * home_rate / (rate - visiting[tenant])
+                residents[site, tenant] = (excess - of_visitors) * load[tenant] / (rate - visiting[tenant])
     return [visitors, residents]
 
 
--- a/tests/test_site_plan.py
+++ b/tests/test_site_plan.py
@@ -133,3 +133,16 @@
     assert made.flows["a", "b"] == pytest.approx(30.0) and not made.is_short
     made = plan_without_site(two_sites({"blue": 30.0}, {"blue": 90.0}, is_lost=False), "a", {}, {})
     assert made.total_rejected() == pytest.approx(20.0) and made.is_short
+
+
+@pytest.mark.parametrize("is_lost", [True, False], ids=["lost sites", "serving sites"])
+def test_a_tenant_that_only_one_of_several_sites_serves_can_be_rejected(is_lost):
+    sites = [
+        SiteCapacity("a", {"a-0": 100.0}, {"blue": 10.0, "red": 150.0}, is_lost=is_lost),
+        SiteCapacity("b", {"b-0": 100.0}, {"blue": 10.0}, is_lost=is_lost),
+        SiteCapacity("c", {"c-0": 100.0}, {"blue": 150.0}),
+    ]
+    made = plan_sites(sites, {"blue": 0.5, "red": 0.5}, {}, (SheddingTier.OVER_QUOTA,))
+    capacity = 100.0 if is_lost else 300.0
+    assert made.total_rejected() == pytest.approx(320.0 - capacity)
+    assert sum(made.flows.values()) == pytest.approx(capacity)
