--- a/birchslip/cluster/eviction_handler.py
+++ b/birchslip/cluster/eviction_handler.py
@@ -1,6 +1,6 @@
 """Evictions: requests for permits, answered from the disruption budget.
 
-Decides nothing about budgets itself, and never whether an answer may be told: that is for the planner, once a
+Decides nothing about budgets itself, and never whether an answer may be sent: that is for the planner, once a
 majority has stored it.
 """
 
--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -1,6 +1,6 @@
-"""Plan publication: the newest site plan, and the one that a majority has stored and members are told.
+"""Plan publication: the newest site plan, and the one that a majority has stored and members receive.
 
-No member is told a plan before `publish`, which the caller calls once a majority has stored its version.
+No member receives a plan before `publish`, which the caller calls once a majority has stored its version.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     Attributes:
         pending: The newest plan.
         pending_since: When it was made, in tenths of a millisecond.
-        published: The plan that members are told.
+        published: The plan that members receive.
         published_levels: The part of each site's cores that may be used, as of the published plan.
     """
 
@@ -35,14 +35,14 @@
         self.pending = plan_sites(capacities, fleet.tenants, fleet.costs, fleet.order)
 
     def publish(self, levels: dict[str, float]) -> None:
-        """Makes the pending plan the one that members are told, with the sites' present levels."""
+        """Makes the pending plan the one that members receive, with the sites' present levels."""
         self.published = self.pending
         self.published_levels = levels
 
     def assignment(
         self, fleet: Fleet, site_of_member: Mapping[str, str], name: str, epoch: int, version: int
     ) -> PlanAssignment:
-        """Returns the published plan as one member is told it.
+        """Returns one member's part of the published plan.
 
         With every site serving it changes nothing, so that members drop what was in force before.
         """
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -7,7 +7,7 @@
 | `leadership` | whether this planner leads, and which version of its state a majority has stored |
 | `membership`, `probe_scheduler` | who is alive, which sites are lost, who probes whom |
 | `site_supervisor` | evacuation and recovery of sites |
-| `plan_publisher`, `site_plan` | the plan, and what members are told of it |
+| `plan_publisher`, `site_plan` | the plan, and what members receive of it |
 | `quota_allocator` | leases of the vault's quota |
 | `eviction_handler`, `member_observations` | permits |
 | `rollout_supervisor` | rollouts |
@@ -176,14 +176,14 @@
         self.quotas.follow_plan(self.plans.published, self.plans.published_levels, self.site_of_member)
 
     def replan(self, now: int) -> None:
-        """Makes a new plan and version; members are told once a majority has stored it."""
+        """Makes a new plan and version; members receive it once a majority has stored it."""
         self.leadership.advance_version()
         self.plans.replan(self.fleet, self.sites.capacities(), now)
 
     # ---- members ---------------------------------------------------------------------------------------
 
     def receive_report(self, report: MemberReport, now: int) -> ReportReply:
-        """Takes a member's report and returns what it is told."""
+        """Takes a member's report and returns the reply."""
         if self.site_of_member.get(report.name) != report.site:
             self.events.record("report_from_unknown_member", member=report.name, site=report.site)
             return self._follower_reply(now)
@@ -220,7 +220,7 @@
         )
 
     def assignment(self, name: str) -> PlanAssignment:
-        """Returns the published plan as this member is told it."""
+        """Returns one member's part of the published plan."""
         epoch = self.leadership.term
         version = self.leadership.replicated_version
         return self.plans.assignment(self.fleet, self.site_of_member, name, epoch, version)
