--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -15,8 +15,7 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.cluster.durable_vote import DurableVote
-from birchslip.cluster.election import Election
+from birchslip.cluster.election import DurableVote, Election
 from birchslip.cluster.fleet_file import Fleet, Member, Planner, Site, Vault
 from birchslip.cluster.messages import Incarnation, MemberReport, decode, encode
 from birchslip.cluster.planner_state import PlannerState
@@ -82,29 +81,29 @@
             tenants={f"t{n}": 0.125 for n in range(8)},
         )
         ballot = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
-        mind = PlannerState(fleet, ballot, 0)
+        state = PlannerState(fleet, ballot, 0)
         now = 3 * SECOND
         names = [(member.name, site.name) for site in told for member in site.members]
         for step in range(8):
-            now += mind.report_interval()
+            now += state.report_interval()
             ask = ballot.next_vote_request(now)
             if ask is not None:
                 ballot.handle_vote_response(ballot.handle_vote_request(ask, now), ask.term, now, now)
             for name, site in names:
-                mind.receive_report(report(name, site, step + 1), now)
-            mind.tick(now)
-            keep = mind.replication_request()
+                state.receive_report(report(name, site, step + 1), now)
+            state.tick(now)
+            keep = state.replication_request()
             if keep is not None and ballot.handle_replication_response(
                 ballot.handle_replication_request(keep, now), keep.state_number
             ):
-                mind.mark_replicated(keep.state_number)
-        mind.evacuate_site("s0", "bench", "bench", now)
-        planned = took(partial(mind.replan, now))
-        looked = took(partial(mind.tick, now))
+                state.mark_replicated(keep.state_number)
+        state.evacuate_site("s0", "bench", "bench", now)
+        planned = took(partial(state.replan, now))
+        looked = took(partial(state.tick, now))
         raws = [encode(report(name, site, 100)) for name, site in names[:500]]
         began = time.perf_counter()
         for raw in raws:
-            encode(mind.receive_report(decode(raw, MemberReport), now))
+            encode(state.receive_report(decode(raw, MemberReport), now))
         each = (time.perf_counter() - began) / len(raws) * 1e6
         scale = planned / (members * log2(members)) * 1e3
         print(f"{members:7} {planned:8.2f} {scale:12.3f} {looked:8.2f} {each:10.0f}")
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -7,7 +7,7 @@
 | `leadership` | whether this planner leads, and which version of its state a majority has stored |
 | `membership`, `probe_scheduler` | who is alive, which sites are lost, who probes whom |
 | `site_supervisor` | evacuation and recovery of sites |
-| `plan_publisher`, `site_plan` | the plan, and what members are told of it |
+| `plan_publisher`, `site_plan` | the plan, and what members receive of it |
 | `quota_allocator` | leases of the vault's quota |
 | `eviction_handler`, `member_observations` | permits |
 | `rollout_supervisor` | rollouts |
@@ -65,7 +65,6 @@
 EVALUATION_INTERVAL = 100 * MS
 REPLAN_INTERVAL = 1 * SECOND  # while a site is not serving, as what is measured changes
 MAX_REPORTS_PER_SECOND = 1_200  # that one planner takes; members of larger fleets report less often
-RECENTLY_HEARD_INTERVALS = 4  # report intervals
 
 
 class EvictionOutcome(NamedTuple):
@@ -188,14 +187,14 @@
         self.quotas.follow_plan(self.plans.published, self.plans.published_levels, self.site_of_member)
 
     def replan(self, now: int) -> None:
-        """Makes a new plan and version; members are told once a majority has stored it."""
+        """Makes a new plan and version; members receive it once a majority has stored it."""
         self.leadership.advance_version()
         self.plans.replan(self.fleet, self.sites.capacities(), now)
 
     # ---- members ---------------------------------------------------------------------------------------
 
     def receive_report(self, report: MemberReport, now: int) -> ReportReply:
-        """Takes a member's report and returns what it is told."""
+        """Takes a member's report and returns the reply."""
         if self.site_of_member.get(report.name) != report.site:
             self.events.record("report_from_unknown_member", member=report.name, site=report.site)
             return self._follower_reply(now)
@@ -232,7 +231,7 @@
         )
 
     def assignment(self, name: str) -> PlanAssignment:
-        """Returns the published plan as this member is told it."""
+        """Returns one member's part of the published plan."""
         epoch = self.leadership.term
         version = self.leadership.replicated_version
         return self.plans.assignment(self.fleet, self.site_of_member, name, epoch, version)
@@ -244,15 +243,7 @@
 
     def members_heard_here(self, names: list[str], now: int) -> list[str]:
         """Returns those of the leader's suspects whose reports come to this planner."""
-        members = (self.membership.members.get(name) for name in names)
-        max_silence = RECENTLY_HEARD_INTERVALS * self.report_interval()
-        return [
-            member.name
-            for member in members
-            if member is not None
-            and not member.disconnected
-            and now - member.detector.last_heartbeat <= max_silence
-        ]
+        return self.membership.recently_heard(names, self.report_interval(), now)
 
     # ---- time ------------------------------------------------------------------------------------------
 
--- a/tests/fleetdesk.py
+++ b/tests/fleetdesk.py
@@ -3,7 +3,8 @@
 import json
 import random
 
-from birchslip.cluster.election import DurableVote, Election
+from birchslip.cluster.durable_vote import DurableVote
+from birchslip.cluster.election import Election
 from birchslip.cluster.fleet_file import read_fleet
 from birchslip.cluster.messages import Incarnation, MemberReport, ProbeResult
 from birchslip.cluster.planner_state import EVALUATION_INTERVAL, PlannerState
@@ -11,30 +12,35 @@
 SECOND = 10_000
 
 
-def report(name="a-1", number=1, mark=1, site=None, knocks=(), **more):
+def report(name="a-1", number=1, mark=1, site=None, probes=(), **more):
     usual = {
-        "door": "127.0.0.1:1",
-        "age": 100 * SECOND,
-        "serving": True,
-        "leaving": False,
-        "warm": True,
-        "room": 100.0,
-        "pace": 1.0,
-        "load": {"blue": 40.0, "green": 20.0},
-        "visits": 0.0,
-        "again": 0.0,
-        "honoured": 60.0,
-        "shed": 0.0,
-        "calls": 1.0,
-        "share": 2.0,
-        "lease": 0,
-        "epoch": 0,
-        "plan": 0,
+        "address": "127.0.0.1:1",
+        "uptime": 100 * SECOND,
+        "is_serving": True,
+        "is_draining": False,
+        "is_warm": True,
+        "capacity": 100.0,
+        "slowdown": 1.0,
+        "local_load": {"blue": 40.0, "green": 20.0},
+        "evacuated_load": 0.0,
+        "retries": 0.0,
+        "served": 60.0,
+        "rejected": 0.0,
+        "calls_in_flight": 1.0,
+        "call_limit": 2.0,
+        "lease_remaining": 0,
+        "plan_term": 0,
+        "plan_number": 0,
     }
     site = site or name.rpartition("-")[0]
-    met = [ProbeResult(member=door, outcome=what) for door, what in knocks]
+    results = [ProbeResult(member=member, outcome=outcome) for member, outcome in probes]
     return MemberReport(
-        name=name, sequence=number, site=site, incarnation=Incarnation(nonce=mark), probes=met, **usual | more
+        name=name,
+        sequence=number,
+        site=site,
+        incarnation=Incarnation(nonce=mark),
+        probes=results,
+        **usual | more,
     )
 
 
@@ -119,13 +125,13 @@
         fields, probes = {}, []
         before = self.replies.get(name)
         if before is not None:
-            fields = {"lease": before.lease, "share": before.share}
+            fields = {"lease_remaining": before.lease_span, "call_limit": before.call_limit}
             probes = [
                 (target, self.probe_outcome if target in self.silent else "answered")
-                for target in before.knock
+                for target in before.probe_addresses
             ]
         fields |= self.report_fields[name]
-        sent = report(name, self.report_number, self.incarnations[name], knocks=probes, **fields)
+        sent = report(name, self.report_number, self.incarnations[name], probes=probes, **fields)
         self.replies[name] = self.state.receive_report(sent, self.now)
 
     def lose_site(self, site):
--- a/tests/test_election_store.py
+++ b/tests/test_election_store.py
@@ -94,20 +94,20 @@
         channel.send = lambda method, request: sent.append((method, request))
     election, state = planner.election, planner.state
     election.durable.is_blank, election.term = False, 64
-    state.reign, state.number = 64, 1
+    state.leadership.term, state.leadership.version = 64, 1
 
     def full(durable):
         raise StoreWriteError(Path("p0.planner"), "no space left")
 
     planner.store.save = full
     planner.replicator.replicate(planner.scheduler.now)
-    assert [method for method, _ in sent] == ["keep", "keep"] and state.kept_number == 0
+    assert [method for method, _ in sent] == ["keep", "keep"] and state.leadership.replicated_version == 0
     request = next(request for _, request in sent if isinstance(request, ReplicationRequest))
-    for name, kept_number in (("p1", 0), ("p2", 1)):
-        assert state.kept_number == 0  # one of three is no quorum
+    for name, replicated_version in (("p1", 0), ("p2", 1)):
+        assert state.leadership.replicated_version == 0  # one of three is no quorum
         response = ReplicationResponse(is_stored=True, promised_term=64, replica=name)
         planner.replicator.handle_response(request, encode(response), 0)
-        assert state.kept_number == kept_number
+        assert state.leadership.replicated_version == replicated_version
     planner.store.close()
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -59,7 +59,7 @@
     membership.receive_report(report("a-0", 1, mark=2), SECOND + 10)
     assert not membership.receive_report(report("a-0", 10**6, mark=1), SECOND + 20)
     member = membership.members["a-0"]
-    assert member.incarnation.mark == 2 and member.restarts == 1
+    assert member.incarnation.nonce == 2 and member.restarts == 1
     membership.mark_disconnected("a-0", report(mark=1).incarnation)  # the earlier incarnation's connection
     assert member.liveness(SECOND + 30, REPORT_INTERVAL) is MemberLiveness.ALIVE
 
@@ -125,12 +125,12 @@
 def test_slow_and_restarting_sites_are_distinguished_from_lost_ones():
     membership = membership_of(each=4)
     for n in range(3):
-        membership.receive_report(report(f"a-{n}", 10**6, pace=2.5), SECOND + 10)
+        membership.receive_report(report(f"a-{n}", 10**6, slowdown=2.5), SECOND + 10)
     for n in range(3):
         membership.receive_report(report(f"b-{n}", 1, mark=2), SECOND + 10)
     assert membership.verdict("a", SECOND + 20) is SiteVerdict.SLOW
     assert membership.verdict("b", SECOND + 20) is SiteVerdict.RESTARTING
-    membership.receive_report(report("c-0", 10**6, leaving=True), SECOND + 10)
+    membership.receive_report(report("c-0", 10**6, is_draining=True), SECOND + 10)
     assert membership.members["c-0"].liveness(SECOND + 20, REPORT_INTERVAL) is MemberLiveness.LEFT
     assert membership.verdict("c", SECOND + 20) is SiteVerdict.REACHABLE
 
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -6,7 +6,7 @@
 import pytest
 
 from birchslip.cluster.election import Election
-from birchslip.cluster.messages import EvictionRequest, Incarnation
+from birchslip.cluster.messages import EvictionOperation, EvictionRequest, Incarnation
 from birchslip.cluster.operator_views import fleet_status, site_loss_forecast
 from birchslip.cluster.planner_state import PlannerState
 from birchslip.cluster.recovery_ramp import RecoveryStage
@@ -17,15 +17,21 @@
 
 
 def levels(planner, site):
-    tells = [reply.tell for name, reply in planner.replies.items() if name.startswith(f"{site}-")]
-    return {tell.level for tell in tells if tell is not None}
+    plans = [reply.assignment for name, reply in planner.replies.items() if name.startswith(f"{site}-")]
+    return {plan.serving_fraction for plan in plans if plan is not None}
 
 
 def test_with_every_site_serving_the_plan_changes_nothing(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
-    told = planner.replies["a-0"].tell
-    assert (told.level, told.quotas, told.order, told.visitors, told.short) == (1.0, {}, [], [], False)
-    assert told.listed and planner.replies["a-0"].leads
+    told = planner.replies["a-0"].assignment
+    assert (
+        told.serving_fraction,
+        told.quotas,
+        told.shedding_order,
+        told.evacuated_callers,
+        told.is_capacity_short,
+    ) == (1.0, {}, [], [], False)
+    assert told.is_listed and planner.replies["a-0"].is_leading
 
 
 def test_a_lost_site_is_evacuated_within_a_second_and_recovers_in_steps(tmp_path):
@@ -34,21 +40,25 @@
     planner.advance(1)
     (at, lost), *more = planner.events_named("site_lost")
     assert lost["site"] == "a" and at <= 5.0 and not more
-    told = planner.replies["b-1"].tell
+    told = planner.replies["b-1"].assignment
     assert (
-        told.visitors == [0] and told.order == ["beyond", "again", "visitor", "home"] and told.short is False
+        told.evacuated_callers == [0]
+        and told.shedding_order == ["beyond", "again", "visitor", "home"]
+        and told.is_capacity_short is False
     )
-    assert sum(told.quotas.values()) + told.visits >= 100.0 and told.visits == pytest.approx(40.0)
-    planner.restore_site("a", warm=False)
+    assert sum(
+        told.quotas.values()
+    ) + told.evacuated_quota >= 100.0 and told.evacuated_quota == pytest.approx(40.0)
+    planner.restore_site("a", is_warm=False)
     planner.advance(0.5)
-    assert planner.replies["a-0"].tell.level in (0.0, 0.5)
+    assert planner.replies["a-0"].assignment.serving_fraction in (0.0, 0.5)
     planner.advance(2)
     ramp = planner.state.sites.ramps["a"]
     assert levels(planner, "a") == {1.0}
     assert ramp.stage is RecoveryStage.STEP  # its members are cold: it does not serve yet
     planner.report_fields = {name: {} for name in planner.names}
     planner.advance(3)
-    assert ramp.stage is RecoveryStage.SERVING and planner.replies["b-0"].tell.visitors == []
+    assert ramp.stage is RecoveryStage.SERVING and planner.replies["b-0"].assignment.evacuated_callers == []
 
 
 def test_a_partitioned_site_that_answers_probes_is_not_evacuated(tmp_path):
@@ -57,22 +67,22 @@
     planner.lose_site("a")
     planner.advance(20)
     assert not planner.events_named("site_lost") and levels(planner, "b") == {1.0}
-    assert planner.replies["b-0"].share == 4.0  # its own, and nothing of those that go on calling
+    assert planner.replies["b-0"].call_limit == 4.0  # its own, and nothing of those that go on calling
 
 
 def test_a_lost_quota_is_lent_only_after_its_lease_and_given_back(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(8)
-    assert planner.replies["a-0"].share == planner.replies["b-0"].share == 4.0
+    assert planner.replies["a-0"].call_limit == planner.replies["b-0"].call_limit == 4.0
     planner.lose_site("a")
     planner.advance(2)
-    assert planner.replies["b-0"].share == 4.0
+    assert planner.replies["b-0"].call_limit == 4.0
     planner.advance(3)
-    assert planner.replies["b-0"].share == 5.0  # 2 of each of two members, among four survivors
+    assert planner.replies["b-0"].call_limit == 5.0  # 2 of each of two members, among four survivors
     planner.restore_site("a")
     planner.advance(0.4)
-    assert planner.replies["a-0"].share == 2.0  # the reserved part: the rest is still leased
+    assert planner.replies["a-0"].call_limit == 2.0  # the reserved part: the rest is still leased
     planner.advance(8)
-    assert {reply.share for reply in planner.replies.values()} == {4.0}
+    assert {reply.call_limit for reply in planner.replies.values()} == {4.0}
 
 
 def test_two_lost_sites_are_both_found_and_home_load_is_rejected_last(tmp_path):
@@ -81,8 +91,8 @@
     planner.lose_site("b")
     planner.advance(3)
     assert {more["site"] for _, more in planner.events_named("site_lost")} == {"a", "b"}
-    told = planner.replies["c-0"].tell
-    assert told.short and sorted(told.visitors) == [0, 1]
+    told = planner.replies["c-0"].assignment
+    assert told.is_capacity_short and sorted(told.evacuated_callers) == [0, 1]
     rejected = planner.state.plans.published.rejected_by_site
     assert rejected["c"] == 0.0 or rejected["c"] < rejected["a"]
 
@@ -105,7 +115,7 @@
 
 def test_a_higher_epoch_that_members_obey_ends_the_term_and_the_next_starts_above_it(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
-    planner.report_fields["c-1"] = {"epoch": 6400}
+    planner.report_fields["c-1"] = {"plan_term": 6400}
     planner.advance(4)
     assert planner.state.leadership.term > 6400 and planner.events_named("leadership_lost")
 
@@ -125,7 +135,7 @@
     reply = planner.state.receive_report(odd, planner.now)
     assert planner.state.membership.members["a-0"].report is before
     assert set(planner.state.membership.members) == set(planner.names)
-    assert reply.leads is (odd.name == "a-0" and odd.site == "a")
+    assert reply.is_leading is (odd.name == "a-0" and odd.site == "a")
 
 
 def test_the_forecast_of_a_loss_shows_where_load_would_go_and_what_would_be_short(tmp_path):
@@ -144,7 +154,7 @@
 ]
 
 
-def request_eviction(planner, holder, what="permit", **more):
+def request_eviction(planner, holder, what=EvictionOperation.REQUEST_PERMIT, **more):
     version, response = planner.state.handle_eviction(
         EvictionRequest(operation=what, holder=holder, reason="a release", **more), planner.now
     )
@@ -155,12 +165,12 @@
 
 def test_permits_count_lost_leaving_and_cold_members_and_end_when_these_are_back(tmp_path):
     planner = SimulatedPlanner(tmp_path, groups=GROUPS).advance(4)
-    assert request_eviction(planner, "a-0").granted and request_eviction(planner, "a-0").number == 1
-    planner.report_fields["b-0"] = {"leaving": True}
+    assert request_eviction(planner, "a-0").granted and request_eviction(planner, "a-0").permit_number == 1
+    planner.report_fields["b-0"] = {"is_draining": True}
     planner.advance(1)
     waiting = request_eviction(planner, "b-1")
     assert (waiting.granted, waiting.place) == (False, 1) and "may be" in waiting.why
-    planner.incarnations["a-0"], planner.report_fields["a-0"] = 2, {"warm": False}
+    planner.incarnations["a-0"], planner.report_fields["a-0"] = 2, {"is_warm": False}
     planner.incarnations["b-0"], planner.report_fields["b-0"] = 2, {}
     planner.advance(1)
     shown = fleet_status(planner.state, planner.now)
@@ -186,13 +196,15 @@
     election = Election("p0", ["p0"], planner.state.election.durable, 2, planner.now, random.Random(2))
     planner.state = PlannerState(planner.fleet, election, planner.now)
     planner.advance(4)
-    assert request_eviction(planner, "a-0").number == 1
-    assert request_eviction(planner, "", "override", who="ann", count=1, span=SECOND * 60).granted
-    assert request_eviction(planner, "a-1", "past").granted
+    assert request_eviction(planner, "a-0").permit_number == 1
+    assert request_eviction(
+        planner, "", EvictionOperation.GRANT_OVERRIDE, operator="ann", count=1, span=SECOND * 60
+    ).granted
+    assert request_eviction(planner, "a-1", EvictionOperation.BYPASS_BUDGET).granted
     assert any("ann" in line for line in fleet_status(planner.state, planner.now)["record"])
     assert (
         not request_eviction(planner, "nobody").granted
-        and request_eviction(planner, "a-1", "hand-back").granted
+        and request_eviction(planner, "a-1", EvictionOperation.RETURN_PERMIT).granted
     )
 
 
@@ -216,5 +228,5 @@
 
 def test_replies_carry_the_incarnation_of_the_planner(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
-    assert planner.replies["a-0"].author == Incarnation(generation=1, nonce=1)
+    assert planner.replies["a-0"].planner == Incarnation(generation=1, nonce=1)
     assert fleet(tmp_path).order[0].value == "beyond" and planner.now == 4 * SECOND
--- a/tests/test_recovery_ramp.py
+++ b/tests/test_recovery_ramp.py
@@ -34,7 +34,7 @@
 
 def test_it_serves_after_the_last_step():
     ramp = lost_ramp()
-    changes = evaluate_until(ramp, reports(honoured=50.0), 0, 10 * SECOND)
+    changes = evaluate_until(ramp, reports(served=50.0), 0, 10 * SECOND)
     assert [stage for _, stage, _ in changes] == [
         *[RecoveryStage.STEP] * len(STEP_LEVELS),
         RecoveryStage.SERVING,
@@ -47,10 +47,10 @@
     [
         ([], RecoveryStage.LOST, 0),
         (reports(1), RecoveryStage.LOST, 0),
-        (reports(honoured=0.0), RecoveryStage.STEP, 0),
-        (reports(pace=2.0), RecoveryStage.STEP, 0),
-        (reports(honoured=5.0, shed=50.0), RecoveryStage.STEP, 0),
-        (reports(warm=False, honoured=50.0), RecoveryStage.STEP, 2),
+        (reports(served=0.0), RecoveryStage.STEP, 0),
+        (reports(slowdown=2.0), RecoveryStage.STEP, 0),
+        (reports(served=5.0, rejected=50.0), RecoveryStage.STEP, 0),
+        (reports(is_warm=False, served=50.0), RecoveryStage.STEP, 2),
     ],
     ids=["nobody", "one of four", "no load", "slow", "nearly all rejected", "cold"],
 )
@@ -62,19 +62,19 @@
 
 def test_rejections_due_to_the_level_alone_do_not_block_it():
     ramp = lost_ramp()
-    evaluate_until(ramp, reports(honoured=50.0, shed=60.0), 0, 5 * SECOND)
+    evaluate_until(ramp, reports(served=50.0, rejected=60.0), 0, 5 * SECOND)
     assert ramp.stage is RecoveryStage.SERVING
 
 
 def test_an_overloaded_step_is_taken_back_and_lasts_longer():
     ramp = lost_ramp()
     while ramp.step < 1:
-        evaluate_until(ramp, reports(honoured=50.0), 0, EVALUATION_INTERVAL)
+        evaluate_until(ramp, reports(served=50.0), 0, EVALUATION_INTERVAL)
         ramp.since = 0 if ramp.stage is not RecoveryStage.STEP else ramp.since
-        ramp.evaluate(reports(honoured=50.0), 4, 200.0, ramp.since + SECOND)
+        ramp.evaluate(reports(served=50.0), 4, 200.0, ramp.since + SECOND)
     duration = ramp.min_step_duration
     now = ramp.since
-    changes = evaluate_until(ramp, reports(pace=3.0), now, now + 3 * EVALUATION_INTERVAL)
+    changes = evaluate_until(ramp, reports(slowdown=3.0), now, now + 3 * EVALUATION_INTERVAL)
     assert (
         changes[0][2] == STEP_LEVELS[0]
         and ramp.min_step_duration == 2 * duration
@@ -95,7 +95,7 @@
 
 def test_flaps_are_forgiven_after_serving_for_long():
     ramp = lost_ramp()
-    evaluate_until(ramp, reports(honoured=50.0), 0, 10 * SECOND)
+    evaluate_until(ramp, reports(served=50.0), 0, 10 * SECOND)
     ramp.mark_lost(ramp.since + 700 * SECOND, "shut")
     assert ramp.flap_count == 1
 
@@ -103,7 +103,7 @@
 def test_only_an_operator_ends_an_evacuation_by_an_operator():
     ramp = RecoveryRamp("a")
     ramp.mark_lost(0, "work on the cooling", by_operator=True)
-    assert not evaluate_until(ramp, reports(honoured=50.0), 0, 60 * SECOND)
+    assert not evaluate_until(ramp, reports(served=50.0), 0, 60 * SECOND)
     assert ramp.end_evacuation(60 * SECOND) and not ramp.end_evacuation(60 * SECOND)
-    evaluate_until(ramp, reports(honoured=50.0), 60 * SECOND, 70 * SECOND)
+    evaluate_until(ramp, reports(served=50.0), 60 * SECOND, 70 * SECOND)
     assert ramp.stage is RecoveryStage.SERVING
