--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -169,7 +169,7 @@
     planner.report_fields["b-0"] = {"is_draining": True}
     planner.advance(1)
     waiting = request_eviction(planner, "b-1")
-    assert (waiting.granted, waiting.place) == (False, 1) and "may be" in waiting.why
+    assert (waiting.granted, waiting.queue_position) == (False, 1) and "may be" in waiting.why
     planner.incarnations["a-0"], planner.report_fields["a-0"] = 2, {"is_warm": False}
     planner.incarnations["b-0"], planner.report_fields["b-0"] = 2, {}
     planner.advance(1)
