--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -16,8 +16,14 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.cluster.messages import EvictionRequest, Incarnation, MemberReport, encode
-from birchslip.cluster.planner import descriptors
+from birchslip.cluster.messages import (
+    EvictionOperation,
+    EvictionRequest,
+    Incarnation,
+    MemberReport,
+    encode,
+)
+from birchslip.cluster.planner import raise_descriptor_limit
 from birchslip.cluster.transport import PeerConnection
 from birchslip.lab.processes import ROOT
 from birchslip.lab.wires import free_port
@@ -68,7 +74,7 @@
 def main() -> None:
     words = [int(word) for word in sys.argv[1:]] + [1_000, 10, 20][len(sys.argv) - 1 :]
     count, asks, seconds = words
-    descriptors()  # one for each member here too
+    raise_descriptor_limit()  # one for each member here too
     folder = Path(tempfile.mkdtemp(prefix="birchslip-size-"))
     port = free_port()
     homes = {f"m{n}": f"site-{n % SITES}" for n in range(count)}
@@ -131,13 +137,19 @@
         try:
             line.call(
                 "want",
-                encode(EvictionRequest(operation="permit", holder=name, reason="a measurement")),
+                encode(
+                    EvictionRequest(
+                        operation=EvictionOperation.REQUEST_PERMIT, holder=name, reason="a measurement"
+                    )
+                ),
                 scheduler.now + SECOND,
             )
             took.append((time.perf_counter() - began) * 1000)
             scheduler.sleep(scheduler.now + 10 * SECOND)  # it stays out, or waits, for ten seconds
             line.call(
-                "want", encode(EvictionRequest(operation="hand-back", holder=name)), scheduler.now + SECOND
+                "want",
+                encode(EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name)),
+                scheduler.now + SECOND,
             )
         except OSError as trouble:
             faults.append(str(trouble))
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -18,7 +18,13 @@
 import click
 
 from .cluster.fleet_file import Fleet, read_fleet, schema
-from .cluster.messages import EvictionRequest, OperatorCommand, encode
+from .cluster.messages import (
+    EvictionOperation,
+    EvictionRequest,
+    OperatorCommand,
+    OperatorOperation,
+    encode,
+)
 from .cluster.release_file import read_release, release_schema
 from .cluster.rollout_batches import find_unknown_part, plan_batches
 from .cluster.rollout_messages import RolloutAction, RolloutCommand
@@ -82,11 +88,13 @@
     planners = [one for one in fleet.planners if planner in ("", one.name)]
     if not planners:
         raise NotAsked(f"no planner is named {planner!r}")
+    operation = wish.action if isinstance(wish, RolloutCommand) else wish.operation
+    shows_only = operation.value in SHOWN
     answers, troubles = [], []
     for one in planners:
         try:
             answer = ask(one.address, wish)
-            if not prefers_leader(wish) or answer.get("leads") or planner:
+            if not shows_only or answer.get("leads") or planner:
                 return answer
             answers.append(answer)
         except (OSError, ValueError) as trouble:
@@ -96,12 +104,6 @@
     raise NotAsked("no planner could be asked\n" + "\n".join(troubles))
 
 
-def prefers_leader(command: OperatorCommand | EvictionRequest | RolloutCommand) -> bool:
-    """Whether any planner answers the command, and the leader's answer is the best."""
-    action = command.action.value if isinstance(command, RolloutCommand) else command.operation
-    return action in SHOWN
-
-
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
     """birchslip: admission for app servers, and the fleet around them."""
@@ -151,7 +153,7 @@
 @click.option("--planner", "name", default="", help="Ask this one; else the leader.")
 def show(path: str, as_json: bool, name: str) -> None:
     """Members, sites, epoch, the plan in force and why."""
-    told = ask_any(fleet_of(path), OperatorCommand(operation="show"), name)
+    told = ask_any(fleet_of(path), OperatorCommand(operation=OperatorOperation.SHOW), name)
     if as_json:
         click.echo(json.dumps(told))
         return
@@ -166,7 +168,7 @@
 @click.option("--lose", required=True, help="The site that is lost.")
 def foresee(path: str, as_json: bool, lose: str) -> None:
     """What the loss of a site would mean today; exit code 1 where load would be refused."""
-    told = ask_any(fleet_of(path), OperatorCommand(operation="what-if", site=lose))
+    told = ask_any(fleet_of(path), OperatorCommand(operation=OperatorOperation.WHAT_IF, site=lose))
     if as_json:
         click.echo(json.dumps(told))
     else:
@@ -193,7 +195,11 @@
 @click.option("--why", required=True)
 def evacuate(path: str, as_json: bool, site: str, who: str, why: str) -> None:
     """Send a site's load elsewhere by hand; only `return` lets it back."""
-    by_hand(path, as_json, OperatorCommand(operation="evacuate", site=site, operator=who, reason=why))
+    by_hand(
+        path,
+        as_json,
+        OperatorCommand(operation=OperatorOperation.EVACUATE, site=site, operator=who, reason=why),
+    )
 
 
 @fleet.command("return")
@@ -203,7 +209,7 @@
 @click.option("--who", required=True)
 def give_back(path: str, as_json: bool, site: str, who: str) -> None:
     """Let a site back that was evacuated by hand, in the usual steps."""
-    by_hand(path, as_json, OperatorCommand(operation="return", site=site, operator=who))
+    by_hand(path, as_json, OperatorCommand(operation=OperatorOperation.RESTORE, site=site, operator=who))
 
 
 def wanted(path: str, as_json: bool, want: EvictionRequest) -> None:
@@ -231,7 +237,8 @@
 @click.option("--past", is_flag=True, help="Past the budgets, by an override that stands.")
 def permit(path: str, as_json: bool, member: str, why: str, past: bool) -> None:
     """Ask that a member may be out; asking again keeps its place, or tells of the same permit."""
-    wanted(path, as_json, EvictionRequest(operation="past" if past else "permit", holder=member, reason=why))
+    operation = EvictionOperation.BYPASS_BUDGET if past else EvictionOperation.REQUEST_PERMIT
+    wanted(path, as_json, EvictionRequest(operation=operation, holder=member, reason=why))
 
 
 @fleet.command("hand-back")
@@ -240,7 +247,7 @@
 @click.argument("member")
 def hand_back(path: str, as_json: bool, member: str) -> None:
     """A member that has not gone out will not go; one that has is seen back by itself."""
-    wanted(path, as_json, EvictionRequest(operation="hand-back", holder=member))
+    wanted(path, as_json, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=member))
 
 
 @fleet.command()
@@ -250,7 +257,9 @@
 @click.option("--who", required=True)
 def strike(path: str, as_json: bool, member: str, who: str) -> None:
     """A member will not come back: its permit ends."""
-    wanted(path, as_json, EvictionRequest(operation="strike", holder=member, operator=who))
+    wanted(
+        path, as_json, EvictionRequest(operation=EvictionOperation.REVOKE_PERMIT, holder=member, operator=who)
+    )
 
 
 @fleet.command()
@@ -264,7 +273,11 @@
     """In an emergency: let so many out past the budgets. It stands in the record."""
     span = minutes * 60 * 10_000
     wanted(
-        path, as_json, EvictionRequest(operation="override", operator=who, reason=why, count=count, span=span)
+        path,
+        as_json,
+        EvictionRequest(
+            operation=EvictionOperation.GRANT_OVERRIDE, operator=who, reason=why, count=count, span=span
+        ),
     )
 
 
@@ -311,8 +324,11 @@
         click.echo(json.dumps(said))
     else:
         number = f" {said['number']}" if said["number"] else ""
-        result = "done" if said["done"] else f"no: {said['why']}"
-        click.echo(f"{told.action.value}{number}: {result}")
+        click.echo(
+            f"{told.action.value}{number}: done"
+            if said["done"]
+            else f"{told.action.value}{number}: no: {said['why']}"
+        )
     if not said["done"]:
         raise SystemExit(1)
 
--- /dev/null
+++ b/birchslip/cluster/eviction_handler.py
@@ -0,0 +1,57 @@
+"""Evictions: requests for permits, answered from the disruption budget.
+
+Decides nothing about budgets itself, and never whether an answer may be sent: that is for the planner, once a
+majority has stored it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from .disruption_budget import DisruptionBudget
+from .disruption_types import EvictionWaiter, MemberObservation
+from .messages import (
+    EvictionOperation,
+    EvictionRequest,
+    EvictionResponse,
+    Incarnation,
+)
+
+
+def handle_eviction(
+    budget: DisruptionBudget, request: EvictionRequest, observations: Mapping[str, MemberObservation]
+) -> EvictionResponse:
+    """Carries a request out; `observations` has every member and service that may hold a permit."""
+    if request.operation is EvictionOperation.GRANT_OVERRIDE:
+        reason = budget.add_override(request.operator, request.reason, request.count, request.span)
+        return EvictionResponse(granted=not reason, reason=reason)
+    observed = observations.get(request.holder)
+    if observed is None:
+        return EvictionResponse(granted=False, reason=f"no member is named {request.holder!r}")
+    if request.operation is EvictionOperation.REVOKE_PERMIT:
+        budget.revoke(request.holder, request.operator)
+        return EvictionResponse(granted=True)
+    incarnation = request.incarnation or observed.incarnation
+    if request.operation is EvictionOperation.RETURN_PERMIT:
+        return EvictionResponse(granted=budget.release(request.holder, incarnation, observations))
+    return _ask_permit(budget, request, incarnation, observations)
+
+
+def _ask_permit(
+    budget: DisruptionBudget,
+    request: EvictionRequest,
+    incarnation: Incarnation,
+    observations: Mapping[str, MemberObservation],
+) -> EvictionResponse:
+    waiter = EvictionWaiter(holder=request.holder, incarnation=incarnation, reason=request.reason)
+    if request.operation is EvictionOperation.BYPASS_BUDGET:
+        decision = budget.acquire_with_override(waiter, observations)
+    else:
+        decision = budget.acquire(waiter, observations)
+    number = decision.permit.number if decision.permit is not None else 0
+    return EvictionResponse(
+        granted=decision.permit is not None,
+        permit_number=number,
+        queue_position=decision.position,
+        reason=decision.reason,
+    )
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -61,7 +61,7 @@
         """Run for as long as the planner lives; one that does not lead requests nothing."""
         while True:
             began = self.scheduler.now
-            if self.state.rules(self.scheduler.tell_time()):
+            if self.state.is_effective_leader(self.scheduler.tell_time()):
                 self._exchange()
             earliest = self.scheduler.now + self.interval // MIN_PAUSE_DIVISOR
             self.nap.sleep(max(began + self.interval, earliest))
@@ -86,14 +86,14 @@
             OSError: If the platform does not answer, or refuses.
             InvalidInputError: If its answer is malformed.
         """
-        epoch, sent_at = self.state.reign, self.scheduler.tell_time()
-        response = self._request("GET", f"/fleet/members?epoch={epoch}", b"")
+        term, sent_at = self.state.leadership.term, self.scheduler.tell_time()
+        response = self._request("GET", f"/fleet/members?epoch={term}", b"")
         if response.status != HTTPStatus.OK:
             raise OSError(f"answered {response.status}")
         inventory = read_inventory(response.body)
         self.counters.count("platform.listings")
-        if self.state.reign == epoch:
-            self.state.conductor.receive_inventory(inventory, sent_at)
+        if self.state.leadership.term == term:
+            self.state.receive_inventory(inventory, sent_at)
 
     def give_orders(self) -> None:
         """Give each order once. They are looked up anew each time: a halt meanwhile leaves none to give.
@@ -103,7 +103,7 @@
         """
         given: set[PlatformOrder] = set()
         while True:
-            orders = self.state.orders(self.scheduler.tell_time())
+            orders = self.state.platform_orders(self.scheduler.tell_time())
             order = next((order for order in orders if order not in given), None)
             if order is None:
                 return
@@ -111,7 +111,7 @@
             self._give_order(order)
 
     def _give_order(self, order: PlatformOrder) -> None:
-        body = {"epoch": self.state.reign, "number": order.permit_number, "version": order.version}
+        body = {"epoch": self.state.leadership.term, "number": order.permit_number, "version": order.version}
         path = f"/fleet/members/{quote(order.member, safe='')}/{order.action.value}"
         response = self._request("POST", path, json.dumps(body).encode())
         if HTTPStatus.OK <= response.status < HTTPStatus.MULTIPLE_CHOICES:
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -103,7 +103,7 @@
     def receive_inventory(self, inventory: Inventory, sent_at: int) -> None:
         """Take an inventory; it may be as old as `sent_at`, when it was requested."""
         self.inventory = inventory
-        self.instances = inventory.platform()
+        self.instances = inventory.instances()
         self.inventory_at = sent_at
 
     def is_inventory_fresh(self, now: int) -> bool:
@@ -115,7 +115,7 @@
         if self.inventory is None or not self.is_inventory_fresh(now):
             silent = MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
             return dict.fromkeys(self.services, silent)
-        return {name: self.inventory.service(name) for name in self.services}
+        return {name: self.inventory.observe_service(name) for name in self.services}
 
     # ---- steps -----------------------------------------------------------------------------------------
 
--- a/birchslip/cluster/rollout_types.py
+++ b/birchslip/cluster/rollout_types.py
@@ -16,7 +16,7 @@
 
 from .canary_analysis import CanaryEvidence, MemberSample
 from .disruption_types import MemberObservation
-from .messages import Count, Message, Name, Fraction, Span, Text
+from .messages import Count, Fraction, Message, Name, Span, Text
 
 TICKS_PER_MS = 10
 TICKS_PER_SECOND = 10_000
--- a/birchslip/lab/explore.py
+++ b/birchslip/lab/explore.py
@@ -21,7 +21,8 @@
 from functools import partial
 from itertools import pairwise
 
-from ..cluster.election import DurableVote, Election
+from ..cluster.durable_vote import DurableVote
+from ..cluster.election import Election
 from ..cluster.messages import (
     Message,
     PlanAssignment,
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -8,13 +8,20 @@
 from typing import TYPE_CHECKING
 
 from ...admission.types import Request, Tenant
-from ...cluster.election import DurableVote, Election
+from ...cluster.durable_vote import DurableVote
+from ...cluster.election import Election
 from ...cluster.fleet_file import Fleet, span
 from ...cluster.inventory import Inventory, ProcessReport
 from ...cluster.member_metrics import OutcomeCounts, RequestRates, estimate_capacity
-from ...cluster.messages import Incarnation, MemberReport, ProbeResult, ReportReply
+from ...cluster.messages import (
+    Incarnation,
+    MemberReport,
+    ProbeOutcome,
+    ProbeResult,
+    ReportReply,
+)
 from ...cluster.plan_subscription import PlanSubscription, override_of
-from ...cluster.planner_state import LOOK, PlannerState
+from ...cluster.planner_state import EVALUATION_INTERVAL, PlannerState
 from ...cluster.rollout_messages import RolloutAction, RolloutCommand
 from ...cluster.rollout_types import OrderAction, PlatformOrder, RolloutSpec
 from .clock import SECOND
@@ -93,7 +100,7 @@
         clock.after(planners.world.delay, self.arrive, told, sent)
 
     def arrive(self, told: MemberReport, sent: int) -> None:
-        reply = self.planners.mind.hear(told, self.planners.world.clock.now)
+        reply = self.planners.mind.receive_report(told, self.planners.world.clock.now)
         self.planners.world.clock.after(self.planners.world.delay, self.take, reply, sent)
 
     def told(self, now: int) -> MemberReport:
@@ -125,9 +132,9 @@
             lease_remaining=self.obey.lease_left(now),
             plan_term=self.obey.epoch,
             plan_number=self.obey.number,
-            probes=[ProbeResult(member=name, outcome=what) for name, (_, what) in self.met.items()][
-                :KNOCKS_MOST
-            ],
+            probes=[
+                ProbeResult(member=name, outcome=ProbeOutcome(what)) for name, (_, what) in self.met.items()
+            ][:KNOCKS_MOST],
             metrics=self.figures.totals({"relay.called": server.counts["called"]}),
             latency_histograms={name: list(counts) for name, counts in self.figures.durations.items()},
         )
@@ -185,7 +192,7 @@
         self.bonds[server.name] = Bond(self, server)
 
     def broke(self, server: AppServer, life: int) -> None:
-        self.mind.membership.broke(server.name, Incarnation(nonce=life))
+        self.mind.membership.mark_disconnected(server.name, Incarnation(nonce=life))
 
     def may_be_found(self, server: AppServer) -> bool:
         bond = self.bonds.get(server.name)
@@ -195,25 +202,27 @@
 
     def look(self) -> None:
         clock, mind = self.world.clock, self.mind
-        clock.after(LOOK, self.look)
+        clock.after(EVALUATION_INTERVAL, self.look)
         if self.gone:
             return
         now = clock.now
-        ask = mind.ballot.next_vote_request(now)
+        ask = mind.election.next_vote_request(now)
         if ask is not None:
-            mind.ballot.handle_vote_response(mind.ballot.handle_vote_request(ask, now), ask.term, now, now)
-        mind.look(now)
+            mind.election.handle_vote_response(
+                mind.election.handle_vote_request(ask, now), ask.term, now, now
+            )
+        mind.tick(now)
         self.have_kept()
-        for event, more in mind.take_remarks():
+        for event, more in mind.drain_events():
             self.world.note(event, **more)
 
     def have_kept(self) -> None:
         mind = self.mind
-        told = mind.keep()
-        if told is not None and mind.ballot.handle_replication_response(
-            mind.ballot.handle_replication_request(told, self.world.clock.now), told.state_number
+        told = mind.replication_request()
+        if told is not None and mind.election.handle_replication_response(
+            mind.election.handle_replication_request(told, self.world.clock.now), told.state_number
         ):
-            mind.kept(told.state_number)
+            mind.mark_replicated(told.state_number)
 
     # ---- a release, and its platform -------------------------------------------------------------------
 
@@ -221,16 +230,16 @@
         clock = self.world.clock
         platform = self.fleet.platform
         clock.after(span(platform.ask_ms) if platform is not None else ASK, self.ask)
-        if not self.mind.rules(clock.now) or self.gone:
+        if not self.mind.is_effective_leader(clock.now) or self.gone:
             return
         members = {
             name: ProcessReport(state=self.states[name], version=self.versions[name]) for name in self.states
         }
-        services = {one.name: ProcessReport(state="up", life=1) for one in self.fleet.services}
-        self.mind.conductor.receive_inventory(Inventory(members, services), clock.now)
-        for order in list(self.mind.orders(clock.now)):
+        services = {one.name: ProcessReport(state="up", start_count=1) for one in self.fleet.services}
+        self.mind.receive_inventory(Inventory(members, services), clock.now)
+        for order in list(self.mind.platform_orders(clock.now)):
             self.carry(order)
-        releases = self.mind.conductor.rollouts
+        releases = self.mind.rollouts.controller.rollouts
         if releases:
             self.phase = releases[-1].phase.value
 
@@ -238,7 +247,7 @@
         """Why it can't begin; nothing where it has."""
         if not self.fleet.groups:
             return "the fleet file has no groups"
-        _, said = self.mind.say(
+        _, said = self.mind.handle_rollout_command(
             RolloutCommand(action=RolloutAction.START, operator="the model", spec=plan), self.world.clock.now
         )
         self.have_kept()
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -10,10 +10,11 @@
 import random
 from collections.abc import Callable
 
-from ..cluster.election import DurableVote, Election
+from ..cluster.durable_vote import DurableVote
+from ..cluster.election import Election
 from ..cluster.fleet_file import Fleet, Member, Planner, Site
-from ..cluster.messages import Incarnation, MemberReport, ProbeResult
-from ..cluster.planner_state import LOOK, PlannerState
+from ..cluster.messages import Incarnation, MemberReport, ProbeOutcome, ProbeResult
+from ..cluster.planner_state import EVALUATION_INTERVAL, PlannerState
 
 SECOND = 10_000
 DAY = 86_400 * SECOND
@@ -68,7 +69,7 @@
     def run(self, until: int) -> dict[str, int]:
         for life in self.lives.values():
             self.at(self.chance.randrange(self.every), lambda life=life: self.report(life))  # type: ignore[misc]
-        self.at(LOOK, self.look)
+        self.at(EVALUATION_INTERVAL, self.look)
         self.at(10 * SECOND, self.trouble)
         while self.due and self.due[0][0] <= until:
             self.now, _, act = heapq.heappop(self.due)
@@ -112,9 +113,11 @@
             lease_remaining=0,
             plan_term=0,
             plan_number=0,
-            probes=[ProbeResult(member=name, outcome=met) for name, met in life.knocks.items()][:8],
+            probes=[ProbeResult(member=name, outcome=ProbeOutcome(met)) for name, met in life.knocks.items()][
+                :8
+            ],
         )
-        reply = self.mind.hear(told, self.now)
+        reply = self.mind.receive_report(told, self.now)
         life.knocks = {name: self.met(name) for name in reply.probe_addresses}
 
     def met(self, name: str) -> str:
@@ -126,20 +129,20 @@
     # ---- time ------------------------------------------------------------------------------------------
 
     def look(self) -> None:
-        self.at(self.now + max(LOOK, self.every // 2), self.look)
+        self.at(self.now + max(EVALUATION_INTERVAL, self.every // 2), self.look)
         mind = self.mind
-        ask = mind.ballot.next_vote_request(self.now)
+        ask = mind.election.next_vote_request(self.now)
         if ask is not None:
-            mind.ballot.handle_vote_response(
-                mind.ballot.handle_vote_request(ask, self.now), ask.term, self.now, self.now
+            mind.election.handle_vote_response(
+                mind.election.handle_vote_request(ask, self.now), ask.term, self.now, self.now
             )
-        mind.look(self.now)
-        told = mind.keep()
-        if told is not None and mind.ballot.handle_replication_response(
-            mind.ballot.handle_replication_request(told, self.now), told.state_number
+        mind.tick(self.now)
+        told = mind.replication_request()
+        if told is not None and mind.election.handle_replication_response(
+            mind.election.handle_replication_request(told, self.now), told.state_number
         ):
-            mind.kept(told.state_number)
-        for event, more in mind.take_remarks():
+            mind.mark_replicated(told.state_number)
+        for event, more in mind.drain_events():
             if event == "site lost":
                 self.count["evacuations"] += 1
                 if not self.dark(str(more["site"])):
@@ -163,7 +166,7 @@
             self.count["restarts"] += 1
             member = self.mind.membership.members.get(life.name)
             if member is not None:
-                self.mind.membership.broke(life.name, member.incarnation)
+                self.mind.membership.mark_disconnected(life.name, member.incarnation)
         elif draw < 0.7:
             life.stopped_until = self.now + self.chance.randrange(SECOND // 10, 10 * SECOND)
             self.count["pauses"] += 1
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -15,7 +15,14 @@
 import msgspec
 
 from ..cluster.disruption_types import BudgetGroup
-from ..cluster.messages import EvictionRequest, Message, OperatorCommand, encode
+from ..cluster.messages import (
+    EvictionOperation,
+    EvictionRequest,
+    Message,
+    OperatorCommand,
+    OperatorOperation,
+    encode,
+)
 from ..cluster.rollout_batches import plan_batches
 from ..cluster.rollout_messages import RolloutAction, RolloutCommand
 from ..cluster.rollout_types import RolloutSpec
@@ -47,13 +54,6 @@
     without: tuple[tuple[int, str, float], ...] | None = None
 
 
-def must_come_from_leader(command: Message) -> bool:
-    """Whether a planner that follows would answer from its copy of the state."""
-    if isinstance(command, RolloutCommand):
-        return command.action is RolloutAction.STATUS
-    return isinstance(command, OperatorCommand) and command.operation == "show"
-
-
 class Play(World):
     profiles = [LOOKUP, ORDER]  # noqa: RUF012
     cold_span = 2 * SECOND
@@ -147,13 +147,16 @@
         """Whoever leads answers; asked until somebody does."""
         until = self.scheduler.now + 20 * SECOND
         trouble = ""
+        is_query = (isinstance(record, RolloutCommand) and record.action is RolloutAction.STATUS) or (
+            isinstance(record, OperatorCommand) and record.operation is OperatorOperation.SHOW
+        )
         while self.scheduler.now < until:
             for name in planners or self.names:
                 line = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
                 try:
                     raw = line.call(method, encode(record), self.scheduler.now + ASK)
                     answer: dict[str, Any] = json.loads(raw)
-                    if must_come_from_leader(record) and not answer["leads"]:
+                    if is_query and not answer["leads"]:
                         continue
                     return answer
                 except OSError as why:
@@ -176,7 +179,9 @@
 
     def permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
         return self.ask(
-            EvictionRequest(operation="permit", holder=holder, reason="by hand"), "want", planners
+            EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder=holder, reason="by hand"),
+            "want",
+            planners,
         )
 
     # ---- moments ---------------------------------------------------------------------------------------
@@ -243,7 +248,7 @@
         plan = self.plan(sites)
         self.planned = plan_batches(plan, {site: self.of_site(site) for site in self.sites})
         self.release_began = scheduler.now
-        said = self.say("start", spec=plan)
+        said = self.say("start", plan=plan)
         if not said["done"]:
             raise RuntimeError(f"not begun: {said}")
         self.mark("start")
@@ -255,7 +260,7 @@
 
     def known(self) -> bool:
         """The leader hears all members, warm, and nobody is out."""
-        shown = self.ask(OperatorCommand(operation="show"), "wish")
+        shown = self.ask(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
         return len(shown.get("members", ())) == len(self.servers) and not shown["out"]
 
     def follow(self) -> None:
@@ -378,12 +383,12 @@
                     one.start()
             case "halt":
                 self.expect_halt = True
-                self.say("halt", reason="a rehearsal")
+                self.say("halt", why="a rehearsal")
             case "halt-and-kill":
                 self.expect_halt = True
                 leader = self.leader()
                 self.scheduler.at(self.scheduler.now + 20, self.planners[leader].kill)
-                self.say("halt", reason="a rehearsal")
+                self.say("halt", why="a rehearsal")
             case "check-halted":
                 told = self.status()
                 drains = sum(self.platform.drains.values())
@@ -396,9 +401,9 @@
             case "pause-holder":
                 self.deed("hold", self.holder, more)
             case "second-release":
-                said = self.say("start", spec=self.plan([self.sites[-1]]))
+                said = self.say("start", plan=self.plan([self.sites[-1]]))
                 self.operator_s.append(f"second: {said['done']}")
-                again = self.say("start", spec=self.plan(self.sites))
+                again = self.say("start", plan=self.plan(self.sites))
                 if again["done"]:
                     self.faults.append("a release that shares members with another was begun")
             case "drain-by-hand":
@@ -469,7 +474,7 @@
                 raise RuntimeError(f"no such step: {what}")
 
     def at_home(self) -> bool:
-        shown = self.ask(OperatorCommand(operation="show"), "wish")
+        shown = self.ask(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
         return bool(shown.get("sites")) and all(site["stage"] == "home" for site in shown["sites"])
 
     def by_hand(self) -> None:
@@ -496,7 +501,7 @@
         self.operator_s.append(f"alone: {alone.get('granted')}; others: {others.get('granted')}")
         self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
         hand_back: Callable[[], dict[str, Any]] = partial(
-            self.ask, EvictionRequest(operation="hand-back", holder=name), "want"
+            self.ask, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name), "want"
         )
         until = self.scheduler.now + 60 * SECOND
         # Granted in the end or not, it does not go: its place is given back.
--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -269,7 +269,7 @@
             held.append(min(times) - zero if times else None)
         lost, home = [], []
         for one in self.planners.values():
-            for at, line in one.lines('event="site lost"'):
+            for at, line in one.lines("event=site_lost"):
                 site = next(word[5:] for word in line.split() if word.startswith("site="))
                 lost.append((at, site))
             for at, line in one.lines("stage=home"):
@@ -282,7 +282,7 @@
             "false_evacuations": sum(1 for at, site in lost if not self.truth.was_dark(site, at)),
             "evacuations": len(lost),
             "back_s": round((min(back) - self.returns[-1]) / SECOND, 2) if back else None,
-            "leaders": sum(len(one.lines("event=leads")) for one in self.planners.values()),
+            "leaders": sum(len(one.lines("event=leadership_acquired")) for one in self.planners.values()),
         }
 
 
--- a/tests/test_disruption_budget.py
+++ b/tests/test_disruption_budget.py
@@ -261,7 +261,7 @@
     def ask(self, name):
         answer = self.budget.acquire(waiter(name, self.marks[name]), self.observations)
         if answer.permit is not None:
-            assert answer.permit.incarnation.mark == self.marks[name]
+            assert answer.permit.incarnation.nonce == self.marks[name]
             assert (
                 self.budget.acquire(waiter(name, self.marks[name]), self.observations).permit == answer.permit
             )
--- /dev/null
+++ b/tests/test_quota_leases.py
@@ -0,0 +1,143 @@
+"""Quota leases: never may more calls be in use than the vault's total."""
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from birchslip.cluster.messages import Incarnation, PlanAssignment, ReportReply
+from birchslip.cluster.plan_subscription import PlanSubscription
+from birchslip.cluster.quota_leases import QuotaLeases, safe_expiry
+
+SPAN = 30_000
+BASES = {"a": 4.0, "b": 4.0, "c": 4.0}
+
+
+def leases_of(since=-(10**6), total=12.0, kept=0.5):
+    return QuotaLeases(BASES, total, kept, SPAN, since)
+
+
+@settings(max_examples=200, deadline=None)
+@given(
+    st.lists(
+        st.tuples(st.sampled_from("abc"), st.floats(0, 12), st.integers(0, 20_000), st.integers(0, 9_000)),
+        max_size=60,
+    )
+)
+def test_the_quotas_in_use_never_exceed_the_total(grants):
+    """Each grant answers a report that was sent some time before; members' own clocks bound their use."""
+    leases, now = leases_of(), 0
+    subscriptions = {name: PlanSubscription(0.5 * base, 0, 0) for name, base in BASES.items()}
+    author = Incarnation(nonce=1)
+    for name, wanted, delay, transit in grants:
+        now += delay
+        amount = leases.grant(name, wanted, 0.0, now)
+        assert 0 <= amount <= wanted
+        reply = ReportReply(term=1, planner=author, is_leading=True, call_limit=2.0 + amount, lease_span=SPAN)
+        subscriptions[name].take(reply, now - transit, now)
+        for moment in (now, now + SPAN // 2):
+            assert sum(one.calls(moment) for one in subscriptions.values()) <= 12.0 + 1e-6
+        assert leases.leased_total + leases.reserved_total <= 12.0 + 1e-6
+
+
+def test_the_lease_of_a_silent_member_is_lent_only_after_its_safe_expiry():
+    leases = leases_of()
+    for name in BASES:
+        assert leases.grant(name, 2.0, 0.0, 0) == 2.0
+    assert leases.grant("b", 4.0, 2.0, SPAN) == 2.0  # a's may still run
+    assert leases.grant("b", 4.0, 2.0, safe_expiry(SPAN)) == 4.0
+    assert leases.grant("a", 2.0, 0.0, safe_expiry(SPAN) + 10) == 2.0  # what c no longer holds
+
+
+def test_a_new_leader_only_renews_until_the_previous_leases_have_ended():
+    leases = leases_of(since=0)
+    assert leases.grant("a", 4.0, 2.0, 100) == 2.0
+    assert leases.grant("b", 2.0, 0.0, 100) == 0.0
+    assert not leases.previous_leases_ended(safe_expiry(SPAN) - 1)
+    assert leases.grant("b", 2.0, 0.0, safe_expiry(SPAN)) == 2.0
+
+
+def test_a_larger_grant_stays_recorded_until_its_end():
+    leases = leases_of()
+    leases.grant("a", 6.0, 0.0, 0)
+    leases.grant("a", 1.0, 0.0, 1_000)
+    assert leases.available(2_000) == 0.0
+    assert leases.available(safe_expiry(SPAN)) == 5.0
+
+
+# ---- the member's side --------------------------------------------------------------------------------
+
+FIRST, SECOND_AUTHOR = Incarnation(nonce=1), Incarnation(nonce=2)
+
+
+def assignment(epoch, number, span=40_000, listed=True):
+    return PlanAssignment(
+        term=epoch,
+        number=number,
+        validity_span=span,
+        fade_span=10_000,
+        quotas={},
+        evacuated_callers=[],
+        evacuated_quota=0.0,
+        shedding_order=[],
+        serving_fraction=1.0,
+        is_listed=listed,
+        is_capacity_short=False,
+    )
+
+
+def reply_of(epoch=5, author=FIRST, leads=True, number=1, **more):
+    plan = assignment(epoch, number, **{name: more.pop(name) for name in ("span", "listed") if name in more})
+    return ReportReply(term=epoch, planner=author, is_leading=leads, assignment=plan, **more)
+
+
+@pytest.mark.parametrize(
+    ("reply", "is_obeyed"),
+    [
+        (reply_of(), True),
+        (reply_of(epoch=6, author=SECOND_AUTHOR), True),
+        (reply_of(epoch=4), False),
+        (reply_of(author=SECOND_AUTHOR, number=9), False),
+        (reply_of(epoch=9, leads=False), False),
+    ],
+    ids=[
+        "same leader",
+        "newer epoch",
+        "older epoch",
+        "other leader of the epoch",
+        "follower",
+    ],
+)
+def test_which_replies_are_obeyed(reply, is_obeyed):
+    member = PlanSubscription(1.0, 0, 0)
+    assert member.take(reply_of(), 0, 10)
+    assert member.take(reply, 20, 30) is is_obeyed
+    assert member.epoch == max(5, reply.term if is_obeyed else 0)
+
+
+def test_a_reply_with_a_long_transit_has_expired_on_arrival():
+    member = PlanSubscription(1.0, 0, 0)
+    assert member.take(reply_of(call_limit=3.0, lease_span=30_000), 0, 50_000)
+    assert member.plan is None and member.calls(50_000) == 1.0
+
+
+def test_an_older_plan_of_the_same_epoch_is_ignored_and_a_doubled_one_only_extends_it():
+    member = PlanSubscription(1.0, 0, 0)
+    member.take(reply_of(number=4), 0, 10)
+    member.take(reply_of(number=3, listed=False), 5_000, 5_010)
+    assert (member.number, member.listed(5_020)) == (4, True)
+    member.take(reply_of(number=4), 5_000, 5_020)
+    member.take(reply_of(number=4), 0, 5_030)
+    assert member.plan_until == 45_000
+
+
+def test_a_member_that_hears_nobody_is_listed_after_its_patience_and_after_a_plan_has_expired():
+    member = PlanSubscription(1.0, 15_000, 0)
+    assert not member.listed(14_999) and member.listed(15_000)
+    member.take(reply_of(listed=False), 0, 10)
+    assert not member.listed(49_999) and member.listed(50_000)
+
+
+def test_a_lease_that_expired_during_a_pause_is_not_used_after_it():
+    member = PlanSubscription(1.0, 0, 0)
+    member.take(reply_of(call_limit=3.0, lease_span=30_000), 0, 10)
+    assert member.calls(29_999) == 3.0 and member.calls(30_000) == 1.0 and member.lease_left(40_000) == 0
--- a/tests/test_stored_rollout.py
+++ b/tests/test_stored_rollout.py
@@ -198,7 +198,9 @@
     seen = observations()
     made.budget.reconcile(seen)
     reports = {
-        name: report(name, NOW, figures={"late:order": (39, 1_560)}, took={"order": [1_560, 390]})
+        name: report(
+            name, NOW, metrics={"late:order": (39, 1_560)}, latency_histograms={"order": [1_560, 390]}
+        )
         for name in SITE_OF
     }
     made.step(seen, reports, (), NOW)
