--- a/benchmarks/keep_engines.py
+++ b/benchmarks/keep_engines.py
@@ -1,8 +1,8 @@
-"""Kept results: a row of checked records against SQLite in WAL mode, both with group commit, on this disk.
+"""Stored results: a row of checked records against SQLite in WAL mode, both with group commit, on this disk.
 
     python benchmarks/keep_engines.py [COMMITS]
 
-Each commit flushes so many labels' records (what has come while the flush before was under way).
+Each commit flushes so many keys' records (what has come while the flush before was under way).
 """
 
 import os
@@ -16,29 +16,29 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from birchslip.admission.types import Outcome
-from birchslip.idempotency.files import Files
-from birchslip.idempotency.record_format import FILE, RecordKind, ResultRecord, encode
+from birchslip.idempotency.record_format import RecordKind, ResultRecord, encode
 from birchslip.idempotency.recovery import recover
 from birchslip.idempotency.retention_budget import RetentionBudget
+from birchslip.idempotency.segment_files import SegmentFiles
 
-NOW, WINDOW = time.time_ns() // 100_000, 170_000
+NOW, RETENTION = time.time_ns() // 100_000, 170_000
 
 
 def records(count: int) -> list[tuple[bytes, bytes]]:
     made = []
     for n in range(count):
-        label = os.urandom(16)
-        first = ResultRecord(RecordKind.BEGUN, label, NOW, WINDOW, f"{n:016x}", b"d" * 16)
+        key = os.urandom(16)
+        first = ResultRecord(RecordKind.STARTED, key, NOW, RETENTION, f"{n:016x}", request_digest=b"d" * 16)
         last = ResultRecord(
-            RecordKind.CONCLUDED,
-            label,
+            RecordKind.COMPLETED,
+            key,
             NOW,
-            WINDOW,
-            digest=b"d" * 16,
+            RETENTION,
+            request_digest=b"d" * 16,
             outcome=Outcome.SERVED,
             result=b"r" * 400,
         )
-        made.append((label, encode(first if n % 2 else last)))
+        made.append((key, encode(first if n % 2 else last)))
     return made
 
 
@@ -57,11 +57,11 @@
     try:
         for group in (1, 8, 64):
             some = records(commits * group)
-            files = Files(folder / f"log-{group}", "x")
-            files.hold()
-            files.begin(1)
+            files = SegmentFiles(folder / f"log-{group}", "x")
+            files.lock()
+            files.create_segment(1)
 
-            def by_log(n: int, files: Files = files, some: list = some, group: int = group) -> None:
+            def by_log(n: int, files: SegmentFiles = files, some: list = some, group: int = group) -> None:
                 for _, raw in some[n * group : (n + 1) * group]:
                     files.append(raw)
                 files.flush()
@@ -69,13 +69,13 @@
             base = sqlite3.connect(folder / f"{group}.db", isolation_level=None)
             base.execute("pragma journal_mode = wal")
             base.execute("pragma synchronous = full")
-            base.execute("create table kept (label blob primary key, until integer, raw blob) without rowid")
+            base.execute("create table kept (key blob primary key, until integer, raw blob) without rowid")
 
             def by_sqlite(
                 n: int, base: sqlite3.Connection = base, some: list = some, group: int = group
             ) -> None:
                 base.execute("begin immediate")
-                rows = [(label, NOW, raw) for label, raw in some[n * group : (n + 1) * group]]
+                rows = [(key, NOW, raw) for key, raw in some[n * group : (n + 1) * group]]
                 base.executemany("insert or replace into kept values (?, ?, ?)", rows)
                 base.execute("commit")
 
@@ -89,18 +89,20 @@
             files.close()
         for count in (1_000, 100_000):
             some = records(2 * count)
-            files = Files(folder / f"many-{count}", "x")
-            files.hold()
-            files.begin(1)
+            files = SegmentFiles(folder / f"many-{count}", "x")
+            files.lock()
+            files.create_segment(1)
             for _, raw in some:
                 files.append(raw)
             files.flush()
             began = time.perf_counter()
-            held, _ = files.read_all()
-            made = recover(held, RetentionBudget(1 << 30, 1 << 40, 0), NOW, WINDOW, FILE.size, held[-1][0])
+            segments = list(files.read_segments())
+            budget = RetentionBudget(1 << 30, 1 << 40, 0)
+            store = recover(segments, budget, NOW, RETENTION, segments[-1].serial)
+            segment_mb = len(segments[0].raw) / 1e6
             print(
-                f"{len(made.index)} labels read in {time.perf_counter() - began:.2f} s, "
-                f"index of {made.index.held / 1e6:.1f} MB, file of {len(held[0][1]) / 1e6:.1f} MB"
+                f"{len(store.index)} keys read in {time.perf_counter() - began:.2f} s, "
+                f"index of {store.index.memory_bytes / 1e6:.1f} MB, file of {segment_mb:.1f} MB"
             )
             files.close()
     finally:
--- a/benchmarks/keep_memory.py
+++ b/benchmarks/keep_memory.py
@@ -1,6 +1,6 @@
-"""Memory of the whole program with so many live labels of an earlier life in its store, and with none.
+"""Memory of the whole program with so many live keys of an earlier incarnation in its store, and with none.
 
-python benchmarks/keep_memory.py [LABELS]
+python benchmarks/keep_memory.py [KEYS]
 """
 
 import json
@@ -14,38 +14,41 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from birchslip.admission.types import Outcome
-from birchslip.idempotency.files import Files
 from birchslip.idempotency.record_format import RecordKind, ResultRecord, encode
+from birchslip.idempotency.segment_files import SegmentFiles
 
 ROOT = Path(__file__).resolve().parent.parent
+RETENTION = 6_000_000
 RESULT = os.urandom(400)  # which no compression makes smaller
-EACH = 25_000  # labels of one file
+KEYS_PER_SEGMENT = 25_000
 
 
-def fill(folder, name, labels):
-    """Begun and concluded just now, as a life that was killed leaves them."""
-    files, now = Files(folder, name), time.time_ns() // 100_000
-    files.hold()
-    for n in range(labels):
-        if not n % EACH:
-            files.begin(1 + n // EACH)
-        label, digest = n.to_bytes(16), b"d" * 16
-        files.append(encode(ResultRecord(RecordKind.BEGUN, label, now, 6_000_000, f"{n:016x}", digest)))
-        more = {"digest": digest, "outcome": Outcome.SERVED, "result": RESULT}
-        files.append(encode(ResultRecord(RecordKind.CONCLUDED, label, now, 6_000_000, **more)))
-    if labels:
-        files.flush()
-    files.close()
+def fill(folder, name, keys):
+    """Started and completed just now, as a program that was killed leaves them."""
+    now = time.time_ns() // 100_000
+    with SegmentFiles(folder, name) as files:
+        files.lock()
+        for n in range(keys):
+            if not n % KEYS_PER_SEGMENT:
+                files.create_segment(1 + n // KEYS_PER_SEGMENT)
+            key, digest = n.to_bytes(16), b"d" * 16
+            started = ResultRecord(RecordKind.STARTED, key, now, RETENTION, f"{n:016x}", digest)
+            fields = {"request_digest": digest, "outcome": Outcome.SERVED, "result": RESULT}
+            completed = ResultRecord(RecordKind.COMPLETED, key, now, RETENTION, **fields)
+            files.append(encode(started))
+            files.append(encode(completed))
+        if keys:
+            files.flush()
 
 
-def start(folder, labels):
+def start(folder, keys):
     """Resident KB once it listens, and how long that took."""
     config = json.loads((ROOT / "examples" / "app-server.json").read_text()) | {"listen": "127.0.0.1:0"}
     config["settings"]["classes"][1]["window_s"] = 600.0
     (folder / "config.json").write_text(json.dumps(config))
     environment = os.environ | {"PROXY_CONFIG": str(folder / "config.json")}
-    if labels >= 0:
-        fill(folder / "kept", config["name"], labels)
+    if keys >= 0:
+        fill(folder / "kept", config["name"], keys)
         keep = {"folder": str(folder / "kept"), "bytes": 256 << 20, "entries": 1_000_000}
         (folder / "keep.json").write_text(json.dumps(keep))
         environment["BIRCHSLIP_KEEP"] = str(folder / "keep.json")
@@ -66,8 +69,8 @@
 
 
 def main():
-    labels = int((sys.argv[1:] or ["100000"])[0])
-    for name, count in (("no store", -1), ("an empty store", 0), (f"{labels} live labels", labels)):
+    keys = int((sys.argv[1:] or ["100000"])[0])
+    for name, count in (("no store", -1), ("an empty store", 0), (f"{keys} live keys", keys)):
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "kept").mkdir()
             held, most, took = start(Path(folder), count)
--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -35,10 +35,11 @@
     from .idempotency.result_store import ResultStore
     from .idempotency.settings_file import read_store_settings
 
-    told, site = read_store_settings(path), program.site
-    profiles = site.deployment.request_classes
+    settings = read_store_settings(path)
+    site = program.site
+    request_classes = site.deployment.request_classes
     program.keep_results(
-        ResultStore(program.scheduler, program.counters, program.log, told, site.name, profiles)
+        ResultStore(program.scheduler, program.counters, program.log, settings, site.name, request_classes)
     )
 
 
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -422,7 +422,7 @@
 @AS_JSON
 def show_kept(folder: Path, as_json: bool) -> None:
     """Entries, ages, bytes, unknown and torn ones; also while a program has the store."""
-    from .idempotency.tools import show as show_store
+    from .idempotency.maintenance import show_store
 
     of_store(lambda: show_store(folder, unix_now()), as_json)
 
@@ -432,9 +432,9 @@
 @AS_JSON
 def verify_kept(folder: Path, as_json: bool) -> None:
     """Read every record whole; exit code 1 where one can't be."""
-    from .idempotency.tools import verify
+    from .idempotency.maintenance import verify_store
 
-    told = of_store(lambda: verify(folder), as_json)
+    told = of_store(lambda: verify_store(folder), as_json)
     if told["troubles"] or not told["heads"]:
         raise SystemExit(1)
 
@@ -444,9 +444,9 @@
 @AS_JSON
 def compact_kept(folder: Path, as_json: bool) -> None:
     """What is in its window, in one file; only while no program has the store."""
-    from .idempotency.tools import compact
+    from .idempotency.maintenance import compact_store
 
-    of_store(lambda: compact(folder, unix_now()), as_json)
+    of_store(lambda: compact_store(folder, unix_now()), as_json)
 
 
 @keep.command("schema")
--- a/birchslip/idempotency/__init__.py
+++ b/birchslip/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""Kept results: what labelled transactions were begun and what came of them, across restarts."""
+"""Durable results by idempotency key: which requests were started and what they came to, across restarts."""
--- /dev/null
+++ b/birchslip/idempotency/earlier_results.py
@@ -0,0 +1,141 @@
+"""Answers for idempotency keys that an earlier incarnation of the app server started.
+
+The index of the recovered store says which keys those are; their results are read from the segments when a
+repeat asks for one. A run whose end the agent still reports is completed late. This module never lets such a
+key run again: that is for the table of keys to decide, which is told that the key has run.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from functools import partial
+
+from ..admission.types import NEVER_RAN_OUTCOMES, Outcome, Request, RequestState
+from ..net.counters import Counters
+from ..net.passage import Conclusion, Label, Passage
+from .flush_queue import FlushQueue
+from .key_index import UNKNOWN_LOCATION, KeyIndex, pack_location, unpack_location
+from .record_format import RecordKind, ResultRecord, digest_request
+from .recovery import RecoveredStore
+from .retention_budget import COMPLETION_RESERVE_BYTES
+from .writer import AppendTask, FetchTask, Writer
+
+ResolutionListener = Callable[[Label, Conclusion], None]
+
+
+class DiscardingCaller:
+    """The caller of a request of an earlier incarnation: there is nobody to answer."""
+
+    def __init__(self) -> None:
+        """Start without open requests."""
+        self.open: dict[int, Passage] = {}
+
+    def honour(self, number: int, result: bytes) -> None:
+        """Discard a result."""
+
+    def shed(self, number: int, after: int, last: bool) -> None:
+        """Discard a rejection."""
+
+    def write_off(self, number: int) -> None:
+        """Discard a failure."""
+
+
+class EarlierResults:
+    """The keys of earlier incarnations, and what repeats of them are answered.
+
+    Attributes:
+        on_resolved: Told the entry of a key and what it came to, once that is known.
+    """
+
+    def __init__(
+        self, counters: Counters, writer: Writer, flush_queue: FlushQueue, recovered: RecoveredStore
+    ) -> None:
+        """Answer from a recovered store, which is changed as keys are resolved and expire."""
+        self.on_resolved: ResolutionListener
+        self._counters = counters
+        self._writer = writer
+        self._flush_queue = flush_queue
+        self._recovered = recovered
+        self._entries: dict[bytes, Label] = {}  # of the keys that were asked for since the start
+
+    @property
+    def is_empty(self) -> bool:
+        """Whether no key of an earlier incarnation is known."""
+        return len(self._recovered.index) == 0
+
+    def find(self, request: Passage) -> Label | None:
+        """The entry of a request's key if an earlier incarnation started it; its result is fetched."""
+        key = bytes.fromhex(request.label_name)
+        location = self._recovered.index.get(key, request.stamp)
+        if location is None:
+            return None
+        if key in self._entries:
+            return self._entries[key]
+        entry = self._entries[key] = _make_entry(request)
+        if location == UNKNOWN_LOCATION:
+            self._counters.count("keep.unknown")
+            entry.conclusion = Conclusion(Outcome.FAILED)
+        else:
+            self._counters.count("keep.fetched")
+            task = FetchTask(
+                location=unpack_location(location),
+                max_body_bytes=COMPLETION_RESERVE_BYTES,
+                on_done=partial(self._fetched, entry),
+            )
+            self._writer.submit(task)
+        return entry
+
+    def complete_run(self, run_id: str, outcome: Outcome, result: bytes) -> None:
+        """Complete a run of an earlier incarnation whose end the agent still reports; others are ignored."""
+        started = self._recovered.open_runs.pop(run_id, None)
+        if started is None:
+            return
+        self._counters.count("keep.resolved")
+        entry = self._entries.pop(started.key, None)
+        if entry is not None:
+            self._resolve(entry, Conclusion(outcome, result))
+        completed = replace(started, kind=RecordKind.COMPLETED, run_id="", outcome=outcome, result=result)
+        self._flush_queue.append(completed, partial(self._completion_done, completed))
+
+    def forget(self, now: int) -> None:
+        """Forget all keys, once the last one has expired."""
+        self._recovered.index = KeyIndex(now)
+        self._entries = {}
+
+    def _fetched(self, entry: Label, task: FetchTask) -> None:
+        record = task.record
+        if record is None or record.key != bytes.fromhex(entry.name):
+            self._counters.count("keep.unread")
+            self._resolve(entry, Conclusion(Outcome.FAILED))
+            return
+        entry.asked = partial(_asks_the_same, record.request_digest)
+        self._resolve(entry, Conclusion(record.outcome, record.result))
+
+    def _resolve(self, entry: Label, conclusion: Conclusion) -> None:
+        if entry.conclusion is None:
+            self.on_resolved(entry, conclusion)
+
+    def _completion_done(self, record: ResultRecord, task: AppendTask) -> None:
+        index = self._recovered.index
+        if record.outcome in NEVER_RAN_OUTCOMES:
+            index.put(record.key, 0)  # expired: the key is free again
+        elif not task.error:
+            index.put(record.key, record.expires_at, pack_location(task.serial, task.offset))
+
+
+def _make_entry(repeat: Passage) -> Label:
+    """The entry of a key whose first request, as far as the decisions look at it, has run and is over."""
+    arrived_at = repeat.stamp
+    request_class = repeat.transaction.request_class
+    request = Request(request_class, caller=0, arrived_at=arrived_at, deadline=arrived_at, size=0)
+    request.has_started = True
+    request.state = RequestState.COMPLETED
+    original = Passage(DiscardingCaller(), 0, "", "", b"", request, arrived_at, repeat.label_name)
+    original.launched = True
+    original.answered = True
+    return Label(repeat.label_name, original, arrived_at, original, asked=lambda other: True)
+
+
+def _asks_the_same(digest: bytes, request: Passage) -> bool:
+    return digest_request(request.profile, request.body) == digest
--- /dev/null
+++ b/birchslip/idempotency/flush_queue.py
@@ -0,0 +1,137 @@
+"""Appends records to the store and tells who waits for a flush; accounts for flushes and the disk's health.
+
+Nobody waits longer than a stall: once the disk is not healthy, all who wait are told that their record is not
+flushed, and that stays said. This module decides which segment a record goes to, and does no I/O itself.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from statistics import quantiles
+
+from ..admission.types import MS
+from ..net.counters import Counters
+from ..net.log import Log
+from ..net.scheduler import Scheduler
+from .disk_health import DiskHealth
+from .record_format import RecordKind, ResultRecord, encode
+from .retention_budget import RetentionBudget
+from .segment_header import SEGMENT_HEADER
+from .writer import AppendTask, Writer
+
+LATENCIES_PER_EVENT = 256
+PERCENTILES = 100
+KEY_BYTES = 16
+
+FlushListener = Callable[[bool], None]
+
+
+class FlushQueue:
+    """The records that are on their way to the disk."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        counters: Counters,
+        log: Log,
+        writer: Writer,
+        budget: RetentionBudget,
+        disk: DiskHealth,
+    ) -> None:
+        """Start with nothing on its way."""
+        self._scheduler = scheduler
+        self._counters = counters
+        self._log = log
+        self._writer = writer
+        self._budget = budget
+        self._disk = disk
+        self._listeners: dict[int, FlushListener] = {}  # by the number of the append
+        self._last_append = 0
+        self._unflushed = 0
+        self._segment_has_failed = False
+        self._latencies_ms: list[float] = []  # as those saw it who waited; until the next event
+
+    def append(self, record: ResultRecord, on_done: Callable[[AppendTask], None] | None = None) -> None:
+        """Append a record; `on_done` is called once it is flushed, or has failed."""
+        raw = encode(record)
+        starts_segment = self._segment_has_failed or self._budget.needs_new_segment(len(raw))
+        if starts_segment:
+            # After an error the old segment is not written to: what the system reports of it later can't be
+            # relied on.
+            self._segment_has_failed = False
+            self._budget.add_segment(self._budget.segments[-1].serial + 1, SEGMENT_HEADER.size)
+        self._budget.add_record(len(raw), record.expires_at)
+        self._disk.flush_requested(self._scheduler.now)
+        self._unflushed += 1
+        task = AppendTask(
+            raw=raw,
+            serial=self._budget.segments[-1].serial,
+            starts_segment=starts_segment,
+            submitted_at=self._scheduler.now,
+            on_done=partial(self._append_done, on_done),
+        )
+        self._writer.submit(task)
+
+    def append_and_wait(self, record: ResultRecord, listener: FlushListener) -> None:
+        """Append a record; the listener is told once whether it was flushed, at the latest at a stall."""
+        self._last_append += 1
+        number = self._last_append
+        self._listeners[number] = listener
+        self.append(record, lambda task: self._tell_listener(number, not task.error))
+
+    def time_passed(self) -> None:
+        """Detect a stall, and probe a disk that has failed."""
+        now = self._scheduler.now
+        if self._disk.time_passed(now):
+            self._report_disk_state()
+            self._abandon_listeners()
+        if self._disk.needs_probe(now):
+            self.append(ResultRecord(RecordKind.VOID, bytes(KEY_BYTES), now, 0))
+
+    def _append_done(self, on_done: Callable[[AppendTask], None] | None, task: AppendTask) -> None:
+        now = self._scheduler.tell_time()
+        self._unflushed -= 1
+        self._account(now - task.submitted_at, bool(task.error))
+        if task.error:
+            self._segment_has_failed = True
+            has_changed = self._disk.flush_failed(now, task.error)
+        else:
+            has_changed = self._disk.flush_succeeded(now, self._unflushed > 0)
+        if has_changed:
+            self._report_disk_state()
+        if on_done is not None:
+            on_done(task)
+        if task.error:
+            self._abandon_listeners()
+
+    def _tell_listener(self, number: int, is_flushed: bool) -> None:
+        listener = self._listeners.pop(number, None)
+        if listener is not None:  # else it was told before that its record is not flushed
+            listener(is_flushed)
+
+    def _abandon_listeners(self) -> None:
+        listeners, self._listeners = self._listeners, {}
+        for listener in listeners.values():
+            listener(False)
+
+    def _account(self, latency: int, has_failed: bool) -> None:
+        self._counters.count("keep.unflushed" if has_failed else "keep.flushed")
+        self._counters.peak("keep.flush_ms", latency // MS)
+        self._latencies_ms.append(latency / MS)
+        if len(self._latencies_ms) >= LATENCIES_PER_EVENT:
+            self._report_latencies()
+
+    def _report_latencies(self) -> None:
+        latencies_ms, self._latencies_ms = self._latencies_ms, []
+        cuts = quantiles(latencies_ms, n=PERCENTILES, method="inclusive")
+        self._log.info(
+            "store_flush_latency",
+            flushes=len(latencies_ms),
+            p50_ms=round(cuts[49], 2),
+            p99_ms=round(cuts[98], 2),
+        )
+
+    def _report_disk_state(self) -> None:
+        self._counters.count(f"keep.{self._disk.state.value}")
+        self._log.info("store_disk_state_changed", state=self._disk.state.value, reason=self._disk.reason)
--- a/birchslip/idempotency/record_format.py
+++ b/birchslip/idempotency/record_format.py
@@ -1,20 +1,16 @@
-"""The form of what is kept: records with checksums of their own, read one by one whatever stands around them.
+"""The binary format of records: each has checksums of its own and is read whatever surrounds it.
 
-A record is a head of 44 bytes, with a checksum of itself, and a body, whose checksum stands in the head:
+A record is a header of 44 bytes, with a checksum of itself, and a body whose checksum is in the header:
 
-    mark 2, kind 1, nothing 1, size of the body 4, label 16, stamp 8, span 4, checksums of both 4 each
+    mark 2, kind 1, zero 1, body size 4, key 16, arrival 8, retention 4, checksums of body and header 4 each
 
-*begun* says that a run of this label may be under way: its body names the run and what it was asked.
-*concluded* says what came of it; both hold a digest of what was asked. `stamp` is the arrival of the try that
-ran, in tenths of a millisecond of the Unix clock, and `span` the window that counts from it.
+A *started* record says that a run of this key may be under way; its body holds the digest of the request and
+the id of the run. A *completed* record says what came of it; its body holds the digest, the outcome and the
+result. The arrival is that of the request that ran, in ticks of a tenth of a millisecond of the Unix clock,
+and the retention is counted from it.
 
-What can't be read is told apart by what may be concluded from it:
-
-| found | meaning |
-| --- | --- |
-| `torn` | the file ends within a record: it was never flushed whole, so nothing was done that rests on it |
-| `spoilt` | the head is good and the body is not: something was begun of this label, and no more is known |
-| `lost` | a head does not check: labels may have stood there that nobody knows now |
+What can't be read is classified by what may be concluded from it; see `RecordState`. This module must never
+change a byte of a record kind that is already on disk.
 """
 
 from __future__ import annotations
@@ -24,194 +20,255 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 import xxhash
 
 from ..admission.types import Outcome
-
-HEAD = struct.Struct("<2sBBI16sqIII")
-MARK = b"\xb5k"
-BODY_MOST = 1 << 20
-SMALL = 256  # bytes: a result up to this is not worth compressing
-FILE = struct.Struct("<8sHHIQI")  # mark, version, 0, serial, checksum of the owner's name, checksum of this
-FILE_MARK = b"bslpkeep"
-VERSION = 1
+from .errors import CorruptRecordError
+
+RECORD_HEADER = struct.Struct("<2sBBI16sqIII")
+RECORD_MARK = b"\xb5k"
+CHECKSUM = struct.Struct("<I")
+MAX_BODY_BYTES = 1 << 20
+MIN_COMPRESSED_BYTES = 256  # shorter results don't gain from compression
+COMPRESSION_LEVEL = 1
+DIGEST_BYTES = 16
+OUTCOME_OFFSET = RECORD_HEADER.size + DIGEST_BYTES  # in a completed record
+RESULT_OFFSET = DIGEST_BYTES + 2  # in the body of a completed record: after outcome and compression flag
+
+OUTCOME_CODES = {
+    Outcome.SERVED: 0,
+    Outcome.FAILED: 1,
+    Outcome.TIMED_OUT: 2,
+    Outcome.CONNECTION_LOST: 3,
+    Outcome.CANCELLED: 4,
+    Outcome.REJECTED: 5,
+    Outcome.UNREACHABLE: 6,
+    Outcome.SUPERSEDED: 7,
+}
+OUTCOMES_BY_CODE = {code: outcome for outcome, code in OUTCOME_CODES.items()}
 
 
 class RecordKind(Enum):
-    BEGUN = 1
-    CONCLUDED = 2
-    VOID = 3  # nothing: written to see whether the disk takes anything
+    """What a record says of its key; the value is the code on disk."""
+
+    STARTED = 1
+    COMPLETED = 2
+    VOID = 3  # says nothing: written to find out whether the disk accepts writes
+
 
+KINDS_BY_CODE = {kind.value: kind for kind in RecordKind}
 
-KINDS = frozenset(kind.value for kind in RecordKind)
 
+class RecordState(Enum):
+    """How much of a record can be read; the value is the operators' word for it."""
 
-class ScanOutcome(Enum):
-    GOOD = "good"
-    TORN = "torn"
-    SPOILT = "spoilt"
-    LOST = "lost"
+    INTACT = "good"
+    TRUNCATED = "torn"  # the segment ends within it: never flushed whole, so nothing rests on it
+    CORRUPT = "spoilt"  # its header is intact and its body is not: its key was started, no more is known
+    LOST = "lost"  # its header is not intact: keys that nobody can name may have been there
 
 
 @dataclass(frozen=True, slots=True)
 class ResultRecord:
-    """One record. `run` is of one begun, `outcome` and `result` are of one concluded."""
+    """One decoded record.
+
+    Attributes:
+        kind: What the record says; it decides which of the other fields are set.
+        key: The idempotency key, 16 bytes.
+        arrived_at: When the request that ran arrived, in ticks of the Unix clock.
+        retention: For how long the key is retained from then on, in ticks.
+        run_id: The id of the run at the agent; of a started record.
+        request_digest: The digest of the request; see `digest_request`.
+        outcome: How the run ended; of a completed record.
+        result: What the run returned; of a completed record.
+    """
 
     kind: RecordKind
-    label: bytes
-    stamp: int
-    span: int
-    run: str = ""
-    digest: bytes = b""
+    key: bytes
+    arrived_at: int
+    retention: int
+    run_id: str = ""
+    request_digest: bytes = b""
     outcome: Outcome = Outcome.FAILED
     result: bytes = b""
 
     @property
-    def until(self) -> int:
-        return self.stamp + self.span
-
+    def expires_at(self) -> int:
+        """The last arrival, in ticks, of a repeat that the record still stands for."""
+        return self.arrived_at + self.retention
 
-@dataclass(frozen=True, slots=True)
-class RecordFragment:
-    """What stands at one place of a file: `entry` without a body where that is spoilt, none where lost."""
 
-    found: ScanOutcome
-    at: int
-    size: int
-    entry: ResultRecord | None = None
+class RecordFragment(NamedTuple):
+    """A stretch of a segment that holds one record, or what is left of one; its body is not decoded.
 
+    The fields after `size` are those of the header, and have no meaning where `kind` is None because the
+    header is not intact.
+    """
 
-def digest_of(profile: str, body: bytes) -> bytes:
-    """Of what a try asks: all tries of one label are the same."""
-    return xxhash.xxh3_128_digest(profile.encode() + b"\0" + body)
+    state: RecordState
+    offset: int
+    size: int
+    kind: RecordKind | None = None
+    key: bytes = b""
+    arrived_at: int = 0
+    retention: int = 0
+
+    def decode(self, raw: bytes) -> ResultRecord:
+        """Decode the record.
+
+        Args:
+            raw: The bytes that the fragment was read from.
+
+        Raises:
+            CorruptRecordError: The record is not intact, or its body is malformed.
+        """
+        if self.state is not RecordState.INTACT or self.kind is None:
+            raise CorruptRecordError(self.offset)
+        body = raw[self.offset + RECORD_HEADER.size : self.offset + self.size]
+        if self.kind is RecordKind.STARTED:
+            return self._decode_started(body)
+        if self.kind is RecordKind.COMPLETED:
+            return self._decode_completed(body)
+        return ResultRecord(self.kind, self.key, self.arrived_at, self.retention)
+
+    def decoded_state(self, raw: bytes) -> RecordState:
+        """The state of the record once its body is decoded as well; `raw` as for `decode`."""
+        if self.state is not RecordState.INTACT:
+            return self.state
+        try:
+            self.decode(raw)
+        except CorruptRecordError:
+            return RecordState.CORRUPT
+        return RecordState.INTACT
+
+    def _decode_started(self, body: bytes) -> ResultRecord:
+        run_id = body[DIGEST_BYTES:].decode("ascii", "replace")
+        return ResultRecord(
+            RecordKind.STARTED, self.key, self.arrived_at, self.retention, run_id, body[:DIGEST_BYTES]
+        )
+
+    def _decode_completed(self, body: bytes) -> ResultRecord:
+        try:
+            outcome = OUTCOMES_BY_CODE[body[DIGEST_BYTES]]
+            is_compressed = body[DIGEST_BYTES + 1]
+            result = body[RESULT_OFFSET:]
+            if is_compressed:
+                result = zlib.decompress(result)
+        except (IndexError, KeyError, zlib.error):
+            raise CorruptRecordError(self.offset) from None
+        return ResultRecord(
+            RecordKind.COMPLETED,
+            self.key,
+            self.arrived_at,
+            self.retention,
+            request_digest=body[:DIGEST_BYTES],
+            outcome=outcome,
+            result=result,
+        )
+
+
+def digest_request(request_class: str, body: bytes) -> bytes:
+    """A digest of what a request asks for; requests with one key must agree in it."""
+    return xxhash.xxh3_128_digest(request_class.encode() + b"\0" + body)
 
 
 def checksum(raw: bytes) -> int:
+    """The checksum of headers and bodies, 32 bits."""
     return xxhash.xxh32_intdigest(raw)
 
 
-OUTCOMES = list(Outcome)
-
-
-def encode(entry: ResultRecord) -> bytes:
-    body = b""
-    if entry.kind is RecordKind.BEGUN:
-        body = entry.digest + entry.run.encode()
-    elif entry.kind is RecordKind.CONCLUDED:
-        packed = zlib.compress(entry.result, 1) if len(entry.result) > SMALL else entry.result
-        smaller = len(packed) < len(entry.result)
-        body = entry.digest + bytes((OUTCOMES.index(entry.outcome), smaller))
-        body += packed if smaller else entry.result
-    head = HEAD.pack(
-        MARK, entry.kind.value, 0, len(body), entry.label, entry.stamp, entry.span, checksum(body), 0
+def seal(header: bytes) -> bytes:
+    """Replace the last four bytes of a header by the checksum of the others."""
+    content = header[: -CHECKSUM.size]
+    return content + CHECKSUM.pack(checksum(content))
+
+
+def encode(record: ResultRecord) -> bytes:
+    """Encode a record as it is stored."""
+    body = _encode_body(record)
+    header = RECORD_HEADER.pack(
+        RECORD_MARK,
+        record.kind.value,
+        0,
+        len(body),
+        record.key,
+        record.arrived_at,
+        record.retention,
+        checksum(body),
+        0,
     )
-    return head[:-4] + struct.pack("<I", checksum(head[:-4])) + body
+    return seal(header) + body
 
 
-Scanned = tuple[ScanOutcome, int, int, int, bytes, int, int]  # found, at, size, kind, label, stamp, span
-NOTHING = (0, b"", 0, 0)
+def read_fragments(raw: bytes, offset: int = 0) -> Iterator[RecordFragment]:
+    """Yield everything in a segment from `offset` to its end, in order and without a gap.
 
-
-def scan(raw: bytes, at: int = 0) -> Iterator[Scanned]:
-    """All that stands in a file from there on, to its end; bodies are checked, not read. Made for a start-up
-    that reads many: nothing is built of a record but one tuple.
+    Bodies are checked and not decoded, so that a start-up that reads many records builds nothing but one
+    tuple for each.
     """
-    end, view, head_size, unpack = len(raw), memoryview(raw), HEAD.size, HEAD.unpack_from
+    end = len(raw)
+    view = memoryview(raw)
+    header_size = RECORD_HEADER.size
+    unpack_header = RECORD_HEADER.unpack_from
     digest = xxhash.xxh32_intdigest
-    while at < end:
-        if end - at >= head_size:
-            mark, kind, _, size, label, stamp, span, body_sum, head_sum = unpack(raw, at)
-            good = mark == MARK and digest(view[at : at + head_size - 4]) == head_sum
-        else:
-            good = False
-        if not good or size > BODY_MOST or kind not in KINDS:
-            later = next_head(raw, at + 1)
-            whole = end - at >= head_size or later < end
-            yield (ScanOutcome.LOST if whole else ScanOutcome.TORN, at, later - at, *NOTHING)
-            at = later
+    while offset < end:
+        kind = None
+        if end - offset >= header_size:
+            mark, code, _, body_size, key, arrived_at, retention, body_sum, header_sum = unpack_header(
+                raw, offset
+            )
+            is_intact = mark == RECORD_MARK and digest(view[offset : offset + header_size - 4]) == header_sum
+            if is_intact and body_size <= MAX_BODY_BYTES:
+                kind = KINDS_BY_CODE.get(code)
+        if kind is None:
+            fragment = _unreadable_fragment(raw, offset)
+            yield fragment
+            offset += fragment.size
             continue
-        body_at = at + head_size
-        if body_at + size > end:
-            # The head may be followed by less than its body, and that by nothing: cut off, or never flushed.
-            yield ScanOutcome.TORN, at, end - at, kind, label, stamp, span
+        body_offset = offset + header_size
+        if body_offset + body_size > end:
+            # What follows the header is shorter than its body: the segment was cut, or never flushed.
+            yield RecordFragment(
+                RecordState.TRUNCATED, offset, end - offset, kind, key, arrived_at, retention
+            )
             return
-        found = ScanOutcome.GOOD if digest(view[body_at : body_at + size]) == body_sum else ScanOutcome.SPOILT
-        yield found, at, head_size + size, kind, label, stamp, span
-        at = body_at + size
-
-
-def next_head(raw: bytes, at: int) -> int:
-    """The next place where a head checks, or the end."""
-    while (at := raw.find(MARK, at)) >= 0:
-        head = raw[at : at + HEAD.size]
-        if len(head) == HEAD.size and checksum(head[:-4]) == int.from_bytes(head[-4:], "little"):
-            return at
-        at += 1
+        state = RecordState.INTACT
+        if digest(view[body_offset : body_offset + body_size]) != body_sum:
+            state = RecordState.CORRUPT
+        yield RecordFragment(state, offset, header_size + body_size, kind, key, arrived_at, retention)
+        offset = body_offset + body_size
+
+
+def _encode_body(record: ResultRecord) -> bytes:
+    if record.kind is RecordKind.VOID:
+        return b""
+    if record.kind is RecordKind.STARTED:
+        return record.request_digest + record.run_id.encode()
+    result = record.result
+    if len(result) > MIN_COMPRESSED_BYTES:
+        result = zlib.compress(result, COMPRESSION_LEVEL)
+    is_compressed = len(result) < len(record.result)
+    if not is_compressed:
+        result = record.result
+    return record.request_digest + bytes((OUTCOME_CODES[record.outcome], is_compressed)) + result
+
+
+def _unreadable_fragment(raw: bytes, offset: int) -> RecordFragment:
+    """The stretch up to the next intact header, of which nothing is known."""
+    next_offset = _find_header(raw, offset + 1)
+    state = RecordState.LOST
+    if next_offset == len(raw) and next_offset - offset < RECORD_HEADER.size:
+        state = RecordState.TRUNCATED
+    return RecordFragment(state, offset, next_offset - offset)
+
+
+def _find_header(raw: bytes, offset: int) -> int:
+    """The next offset with an intact header, or the end."""
+    while (offset := raw.find(RECORD_MARK, offset)) >= 0:
+        header = raw[offset : offset + RECORD_HEADER.size]
+        if len(header) == RECORD_HEADER.size and seal(header) == header:
+            return offset
+        offset += 1
     return len(raw)
-
-
-def body_of(raw: bytes, at: int, size: int) -> bytes:
-    return raw[at + HEAD.size : at + size]
-
-
-def run_of(body: bytes) -> str:
-    """Of one begun: its run's name at the agent."""
-    return body[16:].decode("ascii", "replace")
-
-
-def read(raw: bytes, one: Scanned) -> RecordFragment:
-    """What was scanned, whole."""
-    found, at, size, kind, label, stamp, span = one
-    if not kind:
-        return RecordFragment(found, at, size)
-    entry = ResultRecord(RecordKind(kind), label, stamp, span)
-    if found is not ScanOutcome.GOOD:
-        return RecordFragment(found, at, size, entry)
-    try:
-        return RecordFragment(found, at, size, with_body(entry, body_of(raw, at, size)))
-    except (ValueError, IndexError, zlib.error):
-        return RecordFragment(ScanOutcome.SPOILT, at, size, entry)
-
-
-def with_body(entry: ResultRecord, body: bytes) -> ResultRecord:
-    """ValueError, IndexError or zlib.error where the body is none of its kind."""
-    if entry.kind is RecordKind.BEGUN:
-        return ResultRecord(entry.kind, entry.label, entry.stamp, entry.span, run_of(body), body[:16])
-    if entry.kind is RecordKind.VOID:
-        return entry
-    result = zlib.decompress(body[18:]) if body[17] else body[18:]
-    outcome = OUTCOMES[body[16]]
-    return ResultRecord(
-        entry.kind, entry.label, entry.stamp, entry.span, digest=body[:16], outcome=outcome, result=result
-    )
-
-
-def pieces(raw: bytes, at: int = 0) -> Iterator[RecordFragment]:
-    return (read(raw, one) for one in scan(raw, at))
-
-
-# ---- the head of a file -----------------------------------------------------------------------------------
-
-
-class UnsupportedVersionError(ValueError):
-    """A file of a later version: nothing of it is touched."""
-
-
-def file_head(serial: int, owner: str) -> bytes:
-    raw = FILE.pack(FILE_MARK, VERSION, 0, serial, xxhash.xxh3_64_intdigest(owner.encode()), 0)
-    return raw[:-4] + struct.pack("<I", checksum(raw[:-4]))
-
-
-def read_file_head(raw: bytes, owner: str) -> int | None:
-    """The file's serial number, or None where its head does not check; Newer or ValueError says why not."""
-    if len(raw) < FILE.size:
-        return None
-    mark, version, _, serial, owned, head_sum = FILE.unpack(raw[: FILE.size])
-    if mark != FILE_MARK or checksum(raw[: FILE.size - 4]) != head_sum:
-        return None
-    if version > VERSION:
-        raise UnsupportedVersionError(f"of version {version}, and this program reads up to {VERSION}")
-    if owned != xxhash.xxh3_64_intdigest(owner.encode()):
-        raise ValueError(f"kept by another name than {owner!r}")
-    return int(serial)
--- a/birchslip/idempotency/recovery.py
+++ b/birchslip/idempotency/recovery.py
@@ -1,13 +1,15 @@
-"""What is known of labels when a store is read again, file by file, oldest first.
+"""What is known of each key when a store is read again, segment by segment, oldest first.
 
-| record | after it the label is |
+| record | what is known of its key from then on |
 | --- | --- |
-| begun | unknown: its run may have had its effect; repeats are written off, and never run |
-| concluded | known: repeats get the first answer |
-| concluded as never run | free |
-| spoilt | unknown, whatever it said |
-| torn, at the end of the last file | as before: nothing was done that rests on it |
-| lost, or torn elsewhere | some may be unknown that nobody can name: all are *in doubt* for one window |
+| started | unknown: its run may have had its effect; repeats fail, and never run |
+| completed | the result: repeats get it |
+| completed as never run | nothing: the key is free |
+| corrupt | unknown, whatever the record said |
+| truncated, at the end of the last segment | as before: nothing was done that rests on it |
+| lost, or truncated elsewhere | as before; keys that nobody can name may be lost: the store is *in doubt* |
+
+This module does no I/O and reads no clock; times are in ticks.
 """
 
 from __future__ import annotations
@@ -16,112 +18,139 @@
 from dataclasses import dataclass, field
 
 from ..admission.types import NEVER_RAN_OUTCOMES
-from .index import UNKNOWN, Index
-from .record_format import HEAD, OUTCOMES, RecordKind, ResultRecord, ScanOutcome, read
-from .record_format import scan as scan_file
+from .key_index import UNKNOWN_LOCATION, KeyIndex, pack_location
+from .record_format import (
+    OUTCOME_CODES,
+    OUTCOME_OFFSET,
+    RecordFragment,
+    RecordKind,
+    RecordState,
+    ResultRecord,
+    read_fragments,
+)
 from .retention_budget import RetentionBudget
+from .segment_files import SegmentContent
+from .segment_header import SEGMENT_HEADER
 
-OUTCOME_AT = HEAD.size + 16  # in a record of one concluded
-VOID_CODES = frozenset(OUTCOMES.index(outcome) for outcome in NEVER_RAN_OUTCOMES)
+NEVER_RAN_CODES = frozenset(OUTCOME_CODES[outcome] for outcome in NEVER_RAN_OUTCOMES)
 
 
 @dataclass(slots=True)
-class Recovered:
-    """`runs` are those begun and not concluded, by the run's name at the agent; `cut` is how much of the last
-    file stands.
+class RecoveredStore:
+    """What earlier incarnations have left.
+
+    Attributes:
+        index: The keys that are still of use.
+        open_runs: The started records without a completed one, by run id.
+        fragment_counts: How many records were found in each state.
+        expired: How many records have expired.
+        unknown: How many keys were started, and nothing is known of their results.
+        is_in_doubt: Whether records were lost, so that keys may be missing.
+        truncated_at: The offset at which the last segment has to be cut; None where it ends as it should.
     """
 
-    index: Index = field(default_factory=Index)
-    runs: dict[str, ResultRecord] = field(default_factory=dict)
-    found: dict[ScanOutcome, int] = field(default_factory=lambda: dict.fromkeys(ScanOutcome, 0))
-    over: int = 0  # records whose window has ended
+    index: KeyIndex = field(default_factory=KeyIndex)
+    open_runs: dict[str, ResultRecord] = field(default_factory=dict)
+    fragment_counts: dict[RecordState, int] = field(default_factory=lambda: dict.fromkeys(RecordState, 0))
+    expired: int = 0
     unknown: int = 0
-    doubt: bool = False
-    cut: int | None = None
+    is_in_doubt: bool = False
+    truncated_at: int | None = None
 
 
-def place(serial: int, at: int) -> int:
-    """Where a record stands, as one number."""
-    return serial << 32 | at
-
-
-class Reading:
-    """One reading of a store. `longest` is the longest window: an end beyond it was told by a clock that has
-    been set back since, and counts from now.
+def recover(
+    segments: Iterable[SegmentContent],
+    budget: RetentionBudget,
+    now: int,
+    max_retention: int,
+    last_serial: int,
+) -> RecoveredStore:
+    """Recover a store.
+
+    Args:
+        segments: All segments, oldest first; each is needed once.
+        budget: An empty budget, in which the segments and live entries are counted.
+        now: The present time.
+        max_retention: The longest retention, in ticks. An expiry further away comes from a clock that has
+            been set back since, and counts from `now`.
+        last_serial: The serial number of the newest segment.
     """
-
-    def __init__(self, ledger: RetentionBudget, now: int, longest: int) -> None:
-        self.ledger, self.now, self.longest = ledger, now, longest
-        self.made = Recovered(Index(now - longest - ledger.linger - 1))
-        self.labels: dict[bytes, tuple[int, int]] = {}  # end of the window, place or UNKNOWN
-        self.open: dict[bytes, tuple[int, int, int]] = {}  # begun and not concluded: file, place, size
-        self.begun: dict[bytes, ResultRecord | None] = {}
-        self.before: int | None = None
-
-    def file(self, serial: int, raw: bytes, last: bool, start: int) -> None:
-        made, now, latest = self.made, self.now, self.now + self.longest
-        if self.before is not None and serial != self.before + 1:
-            made.doubt = True  # a file is missing between two others
-        self.before = serial
-        self.ledger.open_file(serial, len(raw))
-        ends, linger = 0, self.ledger.linger
-        good, begun, concluded = ScanOutcome.GOOD, RecordKind.BEGUN.value, RecordKind.CONCLUDED.value
-        labels, runs, whole = self.labels, self.open, 0
-        for found, at, size, kind, label, stamp, span in scan_file(raw, start):
-            if found is good:
-                whole += 1
-            else:
-                made.found[found] += 1
-            if found is ScanOutcome.TORN and last:
-                made.cut = at
-                self.ledger.files[-1].size = at
+    recovery = _Recovery(budget, now, max_retention)
+    for segment in segments:
+        recovery.read_segment(segment, segment.serial == last_serial)
+    return recovery.finish()
+
+
+class _Recovery:
+    """One reading of a store."""
+
+    def __init__(self, budget: RetentionBudget, now: int, max_retention: int) -> None:
+        self.budget = budget
+        self.now = now
+        self.latest_expiry = now + max_retention
+        self.store = RecoveredStore(KeyIndex(now - max_retention - budget.grace - 1))
+        self.keys: dict[bytes, tuple[int, int]] = {}  # expiry and packed location
+        self.open_records: dict[bytes, ResultRecord] = {}  # started in the segments before
+        self.previous_serial: int | None = None
+
+    def read_segment(self, segment: SegmentContent, is_last: bool) -> None:
+        """Apply the records of the next segment."""
+        if self.previous_serial is not None and segment.serial != self.previous_serial + 1:
+            self.store.is_in_doubt = True  # a segment is missing between the two
+        self.previous_serial = segment.serial
+        self.budget.add_segment(segment.serial, len(segment.raw))
+        for key, fragment in self._apply_records(segment, is_last).items():
+            # Decoded now: the segment is not kept in memory.
+            self.open_records[key] = fragment.decode(segment.raw)
+
+    def finish(self) -> RecoveredStore:
+        """Build the index of all keys that were found."""
+        store = self.store
+        store.open_runs = {record.run_id: record for record in self.open_records.values()}
+        store.index.reserve(len(self.keys))
+        for key, (expires_at, location) in self.keys.items():
+            store.index.put(key, expires_at, location)
+            self.budget.add_entry(expires_at)
+            if location == UNKNOWN_LOCATION:
+                store.unknown += 1
+        return store
+
+    def _apply_records(self, segment: SegmentContent, is_last: bool) -> dict[bytes, RecordFragment]:
+        """Apply a segment's records, and return those that were started in it and are still open."""
+        store, now, grace = self.store, self.now, self.budget.grace
+        started: dict[bytes, RecordFragment] = {}
+        last_expiry = 0
+        for fragment in read_fragments(segment.raw, SEGMENT_HEADER.size):
+            state = fragment.state
+            store.fragment_counts[state] += 1
+            if state is RecordState.TRUNCATED and is_last:
+                store.truncated_at = fragment.offset
+                self.budget.segments[-1].size = fragment.offset
                 continue
-            if found is ScanOutcome.LOST or found is ScanOutcome.TORN:
-                made.doubt, ends = True, latest
+            if state is RecordState.TRUNCATED or state is RecordState.LOST:
+                store.is_in_doubt = True
+                last_expiry = self.latest_expiry
                 continue
-            until = min(stamp + span, latest)
-            if until > ends:
-                ends = until
-            if until + linger < now or (kind != begun and kind != concluded):
-                made.over += 1
-                continue
-            if found is not good:
-                labels[label] = (until, UNKNOWN)
-                runs.pop(label, None)
-            elif kind == begun:
-                labels[label] = (until, UNKNOWN)
-                runs[label] = (serial, at, size)
+            expires_at = min(fragment.arrived_at + fragment.retention, self.latest_expiry)
+            if expires_at > last_expiry:
+                last_expiry = expires_at
+            if expires_at + grace < now or fragment.kind is RecordKind.VOID:
+                store.expired += 1
+            elif state is RecordState.INTACT and fragment.kind is RecordKind.STARTED:
+                self.keys[fragment.key] = (expires_at, UNKNOWN_LOCATION)
+                started[fragment.key] = fragment
             else:
-                runs.pop(label, None)
-                if raw[at + OUTCOME_AT] in VOID_CODES:
-                    labels.pop(label, None)
-                else:
-                    labels[label] = (until, place(serial, at))
-        made.found[good] += whole
-        self.ledger.files[-1].last = ends
-        for label, (of, at, size) in list(runs.items()):
-            if of == serial:
-                # Read now: the file is not kept in memory.
-                self.begun[label] = read(
-                    raw, (good, at, size, begun, label, *HEAD.unpack_from(raw, at)[5:7])
-                ).entry
-
-    def whole(self) -> Recovered:
-        made = self.made
-        made.runs = {entry.run: entry for label, entry in self.begun.items() if entry and label in self.open}
-        made.index.make_room(len(self.labels))
-        for label, (until, where) in self.labels.items():
-            made.index.put(label, until, where)
-            self.ledger.count(until)
-            made.unknown += where == UNKNOWN
-        return made
-
-
-def recover(
-    files: Iterable[tuple[int, bytes]], ledger: RetentionBudget, now: int, longest: int, start: int, last: int
-) -> Recovered:
-    """`start` is where records begin in a file, `last` the serial of the newest: each is needed once."""
-    reading = Reading(ledger, now, longest)
-    for serial, raw in files:
-        reading.file(serial, raw, serial == last, start)
-    return reading.whole()
+                started.pop(fragment.key, None)
+                self.open_records.pop(fragment.key, None)
+                self._apply_result(segment, fragment, expires_at)
+        self.budget.segments[-1].last_expiry = last_expiry
+        return started
+
+    def _apply_result(self, segment: SegmentContent, fragment: RecordFragment, expires_at: int) -> None:
+        """Apply a completed record, or a corrupt one."""
+        if fragment.state is RecordState.CORRUPT:
+            self.keys[fragment.key] = (expires_at, UNKNOWN_LOCATION)
+        elif segment.raw[fragment.offset + OUTCOME_OFFSET] in NEVER_RAN_CODES:
+            self.keys.pop(fragment.key, None)
+        else:
+            self.keys[fragment.key] = (expires_at, pack_location(segment.serial, fragment.offset))
--- a/birchslip/idempotency/result_store.py
+++ b/birchslip/idempotency/result_store.py
@@ -1,372 +1,257 @@
-"""One app server's kept results: between the stages, which run and answer, and the thread that flushes.
+"""Durable results by idempotency key of one app server.
 
-*begun* is flushed before the launch is ordered, *concluded* before the answer is sent. Who may run is for
-`labels.py` alone to say; this module only knows what earlier lives have left.
+A *started* record is flushed before the run is launched, a *completed* one before the request is answered.
+The store says how many new keys it can take, and knows what earlier incarnations have left. It must never
+decide who may run: that is for the table of idempotency keys alone.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from functools import partial
+from dataclasses import replace
 from pathlib import Path
-from statistics import quantiles
-
-from ..admission.types import (
-    NEVER_RAN_OUTCOMES,
-    Outcome,
-    Request,
-    RequestClass,
-    RequestState,
-)
-from ..errors import InvalidInputError
+from typing import NamedTuple
+
+from ..admission.types import MS, Outcome, RequestClass
+from ..errors import ConfigurationError
 from ..net.counters import Counters
 from ..net.log import Log
 from ..net.passage import Conclusion, Label, Passage
 from ..net.scheduler import Scheduler
-from .disk import Disk
-from .files import Files, FileSystem, StoreWriteError
-from .index import UNKNOWN, Index
-from .record_format import (
-    FILE,
-    RecordKind,
-    ResultRecord,
-    ScanOutcome,
-    digest_of,
-    encode,
-)
-from .recovery import Recovered, place, recover
-from .retention_budget import CLOSING, RetentionBudget
+from .disk_health import DiskHealth
+from .earlier_results import EarlierResults, ResolutionListener
+from .file_system import FileSystem
+from .flush_queue import FlushListener, FlushQueue
+from .record_format import RecordKind, RecordState, ResultRecord, digest_request
+from .recovery import RecoveredStore, recover
+from .retention_budget import RetentionBudget
+from .segment_files import SegmentFiles
+from .segment_header import SEGMENT_HEADER
 from .settings_file import StoreSettings
-from .writer import Work, Writer
+from .writer import DeleteSegmentTask, Writer
 
-LOOK = 500  # the disk's state is looked at twenty times a second
-TOOK = 256  # waits whose times are told together
-SCARCE = 0.2  # of the entries: from here on the room is for who is within the quota
+CHECK_INTERVAL = 50 * MS
+SCARCE_SHARE = 0.2  # of the entries: the last ones are left to callers within their quota
 
 
-class DiscardingContext:
-    """The caller of a try of an earlier life: there is nobody to answer."""
+class KeyCapacity(NamedTuple):
+    """How many new keys the store takes.
 
-    def __init__(self) -> None:
-        self.open: dict[int, Passage] = {}
+    Attributes:
+        remaining: How many more may be started.
+        scarce_below: From which number on those that remain are scarce.
+        time_until_room: The ticks until there is room again; 0 while there is.
+    """
 
-    def honour(self, number: int, result: bytes) -> None: ...
-    def shed(self, number: int, after: int, last: bool) -> None: ...
-    def write_off(self, number: int) -> None: ...
+    remaining: int
+    scarce_below: int
+    time_until_room: int
 
 
 class ResultStore:
-    """`InvalidInputError` at its making says in a line why the store can't be had."""
+    """The store of one app server, opened when it is made."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         counters: Counters,
         log: Log,
-        told: StoreSettings,
-        name: str,
-        profiles: list[RequestClass],
+        settings: StoreSettings,
+        owner: str,
+        request_classes: list[RequestClass],
         system: FileSystem | None = None,
     ) -> None:
-        self.scheduler, self.counters, self.log = scheduler, counters, log
-        self.longest = max([profile.key_retention for profile in profiles], default=0)
-        linger = max([profile.deadline for profile in profiles], default=0)
-        self.ledger = RetentionBudget(told.entries, told.bytes, linger)
-        self.disk = Disk(told.stall_ms * 10)
-        self.files = Files(Path(told.folder), name, system)
-        self.writer = Writer(scheduler, self.files, told.gather_ms / 1000)
-        self.pending: dict[Waiting, None] = {}
-        self.took: list[float] = []  # ms that waits for a flush took, until they are told
-        self.waiting = 0  # pieces of work that wait for a flush
-        self.failed_file = False
-        self.resolved: Callable[[Label, Conclusion], None]
-        try:
-            self.recovered = self.open(scheduler.now)
-        except (StoreWriteError, OSError) as trouble:
-            self.files.close()
-            raise InvalidInputError(f"keep: {trouble}") from None
-        self.doubt_until = scheduler.now + self.longest if self.recovered.doubt else 0
-        self.forget_at = scheduler.now + self.longest + linger
-        self.fetched: dict[bytes, Label] = {}  # of earlier lives, asked for in this one
-
-    def open(self, now: int) -> Recovered:
-        """All that earlier lives left, and a file of this one's own behind it."""
-        self.files.hold()
-        last = max(self.files.serials(), default=0)
-        made = recover(self.files.each(), self.ledger, now, self.longest, FILE.size, last)
-        made.doubt = made.doubt or self.files.doubt
-        if made.cut is not None:
-            self.files.system.cut(self.files.path(last), max(FILE.size, made.cut))
-        for serial in self.ledger.gone(now):
-            self.files.drop(serial)
-        self.files.begin(last + 1)
-        self.ledger.open_file(self.files.serial, self.files.size)
-        return made
-
-    # ---- the process -----------------------------------------------------------------------------------
-
-    def tell(self, resolved: Callable[[Label, Conclusion], None]) -> None:
-        """Who hears what a label of an earlier life has come to."""
-        self.resolved = resolved
+        """Lock the store, recover what it holds, and start a segment.
+
+        Args:
+            scheduler: The scheduler that is never to wait for the disk.
+            counters: Where events are counted, as `keep.*`.
+            log: Where events are logged.
+            settings: The operators' settings.
+            owner: The name of the app server.
+            request_classes: All request classes, which say for how long keys are retained.
+            system: Replaces the real file system in tests.
+
+        Raises:
+            ConfigurationError: The store can't be opened; the message is one line.
+        """
+        self.scheduler = scheduler
+        self.counters = counters
+        self.log = log
+        self.max_retention = max([one.key_retention for one in request_classes], default=0)
+        grace = max([one.deadline for one in request_classes], default=0)
+        self.budget = RetentionBudget(settings.entries, settings.bytes, grace)
+        self.disk = DiskHealth(settings.stall_ms * MS)
+        self.files = SegmentFiles(Path(settings.folder), owner, system)
+        self.recovered = self._open(scheduler.now)
+        self.writer = Writer(scheduler, self.files, settings.gather_ms / 1000)
+        self.flush_queue = FlushQueue(scheduler, counters, log, self.writer, self.budget, self.disk)
+        self.earlier_results = EarlierResults(counters, self.writer, self.flush_queue, self.recovered)
+        self._in_doubt_until = 0
+        if self.recovered.is_in_doubt:
+            self._in_doubt_until = scheduler.now + self.max_retention
+        self._earlier_expire_at = scheduler.now + self.max_retention + grace
+
+    # ---- lifetime --------------------------------------------------------------------------------------
+
+    def set_resolution_listener(self, listener: ResolutionListener) -> None:
+        """Set who is told what the keys of earlier incarnations have come to; before `start`."""
+        self.earlier_results.on_resolved = listener
 
     def start(self) -> None:
-        made = self.recovered
+        """Report what was recovered, and start writing."""
+        recovered = self.recovered
         self.log.info(
-            "kept results",
-            labels=len(made.index),
-            unknown=made.unknown,
-            runs=len(made.runs),
-            torn=made.found[ScanOutcome.TORN],
-            spoilt=made.found[ScanOutcome.SPOILT],
-            lost=made.found[ScanOutcome.LOST],
-            doubt=made.doubt,
-            bytes=self.ledger.held,
+            "store_recovered",
+            keys=len(recovered.index),
+            unknown=recovered.unknown,
+            runs=len(recovered.open_runs),
+            truncated=recovered.fragment_counts[RecordState.TRUNCATED],
+            corrupt=recovered.fragment_counts[RecordState.CORRUPT],
+            lost=recovered.fragment_counts[RecordState.LOST],
+            in_doubt=recovered.is_in_doubt,
+            bytes=self.budget.stored_bytes,
         )
         self.writer.start()
-        self.scheduler.spawn("keep", self.writer.hear)
-        self.scheduler.at(self.scheduler.now + LOOK, self.look)
+        self.scheduler.at(self.scheduler.now + CHECK_INTERVAL, self.time_passed)
 
-    def finish(self) -> None:
-        self.writer.finish()
+    def close(self) -> None:
+        """Finish what is being written, and release the store."""
+        self.writer.close()
         self.files.close()
 
-    def look(self) -> None:
-        """By time: stalls, probes, files whose windows are over."""
+    def time_passed(self) -> None:
+        """Check the disk, and delete what has expired; calls itself again after the check interval."""
         now = self.scheduler.now
-        self.scheduler.at(now + LOOK, self.look)
-        if self.disk.look(now):
-            self.say_state()
-            self.give_up()
-        if self.disk.wants_probe(now):
-            raw = encode(ResultRecord(RecordKind.VOID, bytes(16), now, 0))
-            self.put(raw, now, lambda work: None)
-        if now > self.forget_at and len(self.recovered.index):
-            # Nothing of earlier lives is in its window any more.
-            self.recovered.index, self.fetched = Index(now), {}
-        for serial in self.ledger.gone(now):
+        self.scheduler.at(now + CHECK_INTERVAL, self.time_passed)
+        self.flush_queue.time_passed()
+        if now > self._earlier_expire_at and not self.earlier_results.is_empty:
+            self.earlier_results.forget(now)
+        for serial in self.budget.remove_expired_segments(now):
             self.counters.count("keep.files_dropped")
-            self.writer.put(Work(lambda work: None, drop=serial))
+            self.writer.submit(DeleteSegmentTask(serial=serial))
 
-    def say_took(self) -> None:
-        """How long waits for a flush were, as those saw it who waited."""
-        took, self.took = self.took, []
-        cuts = quantiles(took, n=100, method="inclusive")
-        self.log.info("flushes", flushes=len(took), p50_ms=round(cuts[49], 2), p99_ms=round(cuts[98], 2))
+    # ---- capacity --------------------------------------------------------------------------------------
 
-    def say_state(self) -> None:
-        self.counters.count(f"keep.{self.disk.state.value}")
-        self.log.info("the store's disk", state=self.disk.state.value, why=self.disk.why)
+    def capacity(self) -> KeyCapacity:
+        """How many new keys the store takes at the moment."""
+        scarce_below = int(SCARCE_SHARE * self.budget.max_entries)
+        return KeyCapacity(self._remaining_keys(), scarce_below, self._time_until_room())
 
-    # ---- what the decisions are told -------------------------------------------------------------------
+    def health(self) -> dict[str, str]:
+        """Why keyed requests are rejected at the moment, for health checks; empty while they are not."""
+        if not self.disk.is_healthy:
+            return {"store": self.disk.state.value}
+        if self.scheduler.now < self._in_doubt_until:
+            return {"store": "doubt"}
+        if not self._remaining_keys():
+            return {"store": "full"}
+        return {}
 
-    def room(self) -> int:
-        """How many labelled transactions may still begin."""
+    def _remaining_keys(self) -> int:
         now = self.scheduler.now
-        return self.ledger.room(now) if self.disk.good and now >= self.doubt_until else 0
+        if not self.disk.is_healthy or now < self._in_doubt_until:
+            return 0
+        return self.budget.remaining_entries(now)
 
-    def wait(self) -> int:
-        """Until there may be room again."""
+    def _time_until_room(self) -> int:
         now = self.scheduler.now
-        if now < self.doubt_until:
-            return self.doubt_until - now
-        return self.ledger.wait(now) if self.disk.good else self.disk.stall
+        if now < self._in_doubt_until:
+            return self._in_doubt_until - now
+        if not self.disk.is_healthy:
+            return self.disk.stall_limit
+        return self.budget.time_until_room(now)
 
-    def told(self) -> tuple[int, int, int]:
-        """How many may still begin, from which number on that is few, and how long until there is room."""
-        return self.room(), int(SCARCE * self.ledger.entries), self.wait()
+    # ---- keyed requests --------------------------------------------------------------------------------
 
-    def health(self) -> dict[str, str]:
-        """For health checks: why labelled transactions are shed just now; nothing while they are not."""
-        if not self.disk.good:
-            return {"store": self.disk.state.value}
-        if self.scheduler.now < self.doubt_until:
-            return {"store": "doubt"}
-        return {} if self.room() else {"store": "full"}
-
-    # ---- writing ---------------------------------------------------------------------------------------
-
-    def put(self, raw: bytes, until: int, then: Callable[[Work], None]) -> None:
-        now, file = self.scheduler.now, 0
-        if self.failed_file or self.ledger.wants_new_file(len(raw)):
-            # After an error the old file is not written to: what the system says of it later is not to be
-            # believed.
-            file, self.failed_file = self.ledger.files[-1].serial + 1, False
-            self.ledger.open_file(file, FILE.size)
-        self.ledger.written(len(raw), until)
-        self.disk.sent(now)
-        self.waiting += 1
-        serial = self.ledger.files[-1].serial
-        self.writer.put(Work(partial(self.ended, then), raw, file, sent=now, serial=serial))
-
-    def ended(self, then: Callable[[Work], None], work: Work) -> None:
-        now = self.scheduler.tell_time()
-        self.waiting -= 1
-        self.counters.count("keep.flushed" if not work.trouble else "keep.unflushed")
-        self.counters.peak("keep.flush_ms", (now - work.sent) // 10)
-        self.took.append((now - work.sent) / 10)
-        if len(self.took) >= TOOK:
-            self.say_took()
-        if work.trouble:
-            self.failed_file = True
-            changed = self.disk.failed(now, work.trouble)
-        else:
-            changed = self.disk.done(now, self.waiting > 0)
-        if changed:
-            self.say_state()
-        then(work)
-        if work.trouble:
-            self.give_up()
-
-    # ---- the path of a labelled transaction ------------------------------------------------------------
-
-    def begin(self, passage: Passage, then: Callable[[bool], None]) -> None:
-        """`then` hears, once, whether it may be launched: *begun* is flushed, or could not be in time."""
-        if not self.room():
+    def record_start(self, request: Passage, listener: FlushListener) -> None:
+        """Record that a request is about to run.
+
+        The listener is told once whether it may be launched: that its started record is flushed, or could
+        not be flushed in time.
+        """
+        if not self._remaining_keys():
             self.counters.count("keep.no_room")
-            self.scheduler.at(self.scheduler.now, lambda: then(False))
+            self.scheduler.at(self.scheduler.now, lambda: listener(False))
             return
-        entry = self.entry(RecordKind.BEGUN, passage, run=passage.name)
-        self.ledger.begin(entry.until)
-        self.once(encode(entry), entry, then, passage)
+        record = _make_started(request)
 
-    def conclude(self, passage: Passage, conclusion: Conclusion, then: Callable[[bool], None]) -> None:
-        """`then` hears, once, that it may be answered: *concluded* is flushed, or the disk would keep it too
-        long.
-        """
-        entry = self.entry(
-            RecordKind.CONCLUDED, passage, outcome=conclusion.outcome, result=conclusion.result
-        )
-        self.ledger.conclude()
-        self.once(encode(entry), entry, then, None)
+        def flushed(is_flushed: bool) -> None:
+            if not is_flushed:
+                self._append_never_ran(record)
+            listener(is_flushed)
 
-    def entry(self, kind: RecordKind, passage: Passage, **more: object) -> ResultRecord:
-        window = passage.transaction.request_class.key_retention
-        digest = digest_of(passage.profile, passage.body)
-        label = bytes.fromhex(passage.label_name)
-        return ResultRecord(kind, label, passage.window_from, window, digest=digest, **more)  # type: ignore[arg-type]
+        self.budget.start_entry(record.expires_at)
+        self.flush_queue.append_and_wait(record, flushed)
 
-    def once(
-        self, raw: bytes, entry: ResultRecord, then: Callable[[bool], None], passage: Passage | None
-    ) -> None:
-        """Waits for the flush, and no longer than a stall: what is said then stays said."""
-        wait = Waiting(then, entry)
-        self.pending[wait] = None
-        self.put(raw, entry.until, lambda work: self.over(wait, not work.trouble))
-
-    def over(self, wait: Waiting, good: bool) -> None:
-        if wait in self.pending:  # or it was given up before
-            del self.pending[wait]
-            self.answer(wait, good)
-
-    def answer(self, wait: Waiting, good: bool) -> None:
-        if wait.entry.kind is RecordKind.BEGUN and not good:
-            self.never_ran(wait.entry)
-        wait.then(good)
-
-    def give_up(self) -> None:
-        """The disk is not good: who waits for it hears so now."""
-        waits, self.pending = list(self.pending), {}
-        for wait in waits:
-            self.answer(wait, False)
-
-    def void(self, passage: Passage) -> None:
-        """It was begun, and will not be launched after all."""
-        self.never_ran(self.entry(RecordKind.BEGUN, passage, run=passage.name))
-
-    def never_ran(self, entry: ResultRecord) -> None:
-        """It may stand in the file as begun: said to be void, a later life does not take it for unknown."""
-        void = ResultRecord(
-            RecordKind.CONCLUDED,
-            entry.label,
-            entry.stamp,
-            entry.span,
-            digest=entry.digest,
-            outcome=Outcome.SUPERSEDED,
-        )
-        self.ledger.conclude()
-        self.put(encode(void), entry.until, lambda work: None)
-
-    # ---- what earlier lives left -----------------------------------------------------------------------
-
-    def earlier(self, passage: Passage) -> Label | None:
-        """The entry of a label that an earlier life began; what came of it is fetched."""
-        label = bytes.fromhex(passage.label_name)
-        where = self.recovered.index.get(label, passage.stamp)
-        if where is None:
-            return None
-        known = self.fetched.get(label)
-        if known is not None:
-            return known
-        entry = self.fetched[label] = self.stand_in(passage)
-        if where == UNKNOWN:
-            self.counters.count("keep.unknown")
-            entry.conclusion = Conclusion(Outcome.FAILED)
-        else:
-            self.counters.count("keep.fetched")
-            record = (where >> 32, where & 0xFFFFFFFF, CLOSING)
-            self.writer.put(Work(partial(self.fetch_over, entry), fetch=record))
-        return entry
-
-    def stand_in(self, like: Passage) -> Label:
-        """A try of an earlier life, as far as the decisions look at it: it has run, and is over."""
-        arrived = like.stamp
-        transaction = Request(
-            like.transaction.request_class, caller=0, arrived_at=arrived, deadline=arrived, size=0
-        )
-        transaction.has_started, transaction.state = True, RequestState.COMPLETED
-        passage = Passage(DiscardingContext(), 0, "", "", b"", transaction, arrived, like.label_name)
-        passage.launched = passage.answered = True
-        return Label(like.label_name, passage, arrived, passage, asked=lambda other: True)
-
-    def fetch_over(self, entry: Label, work: Work) -> None:
-        piece = work.found
-        whole = piece is not None and piece.found is ScanOutcome.GOOD and piece.entry is not None
-        found = piece.entry if piece is not None and whole else None
-        if found is None or found.label != bytes.fromhex(entry.name):
-            self.counters.count("keep.unread")
-            self.resolve(entry, Conclusion(Outcome.FAILED))
-            return
-        digest = found.digest
-        entry.asked = lambda other: digest_of(other.profile, other.body) == digest
-        self.resolve(entry, Conclusion(found.outcome, found.result))
-
-    def resolve(self, entry: Label, conclusion: Conclusion) -> None:
-        if entry.conclusion is None:
-            self.resolved(entry, conclusion)
-
-    def stranger(self, run: str, outcome: Outcome, result: bytes) -> None:
-        """A run of an earlier life whose end the agent still tells: no longer unknown."""
-        begun = self.recovered.runs.pop(run, None)
-        if begun is None:
-            return
-        self.counters.count("keep.resolved")
-        entry = ResultRecord(
-            RecordKind.CONCLUDED,
-            begun.label,
-            begun.stamp,
-            begun.span,
-            digest=begun.digest,
-            outcome=outcome,
-            result=result,
+    def record_never_ran(self, request: Passage) -> None:
+        """Record that a request whose start was recorded will not be launched after all."""
+        self._append_never_ran(_make_started(request))
+
+    def record_completion(self, request: Passage, conclusion: Conclusion, listener: FlushListener) -> None:
+        """Record what a run has come to.
+
+        The listener is told once that the request may be answered: that its completed record is flushed, or
+        that the disk takes too long.
+        """
+        completed = replace(
+            _make_started(request),
+            kind=RecordKind.COMPLETED,
+            run_id="",
+            outcome=conclusion.outcome,
+            result=conclusion.result,
         )
-        known = self.fetched.pop(begun.label, None)
-        if known is not None and known.conclusion is None:
-            self.resolve(known, Conclusion(outcome, result))
-        raw = encode(entry)
+        self.budget.release_reserve()
+        self.flush_queue.append_and_wait(completed, listener)
 
-        def kept(work: Work) -> None:
-            if not work.trouble and outcome not in NEVER_RAN_OUTCOMES:
-                self.recovered.index.put(begun.label, begun.until, place(work.serial, work.at))
-            elif outcome in NEVER_RAN_OUTCOMES:
-                self.recovered.index.put(begun.label, 0)
+    def _append_never_ran(self, started: ResultRecord) -> None:
+        """Complete a started record that may be on the disk, lest it counts as unknown after a restart."""
+        never_ran = replace(started, kind=RecordKind.COMPLETED, run_id="", outcome=Outcome.SUPERSEDED)
+        self.budget.release_reserve()
+        self.flush_queue.append(never_ran)
 
-        self.put(raw, begun.until, kept)
+    # ---- earlier incarnations --------------------------------------------------------------------------
 
+    def find_earlier_result(self, request: Passage) -> Label | None:
+        """The entry of a request's key, if an earlier incarnation started it."""
+        return self.earlier_results.find(request)
 
-class Waiting:
-    """Somebody who waits for a flush."""
+    def complete_earlier_run(self, run_id: str, outcome: Outcome, result: bytes) -> None:
+        """Complete a run of an earlier incarnation whose end the agent still reports."""
+        self.earlier_results.complete_run(run_id, outcome, result)
 
-    __slots__ = ("entry", "then")
+    # ---- opening ---------------------------------------------------------------------------------------
 
-    def __init__(self, then: Callable[[bool], None], entry: ResultRecord) -> None:
-        self.then, self.entry = then, entry
+    def _open(self, now: int) -> RecoveredStore:
+        try:
+            return self._recover(now)
+        except OSError as error:
+            self.files.close()
+            raise ConfigurationError(f"keep: {error}") from None
+
+    def _recover(self, now: int) -> RecoveredStore:
+        """Read what earlier incarnations have left, and start a segment behind it."""
+        files = self.files
+        files.lock()
+        last_serial = max(files.serials(), default=0)
+        recovered = recover(files.read_segments(), self.budget, now, self.max_retention, last_serial)
+        if files.has_damaged_header:
+            recovered.is_in_doubt = True
+        if recovered.truncated_at is not None:
+            size = max(SEGMENT_HEADER.size, recovered.truncated_at)
+            files.system.truncate(files.path_of(last_serial), size)
+        for serial in self.budget.remove_expired_segments(now):
+            files.delete_segment(serial)
+        files.create_segment(last_serial + 1)
+        self.budget.add_segment(files.serial, files.size)
+        return recovered
+
+
+def _make_started(request: Passage) -> ResultRecord:
+    return ResultRecord(
+        RecordKind.STARTED,
+        bytes.fromhex(request.label_name),
+        request.window_from,
+        request.transaction.request_class.key_retention,
+        run_id=request.name,
+        request_digest=digest_request(request.profile, request.body),
+    )
--- a/birchslip/lab/dying.py
+++ b/birchslip/lab/dying.py
@@ -23,13 +23,13 @@
 from typing import Any
 
 POINTS = {
-    "before-begun": ("birchslip.idempotency.result_store", "ResultStore", "begin", True),
+    "before-begun": ("birchslip.idempotency.result_store", "ResultStore", "record_start", True),
     "after-begun": ("birchslip.net.stages.send", "Send", "begun", True),
     "after-launch": ("birchslip.net.servers", "Agent", "launch", False),
-    "before-concluded": ("birchslip.idempotency.result_store", "ResultStore", "conclude", True),
+    "before-concluded": ("birchslip.idempotency.result_store", "ResultStore", "record_completion", True),
     "after-concluded": ("birchslip.net.stages.send", "Send", "conclude", True),
     "after-answer": ("birchslip.net.connection", "Connection", "flush", False),
-    "compacting": ("birchslip.idempotency.files", "Files", "drop", True),
+    "compacting": ("birchslip.idempotency.segment_files", "SegmentFiles", "delete_segment", True),
 }
 
 
@@ -55,7 +55,7 @@
 
 
 def slow_flush(milliseconds: int) -> None:
-    from ..idempotency.files import FileSystem
+    from ..idempotency.file_system import FileSystem
 
     inner = FileSystem.flush
 
--- a/birchslip/lab/kept_play.py
+++ b/birchslip/lab/kept_play.py
@@ -348,7 +348,7 @@
 
     def flushes(self) -> dict[str, Any]:
         """As the program logged them, every 256."""
-        lines = [line for _, line in self.member.lines("event=flushes")]
+        lines = [line for _, line in self.member.lines("event=store_flush_latency")]
         told = [dict(word.split("=", 1) for word in line.split() if "=" in word) for line in lines]
         spans = {name: sorted(float(one[name]) for one in told) for name in ("p50_ms", "p99_ms")}
         return {
--- a/birchslip/lab/power.py
+++ b/birchslip/lab/power.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ..idempotency.files import FileSystem
+from ..idempotency.file_system import FileSystem
 
 PAGE = 512
 
@@ -63,12 +63,12 @@
         self.flushes += 1
         self.open[descriptor].flushed = bytes(self.open[descriptor].data)
 
-    def cut(self, path: Path, size: int) -> None:
+    def truncate(self, path: Path, size: int) -> None:
         held = self.files[path]
         del held.data[size:]
         held.flushed = held.flushed[:size]
 
-    def flush_folder(self, folder: Path) -> None:
+    def flush_directory(self, directory: Path) -> None:
         self.trouble()
         self.dropped.clear()
         for held in self.files.values():
@@ -77,13 +77,13 @@
     def read(self, path: Path) -> bytes:
         return bytes(self.files[path].data)
 
-    def read_at(self, path: Path, at: int, size: int) -> bytes:
-        return bytes(self.files[path].data[at : at + size])
+    def read_at(self, path: Path, offset: int, size: int) -> bytes:
+        return bytes(self.files[path].data[offset : offset + size])
 
     def unlink(self, path: Path) -> None:
         self.dropped[path] = self.files.pop(path)
 
-    def names(self, folder: Path) -> list[str]:
+    def list_names(self, directory: Path) -> list[str]:
         return [path.name for path in self.files]
 
     def close(self, descriptor: int) -> None:
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -86,13 +86,13 @@
 class Keep(Keeping, Protocol):
     """Kept results, as the program has them beside it; off without a file of the operators'."""
 
-    def tell(self, resolved: Callable[[Label, Conclusion], None]) -> None: ...
+    def set_resolution_listener(self, listener: Callable[[Label, Conclusion], None]) -> None: ...
     def start(self) -> None: ...
-    def finish(self) -> None: ...
-    def told(self) -> tuple[int, int, int]: ...
+    def close(self) -> None: ...
+    def capacity(self) -> tuple[int, int, int]: ...
     def health(self) -> dict[str, str]: ...
-    def earlier(self, passage: Passage) -> Label | None: ...
-    def stranger(self, run: str, outcome: Outcome, result: bytes) -> None: ...
+    def find_earlier_result(self, request: Passage) -> Label | None: ...
+    def complete_earlier_run(self, run_id: str, outcome: Outcome, result: bytes) -> None: ...
 
 
 def memory(what: str = "VmRSS") -> int:
@@ -161,8 +161,9 @@
     def keep_results(self, keeper: Keep) -> None:
         """Before `run`: what labelled transactions come to survives this process."""
         self.keeper = self.send.keep = keeper
-        keeper.tell(self.book.resolve)
-        self.labels.earlier, self.agent.stranger = keeper.earlier, keeper.stranger
+        keeper.set_resolution_listener(self.book.resolve)
+        self.labels.earlier = keeper.find_earlier_result
+        self.agent.stranger = keeper.complete_earlier_run
         self.clients.health = keeper.health
 
     # ---- phases --------------------------------------------------------------------------------------------
@@ -196,7 +197,7 @@
             for number in SIGNALS:  # their defaults would end what is ending already, with a code above 0
                 signal.signal(number, signal.SIG_IGN)
             if self.keeper is not None:
-                self.keeper.finish()
+                self.keeper.close()
             self.report()
             self.log.sink.finish()
 
@@ -357,7 +358,7 @@
 
     def tick(self) -> None:
         if self.keeper is not None and self.admit.driver is not None:
-            self.admit.driver.limit_new_keys(*self.keeper.told())
+            self.admit.driver.limit_new_keys(*self.keeper.capacity())
         self.admit.tick(Gauges(self.agent.cores_used()))
 
     def passing(self) -> bool:
--- a/birchslip/net/stages/send.py
+++ b/birchslip/net/stages/send.py
@@ -18,11 +18,13 @@
 
 
 class Keeping(Protocol):
-    """Where a folder survives: `then` hears once that it is kept, or could not be."""
+    """Where a folder survives: `listener` hears once that it is kept, or could not be."""
 
-    def begin(self, passage: Passage, then: Callable[[bool], None]) -> None: ...
-    def void(self, passage: Passage) -> None: ...
-    def conclude(self, passage: Passage, conclusion: Conclusion, then: Callable[[bool], None]) -> None: ...
+    def record_start(self, request: Passage, listener: Callable[[bool], None]) -> None: ...
+    def record_never_ran(self, request: Passage) -> None: ...
+    def record_completion(
+        self, request: Passage, conclusion: Conclusion, listener: Callable[[bool], None]
+    ) -> None: ...
 
 
 class Send:
@@ -48,7 +50,7 @@
             self.book.attach(passage)
             return
         if passage.label_name and self.keep is not None:
-            self.keep.begin(passage, partial(self.begun, passage))
+            self.keep.record_start(passage, partial(self.begun, passage))
         else:
             self.launch(passage)
 
@@ -64,7 +66,7 @@
             self.launch(passage)
             return
         if good and self.keep is not None:
-            self.keep.void(passage)
+            self.keep.record_never_ran(passage)
         # None of its repeats ran either: all may come again.
         for one in (passage, *self.labels.forget(passage, claimed=True)):
             self.book.shed(one)
@@ -91,7 +93,9 @@
         self.relay.drop(passage)
         conclusion = Conclusion(outcome, result)
         if passage.label_name and self.keep is not None:
-            self.keep.conclude(passage, conclusion, lambda good: self.conclude(passage, conclusion, elapsed))
+            self.keep.record_completion(
+                passage, conclusion, lambda good: self.conclude(passage, conclusion, elapsed)
+            )
         else:
             self.conclude(passage, conclusion, elapsed)
 
--- /dev/null
+++ b/tests/result_records.py
@@ -0,0 +1,50 @@
+"""Records and stores that the tests of stored results share."""
+
+from birchslip.admission.types import SECOND, Outcome
+from birchslip.idempotency.record_format import RecordKind, ResultRecord, encode
+from birchslip.idempotency.recovery import recover
+from birchslip.idempotency.retention_budget import RetentionBudget
+from birchslip.idempotency.segment_files import SegmentContent
+from birchslip.idempotency.segment_header import encode_segment_header
+
+NOW = 10**13
+RETENTION = 17 * SECOND
+DIGEST = b"d" * 16
+OWNER = "x"
+
+
+def key_of(number):
+    return number.to_bytes(16)
+
+
+def started(key, arrived_at=NOW, run_id=None):
+    return ResultRecord(
+        RecordKind.STARTED, key, arrived_at, RETENTION, run_id or key.hex()[:16], request_digest=DIGEST
+    )
+
+
+def completed(key, arrived_at=NOW, outcome=Outcome.SERVED, result=None):
+    return ResultRecord(
+        RecordKind.COMPLETED,
+        key,
+        arrived_at,
+        RETENTION,
+        request_digest=DIGEST,
+        outcome=outcome,
+        result=b"of " + key if result is None else result,
+    )
+
+
+# three keys with their results, and one that was only started
+STORED_RECORDS = [
+    encode(record) for n in range(3) for record in (started(key_of(n)), completed(key_of(n)))
+] + [encode(started(key_of(3)))]
+
+
+def recover_segments(contents, now=NOW):
+    """Recover segments that hold these records, numbered from 1."""
+    segments = [
+        SegmentContent(serial, encode_segment_header(serial, OWNER) + raw)
+        for serial, raw in enumerate(contents, 1)
+    ]
+    return recover(segments, RetentionBudget(10**6, 1 << 30, SECOND), now, RETENTION, len(segments))
--- a/tests/test_keep_processes.py
+++ b/tests/test_idempotency_processes.py
@@ -1,4 +1,4 @@
-"""Kept results among processes: the program killed at chosen points, its store looked at from outside."""
+"""Stored results among processes: the program killed at chosen points, its store looked at from outside."""
 
 import json
 import os
@@ -11,10 +11,12 @@
 import pytest
 
 from birchslip.admission.types import Outcome
-from birchslip.idempotency.files import Files, StoreWriteError
-from birchslip.idempotency.record_format import FILE, RecordKind, ResultRecord, encode, pieces
+from birchslip.idempotency.errors import StoreWriteError
+from birchslip.idempotency.maintenance import compact_store, show_store, verify_store
+from birchslip.idempotency.record_format import RecordKind, ResultRecord, encode, read_fragments
+from birchslip.idempotency.segment_files import SegmentFiles
+from birchslip.idempotency.segment_header import SEGMENT_HEADER
 from birchslip.idempotency.settings_file import store_settings_schema
-from birchslip.idempotency.tools import compact, show, verify
 
 from .desk import command
 
@@ -28,6 +30,8 @@
     "filling": (1_200, 0),
 }  # labels, kills
 NOW = time.time_ns() // 100_000
+RETENTION = 600_000
+DIGEST = b"d" * 16
 
 
 def start(fault, folder):
@@ -53,11 +57,12 @@
 
 
 @pytest.mark.parametrize("fault", PLAYS)
-def test_no_label_runs_twice_and_every_try_is_answered(plays, fault):
+def test_no_key_runs_twice_and_every_try_is_answered(plays, fault):
     codes, said, folder = plays
     assert codes[fault] == 0, said[fault]
     told = json.loads((folder / f"{fault}.json").read_text())
-    assert told["broken"] == [] and told["double_runs"] == told["unanswered"] == told["other_answer"] == 0
+    assert told["broken"] == []
+    assert told["double_runs"] == told["unanswered"] == told["other_answer"] == 0
     assert (told["labels"], told["kills"] >= PLAYS[fault][1]) == (PLAYS[fault][0], True)
     assert told["first_answer_again"] > 20
     assert told["unknown_beyond"] == 0 or fault == "full-disk"  # there an answer may go out unkept
@@ -68,76 +73,82 @@
     assert sheds["blue"] > 3 * max(sheds["green"], sheds["red"])
 
 
-def put(folder, entries, name="a", serial=1):
-    files = Files(folder, name)
-    files.hold()
-    files.begin(serial)
-    for entry in entries:
-        files.append(encode(entry))
-    files.flush()
-    files.close()
-    return files.path(serial)
+def write_segment(folder, records, serial=1):
+    with SegmentFiles(folder, "a") as files:
+        files.lock()
+        files.create_segment(serial)
+        for record in records:
+            files.append(encode(record))
+        files.flush()
+    return files.path_of(serial)
 
 
-def label(n):
-    return n.to_bytes(16)
-
-
-def begun(n, stamp=NOW):
-    return ResultRecord(RecordKind.BEGUN, label(n), stamp, 600_000, f"{n:016x}", b"d" * 16)
+def started(n, arrived_at=NOW):
+    return ResultRecord(
+        RecordKind.STARTED, n.to_bytes(16), arrived_at, RETENTION, f"{n:016x}", request_digest=DIGEST
+    )
 
 
-def concluded(n, stamp=NOW):
-    more = {"digest": b"d" * 16, "outcome": Outcome.SERVED, "result": b"made"}
-    return ResultRecord(RecordKind.CONCLUDED, label(n), stamp, 600_000, **more)
+def completed(n, arrived_at=NOW):
+    return ResultRecord(
+        RecordKind.COMPLETED,
+        n.to_bytes(16),
+        arrived_at,
+        RETENTION,
+        request_digest=DIGEST,
+        outcome=Outcome.SERVED,
+        result=b"made",
+    )
 
 
-def test_a_store_is_shown_verified_and_made_smaller(tmp_path):
+def test_a_store_is_shown_verified_and_compacted(tmp_path):
     old = NOW - 10**8
-    put(tmp_path, [begun(1, old), concluded(1, old), begun(2), concluded(2), begun(3)])
-    path = put(tmp_path, [begun(4)], serial=2)
+    write_segment(tmp_path, [started(1, old), completed(1, old), started(2), completed(2), started(3)])
+    path = write_segment(tmp_path, [started(4)], serial=2)
     raw = bytearray(path.read_bytes())
-    raw[FILE.size + 50] ^= 1
+    raw[SEGMENT_HEADER.size + 50] ^= 1
     path.write_bytes(raw)
-    told = show(tmp_path, NOW)
+    told = show_store(tmp_path, NOW)
     assert (told["labels"], told["unknown"], told["over"], told["spoilt"]) == (3, 2, 2, 1)
-    assert verify(tmp_path)["troubles"] == [
-        {"file": path.name, "at": FILE.size, "found": "spoilt", "bytes": len(raw) - FILE.size}
+    offset = SEGMENT_HEADER.size
+    assert verify_store(tmp_path)["troubles"] == [
+        {"file": path.name, "at": offset, "found": "spoilt", "bytes": len(raw) - offset}
     ]
     assert command("keep", "verify", str(tmp_path))[0] == 1
-    made = compact(tmp_path, NOW)
-    assert made["labels"] == 3 and made["bytes"] < made["bytes_before"]
-    told = show(tmp_path, NOW)
+    made = compact_store(tmp_path, NOW)
+    assert made["labels"] == 3
+    assert made["bytes"] < made["bytes_before"]
+    told = show_store(tmp_path, NOW)
     assert (told["labels"], told["unknown"], told["files"], told["doubt"]) == (3, 2, 1, False)
-    assert verify(tmp_path)["troubles"] == []
+    assert verify_store(tmp_path)["troubles"] == []
 
 
 @pytest.mark.parametrize("drops", [0, 1])
-def test_killed_while_it_is_made_smaller_it_tells_the_same_of_every_label(tmp_path, monkeypatch, drops):
-    put(tmp_path, [begun(1), concluded(1), begun(2)])
-    put(tmp_path, [concluded(2), begun(3)], serial=2)
-    before, inner, left = show(tmp_path, NOW), Files.drop, [drops]
+def test_a_store_whose_compaction_is_killed_says_the_same_of_every_key(tmp_path, monkeypatch, drops):
+    write_segment(tmp_path, [started(1), completed(1), started(2)])
+    write_segment(tmp_path, [completed(2), started(3)], serial=2)
+    before, inner, left = show_store(tmp_path, NOW), SegmentFiles.delete_segment, [drops]
 
-    def drop(files, serial):
+    def delete_segment(files, serial):
         if not left[0]:
             raise KeyboardInterrupt
         left[0] -= 1
         inner(files, serial)
 
-    monkeypatch.setattr(Files, "drop", drop)
+    monkeypatch.setattr(SegmentFiles, "delete_segment", delete_segment)
     with pytest.raises(KeyboardInterrupt):
-        compact(tmp_path, NOW)
-    after = show(tmp_path, NOW)
+        compact_store(tmp_path, NOW)
+    after = show_store(tmp_path, NOW)
     assert [after[name] for name in ("labels", "unknown", "doubt", "runs")] == [3, 1, False, before["runs"]]
 
 
-def test_a_store_with_lost_records_is_not_made_smaller(tmp_path):
-    path = put(tmp_path, [begun(1), begun(2)])
+def test_a_store_with_lost_records_is_not_compacted(tmp_path):
+    path = write_segment(tmp_path, [started(1), started(2)])
     raw = bytearray(path.read_bytes())
-    raw[FILE.size + 5] ^= 1
+    raw[SEGMENT_HEADER.size + 5] ^= 1
     path.write_bytes(raw)
     with pytest.raises(StoreWriteError, match="lost"):
-        compact(tmp_path, NOW)
+        compact_store(tmp_path, NOW)
     assert path.read_bytes() == raw
 
 
@@ -150,12 +161,14 @@
         ('{"folder": "x", "bytes": 10}', "`$.bytes`"),
     ],
 )
-def test_a_wrong_file_of_the_store_keeps_the_program_from_starting(tmp_path, told, words):
+def test_invalid_settings_of_the_store_keep_the_program_from_starting(tmp_path, told, words):
     path = tmp_path / "keep.json"
     path.write_text(told)
     config = str(ROOT / "examples" / "app-server.json")
     code, _, said = command(PROXY_CONFIG=config, BIRCHSLIP_KEEP=str(path))
-    assert code == 2 and words in said and "Traceback" not in said
+    assert code == 2
+    assert words in said
+    assert "Traceback" not in said
 
 
 def test_the_schema_in_the_repository_is_the_one_in_force():
@@ -180,13 +193,16 @@
         while "listening" not in first.stderr.readline():
             assert first.poll() is None
         code, _, said = command(**there)
-        assert code == 2 and "another program has the store" in said and "Traceback" not in said
+        assert code == 2
+        assert "another program has the store" in said
+        assert "Traceback" not in said
         assert command("keep", "show", str(tmp_path / "kept"))[0] == 0
         assert command("keep", "compact", str(tmp_path / "kept"))[0] == 2
     finally:
         first.send_signal(signal.SIGTERM)
         first.wait(PATIENCE)
         first.stderr.close()
-    files = Files(tmp_path / "kept", config["name"])
-    held, doubt = files.read_all()
-    assert len(held) == 1 and not doubt and not list(pieces(held[0][1], FILE.size))
+    files = SegmentFiles(tmp_path / "kept", config["name"])
+    (segment,) = files.read_segments()
+    assert not files.has_damaged_header
+    assert list(read_fragments(segment.raw, SEGMENT_HEADER.size)) == []
--- /dev/null
+++ b/tests/test_key_index.py
@@ -0,0 +1,28 @@
+"""The index of idempotency keys against a dict."""
+
+from hypothesis import given, settings
+from hypothesis import strategies as some
+
+from birchslip.idempotency.key_index import KeyIndex, RecordLocation, pack_location, unpack_location
+
+
+@given(some.lists(some.tuples(some.integers(0, 40), some.integers(1, 60), some.integers(0, 9)), max_size=120))
+@settings(max_examples=100, deadline=None)
+def test_the_index_finds_what_a_dict_would(steps):
+    index, expected = KeyIndex(), {}
+    for number, expires_at, location in steps:
+        key = (number * 2**64).to_bytes(16)  # halves alike, to collide
+        index.put(key, expires_at, location)
+        expected[key] = (expires_at, location)
+    for key, (expires_at, location) in expected.items():
+        assert index.get(key, expires_at) == location
+        assert index.get(key, expires_at + 1) is None  # a tick later
+    assert len(index) == len(expected)
+    index.rebuild(30)
+    live = {key for key, (expires_at, _) in expected.items() if expires_at >= 30}
+    assert {entry.key for entry in index.entries(0)} == live
+
+
+@given(some.integers(1, 2**31), some.integers(0, 2**32 - 1))
+def test_a_location_is_packed_and_unpacked(serial, offset):
+    assert unpack_location(pack_location(serial, offset)) == RecordLocation(serial, offset)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -460,19 +460,19 @@
 
 
 class Kept:
-    """Stands for the keeper: what waits for a flush is let go by hand."""
+    """Stands for the result store: what waits for a flush is let go by hand."""
 
     def __init__(self):
         self.waiting, self.voided = [], []
 
-    def begin(self, passage, then):
-        self.waiting.append(then)
+    def record_start(self, request, listener):
+        self.waiting.append(listener)
 
-    def conclude(self, passage, conclusion, then):
-        self.waiting.append(then)
+    def record_completion(self, request, conclusion, listener):
+        self.waiting.append(listener)
 
-    def void(self, passage):
-        self.voided.append(passage.name)
+    def record_never_ran(self, request):
+        self.voided.append(request.name)
 
 
 @pytest.fixture
--- a/tests/test_stored_results_record.py
+++ b/tests/test_stored_results_record.py
@@ -7,23 +7,23 @@
 import pytest
 
 from birchslip.admission.types import Outcome
-from birchslip.idempotency.files import Files
+from birchslip.idempotency.key_index import UNKNOWN_LOCATION, unpack_location
+from birchslip.idempotency.maintenance import compact_store, show_store, verify_store
 from birchslip.idempotency.record_format import (
-    FILE,
     RecordKind,
     ResultRecord,
-    digest_of,
+    digest_request,
     encode,
-    file_head,
-    pieces,
+    read_fragments,
 )
 from birchslip.idempotency.recovery import recover
 from birchslip.idempotency.retention_budget import RetentionBudget
-from birchslip.idempotency.tools import compact, show, verify
+from birchslip.idempotency.segment_files import SegmentFiles
+from birchslip.idempotency.segment_header import encode_segment_header
 
 NOW = 10**13
-WINDOW = 170_000
-RECOVERED_AT = NOW + WINDOW // 2
+RETENTION = 170_000
+RECOVERED_AT = NOW + RETENTION // 2
 DIGEST = b"d" * 16
 UNKNOWN_RESULT = (None, None)
 REPEATED = b"repeated " * 60
@@ -162,12 +162,20 @@
 
 
 def started(number):
-    return ResultRecord(RecordKind.BEGUN, key(number), NOW, WINDOW, f"{number:016x}", DIGEST)
+    return ResultRecord(
+        RecordKind.STARTED, key(number), NOW, RETENTION, f"{number:016x}", request_digest=DIGEST
+    )
 
 
 def completed(number, outcome, result):
     return ResultRecord(
-        RecordKind.CONCLUDED, key(number), NOW, WINDOW, digest=DIGEST, outcome=outcome, result=result
+        RecordKind.COMPLETED,
+        key(number),
+        NOW,
+        RETENTION,
+        request_digest=DIGEST,
+        outcome=outcome,
+        result=result,
     )
 
 
@@ -216,64 +224,66 @@
 
 def recover_folder(folder):
     """What is known of the store, with the budget that its files take."""
-    stored, doubt = Files(folder, "a").read_all()
+    files = SegmentFiles(folder, "a")
     budget = RetentionBudget(10**6, 1 << 30, 10_000)
-    recovered = recover(stored, budget, RECOVERED_AT, WINDOW, FILE.size, 4)
-    assert not doubt
+    recovered = recover(files.read_segments(), budget, RECOVERED_AT, RETENTION, 4)
+    assert not files.has_damaged_header
     return recovered, budget
 
 
-def recovered_results(folder, recovered):
+def recovered_results(recovered):
     results = {}
     for number in range(1, 28):
-        where = recovered.index.get(key(number), NOW + WINDOW)
-        if where is None:
+        packed = recovered.index.get(key(number), NOW + RETENTION)
+        if packed is None:
             continue
-        if where == (1 << 64) - 1:
+        if packed == UNKNOWN_LOCATION:
             results[number] = UNKNOWN_RESULT
             continue
-        raw = STORED_FILES[where >> 32]
-        record = next(pieces(raw, where & 0xFFFFFFFF)).entry
+        location = unpack_location(packed)
+        raw = STORED_FILES[location.serial]
+        record = next(read_fragments(raw, location.offset)).decode(raw)
         results[number] = (record.outcome, record.result)
     return results
 
 
-def found_counts(recovered):
-    return {found.value: count for found, count in recovered.found.items()}
+def state_counts(recovered):
+    return {state.value: count for state, count in recovered.fragment_counts.items()}
 
 
 def test_a_stored_folder_recovers_to_the_same_results(folder):
     recovered, budget = recover_folder(folder)
-    assert recovered_results(folder, recovered) == RESULTS
-    assert found_counts(recovered) == {"good": 26, "torn": 1, "spoilt": 1, "lost": 0}
-    assert sorted(recovered.runs) == [f"{7:016x}", f"{8:016x}"]
-    assert (recovered.over, recovered.unknown, recovered.doubt, recovered.cut) == (3, 3, False, 672)
-    assert budget.live == 12
-    assert [(file.serial, file.size, file.last - NOW) for file in budget.files] == [
-        (1, 559, WINDOW),
-        (2, 426, WINDOW),
-        (3, 396, WINDOW + WINDOW // 2),
-        (4, 672, WINDOW),
+    assert recovered_results(recovered) == RESULTS
+    assert state_counts(recovered) == {"good": 26, "torn": 1, "spoilt": 1, "lost": 0}
+    assert sorted(recovered.open_runs) == [f"{7:016x}", f"{8:016x}"]
+    assert (recovered.expired, recovered.unknown, recovered.truncated_at) == (3, 3, 672)
+    assert not recovered.is_in_doubt
+    assert budget.live_entries == 12
+    assert [(one.serial, one.size, one.last_expiry - NOW) for one in budget.segments] == [
+        (1, 559, RETENTION),
+        (2, 426, RETENTION),
+        (3, 396, RETENTION + RETENTION // 2),
+        (4, 672, RETENTION),
     ]
 
 
 def test_an_extended_key_stands_for_longer_than_the_others(folder):
     recovered, _ = recover_folder(folder)
-    assert recovered.index.get(key(6), NOW + WINDOW + WINDOW // 2) is not None
-    assert recovered.index.get(key(1), NOW + WINDOW + 1) is None
+    assert recovered.index.get(key(6), NOW + RETENTION + RETENTION // 2) is not None
+    assert recovered.index.get(key(1), NOW + RETENTION + 1) is None
 
 
 def test_a_stored_folder_with_a_lost_record_is_in_doubt(folder):
     flip_byte(folder / "a-00000001.kept", 180)
     recovered, _ = recover_folder(folder)
-    assert recovered_results(folder, recovered) == RESULTS
-    assert found_counts(recovered) == {"good": 25, "torn": 1, "spoilt": 1, "lost": 1}
-    assert recovered.doubt
+    assert recovered_results(recovered) == RESULTS
+    assert state_counts(recovered) == {"good": 25, "torn": 1, "spoilt": 1, "lost": 1}
+    assert recovered.is_in_doubt
     assert recovered.unknown == 3
 
 
 def test_show_and_verify_tell_the_same_of_a_stored_folder(folder):
-    assert show(folder, RECOVERED_AT) == {
+    assert show_store(folder, RECOVERED_AT) == {
         "name": "a",
         "held": False,
         "files": 4,
@@ -290,7 +300,7 @@
         "lost": 0,
         "doubt": False,
     }
-    assert verify(folder) == {
+    assert verify_store(folder) == {
         "name": "a",
         "files": 4,
         "heads": True,
@@ -302,7 +312,12 @@
 
 
 def test_compaction_writes_the_same_file(folder):
-    assert compact(folder, RECOVERED_AT) == {"name": "a", "labels": 12, "bytes_before": 2053, "bytes": 892}
+    assert compact_store(folder, RECOVERED_AT) == {
+        "name": "a",
+        "labels": 12,
+        "bytes_before": 2053,
+        "bytes": 892,
+    }
     assert [path.name for path in sorted(folder.glob("*.kept"))] == ["a-00000005.kept"]
     assert (folder / "a-00000005.kept").read_bytes() == COMPACTED_FILE
 
@@ -314,7 +329,8 @@
 
 @pytest.mark.parametrize("name", RECORDS)
 def test_a_record_of_the_version_before_is_read_whole(name):
-    assert [piece.entry for piece in pieces(STORED_RECORDS[name])] == [RECORDS[name]]
+    raw = STORED_RECORDS[name]
+    assert [fragment.decode(raw) for fragment in read_fragments(raw)] == [RECORDS[name]]
 
 
 def test_every_outcome_has_a_stored_record():
@@ -323,5 +339,5 @@
 
 
 def test_a_file_head_and_a_request_digest_are_as_before():
-    assert file_head(7, "a") == STORED_FILE_HEAD
-    assert digest_of("order", b"body") == STORED_DIGEST
+    assert encode_segment_header(7, "a") == STORED_FILE_HEAD
+    assert digest_request("order", b"body") == STORED_DIGEST
