--- a/birchslip/idempotency/record_format.py
+++ b/birchslip/idempotency/record_format.py
@@ -20,6 +20,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import Enum
+from functools import partial
 from typing import NamedTuple
 
 import xxhash
@@ -213,6 +214,8 @@
     header_size = RECORD_HEADER.size
     unpack_header = RECORD_HEADER.unpack_from
     digest = xxhash.xxh32_intdigest
+    intact = RecordState.INTACT
+    new_fragment = partial(tuple.__new__, RecordFragment)  # skips the constructor, which is Python code
     while offset < end:
         kind = None
         if end - offset >= header_size:
@@ -234,10 +237,11 @@
                 RecordState.TRUNCATED, offset, end - offset, kind, key, arrived_at, retention
             )
             return
-        state = RecordState.INTACT
+        state = intact
         if digest(view[body_offset : body_offset + body_size]) != body_sum:
             state = RecordState.CORRUPT
-        yield RecordFragment(state, offset, header_size + body_size, kind, key, arrived_at, retention)
+        size = header_size + body_size
+        yield new_fragment((state, offset, size, kind, key, arrived_at, retention))
         offset = body_offset + body_size
 
 
--- a/birchslip/idempotency/recovery.py
+++ b/birchslip/idempotency/recovery.py
@@ -87,10 +87,12 @@
     def __init__(self, budget: RetentionBudget, now: int, max_retention: int) -> None:
         self.budget = budget
         self.now = now
+        self.earliest_expiry = now - budget.grace  # before it nobody asks for a key any more
         self.latest_expiry = now + max_retention
         self.store = RecoveredStore(KeyIndex(now - max_retention - budget.grace - 1))
         self.keys: dict[bytes, tuple[int, int]] = {}  # expiry and packed location
-        self.open_records: dict[bytes, ResultRecord] = {}  # started in the segments before
+        self.open_fragments: dict[bytes, RecordFragment] = {}  # started in this segment, not completed
+        self.open_records: dict[bytes, ResultRecord] = {}  # started in those before it, not completed
         self.previous_serial: int | None = None
 
     def read_segment(self, segment: SegmentContent, is_last: bool) -> None:
@@ -99,9 +101,11 @@
             self.store.is_in_doubt = True  # a segment is missing between the two
         self.previous_serial = segment.serial
         self.budget.add_segment(segment.serial, len(segment.raw))
-        for key, fragment in self._apply_records(segment, is_last).items():
+        self._apply_records(segment, is_last)
+        for key, fragment in self.open_fragments.items():
             # Decoded now: the segment is not kept in memory.
             self.open_records[key] = fragment.decode(segment.raw)
+        self.open_fragments.clear()
 
     def finish(self) -> RecoveredStore:
         """Build the index of all keys that were found."""
@@ -115,42 +119,57 @@
                 store.unknown += 1
         return store
 
-    def _apply_records(self, segment: SegmentContent, is_last: bool) -> dict[bytes, RecordFragment]:
-        """Apply a segment's records, and return those that were started in it and are still open."""
-        store, now, grace = self.store, self.now, self.budget.grace
-        started: dict[bytes, RecordFragment] = {}
-        last_expiry = 0
+    def _apply_records(self, segment: SegmentContent, is_last: bool) -> None:
+        intact, started, void = RecordState.INTACT, RecordKind.STARTED, RecordKind.VOID
+        last_expiry = intact_count = 0
         for fragment in read_fragments(segment.raw, SEGMENT_HEADER.size):
-            state = fragment.state
-            store.fragment_counts[state] += 1
-            if state is RecordState.TRUNCATED and is_last:
-                store.truncated_at = fragment.offset
-                self.budget.segments[-1].size = fragment.offset
+            state, _, _, kind, key, arrived_at, retention = fragment
+            if state is not intact:
+                last_expiry = max(last_expiry, self._apply_damaged(fragment, is_last))
                 continue
-            if state is RecordState.TRUNCATED or state is RecordState.LOST:
-                store.is_in_doubt = True
-                last_expiry = self.latest_expiry
-                continue
-            expires_at = min(fragment.arrived_at + fragment.retention, self.latest_expiry)
+            intact_count += 1
+            expires_at = min(arrived_at + retention, self.latest_expiry)
             if expires_at > last_expiry:
                 last_expiry = expires_at
-            if expires_at + grace < now or fragment.kind is RecordKind.VOID:
-                store.expired += 1
-            elif state is RecordState.INTACT and fragment.kind is RecordKind.STARTED:
-                self.keys[fragment.key] = (expires_at, UNKNOWN_LOCATION)
-                started[fragment.key] = fragment
+            if expires_at < self.earliest_expiry or kind is void:
+                self.store.expired += 1
+            elif kind is started:
+                self.keys[key] = (expires_at, UNKNOWN_LOCATION)
+                self.open_fragments[key] = fragment
             else:
-                started.pop(fragment.key, None)
-                self.open_records.pop(fragment.key, None)
-                self._apply_result(segment, fragment, expires_at)
+                self._apply_completed(segment, fragment, expires_at)
+        self.store.fragment_counts[intact] += intact_count
         self.budget.segments[-1].last_expiry = last_expiry
-        return started
 
-    def _apply_result(self, segment: SegmentContent, fragment: RecordFragment, expires_at: int) -> None:
-        """Apply a completed record, or a corrupt one."""
+    def _apply_completed(self, segment: SegmentContent, fragment: RecordFragment, expires_at: int) -> None:
+        key, offset = fragment.key, fragment.offset
+        self._close_run(key)
+        if segment.raw[offset + OUTCOME_OFFSET] in NEVER_RAN_CODES:
+            self.keys.pop(key, None)
+        else:
+            self.keys[key] = (expires_at, pack_location(segment.serial, offset))
+
+    def _apply_damaged(self, fragment: RecordFragment, is_last: bool) -> int:
+        """Apply a record that is not intact, and return when whatever it said expires."""
+        self.store.fragment_counts[fragment.state] += 1
         if fragment.state is RecordState.CORRUPT:
-            self.keys[fragment.key] = (expires_at, UNKNOWN_LOCATION)
-        elif segment.raw[fragment.offset + OUTCOME_OFFSET] in NEVER_RAN_CODES:
-            self.keys.pop(fragment.key, None)
+            return self._apply_corrupt(fragment)
+        if fragment.state is RecordState.TRUNCATED and is_last:
+            self.store.truncated_at = fragment.offset
+            self.budget.segments[-1].size = fragment.offset
+            return 0
+        self.store.is_in_doubt = True
+        return self.latest_expiry
+
+    def _apply_corrupt(self, fragment: RecordFragment) -> int:
+        expires_at = min(fragment.arrived_at + fragment.retention, self.latest_expiry)
+        if expires_at < self.earliest_expiry or fragment.kind is RecordKind.VOID:
+            self.store.expired += 1
         else:
-            self.keys[fragment.key] = (expires_at, pack_location(segment.serial, fragment.offset))
+            self.keys[fragment.key] = (expires_at, UNKNOWN_LOCATION)
+            self._close_run(fragment.key)
+        return expires_at
+
+    def _close_run(self, key: bytes) -> None:
+        self.open_fragments.pop(key, None)
+        self.open_records.pop(key, None)
--- a/tests/test_key_index.py
+++ b/tests/test_key_index.py
@@ -1,12 +1,12 @@
 """The index of idempotency keys against a dict."""
 
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from birchslip.idempotency.key_index import KeyIndex, RecordLocation, pack_location, unpack_location
 
 
-@given(some.lists(some.tuples(some.integers(0, 40), some.integers(1, 60), some.integers(0, 9)), max_size=120))
+@given(st.lists(st.tuples(st.integers(0, 40), st.integers(1, 60), st.integers(0, 9)), max_size=120))
 @settings(max_examples=100, deadline=None)
 def test_the_index_finds_what_a_dict_would(steps):
     index, expected = KeyIndex(), {}
@@ -23,6 +23,6 @@
     assert {entry.key for entry in index.entries(0)} == live
 
 
-@given(some.integers(1, 2**31), some.integers(0, 2**32 - 1))
+@given(st.integers(1, 2**31), st.integers(0, 2**32 - 1))
 def test_a_location_is_packed_and_unpacked(serial, offset):
     assert unpack_location(pack_location(serial, offset)) == RecordLocation(serial, offset)
--- a/tests/test_record_format.py
+++ b/tests/test_record_format.py
@@ -4,7 +4,7 @@
 
 import pytest
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from birchslip.admission.types import Outcome
 from birchslip.idempotency.errors import (
@@ -33,11 +33,11 @@
 
 
 @given(
-    some.binary(min_size=16, max_size=16),
-    some.integers(0, 2**60),
-    some.integers(0, 2**31),
-    some.binary(max_size=6_000),
-    some.sampled_from(list(Outcome)),
+    st.binary(min_size=16, max_size=16),
+    st.integers(0, 2**60),
+    st.integers(0, 2**31),
+    st.binary(max_size=6_000),
+    st.sampled_from(list(Outcome)),
 )
 @settings(max_examples=100, deadline=None)
 def test_what_is_encoded_is_decoded(key, arrived_at, retention, result, outcome):
@@ -59,7 +59,7 @@
     assert {fragment.state for fragment in fragments} == {RecordState.INTACT}
 
 
-@given(some.binary(max_size=400))
+@given(st.binary(max_size=400))
 @settings(max_examples=300, deadline=None)
 def test_any_bytes_are_read_to_their_end_without_a_gap(raw):
     fragments = list(read_fragments(raw))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -5,7 +5,7 @@
 
 import pytest
 from hypothesis import settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from birchslip.admission.types import SECOND, Outcome
@@ -184,7 +184,7 @@
         self.open = {}  # key: when it arrived; launched in this incarnation
         self.completions = 0
 
-    keys = some.sampled_from(KEYS)
+    keys = st.sampled_from(KEYS)
 
     @rule(key=keys)
     def request(self, key):
@@ -214,7 +214,7 @@
             self.open.pop(key, None)
 
     @precondition(lambda self: self.open)
-    @rule(is_flushed=some.booleans())
+    @rule(is_flushed=st.booleans())
     def complete(self, is_flushed):
         key, arrived_at = self.open.popitem()
         self.completions += 1
@@ -225,13 +225,13 @@
             self.incarnation.files.flush()
             self.answers[key] = (result, arrived_at + RETENTION)
 
-    @rule(seconds=some.integers(1, 12))
+    @rule(seconds=st.integers(1, 12))
     def pass_time(self, seconds):
         self.now += seconds * SECOND
         for serial in self.incarnation.budget.remove_expired_segments(self.now):
             self.incarnation.files.delete_segment(serial)
 
-    @rule(seed=some.integers(0, 2**32), power_fails=some.booleans())
+    @rule(seed=st.integers(0, 2**32), power_fails=st.booleans())
     def crash(self, seed, power_fails):
         if power_fails:
             self.system.cut_power(random.Random(seed))
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -174,6 +174,20 @@
     assert not entry.same(later.request(1, b"another body"))
 
 
+def test_a_repeat_of_a_result_that_is_corrupt_by_now_fails(first):
+    request = first.start(1)
+    first.flush()
+    first.complete(request)
+    first.flush()
+    later = first.restart()
+    segment = min(later.system.files)
+    later.system.files[segment].data[-1] ^= 1
+    later.store.find_earlier_result(later.request(1))
+    later.flush()
+    assert later.resolved == [(Outcome.FAILED, b"")]
+    assert later.counters.counts["keep.unread"] == 1
+
+
 @pytest.mark.parametrize(
     ("delay", "is_repeat"),
     [(RETENTION - 10, True), (RETENTION, True), (RETENTION + 10, False)],
--- a/tests/test_retention_budget.py
+++ b/tests/test_retention_budget.py
@@ -1,7 +1,7 @@
 """The bounds of a store: entries, bytes, and the time until there is room."""
 
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from birchslip.admission.types import SECOND
 from birchslip.idempotency.retention_budget import (
@@ -47,7 +47,7 @@
     assert len(budget.segments) == 1
 
 
-@given(some.lists(some.tuples(some.integers(0, 30), some.integers(0, 5)), max_size=60))
+@given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 5)), max_size=60))
 @settings(max_examples=100, deadline=None)
 def test_the_live_entries_are_those_that_counting_anew_would_find(steps):
     budget, expiries, now = RetentionBudget(10**6, 1 << 30, 0), [], 0
