--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -16,6 +16,7 @@
 from typing import Any, TypeVar
 
 import click
+import msgspec
 
 from .cluster.fleet_file import Fleet, read_fleet, schema
 from .cluster.messages import EvictionRequest, OperatorCommand, encode
@@ -400,9 +401,9 @@
 FOLDER = click.argument("folder", type=click.Path(path_type=Path))
 
 
-def of_store(act: Callable[[], dict[str, Any]], as_json: bool) -> dict[str, Any]:
+def of_store(act: Callable[[], msgspec.Struct], as_json: bool) -> dict[str, Any]:
     try:
-        told = act()
+        told: dict[str, Any] = msgspec.to_builtins(act())
     except (ValueError, OSError) as trouble:
         raise NotAsked(str(trouble)) from None
     if as_json:
--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -2,7 +2,7 @@
 
 The index of the recovered store says which keys those are; their results are read from the segments when a
 repeat asks for one. A run whose end the agent still reports is completed late. This module never lets such a
-key run again: that is for the table of keys to decide, which is told that the key has run.
+key run again: the table of keys decides that, and is given an entry that has run.
 """
 
 from __future__ import annotations
@@ -42,10 +42,10 @@
 
 
 class EarlierResults:
-    """The keys of earlier incarnations, and what repeats of them are answered.
+    """The keys of earlier incarnations, and the answers to their repeats.
 
     Attributes:
-        on_resolved: Told the entry of a key and what it came to, once that is known.
+        on_resolved: Notified of the entry of a key and what it came to, once that is known.
     """
 
     def __init__(
--- a/birchslip/idempotency/flush_queue.py
+++ b/birchslip/idempotency/flush_queue.py
@@ -1,7 +1,7 @@
-"""Appends records to the store and tells who waits for a flush; accounts for flushes and the disk's health.
+"""Appends records to the store, notifies who waits for a flush, and accounts for flushes and disk health.
 
-Nobody waits longer than a stall: once the disk is not healthy, all who wait are told that their record is not
-flushed, and that stays said. This module decides which segment a record goes to, and does no I/O itself.
+Nobody waits longer than a stall: once the disk is not healthy, all who wait are notified that their record is
+not flushed, and are not notified again if it is flushed after all. This module decides which segment a record goes to, and does no I/O itself.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 PERCENTILES = 100
 KEY_BYTES = 16
 
-FlushListener = Callable[[bool], None]
+FlushListener = Callable[[bool], None]  # notified whether its record was flushed
 
 
 class FlushQueue:
@@ -74,11 +74,11 @@
         self._writer.submit(task)
 
     def append_and_wait(self, record: ResultRecord, listener: FlushListener) -> None:
-        """Append a record; the listener is told once whether it was flushed, at the latest at a stall."""
+        """Append a record; the listener is notified once, at a stall at the latest, whether it was flushed."""
         self._last_append += 1
         number = self._last_append
         self._listeners[number] = listener
-        self.append(record, lambda task: self._tell_listener(number, not task.error))
+        self.append(record, lambda task: self._notify_listener(number, not task.error))
 
     def time_passed(self) -> None:
         """Detect a stall, and probe a disk that has failed."""
@@ -105,9 +105,9 @@
         if task.error:
             self._abandon_listeners()
 
-    def _tell_listener(self, number: int, is_flushed: bool) -> None:
+    def _notify_listener(self, number: int, is_flushed: bool) -> None:
         listener = self._listeners.pop(number, None)
-        if listener is not None:  # else it was told before that its record is not flushed
+        if listener is not None:  # else it was notified before, at a stall or an error
             listener(is_flushed)
 
     def _abandon_listeners(self) -> None:
--- a/birchslip/idempotency/maintenance.py
+++ b/birchslip/idempotency/maintenance.py
@@ -1,14 +1,16 @@
 """The operators' commands for a store: show it, verify it, and compact it.
 
-Nothing is changed but by `compact_store`, and that only while no program has the store. The keys of the
-reports are read by operators' tools and must not change.
+Nothing is changed but by `compact_store`, and that only while no program has the store. The reports become
+JSON with the operators' words for their fields, which are read by tools and must not change.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterator
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
+
+import msgspec
 
 from ..admission.types import SECOND
 from .errors import StoreWriteError
@@ -33,6 +35,106 @@
 MAX_SHOWN_RUNS = 20
 
 
+class StoreReport(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "owner": "name",
+        "is_locked": "held",
+        "segments": "files",
+        "stored_bytes": "bytes",
+        "keys": "labels",
+        "expired": "over",
+        "first_expiry_s": "first_end_s",
+        "last_expiry_s": "last_end_s",
+        "open_runs": "runs",
+        "intact": RecordState.INTACT.value,
+        "truncated": RecordState.TRUNCATED.value,
+        "corrupt": RecordState.CORRUPT.value,
+        "lost": RecordState.LOST.value,
+        "is_in_doubt": "doubt",
+    },
+):
+    """What a store holds.
+
+    Attributes:
+        owner: The app server whose store it is.
+        is_locked: Whether a program has it at the moment.
+        segments: The number of its files.
+        stored_bytes: The bytes of its files, without a truncated end.
+        keys: The number of keys that have not expired.
+        unknown: How many keys were started, and nothing is known of their results.
+        expired: How many records have expired.
+        first_expiry_s: In how many seconds the first key expires; None without keys.
+        last_expiry_s: In how many seconds the last key expires; None without keys.
+        open_runs: The ids of runs that were started and not completed, up to `MAX_SHOWN_RUNS`.
+        intact: How many records can be read.
+        truncated: How many records are cut short.
+        corrupt: How many records have an intact header and a damaged body.
+        lost: How many stretches have no intact header.
+        is_in_doubt: Whether records were lost, so that keys may be missing.
+    """
+
+    owner: str
+    is_locked: bool
+    segments: int
+    stored_bytes: int
+    keys: int
+    unknown: int
+    expired: int
+    first_expiry_s: float | None
+    last_expiry_s: float | None
+    open_runs: list[str]
+    intact: int
+    truncated: int
+    corrupt: int
+    lost: int
+    is_in_doubt: bool
+
+
+class DamagedRecord(
+    msgspec.Struct,
+    frozen=True,
+    rename={"segment": "file", "offset": "at", "state": "found", "size": "bytes"},
+):
+    """A record that can't be read whole: its segment's file name, its offset and its size in bytes."""
+
+    segment: str
+    offset: int
+    state: RecordState
+    size: int
+
+
+class VerificationReport(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "owner": "name",
+        "segments": "files",
+        "are_headers_intact": "heads",
+        "damaged_records": "troubles",
+    },
+):
+    """Whether every segment header and every record of a store can be read."""
+
+    owner: str
+    segments: int
+    are_headers_intact: bool
+    damaged_records: list[DamagedRecord]
+
+
+class CompactionReport(
+    msgspec.Struct, frozen=True, rename={"owner": "name", "keys": "labels", "bytes_after": "bytes"}
+):
+    """How many keys a store was compacted to, and its size before and after."""
+
+    owner: str
+    keys: int
+    bytes_before: int
+    bytes_after: int
+
+
 class StoreSnapshot(NamedTuple):
     """A whole store in memory: its segments, oldest first, and what is known of its keys."""
 
@@ -41,52 +143,45 @@
     stored_bytes: int
 
 
-def show_store(directory: Path, now: int) -> dict[str, Any]:
+def show_store(directory: Path, now: int) -> StoreReport:
     """Report the keys, their ages and sizes, and what can't be read; `now` is in ticks."""
     owner = find_owner(directory)
     snapshot = _read_store(SegmentFiles(directory, owner), now)
     recovered = snapshot.recovered
+    counts = recovered.fragment_counts
     expiries = sorted(entry.expires_at for entry in recovered.index.entries(now))
-    return {
-        "name": owner,
-        "held": _is_locked(directory, owner),
-        "files": len(snapshot.segments),
-        "bytes": snapshot.stored_bytes,
-        "labels": len(expiries),
-        "unknown": recovered.unknown,
-        "over": recovered.expired,
-        "first_end_s": _seconds_until(expiries[0], now) if expiries else None,
-        "last_end_s": _seconds_until(expiries[-1], now) if expiries else None,
-        "runs": sorted(recovered.open_runs)[:MAX_SHOWN_RUNS],
-        **{state.value: count for state, count in recovered.fragment_counts.items()},
-        "doubt": recovered.is_in_doubt,
-    }
-
-
-def verify_store(directory: Path) -> dict[str, Any]:
+    return StoreReport(
+        owner=owner,
+        is_locked=_is_locked(directory, owner),
+        segments=len(snapshot.segments),
+        stored_bytes=snapshot.stored_bytes,
+        keys=len(expiries),
+        unknown=recovered.unknown,
+        expired=recovered.expired,
+        first_expiry_s=_seconds_until(expiries[0], now) if expiries else None,
+        last_expiry_s=_seconds_until(expiries[-1], now) if expiries else None,
+        open_runs=sorted(recovered.open_runs)[:MAX_SHOWN_RUNS],
+        intact=counts[RecordState.INTACT],
+        truncated=counts[RecordState.TRUNCATED],
+        corrupt=counts[RecordState.CORRUPT],
+        lost=counts[RecordState.LOST],
+        is_in_doubt=recovered.is_in_doubt,
+    )
+
+
+def verify_store(directory: Path) -> VerificationReport:
     """Read every record whole, and report where one can't be read."""
     owner = find_owner(directory)
     files = SegmentFiles(directory, owner)
-    troubles = []
+    damaged_records: list[DamagedRecord] = []
     segment_count = 0
     for segment in files.read_segments():
         segment_count += 1
-        name = files.path_of(segment.serial).name
-        for fragment in read_fragments(segment.raw, SEGMENT_HEADER.size):
-            state = fragment.decoded_state(segment.raw)
-            if state is not RecordState.INTACT:
-                troubles.append(
-                    {"file": name, "at": fragment.offset, "found": state.value, "bytes": fragment.size}
-                )
-    return {
-        "name": owner,
-        "files": segment_count,
-        "heads": not files.has_damaged_header,
-        "troubles": troubles,
-    }
-
-
-def compact_store(directory: Path, now: int) -> dict[str, Any]:
+        damaged_records += _find_damaged(segment, files.path_of(segment.serial).name)
+    return VerificationReport(owner, segment_count, not files.has_damaged_header, damaged_records)
+
+
+def compact_store(directory: Path, now: int) -> CompactionReport:
     """Write what has not expired to one new segment; the others are deleted once that is flushed.
 
     Raises:
@@ -109,12 +204,7 @@
         for segment in snapshot.segments:
             files.delete_segment(segment.serial)
         files.system.flush_directory(directory)
-        return {
-            "name": owner,
-            "labels": key_count,
-            "bytes_before": snapshot.stored_bytes,
-            "bytes": files.size,
-        }
+        return CompactionReport(owner, key_count, snapshot.stored_bytes, files.size)
 
 
 def _read_store(files: SegmentFiles, now: int) -> StoreSnapshot:
@@ -141,7 +231,14 @@
     return round((time - now) / SECOND, 1)
 
 
-def _live_records(snapshot: StoreSnapshot, now: int) -> Iterable[bytes]:
+def _find_damaged(segment: SegmentContent, name: str) -> Iterator[DamagedRecord]:
+    for fragment in read_fragments(segment.raw, SEGMENT_HEADER.size):
+        state = fragment.decoded_state(segment.raw)
+        if state is not RecordState.INTACT:
+            yield DamagedRecord(name, fragment.offset, state, fragment.size)
+
+
+def _live_records(snapshot: StoreSnapshot, now: int) -> Iterator[bytes]:
     """The encoded last record of every key that has not expired."""
     contents = dict(snapshot.segments)
     open_records = {record.key: record for record in snapshot.recovered.open_runs.values()}
--- a/birchslip/idempotency/result_store.py
+++ b/birchslip/idempotency/result_store.py
@@ -94,7 +94,7 @@
     # ---- lifetime --------------------------------------------------------------------------------------
 
     def set_resolution_listener(self, listener: ResolutionListener) -> None:
-        """Set who is told what the keys of earlier incarnations have come to; before `start`."""
+        """Set who is notified of what keys of earlier incarnations have come to; before `start`."""
         self.earlier_results.on_resolved = listener
 
     def start(self) -> None:
@@ -166,8 +166,8 @@
     def record_start(self, request: Passage, listener: FlushListener) -> None:
         """Record that a request is about to run.
 
-        The listener is told once whether it may be launched: that its started record is flushed, or could
-        not be flushed in time.
+        The listener is notified once whether it may be launched: whether its started record was flushed in
+        time.
         """
         if not self._remaining_keys():
             self.counters.count("keep.no_room")
@@ -190,8 +190,8 @@
     def record_completion(self, request: Passage, conclusion: Conclusion, listener: FlushListener) -> None:
         """Record what a run has come to.
 
-        The listener is told once that the request may be answered: that its completed record is flushed, or
-        that the disk takes too long.
+        The listener is notified once, and the request may be answered: its completed record is flushed, or
+        the disk takes too long.
         """
         completed = replace(
             _make_started(request),
--- a/tests/test_idempotency_processes.py
+++ b/tests/test_idempotency_processes.py
@@ -12,8 +12,8 @@
 
 from birchslip.admission.types import Outcome
 from birchslip.idempotency.errors import StoreWriteError
-from birchslip.idempotency.maintenance import compact_store, show_store, verify_store
-from birchslip.idempotency.record_format import RecordKind, ResultRecord, encode, read_fragments
+from birchslip.idempotency.maintenance import DamagedRecord, compact_store, show_store, verify_store
+from birchslip.idempotency.record_format import RecordKind, RecordState, ResultRecord, encode, read_fragments
 from birchslip.idempotency.segment_files import SegmentFiles
 from birchslip.idempotency.segment_header import SEGMENT_HEADER
 from birchslip.idempotency.settings_file import store_settings_schema
@@ -108,19 +108,18 @@
     raw = bytearray(path.read_bytes())
     raw[SEGMENT_HEADER.size + 50] ^= 1
     path.write_bytes(raw)
-    told = show_store(tmp_path, NOW)
-    assert (told["labels"], told["unknown"], told["over"], told["spoilt"]) == (3, 2, 2, 1)
+    report = show_store(tmp_path, NOW)
+    assert (report.keys, report.unknown, report.expired, report.corrupt) == (3, 2, 2, 1)
     offset = SEGMENT_HEADER.size
-    assert verify_store(tmp_path)["troubles"] == [
-        {"file": path.name, "at": offset, "found": "spoilt", "bytes": len(raw) - offset}
-    ]
+    damaged = DamagedRecord(path.name, offset, RecordState.CORRUPT, len(raw) - offset)
+    assert verify_store(tmp_path).damaged_records == [damaged]
     assert command("keep", "verify", str(tmp_path))[0] == 1
-    made = compact_store(tmp_path, NOW)
-    assert made["labels"] == 3
-    assert made["bytes"] < made["bytes_before"]
-    told = show_store(tmp_path, NOW)
-    assert (told["labels"], told["unknown"], told["files"], told["doubt"]) == (3, 2, 1, False)
-    assert verify_store(tmp_path)["troubles"] == []
+    compaction = compact_store(tmp_path, NOW)
+    assert compaction.keys == 3
+    assert compaction.bytes_after < compaction.bytes_before
+    report = show_store(tmp_path, NOW)
+    assert (report.keys, report.unknown, report.segments, report.is_in_doubt) == (3, 2, 1, False)
+    assert verify_store(tmp_path).damaged_records == []
 
 
 @pytest.mark.parametrize("drops", [0, 1])
@@ -139,7 +138,8 @@
     with pytest.raises(KeyboardInterrupt):
         compact_store(tmp_path, NOW)
     after = show_store(tmp_path, NOW)
-    assert [after[name] for name in ("labels", "unknown", "doubt", "runs")] == [3, 1, False, before["runs"]]
+    assert (after.keys, after.unknown, after.is_in_doubt) == (3, 1, False)
+    assert after.open_runs == before.open_runs
 
 
 def test_a_store_with_lost_records_is_not_compacted(tmp_path):
--- a/tests/test_stored_results_record.py
+++ b/tests/test_stored_results_record.py
@@ -4,6 +4,7 @@
 several files, a record that extends its key's retention, one with a corrupt body, one that is cut short.
 """
 
+import msgspec
 import pytest
 
 from birchslip.admission.types import Outcome
@@ -283,7 +284,7 @@
 
 
 def test_show_and_verify_tell_the_same_of_a_stored_folder(folder):
-    assert show_store(folder, RECOVERED_AT) == {
+    assert msgspec.to_builtins(show_store(folder, RECOVERED_AT)) == {
         "name": "a",
         "held": False,
         "files": 4,
@@ -300,7 +301,7 @@
         "lost": 0,
         "doubt": False,
     }
-    assert verify_store(folder) == {
+    assert msgspec.to_builtins(verify_store(folder)) == {
         "name": "a",
         "files": 4,
         "heads": True,
@@ -312,12 +313,8 @@
 
 
 def test_compaction_writes_the_same_file(folder):
-    assert compact_store(folder, RECOVERED_AT) == {
-        "name": "a",
-        "labels": 12,
-        "bytes_before": 2053,
-        "bytes": 892,
-    }
+    report = msgspec.to_builtins(compact_store(folder, RECOVERED_AT))
+    assert report == {"name": "a", "labels": 12, "bytes_before": 2053, "bytes": 892}
     assert [path.name for path in sorted(folder.glob("*.kept"))] == ["a-00000005.kept"]
     assert (folder / "a-00000005.kept").read_bytes() == COMPACTED_FILE
 
