--- a/birchslip/idempotency/flush_queue.py
+++ b/birchslip/idempotency/flush_queue.py
@@ -1,7 +1,8 @@
 """Appends records to the store, notifies who waits for a flush, and accounts for flushes and disk health.
 
 Nobody waits longer than a stall: once the disk is not healthy, all who wait are notified that their record is
-not flushed, and are not notified again if it is flushed after all. This module decides which segment a record goes to, and does no I/O itself.
+not flushed, and are not notified again if it is flushed after all. This module decides which segment a record
+goes to, and does no I/O itself.
 """
 
 from __future__ import annotations
@@ -74,7 +75,7 @@
         self._writer.submit(task)
 
     def append_and_wait(self, record: ResultRecord, listener: FlushListener) -> None:
-        """Append a record; the listener is notified once, at a stall at the latest, whether it was flushed."""
+        """Append a record; the listener is notified once whether it was flushed, at a stall at the latest."""
         self._last_append += 1
         number = self._last_append
         self._listeners[number] = listener
