--- a/birchslip/cluster/plan_subscription.py
+++ b/birchslip/cluster/plan_subscription.py
@@ -1,8 +1,9 @@
-"""A member's side: which planner's word holds, until when, and what is left when none is heard.
+"""A member's view of the plan: which planner's replies are binding, and until when.
 
-A word holds only from the highest epoch heard, and within an epoch from the one planner that used it. Spans
-count from when the member sent what the word answers, on a clock that does not jump: a word that was long
-on its way, or written by a leader that was paused meanwhile, is over by the time it comes.
+Decides only what holds; `planner_link.py` carries it out. A reply is binding only if its term is the highest
+heard of and, within a term, if it comes from the one planner that used it first. Spans are counted from when
+the member sent the report that is replied to, on a monotonic clock: a reply that was long on its way, or was
+written by a leader that was paused in between, has expired when it arrives.
 """
 
 from __future__ import annotations
@@ -13,79 +14,119 @@
 from .messages import Incarnation, PlanAssignment, ReportReply
 
 
-def override_of(tell: PlanAssignment, tenants: Mapping[str, Tenant], until: int) -> PlanOverride:
-    """The plan in the decisions' own terms; what it says of tenants that are not told here is left out."""
-    words = {kind.value: kind for kind in SheddingTier}
+def plan_override(assignment: PlanAssignment, tenants: Mapping[str, Tenant], expires_at: int) -> PlanOverride:
+    """Translates an assignment for the admission controller; tenants and tiers unknown here are left out."""
+    known_tiers = {tier.value: tier for tier in SheddingTier}
     return PlanOverride(
-        term=tell.term,
-        number=tell.number,
-        expires_at=until,
-        fade_span=max(1, tell.fade_span),
-        quotas={tenants[name]: rate for name, rate in tell.quotas.items() if name in tenants},
-        evacuated_callers=frozenset(tell.evacuated_callers),
-        evacuated_quota=tell.evacuated_quota,
-        shedding_order=tuple(words[word] for word in tell.shedding_order if word in words),
-        serving_fraction=tell.serving_fraction,
-        is_capacity_short=tell.is_capacity_short,
+        term=assignment.term,
+        number=assignment.number,
+        expires_at=expires_at,
+        fade_span=max(1, assignment.fade_span),
+        quotas={tenants[name]: rate for name, rate in assignment.quotas.items() if name in tenants},
+        evacuated_callers=frozenset(assignment.evacuated_callers),
+        evacuated_quota=assignment.evacuated_quota,
+        shedding_order=tuple(known_tiers[tier] for tier in assignment.shedding_order if tier in known_tiers),
+        serving_fraction=assignment.serving_fraction,
+        is_capacity_short=assignment.is_capacity_short,
     )
 
 
 class PlanSubscription:
-    """`kept` is the part of the vault's share that needs no lease; `patience` how long a start waits for
-    a word.
+    """What one member has been assigned, and what of it still holds.
+
+    All times are of the member's monotonic clock, in units of 0.1 ms.
+
+    Attributes:
+        unleased_calls: Downstream calls that may run without a lease.
+        listed_after: From when it is listed if no planner has replied.
+        term: Highest term that it has accepted a reply of.
+        leader: The run of the planner that used this term.
+        assignment: The assignment in force, expired or not.
+        assignment_expires_at: Until when it holds at full strength.
+        plan_number: Number of its plan.
+        call_limit: Downstream calls that may run at once under the lease.
+        lease_expires_at: When the lease ends.
+        assigned_listing: Whether routers may find the member, as the leader said last.
+        report_interval: Span between two reports, as the leader said last; 0 before.
+        rejected_replies: Number of replies of outdated leaders.
     """
 
-    def __init__(self, kept: float, patience: int, now: int) -> None:
-        self.kept, self.listed_from = kept, now + patience
-        self.epoch = 0
-        self.author = Incarnation()
-        self.plan: PlanAssignment | None = None
-        self.plan_until = 0
-        self.number = 0
-        self.share, self.lease_until = kept, 0
-        self.told_listed: bool | None = None
-        self.every = 0
-        self.refused = 0
-        self.knock: dict[str, str] = {}
-
-    def take(self, reply: ReportReply, sent: int, now: int) -> bool:
-        """Whether the word is one to obey."""
+    def __init__(self, unleased_calls: float, listing_delay: int, now: int) -> None:
+        """Begins without an assignment.
+
+        Args:
+            unleased_calls: Downstream calls that may run without a lease.
+            listing_delay: How long a starting member waits for a reply before it is listed.
+            now: The present time.
+        """
+        self.unleased_calls = unleased_calls
+        self.listed_after = now + listing_delay
+        self.term = 0
+        self.leader = Incarnation()
+        self.assignment: PlanAssignment | None = None
+        self.assignment_expires_at = 0
+        self.plan_number = 0
+        self.call_limit = unleased_calls
+        self.lease_expires_at = 0
+        self.assigned_listing: bool | None = None
+        self.report_interval = 0
+        self.rejected_replies = 0
+
+    def accept(self, reply: ReportReply, sent: int, now: int) -> bool:
+        """Takes in a reply to a report sent at a time; returns whether it is binding."""
         if not reply.is_leading:
             return False
-        if reply.term < self.epoch or (reply.term == self.epoch and reply.planner != self.author):
-            self.refused += 1
+        if self.is_outdated(reply):
+            self.rejected_replies += 1
             return False
-        if reply.term > self.epoch:
-            self.epoch, self.author, self.number = reply.term, reply.planner, 0
-        self.every = reply.report_interval
-        self.knock = reply.probe_addresses
-        tell = reply.assignment
-        if tell is None:
-            self.told_listed = True
-        elif tell.term == self.epoch and tell.number >= self.number and sent + tell.validity_span > now:
-            # A word that came late may be over already, or older than the plan that is held.
-            if tell.number > self.number or sent + tell.validity_span > self.plan_until:
-                self.plan_until = sent + tell.validity_span
-            self.plan, self.number, self.told_listed = tell, tell.number, tell.is_listed
-        if reply.lease_span and sent + reply.lease_span > max(now, self.lease_until):
-            self.share, self.lease_until = max(self.kept, reply.call_limit), sent + reply.lease_span
+        if reply.term > self.term:
+            self.term = reply.term
+            self.leader = reply.planner
+            self.plan_number = 0
+        self.report_interval = reply.report_interval
+        if reply.assignment is None:
+            self.assigned_listing = True
+        else:
+            self.accept_assignment(reply.assignment, sent, now)
+        lease_expires_at = sent + reply.lease_span
+        if reply.lease_span and lease_expires_at > max(now, self.lease_expires_at):
+            self.call_limit = max(self.unleased_calls, reply.call_limit)
+            self.lease_expires_at = lease_expires_at
         return True
 
-    def calls(self, now: int) -> float:
-        """The calls that may be in hand at this moment."""
-        return self.share if now < self.lease_until else self.kept
+    def is_outdated(self, reply: ReportReply) -> bool:
+        """Whether a reply is of an earlier leader, or of a second one in the same term."""
+        if reply.term == self.term:
+            return reply.planner != self.leader
+        return reply.term < self.term
+
+    def accept_assignment(self, assignment: PlanAssignment, sent: int, now: int) -> None:
+        """Takes over an assignment, unless it has expired or is of an older plan than the one in force."""
+        expires_at = sent + assignment.validity_span
+        if assignment.term != self.term or assignment.number < self.plan_number or expires_at <= now:
+            return
+        if assignment.number > self.plan_number or expires_at > self.assignment_expires_at:
+            self.assignment_expires_at = expires_at
+        self.assignment = assignment
+        self.plan_number = assignment.number
+        self.assigned_listing = assignment.is_listed
+
+    def allowed_calls(self, now: int) -> float:
+        """Downstream calls that may run at this moment."""
+        return self.call_limit if now < self.lease_expires_at else self.unleased_calls
 
-    def lease_left(self, now: int) -> int:
-        return max(0, self.lease_until - now)
+    def lease_remaining(self, now: int) -> int:
+        """Time left of the lease."""
+        return max(0, self.lease_expires_at - now)
 
-    def left(self, now: int) -> int:
-        """How long the plan that is held still holds, at full strength."""
-        return max(0, self.plan_until - now)
+    def assignment_remaining(self, now: int) -> int:
+        """How long the assignment still holds at full strength."""
+        return max(0, self.assignment_expires_at - now)
 
-    def listed(self, now: int) -> bool:
-        """Whether routers may find it: as the plan in force says, and as ever where there is none."""
-        if self.told_listed is None:
-            return now >= self.listed_from
-        if self.plan is not None and not self.told_listed:
-            return now >= self.plan_until + self.plan.fade_span
-        return self.told_listed
+    def is_listed(self, now: int) -> bool:
+        """Whether routers may find the member: as assigned, and as without planners once that has faded."""
+        if self.assigned_listing is None:
+            return now >= self.listed_after
+        if self.assignment is not None and not self.assigned_listing:
+            return now >= self.assignment_expires_at + self.assignment.fade_span
+        return self.assigned_listing
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -1,8 +1,7 @@
-"""An app server's side of the fleet: it reports to all planners, obeys the leader, and knocks where it is
-asked.
+"""An app server's link to its planners: it reports to all of them and applies the leader's plan.
 
-Nothing here is on the path of a transaction. A planner that is slow, silent, gone or wrong costs a task its
-patience; what holds meanwhile is what `obey.py` says.
+Decides nothing: what is binding is decided by `plan_subscription.py`. No request of a caller ever waits for a
+planner; one that is slow, silent or wrong costs only the task that talks to it.
 """
 
 from __future__ import annotations
@@ -11,6 +10,7 @@
 import random
 from collections.abc import Callable
 from functools import partial
+from typing import NamedTuple
 
 from ..admission.driver import AdmissionDriver
 from ..admission.types import AdmissionSettings, Tenant
@@ -23,39 +23,60 @@
 from ..net.site import address
 from .fleet_file import Fleet, span
 from .member_metrics import Figures, Rates, room_of
-from .messages import (
-    Incarnation,
-    MemberReport,
-    ProbeOutcome,
-    ProbeResult,
-    ReportReply,
-    decode,
-    encode,
-)
+from .member_prober import MAX_RESULTS, MemberProber
+from .messages import Incarnation, MemberReport, ReportReply, decode, encode
 from .monotonic_clock import monotonic_now
-from .plan_subscription import PlanSubscription, override_of
+from .peer_channel import PlannerMethod
+from .plan_subscription import PlanSubscription, plan_override
 from .transport import PeerConnection, RequestRefusedError
 
-WAIT_FIRST, WAIT_MOST = 1_000, 20_000  # before a planner is dialled again: 100 ms at first, 2 s at most
-LIMIT = 5_000  # a reply that takes longer than half a second is none
-KNOCK_LIMIT = 3_000
-KNOCK_AGAIN = 2_000  # a door is knocked at five times a second at most
-KNOCKS_KEPT = 10_000  # what was met is told for a second
-KNOCKS_MOST = 8
-SAMPLE = 1_000
-MEMORY = 10_000  # its size is looked at once a second
+# All spans are in units of 0.1 ms.
+MIN_RETRY_DELAY = 1_000
+MAX_RETRY_DELAY = 20_000
+MIN_REPORT_PAUSE = 100
+REPLY_TIMEOUT = 5_000
+SAMPLE_INTERVAL = 1_000
+MEMORY_INTERVAL = 10_000
+NONCE_BYTES = 6
+
+
+class ControllerLoad(NamedTuple):
+    """The part of a report that comes from the admission controller; see `MemberReport`."""
+
+    uptime: int
+    is_warm: bool
+    capacity: float
+    slowdown: float
+    calls_in_flight: float
+
+
+NO_LOAD = ControllerLoad(uptime=0, is_warm=False, capacity=0.0, slowdown=1.0, calls_in_flight=0.0)
 
 
 class MemberStatus:
-    """What the program tells of itself, asked for at each report."""
+    """What the app server tells of itself; it goes into each report.
+
+    Attributes:
+        address: HOST:PORT where routers find it.
+        is_serving: Whether it accepts requests.
+        is_draining: Whether it has been told to stop.
+    """
 
     def __init__(self) -> None:
-        self.door = ""
-        self.serving = self.leaving = False
+        """Begins as not yet serving."""
+        self.address = ""
+        self.is_serving = False
+        self.is_draining = False
 
 
 class PlannerLink:
-    """The tie of one app server to its fleet. `InvalidInputError` at its making names what does not fit."""
+    """The link of one app server to all planners of its fleet.
+
+    Attributes:
+        status: Set by the app server.
+        driver: The admission controller's driver, once it runs; set by the app server.
+        on_listing_changed: Called when the member is to be listed, or no longer; set by the app server.
+    """
 
     def __init__(
         self,
@@ -64,215 +85,234 @@
         log: Log,
         fleet: Fleet,
         name: str,
-        deployment: AdmissionSettings,
+        settings: AdmissionSettings,
         tenants: list[str],
-        profiles: list[str],
+        request_classes: list[str],
     ) -> None:
+        """Sets it up without connecting yet.
+
+        Args:
+            scheduler: Runs the tasks.
+            counters: What is counted for operators.
+            log: Where events go.
+            fleet: The fleet.
+            name: The app server's name in it.
+            settings: The app server's settings.
+            tenants: Names of the settings' tenants, in order.
+            request_classes: Names of the settings' request classes, in order.
+
+        Raises:
+            InvalidInputError: If the fleet has no such member.
+        """
         site = fleet.site_of(name)
         if site is None:
             raise InvalidInputError(f"sites: no member is named {name!r}")
-        self.scheduler, self.counters, self.log = scheduler, counters, log
-        self.fleet, self.name, self.site = fleet, name, site.name
-        self.routers = frozenset(site.routers)
-        self.tenants: dict[str, Tenant] = dict(zip(tenants, deployment.tenants, strict=True))
-        self.names = {id(tenant): told for told, tenant in self.tenants.items()}
-        self.deployment = deployment
-        self.incarnation = Incarnation(nonce=int.from_bytes(os.urandom(6)))
-        base = fleet.bases().get(name, 0.0)
-        vault = fleet.vault
-        self.obey = PlanSubscription(
-            vault.kept * base if vault else 0.0, span(fleet.patience_ms), monotonic_now()
-        )
+        self.scheduler = scheduler
+        self.counters = counters
+        self.log = log
+        self.fleet = fleet
+        self.name = name
+        self.site = site.name
+        self.settings = settings
+        self.local_callers = frozenset(site.routers)
+        self.tenants: dict[str, Tenant] = dict(zip(tenants, settings.tenants, strict=True))
+        self.tenant_names = {id(tenant): tenant_name for tenant_name, tenant in self.tenants.items()}
+        self.incarnation = Incarnation(nonce=int.from_bytes(os.urandom(NONCE_BYTES)))
+        self.rng = random.Random(self.incarnation.nonce)
+        self.subscription = self.make_subscription()
+        self.prober = MemberProber(scheduler, counters)
         self.rates = Rates(tenants)
-        self.figures = Figures(profiles)
-        self.memory = self.memory_due = 0
-        self.standing = MemberStatus()
-        self.number = 0
-        self.met: dict[str, tuple[int, str]] = {}
-        self.knocking: dict[str, int] = {}
-        self.calls = -1.0
-        self.listed = False
-        self.listing_changed: Callable[[], None] = lambda: None
-        self.driver: AdmissionDriver | None = None  # the decisions, once they have begun
-        self.chance = random.Random(self.incarnation.nonce)
+        self.outcome_counts = Figures(request_classes)
+        self.status = MemberStatus()
+        self.driver: AdmissionDriver | None = None
+        self.on_listing_changed: Callable[[], None] = lambda: None
+        self.sequence = 0
+        self.resident_memory_kb = 0
+        self.memory_due_at = 0
+        self.allowed_calls = -1.0
+        self.is_listed = False
+
+    def make_subscription(self) -> PlanSubscription:
+        """The subscription, with the downstream calls that need no lease."""
+        vault = self.fleet.vault
+        unleased_calls = vault.kept * self.fleet.bases()[self.name] if vault else 0.0
+        return PlanSubscription(unleased_calls, span(self.fleet.patience_ms), monotonic_now())
 
     def start(self) -> None:
+        """Starts a task for each planner, in an order of its own."""
         planners = list(self.fleet.planners)
-        self.chance.shuffle(planners)
+        self.rng.shuffle(planners)
         for planner in planners:
-            line = PeerConnection(self.scheduler, address(planner.address, "address"))
-            self.scheduler.spawn(f"planner {planner.name}", partial(self.keep, planner.name, line))
-        self.log.info("in a fleet", site=self.site, planners=len(planners), mark=self.incarnation.nonce)
-        self.scheduler.at(self.scheduler.now + SAMPLE, self.sample)
-
-    # ---- what the program tells ------------------------------------------------------------------------
-
-    def seen(self, passage: Passage) -> None:
-        """A transaction has been taken in."""
-        transaction = passage.transaction
-        tenant = self.names.get(id(transaction.tenant), "") if transaction.tenant is not None else ""
-        at_home = not self.routers or transaction.caller in self.routers
-        self.rates.arrived(self.scheduler.now, tenant, at_home, transaction.is_retry)
-
-    def answered(self, passage: Passage, what: str) -> None:
-        transaction = passage.transaction
+            connection = PeerConnection(self.scheduler, address(planner.address, "address"))
+            task = partial(self.report_forever, planner.name, connection)
+            self.scheduler.spawn(f"planner {planner.name}", task)
+        self.log.info("joined_fleet", site=self.site, planners=len(planners), mark=self.incarnation.nonce)
+        self.scheduler.at(self.scheduler.now + SAMPLE_INTERVAL, self.sample)
+
+    # ---- what the app server tells ---------------------------------------------------------------------
+
+    def record_arrival(self, passage: Passage) -> None:
+        """Counts a request that has been admitted to the app server."""
+        request = passage.transaction
+        tenant = self.tenant_names.get(id(request.tenant), "") if request.tenant is not None else ""
+        is_local = not self.local_callers or request.caller in self.local_callers
+        self.rates.arrived(self.scheduler.now, tenant, is_local, request.is_retry)
+
+    def record_answer(self, passage: Passage, outcome: str) -> None:
+        """Counts a request that has been answered, with its run time."""
+        request = passage.transaction
         now = self.scheduler.now
-        late = now - transaction.arrived_at > transaction.request_class.latency_objective
-        ran = now - passage.launched_at if passage.launched else -1
-        self.figures.answered(passage.profile, what, ran, late)
+        is_late = now - request.arrived_at > request.request_class.latency_objective
+        run_time = now - passage.launched_at if passage.launched else -1
+        self.outcome_counts.answered(passage.profile, outcome, run_time, is_late)
 
     def sample(self) -> None:
-        """What was answered is read off the counters ten times a second."""
+        """Takes over the counters of answers, then again after an interval."""
         now = self.scheduler.now
         counts = self.counters.counts
         self.rates.answered(now, counts["book.honoured"], counts["book.shed"])
-        self.scheduler.at(now + SAMPLE, self.sample)
+        self.scheduler.at(now + SAMPLE_INTERVAL, self.sample)
 
-    def check(self) -> None:
-        """Before each batch of decisions: a lease that has ended binds before the next call is made.
+    def apply_lease(self) -> None:
+        """Has the controller keep to the calls that are allowed at this moment.
 
-        Guards against a pause of any length, of this process or of the machine.
+        Called before each batch of decisions, so that a lease that ended in a pause of this process or of the
+        machine binds before the next downstream call.
         """
         if self.driver is None or self.fleet.vault is None:
             return
-        calls = self.obey.calls(monotonic_now())
-        if calls != self.calls:
-            if calls < self.calls and calls == self.obey.kept:
-                self.counters.count("fleet.leases_lapsed")
-                self.log.info("the lease of the vault's share has ended", kept=calls)
-            self.calls = calls
-            self.driver.set_downstream_quota(calls)
-
-    def may_be_listed(self) -> bool:
-        listed = self.obey.listed(monotonic_now())
-        if listed != self.listed:
-            self.listed = listed
-            self.log.info(
-                "routers may find it" if listed else "routers are not to find it", epoch=self.obey.epoch
-            )
-        return listed
-
-    # ---- planners --------------------------------------------------------------------------------------
-
-    def keep(self, planner: str, line: PeerConnection) -> None:
-        """The task of one planner: a report, its answer, and so on for as long as the program lives."""
-        wait = WAIT_FIRST
+        allowed_calls = self.subscription.allowed_calls(monotonic_now())
+        if allowed_calls == self.allowed_calls:
+            return
+        if allowed_calls < self.allowed_calls and allowed_calls == self.subscription.unleased_calls:
+            self.counters.count("fleet.leases_lapsed")
+            self.log.info("downstream_lease_expired", kept=allowed_calls)
+        self.allowed_calls = allowed_calls
+        self.driver.set_downstream_quota(allowed_calls)
+
+    def update_listing(self) -> bool:
+        """Whether routers may find this app server; logs a change."""
+        is_listed = self.subscription.is_listed(monotonic_now())
+        if is_listed != self.is_listed:
+            self.is_listed = is_listed
+            event = "member_listed" if is_listed else "member_unlisted"
+            self.log.info(event, epoch=self.subscription.term)
+        return is_listed
+
+    # ---- reports to planners ---------------------------------------------------------------------------
+
+    def report_forever(self, planner: str, connection: PeerConnection) -> None:
+        """The task of one planner: a report, its reply, a pause, and so on."""
+        retry_delay = MIN_RETRY_DELAY
         while True:
             began = self.scheduler.tell_time()
+            pause = span(self.fleet.report_ms)
             try:
-                self.report(line)
-                wait = WAIT_FIRST
+                self.send_report(connection)
+                retry_delay = MIN_RETRY_DELAY
                 self.counters.count("fleet.reports")
-                pause = self.obey.every or span(self.fleet.report_ms)
-            except RequestRefusedError as trouble:
+                pause = self.subscription.report_interval or pause
+            except RequestRefusedError as error:
                 self.counters.count("fleet.refused")
-                self.log.fault("a planner would not take a report", planner=planner, why=str(trouble))
-                pause = span(self.fleet.report_ms)
-            except (OSError, InvalidInputError) as trouble:
+                self.log.fault("report_refused", planner=planner, why=str(error))
+            except (OSError, InvalidInputError) as error:
                 self.counters.count("fleet.missed")
-                self.log.fault("a planner can't be told", planner=planner, why=str(trouble))
-                line.close()
-                pause, wait = wait + self.chance.randrange(wait), min(2 * wait, WAIT_MOST)
-            except Exception as trouble:
-                # Whatever a planner sends: it ends this report, and the next is made.
+                self.log.fault("planner_unreachable", planner=planner, why=str(error))
+                connection.close()
+                pause = retry_delay + self.rng.randrange(retry_delay)
+                retry_delay = min(2 * retry_delay, MAX_RETRY_DELAY)
+            except Exception as error:
+                # Whatever a planner sends must not end the task.
                 self.counters.count("fleet.faults")
-                self.log.trace("a fault with a planner", trouble, planner=planner)
-                line.close()
-                pause = WAIT_MOST
-            self.scheduler.sleep(max(began + pause, self.scheduler.now + WAIT_FIRST // 10))
+                self.log.trace("planner_link_failed", error, planner=planner)
+                connection.close()
+                pause = MAX_RETRY_DELAY
+            self.scheduler.sleep(max(began + pause, self.scheduler.now + MIN_REPORT_PAUSE))
+
+    def send_report(self, connection: PeerConnection) -> None:
+        """Sends one report and applies its reply, if that is binding.
 
-    def report(self, line: PeerConnection) -> None:
+        Raises:
+            RequestRefusedError: If the planner refuses the report.
+            OSError: If there is no reply in time.
+            InvalidInputError: If the reply is malformed.
+        """
         sent = monotonic_now()
-        raw = line.call("report", encode(self.told(sent)), self.scheduler.now + LIMIT)
+        report = encode(self.build_report(sent))
+        raw = connection.call(PlannerMethod.REPORT.value, report, self.scheduler.now + REPLY_TIMEOUT)
         reply = decode(raw, ReportReply)
         now = monotonic_now()
-        refused = self.obey.refused
-        if self.obey.take(reply, sent, now):
-            self.carry_out(reply, now)
-        elif self.obey.refused > refused:
+        rejected_before = self.subscription.rejected_replies
+        if self.subscription.accept(reply, sent, now):
+            self.apply_reply(reply, now)
+        elif self.subscription.rejected_replies > rejected_before:
             self.counters.count("fleet.outdated")
-            self.log.fault("a word of a leader of older days", epoch=reply.term, obeyed=self.obey.epoch)
+            self.log.fault("outdated_leader", epoch=reply.term, obeyed=self.subscription.term)
 
-    def told(self, now: int) -> MemberReport:
-        self.number += 1
+    def build_report(self, now: int) -> MemberReport:
+        """The next report, at a time of the monotonic clock."""
+        self.sequence += 1
         moment = self.scheduler.now
-        rates, controller = self.rates, self.driver.controller if self.driver is not None else None
-        load, visits, again, honoured, shed = rates.now(moment)
-        if moment >= self.memory_due:
-            self.memory, self.memory_due = memory(), moment + MEMORY
-        site = self.deployment
-        age = max(0, moment - controller.started) if controller is not None else 0
-        self.met = {name: (at, what) for name, (at, what) in self.met.items() if moment - at <= KNOCKS_KEPT}
+        self.sample_memory(moment)
+        load, visits, again, honoured, shed = self.rates.now(moment)
+        controller_load = self.controller_load(honoured)
         return MemberReport(
             name=self.name,
             site=self.site,
             incarnation=self.incarnation,
-            sequence=self.number,
-            address=self.standing.door,
-            uptime=age,
-            is_serving=self.standing.serving,
-            is_draining=self.standing.leaving,
-            is_warm=controller is not None and (not controller.site.starts_cold or age >= site.warm_up_span),
-            capacity=room_of(site.cores, controller.all_runs.usual, honoured)
-            if controller is not None
-            else 0.0,
-            slowdown=max(0.0, controller.stretch) if controller is not None else 1.0,
+            sequence=self.sequence,
+            address=self.status.address,
+            uptime=controller_load.uptime,
+            is_serving=self.status.is_serving,
+            is_draining=self.status.is_draining,
+            is_warm=controller_load.is_warm,
+            capacity=controller_load.capacity,
+            slowdown=controller_load.slowdown,
             local_load=load,
             evacuated_load=visits,
             retries=again,
             served=honoured,
             rejected=shed,
-            calls_in_flight=float(controller.in_hand) if controller is not None else 0.0,
-            call_limit=max(0.0, self.obey.calls(now)),
-            lease_remaining=self.obey.lease_left(now),
-            plan_term=self.obey.epoch,
-            plan_number=self.obey.number,
-            probes=[
-                ProbeResult(member=name, outcome=ProbeOutcome(what)) for name, (_, what) in self.met.items()
-            ][:KNOCKS_MOST],
-            metrics=self.figures.told(self.counters.counts),
-            latency_histograms={name: list(counts) for name, counts in self.figures.took.items()},
-            resident_memory_kb=self.memory,
+            calls_in_flight=controller_load.calls_in_flight,
+            call_limit=max(0.0, self.subscription.allowed_calls(now)),
+            lease_remaining=self.subscription.lease_remaining(now),
+            plan_term=self.subscription.term,
+            plan_number=self.subscription.plan_number,
+            probes=self.prober.results(),
+            metrics=self.outcome_counts.told(self.counters.counts),
+            latency_histograms={name: list(counts) for name, counts in self.outcome_counts.took.items()},
+            resident_memory_kb=self.resident_memory_kb,
         )
 
-    def carry_out(self, reply: ReportReply, now: int) -> None:
-        for name, door in list(reply.probe_addresses.items())[:KNOCKS_MOST]:
-            self.knock(name, door)
-        if self.listed != self.obey.listed(now):
-            self.listing_changed()
-        tell = reply.assignment
-        if tell is None or self.driver is None or tell is not self.obey.plan:
-            return
-        until = self.scheduler.now + self.obey.left(now)
-        if self.driver.apply_plan(override_of(tell, self.tenants, until)):
-            self.counters.count("fleet.plans")
+    def controller_load(self, served: float) -> ControllerLoad:
+        """What the admission controller shows, given the rate of served requests."""
+        if self.driver is None:
+            return NO_LOAD
+        controller = self.driver.controller
+        uptime = max(0, self.scheduler.now - controller.started)
+        return ControllerLoad(
+            uptime=uptime,
+            is_warm=not controller.site.starts_cold or uptime >= self.settings.warm_up_span,
+            capacity=room_of(self.settings.cores, controller.all_runs.usual, served),
+            slowdown=max(0.0, controller.stretch),
+            calls_in_flight=float(controller.in_hand),
+        )
 
-    # ---- witness ---------------------------------------------------------------------------------------
+    def sample_memory(self, now: int) -> None:
+        """Reads the resident memory, if that is due."""
+        if now >= self.memory_due_at:
+            self.resident_memory_kb = memory()
+            self.memory_due_at = now + MEMORY_INTERVAL
 
-    def knock(self, name: str, door: str) -> None:
-        """A health check at another member's door, for the planners; what is met is told with the next
-        reports.
-        """
-        now = self.scheduler.now
-        if now - self.knocking.get(name, -KNOCK_AGAIN) < KNOCK_AGAIN or len(self.knocking) > 4 * KNOCKS_MOST:
-            return
-        self.knocking = {one: at for one, at in self.knocking.items() if now - at < KNOCK_AGAIN}
-        self.knocking[name] = now
-        self.scheduler.spawn(f"knock at {name}", lambda: self.knock_once(name, door))
-
-    def knock_once(self, name: str, door: str) -> None:
-        self.counters.count("fleet.knocks")
-        try:
-            line = PeerConnection(self.scheduler, address(door, "door"))
-        except ValueError:
+    def apply_reply(self, reply: ReportReply, now: int) -> None:
+        """Carries out a binding reply: probes, listing and the plan."""
+        for member, member_address in list(reply.probe_addresses.items())[:MAX_RESULTS]:
+            self.prober.start(member, member_address)
+        if self.is_listed != self.subscription.is_listed(now):
+            self.on_listing_changed()
+        assignment = reply.assignment
+        if assignment is None or self.driver is None or assignment is not self.subscription.assignment:
             return
-        try:
-            line.call("ping", b"", self.scheduler.now + KNOCK_LIMIT, params=[{}])
-            what = "answered"
-        except ConnectionRefusedError:
-            what = "refused"
-        except OSError as trouble:
-            what = "refused" if trouble.errno == 111 else "silent"
-        finally:
-            line.close()
-        self.met[name] = (self.scheduler.now, what)
+        expires_at = self.scheduler.now + self.subscription.assignment_remaining(now)
+        if self.driver.apply_plan(plan_override(assignment, self.tenants, expires_at)):
+            self.counters.count("fleet.plans")
--- a/birchslip/lab/explore.py
+++ b/birchslip/lab/explore.py
@@ -231,9 +231,13 @@
     def report(self, seat: Seat) -> None:
         node = self.nodes[self.chance.choice(self.names)]
         sent = seat.clock(self.true)
-        held = max(0.0, seat.obey.calls(sent) - seat.obey.kept) if seat.obey.lease_left(sent) else 0.0
+        held = (
+            max(0.0, seat.obey.allowed_calls(sent) - seat.obey.unleased_calls)
+            if seat.obey.lease_remaining(sent)
+            else 0.0
+        )
         wanted = self.chance.choice((0.0, 0.5, 1.0, 2.0, 6.0))
-        epoch = seat.obey.epoch
+        epoch = seat.obey.term
         self.to_node(node, lambda: self.heard(node, seat, held, wanted, epoch, sent))
 
     def heard(self, node: Node, seat: Seat, held: float, wanted: float, epoch: int, sent: int) -> None:
@@ -271,7 +275,7 @@
         if self.true < seat.paused_until:
             self.flight.append((seat.paused_until, lambda: self.obeyed(seat, reply, sent)))
             return
-        if seat.obey.take(reply, sent, seat.clock(self.true)):
+        if seat.obey.accept(reply, sent, seat.clock(self.true)):
             seat.history.append((reply.term, reply.planner.nonce))
 
     # ---- trouble ---------------------------------------------------------------------------------------
@@ -342,7 +346,7 @@
         ]
         if len(lead) > 1:
             raise Fault(f"seed {self.seed}, step {self.steps}: {lead} lead at once")
-        used = sum(seat.obey.calls(seat.clock(self.true)) for seat in self.seats.values())
+        used = sum(seat.obey.allowed_calls(seat.clock(self.true)) for seat in self.seats.values())
         self.most = max(self.most, used)
         if used > TOTAL + 1e-6:
             raise Fault(f"seed {self.seed}, step {self.steps}: {used:.2f} calls of {TOTAL:g} may be in hand")
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -20,7 +20,7 @@
     ProbeResult,
     ReportReply,
 )
-from ...cluster.plan_subscription import PlanSubscription, override_of
+from ...cluster.plan_subscription import PlanSubscription, plan_override
 from ...cluster.planner_state import LOOK, PlannerState
 from ...cluster.rollout import PlatformOrder, RolloutSpec
 from ...cluster.rollout_controller import RolloutCommand
@@ -82,7 +82,7 @@
         """A lease that has ended binds before the next call is made."""
         if self.planners.fleet.vault is None or self.server.driver is None:
             return
-        calls = self.obey.calls(self.planners.world.clock.now)
+        calls = self.obey.allowed_calls(self.planners.world.clock.now)
         if calls != self.calls:
             self.calls = calls
             self.server.driver.set_downstream_quota(calls)
@@ -91,7 +91,7 @@
         if not self.alive:
             return
         clock, planners = self.planners.world.clock, self.planners
-        every = self.obey.every or span(planners.fleet.report_ms)
+        every = self.obey.report_interval or span(planners.fleet.report_ms)
         clock.after(every, self.report)
         if self.server.paused or planners.gone:
             return
@@ -128,10 +128,10 @@
             served=honoured,
             rejected=shed,
             calls_in_flight=float(controller.in_hand),
-            call_limit=max(0.0, self.obey.calls(now)),
-            lease_remaining=self.obey.lease_left(now),
-            plan_term=self.obey.epoch,
-            plan_number=self.obey.number,
+            call_limit=max(0.0, self.obey.allowed_calls(now)),
+            lease_remaining=self.obey.lease_remaining(now),
+            plan_term=self.obey.term,
+            plan_number=self.obey.plan_number,
             probes=[
                 ProbeResult(member=name, outcome=ProbeOutcome(what)) for name, (_, what) in self.met.items()
             ][:KNOCKS_MOST],
@@ -143,15 +143,15 @@
         if not self.alive or self.server.paused:
             return
         now, server = self.planners.world.clock.now, self.server
-        if not self.obey.take(reply, sent, now):
+        if not self.obey.accept(reply, sent, now):
             return
         for name in reply.probe_addresses:
             self.knock(name)
         tell = reply.assignment
-        if tell is not None and tell is self.obey.plan and server.driver is not None:
+        if tell is not None and tell is self.obey.assignment and server.driver is not None:
             server.driver.advance_clock(now)
-            until = now + self.obey.left(now)
-            server.driver.apply_plan(override_of(tell, self.planners.tenants, until))
+            until = now + self.obey.assignment_remaining(now)
+            server.driver.apply_plan(plan_override(tell, self.planners.tenants, until))
             if server.dozes and server.driver.controller.force:
                 server.dozes = False
                 server.tick(server.life)
@@ -196,7 +196,7 @@
 
     def may_be_found(self, server: AppServer) -> bool:
         bond = self.bonds.get(server.name)
-        return bond is None or bond.obey.listed(self.world.clock.now)
+        return bond is None or bond.obey.is_listed(self.world.clock.now)
 
     # ---- time ------------------------------------------------------------------------------------------
 
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -73,14 +73,14 @@
     """What stands beside one app server for its fleet; without one nothing here is any different."""
 
     driver: AdmissionDriver | None
-    standing: Any
-    listing_changed: Callable[[], None]
+    status: Any
+    on_listing_changed: Callable[[], None]
 
     def start(self) -> None: ...
-    def seen(self, passage: Passage) -> None: ...
-    def answered(self, passage: Passage, what: str) -> None: ...
-    def check(self) -> None: ...
-    def may_be_listed(self) -> bool: ...
+    def record_arrival(self, passage: Passage) -> None: ...
+    def record_answer(self, passage: Passage, what: str) -> None: ...
+    def apply_lease(self) -> None: ...
+    def update_listing(self) -> bool: ...
 
 
 class Keep(Keeping, Protocol):
@@ -146,15 +146,15 @@
     def accompany(self, companion: Companion) -> None:
         """Before `run`: the fleet's side of it."""
         self.companion = companion
-        companion.listing_changed = self.catalog.hurry
+        companion.on_listing_changed = self.catalog.hurry
         taken = self.take_in.admit
 
         def seen(passage: Passage) -> None:
             taken(passage)
-            self.scheduler.guard(lambda: companion.seen(passage), "companion")
+            self.scheduler.guard(lambda: companion.record_arrival(passage), "companion")
 
         def answered(passage: Passage, what: str) -> None:
-            self.scheduler.guard(lambda: companion.answered(passage, what), "companion")
+            self.scheduler.guard(lambda: companion.record_answer(passage, what), "companion")
 
         self.take_in.admit, self.book.told = seen, answered
 
@@ -173,8 +173,8 @@
         self.log.info("phase", left=self.phase.value, now=phase.value)
         self.phase = phase
         if self.companion is not None:
-            self.companion.standing.serving = phase is Phase.SERVING
-            self.companion.standing.leaving = phase not in (Phase.STARTING, Phase.SERVING)
+            self.companion.status.is_serving = phase is Phase.SERVING
+            self.companion.status.is_draining = phase not in (Phase.STARTING, Phase.SERVING)
 
     def run(self) -> None:
         self.hear_signals()
@@ -188,7 +188,7 @@
         if self.keeper is not None:
             self.keeper.start()
         if self.companion is not None:
-            self.companion.standing.door = f"{host}:{port}"
+            self.companion.status.address = f"{host}:{port}"
             self.companion.start()
         try:
             self.scheduler.run()
@@ -277,7 +277,7 @@
         """Once a pass."""
         if self.companion is not None:
             # Whatever is wrong with the fleet's side, the batch goes on.
-            self.scheduler.guard(self.companion.check, "companion")
+            self.scheduler.guard(self.companion.apply_lease, "companion")
         self.admit.settle()
         if self.phase in (Phase.DRAINING, Phase.SHUT) and not self.clients.all and not self.admit.news:
             self.close()
@@ -361,7 +361,7 @@
         self.admit.tick(Gauges(self.agent.cores_used()))
 
     def passing(self) -> bool:
-        if self.companion is not None and not self.companion.may_be_listed():
+        if self.companion is not None and not self.companion.update_listing():
             return False
         return self.clients.good and self.phase in (Phase.STARTING, Phase.SERVING)
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The vote, the fence and the leases over many histories; without any one rule a fault is found."""
+"""Election, fencing and leases over many random histories; without any one rule a violation is found."""
 
 import pytest
 
@@ -9,36 +9,36 @@
 from birchslip.lab.explore import Explorer, Fault, explore
 
 
-def test_no_history_breaks_a_rule():
+def test_no_history_violates_a_guarantee():
     told = explore(range(40), 2_000)
     assert told["reigns"] > 80  # or nothing was tried
 
 
 class Unfenced(PlanSubscription):
-    """Obeys whoever speaks last."""
+    """Accepts replies of any term."""
 
-    def take(self, reply, sent, now):
-        self.epoch = min(self.epoch, reply.term)
-        self.author = reply.planner if reply.term == self.epoch else self.author
-        return super().take(reply, sent, now)
+    def accept(self, reply, sent, now):
+        self.term = min(self.term, reply.term)
+        self.leader = reply.planner if reply.term == self.term else self.leader
+        return super().accept(reply, sent, now)
 
 
-class Late(PlanSubscription):
-    """Counts a lease from when the answer came."""
+class LeasedFromReceipt(PlanSubscription):
+    """Counts a lease from when the reply arrived."""
 
-    def take(self, reply, sent, now):
-        return super().take(reply, now, now)
+    def accept(self, reply, sent, now):
+        return super().accept(reply, now, now)
 
 
-class Hasty(Election):
-    """Votes at once after a start, whatever it had promised before."""
+class NeverSilent(Election):
+    """Votes at once after a start, whatever it promised before."""
 
     @property
     def silent_span(self):
         return 0
 
 
-class Fickle(Election):
+class VotingTwice(Election):
     """Grants a second vote while the first one still holds."""
 
     def handle_vote_request(self, request, now):
@@ -46,8 +46,8 @@
         return super().handle_vote_request(request, now)
 
 
-class Trusting(Election):
-    """Takes its disk for what it last had."""
+class TrustingDisk(Election):
+    """Trusts its disk whatever the others have seen."""
 
     def has_lost_state(self, own):
         return False
@@ -57,20 +57,20 @@
     ("what", "mistake"),
     [
         ("went from epoch", {"obedience": Unfenced}),
-        ("calls of", {"obedience": Late}),
-        ("lead at once", {"ballot": Hasty}),
-        ("lead at once", {"ballot": Fickle}),
-        ("a majority kept", {"ballot": Trusting}),
+        ("calls of", {"obedience": LeasedFromReceipt}),
+        ("lead at once", {"ballot": NeverSilent}),
+        ("lead at once", {"ballot": VotingTwice}),
+        ("a majority kept", {"ballot": TrustingDisk}),
         ("a majority kept", {"forgetful": True}),
     ],
     ids=["no fence", "lease from receipt", "no quiet start", "two votes", "old disk trusted", "no flush"],
 )
-def test_without_a_rule_the_fault_is_found(what, mistake):
+def test_a_violation_is_found_without_one_of_the_rules(what, mistake):
     with pytest.raises(Fault, match=what):
         explore(range(400), 2_000, **mistake)
 
 
-def test_a_share_lent_before_its_owner_has_surely_stopped_is_found(monkeypatch):
+def test_a_lease_granted_before_the_last_one_has_surely_ended_is_found(monkeypatch):
     class Eager(QuotaLeases):
         def sure(self, now):
             return True
--- a/tests/test_bond.py
+++ b/tests/test_planner_link.py
@@ -1,4 +1,4 @@
-"""An app server's tie to its planners: what is told to the decisions, and what binds without a word."""
+"""An app server's linked to its planners: what is told to the decisions, and what binds without a word."""
 
 import json
 import time
@@ -14,7 +14,7 @@
     SheddingTier,
     Tenant,
 )
-from birchslip.cluster import planner_link as bonds
+from birchslip.cluster import planner_link
 from birchslip.cluster.messages import Incarnation, PlanAssignment, ReportReply, decode, encode
 from birchslip.cluster.monotonic_clock import monotonic_now
 from birchslip.errors import InvalidInputError
@@ -30,38 +30,38 @@
 AUTHOR = Incarnation(generation=1, nonce=7)
 
 
-class Tie:
-    """A bond with the decisions of an app server, and a clock set by hand."""
+class LinkedServer:
+    """A planner link with an admission controller, and a clock that the test sets."""
 
     def __init__(self, folder, monkeypatch):
         self.now = 0
-        monkeypatch.setattr(bonds, "monotonic_now", lambda: self.now)
+        monkeypatch.setattr(planner_link, "monotonic_now", lambda: self.now)
         self.tenant = Tenant(10.0)
         profile = RequestClass(Idempotency.IDEMPOTENT, SECOND, 4 * SECOND)
         self.site = AdmissionSettings(
             [profile], [self.tenant], downstream=Downstream.SHARED, downstream_quota=4.0
         )
         scheduler = Scheduler(lambda: None, lambda name, trouble: None, lambda: self.now)
-        self.bond = bonds.PlannerLink(
+        self.link = planner_link.PlannerLink(
             scheduler, Counters(), Log(scheduler, "a-0"), fleet(folder), "a-0", self.site, ["blue"], ["order"]
         )
-        self.bond.driver = AdmissionDriver(self.site, 0, lambda tx, wish: None, lambda notice: None)
-        self.controller = self.bond.driver.controller
+        self.link.driver = AdmissionDriver(self.site, 0, lambda tx, wish: None, lambda notice: None)
+        self.controller = self.link.driver.controller
 
     def hear(self, sent, now, **more):
-        self.now = self.bond.scheduler.now = now
+        self.now = self.link.scheduler.now = now
         reply = ReportReply(term=64, planner=AUTHOR, is_leading=True, **more)
-        if self.bond.obey.take(reply, sent, now):
-            self.bond.carry_out(reply, now)
-        self.bond.check()
+        if self.link.subscription.accept(reply, sent, now):
+            self.link.apply_reply(reply, now)
+        self.link.apply_lease()
 
 
 @pytest.fixture
-def tie(tmp_path, monkeypatch):
-    return Tie(tmp_path, monkeypatch)
+def linked(tmp_path, monkeypatch):
+    return LinkedServer(tmp_path, monkeypatch)
 
 
-def tell(**more):
+def make_assignment(**more):
     usual = {
         "term": 64,
         "number": 1,
@@ -78,77 +78,81 @@
     return PlanAssignment(**usual | more)
 
 
-def test_without_a_lease_the_kept_part_alone_may_be_in_hand(tie):
-    tie.bond.check()
-    assert tie.controller.calls_share == 2.0  # half of an even share of 24 among six
+def test_without_a_lease_only_the_unleased_calls_are_allowed(linked):
+    linked.link.apply_lease()
+    assert linked.controller.calls_share == 2.0  # half of an even share of 24 among six
 
 
-def test_a_lease_that_ended_in_a_pause_binds_before_the_next_batch(tie):
-    tie.hear(0, 100, call_limit=5.0, lease_span=3 * SECOND)
-    assert tie.controller.calls_share == 5.0
-    tie.now = 60 * SECOND  # stopped for a minute
-    tie.bond.check()
-    assert tie.controller.calls_share == 2.0 and tie.bond.counters.counts["fleet.leases_lapsed"] == 1
+def test_a_lease_that_expired_in_a_pause_is_applied_before_the_next_batch(linked):
+    linked.hear(0, 100, call_limit=5.0, lease_span=3 * SECOND)
+    assert linked.controller.calls_share == 5.0
+    linked.now = 60 * SECOND  # stopped for a minute
+    linked.link.apply_lease()
+    assert linked.controller.calls_share == 2.0 and linked.link.counters.counts["fleet.leases_lapsed"] == 1
 
 
-def test_the_clock_of_leases_does_not_follow_the_systems(monkeypatch):
+def test_the_clock_of_leases_does_not_follow_the_system_clock(monkeypatch):
     before = monotonic_now()
     monkeypatch.setattr(time, "time_ns", lambda: 0)
     monkeypatch.setattr(time, "time", lambda: 0.0)
     assert 0 <= monotonic_now() - before < 60 * SECOND
 
 
-def test_a_plan_reaches_the_decisions_with_what_is_known_here(tie):
-    tie.hear(0, 1_000, assignment=tell())
-    plan = tie.controller.plan
+def test_an_assignment_is_applied_without_unknown_tenants_and_tiers(linked):
+    linked.hear(0, 1_000, assignment=make_assignment())
+    plan = linked.controller.plan
     assert (plan.term, plan.number, plan.expires_at) == (64, 1, 4 * SECOND)
-    assert plan.quotas == {tie.tenant: 3.0} and plan.evacuated_callers == {5} and plan.evacuated_quota == 2.0
+    assert (
+        plan.quotas == {linked.tenant: 3.0} and plan.evacuated_callers == {5} and plan.evacuated_quota == 2.0
+    )
     assert plan.shedding_order == (SheddingTier.EVACUATED, SheddingTier.LOCAL)
     assert plan.serving_fraction == 0.5 and plan.is_capacity_short
 
 
-def test_a_plan_that_came_too_late_or_from_nobody_who_leads_is_not_taken_over(tie):
-    tie.hear(0, 5 * SECOND, assignment=tell())
-    tie.now = 6 * SECOND
-    reply = ReportReply(term=65, planner=AUTHOR, is_leading=False, assignment=tell(term=65, number=9))
-    assert not tie.bond.obey.take(reply, tie.now, tie.now)
-    assert tie.controller.plan.term == 0 and not tie.controller.force
+def test_an_expired_assignment_or_one_of_a_follower_is_not_applied(linked):
+    linked.hear(0, 5 * SECOND, assignment=make_assignment())
+    linked.now = 6 * SECOND
+    reply = ReportReply(
+        term=65, planner=AUTHOR, is_leading=False, assignment=make_assignment(term=65, number=9)
+    )
+    assert not linked.link.subscription.accept(reply, linked.now, linked.now)
+    assert linked.controller.plan.term == 0 and not linked.controller.force
 
 
-def test_what_it_reports_counts_first_tries_at_home_visits_and_further_tries_apart(tie):
-    rates = tie.bond.rates
+def test_reports_count_local_and_evacuated_first_tries_and_retries_apart(linked):
+    rates = linked.link.rates
     for tenant, at_home, again in [("blue", True, False)] * 4 + [
         ("blue", False, False),
         ("blue", True, True),
     ]:
         rates.arrived(SECOND, tenant, at_home, again)
     rates.answered(SECOND, 3, 2)
-    tie.bond.scheduler.now = SECOND
-    told = decode(encode(tie.bond.told(SECOND)), type(report()))
+    linked.link.scheduler.now = SECOND
+    told = decode(encode(linked.link.build_report(SECOND)), type(report()))
     assert (told.local_load, told.evacuated_load, told.retries) == ({"blue": 2.0}, 0.5, 0.5)
     assert (told.served, told.rejected, told.call_limit, told.capacity) == (1.5, 1.0, 2.0, 0.0)
 
 
-def test_figures_grow_by_profile_and_late_ones_whose_caller_left_count(tie):
-    figures = tie.bond.figures
+def test_outcomes_are_counted_by_request_class_and_late_ones_count_after_the_caller_left(linked):
+    figures = linked.link.outcome_counts
     for what, late in [("honoured", False), ("honoured", True), ("shed", False), ("written_off", False),
                        ("gone", True), ("gone", False), ("erred", False)]:  # fmt: skip
         figures.answered("order", what, 500, late)
     told = figures.told({"relay.called": 4, "relay.overdue": 1, "relay.severed": 1})
     assert told == {"late:order": (2, 3), "shed:order": (1, 5), "written_off:order": (2, 4), "calls": (2, 4)}
     figures.answered("order", "honoured", -1, False)  # a repeat
-    report = tie.bond.told(SECOND)
+    report = linked.link.build_report(SECOND)
     assert (
         report.resident_memory_kb > 1_000 and report.latency_histograms["order"][5] == 2
     )  # 50 ms lies below 56.6 ms
 
 
-def test_a_listing_that_changes_is_said_at_once(tie):
+def test_a_changed_listing_is_notified_at_once(linked):
     said = []
-    tie.bond.listing_changed = lambda: said.append(tie.now)
-    assert not tie.bond.may_be_listed()
-    tie.hear(0, 10, assignment=tell())
-    assert said == [10] and tie.bond.may_be_listed()
+    linked.link.on_listing_changed = lambda: said.append(linked.now)
+    assert not linked.link.update_listing()
+    linked.hear(0, 10, assignment=make_assignment())
+    assert said == [10] and linked.link.update_listing()
 
 
 @pytest.mark.parametrize(
@@ -163,12 +167,12 @@
         "text",
     ],
 )
-def test_a_record_that_can_not_be_is_refused_with_a_reason(raw):
+def test_a_malformed_message_is_refused_with_a_reason(raw):
     with pytest.raises(InvalidInputError, match="Re"):
         decode(raw, type(report()) if b"name" in (raw if isinstance(raw, bytes) else b"") else ReportReply)
 
 
-def test_a_fault_on_the_fleets_side_costs_no_transaction_anything(tmp_path, monkeypatch):
+def test_a_fault_of_the_planner_link_affects_no_request(tmp_path, monkeypatch):
     path = tmp_path / "config.json"
     told = json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0", "name": "a-0"}
     path.write_text(json.dumps(told))
@@ -179,7 +183,7 @@
     program.admit.settle = lambda: settled.append(True)
 
     class Faulty:
-        seen = check = answered = lambda *_: 1 / 0
+        record_arrival = apply_lease = record_answer = lambda *_: 1 / 0
 
     program.accompany(Faulty())
     program.take_in.admit("a passage")
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -35,9 +35,9 @@
         amount = shares.grant(name, wanted, 0.0, now)
         assert 0 <= amount <= wanted
         reply = ReportReply(term=1, planner=author, is_leading=True, call_limit=2.0 + amount, lease_span=SPAN)
-        uses[name].take(reply, now - on_its_way, now)
+        uses[name].accept(reply, now - on_its_way, now)
         for moment in (now, now + SPAN // 2):
-            assert sum(one.calls(moment) for one in uses.values()) <= 12.0 + 1e-6
+            assert sum(one.allowed_calls(moment) for one in uses.values()) <= 12.0 + 1e-6
         assert shares.out + shares.kept_sum <= 12.0 + 1e-6
 
 
@@ -111,35 +111,36 @@
 )
 def test_whose_word_holds(said, obeyed):
     member = PlanSubscription(1.0, 0, 0)
-    assert member.take(word(), 0, 10)
-    assert member.take(said, 20, 30) is obeyed
-    assert member.epoch == max(5, said.term if obeyed else 0)
+    assert member.accept(word(), 0, 10)
+    assert member.accept(said, 20, 30) is obeyed
+    assert member.term == max(5, said.term if obeyed else 0)
 
 
 def test_a_word_that_was_long_on_its_way_is_over_when_it_comes():
     member = PlanSubscription(1.0, 0, 0)
-    assert member.take(word(call_limit=3.0, lease_span=30_000), 0, 50_000)
-    assert member.plan is None and member.calls(50_000) == 1.0
+    assert member.accept(word(call_limit=3.0, lease_span=30_000), 0, 50_000)
+    assert member.assignment is None and member.allowed_calls(50_000) == 1.0
 
 
 def test_an_older_plan_of_the_same_epoch_changes_nothing_and_a_doubled_one_can_only_hold_it_longer():
     member = PlanSubscription(1.0, 0, 0)
-    member.take(word(number=4), 0, 10)
-    member.take(word(number=3, listed=False), 5_000, 5_010)
-    assert (member.number, member.listed(5_020)) == (4, True)
-    member.take(word(number=4), 5_000, 5_020)
-    member.take(word(number=4), 0, 5_030)
-    assert member.plan_until == 45_000
+    member.accept(word(number=4), 0, 10)
+    member.accept(word(number=3, listed=False), 5_000, 5_010)
+    assert (member.plan_number, member.is_listed(5_020)) == (4, True)
+    member.accept(word(number=4), 5_000, 5_020)
+    member.accept(word(number=4), 0, 5_030)
+    assert member.assignment_expires_at == 45_000
 
 
 def test_one_that_hears_nobody_is_listed_after_its_patience_and_after_a_plan_has_run_out():
     member = PlanSubscription(1.0, 15_000, 0)
-    assert not member.listed(14_999) and member.listed(15_000)
-    member.take(word(listed=False), 0, 10)
-    assert not member.listed(49_999) and member.listed(50_000)
+    assert not member.is_listed(14_999) and member.is_listed(15_000)
+    member.accept(word(listed=False), 0, 10)
+    assert not member.is_listed(49_999) and member.is_listed(50_000)
 
 
 def test_a_lease_that_was_paused_over_is_found_ended_at_the_next_look():
     member = PlanSubscription(1.0, 0, 0)
-    member.take(word(call_limit=3.0, lease_span=30_000), 0, 10)
-    assert member.calls(29_999) == 3.0 and member.calls(30_000) == 1.0 and member.lease_left(40_000) == 0
+    member.accept(word(call_limit=3.0, lease_span=30_000), 0, 10)
+    assert member.allowed_calls(29_999) == 3.0 and member.allowed_calls(30_000) == 1.0
+    assert member.lease_remaining(40_000) == 0
