--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -386,17 +386,17 @@
     told = fleet_of(path)
     asked = RolloutCommand(what="status", number=number)
     if follow:
-        from .cluster.tables import follow_releases
+        from .cluster.tables import follow_rollouts
 
-        phases = follow_releases(lambda: ask_any(told, asked)["releases"], as_json)
+        phases = follow_rollouts(lambda: ask_any(told, asked)["releases"], as_json)
         raise SystemExit(0 if set(phases) <= {"done", "back"} else 1)
     answer = ask_any(told, asked)
     if as_json:
         click.echo(json.dumps(answer))
     else:
-        from .cluster.tables import show_releases
+        from .cluster.tables import show_rollouts
 
-        show_releases(answer["releases"])
+        show_rollouts(answer["releases"])
 
 
 @release.command()
--- a/birchslip/cluster/tables.py
+++ b/birchslip/cluster/tables.py
@@ -1,18 +1,23 @@
-"""What operators see on a terminal."""
+"""What the commands show on a terminal: the fleet, the loss of a site, rollouts.
+
+Only formats what planners reply; the keys are those of the JSON reports, which operators' tools read too.
+"""
 
 from __future__ import annotations
 
 import json
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any
 
-from rich.console import Console, Group
+from rich.console import Console, Group, RenderableType
 from rich.live import Live
 from rich.table import Table
 
-SITE = ("name", "verdict", "stage", "level", "flaps", "load", "visiting", "refused", "why")
-MEMBER = (
+JsonObject = dict[str, Any]
+
+SITE_COLUMNS = ("name", "verdict", "stage", "level", "flaps", "load", "visiting", "refused", "why")
+MEMBER_COLUMNS = (
     "name",
     "site",
     "life",
@@ -27,95 +32,117 @@
     "plan",
     "restarts",
 )
+BUDGET_COLUMNS = ("name", "allowed", "out")
+ROLLOUT_COLUMNS = ("number", "version", "before", "phase", "batch", "released", "why")
+METRIC_COLUMNS = ("name", "released", "others", "of", "margin", "verdict", "surety")
+ACTIVE_PHASES = frozenset({"running", "backing"})
+FOLLOW_INTERVAL_SECONDS = 0.5
 
 
-def table(title: str, columns: tuple[str, ...], rows: list[dict[str, Any]]) -> Table:
-    made = Table(title=title, title_justify="left", box=None, pad_edge=False)
+def make_table(title: str, columns: Sequence[str], rows: Sequence[JsonObject]) -> Table:
+    """A plain table; a row's missing keys are empty cells."""
+    table = Table(title=title, title_justify="left", box=None, pad_edge=False)
     for column in columns:
-        made.add_column(column)
+        table.add_column(column)
     for row in rows:
-        made.add_row(*(str(row.get(column, "")) for column in columns))
-    return made
+        table.add_row(*(str(row.get(column, "")) for column in columns))
+    return table
 
 
-def show_fleet(told: dict[str, Any]) -> None:
+def show_fleet(report: JsonObject) -> None:
+    """Prints a planner's report of the fleet."""
     console = Console()
-    leads = "leads" if told["leads"] else f"follows {told['leader'] or 'nobody'}"
-    console.print(f"{told['planner']} {leads}, epoch {told['epoch']}, plan {told['plan']}", end="")
-    console.print(", blank" if told["blank"] else "", ", SHORT" if told["short"] else "")
-    for kind, rate in told["refused"].items():
-        console.print(f"refused: {kind} {rate} a second")
-    console.print(table("sites", SITE, told["sites"]))
-    console.print(table("members", MEMBER, told["members"]))
-    if told["groups"]:
-        console.print(table("groups", ("name", "allowed", "out"), told["groups"]))
-        for one in told["permits"]:
-            past = ", past the budgets" if one["override"] else ""
-            console.print(f"permit {one['number']}: {one['holder']}: {one['why']}{past}")
-        console.print(f"waiting: {', '.join(told['waiting']) or 'nobody'}")
-
-
-def show_loss(told: dict[str, Any]) -> None:
+    role = "leads" if report["leads"] else f"follows {report['leader'] or 'nobody'}"
+    console.print(f"{report['planner']} {role}, epoch {report['epoch']}, plan {report['plan']}", end="")
+    blank = ", blank" if report["blank"] else ""
+    short = ", SHORT" if report["short"] else ""
+    console.print(blank, short)
+    for tier, rate in report["refused"].items():
+        console.print(f"refused: {tier} {rate} a second")
+    console.print(make_table("sites", SITE_COLUMNS, report["sites"]))
+    console.print(make_table("members", MEMBER_COLUMNS, report["members"]))
+    if report["groups"]:
+        show_permits(console, report)
+
+
+def show_permits(console: Console, report: JsonObject) -> None:
+    """Prints the disruption budgets, and who is out or waits by them."""
+    console.print(make_table("groups", BUDGET_COLUMNS, report["groups"]))
+    for permit in report["permits"]:
+        override = ", past the budgets" if permit["override"] else ""
+        console.print(f"permit {permit['number']}: {permit['holder']}: {permit['why']}{override}")
+    console.print(f"waiting: {', '.join(report['waiting']) or 'nobody'}")
+
+
+def show_loss(report: JsonObject) -> None:
+    """Prints what the loss of a site would mean."""
     console = Console()
-    console.print(f"without {told['lose']}: {told['load']:.1f} transactions a second look for another place")
-    for _, site, rate in told["flows"]:
-        console.print(f"  to {site}: {rate:.1f} (room {told['room'].get(site, 0.0):.1f})")
-    for kind, rate in told["refused"].items():
-        console.print(f"  refused: {kind} {rate:.1f} a second")
-    vault = told.get("vault")
-    if vault is not None:
-        console.print(f"  vault: {vault['calls']:g} calls in hand, {vault['may_be']:g} may be", end="")
-        console.print(f", short by {vault['short_by']:g}" if vault["short_by"] else "")
-
-
-RELEASE = ("number", "version", "before", "phase", "batch", "released", "why")
-FIGURE = ("name", "released", "others", "of", "margin", "verdict", "surety")
-FOLLOW_EVERY = 0.5  # seconds
-
-
-def releases(told: list[dict[str, Any]]) -> Group:
+    lost = report["lose"]
+    console.print(f"without {lost}: {report['load']:.1f} transactions a second look for another place")
+    for _, site, rate in report["flows"]:
+        console.print(f"  to {site}: {rate:.1f} (room {report['room'].get(site, 0.0):.1f})")
+    for tier, rate in report["refused"].items():
+        console.print(f"  refused: {tier} {rate:.1f} a second")
+    vault = report.get("vault")
+    if vault is None:
+        return
+    console.print(f"  vault: {vault['calls']:g} calls in hand, {vault['may_be']:g} may be", end="")
+    console.print(f", short by {vault['short_by']:g}" if vault["short_by"] else "")
+
+
+def render_rollouts(rollouts: Sequence[JsonObject]) -> Group:
+    """A table of rollouts, and below it each one's progress and metrics."""
     rows = [
         {
-            **one,
-            "batch": f"{one['batch']} of {one['batches']}",
-            "released": f"{one['released']} of {one['members']}",
+            **rollout,
+            "batch": f"{rollout['batch']} of {rollout['batches']}",
+            "released": f"{rollout['released']} of {rollout['members']}",
         }
-        for one in told
+        for rollout in rollouts
     ]
-    parts: list[Any] = [table("releases", RELEASE, rows)]
-    for one in told:
-        if one["doing"]:
-            parts.append(f"{one['number']}: {one['doing']}")
-        if one["left_out"]:
-            parts.append(f"{one['number']}: left out: {', '.join(one['left_out'])}")
-        if one["figures"]:
-            parts.append(table(f"{one['number']}: {one['verdict']}", FIGURE, one["figures"]))
+    parts: list[RenderableType] = [make_table("releases", ROLLOUT_COLUMNS, rows)]
+    for rollout in rollouts:
+        number = rollout["number"]
+        if rollout["doing"]:
+            parts.append(f"{number}: {rollout['doing']}")
+        if rollout["left_out"]:
+            parts.append(f"{number}: left out: {', '.join(rollout['left_out'])}")
+        if rollout["figures"]:
+            parts.append(make_table(f"{number}: {rollout['verdict']}", METRIC_COLUMNS, rollout["figures"]))
     return Group(*parts)
 
 
-def show_releases(told: list[dict[str, Any]]) -> None:
+def show_rollouts(rollouts: Sequence[JsonObject]) -> None:
+    """Prints rollouts."""
     console = Console()
-    console.print(releases(told) if told else "no release")
+    console.print(render_rollouts(rollouts) if rollouts else "no release")
+
+
+def follow_rollouts(query: Callable[[], list[JsonObject]], as_json: bool) -> list[str]:
+    """Shows rollouts until none is active.
 
+    Args:
+        query: Asks the planners for the rollouts.
+        as_json: Whether to print a line of JSON for each change of phases, in place of tables.
 
-def follow_releases(ask: Callable[[], list[dict[str, Any]]], as_json: bool) -> list[str]:
-    """Until none runs; with `as_json` a line for each change. The phases that it came to."""
-    last: Any = None
+    Returns:
+        The phases that the rollouts ended in.
+    """
+    last_phases: list[str] | None = None
     with Live(console=Console(), auto_refresh=False, transient=False) as live:
         while True:
             try:
-                told = ask()
-            except Exception as trouble:  # a leader that has died is followed by another
-                live.console.print(f"not answered: {trouble}", style="dim")
-                time.sleep(FOLLOW_EVERY)
+                rollouts = query()
+            except Exception as error:  # a leader that has died is followed by another
+                live.console.print(f"not answered: {error}", style="dim")
+                time.sleep(FOLLOW_INTERVAL_SECONDS)
                 continue
-            phases = [one["phase"] for one in told]
-            if as_json:
-                if phases != last:
-                    print(json.dumps(told), flush=True)
-                last = phases
-            else:
-                live.update(releases(told), refresh=True)
-            if not {"running", "backing"} & set(phases):
+            phases = [rollout["phase"] for rollout in rollouts]
+            if not as_json:
+                live.update(render_rollouts(rollouts), refresh=True)
+            elif phases != last_phases:
+                print(json.dumps(rollouts), flush=True)
+            last_phases = phases
+            if ACTIVE_PHASES.isdisjoint(phases):
                 return phases
-            time.sleep(FOLLOW_EVERY)
+            time.sleep(FOLLOW_INTERVAL_SECONDS)
