--- a/birchslip/cluster/durable_vote.py
+++ b/birchslip/cluster/durable_vote.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from .messages import PeerObservation, StateVersion
+from .election_messages import PeerObservation, StateVersion
 
 
 class Candidate(NamedTuple):
--- a/birchslip/cluster/election.py
+++ b/birchslip/cluster/election.py
@@ -23,8 +23,7 @@
 from enum import Enum, auto
 
 from .durable_vote import NO_STATE, NOBODY, Candidate, DurableVote, StoredState
-from .messages import (
-    Incarnation,
+from .election_messages import (
     PeerObservation,
     ReplicationRequest,
     ReplicationResponse,
@@ -32,6 +31,7 @@
     VoteRequest,
     VoteResponse,
 )
+from .messages import Incarnation
 from .quorum import CLOCK_DRIFT, LEASE_SPAN, QuorumLease, QuorumReplicas
 
 # All spans are in units of 0.1 ms.
--- a/birchslip/cluster/fleet_validation.py
+++ b/birchslip/cluster/fleet_validation.py
@@ -43,6 +43,13 @@
         seen.add(name)
 
 
+def unknown_names(place: str, names: list[str], known: set[str], what: str) -> Iterator[str]:
+    """Checks that all names are known."""
+    for name in names:
+        if name not in known:
+            yield f"{place}: no {what} {name!r}"
+
+
 def placed_members(fleet: Fleet) -> list[tuple[str, Member]]:
     """All members, each with its place in the file."""
     return [
@@ -96,9 +103,8 @@
     """Checks that links join two different sites, each pair once."""
     site_names = {site.name for site in fleet.sites}
     for index, link in enumerate(fleet.links):
-        for end in (link.source, link.target):
-            if end not in site_names:
-                yield f"links[{index}]: no site is named {end!r}"
+        ends = [link.source, link.target]
+        yield from unknown_names(f"links[{index}]", ends, site_names, "site is named")
         if link.source == link.target:
             yield f"links[{index}]: from {link.source!r} to itself"
     yield from duplicates("links", [f"{link.source} to {link.target}" for link in fleet.links], "link")
@@ -135,18 +141,10 @@
     member_names = {member.name for member in fleet.members}
     service_names = {service.name for service in fleet.services}
     service_kinds = {service.kind for service in fleet.services}
-    for name in budget.sites:
-        if name not in site_names:
-            yield f"{place}.sites: no site is named {name!r}"
-    for name in budget.members:
-        if name not in member_names:
-            yield f"{place}.members: no member is named {name!r}"
-    for name in budget.services:
-        if name not in service_names:
-            yield f"{place}.services: no service is named {name!r}"
-    for kind in budget.service_kinds:
-        if kind not in service_kinds:
-            yield f"{place}.kinds: no service is of the kind {kind!r}"
+    yield from unknown_names(f"{place}.sites", budget.sites, site_names, "site is named")
+    yield from unknown_names(f"{place}.members", budget.members, member_names, "member is named")
+    yield from unknown_names(f"{place}.services", budget.services, service_names, "service is named")
+    yield from unknown_names(f"{place}.kinds", budget.service_kinds, service_kinds, "service is of the kind")
 
 
 def covers_anything(budget: Budget) -> bool:
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -21,13 +21,14 @@
 from ..net.program import memory
 from ..net.scheduler import Scheduler
 from ..net.site import address
-from .fleet_file import Fleet, span
-from .member_metrics import Figures, Rates, room_of
+from .fleet_file import Fleet, Site, span
+from .member_metrics import room_of
 from .member_prober import MAX_RESULTS, MemberProber
 from .messages import Incarnation, MemberReport, ReportReply, decode, encode
 from .monotonic_clock import monotonic_now
 from .peer_channel import PlannerMethod
 from .plan_subscription import PlanSubscription, plan_override
+from .request_recorder import SAMPLE_INTERVAL, RequestRecorder
 from .transport import PeerConnection, RequestRefusedError
 
 # All spans are in units of 0.1 ms.
@@ -35,7 +36,6 @@
 MAX_RETRY_DELAY = 20_000
 MIN_REPORT_PAUSE = 100
 REPLY_TIMEOUT = 5_000
-SAMPLE_INTERVAL = 1_000
 MEMORY_INTERVAL = 10_000
 NONCE_BYTES = 6
 
@@ -53,6 +53,22 @@
 NO_LOAD = ControllerLoad(uptime=0, is_warm=False, capacity=0.0, slowdown=1.0, calls_in_flight=0.0)
 
 
+class MemorySampler:
+    """Reads the process's resident memory, at most once in `MEMORY_INTERVAL`."""
+
+    def __init__(self) -> None:
+        """Begins with a reading due."""
+        self.last_kb = 0
+        self.due_at = 0
+
+    def resident_kb(self, now: int) -> int:
+        """The last reading in KB, a new one if that is due."""
+        if now >= self.due_at:
+            self.last_kb = memory()
+            self.due_at = now + MEMORY_INTERVAL
+        return self.last_kb
+
+
 class MemberStatus:
     """What the app server tells of itself; it goes into each report.
 
@@ -69,6 +85,18 @@
         self.is_draining = False
 
 
+def site_of_member(fleet: Fleet, name: str) -> Site:
+    """The site of a member.
+
+    Raises:
+        InvalidInputError: If the fleet has no such member.
+    """
+    site = fleet.site_of(name)
+    if site is None:
+        raise InvalidInputError(f"sites: no member is named {name!r}")
+    return site
+
+
 class PlannerLink:
     """The link of one app server to all planners of its fleet.
 
@@ -89,24 +117,12 @@
         tenants: list[str],
         request_classes: list[str],
     ) -> None:
-        """Sets it up without connecting yet.
-
-        Args:
-            scheduler: Runs the tasks.
-            counters: What is counted for operators.
-            log: Where events go.
-            fleet: The fleet.
-            name: The app server's name in it.
-            settings: The app server's settings.
-            tenants: Names of the settings' tenants, in order.
-            request_classes: Names of the settings' request classes, in order.
+        """Sets it up; `tenants` and `request_classes` are named in the order of `settings`.
 
         Raises:
             InvalidInputError: If the fleet has no such member.
         """
-        site = fleet.site_of(name)
-        if site is None:
-            raise InvalidInputError(f"sites: no member is named {name!r}")
+        site = site_of_member(fleet, name)
         self.scheduler = scheduler
         self.counters = counters
         self.log = log
@@ -114,21 +130,19 @@
         self.name = name
         self.site = site.name
         self.settings = settings
-        self.local_callers = frozenset(site.routers)
         self.tenants: dict[str, Tenant] = dict(zip(tenants, settings.tenants, strict=True))
-        self.tenant_names = {id(tenant): tenant_name for tenant_name, tenant in self.tenants.items()}
+        self.recorder = RequestRecorder(
+            scheduler, counters, self.tenants, request_classes, frozenset(site.routers)
+        )
         self.incarnation = Incarnation(nonce=int.from_bytes(os.urandom(NONCE_BYTES)))
         self.rng = random.Random(self.incarnation.nonce)
         self.subscription = self.make_subscription()
         self.prober = MemberProber(scheduler, counters)
-        self.rates = Rates(tenants)
-        self.outcome_counts = Figures(request_classes)
         self.status = MemberStatus()
         self.driver: AdmissionDriver | None = None
         self.on_listing_changed: Callable[[], None] = lambda: None
         self.sequence = 0
-        self.resident_memory_kb = 0
-        self.memory_due_at = 0
+        self.memory = MemorySampler()
         self.allowed_calls = -1.0
         self.is_listed = False
 
@@ -147,31 +161,17 @@
             task = partial(self.report_forever, planner.name, connection)
             self.scheduler.spawn(f"planner {planner.name}", task)
         self.log.info("joined_fleet", site=self.site, planners=len(planners), mark=self.incarnation.nonce)
-        self.scheduler.at(self.scheduler.now + SAMPLE_INTERVAL, self.sample)
+        self.scheduler.at(self.scheduler.now + SAMPLE_INTERVAL, self.recorder.sample)
 
     # ---- what the app server tells ---------------------------------------------------------------------
 
     def record_arrival(self, passage: Passage) -> None:
-        """Counts a request that has been admitted to the app server."""
-        request = passage.transaction
-        tenant = self.tenant_names.get(id(request.tenant), "") if request.tenant is not None else ""
-        is_local = not self.local_callers or request.caller in self.local_callers
-        self.rates.arrived(self.scheduler.now, tenant, is_local, request.is_retry)
+        """Counts a request that has been read."""
+        self.recorder.record_arrival(passage)
 
     def record_answer(self, passage: Passage, outcome: str) -> None:
-        """Counts a request that has been answered, with its run time."""
-        request = passage.transaction
-        now = self.scheduler.now
-        is_late = now - request.arrived_at > request.request_class.latency_objective
-        run_time = now - passage.launched_at if passage.launched else -1
-        self.outcome_counts.answered(passage.profile, outcome, run_time, is_late)
-
-    def sample(self) -> None:
-        """Takes over the counters of answers, then again after an interval."""
-        now = self.scheduler.now
-        counts = self.counters.counts
-        self.rates.answered(now, counts["book.honoured"], counts["book.shed"])
-        self.scheduler.at(now + SAMPLE_INTERVAL, self.sample)
+        """Counts a request that has been answered."""
+        self.recorder.record_answer(passage, outcome)
 
     def apply_lease(self) -> None:
         """Has the controller keep to the calls that are allowed at this moment.
@@ -253,9 +253,9 @@
         """The next report, at a time of the monotonic clock."""
         self.sequence += 1
         moment = self.scheduler.now
-        self.sample_memory(moment)
-        load, visits, again, honoured, shed = self.rates.now(moment)
+        load, visits, again, honoured, shed = self.recorder.rates.now(moment)
         controller_load = self.controller_load(honoured)
+        outcomes = self.recorder.outcome_counts
         return MemberReport(
             name=self.name,
             site=self.site,
@@ -279,9 +279,9 @@
             plan_term=self.subscription.term,
             plan_number=self.subscription.plan_number,
             probes=self.prober.results(),
-            metrics=self.outcome_counts.told(self.counters.counts),
-            latency_histograms={name: list(counts) for name, counts in self.outcome_counts.took.items()},
-            resident_memory_kb=self.resident_memory_kb,
+            metrics=outcomes.told(self.counters.counts),
+            latency_histograms={name: list(counts) for name, counts in outcomes.took.items()},
+            resident_memory_kb=self.memory.resident_kb(moment),
         )
 
     def controller_load(self, served: float) -> ControllerLoad:
@@ -298,12 +298,6 @@
             calls_in_flight=float(controller.in_hand),
         )
 
-    def sample_memory(self, now: int) -> None:
-        """Reads the resident memory, if that is due."""
-        if now >= self.memory_due_at:
-            self.resident_memory_kb = memory()
-            self.memory_due_at = now + MEMORY_INTERVAL
-
     def apply_reply(self, reply: ReportReply, now: int) -> None:
         """Carries out a binding reply: probes, listing and the plan."""
         for member, member_address in list(reply.probe_addresses.items())[:MAX_RESULTS]:
--- a/birchslip/cluster/planner_service.py
+++ b/birchslip/cluster/planner_service.py
@@ -16,14 +16,13 @@
 from ..net.counters import Counters
 from ..net.log import Log
 from ..net.scheduler import Scheduler
+from .election_messages import ReplicationRequest, VoteRequest
 from .messages import (
     EvictionRequest,
     Incarnation,
     MemberReport,
     OperatorCommand,
     OperatorOperation,
-    ReplicationRequest,
-    VoteRequest,
     decode,
     encode,
 )
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -19,6 +19,7 @@
     with_dependents,
 )
 from .election import Election
+from .election_messages import ReplicationRequest
 from .fleet_diff import hindered, moved
 from .fleet_file import Fleet, span
 from .membership import Member, MemberLiveness, Membership, SiteVerdict
@@ -33,7 +34,6 @@
     Name,
     PlanAssignment,
     Rate,
-    ReplicationRequest,
     ReportReply,
     Span,
     Text,
--- /dev/null
+++ b/birchslip/cluster/request_recorder.py
@@ -0,0 +1,71 @@
+"""Measurements of an app server's requests for the reports to planners.
+
+Only counts: what the figures mean is decided by the planners.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Mapping, Sequence
+
+from ..admission.types import Tenant
+from ..net.counters import Counters
+from ..net.passage import Passage
+from ..net.scheduler import Scheduler
+from .member_metrics import Figures, Rates
+
+SAMPLE_INTERVAL = 1_000  # 100 ms
+
+
+class RequestRecorder:
+    """Counts requests as they arrive and are answered.
+
+    Attributes:
+        rates: Requests per second.
+        outcome_counts: Requests since the start, by request class and outcome.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        counters: Counters,
+        tenants: Mapping[str, Tenant],
+        request_classes: Sequence[str],
+        local_callers: Collection[int],
+    ) -> None:
+        """Begins without requests.
+
+        Args:
+            scheduler: Tells the time and runs the sampling.
+            counters: Where answers are counted.
+            tenants: The tenants by name.
+            request_classes: Names of the request classes.
+            local_callers: The site's own callers; if empty, all are.
+        """
+        self.scheduler = scheduler
+        self.counters = counters
+        self.local_callers = local_callers
+        self.tenant_names = {id(tenant): name for name, tenant in tenants.items()}
+        self.rates = Rates(list(tenants))
+        self.outcome_counts = Figures(request_classes)
+
+    def record_arrival(self, passage: Passage) -> None:
+        """Counts a request that has been read."""
+        request = passage.transaction
+        tenant = self.tenant_names.get(id(request.tenant), "") if request.tenant is not None else ""
+        is_local = not self.local_callers or request.caller in self.local_callers
+        self.rates.arrived(self.scheduler.now, tenant, is_local, request.is_retry)
+
+    def record_answer(self, passage: Passage, outcome: str) -> None:
+        """Counts a request that has been answered, with its run time."""
+        request = passage.transaction
+        now = self.scheduler.now
+        is_late = now - request.arrived_at > request.request_class.latency_objective
+        run_time = now - passage.launched_at if passage.launched else -1
+        self.outcome_counts.answered(passage.profile, outcome, run_time, is_late)
+
+    def sample(self) -> None:
+        """Takes over the counters of answers, then again after an interval."""
+        now = self.scheduler.now
+        counts = self.counters.counts
+        self.rates.answered(now, counts["book.honoured"], counts["book.shed"])
+        self.scheduler.at(now + SAMPLE_INTERVAL, self.sample)
--- a/birchslip/cluster/state_replicator.py
+++ b/birchslip/cluster/state_replicator.py
@@ -16,15 +16,14 @@
 from ..net.log import Log
 from ..net.scheduler import Scheduler
 from .election import Election
-from .election_store import ElectionStore, StoreWriteError
-from .messages import (
-    Message,
+from .election_messages import (
     ReplicationRequest,
     ReplicationResponse,
     VoteRequest,
     VoteResponse,
-    decode,
 )
+from .election_store import ElectionStore, StoreWriteError
+from .messages import Message, decode
 from .peer_channel import PeerChannel, PlannerMethod
 from .planner_state import PlannerState
 from .transport import DeferredReply, PeerConnection
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -9,7 +9,7 @@
 
 import errno
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from functools import partial
 from typing import Any, NamedTuple
 
@@ -66,6 +66,18 @@
     return parts
 
 
+def received_messages(buffer: Buffer) -> Iterator[Any]:
+    """Yields all whole messages that have been read.
+
+    Raises:
+        Unreadable: After them, if what follows is malformed.
+    """
+    received, trouble = messages(buffer)
+    yield from received
+    if trouble:
+        raise Unreadable(trouble)
+
+
 class DeferredReply:
     """A reply that is still to come.
 
@@ -107,15 +119,12 @@
         Raises:
             Unreadable: If one is malformed; the connection is closed then.
         """
-        requests, trouble = messages(buffer)
-        for request in requests:
+        for request in received_messages(buffer):
             match request:
                 case [0, int(request_id), str(method), [bytes(value)]]:
                     self.reply(request_id, self.endpoint.handle(self, method, value))
                 case _:
                     raise Unreadable("a message of no known form")
-        if trouble:
-            raise Unreadable(trouble)
 
     def reply(self, request_id: int, result: DeferredReply | RpcResult) -> None:
         """Sends a result, now or once it is there."""
@@ -277,8 +286,7 @@
         Raises:
             Unreadable: If one is malformed; the connection is closed then.
         """
-        received, trouble = messages(buffer)
-        for response in received:
+        for response in received_messages(buffer):
             match response:
                 case [1, int(request_id), error, values]:
                     self.responses[request_id] = (error, values)
@@ -286,8 +294,6 @@
                     pass
                 case _:
                     raise Unreadable("an answer of no known form")
-        if trouble:
-            raise Unreadable(trouble)
 
     def close(self) -> None:
         """Closes the connection; the next call opens another."""
--- a/birchslip/lab/explore.py
+++ b/birchslip/lab/explore.py
@@ -23,15 +23,13 @@
 
 from ..cluster.durable_vote import DurableVote
 from ..cluster.election import Election
-from ..cluster.messages import (
-    Message,
-    PlanAssignment,
+from ..cluster.election_messages import (
     ReplicationRequest,
     ReplicationResponse,
-    ReportReply,
     VoteRequest,
     VoteResponse,
 )
+from ..cluster.messages import Message, PlanAssignment, ReportReply
 from ..cluster.plan_subscription import PlanSubscription
 from ..cluster.quota_leases import QuotaLeases
 
--- a/tests/test_election_store.py
+++ b/tests/test_election_store.py
@@ -6,8 +6,9 @@
 import pytest
 
 from birchslip.cluster.durable_vote import DurableVote
+from birchslip.cluster.election_messages import ReplicationRequest, ReplicationResponse
 from birchslip.cluster.election_store import ElectionStore, StoreWriteError
-from birchslip.cluster.messages import ReplicationRequest, ReplicationResponse, encode
+from birchslip.cluster.messages import encode
 from birchslip.cluster.planner import Planner
 
 from .fleetdesk import fleet
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -120,7 +120,7 @@
 
 
 def test_reports_count_local_and_evacuated_first_tries_and_retries_apart(linked):
-    rates = linked.link.rates
+    rates = linked.link.recorder.rates
     for tenant, at_home, again in [("blue", True, False)] * 4 + [
         ("blue", False, False),
         ("blue", True, True),
@@ -134,7 +134,7 @@
 
 
 def test_outcomes_are_counted_by_request_class_and_late_ones_count_after_the_caller_left(linked):
-    figures = linked.link.outcome_counts
+    figures = linked.link.recorder.outcome_counts
     for what, late in [("honoured", False), ("honoured", True), ("shed", False), ("written_off", False),
                        ("gone", True), ("gone", False), ("erred", False)]:  # fmt: skip
         figures.answered("order", what, 500, late)
--- a/tests/test_planner_wire_record.py
+++ b/tests/test_planner_wire_record.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from birchslip.cluster import messages
+from birchslip.cluster import election_messages, messages
 from birchslip.cluster.durable_vote import DurableVote
 from birchslip.cluster.election_store import ElectionStore
 from birchslip.errors import InvalidInputError
@@ -20,7 +20,7 @@
         id="incarnation",
     ),
     pytest.param(
-        messages.PeerObservation,
+        election_messages.PeerObservation,
         b'{"life":1,"mark":5,"promised":128,"epoch":64,"number":4}',
         id="peer_observation",
     ),
@@ -54,13 +54,13 @@
         id="report_reply",
     ),
     pytest.param(
-        messages.VoteRequest,
+        election_messages.VoteRequest,
         b'{"epoch":64,"name":"p1","incarnation":{"life":3,"mark":77},"seen":{"p1":{"life":1,'
         b'"mark":5,"promised":128,"epoch":64,"number":4}},"doubt":["b-1"]}',
         id="vote_request",
     ),
     pytest.param(
-        messages.VoteResponse,
+        election_messages.VoteResponse,
         b'{"granted":true,"epoch":128,"name":"p2","incarnation":{"life":3,"mark":77},'
         b'"new":false,"held":17,"state_epoch":64,"state_number":4,"state":"eyJzaXRlcyI6e319",'
         b'"heard":["b-1"],"seen":{"p1":{"life":1,"mark":5,"promised":128,"epoch":64,'
@@ -68,13 +68,13 @@
         id="vote_response",
     ),
     pytest.param(
-        messages.ReplicationRequest,
+        election_messages.ReplicationRequest,
         b'{"epoch":64,"number":4,"name":"p1","incarnation":{"life":3,"mark":77},'
         b'"state":"eyJzaXRlcyI6e319"}',
         id="replication_request",
     ),
     pytest.param(
-        messages.ReplicationResponse,
+        election_messages.ReplicationResponse,
         b'{"kept":true,"epoch":64,"name":"p2"}',
         id="replication_response",
     ),
