--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -18,7 +18,8 @@
 import click
 import msgspec
 
-from .cluster.fleet_file import Fleet, read_fleet, schema
+from .cluster.fleet_file import Fleet
+from .cluster.fleet_reader import fleet_schema, read_fleet
 from .cluster.messages import (
     EvictionOperation,
     EvictionRequest,
@@ -145,7 +146,7 @@
 @fleet.command("schema")
 def print_schema() -> None:
     """The JSON Schema of the fleet file."""
-    click.echo(json.dumps(schema(), indent=2))
+    click.echo(json.dumps(fleet_schema(), indent=2))
 
 
 @fleet.command()
@@ -293,7 +294,7 @@
 @click.argument("file", type=click.Path())
 def check_release(path: str, as_json: bool, file: str) -> None:
     """Check a release file against the fleet file, and say who goes when; nothing is begun."""
-    plan, parts = plan_of(file), fleet_of(path).parts()
+    plan, parts = plan_of(file), fleet_of(path).rollout_scopes()
     stranger = find_unknown_part(plan, parts)
     if stranger:
         raise NotAsked(f"{file}: {stranger}")
@@ -389,17 +390,17 @@
     told = fleet_of(path)
     asked = RolloutCommand(action=RolloutAction.STATUS, number=number)
     if follow:
-        from .cluster.tables import follow_releases
+        from .cluster.tables import follow_rollouts
 
-        phases = follow_releases(lambda: ask_any(told, asked)["releases"], as_json)
+        phases = follow_rollouts(lambda: ask_any(told, asked)["releases"], as_json)
         raise SystemExit(0 if set(phases) <= {"done", "back"} else 1)
     answer = ask_any(told, asked)
     if as_json:
         click.echo(json.dumps(answer))
     else:
-        from .cluster.tables import show_releases
+        from .cluster.tables import show_rollouts
 
-        show_releases(answer["releases"])
+        show_rollouts(answer["releases"])
 
 
 @release.command()
--- a/birchslip/cluster/fleet_diff.py
+++ b/birchslip/cluster/fleet_diff.py
@@ -44,8 +44,8 @@
 
 def _changed_quota(old: Fleet, new: Fleet) -> Iterator[str]:
     """Yields a line for the first member whose quota would change."""
-    before = old.bases()
-    after = new.bases()
+    before = old.base_calls()
+    after = new.base_calls()
     for name in before.keys() & after.keys():
         if abs(before[name] - after[name]) > QUOTA_TOLERANCE:
             yield (
--- a/birchslip/cluster/leadership.py
+++ b/birchslip/cluster/leadership.py
@@ -9,7 +9,7 @@
 from enum import Enum, auto
 
 from .election import Election
-from .messages import ReplicationRequest
+from .election_messages import ReplicationRequest
 
 
 class LeadershipChange(Enum):
--- a/birchslip/cluster/operator_views.py
+++ b/birchslip/cluster/operator_views.py
@@ -142,7 +142,9 @@
     """Returns what the loss of a site would mean now: where its load would go, and what would be short."""
     fleet = state.fleet
     capacities = state.sites.capacities()
-    plan = plan_without_site(capacities, lost_site, fleet.tenants, fleet.costs, fleet.order)
+    plan = plan_without_site(
+        capacities, lost_site, fleet.tenant_shares, fleet.link_costs, fleet.shedding_order
+    )
     flows = [
         [source, target, rate] for (source, target), rate in sorted(plan.flows.items()) if source == lost_site
     ]
--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -32,7 +32,7 @@
     def replan(self, fleet: Fleet, capacities: list[SiteCapacity], now: int) -> None:
         """Makes a new plan from what is measured."""
         self.pending_since = now
-        self.pending = plan_sites(capacities, fleet.tenants, fleet.costs, fleet.order)
+        self.pending = plan_sites(capacities, fleet.tenant_shares, fleet.link_costs, fleet.shedding_order)
 
     def publish(self, levels: dict[str, float]) -> None:
         """Makes the pending plan the one that members receive, with the sites' present levels."""
@@ -59,7 +59,7 @@
             quotas=plan.member_tenant_quotas(name) if recovering else {},
             evacuated_callers=visitors if level == 1 else [],
             evacuated_quota=plan.member_visitor_quota(name),
-            shedding_order=list(fleet.refuse) if recovering else [],
+            shedding_order=list(fleet.shedding_tiers) if recovering else [],
             serving_fraction=level,
             is_listed=level > 0,
             is_capacity_short=plan.is_short and bool(recovering),
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -28,6 +28,7 @@
 from .disruption_tally import with_dependents
 from .disruption_types import MemberObservation, UnavailabilityReason
 from .election import Election
+from .election_messages import ReplicationRequest
 from .eviction_handler import handle_eviction
 from .fleet_diff import blocked_changes, member_changes
 from .fleet_file import Fleet, span
@@ -41,7 +42,6 @@
     EvictionResponse,
     MemberReport,
     PlanAssignment,
-    ReplicationRequest,
     ReportReply,
 )
 from .plan_publisher import PlanPublisher
@@ -106,8 +106,8 @@
         self.sites = SiteSupervisor(site_names, self.membership, self.events, now)
         self.probes = ProbeScheduler(self.membership)
         self.plans = PlanPublisher()
-        self.quotas = QuotaAllocator(fleet.vault, fleet.bases())
-        self.budget = DisruptionBudget(fleet.budgets(), dependencies=fleet.needs())
+        self.quotas = QuotaAllocator(fleet.vault, fleet.base_calls())
+        self.budget = DisruptionBudget(fleet.budget_groups(), dependencies=fleet.required_services())
         self._index_members()
         self.rollouts = RolloutSupervisor(self._rollout_controller(), self.budget, self.events, now)
         self._last_tick = now
@@ -120,7 +120,9 @@
         platform = self.fleet.platform
         stale = span(platform.stale_ms) if platform is not None else 0
         services = [service.name for service in self.fleet.services]
-        return RolloutController(self.fleet.parts(), services, self.budget, stale, self.site_of_member)
+        return RolloutController(
+            self.fleet.rollout_scopes(), services, self.budget, stale, self.site_of_member
+        )
 
     # ---- leadership ------------------------------------------------------------------------------------
 
@@ -364,9 +366,9 @@
         self._index_members()
         for name in changes.left:
             self.membership.remove(name)
-        self.budget.set_groups(fleet.budgets(), fleet.needs())
+        self.budget.set_groups(fleet.budget_groups(), fleet.required_services())
         self._apply_fleet_to_rollouts(fleet)
-        self.quotas.update_members(fleet.bases())
+        self.quotas.update_members(fleet.base_calls())
         self.events.record("fleet_file_applied", left=changes.left, joined=changes.joined)
         if self.leadership.is_leading:
             self._revoke_permits_of_unknown_holders()
@@ -378,7 +380,7 @@
         if fleet.platform is not None:
             controller.inventory_ttl = span(fleet.platform.stale_ms)
         services = [service.name for service in fleet.services]
-        controller.update_fleet(fleet.parts(), services, self.site_of_member)
+        controller.update_fleet(fleet.rollout_scopes(), services, self.site_of_member)
 
     def _revoke_permits_of_unknown_holders(self) -> None:
         services = (service.name for service in self.fleet.services)
--- a/birchslip/cluster/quota_allocator.py
+++ b/birchslip/cluster/quota_allocator.py
@@ -46,7 +46,9 @@
         vault = self.vault
         if vault is not None:
             lease_span = span(vault.lease_ms)
-            self.leases = QuotaLeases(self.base_quotas, vault.total, vault.kept, lease_span, now)
+            self.leases = QuotaLeases(
+                self.base_quotas, vault.total_calls, vault.unleased_fraction, lease_span, now
+            )
 
     def update_members(self, base_quotas: Mapping[str, float]) -> None:
         """Takes over the quotas of a later fleet file."""
--- a/birchslip/idempotency/segment_files.py
+++ b/birchslip/idempotency/segment_files.py
@@ -20,7 +20,11 @@
 
 from .errors import ForeignStoreError, StoreWriteError, UnsupportedVersionError
 from .file_system import FileSystem
-from .segment_header import SEGMENT_HEADER, decode_segment_header, encode_segment_header
+from .segment_header import (
+    SEGMENT_HEADER,
+    decode_segment_header,
+    encode_segment_header,
+)
 
 LOCK_MODE = 0o644
 SEGMENT_SUFFIX = ".kept"
--- a/tests/test_idempotency_processes.py
+++ b/tests/test_idempotency_processes.py
@@ -13,7 +13,13 @@
 from birchslip.admission.types import Outcome
 from birchslip.idempotency.errors import StoreWriteError
 from birchslip.idempotency.maintenance import DamagedRecord, compact_store, show_store, verify_store
-from birchslip.idempotency.record_format import RecordKind, RecordState, ResultRecord, encode, read_fragments
+from birchslip.idempotency.record_format import (
+    RecordKind,
+    RecordState,
+    ResultRecord,
+    encode,
+    read_fragments,
+)
 from birchslip.idempotency.segment_files import SegmentFiles
 from birchslip.idempotency.segment_header import SEGMENT_HEADER
 from birchslip.idempotency.settings_file import store_settings_schema
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -33,9 +33,9 @@
         amount = leases.grant(name, wanted, 0.0, now)
         assert 0 <= amount <= wanted
         reply = ReportReply(term=1, planner=author, is_leading=True, call_limit=2.0 + amount, lease_span=SPAN)
-        subscriptions[name].take(reply, now - transit, now)
+        subscriptions[name].accept(reply, now - transit, now)
         for moment in (now, now + SPAN // 2):
-            assert sum(one.calls(moment) for one in subscriptions.values()) <= 12.0 + 1e-6
+            assert sum(one.allowed_calls(moment) for one in subscriptions.values()) <= 12.0 + 1e-6
         assert leases.leased_total + leases.reserved_total <= 12.0 + 1e-6
 
 
@@ -109,35 +109,39 @@
 )
 def test_which_replies_are_obeyed(reply, is_obeyed):
     member = PlanSubscription(1.0, 0, 0)
-    assert member.take(reply_of(), 0, 10)
-    assert member.take(reply, 20, 30) is is_obeyed
-    assert member.epoch == max(5, reply.term if is_obeyed else 0)
+    assert member.accept(reply_of(), 0, 10)
+    assert member.accept(reply, 20, 30) is is_obeyed
+    assert member.term == max(5, reply.term if is_obeyed else 0)
 
 
 def test_a_reply_with_a_long_transit_has_expired_on_arrival():
     member = PlanSubscription(1.0, 0, 0)
-    assert member.take(reply_of(call_limit=3.0, lease_span=30_000), 0, 50_000)
-    assert member.plan is None and member.calls(50_000) == 1.0
+    assert member.accept(reply_of(call_limit=3.0, lease_span=30_000), 0, 50_000)
+    assert member.assignment is None and member.allowed_calls(50_000) == 1.0
 
 
 def test_an_older_plan_of_the_same_epoch_is_ignored_and_a_doubled_one_only_extends_it():
     member = PlanSubscription(1.0, 0, 0)
-    member.take(reply_of(number=4), 0, 10)
-    member.take(reply_of(number=3, listed=False), 5_000, 5_010)
-    assert (member.number, member.listed(5_020)) == (4, True)
-    member.take(reply_of(number=4), 5_000, 5_020)
-    member.take(reply_of(number=4), 0, 5_030)
-    assert member.plan_until == 45_000
+    member.accept(reply_of(number=4), 0, 10)
+    member.accept(reply_of(number=3, listed=False), 5_000, 5_010)
+    assert (member.plan_number, member.is_listed(5_020)) == (4, True)
+    member.accept(reply_of(number=4), 5_000, 5_020)
+    member.accept(reply_of(number=4), 0, 5_030)
+    assert member.assignment_expires_at == 45_000
 
 
 def test_a_member_that_hears_nobody_is_listed_after_its_patience_and_after_a_plan_has_expired():
     member = PlanSubscription(1.0, 15_000, 0)
-    assert not member.listed(14_999) and member.listed(15_000)
-    member.take(reply_of(listed=False), 0, 10)
-    assert not member.listed(49_999) and member.listed(50_000)
+    assert not member.is_listed(14_999) and member.is_listed(15_000)
+    member.accept(reply_of(listed=False), 0, 10)
+    assert not member.is_listed(49_999) and member.is_listed(50_000)
 
 
 def test_a_lease_that_expired_during_a_pause_is_not_used_after_it():
     member = PlanSubscription(1.0, 0, 0)
-    member.take(reply_of(call_limit=3.0, lease_span=30_000), 0, 10)
-    assert member.calls(29_999) == 3.0 and member.calls(30_000) == 1.0 and member.lease_left(40_000) == 0
+    member.accept(reply_of(call_limit=3.0, lease_span=30_000), 0, 10)
+    assert (
+        member.allowed_calls(29_999) == 3.0
+        and member.allowed_calls(30_000) == 1.0
+        and member.lease_remaining(40_000) == 0
+    )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,11 +12,7 @@
 from birchslip.idempotency.key_index import UNKNOWN_LOCATION, unpack_location
 from birchslip.idempotency.record_format import encode, read_fragments
 from birchslip.idempotency.recovery import recover
-from birchslip.idempotency.retention_budget import (
-    COMPLETION_RESERVE_BYTES,
-    MIN_SEGMENTS,
-    RetentionBudget,
-)
+from birchslip.idempotency.retention_budget import COMPLETION_RESERVE_BYTES, MIN_SEGMENTS, RetentionBudget
 from birchslip.idempotency.segment_files import SegmentContent, SegmentFiles
 from birchslip.idempotency.segment_header import (
     SEGMENT_HEADER,
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -2,7 +2,14 @@
 
 import pytest
 
-from birchslip.admission.types import SECOND, Idempotency, Outcome, Request, RequestClass, RequestState
+from birchslip.admission.types import (
+    SECOND,
+    Idempotency,
+    Outcome,
+    Request,
+    RequestClass,
+    RequestState,
+)
 from birchslip.errors import InvalidInputError
 from birchslip.idempotency.record_format import RecordState
 from birchslip.idempotency.result_store import ResultStore
--- a/tests/test_retention_budget.py
+++ b/tests/test_retention_budget.py
@@ -4,11 +4,7 @@
 from hypothesis import strategies as st
 
 from birchslip.admission.types import SECOND
-from birchslip.idempotency.retention_budget import (
-    COMPLETION_RESERVE_BYTES,
-    MIN_SEGMENTS,
-    RetentionBudget,
-)
+from birchslip.idempotency.retention_budget import COMPLETION_RESERVE_BYTES, MIN_SEGMENTS, RetentionBudget
 
 from .result_records import NOW, RETENTION
 
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -13,7 +13,7 @@
     MemberObservation,
     UnavailabilityReason,
 )
-from birchslip.cluster.fleet_file import read_fleet
+from birchslip.cluster.fleet_reader import read_fleet
 from birchslip.cluster.inventory import read_inventory
 from birchslip.cluster.member_samples import SampleReader
 from birchslip.cluster.messages import Incarnation
--- a/tests/test_stored_planner_state.py
+++ b/tests/test_stored_planner_state.py
@@ -7,7 +7,7 @@
 
 from birchslip.cluster.durable_vote import DurableVote
 from birchslip.cluster.election import Election
-from birchslip.cluster.fleet_file import read_fleet
+from birchslip.cluster.fleet_reader import read_fleet
 from birchslip.cluster.planner_state import PlannerState
 from birchslip.cluster.replicated_state import UnreadableStateError, decode_state, encode_state
 
