--- /dev/null
+++ b/birchslip/admission/deadlines.py
@@ -0,0 +1,64 @@
+"""By when each request has to be answered, and how a drain shortens that.
+
+Owns the watch over open requests and the state of a drain. No request is lost: what is open at its
+deadline, or shortly before the process ends, is named by `overdue`.
+"""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Iterator
+from math import inf
+from typing import NamedTuple
+
+from .types import Request, RequestState
+from .units import MS
+
+TIMER_INTERVAL = 50 * MS
+
+
+class WatchEntry(NamedTuple):
+    """Heap entry: the request with the earliest deadline comes first."""
+
+    answer_by: int
+    sequence: int
+    request: Request
+
+
+class Deadlines:
+    """Deadlines of open requests and the end of the process."""
+
+    def __init__(self) -> None:
+        """Begin with nothing open and no drain."""
+        self.watched: list[WatchEntry] = []
+        self.admits_until = inf
+        self.ends_at: int | None = None
+
+    def begin_drain(self, now: int, grace: int, ends_at: int) -> None:
+        """Admit what arrives within the grace, and have all answered before the end."""
+        self.admits_until = now + grace
+        self.ends_at = ends_at
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether a drain has begun."""
+        return self.ends_at is not None
+
+    def watch(self, request: Request) -> None:
+        """Watch an open request for its deadline."""
+        answer_by = request.deadline - TIMER_INTERVAL
+        heapq.heappush(self.watched, WatchEntry(answer_by, request.sequence, request))
+
+    def useful_until(self, request: Request) -> int:
+        """Return the time until which an answer has its full worth and can still be given."""
+        if self.ends_at is None:
+            return request.latency_deadline
+        return min(request.latency_deadline, self.ends_at - 2 * TIMER_INTERVAL)
+
+    def overdue(self, now: int) -> Iterator[Request]:
+        """Yield the open requests whose final answer is due now."""
+        is_ending = self.ends_at is not None and now >= self.ends_at - 2 * TIMER_INTERVAL
+        while self.watched and (is_ending or self.watched[0].answer_by <= now):
+            request = heapq.heappop(self.watched).request
+            if request.state is not RequestState.COMPLETED and not request.is_answered:
+                yield request
--- /dev/null
+++ b/birchslip/admission/downstream.py
@@ -0,0 +1,199 @@
+"""Pacing, limits and retries of calls to the service below.
+
+Owns the queue of requests that wait for a call, the calls in flight and the measured call times. Calls that
+were abandoned count until they have lingered.
+"""
+
+from __future__ import annotations
+
+import heapq
+from bisect import insort
+from collections.abc import Iterator
+from math import ceil
+from typing import NamedTuple
+
+from .concurrency_limit import SURVIVABLE_SHARE, ConcurrencyLimit
+from .deadlines import TIMER_INTERVAL, Deadlines
+from .health import HealthMonitor
+from .service_time import ServiceTimes
+from .types import (
+    NEVER_RAN_OUTCOMES,
+    AdmissionSettings,
+    CallEnded,
+    Downstream,
+    Event,
+    Idempotency,
+    Outcome,
+    Request,
+    RequestState,
+    TurnGranted,
+    WaitExpired,
+)
+from .units import MS
+from .windows import QuantileWindow, WindowedCounter
+
+CALL_WINDOW_COUNT = 10
+CALL_WINDOW = 200 * MS
+SMALLEST_QUOTA = 0.01
+KEPT_QUOTA_SHARE = 0.33  # however slow calls are: by themselves or by their number
+CALL_TIMES_TO_FIT = 2.0  # recent call times that must fit where a call may be skipped: times scatter
+REJECTED_CALL_TIMES = 2  # recent call times that a call without an answer counts for
+SHORTEST_TIMEOUT = 1 * MS
+
+
+class CallEntry(NamedTuple):
+    """Sort key of waiting calls: those that can't be skipped come first, then by latency deadline."""
+
+    is_skippable: bool
+    latency_deadline: int
+    sequence: int
+    request: Request
+
+
+class WakeUp(NamedTuple):
+    """A waiting request and the event that it is resumed with."""
+
+    request: Request
+    event: Event
+
+
+class DownstreamCalls:
+    """Calls of all requests to the service below."""
+
+    def __init__(
+        self,
+        settings: AdmissionSettings,
+        times: ServiceTimes,
+        health: HealthMonitor,
+        limit: ConcurrencyLimit,
+        deadlines: Deadlines,
+        now: int,
+    ) -> None:
+        """Begin without calls."""
+        self.settings = settings
+        self.times = times
+        self.health = health
+        self.limit = limit
+        self.deadlines = deadlines
+        self.quota = settings.downstream_quota
+        self.is_shared = settings.downstream is Downstream.SHARED
+        self.waiting: list[CallEntry] = []
+        self.lingering: list[int] = []
+        self.in_flight = 0
+        self.next_call_at = now
+        self.call_times = QuantileWindow()
+        self.recent_sum = WindowedCounter(CALL_WINDOW_COUNT, CALL_WINDOW)
+        self.recent_count = WindowedCounter(CALL_WINDOW_COUNT, CALL_WINDOW)
+        self.recent_time = 0.0
+        self.expected_limit = 1.0  # the limit at the last timer
+
+    def enter(self, request: Request) -> CallEntry:
+        """Queue a request for its call; returns the entry to `leave` with."""
+        request.state = RequestState.WAITING_FOR_CALL
+        is_skippable = request.request_class.weight_without_call > 0
+        entry = CallEntry(is_skippable, request.latency_deadline, request.sequence, request)
+        insort(self.waiting, entry)
+        return entry
+
+    def leave(self, entry: CallEntry) -> None:
+        """Take a request out of the queue."""
+        self.waiting.remove(entry)
+
+    def begin(self, request: Request, now: int) -> int:
+        """Count a call as in flight; returns its timeout."""
+        request.state = RequestState.CALLING
+        self.in_flight += 1
+        timeout = self._timeout(request, now)
+        request.call_started_at = now
+        request.downstream_calls += 1
+        return timeout
+
+    def end(self, request: Request, event: Event, now: int) -> None:
+        """Learn from the end of a call; one without an answer counts as a slow one."""
+        self.in_flight -= 1
+        took = now - request.call_started_at
+        if not isinstance(event, CallEnded) or event.outcome is Outcome.TIMED_OUT:
+            linger = self.settings.abandoned_call_linger
+            heapq.heappush(self.lingering, now + linger)
+            took += linger
+        elif event.outcome is not Outcome.SERVED:
+            # A rejected or lost call says that the service below is in trouble, however quickly it says so.
+            took = max(took, ceil(REJECTED_CALL_TIMES * self.recent_time))
+        self.call_times.add(now, took)
+        self.recent_sum.add(now, took)
+        self.recent_count.add(now, 1)
+        limit = self.concurrency(now)
+        if limit < 1:
+            self.next_call_at = max(self.next_call_at, request.call_started_at + ceil(took / limit))
+
+    def measure(self, now: int) -> None:
+        """Bring the recent call time and the limit up to date."""
+        ended = self.recent_count.total(now)
+        self.recent_time = self.recent_sum.total(now) / ended if ended else self.call_times.mean
+        self.expected_limit = self.concurrency(now)
+
+    def concurrency(self, now: int) -> float:
+        """Return how many calls may be in flight: the quota, less as calls take longer than usual."""
+        if self.is_shared:
+            own = max(SMALLEST_QUOTA, self.quota)
+        else:
+            own = SURVIVABLE_SHARE * self.limit.survivable(now)
+        usual = self.call_times.low
+        if not self.recent_time or not usual:
+            return own
+        return max(min(1.0, own), own * KEPT_QUOTA_SHARE, own * min(1.0, usual / self.recent_time))
+
+    def expected_time(self) -> float:
+        """Return the time of a call with the wait for its turn."""
+        return self.recent_time * (1 + len(self.waiting) / self.expected_limit)
+
+    def next_turns(self, now: int) -> Iterator[WakeUp]:
+        """Yield the requests that may call, at a rate that follows the recent call time.
+
+        A call that can't fit is skipped where a part of the priority weight is still earned.
+        """
+        while self.lingering and self.lingering[0] <= now:
+            heapq.heappop(self.lingering)
+        limit = self.concurrency(now)
+        interval = self.recent_time / limit
+        for place, entry in enumerate(list(self.waiting)):
+            request = entry.request
+            if self._is_hopeless(request, place * interval, now):
+                yield WakeUp(request, WaitExpired())
+            elif self.in_flight + len(self.lingering) + 1 <= max(1.0, limit) and self.next_call_at <= now:
+                self.next_call_at = max(self.next_call_at, now - TIMER_INTERVAL) + ceil(interval)
+                yield WakeUp(request, TurnGranted())
+
+    def _is_hopeless(self, request: Request, wait: float, now: int) -> bool:
+        request_class = request.request_class
+        if request_class.weight_without_call and self.recent_time:
+            remaining = self.times.remaining(request, self.health.slowdown)
+            answer_at = now + wait + CALL_TIMES_TO_FIT * self.recent_time + remaining
+            if answer_at >= self.deadlines.useful_until(request):
+                return True
+        return now >= request.latency_deadline and not request_class.late_weight
+
+    def _timeout(self, request: Request, now: int) -> int:
+        left = request.deadline - now - TIMER_INTERVAL
+        if request.request_class.weight_without_call:
+            remaining = self.times.remaining(request, self.health.slowdown)
+            left = min(left, self.deadlines.useful_until(request) - now - ceil(remaining))
+        if self.is_shared and self.quota < 1:
+            # With a quota under one call, a single call may not fill the quota's window by itself.
+            allowed = ceil(self.quota * self.settings.downstream_quota_window)
+            left = min(left, allowed - self.settings.abandoned_call_linger)
+        return max(SHORTEST_TIMEOUT, left)
+
+    def may_retry(self, request: Request, outcome: Outcome, now: int) -> bool:
+        """Return whether a call may be made again: it is known not to have run, or may run twice."""
+        is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
+        was_lost = outcome is Outcome.CONNECTION_LOST and is_idempotent
+        if outcome not in NEVER_RAN_OUTCOMES and not was_lost:
+            return False
+        return not request.is_answered and now < request.latency_deadline
+
+    def may_skip(self, request: Request, now: int) -> bool:
+        """Return whether a request may go on without its call."""
+        if request.request_class.weight_without_call <= 0 or request.is_answered:
+            return False
+        return now < request.deadline - TIMER_INTERVAL
--- a/birchslip/admission/driver.py
+++ b/birchslip/admission/driver.py
@@ -1,10 +1,14 @@
-"""Carries decisions out: resumes generators, passes on what they yield, delivers events. Decides nothing."""
+"""Runs an `AdmissionController`: resumes requests with events and performs what they yield.
+
+It decides nothing. The server around it sets the clock, delivers events and calls `settle` after each batch.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from .controller import AdmissionController
+from .controller import AdmissionController, ControllerMetrics
+from .memory_budget import KeyCapacity
 from .types import (
     WAITING_ACTIONS,
     Action,
@@ -18,89 +22,104 @@
 
 
 class AdmissionDriver:
-    """One app server. `carry` takes what a transaction wishes, `tell` what concerns the whole app server.
-
-    `fault` is told what one transaction's path raised, which ends that path alone; without it, it goes on up.
-    """
+    """The controller of one app server, between events and actions."""
 
     def __init__(
         self,
-        deployment: AdmissionSettings,
+        settings: AdmissionSettings,
         now: int,
-        carry: Callable[[Request, Action], None],
-        tell: Callable[[ServerAction], None],
-        fault: Callable[[Request, Exception], None] | None = None,
+        perform: Callable[[Request, Action], None],
+        announce: Callable[[ServerAction], None],
+        on_error: Callable[[Request, Exception], None] | None = None,
     ) -> None:
-        self.perform = carry
-        self.announce = tell
-        self.fault = fault
-        self.controller = AdmissionController(deployment, now)
-        self._tell_all()
+        """Begin without requests.
+
+        Args:
+            settings: Settings of the app server.
+            now: The present time.
+            perform: Performs an action of one request.
+            announce: Performs an action for the app server as a whole.
+            on_error: Hears what the steps of one request raised, which ends these steps alone; without it
+                the error is raised.
+        """
+        self.perform = perform
+        self.announce = announce
+        self.on_error = on_error
+        self.controller = AdmissionController(settings, now)
+        self._announce_all()
 
     def advance_clock(self, now: int) -> None:
-        self.controller.clock(now)
-
-    def admit(self, transaction: Request) -> None:
-        transaction.steps = self.controller.path(transaction)
-        self.deliver(transaction, None)
-
-    def deliver(self, transaction: Request, event: Event | None) -> None:
-        """Resume a transaction until it waits again; one that has ended hears nothing."""
-        path = transaction.steps
-        if path is None:
+        """Set the present time, which may not go back."""
+        self.controller.advance_clock(now)
+
+    def admit(self, request: Request) -> None:
+        """Take in a request that was read."""
+        request.steps = self.controller.steps(request)
+        self.deliver(request, None)
+
+    def deliver(self, request: Request, event: Event | None) -> None:
+        """Resume a request until it waits again; one that is over hears nothing."""
+        steps = request.steps
+        if steps is None:
             return
         try:
-            wish = path.send(event)
-            self.perform(transaction, wish)
-            while not isinstance(wish, WAITING_ACTIONS):
-                wish = path.send(None)
-                self.perform(transaction, wish)
+            action = next(steps) if event is None else steps.send(event)
+            self.perform(request, action)
+            while not isinstance(action, WAITING_ACTIONS):
+                action = next(steps)
+                self.perform(request, action)
         except StopIteration:
-            self.release(transaction)
-        except Exception as trouble:
+            self.release(request)
+        except Exception as error:
             try:
-                if self.fault is None:
+                if self.on_error is None:
                     raise
-                self.fault(transaction, trouble)
+                self.on_error(request, error)
             finally:
-                self.release(transaction)
+                self.release(request)
 
     @staticmethod
-    def release(transaction: Request) -> None:
-        """Nothing more comes of it here; its door is let go, so that neither keeps the other in memory."""
-        transaction.steps = transaction.context = None
+    def release(request: Request) -> None:
+        """Drop what a request that is over refers to, so that no cycle keeps it in memory."""
+        request.steps = request.context = None
 
     def tick(self, gauges: Gauges) -> None:
+        """Bring the controller's figures up to date, as a timer that it has set asks."""
         self.controller.tick(gauges)
 
-    def drain(self, end: int) -> None:
-        self.controller.leave(end)
+    def drain(self, ends_at: int) -> None:
+        """Begin a drain that ends with the process."""
+        self.controller.drain(ends_at)
 
     def apply_plan(self, plan: PlanOverride) -> bool:
-        """Whether the plan is in force now; one of an older epoch or number is ignored."""
-        return self.controller.take_over(plan)
+        """Put a plan in force; returns False for one of an older term or number, which is ignored."""
+        return self.controller.apply_plan(plan)
+
+    def limit_new_keys(self, left: int, scarce_below: int, retry_delay: int) -> None:
+        """Bound the keyed requests that may still start where results are stored.
 
-    def limit_new_keys(self, left: int, scarce: int, wait: int) -> None:
-        """How many labelled transactions may still begin where results are kept, from which number on that is
-        few, and how long until there is room.
+        Args:
+            left: How many the store still takes.
+            scarce_below: From how many on the room is kept for callers within their quota.
+            retry_delay: Time until there is room again.
         """
-        self.controller.labels_left, self.controller.labels_scarce, self.controller.labels_wait = (
-            left,
-            scarce,
-            wait,
-        )
+        self.controller.limit_new_keys(KeyCapacity(left, scarce_below, retry_delay))
 
     def set_downstream_quota(self, calls: float) -> None:
-        """How many calls to what lies below may be in hand from now on."""
-        self.controller.calls_share = calls
+        """Set how many calls to the service below may be in flight from now on."""
+        self.controller.set_downstream_quota(calls)
+
+    def metrics(self) -> ControllerMetrics:
+        """Return what others may read of the controller."""
+        return self.controller.metrics()
 
     def settle(self) -> None:
-        """After each batch: the decisions pick who goes on, one at a time, and say what they have to say."""
-        for transaction, event in self.controller.settle():
-            self.deliver(transaction, event)
-        self._tell_all()
+        """Resume, after each batch, the requests that the controller picks, one at a time."""
+        for request, event in self.controller.settle():
+            self.deliver(request, event)
+        self._announce_all()
 
-    def _tell_all(self) -> None:
+    def _announce_all(self) -> None:
         for notice in self.controller.notices:
             self.announce(notice)
         self.controller.notices.clear()
--- /dev/null
+++ b/birchslip/admission/health.py
@@ -0,0 +1,74 @@
+"""Whether runs go on at their usual pace, and whether health checks should hear so.
+
+Owns the core time spent and completed. Both are kept over core time, not over the clock: a slow spell is
+not forgotten while little runs.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from .service_time import ServiceTimes
+from .types import Request
+from .units import MS
+from .windows import WindowedCounter
+
+PACE_WINDOW_COUNT = 10
+PACE_WINDOW_PER_CORE = 200 * MS
+HEALTH_PRIOR_RUNS = 2  # typical runs that stand in for what has not been seen
+SLOWDOWN_PRIOR_RUNS = 6
+FEWEST_RUNS_PER_CORE = 3
+UNHEALTHY_STALL_RATIO = 4.0
+HEALTHY_STALL_RATIO = 2.0
+
+
+class HealthMonitor:
+    """Slowdown of runs against the usual, and the health that follows from it."""
+
+    def __init__(self, cores: int, times: ServiceTimes) -> None:
+        """Begin healthy, at the usual pace."""
+        window = PACE_WINDOW_PER_CORE * cores
+        self.times = times
+        self.fewest_runs = FEWEST_RUNS_PER_CORE * cores
+        self.spent = WindowedCounter(PACE_WINDOW_COUNT, window)
+        self.completed = WindowedCounter(PACE_WINDOW_COUNT, window)
+        self.core_clock = 0
+        self.slowdown = 1.0
+        self.stall_ratio = 1.0
+        self.is_healthy = True
+
+    def advance(self, elapsed: int, running: int) -> None:
+        """Count the core time of `running` requests over the time that has passed."""
+        spent = running * elapsed
+        self.core_clock += spent + elapsed
+        self.spent.add(self.core_clock, spent)
+
+    def record_completed(self, core_time: int) -> None:
+        """Count the usual core time of a run that has ended."""
+        self.completed.add(self.core_clock, core_time)
+
+    def measure(self, running: Iterable[Request], now: int) -> None:
+        """Bring the slowdown and the stall ratio up to date, once enough runs are known."""
+        overall = self.times.overall
+        if overall.count < self.fewest_runs:
+            return
+        spent = self.spent.total(self.core_clock)
+        completed = self.completed.total(self.core_clock)
+        health_prior = HEALTH_PRIOR_RUNS * overall.mean
+        slowdown_prior = SLOWDOWN_PRIOR_RUNS * overall.mean
+        self.slowdown = (spent + slowdown_prior) / (completed + slowdown_prior)
+        # A run that goes on is no sign of trouble until it has passed its typical time.
+        within_typical: int = 0
+        for request in running:
+            taken = request.core_time_used + now - request.running_since
+            if taken < self.times.typical(request):
+                within_typical += taken
+        self.stall_ratio = (spent - within_typical + health_prior) / (completed + health_prior)
+
+    def judge(self, is_draining: bool) -> bool:
+        """Bring the health up to date; returns whether it has changed."""
+        bound = UNHEALTHY_STALL_RATIO if self.is_healthy else HEALTHY_STALL_RATIO
+        is_healthy = not is_draining and self.stall_ratio < bound
+        has_changed = is_healthy != self.is_healthy
+        self.is_healthy = is_healthy
+        return has_changed
--- /dev/null
+++ b/birchslip/admission/idle_connections.py
@@ -0,0 +1,116 @@
+"""The idle timeout of connections that costs least, by how callers come back.
+
+Owns the last returns of callers. An idle connection takes cores and room in a table; a new one takes a
+handshake.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+
+from .concurrency_limit import ConcurrencyLimit
+from .quota_meter import WINDOW_COUNT, WINDOW_SPAN
+from .rejection_stats import RejectionStats
+from .types import AdmissionSettings
+from .units import MS, SECOND
+
+TIMEOUT_CHOICES = tuple(100 * MS << step for step in range(7, -1, -1))
+HANDSHAKE_COST = WINDOW_SPAN // 2  # time of an idle connection that costs as much, on busy cores
+RETURNS_KEPT = 100
+FEWEST_RETURNS = 6
+CHOICE_INTERVAL = SECOND
+NO_TIMEOUT = 0
+NOT_ANNOUNCED = -1
+SMALLEST_UTILIZATION = 0.01
+OVERLOAD_RATIO = 2.0  # rejected over what the cores could serve
+OVERLOAD_END_RATIO = 1.0
+OVERLOAD_READ_DELAY = SECOND
+OVERLOAD_END_READ_DELAY = 300 * MS
+
+
+class CallerReturns:
+    """After how long callers come back."""
+
+    def __init__(self, now: int, keepalive_timeout: int, caller_count: int) -> None:
+        """Begin with no caller seen; a `caller_count` of 0 is unknown."""
+        self.started_at = now
+        self.keepalive_timeout = keepalive_timeout
+        self.caller_count = caller_count
+        self.last_seen: dict[int, int] = {}
+        self.gaps: deque[int] = deque(maxlen=RETURNS_KEPT)
+        self.seen_count = 0
+
+    def add(self, caller: int, now: int) -> None:
+        """Count a request of a caller."""
+        self.seen_count += 1
+        gap = now - self.last_seen.pop(caller, now - 2 * self.keepalive_timeout)
+        self.last_seen[caller] = now
+        uptime = now - self.started_at
+        if gap > self.keepalive_timeout > uptime:
+            # Not seen since the start: taken to come as often as all callers do.
+            callers = self.caller_count or len(self.last_seen)
+            gap = min(gap, callers * max(SECOND, uptime) // self.seen_count)
+        self.gaps.append(gap)
+
+    def forget(self, now: int) -> None:
+        """Drop the callers whose connections have ended by themselves."""
+        while self.last_seen:
+            caller, seen_at = next(iter(self.last_seen.items()))
+            if seen_at > now - self.keepalive_timeout:
+                return
+            del self.last_seen[caller]
+
+    def cheapest_timeout(self, handshake_cost: float) -> int:
+        """Return the timeout at which idle connections and handshakes together cost least."""
+
+        def cost(timeout: int) -> float:
+            return sum(gap if gap <= timeout else timeout + handshake_cost for gap in self.gaps)
+
+        shorter = (timeout for timeout in TIMEOUT_CHOICES if timeout < self.keepalive_timeout)
+        return min((self.keepalive_timeout, *shorter), key=cost)
+
+
+class IdleConnections:
+    """The idle timeout in force."""
+
+    def __init__(
+        self, settings: AdmissionSettings, limit: ConcurrencyLimit, stats: RejectionStats, now: int
+    ) -> None:
+        """Begin without a timeout of its own."""
+        self.keepalive_timeout = settings.keepalive_timeout
+        self.limit = limit
+        self.stats = stats
+        self.returns = CallerReturns(now, settings.keepalive_timeout, settings.caller_count)
+        self.next_choice_at = now
+        self.timeout = NOT_ANNOUNCED
+        self.is_overloaded = False
+        self.retry_needs_handshake = False
+
+    def choose(self, now: int, read_delay: int) -> int | None:
+        """Choose the timeout once a second; returns it if it has changed.
+
+        In an overload connections stay open: a full table refuses callers at no cost, while a rejection
+        costs a handshake and the reading of a request.
+        """
+        self._measure_overload(now, read_delay)
+        gaps = self.returns.gaps
+        if now < self.next_choice_at or len(gaps) < FEWEST_RETURNS:
+            return None
+        self.next_choice_at = now + CHOICE_INTERVAL
+        cost = HANDSHAKE_COST / max(SMALLEST_UTILIZATION, self.limit.utilization)
+        cheapest = self.returns.cheapest_timeout(cost)
+        self.retry_needs_handshake = 2 * sum(gap > cheapest for gap in gaps) > len(gaps)
+        is_shorter = cheapest < self.keepalive_timeout and not self.is_overloaded
+        timeout = cheapest if is_shorter else NO_TIMEOUT
+        if timeout == self.timeout:
+            return None
+        self.timeout = timeout
+        return timeout
+
+    def _measure_overload(self, now: int, read_delay: int) -> None:
+        rejected = self.stats.count.total(now)
+        could_serve = self.limit.throughput() * WINDOW_COUNT
+        ratio, longest_delay = OVERLOAD_RATIO, OVERLOAD_READ_DELAY
+        if self.is_overloaded:
+            ratio, longest_delay = OVERLOAD_END_RATIO, OVERLOAD_END_READ_DELAY
+        self.is_overloaded = read_delay > longest_delay or 0 < could_serve * ratio < rejected
--- /dev/null
+++ b/birchslip/admission/quota.py
@@ -0,0 +1,133 @@
+"""The quota of each caller or tenant and the delay for passing it, as in KIP-13 (Kafka quotas).
+
+Owns the meters and what was served in the window. It delays nobody itself.
+"""
+
+from __future__ import annotations
+
+from math import ceil, sqrt
+
+from .concurrency_limit import ConcurrencyLimit
+from .plan_override import PlanState
+from .quota_meter import WINDOW_COUNT, WINDOW_LENGTH, WINDOW_SPAN, QuotaMeter
+from .types import AdmissionSettings, PlanOverride, Request
+from .units import SECOND
+from .windows import WindowedCounter
+
+DERIVED_QUOTA_SHARES = 2.0  # a derived quota, in even shares of the bytes served
+SMALLEST_PLAN_WEIGHT = 0.01
+SMALLEST_EVACUATED_QUOTA = 0.1
+
+
+class Quotas:
+    """Meters of all callers and tenants, and their quotas."""
+
+    def __init__(
+        self, settings: AdmissionSettings, limit: ConcurrencyLimit, plan: PlanState, now: int
+    ) -> None:
+        """Begin with empty windows; configured quotas are split evenly over the fleet."""
+        self.limit = limit
+        self.plan = plan
+        self.started_at = now
+        self.callers: dict[int, QuotaMeter] = {}
+        self.tenants = {tenant: QuotaMeter(tenant.quota / settings.fleet_size) for tenant in settings.tenants}
+        self.evacuated = QuotaMeter()
+        self.served_bytes = WindowedCounter(WINDOW_COUNT, WINDOW_LENGTH)
+        self.served_count = WindowedCounter(WINDOW_COUNT, WINDOW_LENGTH)
+
+    def meter(self, request: Request, now: int) -> QuotaMeter:
+        """Return the meter of a request's tenant, where it has a quota, or else of its caller."""
+        # The last one seen stands last, so that `forget_silent` finds the silent ones at the head.
+        meter = self.callers.pop(request.caller) if request.caller in self.callers else QuotaMeter()
+        self.callers[request.caller] = meter
+        meter.last_seen_at = now
+        if self.plan.weight and self.plan.is_evacuated(request):
+            return self.evacuated
+        if request.tenant is not None and request.tenant.quota > 0:
+            return self.tenants[request.tenant]
+        return meter
+
+    def count(self, request: Request, now: int, is_saturated: bool) -> int:
+        """Count a request in the windows; returns its delay, 0 while quotas do not bind."""
+        meter = request.quota_meter = self.meter(request, now)
+        request.counted_at = now
+        amount = 1 if meter.configured_quota else request.size
+        meter.admitted.add(now, amount)
+        meter.requested.add(now, amount)
+        # A derived quota is learned over one full window; a configured one is known at once.
+        is_known = meter.configured_quota or now - self.started_at >= WINDOW_SPAN
+        return self.delay(meter, now) if is_saturated and is_known else 0
+
+    def uncount(self, request: Request, now: int) -> None:
+        """Take back a request that never ran, or a caller that goes on asking would be shut out whole."""
+        meter = request.quota_meter
+        amount = 1 if meter.configured_quota else request.size
+        meter.admitted.take(now, request.counted_at, amount)
+
+    def record_served(self, request: Request, now: int) -> None:
+        """Count a request that was answered in time."""
+        self.served_bytes.add(now, request.size)
+        self.served_count.add(now, 1)
+
+    def delay(self, meter: QuotaMeter, now: int) -> int:
+        """Return the delay that a meter's quota asks for."""
+        return meter.delay(now, self.quota(meter, now))
+
+    def quota(self, meter: QuotaMeter, now: int) -> float:
+        """Return a second's quota: the tenant's as configured, or twice the caller's even share of bytes.
+
+        It is never under an even share of what the limit could serve, nor is a share less than one request.
+        It is 0, for none, where nothing was served: the cores are stuck, and no caller is to blame.
+        """
+        throughput = self.limit.throughput()
+        if meter is self.evacuated:
+            return meter.configured_quota / max(SMALLEST_PLAN_WEIGHT, self.plan.weight)
+        if meter.configured_quota:
+            return self._configured_quota(meter, throughput, now)
+        served, number = self.served_bytes.total(now), max(1, self.served_count.total(now))
+        callers = len(self.callers)
+        derived = DERIVED_QUOTA_SHARES * max(1.0, callers / number) / WINDOW_COUNT
+        return max(derived, throughput / number) * served / max(1, callers)
+
+    def _configured_quota(self, meter: QuotaMeter, throughput: float, now: int) -> float:
+        active = max(1, sum(1 for peer in self.tenants.values() if peer.admitted.total(now) > 0))
+        usual = max(meter.configured_quota, throughput / active)
+        if not meter.planned_quota:
+            return usual
+        return usual + (meter.planned_quota - usual) * self.plan.weight
+
+    def usage(self, request: Request, now: int) -> float:
+        """Return what a request's caller asked for, rejected or not, beyond chance, against its quota."""
+        meter = request.quota_meter
+        requested = meter.requested.total(now)
+        unit = 1 if meter.configured_quota else request.size
+        beyond_chance = max(0.0, requested - sqrt(requested * unit))
+        return beyond_chance / (meter.configured_quota or max(1.0, self.quota(meter, now)))
+
+    def is_within_fair_share(self, meter: QuotaMeter, now: int) -> bool:
+        """Return whether a tenant had no more of its quota than all active tenants together."""
+        if not meter.configured_quota:
+            return True
+        active = [peer for peer in self.tenants.values() if peer.admitted.total(now) > 0]
+        admitted = sum(peer.admitted.sum for peer in active)
+        configured = sum(peer.configured_quota for peer in active)
+        return meter.admitted.sum * configured <= admitted * meter.configured_quota
+
+    def adopt_plan(self, plan: PlanOverride, now: int, brings_new_callers: bool) -> None:
+        """Set the planned quotas. New evacuated callers begin with a full window: they come all at once."""
+        if brings_new_callers:
+            self.evacuated = QuotaMeter()
+            amount = ceil(plan.evacuated_quota * WINDOW_LENGTH / SECOND)
+            for ago in range(WINDOW_COUNT):
+                self.evacuated.admitted.add(now - (WINDOW_COUNT - 1 - ago) * WINDOW_LENGTH, amount)
+        self.evacuated.configured_quota = max(SMALLEST_EVACUATED_QUOTA, plan.evacuated_quota)
+        for tenant, meter in self.tenants.items():
+            meter.planned_quota = plan.quotas.get(tenant, 0.0)
+
+    def forget_silent(self, now: int) -> None:
+        """Drop the meters of callers not seen for a whole window."""
+        while self.callers:
+            caller, meter = next(iter(self.callers.items()))
+            if meter.last_seen_at > now - WINDOW_SPAN:
+                return
+            del self.callers[caller]
--- /dev/null
+++ b/birchslip/admission/quota_meter.py
@@ -0,0 +1,37 @@
+"""The rate sensor of one caller or tenant, as in KIP-13 (Kafka quotas).
+
+Owns the windows of one caller and computes the delay for a quota; it does not decide what a quota is.
+"""
+
+from __future__ import annotations
+
+from math import ceil
+
+from .units import SECOND
+from .windows import WindowedCounter
+
+WINDOW_COUNT = 10
+WINDOW_LENGTH = SECOND
+WINDOW_SPAN = WINDOW_COUNT * WINDOW_LENGTH
+
+
+class QuotaMeter:
+    """What one caller or tenant asked for and had admitted: bytes, or requests with a configured quota."""
+
+    def __init__(self, configured_quota: float = 0.0) -> None:
+        """Begin with empty windows; `configured_quota` is in requests a second here, 0 for none."""
+        self.admitted = WindowedCounter(WINDOW_COUNT, WINDOW_LENGTH)
+        self.requested = WindowedCounter(WINDOW_COUNT, WINDOW_LENGTH)
+        self.configured_quota = configured_quota
+        self.planned_quota = 0.0  # by the plan in force, 0 where it names none
+        self.last_seen_at = 0
+
+    def delay(self, now: int, quota: float) -> int:
+        """Return the delay that brings the rate back to a quota a second: (total - bound) / quota."""
+        if quota <= 0:
+            return 0
+        bound = quota * WINDOW_SPAN / SECOND
+        return max(0, ceil((self.admitted.total(now) - bound) / quota * SECOND))
+
+
+UNMETERED = QuotaMeter()  # of requests that have not been counted yet
--- /dev/null
+++ b/birchslip/admission/service_time.py
@@ -0,0 +1,99 @@
+"""How long requests take on a core, from measurements and the cost hints that come with them.
+
+Owns the measured times. It decides nothing and has no clock.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from math import exp, log
+
+from .types import Request, RequestClass
+from .windows import QuantileWindow
+
+HINT_MEMORY_RUNS = 200  # runs over which the hints' precision is learned
+EXACT_HINT_PRIOR = 3.0  # weight of the assumption that hints are exact
+SMALLEST_VARIANCE = 1e-9
+
+
+@dataclass(slots=True)
+class LogMeans:
+    """Running means of the logarithms of cost hints and service times of one request class."""
+
+    count: int = 0
+    cost: float = 0.0
+    time: float = 0.0
+
+
+class CostModel:
+    """How closely service times follow cost hints: time ~ hint ** power, by least squares within each class.
+
+    The power is below 1 where hints are rough: a hint is large also by its own error.
+    """
+
+    def __init__(self, request_classes: list[RequestClass]) -> None:
+        """Begin as if hints were exact."""
+        self.means = {request_class: LogMeans() for request_class in request_classes}
+        self.variance = EXACT_HINT_PRIOR
+        self.covariance = EXACT_HINT_PRIOR
+        self.power = 1.0
+
+    def add(self, request_class: RequestClass, cost_hint: int, service_time: float) -> None:
+        """Learn from one run."""
+        means = self.means[request_class]
+        number = min(means.count + 1, HINT_MEMORY_RUNS)
+        from_cost = log(max(1, cost_hint)) - means.cost
+        from_time = log(max(1.0, service_time)) - means.time
+        means.count = number
+        means.cost += from_cost / number
+        means.time += from_time / number
+        self.variance += from_cost * from_cost * (1 - 1 / number) - self.variance / HINT_MEMORY_RUNS
+        self.covariance += from_cost * from_time * (1 - 1 / number) - self.covariance / HINT_MEMORY_RUNS
+        self.power = min(1.0, max(0.0, self.covariance / max(SMALLEST_VARIANCE, self.variance)))
+
+    def factor(self, request_class: RequestClass, cost_hint: int) -> float:
+        """Return the time that a hint stands for, against the mean of its class."""
+        return exp(self.power * (log(max(1, cost_hint)) - self.means[request_class].cost))
+
+
+class ServiceTimes:
+    """Service times without calls downstream, for each request class and over all."""
+
+    def __init__(self, request_classes: list[RequestClass]) -> None:
+        """Begin without measurements; all estimates are 0."""
+        self.by_class = {request_class: QuantileWindow() for request_class in request_classes}
+        self.calls_by_class = {request_class: QuantileWindow() for request_class in request_classes}
+        self.overall = QuantileWindow()
+        self.cost_model = CostModel(request_classes)
+
+    def add(self, request: Request, now: int) -> None:
+        """Learn from a run that went to its end."""
+        request_class = request.request_class
+        self.cost_model.add(request_class, request.cost_hint, request.core_time_used)
+        factor = self.cost_model.factor(request_class, request.cost_hint)
+        self.by_class[request_class].add(now, request.core_time_used / factor)
+        self.calls_by_class[request_class].add(now, request.downstream_calls)
+        self.overall.add(now, request.core_time_used)
+
+    def typical(self, request: Request) -> float:
+        """Return the mean time on a core of requests like this one."""
+        factor = self.cost_model.factor(request.request_class, request.cost_hint)
+        return self.by_class[request.request_class].mean * factor
+
+    def low(self, request: Request) -> float:
+        """Return a time on a core that requests like this one rarely stay under."""
+        factor = self.cost_model.factor(request.request_class, request.cost_hint)
+        return self.by_class[request.request_class].low * factor
+
+    def high(self, request: Request) -> float:
+        """Return a time on a core that requests like this one rarely pass."""
+        factor = self.cost_model.factor(request.request_class, request.cost_hint)
+        return self.by_class[request.request_class].high * factor
+
+    def remaining(self, request: Request, slowdown: float) -> float:
+        """Return the time on a core that is left of a request at the present slowdown."""
+        return max(0.0, self.typical(request) * slowdown - request.core_time_used)
+
+    def mean_calls(self, request: Request) -> float:
+        """Return how many calls downstream a request like this one makes."""
+        return self.calls_by_class[request.request_class].mean
--- a/birchslip/admission/types.py
+++ b/birchslip/admission/types.py
@@ -1,6 +1,6 @@
-"""What the decisions in `controller.py` are told, what they may ask for, and what they hear back.
+"""Requests and settings, the events that decisions are told, and the actions that they ask for.
 
-Types only, and no wire: a second protocol fills the same types. A time is a whole number of tenths of a
+Types only, and no wire: each protocol fills the same types. A time is a whole number of tenths of a
 millisecond, a size is a whole number of bytes, and a share is a fraction.
 """
 
@@ -9,14 +9,15 @@
 from collections.abc import Generator
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
+from typing import Any, ClassVar
 
-SECOND = 10_000
-MS = SECOND // 1000
+from .quota_meter import UNMETERED, QuotaMeter
+from .units import MS as MS
+from .units import SECOND as SECOND
 
 
 class Idempotency(Enum):
-    """What a profile's repeat may do."""
+    """What a repeat of a request may do: any harm, none, or none with its idempotency key."""
 
     IDEMPOTENT = "redoable"
     KEYED = "labelled"
@@ -32,7 +33,7 @@
 
 
 class Downstream(Enum):
-    """What lies below the app server."""
+    """The service below the app server."""
 
     NONE = "off"
     SHARED = "shared"
@@ -41,7 +42,11 @@
 
 @dataclass(eq=False, slots=True)
 class RequestClass:
-    """One profile. `window` counts for labelled ones, `skip_payoff` is what is earned without the call."""
+    """A class of requests with the same worth and effect.
+
+    `late_weight` is what an answer past the latency objective earns, `weight_without_call` what one earns
+    without its call downstream; `key_retention` counts for keyed requests.
+    """
 
     idempotency: Idempotency
     latency_objective: int
@@ -54,14 +59,14 @@
 
 @dataclass(eq=False, slots=True)
 class Tenant:
-    """A told tenant; its quota is in transactions a second over the whole fleet, 0 for none."""
+    """A configured tenant; its quota is in requests a second over the whole fleet, 0 for none."""
 
     quota: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
 class AdmissionSettings:
-    """What an app server is told at its start. The defaults hold where a setting is absent."""
+    """Settings of an app server at its start. The defaults hold where a setting is absent."""
 
     request_classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
@@ -89,19 +94,22 @@
 
 
 class RequestState(Enum):
-    """Where a transaction is."""
+    """Where a request is."""
 
-    QUEUED = "hold"
-    RUNNING = "cores"
-    WAITING_FOR_CALL = "call queue"
+    QUEUED = "queued"
+    RUNNING = "running"
+    WAITING_FOR_CALL = "waiting_for_call"
     CALLING = "calling"
     ATTACHED = "attached"
-    COMPLETED = "ended"
+    COMPLETED = "completed"
 
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Request:
-    """One transaction, as read; what stands below the line belongs to the decisions."""
+    """One request as it was read; the fields from `state` on belong to the decisions.
+
+    `context` is what the server keeps of it; it is dropped with `steps` once the request is over.
+    """
 
     request_class: RequestClass
     caller: int
@@ -118,7 +126,7 @@
     eligible_at: int = 0
     sequence: int = 0
     counted_at: int = 0
-    quota_meter: Any = None
+    quota_meter: QuotaMeter = UNMETERED
     downstream_calls: int = 0
     holds_key: bool = False
     running_since: int = 0
@@ -127,8 +135,8 @@
     memory_held: int = 0
     has_started: bool = False
     is_answered: bool = False
-    steps: Generator[Action, Any, None] | None = None
-    context: Any = None  # what the door keeps of it, until the path has ended
+    steps: Generator[Action, Event, None] | None = None
+    context: Any = None
 
 
 class Outcome(Enum):
@@ -147,90 +155,98 @@
 NEVER_RAN_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.SUPERSEDED))
 
 
-# What a transaction's generator is resumed with: the outside's news, and the decisions' own two signals.
+# Events that a request's steps are resumed with: four from outside, two from the decisions themselves.
 
 
 @dataclass(slots=True)
 class RunEnded:
+    """Its run has ended; `elapsed` is the time since its start."""
+
     outcome: Outcome
     elapsed: int = 0
 
 
 @dataclass(slots=True)
 class CallNeeded:
-    pass
+    """It has left its core and needs a call downstream."""
 
 
 @dataclass(slots=True)
 class CallEnded:
+    """Its call has ended; `elapsed` is the time since the call."""
+
     outcome: Outcome
     elapsed: int = 0
 
 
 @dataclass(slots=True)
 class CallerGone:
-    pass
+    """Its caller waits no longer."""
 
 
 @dataclass(slots=True)
 class TurnGranted:
-    """Its turn has come."""
+    """Its turn to run or to call has come."""
 
 
 @dataclass(slots=True)
 class WaitExpired:
-    """It is no longer worth waiting for."""
+    """Waiting for it is useless, or its deadline has come."""
 
 
 Event = RunEnded | CallNeeded | CallEnded | CallerGone | TurnGranted | WaitExpired
 
 
-# What a generator may yield. The first five wait for an event, the others are resumed at once.
+# Actions that a request's steps may yield. After the first five they wait for an event.
 
 
 @dataclass(slots=True)
 class Wait:
-    """Nothing to do until something happens; a held transaction stays held."""
+    """Do nothing until something happens to it."""
 
 
 @dataclass(slots=True)
 class StartRun:
-    pass
+    """Start its run."""
 
 
 @dataclass(slots=True)
 class CallDownstream:
+    """Make its call, and give it up after the timeout."""
+
     timeout: int
 
 
 @dataclass(slots=True)
 class SkipCall:
-    pass
+    """Let its run go on without its call."""
 
 
 @dataclass(slots=True)
 class AttachToOriginal:
-    pass
+    """Answer it with the outcome of its original."""
 
 
 @dataclass(slots=True)
 class StopRun:
-    pass
+    """Stop its run."""
 
 
 @dataclass(slots=True)
 class StoreKey:
+    """Keep its idempotency key for this long from now on."""
+
     retention: int
 
 
 @dataclass(slots=True)
 class ReleaseKey:
-    pass
+    """Forget its idempotency key: it never ran."""
 
 
 @dataclass(slots=True)
 class Reject:
-    """The final answer that it never ran; `after` 0 gives no advice, `last` asks not to try elsewhere."""
+    """Answer that it never ran; a `retry_after` of 0 gives no advice."""
 
     retry_after: int = 0
     stop_retrying: bool = False
@@ -238,41 +254,88 @@
 
 @dataclass(slots=True)
 class Fail:
-    """The final answer that it failed."""
+    """Answer that it failed."""
 
 
-# What the decisions may ask for the app server as a whole.
+# Actions for the app server as a whole.
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Send a tick at this time."""
+
     at: int
 
 
 @dataclass(slots=True)
 class SetHealth:
+    """Answer health checks from now on as said."""
+
     is_healthy: bool
     is_store_healthy: bool = True
 
 
 @dataclass(slots=True)
 class SetIdleTimeout:
-    """Connections that have carried nothing for so long are closed."""
+    """Close connections that have carried nothing for so long; 0 leaves them to their callers."""
 
     timeout: int
 
 
 @dataclass(slots=True)
 class AdvertiseCriticality:
-    """The free value that goes with every answer from now on, where the deployment's callers heed a level."""
+    """Send this criticality level with every answer from now on."""
 
     value: float
 
 
 @dataclass(slots=True)
-class LogEvent:
-    text: str
+class QuotasBind:
+    """Quotas bind: the cores are busy and requests wait."""
+
+    name: ClassVar[str] = "quotas_bind"
+    queued: int
+    running: int
+
+
+@dataclass(slots=True)
+class HealthChanged:
+    """The health that checks are told has changed."""
+
+    name: ClassVar[str] = "health_changed"
+    is_healthy: bool
+    stall_ratio: float
+
+
+@dataclass(slots=True)
+class PlanApplied:
+    """A plan of the fleet that says something new has come into force."""
+
+    name: ClassVar[str] = "plan_applied"
+    term: int
+    number: int
+    serving_fraction: float
+    evacuated_callers: tuple[int, ...]
+    is_capacity_short: bool
+
+
+@dataclass(slots=True)
+class PlanExpired:
+    """A plan of the fleet that was not renewed has lost all its weight."""
+
+    name: ClassVar[str] = "plan_expired"
+    term: int
+    number: int
+
+
+@dataclass(slots=True)
+class DrainStarted:
+    """The app server has been asked to drain."""
+
+    name: ClassVar[str] = "drain_started"
+
 
+LogEvent = QuotasBind | HealthChanged | PlanApplied | PlanExpired | DrainStarted
 
 Action = (
     Wait
@@ -291,22 +354,23 @@
 
 
 class SheddingTier(Enum):
-    """What a plan may have refused before other work; the operators order them."""
+    """Requests that a plan may have dropped before others; the operators order them."""
 
-    OVER_QUOTA = "beyond"  # beyond its tenant's share
+    OVER_QUOTA = "beyond"  # past its tenant's quota
     RETRY = "again"  # a further try or a second copy
-    EVACUATED = "visitor"  # from the lost site, by payoff per work
+    EVACUATED = "visitor"  # from the lost site, by priority weight per service time
     LOCAL = "home"
 
 
 @dataclass(frozen=True, slots=True)
 class PlanOverride:
-    """A plan in force at this app server: quotas told anew while in service, and the order of refusal.
+    """A plan of the fleet for this app server: quotas in service, and the order in which requests drop.
 
-    `epoch` is that of the plan's leader and `number` counts its plans. It holds until `until` and then fades
-    over `fade`. `quotas` are transactions a second here; `visitors` are callers whose home is lost, and
-    `visits` is the quota of them all together. `level` is the share of the cores that may be used while it is
-    let back in; `short` says that no one has room.
+    `term` is that of the leader who made the plan, and `number` counts its plans. It holds until
+    `expires_at` and then fades over `fade_span`. `quotas` are requests a second here;
+    `evacuated_callers` come from a lost site, and `evacuated_quota` is the quota of them all together.
+    `serving_fraction` is the share of the cores that may be used while this app server is let back in;
+    `is_capacity_short` says that no app server has room.
     """
 
     term: int
@@ -323,6 +387,6 @@
 
 @dataclass(slots=True)
 class Gauges:
-    """The app server's own gauges; None where it has no such gauge."""
+    """Gauges of the app server itself; None where it has no such gauge."""
 
     core_utilization: float | None = None
--- a/birchslip/cluster/member_metrics.py
+++ b/birchslip/cluster/member_metrics.py
@@ -7,8 +7,8 @@
 from bisect import bisect
 from collections.abc import Mapping, Sequence
 
-from ..admission.controller import WindowedCounter
 from ..admission.types import SECOND
+from ..admission.windows import WindowedCounter
 
 SLICES, SLICE = 8, 2_500  # two seconds, a quarter of a second at a time
 SPAN = SLICES * SLICE
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -195,12 +195,12 @@
     def told(self, now: int) -> MemberReport:
         self.number += 1
         moment = self.scheduler.now
-        rates, controller = self.rates, self.driver.controller if self.driver is not None else None
+        rates, metrics = self.rates, self.driver.metrics() if self.driver is not None else None
         load, visits, again, honoured, shed = rates.now(moment)
         if moment >= self.memory_due:
             self.memory, self.memory_due = memory(), moment + MEMORY
         site = self.deployment
-        age = max(0, moment - controller.started) if controller is not None else 0
+        age = max(0, moment - metrics.started_at) if metrics is not None else 0
         self.met = {name: (at, what) for name, (at, what) in self.met.items() if moment - at <= KNOCKS_KEPT}
         return MemberReport(
             name=self.name,
@@ -211,15 +211,15 @@
             age=age,
             serving=self.standing.serving,
             leaving=self.standing.leaving,
-            warm=controller is not None and (not controller.site.starts_cold or age >= site.warm_up_span),
-            room=room_of(site.cores, controller.all_runs.usual, honoured) if controller is not None else 0.0,
-            pace=max(0.0, controller.stretch) if controller is not None else 1.0,
+            warm=metrics is not None and (not metrics.starts_cold or age >= site.warm_up_span),
+            room=room_of(site.cores, metrics.mean_service_time, honoured) if metrics is not None else 0.0,
+            pace=max(0.0, metrics.slowdown) if metrics is not None else 1.0,
             load=load,
             visits=visits,
             again=again,
             honoured=honoured,
             shed=shed,
-            calls=float(controller.in_hand) if controller is not None else 0.0,
+            calls=float(metrics.calls_in_flight) if metrics is not None else 0.0,
             share=max(0.0, self.obey.calls(now)),
             lease=self.obey.lease_left(now),
             epoch=self.obey.epoch,
--- a/birchslip/lab/cores.py
+++ b/birchslip/lab/cores.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-from ..admission.controller import WindowedCounter
+from ..admission.windows import WindowedCounter
 
 SECOND = 10_000
 FRONT_MOST = 0.9  # of the cores that connections and reading may take
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -100,7 +100,7 @@
         self.number += 1
         server, site = self.server, self.site
         assert server.driver is not None and site is not None
-        controller = server.driver.controller
+        metrics = server.driver.metrics()
         load, visits, again, honoured, shed = self.rates.now(now)
         self.met = {name: (at, what) for name, (at, what) in self.met.items() if now - at <= KNOCK_KEPT}
         return MemberReport(
@@ -113,14 +113,14 @@
             serving=server.serving,
             leaving=server.leaving,
             warm=server.warm,
-            room=room_of(server.cores.count, controller.all_runs.usual, honoured),
-            pace=max(0.0, controller.stretch),
+            room=room_of(server.cores.count, metrics.mean_service_time, honoured),
+            pace=max(0.0, metrics.slowdown),
             load=load,
             visits=visits,
             again=again,
             honoured=honoured,
             shed=shed,
-            calls=float(controller.in_hand),
+            calls=float(metrics.calls_in_flight),
             share=max(0.0, self.obey.calls(now)),
             lease=self.obey.lease_left(now),
             epoch=self.obey.epoch,
@@ -143,7 +143,7 @@
             server.driver.advance_clock(now)
             until = now + self.obey.left(now)
             server.driver.apply_plan(override_of(tell, self.planners.tenants, until))
-            if server.dozes and server.driver.controller.force:
+            if server.dozes and server.driver.metrics().plan_weight:
                 server.dozes = False
                 server.tick(server.life)
 
--- a/birchslip/lab/model/servers.py
+++ b/birchslip/lab/model/servers.py
@@ -269,8 +269,8 @@
         if self.paused:
             self.held.append((life, lambda: self.tick(life)))
             return
-        controller = self.driver.controller
-        if not self.open and controller.good and not controller.force and not self.leaving:
+        metrics = self.driver.metrics()
+        if not self.open and metrics.is_healthy and not metrics.plan_weight and not self.leaving:
             self.dozes = True
             return
         self.batch()
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -14,14 +14,18 @@
 
 from ..admission.driver import AdmissionDriver
 from ..admission.types import (
+    DrainStarted,
     Gauges,
+    HealthChanged,
     Outcome,
+    PlanApplied,
+    PlanExpired,
+    QuotasBind,
     ServerAction,
     SetHealth,
     SetIdleTimeout,
     SetTimer,
 )
-from ..admission.types import LogEvent as Remark
 from ..errors import InvalidInputError
 from .bounds import bounds
 from .catalog import Catalog
@@ -352,8 +356,8 @@
                 self.clients.good = good
             case SetIdleTimeout(span):
                 self.clients.set_idle(span)
-            case Remark(text):
-                self.log.info("decisions", text=text)
+            case QuotasBind() | HealthChanged() | PlanApplied() | PlanExpired() | DrainStarted():
+                self.log.info(notice.name, **asdict(notice))
 
     def tick(self) -> None:
         if self.keeper is not None and self.admit.driver is not None:
--- a/birchslip/simulator/wire.py
+++ b/birchslip/simulator/wire.py
@@ -11,10 +11,15 @@
     AdvertiseCriticality,
     AttachToOriginal,
     CallDownstream,
+    DrainStarted,
     Fail,
     Gauges,
+    HealthChanged,
     LogEvent,
     Outcome,
+    PlanApplied,
+    PlanExpired,
+    QuotasBind,
     Reject,
     ReleaseKey,
     ServerAction,
@@ -105,5 +110,22 @@
             return f"idle_limit\t{seconds(span)}"
         case AdvertiseCriticality(value):
             return f"advertise\t{value:.4f}"
-        case LogEvent(text):
-            return f"record\t{text}"
+        case QuotasBind() | HealthChanged() | PlanApplied() | PlanExpired() | DrainStarted():
+            return f"record\t{record_text(notice)}"
+
+
+def record_text(event: LogEvent) -> str:
+    """Return the text of a log event; operators read these lines, so their wording stays."""
+    match event:
+        case QuotasBind(queued, running):
+            return f"quota binds: {queued} held, {running} on the cores"
+        case HealthChanged(is_healthy, stall_ratio):
+            health = "good" if is_healthy else "bad"
+            return f"health {health}: runs take {stall_ratio:.1f} times the usual"
+        case PlanApplied(term, number, fraction, callers, is_short):
+            change = f"level {fraction:.2f}, visitors {list(callers)}, short {is_short}"
+            return f"plan {term}.{number} in force: {change}"
+        case PlanExpired(term, number):
+            return f"plan {term}.{number} has run out"
+        case DrainStarted():
+            return "leaving"
--- a/tests/test_bond.py
+++ b/tests/test_bond.py
@@ -80,15 +80,15 @@
 
 def test_without_a_lease_the_kept_part_alone_may_be_in_hand(tie):
     tie.bond.check()
-    assert tie.controller.calls_share == 2.0  # half of an even share of 24 among six
+    assert tie.controller.downstream.quota == 2.0  # half of an even share of 24 among six
 
 
 def test_a_lease_that_ended_in_a_pause_binds_before_the_next_batch(tie):
     tie.hear(0, 100, share=5.0, lease=3 * SECOND)
-    assert tie.controller.calls_share == 5.0
+    assert tie.controller.downstream.quota == 5.0
     tie.now = 60 * SECOND  # stopped for a minute
     tie.bond.check()
-    assert tie.controller.calls_share == 2.0 and tie.bond.counters.counts["fleet.leases_lapsed"] == 1
+    assert tie.controller.downstream.quota == 2.0 and tie.bond.counters.counts["fleet.leases_lapsed"] == 1
 
 
 def test_the_clock_of_leases_does_not_follow_the_systems(monkeypatch):
@@ -100,10 +100,12 @@
 
 def test_a_plan_reaches_the_decisions_with_what_is_known_here(tie):
     tie.hear(0, 1_000, tell=tell())
-    plan = tie.controller.plan
-    assert (plan.epoch, plan.number, plan.until) == (64, 1, 4 * SECOND)
-    assert plan.quotas == {tie.tenant: 3.0} and plan.visitors == {5} and plan.visits == 2.0
-    assert plan.order == (SheddingTier.EVACUATED, SheddingTier.LOCAL) and plan.level == 0.5 and plan.short
+    plan = tie.controller.plan.plan
+    assert (plan.term, plan.number, plan.expires_at) == (64, 1, 4 * SECOND)
+    assert plan.quotas == {tie.tenant: 3.0}
+    assert plan.evacuated_callers == {5} and plan.evacuated_quota == 2.0
+    assert plan.shedding_order == (SheddingTier.EVACUATED, SheddingTier.LOCAL)
+    assert plan.serving_fraction == 0.5 and plan.is_capacity_short
 
 
 def test_a_plan_that_came_too_late_or_from_nobody_who_leads_is_not_taken_over(tie):
@@ -111,7 +113,7 @@
     tie.now = 6 * SECOND
     reply = ReportReply(epoch=65, author=AUTHOR, leads=False, tell=tell(epoch=65, plan=9))
     assert not tie.bond.obey.take(reply, tie.now, tie.now)
-    assert tie.controller.plan.epoch == 0 and not tie.controller.force
+    assert tie.controller.plan.plan.term == 0 and not tie.controller.plan.weight
 
 
 def test_what_it_reports_counts_first_tries_at_home_visits_and_further_tries_apart(tie):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from birchslip.admission.controller import LEVEL_MOST, RETURNS
+from birchslip.admission.criticality import HIGHEST_LEVEL
+from birchslip.admission.idle_connections import RETURNS_KEPT
 from birchslip.admission.types import (
     SECOND,
     AdvertiseCriticality,
@@ -33,10 +34,10 @@
         tx = desk.read(at, caller=caller)
         desk.at(at, tx).at(at + 50, (tx, SERVED), cpu=0.5)
     for _ in range(shed):
-        desk.controller.shed(desk.read(0))
+        desk.controller.rejections.reject(desk.read(0), desk.now)
     desk.at(17_000, cpu=0.5)
     assert idle_limit(desk) == limit
-    assert desk.controller.storm is (shed > 0)
+    assert desk.controller.rejection_stats.is_retry_storm is (shed > 0)
 
 
 @pytest.mark.parametrize(("cpu", "limit"), [(1.0, 100), (0.1, 0)], ids=["busy", "idle cores"])
@@ -65,10 +66,10 @@
         desk.at(at, tx).at(at + 50, (tx, SERVED if known else RunEnded(Outcome.CANCELLED)), cpu=0.5)
     seen = []
     for more in (300, 200, -250, -100):  # 300, 500, 250 and 150 are shed in the window
-        desk.controller.turned.add(desk.now, more)
-        desk.controller.next_idle = 0
-        desk.controller.close_idle()
-        seen.append(desk.controller.idle // MS)
+        desk.controller.rejection_stats.count.add(desk.now, more)
+        desk.controller.idle_connections.next_choice_at = 0
+        desk.controller.choose_idle_timeout()
+        seen.append(desk.controller.idle_connections.timeout // MS)
     assert seen == limits
 
 
@@ -80,9 +81,9 @@
     seen = []
     for unread in (900, 1100, 400, 200):
         desk.at(17_000, desk.read(17_000 - unread, caller=unread))
-        desk.controller.next_idle = 0
-        desk.controller.close_idle()
-        seen.append(desk.controller.idle // MS)
+        desk.controller.idle_connections.next_choice_at = 0
+        desk.controller.choose_idle_timeout()
+        seen.append(desk.controller.idle_connections.timeout // MS)
     assert seen == [100, 0, 0, 100]
 
 
@@ -93,11 +94,11 @@
 def test_a_level_rises_while_work_is_shed_and_falls_back_to_nothing():
     desk = Desk(profile(latency_objective=20_000, deadline=40_000), cores=1, sends_criticality=True)
     desk.at(0, desk.read(0), desk.read(0))
-    desk.controller.shed(desk.read(0))
+    desk.controller.rejections.reject(desk.read(0), desk.now)
     for at in range(50, 5_000, 50):
         desk.at(at, cpu=1.0)
     risen = advertised(desk)
-    assert risen == sorted(risen) and risen[-1] == LEVEL_MOST
+    assert risen == sorted(risen) and risen[-1] == HIGHEST_LEVEL
     for at in range(5_000, 20_000, 50):
         desk.at(at, cpu=0.0)
     assert advertised(desk)[-1] == 0.0
@@ -108,7 +109,7 @@
     for desk, shed in ((heedless, 1), (calm, 0)):
         desk.at(0, desk.read(0), desk.read(0))
         for _ in range(shed):
-            desk.controller.shed(desk.read(0))
+            desk.controller.rejections.reject(desk.read(0), desk.now)
         for at in range(50, 2_000, 50):
             desk.at(at, cpu=1.0)
         assert advertised(desk) == []
@@ -120,7 +121,7 @@
     for at in range(0, 16_000, 100):
         tx = desk.read(at, caller=at // 100 % callers)
         desk.at(at, tx).at(at + 50, (tx, SERVED), cpu=0.5)
-    assert desk.controller.shed(desk.read(16_000)).stop_retrying is last
+    assert desk.controller.rejections.reject(desk.read(16_000), desk.now).stop_retrying is last
 
 
 def test_an_untold_number_of_callers_makes_no_stranger_of_one_not_heard_yet():
@@ -135,4 +136,5 @@
     desk = Desk(cores=1, keepalive_timeout=5 * SECOND)
     for at in range(0, 20_000, 100):
         desk.at(at, desk.read(at, caller=at), cpu=0.5)
-    assert len(desk.controller.returns.last_heard) <= 51 and len(desk.controller.returns.gaps) == RETURNS
+    returns = desk.controller.idle_connections.returns
+    assert len(returns.last_seen) <= 51 and len(returns.gaps) == RETURNS_KEPT
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from birchslip.admission.controller import CALLS_KEPT
+from birchslip.admission.downstream import KEPT_QUOTA_SHARE
 from birchslip.admission.types import (
     CallEnded,
     CallerGone,
@@ -37,16 +37,16 @@
     desk = Desk(cores=1, tenants=[tenant]).warm(until=ran, cpu=cpu)
     desk.at(ran, desk.read(ran), desk.read(ran)).at(ran + 350, cpu=cpu)
     tx = desk.read(ran + 350, tenant=tenant)
-    desk.controller.meter(tx).ring.add(desk.now, 1_000_000_000)
-    assert (desk.controller.count(tx) > 0) is binds
+    desk.controller.quotas.meter(tx, desk.now).admitted.add(desk.now, 1_000_000_000)
+    assert (desk.controller.quotas.count(tx, desk.now, desk.controller.queue.is_saturated) > 0) is binds
 
 
 @pytest.mark.parametrize(("over", "wish"), [(50, ["Reject"]), (0, [])])
 def test_a_told_quota_delays_or_sheds_its_own_tenant_only(over, wish):
     heavy, light = Tenant(quota=2.0), Tenant(quota=2.0)
     desk = Desk(cores=1, tenants=[heavy, light], sends_retry_after=True, max_retry_after=1000 * MS)
-    desk.controller.crowded = True
-    desk.controller.tenants[heavy].ring.add(0, 20 + over)
+    desk.controller.queue.is_saturated = True
+    desk.controller.quotas.tenants[heavy].admitted.add(0, 20 + over)
     tx, other = desk.read(0, tenant=heavy), desk.read(0, tenant=light)
     desk.at(0, desk.read(0), tx, other)
     assert desk.wishes(tx) == wish and desk.wishes(other) == []
@@ -57,14 +57,14 @@
     desk = Desk(cores=10)
     desk.at(0, *(desk.read(0) for _ in range(running)))
     desk.driver.tick(Gauges(None))
-    assert len(desk.controller.on_cores) == running and desk.controller.busy is busy
+    assert len(desk.controller.limit.running) == running and desk.controller.limit.is_busy is busy
 
 
 def test_what_is_shed_or_gone_is_taken_out_of_the_windows():
     desk = Desk(cores=1)
     running, gone = desk.read(0), desk.read(0)
     desk.at(0, running, gone).at(10, (gone, CallerGone()))
-    assert desk.controller.callers[0].ring.total(desk.now) == running.size
+    assert desk.controller.quotas.callers[0].admitted.total(desk.now) == running.size
 
 
 def test_the_heaviest_caller_pays_when_the_hold_does_not_fit():
@@ -100,8 +100,8 @@
 def test_the_hold_is_looked_through_once_in_a_while_however_much_comes():
     desk = Desk(cores=1).warm()
     looks = []
-    sweep = desk.controller.sweep
-    desk.controller.sweep = lambda: looks.append(desk.now) or sweep()
+    sweep = desk.controller.queue.sweep
+    desk.controller.queue.sweep = lambda now: looks.append(now) or sweep(now)
     for ms in range(12_010, 12_030):
         desk.at(ms, desk.read(ms))
     assert len(looks) == 5
@@ -113,16 +113,16 @@
     desk.at(0, *[desk.read(0) for _ in range(5)], cpu=cpu)
     for ms in range(50, held_for + 1, 50):
         desk.at(ms, cpu=cpu)
-    assert int(desk.controller.limit) == limit
+    assert int(desk.controller.limit.limit) == limit
 
 
 def test_the_limit_is_cut_when_runs_slow_and_never_under_the_cores():
     desk = Desk().warm(until=40_000)
-    desk.controller.limit = 2.1
+    desk.controller.limit.limit = 2.1
     for ms in range(40_000, 52_000, 1500):
         tx = desk.read(ms, wait=4000)
         desk.at(ms, tx).at(ms + 1400, (tx, SERVED), cpu=1.0)
-    assert desk.controller.limit == 2.0
+    assert desk.controller.limit.limit == 2.0
 
 
 @pytest.mark.parametrize(("cpu", "crowd", "most"), [(1.0, 8.0, 3), (1.0, 1.5, 2), (0.5, 8.0, 10)])
@@ -135,12 +135,12 @@
     for ms in range(12_000, 12_500, 10):
         tx = desk.read(ms)
         desk.at(ms, tx).at(ms + 5, (tx, CallNeeded()))
-    assert desk.controller.begun == most
+    assert desk.controller.limit.started_count == most
 
 
 def test_one_long_run_of_known_cost_does_not_make_health_bad():
     desk = Desk(profile(latency_objective=30_000, deadline=60_000)).warm(took=100)
-    desk.controller.runs[desk.profiles[0]].usual = 1.0
+    desk.controller.times.by_class[desk.profiles[0]].mean = 1.0
     desk.at(12_000, desk.read(12_000, cost_hint=4000 * MS))
     for ms in range(12_050, 15_900, 50):
         desk.at(ms, cpu=0.5)
@@ -200,18 +200,18 @@
     for ms in range(12_050, 14_000, 50):
         desk.at(ms, cpu=1.0)
     assert desk.told.count(SetHealth(False)) == 1
-    for tx in list(desk.controller.on_cores):
+    for tx in list(desk.controller.limit.running):
         desk.at(14_000, (tx, SERVED))
     for ms in range(14_050, 18_000, 50):
         desk.at(ms, cpu=0.0)
-    assert desk.controller.good
+    assert desk.controller.health.is_healthy
 
 
 def test_first_short_runs_do_not_make_health_bad():
     desk = Desk(cores=2)
     short, long = desk.read(0), desk.read(0)
     desk.at(0, short, long).at(10, (short, SERVED), cpu=1.0).at(1000, cpu=1.0)
-    assert desk.controller.good
+    assert desk.controller.health.is_healthy
 
 
 def test_an_empty_app_server_tries_whatever_the_figures_say():
@@ -235,15 +235,15 @@
     for start, end in ((0, 2000), (4500, 4600)):
         tx = desk.read(start, wait=9000)
         desk.at(start, tx).at(start, (tx, CallNeeded())).at(end, (tx, CallEnded(Outcome.SERVED)), cpu=0.1)
-    assert desk.controller.call_time == 100 * MS
+    assert desk.controller.downstream.recent_time == 100 * MS
 
 
 @pytest.mark.parametrize(("stretch", "wish"), [(1.0, "StartRun"), (1.5, "Reject")])
 def test_a_free_core_tries_at_base_time_while_the_pace_is_usual(stretch, wish):
     desk = Desk(cores=2).warm(until=9000)
-    desk.controller.runs[desk.profiles[0]].base = 200 * MS
-    desk.controller.runs[desk.profiles[0]].usual = 1200 * MS
-    desk.controller.stretch = stretch
+    desk.controller.times.by_class[desk.profiles[0]].low = 200 * MS
+    desk.controller.times.by_class[desk.profiles[0]].mean = 1200 * MS
+    desk.controller.health.slowdown = stretch
     tx = desk.read(9000)
     desk.at(9000, desk.read(9000, wait=9000), tx)
     assert desk.wishes(tx)[-1] == wish
@@ -255,9 +255,9 @@
     desk = Desk(cores=1, tenants=[tenant], sends_retry_after=True, max_retry_after=1000 * MS).warm(
         until=12_000
     )
-    desk.controller.crowded = True
+    desk.controller.queue.is_saturated = True
     for ms in range(12_000, 12_500):
-        desk.controller.meter(desk.read(ms, tenant=tenant)).ring.add(ms * MS, 10_000)
+        desk.controller.quotas.meter(desk.read(ms, tenant=tenant), desk.now).admitted.add(ms * MS, 10_000)
     tx = desk.read(12_500, tenant=tenant)
     desk.at(12_500, tx)
     assert desk.wishes(tx) == ["Reject"] and (desk.said[-1][1].retry_after > 500 * MS) is longer
@@ -282,35 +282,43 @@
     assert desk.at(due).wishes(third) == ["StartRun", "CallDownstream"]
 
 
-@pytest.mark.parametrize(("call_time", "allowed"), [(100, 9.0), (200, 4.5), (9000, 9.0 * CALLS_KEPT)])
+@pytest.mark.parametrize(("call_time", "allowed"), [(100, 9.0), (200, 4.5), (9000, 9.0 * KEPT_QUOTA_SHARE)])
 def test_fewer_calls_in_hand_as_they_slow_but_never_none(call_time, allowed):
     desk = Desk(downstream=Downstream.SHARED, downstream_quota=9.0)
-    desk.controller.calls.base, desk.controller.call_time = 100.0, float(call_time)
-    assert desk.controller.allowed_calls() == pytest.approx(allowed)
+    desk.controller.downstream.call_times.low, desk.controller.downstream.recent_time = (
+        100.0,
+        float(call_time),
+    )
+    assert desk.controller.downstream.concurrency(desk.now) == pytest.approx(allowed)
 
 
 def test_a_refused_call_counts_as_a_slow_one():
     desk = Desk(downstream=Downstream.SHARED)
-    desk.controller.call_time = 100.0 * MS
+    desk.controller.downstream.recent_time = 100.0 * MS
     tx = desk.read(0)
     desk.at(0, tx).at(1, (tx, CallNeeded())).at(2, (tx, CallEnded(Outcome.REJECTED, MS)))
-    assert desk.controller.calls.usual >= 200 * MS
+    assert desk.controller.downstream.call_times.mean >= 200 * MS
 
 
 def test_a_light_tenant_is_not_held_to_less_than_an_even_share():
     light = Tenant(quota=0.1)
     desk = Desk(cores=1, tenants=[light]).warm(until=9000)
-    desk.controller.crowded = True
-    desk.controller.tenants[light].ring.add(9000 * MS, 9)
-    assert desk.controller.count(desk.read(9000, tenant=light)) == 0
+    desk.controller.queue.is_saturated = True
+    desk.controller.quotas.tenants[light].admitted.add(9000 * MS, 9)
+    assert (
+        desk.controller.quotas.count(
+            desk.read(9000, tenant=light), desk.now, desk.controller.queue.is_saturated
+        )
+        == 0
+    )
 
 
 @pytest.mark.parametrize(("asked", "again"), [(5, False), (50, True)])
 def test_who_asked_most_pays_in_the_hold_and_first_tries_last(asked, again):
     light, heavy = Tenant(1.0), Tenant(1.0)
     desk = Desk(cores=1, tenants=[light, heavy]).warm()
-    desk.controller.tenants[light].asked.add(12_000 * MS, asked)
-    desk.controller.tenants[heavy].asked.add(12_000 * MS, 50)
+    desk.controller.quotas.tenants[light].requested.add(12_000 * MS, asked)
+    desk.controller.quotas.tenants[heavy].requested.add(12_000 * MS, 50)
     first = desk.read(12_000, tenant=light)
     others = [desk.read(12_000, tenant=heavy, is_retry=again) for _ in range(4)]
     desk.at(12_000, first, *others)
@@ -325,10 +333,10 @@
 def test_a_derived_quota_is_twice_an_even_share_of_at_least_one_transaction(callers, served, bound):
     desk = Desk(cores=1)
     for caller in range(callers):
-        desk.controller.meter(desk.read(0, caller=caller))
-    desk.controller.honoured.add(0, served * 1000)
-    desk.controller.honoured_number.add(0, served)
-    in_a_window = desk.controller.quota(desk.controller.callers[0]) * 10
+        desk.controller.quotas.meter(desk.read(0, caller=caller), desk.now)
+    desk.controller.quotas.served_bytes.add(0, served * 1000)
+    desk.controller.quotas.served_count.add(0, served)
+    in_a_window = desk.controller.quotas.quota(desk.controller.quotas.callers[0], desk.now) * 10
     assert in_a_window == pytest.approx(bound * 1000)
 
 
@@ -336,12 +344,12 @@
     """Both have asked for 1.2 times their quota: twenty for the one, two hundred for the other."""
     light, heavy = Tenant(2.0), Tenant(20.0)
     desk = Desk(cores=1, tenants=[light, heavy])
-    desk.controller.tenants[light].asked.add(0, 24)
-    desk.controller.tenants[heavy].asked.add(0, 239)
+    desk.controller.quotas.tenants[light].requested.add(0, 24)
+    desk.controller.quotas.tenants[heavy].requested.add(0, 239)
     ones = [desk.read(0, tenant=tenant) for tenant in (light, heavy)]
     for tx in ones:
-        desk.controller.count(tx)
-    assert max(ones, key=desk.controller.refusal).tenant is heavy
+        desk.controller.quotas.count(tx, desk.now, desk.controller.queue.is_saturated)
+    assert max(ones, key=lambda tx: desk.controller.queue.shed_order(tx, desk.now)).tenant is heavy
 
 
 def told_and_took(desk, error):
@@ -361,18 +369,18 @@
     desk = Desk(cores=1)
     at = told_and_took(desk, error)
     small, large = (desk.read(at, cost_hint=cost * MS) for cost in (200, 800))
-    assert low < desk.controller.typical(large) / desk.controller.typical(small) < high
+    assert low < desk.controller.times.typical(large) / desk.controller.times.typical(small) < high
 
 
 def test_without_a_told_cost_all_of_a_profile_take_the_usual_time():
     desk = Desk(cores=1).warm(took=300)
-    assert desk.controller.typical(desk.read(12_000)) == desk.controller.all_runs.usual
+    assert desk.controller.times.typical(desk.read(12_000)) == desk.controller.times.overall.mean
 
 
 def test_a_further_try_is_as_old_as_sheds_here_have_been():
     desk = Desk(cores=2).warm()
-    desk.controller.shed_ages.add(12_000 * MS, 900 * MS)
-    desk.controller.turned.add(12_000 * MS, 1)
+    desk.controller.rejection_stats.ages.add(12_000 * MS, 900 * MS)
+    desk.controller.rejection_stats.count.add(12_000 * MS, 1)
     first, again = desk.read(12_000), desk.read(12_000, is_retry=True)
     desk.at(12_000, first, again)
     assert desk.wishes(first) == ["StartRun"] and desk.wishes(again) == ["Reject"]
@@ -383,7 +391,7 @@
     tx = desk.read(12_000)
     desk.at(12_990, tx, desk.read(12_000), cpu=1.0)
     assert (
-        desk.controller.crowded
+        desk.controller.queue.is_saturated
         and min(wish.retry_after for _, wish in desk.said if isinstance(wish, Reject)) > 700 * MS
     )
 
@@ -420,12 +428,15 @@
         max_retry_after=10**6,
     )
     desk.driver.limit_new_keys(left, 20, advice)
-    desk.controller.tenants[tenant].ring.add(0, 20 + past)
-    desk.controller.tenants[other].ring.add(0, others)
-    before = desk.controller.tenants[tenant].ring.total(0)
+    desk.controller.quotas.tenants[tenant].admitted.add(0, 20 + past)
+    desk.controller.quotas.tenants[other].admitted.add(0, others)
+    before = desk.controller.quotas.tenants[tenant].admitted.total(0)
     tx = desk.read(0, tenant=tenant)
     desk.at(0, desk.read(0, tenant=Tenant()), tx)
     assert desk.wishes(tx)[:1] == (wish or ["StoreKey"] if kind is Idempotency.KEYED else wish)
     if wish:
         (shed,) = [said for who, said in desk.said if who is tx]
-        assert shed.retry_after >= advice * 3 // 4 and desk.controller.tenants[tenant].ring.total(0) == before
+        assert (
+            shed.retry_after >= advice * 3 // 4
+            and desk.controller.quotas.tenants[tenant].admitted.total(0) == before
+        )
--- a/tests/test_override.py
+++ b/tests/test_plan_override.py
@@ -39,22 +39,22 @@
     desk = wide()
     assert desk.driver.apply_plan(plan(2, 1, 60_000))
     assert desk.driver.apply_plan(plan(*age, until=until * 1000)) is taken
-    assert (desk.controller.plan.term, desk.controller.plan.number) == (age if taken else (2, 1))
+    assert (desk.controller.plan.plan.term, desk.controller.plan.plan.number) == (age if taken else (2, 1))
 
 
 def test_a_plan_that_runs_out_leaves_todays_quota_step_by_step():
     tenant = Tenant(10.0)
     desk = wide(tenants=[tenant])
-    meter = desk.controller.tenants[tenant]
-    usual = desk.controller.quota(meter)
+    meter = desk.controller.quotas.tenants[tenant]
+    usual = desk.controller.quotas.quota(meter, desk.now)
     desk.at(1000, cpu=0.5)
     desk.driver.apply_plan(plan(until=20_000, quotas={tenant: 2.0}))
     seen = []
     for ms in range(20_000, 30_001, 2_500):
         desk.at(ms, cpu=0.5)
-        seen.append(desk.controller.quota(meter))
+        seen.append(desk.controller.quotas.quota(meter, desk.now))
     assert seen == pytest.approx([2.0 + (usual - 2.0) * step / 4 for step in range(5)])
-    assert not desk.controller.force and desk.driver.apply_plan(plan(number=2))
+    assert not desk.controller.plan.weight and desk.driver.apply_plan(plan(number=2))
     assert not desk.driver.apply_plan(plan(number=1, until=90_000))  # also after its end
 
 
@@ -112,9 +112,9 @@
     desk.at(100, cpu=0.1)
     asked = [desk.read(150) for _ in range(12)]
     desk.at(150, *asked, cpu=0.1)
-    assert len(desk.controller.on_cores) == 2
+    assert len(desk.controller.limit.running) == 2
     desk.at(9_000, cpu=0.1)
-    assert len(desk.controller.on_cores) == 5
+    assert len(desk.controller.limit.running) == 5
 
 
 @pytest.mark.parametrize("short", [True, False])
@@ -137,10 +137,10 @@
     desk.at(0, *some)
     desk.driver.set_downstream_quota(1.0)
     desk.at(10, *((tx, CallNeeded()) for tx in some))
-    assert desk.controller.in_hand == 1
+    assert desk.controller.downstream.in_flight == 1
     desk.driver.set_downstream_quota(3.0)
     desk.at(600, cpu=0.2)
-    assert desk.controller.in_hand > 1
+    assert desk.controller.downstream.in_flight > 1
     desk.at(700, (some[0], SERVED))
 
 
@@ -158,9 +158,11 @@
     desk.at(13_310, desk.read(13_000, tenant=tenant), cpu=1.0)  # read late: work has waited
     home, visitor = (desk.read(13_320, tenant=tenant, caller=caller) for caller in (1, 7))
     desk.at(13_320, visitor, home)
-    assert desk.controller.crowded and desk.wishes(home) == []
+    assert desk.controller.queue.is_saturated and desk.wishes(home) == []
     (shed,) = [wish for who, wish in desk.said if who is visitor and type(wish).__name__ == "Reject"]
     assert (
         shed.retry_after >= 0.75 * SECOND
     )  # a whole one past half a transaction a second: a delay of over a second
-    assert desk.controller.tenants[tenant].ring.total(desk.now) == 3  # visitors count against their own alone
+    assert (
+        desk.controller.quotas.tenants[tenant].admitted.total(desk.now) == 3
+    )  # visitors count against their own alone
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -90,11 +90,11 @@
     tx, more = desk.read(0), desk.read(50)
     desk.at(0, tx).at(20, (tx, SERVED)).at(50, more)
     assert next(wish for _, wish in desk.said if isinstance(wish, StoreKey)).retention >= KEYED.key_retention
-    assert desk.controller.memory == 5_000
+    assert desk.controller.memory.used == 5_000
     assert desk.wishes(more) == ["Reject"]  # no room for its label
     late = desk.read(13_200)
     desk.at(13_200, late, cpu=0.1).at(13_250, desk.read(13_250))
-    assert desk.controller.memory <= 10_000
+    assert desk.controller.memory.used <= 10_000
 
 
 @pytest.mark.parametrize(("size", "count"), [(100, 9), (450, 2), (950, 0)])
@@ -106,13 +106,13 @@
         running_memory_factor=1.0,
     )
     desk.at(0, *[desk.read(0, size=size) for _ in range(20)])
-    assert desk.controller.memory == size * count
+    assert desk.controller.memory.used == size * count
 
 
 def test_a_run_that_does_not_fit_in_memory_waits():
     desk = Desk(memory_limit=1000, running_memory_factor=10.0, cores=4)
     desk.at(0, *[desk.read(0, size=50) for _ in range(3)])
-    assert len(desk.controller.on_cores) == 1 and desk.controller.memory <= 900
+    assert len(desk.controller.limit.running) == 1 and desk.controller.memory.used <= 900
 
 
 @pytest.mark.parametrize(("reached", "wish"), [(900, "StartRun"), (2900, "StartRun"), (3100, "Reject")])
@@ -191,9 +191,9 @@
     cold = Desk(
         cores=2, starts_cold=True, cold_start_speed=0.2, warm_up_span=10_000 * MS, overload_multiple=8.0
     )
-    assert cold.controller.crowd() == pytest.approx(4.8)
+    assert cold.controller.limit.survivable(0) == pytest.approx(4.8)
     cold.at(10_000)
-    assert cold.controller.crowd() == pytest.approx(16)
+    assert cold.controller.limit.survivable(cold.now) == pytest.approx(16)
 
 
 def test_late_events_are_harmless():
@@ -201,7 +201,7 @@
     tx = desk.read(0)
     desk.at(0, tx).at(10, (tx, SERVED))
     desk.at(20, (tx, CallerGone()), (tx, RunEnded(Outcome.SUPERSEDED)), (tx, CallEnded(Outcome.FAILED)))
-    assert desk.wishes(tx) == ["StartRun"] and desk.controller.memory == 0
+    assert desk.wishes(tx) == ["StartRun"] and desk.controller.memory.used == 0
 
 
 def test_a_shed_says_when_to_come_back_within_what_is_heeded():
@@ -228,7 +228,9 @@
     txs = [desk.read(ms, ms % 3, caller=ms % 7) for ms in range(0, 500, 10)]
     for tx in txs:
         desk.at(tx.arrived_at // MS, tx, cpu=1.0)
-        desk.at(tx.arrived_at // MS + 5, *[(one, CallNeeded()) for one in list(desk.controller.on_cores)])
+        desk.at(
+            tx.arrived_at // MS + 5, *[(one, CallNeeded()) for one in list(desk.controller.limit.running)]
+        )
     for ms in range(500, 5000, 50):
         desk.at(ms, cpu=1.0)
     answers = [tx for tx, wish in desk.said if type(wish).__name__ in ("Reject", "Fail")]
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -452,8 +452,8 @@
     program = Program(site())
     program.greeted(cold, program.scheduler.now - 20 * SECOND)
     controller = program.admit.driver.controller
-    assert (program.phase, controller.site.starts_cold) == (Phase.SERVING, cold)
-    assert controller.started == program.scheduler.now - counted
+    assert (program.phase, controller.settings.starts_cold) == (Phase.SERVING, cold)
+    assert controller.started_at == program.scheduler.now - counted
 
 
 # ---- kept results ------------------------------------------------------------------------------------------
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -2,8 +2,9 @@
 
 import pytest
 
-from birchslip.admission.controller import CELL, QuantileWindow, QuotaMeter
+from birchslip.admission.quota_meter import QuotaMeter
 from birchslip.admission.types import SECOND
+from birchslip.admission.windows import QUANTILE_SAMPLES_PER_BUCKET, QuantileWindow
 
 MB = 1_000_000
 
@@ -22,13 +23,16 @@
 def test_delay(amounts, quota, delay):
     meter = QuotaMeter()
     for second, amount in enumerate(amounts):
-        meter.ring.add(second * SECOND, amount)
+        meter.admitted.add(second * SECOND, amount)
     assert meter.delay((len(amounts) - 1) * SECOND, quota) == delay
 
 
 def test_the_times_of_a_fast_server_are_a_sample_of_each_second():
     times = QuantileWindow()
-    for place in range(20 * CELL):
-        times.add(place * SECOND // (10 * CELL), place % 10)
-    assert len(times.ordered) == 2 * CELL and times.number == 20 * CELL
-    assert (times.base, times.high) == (2, 8) and times.usual == 4.5
+    for place in range(20 * QUANTILE_SAMPLES_PER_BUCKET):
+        times.add(place * SECOND // (10 * QUANTILE_SAMPLES_PER_BUCKET), place % 10)
+    assert (
+        len(times.ordered) == 2 * QUANTILE_SAMPLES_PER_BUCKET
+        and times.count == 20 * QUANTILE_SAMPLES_PER_BUCKET
+    )
+    assert (times.low, times.high) == (2, 8) and times.mean == 4.5
