--- a/birchslip/admission/settings.py
+++ b/birchslip/admission/settings.py
@@ -1,7 +1,7 @@
-"""Settings to `AdmissionSettings`: one decoding for the simulator's wire and for the program on sockets.
+"""Reads settings into `AdmissionSettings`, alike for the simulator's wire and for the app server on sockets.
 
 Settings are pairs of a path and a text, as the wire gives them; `flatten` brings nested JSON to the same
-paths. Conversion errs on the safe side: due times are rounded down, timers and spans up.
+paths. Conversion errs on the safe side: deadlines are rounded down, timers and spans up.
 """
 
 from __future__ import annotations
@@ -22,92 +22,115 @@
     Tenant,
 )
 
-KINDS = {
+IDEMPOTENCY_BY_EFFECT = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.KEYED,
     "once": Idempotency.NON_IDEMPOTENT,
 }
-HALTS = {"off": Preemption.OFF, "drop": Preemption.DROP, "pause": Preemption.PAUSE}
-Word = TypeVar("Word")
-BELOW = {"off": Downstream.NONE, "shared": Downstream.SHARED, "tier": Downstream.TIER}
+PREEMPTION_BY_HALT = {"off": Preemption.OFF, "drop": Preemption.DROP, "pause": Preemption.PAUSE}
+DOWNSTREAM_BY_NAME = {"off": Downstream.NONE, "shared": Downstream.SHARED, "tier": Downstream.TIER}
+LEVEL_SIGNAL = "level"
+ABSENT = ("", "-")
+LARGEST_NUMBER = 1e15
+MOST_DIGITS = 20
+SHOWN_CHARACTERS = 40  # of a wrong value, in an error
+DEFAULT_DEADLINE_S = 1.0
+SHORTEST_SPAN_S = 0.001
+SHORTEST_KEEPALIVE_S = 0.01
+ROUNDING_DIGITS = 3  # of a tenth of a millisecond: mends what binary fractions add
+BYTES_PER_KB = 1024
+
+Choice = TypeVar("Choice")
 
 
 def parse_number(text: str, what: str) -> float:
+    """Read a finite number; `what` names it in an `InvalidInputError`."""
     try:
         value = float(text)
     except ValueError:
-        raise InvalidInputError(f"{what} is not a number: {text[:40]!r}") from None
-    if not -1e15 < value < 1e15:
-        raise InvalidInputError(f"{what} is out of range: {text[:40]!r}")
+        raise InvalidInputError(f"{what} is not a number: {text[:SHOWN_CHARACTERS]!r}") from None
+    if not -LARGEST_NUMBER < value < LARGEST_NUMBER:
+        raise InvalidInputError(f"{what} is out of range: {text[:SHOWN_CHARACTERS]!r}")
     return value
 
 
 def parse_count(text: str, what: str) -> int:
-    if not text.isascii() or not text.isdigit() or len(text) > 20:
-        raise InvalidInputError(f"{what} is not a whole number: {text[:40]!r}")
+    """Read a whole number of at least 0; `what` names it in an `InvalidInputError`."""
+    if not text.isascii() or not text.isdigit() or len(text) > MOST_DIGITS:
+        raise InvalidInputError(f"{what} is not a whole number: {text[:SHOWN_CHARACTERS]!r}")
     return int(text)
 
 
 def is_absent(text: str) -> bool:
-    return text in ("", "-")
+    """Return whether a text stands for no value."""
+    return text in ABSENT
 
 
 def round_down_seconds(seconds: float) -> int:
-    """Seconds to tenths of a millisecond, rounded down; the inner rounding mends what floats add."""
-    return floor(round(seconds * SECOND, 3))
+    """Convert seconds to tenths of a millisecond, rounded down."""
+    return floor(round(seconds * SECOND, ROUNDING_DIGITS))
 
 
 def round_up_seconds(seconds: float) -> int:
-    return ceil(round(seconds * SECOND, 3))
+    """Convert seconds to tenths of a millisecond, rounded up."""
+    return ceil(round(seconds * SECOND, ROUNDING_DIGITS))
 
 
 class SettingsReader:
-    """The pairs of a start, read with a default for what is absent."""
+    """Pairs of settings, read with a default for what is absent."""
 
     def __init__(self, pairs: Iterable[tuple[str, str]]) -> None:
+        """Take the pairs; of two with one path the last one counts."""
         self.values = dict(pairs)
 
     def text(self, name: str, default: str) -> str:
+        """Return a text."""
         value = self.values.get(name, default)
         return default if is_absent(value) else value
 
-    def real(self, name: str, default: float) -> float:
+    def number(self, name: str, default: float) -> float:
+        """Return a number."""
         value = self.values.get(name, "-")
         return default if is_absent(value) else parse_number(value, name)
 
-    def least(self, name: str, default: float, least: float = 0.0) -> float:
-        """One that a rule hangs on: a value that can't be meant is not passed over."""
-        value = self.real(name, default)
-        if value < least:
-            raise InvalidInputError(f"{name} is under {least:g}: {self.text(name, '')[:40]!r}")
+    def bounded(self, name: str, default: float, lowest: float = 0.0) -> float:
+        """Return a number that a rule hangs on: a lower one is an error and not ignored."""
+        value = self.number(name, default)
+        if value < lowest:
+            shown = self.text(name, "")[:SHOWN_CHARACTERS]
+            raise InvalidInputError(f"{name} is under {lowest:g}: {shown!r}")
         return value
 
-    def known(self, name: str, words: Mapping[str, Word], default: str) -> Word:
-        """One of some words, where another could break a rule."""
+    def choice(self, name: str, choices: Mapping[str, Choice], default: str) -> Choice:
+        """Return the choice of a word, where an unknown word could break a rule and is an error."""
         word = self.text(name, default)
-        if word not in words:
-            raise InvalidInputError(f"{name} is unknown: {word[:40]!r}")
-        return words[word]
+        if word not in choices:
+            raise InvalidInputError(f"{name} is unknown: {word[:SHOWN_CHARACTERS]!r}")
+        return choices[word]
 
     def flag(self, name: str, unclear: bool = False) -> bool:
-        """`unclear` is what a value means that is neither."""
+        """Return a truth value; `unclear` is what a value means that is neither true nor false."""
         text = self.text(name, "false")
         return text in ("true", "1") or (unclear and text not in ("false", "0"))
 
     def count(self, name: str) -> int:
-        return int(self.real(f"{name}.count", 0))
+        """Return the length of a list of objects."""
+        return int(self.number(f"{name}.count", 0))
 
-    def listed(self, name: str, place: int, default: str) -> str:
+    def list_item(self, name: str, place: int, default: str) -> str:
+        """Return one item of a plain list."""
         values = self.text(name, "").split(",")
-        return values[place] if place < len(values) and not is_absent(values[place]) else default
+        if place >= len(values) or is_absent(values[place]):
+            return default
+        return values[place]
 
     def names(self, name: str) -> list[str]:
-        """The names of a list of objects, in the order of their places; any text is one."""
+        """Return the names of a list of objects, in the order of their places; any text is a name."""
         return [self.values.get(f"{name}.{place}.name", "") for place in range(self.count(name))]
 
 
 def flatten(settings: object, path: str = "") -> Iterable[tuple[str, str]]:
-    """Nested JSON as the wire's pairs: dotted paths, lists of objects with a count, plain lists joined."""
+    """Yield nested JSON as pairs: dotted paths, lists of objects with a count, plain lists joined."""
     if isinstance(settings, dict):
         for name, value in settings.items():
             yield from flatten(value, f"{path}.{name}" if path else str(name))
@@ -116,75 +139,100 @@
         for place, item in enumerate(settings):
             yield from flatten(item, f"{path}.{place}")
     elif isinstance(settings, list):
-        yield path, ",".join(plain(item) for item in settings)
+        yield path, ",".join(_scalar_text(item) for item in settings)
     else:
-        yield path, plain(settings)
+        yield path, _scalar_text(settings)
 
 
-def plain(value: object) -> str:
+def _scalar_text(value: object) -> str:
     if value is None:
         return "-"
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def read_admission_settings(seed: int, told: SettingsReader) -> AdmissionSettings:
-    profiles = []
-    for place in range(told.count("classes")):
-        name = f"classes.{place}"
-        kind = told.known(f"{name}.effect", KINDS, "once")
-        deadline = told.least(f"{name}.hard_limit_s", 1.0, 0.001)
-        # Where no window is told, a label's repeat may come for as long as its caller waits.
-        window = told.least(f"{name}.window_s", deadline) if kind is Idempotency.KEYED else 0.0
-        profiles.append(
-            RequestClass(
-                idempotency=kind,
-                latency_objective=round_down_seconds(told.real(f"{name}.aim_s", deadline)),
-                deadline=round_down_seconds(deadline),
-                late_weight=told.real(f"{name}.late_worth", 0.0),
-                key_retention=round_up_seconds(window),
-                priority_weight=told.real(f"{name}.credit", 1.0),
-                weight_without_call=parse_number(
-                    told.listed("family_info.class_skip_worth", place, "0"), "family_info.class_skip_worth"
-                ),
-            )
-        )
+def read_admission_settings(seed: int, reader: SettingsReader) -> AdmissionSettings:
+    """Read all settings of an app server.
+
+    Raises:
+        InvalidInputError: A value is no number, or one that a rule hangs on can't be meant.
+    """
+    classes = [_read_request_class(reader, place) for place in range(reader.count("classes"))]
     tenants = [
-        Tenant(max(0.0, told.real(f"tenants.{place}.quota_per_s", 0.0)))
-        for place in range(told.count("tenants"))
+        Tenant(max(0.0, reader.number(f"tenants.{place}.quota_per_s", 0.0)))
+        for place in range(reader.count("tenants"))
     ]
-    usual = AdmissionSettings(profiles)
-    longest = told.real("ceilings.max_retry_after_s", 0.0)
-    below = told.known("family_info.downstream", BELOW, "off")
-    shared = below is Downstream.SHARED  # elsewhere what is told of a share means nothing
-    share = told.least("family_info.calls_out", usual.downstream_quota) if shared else usual.downstream_quota
-    usual_span = usual.downstream_quota_window / SECOND
-    span = told.least("family_info.share_span_s", usual_span, 0.001) if shared else usual_span
+    settings = AdmissionSettings(classes, tenants, seed=seed)
+    settings = _with_callers(reader, settings)
+    settings = _with_downstream(reader, settings)
+    return _with_resources(reader, settings)
+
+
+def _read_request_class(reader: SettingsReader, place: int) -> RequestClass:
+    name = f"classes.{place}"
+    idempotency = reader.choice(f"{name}.effect", IDEMPOTENCY_BY_EFFECT, "once")
+    deadline = reader.bounded(f"{name}.hard_limit_s", DEFAULT_DEADLINE_S, SHORTEST_SPAN_S)
+    # Without a window, a key's repeat may come for as long as its caller waits.
+    is_keyed = idempotency is Idempotency.KEYED
+    retention = reader.bounded(f"{name}.window_s", deadline) if is_keyed else 0.0
+    weight_without_call = reader.list_item("family_info.class_skip_worth", place, "0")
+    return RequestClass(
+        idempotency=idempotency,
+        latency_objective=round_down_seconds(reader.number(f"{name}.aim_s", deadline)),
+        deadline=round_down_seconds(deadline),
+        late_weight=reader.number(f"{name}.late_worth", 0.0),
+        key_retention=round_up_seconds(retention),
+        priority_weight=reader.number(f"{name}.credit", 1.0),
+        weight_without_call=parse_number(weight_without_call, "family_info.class_skip_worth"),
+    )
+
+
+def _with_callers(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
+    """Set what callers heed and how many there are."""
+    longest = reader.number("ceilings.max_retry_after_s", 0.0)
+    keepalive = reader.number("family_info.keepalive_max_s", settings.keepalive_timeout / SECOND)
     return replace(
-        usual,
-        seed=seed,
-        tenants=tenants,
-        cores=max(1, int(told.least("family_info.cores", usual.cores))),
-        memory_limit=floor(told.least("family_info.mem_limit_kb", usual.memory_limit / 1024) * 1024),
-        running_memory_factor=told.least("family_info.run_factor", usual.running_memory_factor),
-        idempotency_key_size=ceil(told.least("family_info.key_kb", 0.0) * 1024),
-        preemption=HALTS.get(
-            told.text("family_info.halt", "off"), Preemption.OFF
-        ),  # what is unknown is not used
-        fleet_size=max(1, int(told.least("group_size", usual.fleet_size))),
-        starts_cold=told.flag("family_info.cold", unclear=True),
-        cold_start_speed=told.least("contract.cold_from", 0.0),
-        warm_up_span=round_up_seconds(told.least("contract.cold_s", 0.0)),
-        overload_multiple=told.least("contract.fall_multiple", usual.overload_multiple),
-        drain_grace=round_down_seconds(told.least("contract.drain_grace_s", 0.0)),
-        downstream=below,
-        downstream_quota=share,
-        downstream_quota_window=round_down_seconds(span),
-        abandoned_call_linger=round_up_seconds(told.least("family_info.linger_s", span if shared else 0.0)),
-        sends_retry_after=told.flag("ceilings.retry_after") and longest > 0,
+        settings,
+        sends_retry_after=reader.flag("ceilings.retry_after") and longest > 0,
         max_retry_after=round_down_seconds(longest),
-        caller_count=max(0, int(told.real("family_info.clients_total", usual.caller_count))),
-        sends_criticality=told.text("family_info.signal", "off") == "level",
-        keepalive_timeout=round_up_seconds(
-            max(0.01, told.real("family_info.keepalive_max_s", usual.keepalive_timeout / SECOND))
-        ),
+        caller_count=max(0, int(reader.number("family_info.clients_total", settings.caller_count))),
+        sends_criticality=reader.text("family_info.signal", "off") == LEVEL_SIGNAL,
+        keepalive_timeout=round_up_seconds(max(SHORTEST_KEEPALIVE_S, keepalive)),
+    )
+
+
+def _with_downstream(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
+    """Set the service below; only a shared one has a quota."""
+    downstream = reader.choice("family_info.downstream", DOWNSTREAM_BY_NAME, "off")
+    quota, window, linger = settings.downstream_quota, settings.downstream_quota_window / SECOND, 0.0
+    if downstream is Downstream.SHARED:
+        quota = reader.bounded("family_info.calls_out", quota)
+        window = reader.bounded("family_info.share_span_s", window, SHORTEST_SPAN_S)
+        linger = window
+    return replace(
+        settings,
+        downstream=downstream,
+        downstream_quota=quota,
+        downstream_quota_window=round_down_seconds(window),
+        abandoned_call_linger=round_up_seconds(reader.bounded("family_info.linger_s", linger)),
+    )
+
+
+def _with_resources(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
+    """Set what the app server has, what it survives, and how it starts and ends."""
+    memory = reader.bounded("family_info.mem_limit_kb", settings.memory_limit / BYTES_PER_KB)
+    # An unknown way to stop a run is not used.
+    preemption = PREEMPTION_BY_HALT.get(reader.text("family_info.halt", "off"), Preemption.OFF)
+    return replace(
+        settings,
+        cores=max(1, int(reader.bounded("family_info.cores", settings.cores))),
+        memory_limit=floor(memory * BYTES_PER_KB),
+        running_memory_factor=reader.bounded("family_info.run_factor", settings.running_memory_factor),
+        idempotency_key_size=ceil(reader.bounded("family_info.key_kb", 0.0) * BYTES_PER_KB),
+        preemption=preemption,
+        fleet_size=max(1, int(reader.bounded("group_size", settings.fleet_size))),
+        starts_cold=reader.flag("family_info.cold", unclear=True),
+        cold_start_speed=reader.bounded("contract.cold_from", 0.0),
+        warm_up_span=round_up_seconds(reader.bounded("contract.cold_s", 0.0)),
+        overload_multiple=reader.bounded("contract.fall_multiple", settings.overload_multiple),
+        drain_grace=round_down_seconds(reader.bounded("contract.drain_grace_s", 0.0)),
     )
--- a/birchslip/simulator/__init__.py
+++ b/birchslip/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire."""
+"""App servers on the simulator's wire: `python -m birchslip.simulator`."""
--- a/birchslip/simulator/host.py
+++ b/birchslip/simulator/host.py
@@ -1,4 +1,7 @@
-"""One host for each app server, and the loop that reads batches and writes replies. Decides nothing."""
+"""The app servers that one process hosts on the simulator's wire, and the loop over batches.
+
+It decides nothing: ids of the wire on one side, requests and the driver on the other.
+"""
 
 from __future__ import annotations
 
@@ -9,201 +12,200 @@
 
 from ..admission.driver import AdmissionDriver
 from ..admission.settings import (
-    is_absent,
     parse_count,
     parse_number,
     round_down_seconds,
     round_up_seconds,
 )
-from ..admission.types import (
-    Action,
-    CallEnded,
-    CallerGone,
-    CallNeeded,
-    Event,
-    Request,
-    RequestClass,
-    RunEnded,
-    ServerAction,
-)
+from ..admission.types import Action, Request, RequestClass, ServerAction, Tenant
 from ..errors import InvalidInputError
-from . import wire
+from . import codec
+
+END_OF_BATCH = "go"
+END_OF_REPLY = "ack"
+START_PARTS = 2
+GAUGES_PLACE = 2
 
 
 class SimulatedServer:
-    """One app server on the wire: ids on this side of the door, objects on the other."""
+    """One app server on the wire: its driver, and its requests by id."""
 
     def __init__(self, parts: list[str], now: int) -> None:
-        if len(parts) < 2:
+        """Start as the line of a start says."""
+        if len(parts) < START_PARTS:
             raise InvalidInputError("a start without a seed")
         self.lines: list[str] = []
-        self.deployment = wire.deployment(parse_count(parts[1], "prng"), parts[2:])
+        self.settings = codec.decode_settings(parts[1], parts[START_PARTS:])
         self.ids: WeakKeyDictionary[Request, int] = WeakKeyDictionary()
-        self.known: WeakValueDictionary[int, Request] = WeakValueDictionary()
-        self.driver = AdmissionDriver(self.deployment, now, self.carry, self.tell)
+        self.requests: WeakValueDictionary[int, Request] = WeakValueDictionary()
+        self.driver = AdmissionDriver(self.settings, now, self.perform, self.announce)
 
-    def carry(self, transaction: Request, wish: Action) -> None:
-        line = wire.wish_line(self.ids[transaction], wish)
+    def perform(self, request: Request, action: Action) -> None:
+        """Write an action for one request."""
+        line = codec.encode_action(self.ids[request], action)
         if line is not None:
             self.lines.append(line)
 
-    def tell(self, notice: ServerAction) -> None:
-        self.lines.append(wire.notice_line(notice))
+    def announce(self, action: ServerAction) -> None:
+        """Write an action for the app server as a whole."""
+        self.lines.append(codec.encode_server_action(action))
 
-    def take(self, parts: list[str], now: int) -> None:
-        """One event of this app server; an unknown kind of event is left alone."""
+    def handle(self, parts: list[str], now: int) -> None:
+        """Take in one event; one of an unknown kind is ignored."""
         match parts[0]:
             case "call":
-                self.read(parts, now)
-            case "completed":
-                self.pass_on(parts, RunEnded(wire.outcome(self.part(parts, 2)), self.span(parts, 3)))
-            case "ready_to_call":
-                self.pass_on(parts, CallNeeded())
-            case "call_ended":
-                self.pass_on(parts, CallEnded(wire.outcome(self.part(parts, 2)), self.span(parts, 3)))
-            case "hangup":
-                self.pass_on(parts, CallerGone())
+                self._admit(codec.decode_request(parts), now)
             case "wakeup":
-                self.driver.tick(wire.gauges(parts[2] if len(parts) > 2 else "-"))
+                gauges = parts[GAUGES_PLACE] if len(parts) > GAUGES_PLACE else "-"
+                self.driver.tick(codec.decode_gauges(gauges))
             case "wind_down":
-                self.driver.drain(
-                    round_down_seconds(parse_number(self.part(parts, 1), "the end of a wind_down"))
-                )
-
-    @staticmethod
-    def part(parts: list[str], place: int) -> str:
-        if place >= len(parts):
-            raise InvalidInputError(f"{parts[0]} has {len(parts) - 1} parts, at least {place} wanted")
-        return parts[place]
-
-    @staticmethod
-    def span(parts: list[str], place: int) -> int:
-        return (
-            round_up_seconds(parse_number(parts[place], "elapsed_s"))
-            if len(parts) > place and not is_absent(parts[place])
-            else 0
+                ends_at = parse_number(codec.part(parts, 1), "the end of a wind_down")
+                self.driver.drain(round_down_seconds(ends_at))
+            case _:
+                self._deliver(parts)
+
+    def _deliver(self, parts: list[str]) -> None:
+        """Pass on an event of one request; one that is over or unknown is ignored."""
+        event = codec.decode_request_event(parts)
+        if event is None:
+            return
+        request = self.requests.get(parse_count(codec.part(parts, 1), "request_id"))
+        if request is not None:
+            self.driver.deliver(request, event)
+
+    def _admit(self, line: codec.RequestLine, now: int) -> None:
+        request_class = self._request_class(line.class_index)
+        arrived_at = now - line.read_delay
+        request = Request(
+            request_class,
+            caller=line.caller,
+            arrived_at=arrived_at,
+            deadline=max(now, line.deadline or arrived_at + request_class.deadline),
+            size=line.size,
+            cost_hint=line.cost_hint,
+            tenant=self._tenant(line.tenant_index),
+            original=self._original(line.original, request_class, now),
+            is_retry=line.is_retry,
         )
+        self.ids[request] = line.request_id
+        self.requests[line.request_id] = request
+        self.driver.admit(request)
 
-    def pass_on(self, parts: list[str], event: Event) -> None:
-        """News of one that has ended, or of one never heard of, is harmless."""
-        transaction = self.known.get(parse_count(self.part(parts, 1), "request_id"))
-        if transaction is not None:
-            self.driver.deliver(transaction, event)
-
-    def read(self, parts: list[str], now: int) -> None:
-        parts = parts + ["-"] * (13 - len(parts))
-        number_here = parse_count(parts[1], "request_id")
-        profile = self.profile(parts[2])
-        backlog = 0 if is_absent(parts[11]) else round_down_seconds(parse_number(parts[11], "backlog_time_s"))
-        arrived = now - backlog
-        due = 0 if is_absent(parts[5]) else round_down_seconds(parse_number(parts[5], "client_deadline_s"))
-        tenants = self.deployment.tenants
-        tenant = 0 if is_absent(parts[3]) else parse_count(parts[3], "user_group")
-        if tenants and tenant >= len(tenants):
-            raise InvalidInputError(f"no such user_group: {tenant}")
-        original = None
-        if not is_absent(parts[12]) and parts[12] != "0":
-            # One that is remembered no longer must be taken as having run: the safe side.
-            original = self.known.get(parse_count(parts[12], "original"))
-            if original is None:
-                original = Request(profile, 0, now, now, 0, has_started=True)
-        transaction = Request(
-            profile,
-            caller=0 if is_absent(parts[10]) else parse_count(parts[10], "who"),
-            arrived_at=arrived,
-            deadline=max(now, due or arrived + profile.deadline),
-            size=0 if is_absent(parts[7]) else -int(-parse_number(parts[7], "kb") * 1024 // 1),
-            cost_hint=0 if is_absent(parts[6]) else round_up_seconds(parse_number(parts[6], "work_s")),
-            tenant=tenants[tenant] if tenants else None,
-            original=original,
-            is_retry=not is_absent(parts[9]) and bool(parse_count(parts[9], "flags") & wire.AGAIN),
-        )
-        self.ids[transaction] = number_here
-        self.known[number_here] = transaction
-        self.driver.admit(transaction)
-
-    def profile(self, text: str) -> RequestClass:
-        place = parse_count(text, "priority")
-        if place >= len(self.deployment.request_classes):
+    def _request_class(self, place: int) -> RequestClass:
+        if place >= len(self.settings.request_classes):
             raise InvalidInputError(f"no such priority: {place}")
-        return self.deployment.request_classes[place]
+        return self.settings.request_classes[place]
+
+    def _tenant(self, place: int) -> Tenant | None:
+        tenants = self.settings.tenants
+        if not tenants:
+            return None
+        if place >= len(tenants):
+            raise InvalidInputError(f"no such user_group: {place}")
+        return tenants[place]
+
+    def _original(self, request_id: int | None, request_class: RequestClass, now: int) -> Request | None:
+        if request_id is None:
+            return None
+        known = self.requests.get(request_id)
+        if known is not None:
+            return known
+        # One that is no longer remembered has to be taken as having run: the safe side.
+        return Request(request_class, 0, now, now, 0, has_started=True)
 
     def settle(self) -> list[str]:
+        """End a batch; returns the lines of its reply."""
         self.driver.settle()
         lines, self.lines = self.lines, []
         return lines
 
 
-class Loop:
-    """All app servers that this process hosts; they share nothing but the process."""
+class SimulatorHost:
+    """All app servers of this process; they share nothing but the process."""
 
     def __init__(self, errors: TextIO) -> None:
-        self.hosts: dict[int, SimulatedServer] = {}
+        """Begin without app servers; `errors` gets a line for each error."""
+        self.servers: dict[int, SimulatedServer] = {}
         self.errors = errors
+        self.now = 0
+        self.server_id: int | None = None
+        self.replies: dict[int, list[str]] = {}
 
     def batch(self, lines: Iterable[str]) -> list[str]:
-        """The reply to one batch, without its closing line."""
-        now = 0
-        server: int | None = None
-        touched: dict[int, list[str]] = {}
+        """Take in one batch; returns the reply without its closing line."""
+        self.now = 0
+        self.server_id = None
+        self.replies = {}
         for line in lines:
-            parts = line.split("\t")
             try:
-                if parts[0] == "sync":
-                    now = round_up_seconds(parse_number(SimulatedServer.part(parts, 1), "the clock"))
-                elif parts[0] == "to":
-                    server = parse_count(SimulatedServer.part(parts, 1), "server_id")
-                    touched.setdefault(server, [])
-                    if server in self.hosts:
-                        self.hosts[server].driver.advance_clock(now)
-                elif server is None:
-                    raise InvalidInputError(f"an event before any 'to' line: {parts[0][:40]!r}")
-                elif parts[0] == "hello":
-                    self.hosts[server] = SimulatedServer(parts, now)
-                elif parts[0] == "crash_now":
-                    self.hosts.pop(server, None)
-                elif server in self.hosts:
-                    self.hosts[server].take(parts, now)
-                else:
-                    raise InvalidInputError(f"an event for one that has not started: {parts[0][:40]!r}")
-            except Exception as trouble:
-                self.fault(server, touched, trouble)
+                self._handle(line.split("\t"))
+            except Exception as error:
+                self._report(self.server_id, error)
         reply: list[str] = []
-        for number_here, said in touched.items():
-            if number_here in self.hosts:
-                try:
-                    said = self.hosts[number_here].settle() + said
-                except Exception as trouble:
-                    self.fault(number_here, touched, trouble)
+        for server_id in self.replies:
+            said = self._settle(server_id)
             if said:
-                reply.append(f"at\t{number_here}")
+                reply.append(f"at\t{server_id}")
                 reply.extend(said)
         return reply
 
-    def fault(self, server: int | None, touched: dict[int, list[str]], trouble: Exception) -> None:
-        """One plain message on standard error, and the fault declared for the app server concerned."""
-        text = " ".join(str(trouble).split()) or type(trouble).__name__
-        if not isinstance(trouble, InvalidInputError):
-            where = traceback.extract_tb(trouble.__traceback__)[-1]
-            text = f"{type(trouble).__name__}: {text} ({where.name}, line {where.lineno})"
-        print(
-            f"birchslip: app server {'-' if server is None else server}: {text}", file=self.errors, flush=True
-        )
-        if server is not None:
-            touched[server].append(f"crash\t{text}")
+    def _handle(self, parts: list[str]) -> None:
+        kind, server_id = parts[0], self.server_id
+        if kind == "sync":
+            self.now = round_up_seconds(parse_number(codec.part(parts, 1), "the clock"))
+        elif kind == "to":
+            self._address(parse_count(codec.part(parts, 1), "server_id"))
+        elif server_id is None:
+            raise InvalidInputError(f"an event before any 'to' line: {kind[:40]!r}")
+        elif kind == "hello":
+            self.servers[server_id] = SimulatedServer(parts, self.now)
+        elif kind == "crash_now":
+            self.servers.pop(server_id, None)
+        elif server_id in self.servers:
+            self.servers[server_id].handle(parts, self.now)
+        else:
+            raise InvalidInputError(f"an event for one that has not started: {kind[:40]!r}")
+
+    def _address(self, server_id: int) -> None:
+        self.server_id = server_id
+        self.replies.setdefault(server_id, [])
+        if server_id in self.servers:
+            self.servers[server_id].driver.advance_clock(self.now)
+
+    def _settle(self, server_id: int) -> list[str]:
+        errors = self.replies[server_id]
+        if server_id not in self.servers:
+            return errors
+        try:
+            return self.servers[server_id].settle() + errors
+        except Exception as error:
+            self._report(server_id, error)
+            return errors
+
+    def _report(self, server_id: int | None, error: Exception) -> None:
+        """Write one line on standard error, and declare a crash for the app server concerned."""
+        text = " ".join(str(error).split()) or type(error).__name__
+        if not isinstance(error, InvalidInputError):
+            where = traceback.extract_tb(error.__traceback__)[-1]
+            text = f"{type(error).__name__}: {text} ({where.name}, line {where.lineno})"
+        name = "-" if server_id is None else server_id
+        print(f"birchslip: app server {name}: {text}", file=self.errors, flush=True)
+        if server_id is not None:
+            self.replies[server_id].append(f"crash\t{text}")
 
 
 def serve(source: IO[bytes], sink: IO[bytes], errors: TextIO) -> int:
-    loop = Loop(errors)
+    """Answer batches from `source` on `sink` until the source ends; returns the exit code."""
+    host = SimulatorHost(errors)
     lines: list[str] = []
     for raw in source:
         line = raw.decode("utf-8", "replace").rstrip("\r\n")
-        if line != "go":
+        if line != END_OF_BATCH:
             if line:
                 lines.append(line)
             continue
-        reply = loop.batch(lines)
+        reply = host.batch(lines)
         lines.clear()
-        sink.write(("\n".join([*reply, "ack"]) + "\n").encode())
+        sink.write(("\n".join([*reply, END_OF_REPLY]) + "\n").encode())
         sink.flush()
     return 0
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -6,7 +6,7 @@
 
 from birchslip.admission.settings import round_down_seconds as round_early
 from birchslip.admission.settings import round_up_seconds as round_late
-from birchslip.simulator.host import Loop, serve
+from birchslip.simulator.host import SimulatorHost, serve
 
 HELLO = "hello\t7\tclasses.count=1\tclasses.0.effect=by_key\tclasses.0.aim_s=1.0\tclasses.0.hard_limit_s=4.0"
 HELLO += "\tclasses.0.window_s=5.0\tfamily_info.cores=2\tnew.key=1"
@@ -15,7 +15,7 @@
 def play(*batches):
     """The replies to batches of lines, and what was said on standard error."""
     errors = io.StringIO()
-    loop = Loop(errors)
+    loop = SimulatorHost(errors)
     return [loop.batch(["sync\t1.0", "to\t3", *batch]) for batch in batches], errors.getvalue()
 
 
