--- a/tests/desk.py
+++ b/tests/desk.py
@@ -1,4 +1,4 @@
-"""One app server without a wire: what happens is told by hand, what is wished for is kept; a command line."""
+"""One app server without a wire: events are delivered by hand and actions are kept; a command line."""
 
 import os
 import subprocess
@@ -31,18 +31,18 @@
 
     def __init__(self, *profiles, **site):
         self.profiles = profiles or (profile(),)
-        self.said, self.told, self.now = [], [], 0
+        self.actions, self.announcements, self.now = [], [], 0
         site = {"cores": 2, "fleet_size": 1, **site}
         self.driver = AdmissionDriver(
             AdmissionSettings(list(self.profiles), **site),
             0,
-            lambda tx, wish: self.said.append((tx, wish)),
-            self.told.append,
+            lambda request, action: self.actions.append((request, action)),
+            self.announcements.append,
         )
         self.controller = self.driver.controller
 
     def at(self, ms, *news, cpu=None, leave=None):
-        """One batch: transactions read, (transaction, event) pairs, then perhaps a notice or a tick."""
+        """One batch: requests read, (request, event) pairs, then perhaps a notice or a tick."""
         self.now = ms * MS
         self.driver.advance_clock(self.now)
         for item in news:
@@ -58,21 +58,25 @@
         return self
 
     def read(self, ms, which=0, caller=0, wait=None, size=1000, **more):
-        """A transaction that reached the machine at `ms`; `wait` is how long its caller waits."""
+        """A request that reached the machine at `ms`; `wait` is how long its caller waits."""
         kind = self.profiles[which]
         due = ms * MS + (kind.deadline if wait is None else wait * MS)
         return Request(kind, caller, ms * MS, due, size, **more)
 
-    def wishes(self, tx):
-        """The names of what was wished for this transaction, the waiting left out."""
-        return [type(wish).__name__ for who, wish in self.said if who is tx and type(wish).__name__ != "Wait"]
+    def action_names(self, request):
+        """The names of the actions for this request, waits left out."""
+        return [
+            type(action).__name__
+            for who, action in self.actions
+            if who is request and type(action).__name__ != "Wait"
+        ]
 
     def warm(self, took=300, until=12_000, which=0, cpu=0.5):
         """Runs of `took` ms one after the other until `until`, so that the usual time is known."""
         ms = 0
         while ms + took < until:
-            tx = self.read(ms, which)
-            self.at(ms, tx, cpu=cpu).at(ms + took, (tx, SERVED), cpu=cpu)
+            request = self.read(ms, which)
+            self.at(ms, request, cpu=cpu).at(ms + took, (request, SERVED), cpu=cpu)
             ms += took
         return self
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections and callers: idle limits, floods, who is asked not to try elsewhere, the level."""
+"""Idle timeouts, overloads, who is asked not to retry elsewhere, the criticality level."""
 
 import pytest
 
@@ -16,28 +16,28 @@
 
 
 def idle_limit(desk):
-    """The idle limit told last, in ms; 0 leaves connections open as long as callers do."""
-    return [told.timeout for told in desk.told if isinstance(told, SetIdleTimeout)][-1] // MS
+    """The idle timeout announced last, in ms; 0 leaves connections open as long as callers do."""
+    return [told.timeout for told in desk.announcements if isinstance(told, SetIdleTimeout)][-1] // MS
 
 
 # few callers; many that each come once; the same in a storm of retries; a heavy caller among many light ones
 @pytest.mark.parametrize(
-    ("callers", "shed", "limit"),
+    ("callers", "rejected", "limit"),
     [(2, 0, 0), (500, 0, 100), (500, 199, 100), (0, 0, 200)],
-    ids=["few", "many", "many in a storm", "one heavy among many"],
+    ids=["few", "many", "many in a retry storm", "one heavy among many"],
 )
-def test_the_idle_limit_is_the_cheapest_for_how_callers_came_back(callers, shed, limit):
+def test_the_idle_limit_is_the_cheapest_for_how_callers_came_back(callers, rejected, limit):
     desk = Desk(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
         number = at // 100
         caller = number % callers if callers else 0 if number % 4 else number
-        tx = desk.read(at, caller=caller)
-        desk.at(at, tx).at(at + 50, (tx, SERVED), cpu=0.5)
-    for _ in range(shed):
+        request = desk.read(at, caller=caller)
+        desk.at(at, request).at(at + 50, (request, SERVED), cpu=0.5)
+    for _ in range(rejected):
         desk.controller.rejections.reject(desk.read(0), desk.now)
     desk.at(17_000, cpu=0.5)
     assert idle_limit(desk) == limit
-    assert desk.controller.rejection_stats.is_retry_storm is (shed > 0)
+    assert desk.controller.rejection_stats.is_retry_storm is (rejected > 0)
 
 
 @pytest.mark.parametrize(("cpu", "limit"), [(1.0, 100), (0.1, 0)], ids=["busy", "idle cores"])
@@ -62,10 +62,10 @@
     """With 50 ms a run two hundred could be served in the window; without a run nothing is known of that."""
     desk = Desk(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
-        tx = desk.read(at, caller=at)
-        desk.at(at, tx).at(at + 50, (tx, SERVED if known else RunEnded(Outcome.CANCELLED)), cpu=0.5)
+        request = desk.read(at, caller=at)
+        desk.at(at, request).at(at + 50, (request, SERVED if known else RunEnded(Outcome.CANCELLED)), cpu=0.5)
     seen = []
-    for more in (300, 200, -250, -100):  # 300, 500, 250 and 150 are shed in the window
+    for more in (300, 200, -250, -100):  # 300, 500, 250 and 150 are rejected in the window
         desk.controller.rejection_stats.count.add(desk.now, more)
         desk.controller.idle_connections.next_choice_at = 0
         desk.controller.choose_idle_timeout()
@@ -73,8 +73,8 @@
     assert seen == limits
 
 
-def test_what_has_waited_unread_for_a_second_is_a_flood_until_it_waits_shortly():
-    """Reading can't keep up, so that what is read is late and hardly shed any more."""
+def test_what_has_waited_unread_for_a_second_is_an_overload_until_it_waits_shortly():
+    """Reading can't keep up, so that what is read is late and hardly rejected any more."""
     desk = Desk(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
         desk.at(at, desk.read(at, caller=at), cpu=0.5)
@@ -88,10 +88,10 @@
 
 
 def advertised(desk):
-    return [told.value for told in desk.told if isinstance(told, AdvertiseCriticality)]
+    return [told.value for told in desk.announcements if isinstance(told, AdvertiseCriticality)]
 
 
-def test_a_level_rises_while_work_is_shed_and_falls_back_to_nothing():
+def test_a_level_rises_while_requests_are_rejected_and_falls_back_to_nothing():
     desk = Desk(profile(latency_objective=20_000, deadline=40_000), cores=1, sends_criticality=True)
     desk.at(0, desk.read(0), desk.read(0))
     desk.controller.rejections.reject(desk.read(0), desk.now)
@@ -104,11 +104,11 @@
     assert advertised(desk)[-1] == 0.0
 
 
-def test_no_level_is_told_where_callers_heed_none_or_nothing_is_shed():
+def test_no_level_is_told_where_callers_heed_none_or_nothing_is_rejected():
     heedless, calm = Desk(cores=1), Desk(cores=1, sends_criticality=True)
-    for desk, shed in ((heedless, 1), (calm, 0)):
+    for desk, rejected in ((heedless, 1), (calm, 0)):
         desk.at(0, desk.read(0), desk.read(0))
-        for _ in range(shed):
+        for _ in range(rejected):
             desk.controller.rejections.reject(desk.read(0), desk.now)
         for at in range(50, 2_000, 50):
             desk.at(at, cpu=1.0)
@@ -116,11 +116,11 @@
 
 
 @pytest.mark.parametrize(("callers", "last"), [(2, False), (500, True)], ids=["few", "many"])
-def test_a_shed_asks_not_to_be_tried_elsewhere_where_a_try_needs_a_new_connection(callers, last):
+def test_a_rejection_asks_not_to_be_tried_elsewhere_where_a_try_needs_a_new_connection(callers, last):
     desk = Desk(cores=1, caller_count=callers, sends_retry_after=True, max_retry_after=SECOND)
     for at in range(0, 16_000, 100):
-        tx = desk.read(at, caller=at // 100 % callers)
-        desk.at(at, tx).at(at + 50, (tx, SERVED), cpu=0.5)
+        request = desk.read(at, caller=at // 100 % callers)
+        desk.at(at, request).at(at + 50, (request, SERVED), cpu=0.5)
     assert desk.controller.rejections.reject(desk.read(16_000), desk.now).stop_retrying is last
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Quota, hold, running limit, calls and health."""
+"""Quotas, the queue, the concurrency limit, calls downstream and health."""
 
 import pytest
 
@@ -20,11 +20,11 @@
 from .desk import MS, SERVED, Desk, profile
 
 
-def test_held_start_by_due_time():
+def test_queued_requests_start_by_latency_deadline():
     desk = Desk(profile(latency_objective=3000), profile(latency_objective=1000), cores=1)
     busy, late, soon = desk.read(0), desk.read(0), desk.read(0, 1)
     desk.at(0, busy, late, soon).at(100, (busy, SERVED))
-    assert desk.wishes(soon) == ["StartRun"] and desk.wishes(late) == []
+    assert desk.action_names(soon) == ["StartRun"] and desk.action_names(late) == []
 
 
 # the window is over; too early; too early, but told; room
@@ -32,24 +32,24 @@
     ("ran", "cpu", "quota", "binds"),
     [(12_000, 1, 0, True), (3_000, 1, 0, False), (3_000, 1, 1.0, True), (12_000, 0.5, 1.0, False)],
 )
-def test_quota_binds_once_it_is_known_without_room_and_with_work_held(ran, cpu, quota, binds):
+def test_quota_binds_once_it_is_known_without_room_and_with_requests_queued(ran, cpu, quota, binds):
     tenant = Tenant(quota)
     desk = Desk(cores=1, tenants=[tenant]).warm(until=ran, cpu=cpu)
     desk.at(ran, desk.read(ran), desk.read(ran)).at(ran + 350, cpu=cpu)
-    tx = desk.read(ran + 350, tenant=tenant)
-    desk.controller.quotas.meter(tx, desk.now).admitted.add(desk.now, 1_000_000_000)
-    assert (desk.controller.quotas.count(tx, desk.now, desk.controller.queue.is_saturated) > 0) is binds
+    request = desk.read(ran + 350, tenant=tenant)
+    desk.controller.quotas.meter(request, desk.now).admitted.add(desk.now, 1_000_000_000)
+    assert (desk.controller.quotas.count(request, desk.now, desk.controller.queue.is_saturated) > 0) is binds
 
 
-@pytest.mark.parametrize(("over", "wish"), [(50, ["Reject"]), (0, [])])
-def test_a_told_quota_delays_or_sheds_its_own_tenant_only(over, wish):
+@pytest.mark.parametrize(("over", "action"), [(50, ["Reject"]), (0, [])])
+def test_a_told_quota_delays_or_rejects_its_own_tenant_only(over, action):
     heavy, light = Tenant(quota=2.0), Tenant(quota=2.0)
     desk = Desk(cores=1, tenants=[heavy, light], sends_retry_after=True, max_retry_after=1000 * MS)
     desk.controller.queue.is_saturated = True
     desk.controller.quotas.tenants[heavy].admitted.add(0, 20 + over)
-    tx, other = desk.read(0, tenant=heavy), desk.read(0, tenant=light)
-    desk.at(0, desk.read(0), tx, other)
-    assert desk.wishes(tx) == wish and desk.wishes(other) == []
+    request, other = desk.read(0, tenant=heavy), desk.read(0, tenant=light)
+    desk.at(0, desk.read(0), request, other)
+    assert desk.action_names(request) == action and desk.action_names(other) == []
 
 
 @pytest.mark.parametrize(("running", "busy"), [(9, False), (10, True)])
@@ -60,44 +60,44 @@
     assert len(desk.controller.limit.running) == running and desk.controller.limit.is_busy is busy
 
 
-def test_what_is_shed_or_gone_is_taken_out_of_the_windows():
+def test_what_is_rejected_or_gone_is_taken_out_of_the_windows():
     desk = Desk(cores=1)
     running, gone = desk.read(0), desk.read(0)
     desk.at(0, running, gone).at(10, (gone, CallerGone()))
     assert desk.controller.quotas.callers[0].admitted.total(desk.now) == running.size
 
 
-def test_the_heaviest_caller_pays_when_the_hold_does_not_fit():
+def test_the_heaviest_caller_pays_when_the_queue_does_not_fit():
     desk = Desk(cores=1).warm()
     heavy = [desk.read(12_000, caller=1) for _ in range(4)]
     light = desk.read(12_000, caller=2)
     desk.at(12_000, *heavy, light)
-    shed = [tx for tx in [*heavy, light] if "Reject" in desk.wishes(tx)]
-    assert shed and light not in shed
+    rejected = [request for request in [*heavy, light] if "Reject" in desk.action_names(request)]
+    assert rejected and light not in rejected
 
 
 @pytest.mark.parametrize(
-    ("busy", "left", "wishes"),
+    ("busy", "left", "action_names"),
     [
         (True, 800, []),
         (True, 600, ["Reject"]),  # room for two of the mean of 260 ms, not for one and a slow one
         (False, 400, ["StartRun"]),  # on empty cores it is tried
     ],
 )
-def test_behind_others_it_is_tried_at_what_slow_ones_like_it_take(busy, left, wishes):
+def test_behind_others_it_is_tried_at_what_slow_ones_like_it_take(busy, left, action_names):
     desk = Desk(profile(latency_objective=5000, deadline=5000), cores=1)
     for took in (100, 100, 100, 500, 500):
-        tx = desk.read(desk.now // MS)
-        desk.at(desk.now // MS, tx).at(desk.now // MS + took, (tx, SERVED))
+        request = desk.read(desk.now // MS)
+        desk.at(desk.now // MS, request).at(desk.now // MS + took, (request, SERVED))
     now = desk.now // MS
     if busy:
         desk.at(now, desk.read(now))
-    tx = desk.read(now + 10, wait=left)
-    desk.at(now + 10, tx)
-    assert desk.wishes(tx) == wishes
+    request = desk.read(now + 10, wait=left)
+    desk.at(now + 10, request)
+    assert desk.action_names(request) == action_names
 
 
-def test_the_hold_is_looked_through_once_in_a_while_however_much_comes():
+def test_the_queue_is_swept_once_in_a_while_however_much_comes():
     desk = Desk(cores=1).warm()
     looks = []
     sweep = desk.controller.queue.sweep
@@ -120,8 +120,8 @@
     desk = Desk().warm(until=40_000)
     desk.controller.limit.limit = 2.1
     for ms in range(40_000, 52_000, 1500):
-        tx = desk.read(ms, wait=4000)
-        desk.at(ms, tx).at(ms + 1400, (tx, SERVED), cpu=1.0)
+        request = desk.read(ms, wait=4000)
+        desk.at(ms, request).at(ms + 1400, (request, SERVED), cpu=1.0)
     assert desk.controller.limit.limit == 2.0
 
 
@@ -133,8 +133,8 @@
         overload_multiple=crowd,
     ).warm(cpu=cpu)
     for ms in range(12_000, 12_500, 10):
-        tx = desk.read(ms)
-        desk.at(ms, tx).at(ms + 5, (tx, CallNeeded()))
+        request = desk.read(ms)
+        desk.at(ms, request).at(ms + 5, (request, CallNeeded()))
     assert desk.controller.limit.started_count == most
 
 
@@ -144,7 +144,7 @@
     desk.at(12_000, desk.read(12_000, cost_hint=4000 * MS))
     for ms in range(12_050, 15_900, 50):
         desk.at(ms, cpu=0.5)
-    assert SetHealth(False) not in desk.told
+    assert SetHealth(False) not in desk.announcements
 
 
 def test_calls_that_cannot_be_left_out_go_first():
@@ -155,23 +155,28 @@
         downstream=Downstream.SHARED,
     )
     some, more, most = desk.read(0), desk.read(0), desk.read(0, 1)
-    desk.at(0, some, more, most).at(10, *[(tx, CallNeeded()) for tx in (some, more, most)])
+    desk.at(0, some, more, most).at(10, *[(request, CallNeeded()) for request in (some, more, most)])
     desk.at(60, (some, CallEnded(Outcome.SERVED))).at(160)
-    assert desk.wishes(more) == ["StartRun"] and desk.wishes(most) == ["StartRun", "CallDownstream"]
+    assert desk.action_names(more) == ["StartRun"] and desk.action_names(most) == [
+        "StartRun",
+        "CallDownstream",
+    ]
 
 
-@pytest.mark.parametrize(("left", "wish"), [(250, "CallDownstream"), (150, "SkipCall")])
-def test_a_call_that_may_be_left_out_is_made_where_it_fits_though_times_scatter(left, wish):
+@pytest.mark.parametrize(("left", "action"), [(250, "CallDownstream"), (150, "SkipCall")])
+def test_a_call_that_may_be_left_out_is_made_where_it_fits_though_times_scatter(left, action):
     """Guards against calls that run out of time: they hold up the others and are left out all the same."""
     desk = Desk(profile(weight_without_call=0.3), downstream=Downstream.SHARED, downstream_quota=4.0)
-    first, tx = desk.read(0), desk.read(0)
-    desk.at(0, first, tx).at(0, (first, CallNeeded())).at(100, (first, CallEnded(Outcome.SERVED)), cpu=0.1)
-    desk.at(1000 - left, (tx, CallNeeded()), cpu=0.1)
-    assert desk.wishes(tx)[-1] == wish
+    first, request = desk.read(0), desk.read(0)
+    desk.at(0, first, request).at(0, (first, CallNeeded())).at(
+        100, (first, CallEnded(Outcome.SERVED)), cpu=0.1
+    )
+    desk.at(1000 - left, (request, CallNeeded()), cpu=0.1)
+    assert desk.action_names(request)[-1] == action
 
 
-@pytest.mark.parametrize(("skip", "wish"), [(0.3, "SkipCall"), (0.0, "Fail")])
-def test_a_call_that_cannot_fit_is_left_out_or_ends_it_at_once(skip, wish):
+@pytest.mark.parametrize(("skip", "action"), [(0.3, "SkipCall"), (0.0, "Fail")])
+def test_a_call_that_cannot_fit_is_left_out_or_ends_it_at_once(skip, action):
     desk = Desk(profile(weight_without_call=skip), downstream=Downstream.SHARED, downstream_quota=1.0)
     first, second = desk.read(0), desk.read(0)
     desk.at(0, first, second).at(10, (first, CallNeeded())).at(
@@ -181,17 +186,17 @@
     desk.at(710, busy, (first, SERVED)).at(720, (busy, CallNeeded())).at(730, (second, CallNeeded())).at(
         1001, cpu=0.5
     )
-    assert desk.wishes(second)[-1] == wish
+    assert desk.action_names(second)[-1] == action
 
 
 @pytest.mark.parametrize(
-    ("halt", "held", "stopped"), [("drop", 1, True), ("drop", 0, False), ("off", 1, False)]
+    ("halt", "queued", "stopped"), [("drop", 1, True), ("drop", 0, False), ("off", 1, False)]
 )
-def test_a_run_past_its_goal_gives_way_only_to_others(halt, held, stopped):
+def test_a_run_past_its_latency_deadline_gives_way_only_to_others(halt, queued, stopped):
     desk = Desk(cores=1, preemption=Preemption(halt))
-    tx = desk.read(0)
-    desk.at(0, tx).at(1050, *[desk.read(1050) for _ in range(held)])
-    assert ("StopRun" in desk.wishes(tx)) is stopped
+    request = desk.read(0)
+    desk.at(0, request).at(1050, *[desk.read(1050) for _ in range(queued)])
+    assert ("StopRun" in desk.action_names(request)) is stopped
 
 
 def test_health_turns_bad_when_runs_begin_and_none_ends_and_good_again():
@@ -199,9 +204,9 @@
     desk.at(12_000, desk.read(12_000, wait=9000), desk.read(12_000, wait=9000))
     for ms in range(12_050, 14_000, 50):
         desk.at(ms, cpu=1.0)
-    assert desk.told.count(SetHealth(False)) == 1
-    for tx in list(desk.controller.limit.running):
-        desk.at(14_000, (tx, SERVED))
+    assert desk.announcements.count(SetHealth(False)) == 1
+    for request in list(desk.controller.limit.running):
+        desk.at(14_000, (request, SERVED))
     for ms in range(14_050, 18_000, 50):
         desk.at(ms, cpu=0.0)
     assert desk.controller.health.is_healthy
@@ -216,7 +221,7 @@
 
 def test_an_empty_app_server_tries_whatever_the_figures_say():
     desk = Desk().warm(took=1500, until=14_000)
-    assert desk.at(14_000, tx := desk.read(14_000)).wishes(tx) == ["StartRun"]
+    assert desk.at(14_000, request := desk.read(14_000)).action_names(request) == ["StartRun"]
 
 
 def test_a_stuck_app_server_asks_to_be_left_for_longest():
@@ -225,7 +230,7 @@
     for ms in range(12_050, 14_000, 50):
         desk.at(ms, cpu=1.0)
     desk.at(14_000, desk.read(14_000))
-    assert desk.said[-1][1].retry_after > 600 * MS
+    assert desk.actions[-1][1].retry_after > 600 * MS
 
 
 def test_the_recent_time_of_calls_forgets_a_slow_spell():
@@ -233,20 +238,22 @@
         profile(latency_objective=9000, deadline=9000), downstream=Downstream.SHARED, downstream_quota=9.0
     )
     for start, end in ((0, 2000), (4500, 4600)):
-        tx = desk.read(start, wait=9000)
-        desk.at(start, tx).at(start, (tx, CallNeeded())).at(end, (tx, CallEnded(Outcome.SERVED)), cpu=0.1)
+        request = desk.read(start, wait=9000)
+        desk.at(start, request).at(start, (request, CallNeeded())).at(
+            end, (request, CallEnded(Outcome.SERVED)), cpu=0.1
+        )
     assert desk.controller.downstream.recent_time == 100 * MS
 
 
-@pytest.mark.parametrize(("stretch", "wish"), [(1.0, "StartRun"), (1.5, "Reject")])
-def test_a_free_core_tries_at_base_time_while_the_pace_is_usual(stretch, wish):
+@pytest.mark.parametrize(("stretch", "action"), [(1.0, "StartRun"), (1.5, "Reject")])
+def test_a_free_core_tries_at_base_time_while_the_pace_is_usual(stretch, action):
     desk = Desk(cores=2).warm(until=9000)
     desk.controller.times.by_class[desk.profiles[0]].low = 200 * MS
     desk.controller.times.by_class[desk.profiles[0]].mean = 1200 * MS
     desk.controller.health.slowdown = stretch
-    tx = desk.read(9000)
-    desk.at(9000, desk.read(9000, wait=9000), tx)
-    assert desk.wishes(tx)[-1] == wish
+    request = desk.read(9000)
+    desk.at(9000, desk.read(9000, wait=9000), request)
+    assert desk.action_names(request)[-1] == action
 
 
 @pytest.mark.parametrize(("quota", "longer"), [(2.0, False), (0.0, True)])
@@ -258,9 +265,9 @@
     desk.controller.queue.is_saturated = True
     for ms in range(12_000, 12_500):
         desk.controller.quotas.meter(desk.read(ms, tenant=tenant), desk.now).admitted.add(ms * MS, 10_000)
-    tx = desk.read(12_500, tenant=tenant)
-    desk.at(12_500, tx)
-    assert desk.wishes(tx) == ["Reject"] and (desk.said[-1][1].retry_after > 500 * MS) is longer
+    request = desk.read(12_500, tenant=tenant)
+    desk.at(12_500, request)
+    assert desk.action_names(request) == ["Reject"] and (desk.actions[-1][1].retry_after > 500 * MS) is longer
 
 
 # a gap after the one call; the rate that follows 300 ms
@@ -278,8 +285,8 @@
     if share > 1:
         desk.at(1000, (second, CallNeeded()))
     desk.at(max(took, 1000), (third, CallNeeded())).at(early)
-    assert desk.wishes(third) == ["StartRun"]
-    assert desk.at(due).wishes(third) == ["StartRun", "CallDownstream"]
+    assert desk.action_names(third) == ["StartRun"]
+    assert desk.at(due).action_names(third) == ["StartRun", "CallDownstream"]
 
 
 @pytest.mark.parametrize(("call_time", "allowed"), [(100, 9.0), (200, 4.5), (9000, 9.0 * KEPT_QUOTA_SHARE)])
@@ -295,8 +302,8 @@
 def test_a_refused_call_counts_as_a_slow_one():
     desk = Desk(downstream=Downstream.SHARED)
     desk.controller.downstream.recent_time = 100.0 * MS
-    tx = desk.read(0)
-    desk.at(0, tx).at(1, (tx, CallNeeded())).at(2, (tx, CallEnded(Outcome.REJECTED, MS)))
+    request = desk.read(0)
+    desk.at(0, request).at(1, (request, CallNeeded())).at(2, (request, CallEnded(Outcome.REJECTED, MS)))
     assert desk.controller.downstream.call_times.mean >= 200 * MS
 
 
@@ -314,7 +321,7 @@
 
 
 @pytest.mark.parametrize(("asked", "again"), [(5, False), (50, True)])
-def test_who_asked_most_pays_in_the_hold_and_first_tries_last(asked, again):
+def test_who_asked_most_pays_in_the_queue_and_first_tries_last(asked, again):
     light, heavy = Tenant(1.0), Tenant(1.0)
     desk = Desk(cores=1, tenants=[light, heavy]).warm()
     desk.controller.quotas.tenants[light].requested.add(12_000 * MS, asked)
@@ -322,7 +329,9 @@
     first = desk.read(12_000, tenant=light)
     others = [desk.read(12_000, tenant=heavy, is_retry=again) for _ in range(4)]
     desk.at(12_000, first, *others)
-    assert "Reject" not in desk.wishes(first) and any("Reject" in desk.wishes(tx) for tx in others)
+    assert "Reject" not in desk.action_names(first) and any(
+        "Reject" in desk.action_names(request) for request in others
+    )
 
 
 @pytest.mark.parametrize(
@@ -347,9 +356,9 @@
     desk.controller.quotas.tenants[light].requested.add(0, 24)
     desk.controller.quotas.tenants[heavy].requested.add(0, 239)
     ones = [desk.read(0, tenant=tenant) for tenant in (light, heavy)]
-    for tx in ones:
-        desk.controller.quotas.count(tx, desk.now, desk.controller.queue.is_saturated)
-    assert max(ones, key=lambda tx: desk.controller.queue.shed_order(tx, desk.now)).tenant is heavy
+    for request in ones:
+        desk.controller.quotas.count(request, desk.now, desk.controller.queue.is_saturated)
+    assert max(ones, key=lambda request: desk.controller.queue.shed_order(request, desk.now)).tenant is heavy
 
 
 def told_and_took(desk, error):
@@ -358,8 +367,8 @@
     for run in range(60):
         took = 200 * 4 ** (run % 2)
         cost = took * MS * error ** ((-1, 0, 1)[run % 3])
-        tx = desk.read(at, cost_hint=int(cost))
-        desk.at(at, tx).at(at + took, (tx, SERVED))
+        request = desk.read(at, cost_hint=int(cost))
+        desk.at(at, request).at(at + took, (request, SERVED))
         at += took + 10
     return at
 
@@ -372,33 +381,33 @@
     assert low < desk.controller.times.typical(large) / desk.controller.times.typical(small) < high
 
 
-def test_without_a_told_cost_all_of_a_profile_take_the_usual_time():
+def test_without_a_told_cost_all_of_a_class_take_the_usual_time():
     desk = Desk(cores=1).warm(took=300)
     assert desk.controller.times.typical(desk.read(12_000)) == desk.controller.times.overall.mean
 
 
-def test_a_further_try_is_as_old_as_sheds_here_have_been():
+def test_a_further_try_is_as_old_as_rejections_here_have_been():
     desk = Desk(cores=2).warm()
     desk.controller.rejection_stats.ages.add(12_000 * MS, 900 * MS)
     desk.controller.rejection_stats.count.add(12_000 * MS, 1)
     first, again = desk.read(12_000), desk.read(12_000, is_retry=True)
     desk.at(12_000, first, again)
-    assert desk.wishes(first) == ["StartRun"] and desk.wishes(again) == ["Reject"]
+    assert desk.action_names(first) == ["StartRun"] and desk.action_names(again) == ["Reject"]
 
 
 def test_what_waited_unread_has_waited_and_the_advice_covers_it():
     desk = Desk(cores=1, sends_retry_after=True, max_retry_after=5000 * MS).warm()
-    tx = desk.read(12_000)
-    desk.at(12_990, tx, desk.read(12_000), cpu=1.0)
+    request = desk.read(12_000)
+    desk.at(12_990, request, desk.read(12_000), cpu=1.0)
     assert (
         desk.controller.queue.is_saturated
-        and min(wish.retry_after for _, wish in desk.said if isinstance(wish, Reject)) > 700 * MS
+        and min(action.retry_after for _, action in desk.actions if isinstance(action, Reject)) > 700 * MS
     )
 
 
 # room for many; the last of it, within the quota and past it; none
 @pytest.mark.parametrize(
-    ("left", "past", "others", "kind", "wish"),
+    ("left", "past", "others", "kind", "action"),
     [
         (21, 50, 0, Idempotency.KEYED, []),
         (20, -5, 0, Idempotency.KEYED, []),
@@ -416,8 +425,8 @@
         (0, 50, 0, Idempotency.IDEMPOTENT, []),
     ],
 )
-def test_what_can_not_be_kept_is_shed_and_the_last_room_is_for_those_within_their_quota(
-    left, past, others, kind, wish
+def test_what_can_not_be_kept_is_rejected_and_the_last_room_is_for_those_within_their_quota(
+    left, past, others, kind, action
 ):
     tenant, other, advice = Tenant(quota=2.0), Tenant(quota=2.0), 700 * MS
     desk = Desk(
@@ -431,12 +440,12 @@
     desk.controller.quotas.tenants[tenant].admitted.add(0, 20 + past)
     desk.controller.quotas.tenants[other].admitted.add(0, others)
     before = desk.controller.quotas.tenants[tenant].admitted.total(0)
-    tx = desk.read(0, tenant=tenant)
-    desk.at(0, desk.read(0, tenant=Tenant()), tx)
-    assert desk.wishes(tx)[:1] == (wish or ["StoreKey"] if kind is Idempotency.KEYED else wish)
-    if wish:
-        (shed,) = [said for who, said in desk.said if who is tx]
+    request = desk.read(0, tenant=tenant)
+    desk.at(0, desk.read(0, tenant=Tenant()), request)
+    assert desk.action_names(request)[:1] == (action or ["StoreKey"] if kind is Idempotency.KEYED else action)
+    if action:
+        (rejected,) = [said for who, said in desk.actions if who is request]
         assert (
-            shed.retry_after >= advice * 3 // 4
+            rejected.retry_after >= advice * 3 // 4
             and desk.controller.quotas.tenants[tenant].admitted.total(0) == before
         )
--- a/tests/test_plan_override.py
+++ b/tests/test_plan_override.py
@@ -1,4 +1,4 @@
-"""A plan of the fleet at the decisions: told quotas while in service, the order of refusal, epoch and end."""
+"""A plan of the fleet in the controller: quotas in service, the shedding order, term and expiry."""
 
 from itertools import permutations
 
@@ -58,8 +58,8 @@
     assert not desk.driver.apply_plan(plan(number=1, until=90_000))  # also after its end
 
 
-def held(desk, ms, order, **more):
-    """One run on the only core, a full hold behind it, and what is refused when it can't all be in time."""
+def full_queue(desk, ms, order, **more):
+    """Start one run on the only core and put a plan in force with a shedding order."""
     desk.warm(took=1000, until=12_000)
     running = desk.read(ms)
     desk.at(ms, running, cpu=1.0)
@@ -68,9 +68,9 @@
 
 
 @pytest.mark.parametrize("order", list(permutations((SheddingTier.RETRY, SheddingTier.EVACUATED)))[:2])
-def test_the_order_of_refusal_is_the_operators(order):
+def test_the_shedding_order_is_the_operators(order):
     desk = wide(profile(latency_objective=2500, deadline=8000))
-    held(desk, 13_000, (*order, SheddingTier.LOCAL))
+    full_queue(desk, 13_000, (*order, SheddingTier.LOCAL))
     ask = {
         SheddingTier.RETRY: desk.read(13_100, caller=1, is_retry=True),
         SheddingTier.EVACUATED: desk.read(13_100, caller=7),
@@ -78,12 +78,16 @@
     }
     desk.at(13_100, *ask.values())
     desk.at(13_150, cpu=1.0)
-    names = {id(tx): kind for kind, tx in ask.items()}
-    gone = [names[id(who)] for who, wish in desk.said if type(wish).__name__ == "Reject" and id(who) in names]
+    names = {id(request): kind for kind, request in ask.items()}
+    gone = [
+        names[id(who)]
+        for who, action in desk.actions
+        if type(action).__name__ == "Reject" and id(who) in names
+    ]
     assert gone == list(order)
 
 
-def test_of_two_visitors_the_one_of_less_payoff_for_its_work_goes():
+def test_of_two_evacuated_requests_the_one_of_less_weight_for_its_time_goes():
     dear, cheap = (
         profile(latency_objective=2500, deadline=8000, priority_weight=4.0),
         profile(latency_objective=2500, deadline=8000, priority_weight=1.0),
@@ -95,15 +99,15 @@
     first, second = desk.read(13_050, caller=7), desk.read(13_060, which=1, caller=7)
     desk.at(13_060, first, second, cpu=1.0)
     desk.at(13_110, cpu=1.0)
-    assert "Reject" in desk.wishes(second) and "Reject" not in desk.wishes(first)
+    assert "Reject" in desk.action_names(second) and "Reject" not in desk.action_names(first)
 
 
-def test_a_repeat_of_a_labelled_one_that_has_run_is_never_refused():
+def test_a_repeat_of_a_keyed_one_that_has_run_is_never_rejected():
     desk = wide(profile(Idempotency.KEYED, latency_objective=2000, deadline=8000, key_retention=20_000 * MS))
-    running = held(desk, 13_000, tuple(SheddingTier), is_capacity_short=True)
+    running = full_queue(desk, 13_000, tuple(SheddingTier), is_capacity_short=True)
     repeats = [desk.read(13_000 + n, caller=7, is_retry=True, original=running) for n in range(8)]
     desk.at(13_010, *repeats, cpu=1.0).at(13_100, cpu=1.0)
-    assert all(desk.wishes(tx) == ["AttachToOriginal"] for tx in repeats)
+    assert all(desk.action_names(request) == ["AttachToOriginal"] for request in repeats)
 
 
 def test_one_let_back_in_uses_so_many_of_its_cores_and_more_as_the_plan_fades():
@@ -118,12 +122,12 @@
 
 
 @pytest.mark.parametrize("short", [True, False])
-def test_where_no_app_server_has_room_a_shed_asks_not_to_try_elsewhere(short):
+def test_where_no_app_server_has_room_a_rejection_asks_not_to_try_elsewhere(short):
     desk = wide(memory_limit=1000, sends_retry_after=True, max_retry_after=SECOND)
     desk.driver.apply_plan(plan(is_capacity_short=short))
-    tx = desk.read(1000, size=2000)
-    desk.at(1000, tx, cpu=0.1)
-    assert [wish.stop_retrying for who, wish in desk.said if who is tx] == [short]
+    request = desk.read(1000, size=2000)
+    desk.at(1000, request, cpu=0.1)
+    assert [action.stop_retrying for who, action in desk.actions if who is request] == [short]
 
 
 def test_a_share_of_the_calls_told_anew_binds_at_once():
@@ -136,7 +140,7 @@
     some = [desk.read(0) for _ in range(4)]
     desk.at(0, *some)
     desk.driver.set_downstream_quota(1.0)
-    desk.at(10, *((tx, CallNeeded()) for tx in some))
+    desk.at(10, *((request, CallNeeded()) for request in some))
     assert desk.controller.downstream.in_flight == 1
     desk.driver.set_downstream_quota(3.0)
     desk.at(600, cpu=0.2)
@@ -144,7 +148,7 @@
     desk.at(700, (some[0], SERVED))
 
 
-def test_visitors_have_a_quota_of_their_own_from_the_start_and_are_told_when_to_come_back():
+def test_evacuated_callers_have_a_quota_of_their_own_from_the_start_and_are_told_when_to_come_back():
     tenant = Tenant(100.0)
     desk = wide(
         profile(latency_objective=6000, deadline=8000),
@@ -158,11 +162,13 @@
     desk.at(13_310, desk.read(13_000, tenant=tenant), cpu=1.0)  # read late: work has waited
     home, visitor = (desk.read(13_320, tenant=tenant, caller=caller) for caller in (1, 7))
     desk.at(13_320, visitor, home)
-    assert desk.controller.queue.is_saturated and desk.wishes(home) == []
-    (shed,) = [wish for who, wish in desk.said if who is visitor and type(wish).__name__ == "Reject"]
+    assert desk.controller.queue.is_saturated and desk.action_names(home) == []
+    (rejected,) = [
+        action for who, action in desk.actions if who is visitor and type(action).__name__ == "Reject"
+    ]
     assert (
-        shed.retry_after >= 0.75 * SECOND
-    )  # a whole one past half a transaction a second: a delay of over a second
+        rejected.retry_after >= 0.75 * SECOND
+    )  # a whole one past half a request a second: a delay of over a second
     assert (
         desk.controller.quotas.tenants[tenant].admitted.total(desk.now) == 3
     )  # visitors count against their own alone
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -31,23 +31,23 @@
         (Preemption.DROP, Idempotency.NON_IDEMPOTENT, ["StartRun", "Fail"]),
     ],
 )
-def test_running_at_its_due_time_is_written_off(halt, kind, end):
+def test_a_run_is_failed_at_its_deadline(halt, kind, end):
     desk = Desk(profile(kind), preemption=halt)
-    tx = desk.read(0)
-    desk.at(0, tx).at(3900)
-    assert desk.wishes(tx) == ["StartRun"]
+    request = desk.read(0)
+    desk.at(0, request).at(3900)
+    assert desk.action_names(request) == ["StartRun"]
     desk.at(3950)
-    assert desk.wishes(tx) == end
+    assert desk.action_names(request) == end
 
 
 @pytest.mark.parametrize(
     ("fate", "repeat"),
     [
-        ("held", ["AttachToOriginal"]),
+        ("queued", ["AttachToOriginal"]),
         ("running", ["AttachToOriginal"]),
         ("ended", ["AttachToOriginal"]),
-        ("written off", ["AttachToOriginal"]),
-        ("shed", ["StoreKey", "StartRun"]),  # it never ran: the repeat is new work
+        ("failed", ["AttachToOriginal"]),
+        ("rejected", ["StoreKey", "StartRun"]),  # it never ran: the repeat is new work
         ("gone", ["StoreKey", "StartRun"]),
     ],
 )
@@ -55,50 +55,53 @@
     desk = Desk(KEYED, cores=1)
     busy = desk.read(0)
     first = desk.read(0, wait=600)
-    desk.at(0, *[busy] * (fate in ("held", "shed", "gone"))).at(0, first)
+    desk.at(0, *[busy] * (fate in ("queued", "rejected", "gone"))).at(0, first)
     if fate == "ended":
         desk.at(100, (first, SERVED))
     elif fate == "gone":
         desk.at(100, (first, CallerGone())).at(150, (busy, SERVED))
-    elif fate == "written off":
+    elif fate == "failed":
         desk.at(590)
-    elif fate == "shed":
+    elif fate == "rejected":
         desk.at(590).at(595, (busy, SERVED))
-        assert desk.wishes(first) == ["StoreKey", "ReleaseKey", "Reject"]
+        assert desk.action_names(first) == ["StoreKey", "ReleaseKey", "Reject"]
     again = desk.read(600, original=first)
     desk.at(600, again)
-    assert desk.wishes(again) == repeat
+    assert desk.action_names(again) == repeat
 
 
 def test_two_tries_in_one_batch_run_once():
     desk = Desk(KEYED)
     first = desk.read(0)
     desk.at(0, first, desk.read(0, original=first))
-    assert [type(wish).__name__ for _, wish in desk.said].count("StartRun") == 1
+    assert [type(action).__name__ for _, action in desk.actions].count("StartRun") == 1
 
 
-def test_a_repeat_at_its_due_time_is_written_off_not_shed():
+def test_a_repeat_is_failed_and_not_rejected_at_its_deadline():
     desk = Desk(KEYED)
     first = desk.read(0)
     again = desk.read(10, wait=500, original=first)
     desk.at(0, first).at(10, again).at(500)
-    assert desk.wishes(again) == ["AttachToOriginal", "Fail"]
+    assert desk.action_names(again) == ["AttachToOriginal", "Fail"]
 
 
-def test_a_label_is_kept_for_its_whole_window_and_its_memory_counted():
+def test_a_key_is_kept_for_its_whole_window_and_its_memory_counted():
     desk = Desk(KEYED, memory_limit=10_000, idempotency_key_size=5_000)
-    tx, more = desk.read(0), desk.read(50)
-    desk.at(0, tx).at(20, (tx, SERVED)).at(50, more)
-    assert next(wish for _, wish in desk.said if isinstance(wish, StoreKey)).retention >= KEYED.key_retention
+    request, more = desk.read(0), desk.read(50)
+    desk.at(0, request).at(20, (request, SERVED)).at(50, more)
+    assert (
+        next(action for _, action in desk.actions if isinstance(action, StoreKey)).retention
+        >= KEYED.key_retention
+    )
     assert desk.controller.memory.used == 5_000
-    assert desk.wishes(more) == ["Reject"]  # no room for its label
+    assert desk.action_names(more) == ["Reject"]  # no room for its label
     late = desk.read(13_200)
     desk.at(13_200, late, cpu=0.1).at(13_250, desk.read(13_250))
     assert desk.controller.memory.used <= 10_000
 
 
 @pytest.mark.parametrize(("size", "count"), [(100, 9), (450, 2), (950, 0)])
-def test_memory_of_held_and_running(size, count):
+def test_memory_of_queued_and_running_requests_is_bounded(size, count):
     desk = Desk(
         profile(latency_objective=60_000, deadline=60_000),
         cores=1,
@@ -115,33 +118,35 @@
     assert len(desk.controller.limit.running) == 1 and desk.controller.memory.used <= 900
 
 
-@pytest.mark.parametrize(("reached", "wish"), [(900, "StartRun"), (2900, "StartRun"), (3100, "Reject")])
-def test_nothing_runs_that_arrived_after_the_grace(reached, wish):
+@pytest.mark.parametrize(("reached", "action"), [(900, "StartRun"), (2900, "StartRun"), (3100, "Reject")])
+def test_nothing_runs_that_arrived_after_the_grace(reached, action):
     desk = Desk(drain_grace=2000 * MS).at(1000, leave=10_000)
-    tx = desk.read(reached)
-    desk.at(reached + 50, tx)
-    assert desk.wishes(tx) == [wish]
+    request = desk.read(reached)
+    desk.at(reached + 50, request)
+    assert desk.action_names(request) == [action]
 
 
 def test_all_is_answered_before_the_end_and_health_turns_bad():
     desk = Desk(cores=1, drain_grace=2000 * MS)
-    running, held = desk.read(0), desk.read(0)
-    desk.at(0, running, held).at(10, leave=800).at(750)
-    assert SetHealth(False) in desk.told
-    assert desk.wishes(running)[-1] == "Fail" and desk.wishes(held)[-1] in ("Reject", "Fail")
+    running, queued = desk.read(0), desk.read(0)
+    desk.at(0, running, queued).at(10, leave=800).at(750)
+    assert SetHealth(False) in desk.announcements
+    assert desk.action_names(running)[-1] == "Fail" and desk.action_names(queued)[-1] in ("Reject", "Fail")
 
 
 @pytest.mark.parametrize(("share", "most"), [(0.5, 1), (1.0, 1), (3.2, 3)])
 def test_calls_in_hand_stay_within_the_share_abandoned_ones_too(share, most):
     desk = Desk(cores=8, downstream=Downstream.SHARED, downstream_quota=share, abandoned_call_linger=200 * MS)
-    txs = [desk.read(0) for _ in range(8)]
-    desk.at(0, *txs).at(10, *[(tx, CallNeeded()) for tx in txs])
-    calling = [tx for tx in txs if "CallDownstream" in desk.wishes(tx)]
+    requests = [desk.read(0) for _ in range(8)]
+    desk.at(0, *requests).at(10, *[(request, CallNeeded()) for request in requests])
+    calling = [request for request in requests if "CallDownstream" in desk.action_names(request)]
     assert len(calling) == most
-    desk.at(20, *[(tx, CallEnded(Outcome.TIMED_OUT, 10 * MS)) for tx in calling]).at(30)
-    assert sum(desk.wishes(tx).count("CallDownstream") for tx in txs) == most  # they linger
+    desk.at(20, *[(request, CallEnded(Outcome.TIMED_OUT, 10 * MS)) for request in calling]).at(30)
+    assert (
+        sum(desk.action_names(request).count("CallDownstream") for request in requests) == most
+    )  # they linger
     desk.at(230).at(600)
-    assert sum(desk.wishes(tx).count("CallDownstream") for tx in txs) > most
+    assert sum(desk.action_names(request).count("CallDownstream") for request in requests) > most
 
 
 def test_one_call_alone_does_not_fill_the_span_of_a_share_under_one():
@@ -151,13 +156,15 @@
         downstream_quota_window=5000 * MS,
         abandoned_call_linger=200 * MS,
     )
-    tx = desk.read(0)
-    desk.at(0, tx).at(10, (tx, CallNeeded()))
-    assert next(wish for _, wish in desk.said if isinstance(wish, CallDownstream)).timeout <= 2300 * MS
+    request = desk.read(0)
+    desk.at(0, request).at(10, (request, CallNeeded()))
+    assert (
+        next(action for _, action in desk.actions if isinstance(action, CallDownstream)).timeout <= 2300 * MS
+    )
 
 
 @pytest.mark.parametrize(
-    ("kind", "outcome", "skip", "wishes"),
+    ("kind", "outcome", "skip", "action_names"),
     [
         (Idempotency.KEYED, Outcome.SERVED, 0.0, ["StartRun", "CallDownstream"]),
         (Idempotency.KEYED, Outcome.REJECTED, 0.0, ["StartRun", "CallDownstream", "CallDownstream"]),
@@ -180,11 +187,11 @@
         (Idempotency.IDEMPOTENT, Outcome.TIMED_OUT, 0.3, ["StartRun", "CallDownstream", "SkipCall"]),
     ],
 )
-def test_a_call_is_repeated_only_if_it_never_ran_or_does_no_harm(kind, outcome, skip, wishes):
+def test_a_call_is_repeated_only_if_it_never_ran_or_does_no_harm(kind, outcome, skip, action_names):
     desk = Desk(profile(kind, key_retention=5000 * MS, weight_without_call=skip), downstream=Downstream.TIER)
-    tx = desk.read(0)
-    desk.at(0, tx).at(10, (tx, CallNeeded())).at(30, (tx, CallEnded(outcome, 20 * MS))).at(80)
-    assert [wish for wish in desk.wishes(tx) if wish != "StoreKey"] == wishes
+    request = desk.read(0)
+    desk.at(0, request).at(10, (request, CallNeeded())).at(30, (request, CallEnded(outcome, 20 * MS))).at(80)
+    assert [action for action in desk.action_names(request) if action != "StoreKey"] == action_names
 
 
 def test_crowd_on_the_cores_stays_under_the_survivable_and_lower_when_cold():
@@ -198,18 +205,23 @@
 
 def test_late_events_are_harmless():
     desk = Desk()
-    tx = desk.read(0)
-    desk.at(0, tx).at(10, (tx, SERVED))
-    desk.at(20, (tx, CallerGone()), (tx, RunEnded(Outcome.SUPERSEDED)), (tx, CallEnded(Outcome.FAILED)))
-    assert desk.wishes(tx) == ["StartRun"] and desk.controller.memory.used == 0
+    request = desk.read(0)
+    desk.at(0, request).at(10, (request, SERVED))
+    desk.at(
+        20,
+        (request, CallerGone()),
+        (request, RunEnded(Outcome.SUPERSEDED)),
+        (request, CallEnded(Outcome.FAILED)),
+    )
+    assert desk.action_names(request) == ["StartRun"] and desk.controller.memory.used == 0
 
 
-def test_a_shed_says_when_to_come_back_within_what_is_heeded():
+def test_a_rejection_says_when_to_come_back_within_what_is_heeded():
     desk = Desk(cores=1, sends_retry_after=True, max_retry_after=300 * MS).warm()
     queue = [desk.read(12_000) for _ in range(9)]
     desk.at(12_000, *queue)
-    shed = [wish for _, wish in desk.said if isinstance(wish, Reject)]
-    assert shed and all(0 < wish.retry_after <= 300 * MS for wish in shed)
+    rejected = [action for _, action in desk.actions if isinstance(action, Reject)]
+    assert rejected and all(0 < action.retry_after <= 300 * MS for action in rejected)
 
 
 @pytest.mark.parametrize(
@@ -225,13 +237,14 @@
 )
 def test_extreme_settings_answer_everything_once(site):
     desk = Desk(profile(), KEYED, profile(Idempotency.NON_IDEMPOTENT), **site)
-    txs = [desk.read(ms, ms % 3, caller=ms % 7) for ms in range(0, 500, 10)]
-    for tx in txs:
-        desk.at(tx.arrived_at // MS, tx, cpu=1.0)
+    requests = [desk.read(ms, ms % 3, caller=ms % 7) for ms in range(0, 500, 10)]
+    for request in requests:
+        desk.at(request.arrived_at // MS, request, cpu=1.0)
         desk.at(
-            tx.arrived_at // MS + 5, *[(one, CallNeeded()) for one in list(desk.controller.limit.running)]
+            request.arrived_at // MS + 5,
+            *[(one, CallNeeded()) for one in list(desk.controller.limit.running)],
         )
     for ms in range(500, 5000, 50):
         desk.at(ms, cpu=1.0)
-    answers = [tx for tx, wish in desk.said if type(wish).__name__ in ("Reject", "Fail")]
-    assert sorted(map(id, answers)) == sorted(map(id, txs))
+    answers = [request for request, action in desk.actions if type(action).__name__ in ("Reject", "Fail")]
+    assert sorted(map(id, answers)) == sorted(map(id, requests))
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The wire: absent values, unknown keys, bad input, restarts, the safe side of conversion."""
+"""The simulator's wire: absent values, unknown keys, bad input, restarts, the safe side of conversion."""
 
 import io
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,4 +1,4 @@
-"""The source's windows and its delay."""
+"""The windows of KIP-13 and its delay; samples of service times."""
 
 import pytest
 
@@ -17,7 +17,7 @@
         ([5 * MB] * 20 + [15 * MB], 5 * MB, 2 * SECOND),  # seconds older than ten count no more
         ([60 * MB] + [0] * 9, 5 * MB, 2 * SECOND),
         ([60 * MB] + [0] * 10, 5 * MB, 0),
-        ([43], 4.25, 1177),  # a told quota in transactions; rounded up
+        ([43], 4.25, 1177),  # a told quota in requests; rounded up
     ],
 )
 def test_delay(amounts, quota, delay):
