--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -18,6 +18,7 @@
 from .downstream import DownstreamCalls
 from .health import HealthMonitor
 from .idle_connections import IdleConnections
+from .log_events import DrainStarted, HealthChanged, LogEvent, PlanApplied, PlanExpired, QuotasBind
 from .memory_budget import KeyCapacity, MemoryBudget
 from .plan_override import PlanState
 from .quota import Quotas
@@ -34,19 +35,13 @@
     CallEnded,
     CallerGone,
     CallNeeded,
-    DrainStarted,
     Event,
     Fail,
     Gauges,
-    HealthChanged,
     Idempotency,
-    LogEvent,
     Outcome,
-    PlanApplied,
-    PlanExpired,
     PlanOverride,
     Preemption,
-    QuotasBind,
     ReleaseKey,
     Request,
     RequestState,
--- a/birchslip/admission/types.py
+++ b/birchslip/admission/types.py
@@ -9,8 +9,9 @@
 from collections.abc import Generator
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, ClassVar, NamedTuple
+from typing import Any, NamedTuple
 
+from .log_events import LogEvent
 from .quota_meter import UNMETERED, QuotaMeter
 from .units import MS as MS
 from .units import SECOND as SECOND
@@ -304,54 +305,6 @@
     value: float
 
 
-@dataclass(slots=True)
-class QuotasBind:
-    """Quotas bind: the cores are busy and requests wait."""
-
-    name: ClassVar[str] = "quotas_bind"
-    queued: int
-    running: int
-
-
-@dataclass(slots=True)
-class HealthChanged:
-    """The health that checks are told has changed."""
-
-    name: ClassVar[str] = "health_changed"
-    is_healthy: bool
-    stall_ratio: float
-
-
-@dataclass(slots=True)
-class PlanApplied:
-    """A plan of the fleet that says something new has come into force."""
-
-    name: ClassVar[str] = "plan_applied"
-    term: int
-    number: int
-    serving_fraction: float
-    evacuated_callers: tuple[int, ...]
-    is_capacity_short: bool
-
-
-@dataclass(slots=True)
-class PlanExpired:
-    """A plan of the fleet that was not renewed has lost all its weight."""
-
-    name: ClassVar[str] = "plan_expired"
-    term: int
-    number: int
-
-
-@dataclass(slots=True)
-class DrainStarted:
-    """The app server has been asked to drain."""
-
-    name: ClassVar[str] = "drain_started"
-
-
-LogEvent = QuotasBind | HealthChanged | PlanApplied | PlanExpired | DrainStarted
-
 Action = (
     Wait
     | StartRun
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -13,14 +13,10 @@
 from typing import Any, Protocol
 
 from ..admission.driver import AdmissionDriver
+from ..admission.log_events import DrainStarted, HealthChanged, PlanApplied, PlanExpired, QuotasBind
 from ..admission.types import (
-    DrainStarted,
     Gauges,
-    HealthChanged,
     Outcome,
-    PlanApplied,
-    PlanExpired,
-    QuotasBind,
     ServerAction,
     SetHealth,
     SetIdleTimeout,
--- a/birchslip/simulator/codec.py
+++ b/birchslip/simulator/codec.py
@@ -8,6 +8,7 @@
 
 from typing import NamedTuple
 
+from ..admission.log_events import DrainStarted, HealthChanged, LogEvent, PlanApplied, PlanExpired, QuotasBind
 from ..admission.settings import (
     SettingsReader,
     is_absent,
@@ -27,16 +28,10 @@
     CallEnded,
     CallerGone,
     CallNeeded,
-    DrainStarted,
     Event,
     Fail,
     Gauges,
-    HealthChanged,
-    LogEvent,
     Outcome,
-    PlanApplied,
-    PlanExpired,
-    QuotasBind,
     Reject,
     ReleaseKey,
     RunEnded,
--- a/tests/test_decision_modules.py
+++ b/tests/test_decision_modules.py
@@ -10,7 +10,7 @@
 
 ADMISSION = ROOT / "birchslip" / "admission"
 PURE_LIBRARY = {"__future__", "bisect", "collections", "dataclasses", "enum", "heapq", "math", "typing"}
-NOT_DECISIONS = {"__init__", "driver", "settings", "types", "units"}  # types, edges and the unit of time
+NOT_DECISIONS = {"__init__", "driver", "log_events", "settings", "types", "units"}  # types and edges
 MODULES = {path.stem: path for path in sorted(ADMISSION.glob("*.py"))}
 DECISIONS = sorted(MODULES.keys() - NOT_DECISIONS)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -449,3 +449,15 @@
             rejected.retry_after >= advice * 3 // 4
             and desk.controller.quotas.tenants[tenant].admitted.total(0) == before
         )
+
+
+def test_the_metrics_say_how_the_app_server_is():
+    desk = Desk(cores=1, starts_cold=True, downstream=Downstream.SHARED)
+    before = desk.driver.metrics()
+    assert (before.mean_service_time, before.calls_in_flight, before.plan_weight) == (0.0, 0, 0.0)
+    assert before.started_at == 0 and before.starts_cold and before.is_healthy and before.slowdown == 1.0
+    desk.warm(took=300)
+    request = desk.read(12_000)
+    desk.at(12_000, request).at(12_010, (request, CallNeeded()))
+    after = desk.driver.metrics()
+    assert after.mean_service_time == 300 * MS and after.calls_in_flight == 1
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -4,8 +4,16 @@
 
 import pytest
 
+from birchslip.admission.log_events import (
+    DrainStarted,
+    HealthChanged,
+    PlanApplied,
+    PlanExpired,
+    QuotasBind,
+)
 from birchslip.admission.settings import round_down_seconds as round_early
 from birchslip.admission.settings import round_up_seconds as round_late
+from birchslip.simulator.codec import encode_server_action
 from birchslip.simulator.host import SimulatorHost, serve
 
 HELLO = "hello\t7\tclasses.count=1\tclasses.0.effect=by_key\tclasses.0.aim_s=1.0\tclasses.0.hard_limit_s=4.0"
@@ -79,3 +87,22 @@
 )
 def test_conversion_errs_on_the_safe_side(seconds, early, late):
     assert (round_early(seconds), round_late(seconds)) == (early, late)
+
+
+@pytest.mark.parametrize(
+    ("event", "text"),
+    [
+        (QuotasBind(3, 6), "quota binds: 3 held, 6 on the cores"),
+        (HealthChanged(False, 4.51), "health bad: runs take 4.5 times the usual"),
+        (HealthChanged(True, 1.95), "health good: runs take 1.9 times the usual"),
+        (
+            PlanApplied(64, 2, 0.25, (5, 7), True),
+            "plan 64.2 in force: level 0.25, visitors [5, 7], short True",
+        ),
+        (PlanExpired(64, 2), "plan 64.2 has run out"),
+        (DrainStarted(), "leaving"),
+    ],
+    ids=lambda value: value.name if hasattr(value, "name") else "",
+)
+def test_log_events_keep_the_wording_that_operators_read(event, text):
+    assert encode_server_action(event) == f"record\t{text}"
