--- a/birchslip/admission/log_events.py
+++ b/birchslip/admission/log_events.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class HealthChanged:
-    """The health that checks are told has changed."""
+    """The answer to health checks has changed."""
 
     name: ClassVar[str] = "health_changed"
     is_healthy: bool
--- a/birchslip/admission/plan_override.py
+++ b/birchslip/admission/plan_override.py
@@ -27,12 +27,12 @@
 
     def is_changed_by(self, plan: PlanOverride) -> bool:
         """Return whether a plan says anything new to an operator."""
-        held = self.plan
+        current = self.plan
         return (
             not self.weight
-            or plan.serving_fraction != held.serving_fraction
-            or plan.is_capacity_short != held.is_capacity_short
-            or plan.evacuated_callers != held.evacuated_callers
+            or plan.serving_fraction != current.serving_fraction
+            or plan.is_capacity_short != current.is_capacity_short
+            or plan.evacuated_callers != current.evacuated_callers
         )
 
     def brings_new_callers(self, plan: PlanOverride) -> bool:
--- a/birchslip/admission/types.py
+++ b/birchslip/admission/types.py
@@ -1,4 +1,4 @@
-"""Requests and settings, the events that decisions are told, and the actions that they ask for.
+"""Requests and settings, the events that decisions receive, and the actions that they ask for.
 
 Types only, and no wire: each protocol fills the same types. A time is a whole number of tenths of a
 millisecond, a size is a whole number of bytes, and a share is a fraction.
@@ -20,9 +20,9 @@
 class Idempotency(Enum):
     """What a repeat of a request may do: any harm, none, or none with its idempotency key."""
 
-    IDEMPOTENT = "redoable"
-    KEYED = "labelled"
-    NON_IDEMPOTENT = "irreversible"
+    IDEMPOTENT = "idempotent"
+    KEYED = "keyed"
+    NON_IDEMPOTENT = "non_idempotent"
 
 
 class Preemption(Enum):
@@ -149,7 +149,10 @@
 
 
 class Outcome(Enum):
-    """How a run or a call ended. The last three prove that it never ran."""
+    """How a run or a call ended. The last three prove that it never ran.
+
+    The values are part of the names of counters.
+    """
 
     SERVED = "honoured"
     FAILED = "erred"
@@ -322,7 +325,10 @@
 
 
 class SheddingTier(Enum):
-    """Requests that a plan may have dropped before others; the operators order them."""
+    """Requests that a plan may have dropped before others; the operators order them.
+
+    The values are the words of the fleet file.
+    """
 
     OVER_QUOTA = "beyond"  # past its tenant's quota
     RETRY = "again"  # a further try or a second copy
