--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from birchslip.admission.downstream import KEPT_QUOTA_SHARE
 from birchslip.admission.types import (
+    CallDownstream,
     CallEnded,
     CallerGone,
     CallNeeded,
@@ -289,7 +289,7 @@
     assert desk.at(due).action_names(third) == ["StartRun", "CallDownstream"]
 
 
-@pytest.mark.parametrize(("call_time", "allowed"), [(100, 9.0), (200, 4.5), (9000, 9.0 * KEPT_QUOTA_SHARE)])
+@pytest.mark.parametrize(("call_time", "allowed"), [(100, 9.0), (200, 4.5), (9000, 9.0 * 0.33)])
 def test_fewer_calls_in_hand_as_they_slow_but_never_none(call_time, allowed):
     desk = Desk(downstream=Downstream.SHARED, downstream_quota=9.0)
     desk.controller.downstream.call_times.low, desk.controller.downstream.recent_time = (
@@ -461,3 +461,29 @@
     desk.at(12_000, request).at(12_010, (request, CallNeeded()))
     after = desk.driver.metrics()
     assert after.mean_service_time == 300 * MS and after.calls_in_flight == 1
+
+
+def test_the_limit_rises_by_a_quarter_and_at_least_by_one():
+    desk = Desk(profile(latency_objective=30_000, deadline=60_000), cores=8, overload_multiple=8.0)
+    desk.at(0, *[desk.read(0) for _ in range(20)], cpu=0.5)
+    for ms in range(50, 1_601, 50):
+        desk.at(ms, cpu=0.5)
+    assert desk.controller.limit.limit == 10.0
+
+
+@pytest.mark.parametrize(("took", "limit"), [(500, 10.0), (700, 9.0)], ids=["under twice", "over twice"])
+def test_the_limit_is_cut_to_nine_tenths_once_the_median_run_is_over_twice_its_low(took, limit):
+    desk = Desk(profile(latency_objective=8_000, deadline=9_000)).warm(took=300, until=30_000)
+    desk.controller.limit.limit = 10.0
+    desk.controller.settings.overload_multiple = 20.0
+    for ms in range(30_000, 41_000, 1_000):
+        request = desk.read(ms)
+        desk.at(ms, request).at(ms + took, (request, SERVED), cpu=1.0)
+    assert desk.controller.limit.limit == limit
+
+
+def test_a_call_has_a_millisecond_however_little_the_share_leaves():
+    desk = Desk(downstream=Downstream.SHARED, downstream_quota=0.1, abandoned_call_linger=200 * MS)
+    request = desk.read(0)
+    desk.at(0, request).at(10, (request, CallNeeded()))
+    assert [action.timeout for _, action in desk.actions if isinstance(action, CallDownstream)] == [MS]
