--- a/birchslip/cluster/member_metrics.py
+++ b/birchslip/cluster/member_metrics.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from ..admission.controller import WindowedCounter
 from ..admission.types import SECOND
+from ..admission.windows import WindowedCounter
 
 WINDOW_SLICES = 8
 SLICE_SPAN = SECOND // 4
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -288,14 +288,14 @@
         """What the admission controller shows, given the rate of served requests."""
         if self.driver is None:
             return NO_LOAD
-        controller = self.driver.controller
-        uptime = max(0, self.scheduler.now - controller.started)
+        metrics = self.driver.metrics()
+        uptime = max(0, self.scheduler.now - metrics.started_at)
         return ControllerLoad(
             uptime=uptime,
-            is_warm=not controller.site.starts_cold or uptime >= self.settings.warm_up_span,
-            capacity=estimate_capacity(self.settings.cores, controller.all_runs.usual, served),
-            slowdown=max(0.0, controller.stretch),
-            calls_in_flight=float(controller.in_hand),
+            is_warm=not metrics.starts_cold or uptime >= self.settings.warm_up_span,
+            capacity=estimate_capacity(self.settings.cores, metrics.mean_service_time, served),
+            slowdown=max(0.0, metrics.slowdown),
+            calls_in_flight=float(metrics.calls_in_flight),
         )
 
     def apply_reply(self, reply: ReportReply, now: int) -> None:
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -107,7 +107,7 @@
         self.number += 1
         server, site = self.server, self.site
         assert server.driver is not None and site is not None
-        controller = server.driver.controller
+        metrics = server.driver.metrics()
         load, visits, again, honoured, shed = self.rates.snapshot(now)
         self.met = {name: (at, what) for name, (at, what) in self.met.items() if now - at <= KNOCK_KEPT}
         return MemberReport(
@@ -120,14 +120,14 @@
             is_serving=server.serving,
             is_draining=server.leaving,
             is_warm=server.warm,
-            capacity=estimate_capacity(server.cores.count, controller.all_runs.usual, honoured),
-            slowdown=max(0.0, controller.stretch),
+            capacity=estimate_capacity(server.cores.count, metrics.mean_service_time, honoured),
+            slowdown=max(0.0, metrics.slowdown),
             local_load=load,
             evacuated_load=visits,
             retries=again,
             served=honoured,
             rejected=shed,
-            calls_in_flight=float(controller.in_hand),
+            calls_in_flight=float(metrics.calls_in_flight),
             call_limit=max(0.0, self.obey.allowed_calls(now)),
             lease_remaining=self.obey.lease_remaining(now),
             plan_term=self.obey.term,
@@ -152,7 +152,7 @@
             server.driver.advance_clock(now)
             until = now + self.obey.assignment_remaining(now)
             server.driver.apply_plan(plan_override(tell, self.planners.tenants, until))
-            if server.dozes and server.driver.controller.force:
+            if server.dozes and server.driver.metrics().plan_weight:
                 server.dozes = False
                 server.tick(server.life)
 
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -13,6 +13,7 @@
 from typing import Any, Protocol
 
 from ..admission.driver import AdmissionDriver
+from ..admission.log_events import DrainStarted, HealthChanged, PlanApplied, PlanExpired, QuotasBind
 from ..admission.types import (
     Gauges,
     Outcome,
@@ -21,7 +22,6 @@
     SetIdleTimeout,
     SetTimer,
 )
-from ..admission.types import LogEvent as Remark
 from ..errors import InvalidInputError
 from .bounds import bounds
 from .catalog import Catalog
@@ -353,8 +353,8 @@
                 self.clients.good = good
             case SetIdleTimeout(span):
                 self.clients.set_idle(span)
-            case Remark(text):
-                self.log.info("decisions", text=text)
+            case QuotasBind() | HealthChanged() | PlanApplied() | PlanExpired() | DrainStarted():
+                self.log.info(notice.name, **asdict(notice))
 
     def tick(self) -> None:
         if self.keeper is not None and self.admit.driver is not None:
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -80,15 +80,17 @@
 
 def test_without_a_lease_only_the_unleased_calls_are_allowed(linked):
     linked.link.apply_lease()
-    assert linked.controller.calls_share == 2.0  # half of an even share of 24 among six
+    assert linked.controller.downstream.quota == 2.0  # half of an even share of 24 among six
 
 
 def test_a_lease_that_expired_in_a_pause_is_applied_before_the_next_batch(linked):
     linked.hear(0, 100, call_limit=5.0, lease_span=3 * SECOND)
-    assert linked.controller.calls_share == 5.0
+    assert linked.controller.downstream.quota == 5.0
     linked.now = 60 * SECOND  # stopped for a minute
     linked.link.apply_lease()
-    assert linked.controller.calls_share == 2.0 and linked.link.counters.counts["fleet.leases_lapsed"] == 1
+    assert (
+        linked.controller.downstream.quota == 2.0 and linked.link.counters.counts["fleet.leases_lapsed"] == 1
+    )
 
 
 def test_the_clock_of_leases_does_not_follow_the_system_clock(monkeypatch):
@@ -100,7 +102,7 @@
 
 def test_an_assignment_is_applied_without_unknown_tenants_and_tiers(linked):
     linked.hear(0, 1_000, assignment=make_assignment())
-    plan = linked.controller.plan
+    plan = linked.controller.plan.plan
     assert (plan.term, plan.number, plan.expires_at) == (64, 1, 4 * SECOND)
     assert (
         plan.quotas == {linked.tenant: 3.0} and plan.evacuated_callers == {5} and plan.evacuated_quota == 2.0
@@ -116,7 +118,7 @@
         term=65, planner=AUTHOR, is_leading=False, assignment=make_assignment(term=65, number=9)
     )
     assert not linked.link.subscription.accept(reply, linked.now, linked.now)
-    assert linked.controller.plan.term == 0 and not linked.controller.force
+    assert linked.controller.plan.plan.term == 0 and not linked.controller.plan.weight
 
 
 def test_reports_count_local_and_evacuated_first_tries_and_retries_apart(linked):
@@ -125,8 +127,8 @@
         ("blue", False, False),
         ("blue", True, True),
     ]:
-        rates.arrived(SECOND, tenant, at_home, again)
-    rates.answered(SECOND, 3, 2)
+        rates.record_arrival(SECOND, tenant, at_home, again)
+    rates.record_answers(SECOND, 3, 2)
     linked.link.scheduler.now = SECOND
     told = decode(encode(linked.link.build_report(SECOND)), type(report()))
     assert (told.local_load, told.evacuated_load, told.retries) == ({"blue": 2.0}, 0.5, 0.5)
@@ -137,10 +139,10 @@
     figures = linked.link.recorder.outcome_counts
     for what, late in [("honoured", False), ("honoured", True), ("shed", False), ("written_off", False),
                        ("gone", True), ("gone", False), ("erred", False)]:  # fmt: skip
-        figures.answered("order", what, 500, late)
-    told = figures.told({"relay.called": 4, "relay.overdue": 1, "relay.severed": 1})
+        figures.record_answer("order", what, 500, late)
+    told = figures.totals({"relay.called": 4, "relay.overdue": 1, "relay.severed": 1})
     assert told == {"late:order": (2, 3), "shed:order": (1, 5), "written_off:order": (2, 4), "calls": (2, 4)}
-    figures.answered("order", "honoured", -1, False)  # a repeat
+    figures.record_answer("order", "honoured", -1, False)  # a repeat
     report = linked.link.build_report(SECOND)
     assert (
         report.resident_memory_kb > 1_000 and report.latency_histograms["order"][5] == 2
--- a/tests/test_adapter.py
+++ b/tests/test_simulator.py
@@ -1,12 +1,20 @@
-"""The wire: absent values, unknown keys, bad input, restarts, the safe side of conversion."""
+"""The simulator's wire: absent values, unknown keys, bad input, restarts, the safe side of conversion."""
 
 import io
 
 import pytest
 
+from birchslip.admission.log_events import (
+    DrainStarted,
+    HealthChanged,
+    PlanApplied,
+    PlanExpired,
+    QuotasBind,
+)
 from birchslip.admission.settings import round_down_seconds as round_early
 from birchslip.admission.settings import round_up_seconds as round_late
-from birchslip.simulator.host import Loop, serve
+from birchslip.simulator.codec import encode_server_action
+from birchslip.simulator.host import SimulatorHost, serve
 
 HELLO = "hello\t7\tclasses.count=1\tclasses.0.effect=by_key\tclasses.0.aim_s=1.0\tclasses.0.hard_limit_s=4.0"
 HELLO += "\tclasses.0.window_s=5.0\tfamily_info.cores=2\tnew.key=1"
@@ -15,7 +23,7 @@
 def play(*batches):
     """The replies to batches of lines, and what was said on standard error."""
     errors = io.StringIO()
-    loop = Loop(errors)
+    loop = SimulatorHost(errors)
     return [loop.batch(["sync\t1.0", "to\t3", *batch]) for batch in batches], errors.getvalue()
 
 
@@ -79,3 +87,22 @@
 )
 def test_conversion_errs_on_the_safe_side(seconds, early, late):
     assert (round_early(seconds), round_late(seconds)) == (early, late)
+
+
+@pytest.mark.parametrize(
+    ("event", "text"),
+    [
+        (QuotasBind(3, 6), "quota binds: 3 held, 6 on the cores"),
+        (HealthChanged(False, 4.51), "health bad: runs take 4.5 times the usual"),
+        (HealthChanged(True, 1.95), "health good: runs take 1.9 times the usual"),
+        (
+            PlanApplied(64, 2, 0.25, (5, 7), True),
+            "plan 64.2 in force: level 0.25, visitors [5, 7], short True",
+        ),
+        (PlanExpired(64, 2), "plan 64.2 has run out"),
+        (DrainStarted(), "leaving"),
+    ],
+    ids=lambda value: value.name if hasattr(value, "name") else "",
+)
+def test_log_events_keep_the_wording_that_operators_read(event, text):
+    assert encode_server_action(event) == f"record\t{text}"
