--- a/birchslip/cluster/rollout_supervisor.py
+++ b/birchslip/cluster/rollout_supervisor.py
@@ -65,7 +65,7 @@
         result = self.controller.execute(command, now)
         self.events.record(
             "rollout_command",
-            what=command.action,
+            what=command.action.value,
             number=result.number,
             who=command.operator,
             why=result.reason,
--- a/birchslip/cluster/site_supervisor.py
+++ b/birchslip/cluster/site_supervisor.py
@@ -17,6 +17,7 @@
 LOAD_SMOOTHING = 0.1  # of each sample: a mean over about two seconds
 MAX_OPERATOR_REASON_LENGTH = 300  # characters
 LOST_REASON = "no planner hears it and its doors are shut"
+SITE_LOST_EVENT = "site_lost"
 
 
 def restore_ramps(stored: Mapping[str, SiteState], sites: Iterable[str], now: int) -> dict[str, RecoveryRamp]:
@@ -126,7 +127,7 @@
     def _evaluate_site(self, site: str, ramp: RecoveryRamp, expected_members: int, now: int) -> bool:
         verdict = self._update_verdict(site, now)
         if verdict is SiteVerdict.LOST and ramp.mark_lost(now, LOST_REASON):
-            self.events.record("site_lost", site=site, flaps=ramp.flap_count, why=ramp.reason)
+            self.events.record(SITE_LOST_EVENT, site=site, flaps=ramp.flap_count, why=ramp.reason)
             return True
         if ramp.is_serving:
             return False
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -15,6 +15,7 @@
 from ..cluster.fleet_file import Fleet, Member, Planner, Site
 from ..cluster.messages import Incarnation, MemberReport, ProbeOutcome, ProbeResult
 from ..cluster.planner_state import EVALUATION_INTERVAL, PlannerState
+from ..cluster.site_supervisor import SITE_LOST_EVENT
 
 SECOND = 10_000
 DAY = 86_400 * SECOND
@@ -143,7 +144,7 @@
         ):
             mind.mark_replicated(told.state_number)
         for event, more in mind.drain_events():
-            if event == "site lost":
+            if event == SITE_LOST_EVENT:
                 self.count["evacuations"] += 1
                 if not self.dark(str(more["site"])):
                     self.count["false_evacuations"] += 1
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -248,7 +248,7 @@
         plan = self.plan(sites)
         self.planned = plan_batches(plan, {site: self.of_site(site) for site in self.sites})
         self.release_began = scheduler.now
-        said = self.say("start", plan=plan)
+        said = self.say("start", spec=plan)
         if not said["done"]:
             raise RuntimeError(f"not begun: {said}")
         self.mark("start")
@@ -383,12 +383,12 @@
                     one.start()
             case "halt":
                 self.expect_halt = True
-                self.say("halt", why="a rehearsal")
+                self.say("halt", reason="a rehearsal")
             case "halt-and-kill":
                 self.expect_halt = True
                 leader = self.leader()
                 self.scheduler.at(self.scheduler.now + 20, self.planners[leader].kill)
-                self.say("halt", why="a rehearsal")
+                self.say("halt", reason="a rehearsal")
             case "check-halted":
                 told = self.status()
                 drains = sum(self.platform.drains.values())
@@ -401,9 +401,9 @@
             case "pause-holder":
                 self.deed("hold", self.holder, more)
             case "second-release":
-                said = self.say("start", plan=self.plan([self.sites[-1]]))
+                said = self.say("start", spec=self.plan([self.sites[-1]]))
                 self.operator_s.append(f"second: {said['done']}")
-                again = self.say("start", plan=self.plan(self.sites))
+                again = self.say("start", spec=self.plan(self.sites))
                 if again["done"]:
                     self.faults.append("a release that shares members with another was begun")
             case "drain-by-hand":
--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -264,8 +264,8 @@
         for server in self.servers:
             if server.site in gone:
                 continue
-            lines = self.members[server.name].lines("in force")
-            times = [at for at, line in lines if at >= zero and "visitors []" not in line]
+            lines = self.members[server.name].lines("event=plan_applied")
+            times = [at for at, line in lines if at >= zero and "evacuated_callers=()" not in line]
             held.append(min(times) - zero if times else None)
         lost, home = [], []
         for one in self.planners.values():
