--- a/birchslip/admission/admission_queue.py
+++ b/birchslip/admission/admission_queue.py
@@ -44,7 +44,7 @@
 
 
 class Estimators(NamedTuple):
-    """What the queue asks about other parts of the app server."""
+    """What the queue reads of other parts of the app server."""
 
     times: ServiceTimes
     health: HealthMonitor
@@ -159,19 +159,19 @@
     def _dropped(self, now: int) -> list[Request]:
         wait = self.limit.core_wait(self.health.slowdown)
         running, limit, slowdown = len(self.limit.running), self.limit.limit, self.health.slowdown
-        kept: list[Request] = []
+        remaining: list[Request] = []
         dropped: list[Request] = []
         for entry in self.entries:
             request = entry.request
-            needed = self.minimum_service_time(request, running + len(kept))
+            needed = self.minimum_service_time(request, running + len(remaining))
             useful_until = self.deadlines.useful_until(request)
             if now + needed >= useful_until:
                 dropped.append(request)
                 continue
-            kept.append(request)
+            remaining.append(request)
             while now + wait + needed >= useful_until:
-                heaviest = max(reversed(kept), key=lambda one: self.shed_order(one, now))
-                kept.remove(heaviest)
+                heaviest = max(reversed(remaining), key=lambda one: self.shed_order(one, now))
+                remaining.remove(heaviest)
                 dropped.append(heaviest)
                 if heaviest is request:
                     break
--- a/birchslip/admission/concurrency_limit.py
+++ b/birchslip/admission/concurrency_limit.py
@@ -58,7 +58,7 @@
     def may_start(self, now: int) -> bool:
         """Return whether one more request may start.
 
-        All that has started may come back to the cores at once; while they have room, calls keep it away.
+        All that has started may come back to the cores at once; while they have room, calls are the limit.
         """
         if self.is_reached:
             return False
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -1,4 +1,4 @@
-"""The states of each request, and the order in which the decisions of one app server are asked.
+"""The states of each request, and the order in which the decisions of one app server are made.
 
 `driver.py` makes one `AdmissionController` for each app server, resumes the generator of `steps` for each
 request with what happens to it, and after each batch resumes whom `settle` names. Two controllers share
@@ -120,13 +120,13 @@
             yield from self._run(request)
 
     def _receive(self, request: Request) -> None:
-        """Set by when it is wanted; a retry, whose age does not show, is as old as rejected ones were."""
+        """Set its latency deadline; a retry, whose age is unknown, counts as old as rejected ones were."""
         self.sequence += 1
         request.sequence = self.sequence
         self.queue.read_delay = self.now - request.arrived_at
         age = int(self.rejection_stats.mean_age(self.now)) if request.is_retry else 0
-        wanted_by = request.arrived_at + request.request_class.latency_objective - age
-        request.latency_deadline = min(request.deadline, wanted_by)
+        due_at = request.arrived_at + request.request_class.latency_objective - age
+        request.latency_deadline = min(request.deadline, due_at)
 
     def _attach(self, request: Request) -> Steps:
         """Let a repeat of what is queued, runs or has run share that outcome: nothing has effect twice."""
@@ -161,7 +161,7 @@
         return delay
 
     def _callers_delay(self, request: Request, delay: int) -> int:
-        """Return the part of a delay that keeps away its caller: a tenant's delay is not its caller's.
+        """Return the part of a delay that its caller waits out: a tenant's delay is not its caller's.
 
         All requests of an evacuated caller count against one quota, and its delay is the caller's.
         """
--- a/birchslip/admission/criticality.py
+++ b/birchslip/admission/criticality.py
@@ -1,4 +1,4 @@
-"""The criticality level that callers receive: requests of a lower rank are better kept away.
+"""The criticality level that callers receive: requests of a lower rank should not be sent.
 
 Owns the level alone.
 """
--- a/birchslip/admission/downstream.py
+++ b/birchslip/admission/downstream.py
@@ -36,7 +36,7 @@
 CALL_WINDOW_COUNT = 10
 CALL_WINDOW = 200 * MS
 SMALLEST_QUOTA = 0.01
-KEPT_QUOTA_SHARE = 0.33  # however slow calls are: by themselves or by their number
+MIN_QUOTA_SHARE = 0.33  # however slow calls are: by themselves or by their number
 CALL_TIMES_TO_FIT = 2.0  # recent call times that must fit where a call may be skipped: times scatter
 REJECTED_CALL_TIMES = 2  # recent call times that a call without an answer counts for
 SHORTEST_TIMEOUT = 1 * MS
@@ -135,7 +135,7 @@
         usual = self.call_times.low
         if not self.recent_time or not usual:
             return own
-        return max(min(1.0, own), own * KEPT_QUOTA_SHARE, own * min(1.0, usual / self.recent_time))
+        return max(min(1.0, own), own * MIN_QUOTA_SHARE, own * min(1.0, usual / self.recent_time))
 
     def expected_time(self) -> float:
         """Return the time of a call with the wait for its turn."""
--- a/birchslip/admission/driver.py
+++ b/birchslip/admission/driver.py
@@ -80,11 +80,11 @@
 
     @staticmethod
     def release(request: Request) -> None:
-        """Drop what a request that is over refers to, so that no cycle keeps it in memory."""
+        """Drop what a request that is over refers to, so that no reference cycle stays in memory."""
         request.steps = request.context = None
 
     def tick(self, gauges: Gauges) -> None:
-        """Bring the controller's figures up to date, as a timer that it has set asks."""
+        """Bring the controller's figures up to date, when its timer is due."""
         self.controller.tick(gauges)
 
     def drain(self, ends_at: int) -> None:
@@ -100,7 +100,7 @@
 
         Args:
             left: How many the store still takes.
-            scarce_below: From how many on the room is kept for callers within their quota.
+            scarce_below: From how many on the room is reserved for callers within their quota.
             retry_delay: Time until there is room again.
         """
         self.controller.limit_new_keys(KeyCapacity(left, scarce_below, retry_delay))
--- a/birchslip/admission/health.py
+++ b/birchslip/admission/health.py
@@ -1,6 +1,6 @@
 """Whether runs go on at their usual pace, and whether health checks should hear so.
 
-Owns the core time spent and completed. Both are kept over core time, not over the clock: a slow spell is
+Owns the core time spent and completed. Both are counted over core time, not over the clock: a slow spell is
 not forgotten while little runs.
 """
 
--- a/birchslip/admission/idle_connections.py
+++ b/birchslip/admission/idle_connections.py
@@ -16,7 +16,7 @@
 
 TIMEOUT_CHOICES = tuple(100 * MS << step for step in range(7, -1, -1))
 HANDSHAKE_COST = WINDOW_SPAN // 2  # time of an idle connection that costs as much, on busy cores
-RETURNS_KEPT = 100
+MAX_RETURN_GAPS = 100
 FEWEST_RETURNS = 6
 CHOICE_INTERVAL = SECOND
 NO_TIMEOUT = 0
@@ -37,7 +37,7 @@
         self.keepalive_timeout = keepalive_timeout
         self.caller_count = caller_count
         self.last_seen: dict[int, int] = {}
-        self.gaps: deque[int] = deque(maxlen=RETURNS_KEPT)
+        self.gaps: deque[int] = deque(maxlen=MAX_RETURN_GAPS)
         self.seen_count = 0
 
     def add(self, caller: int, now: int) -> None:
--- a/birchslip/admission/log_events.py
+++ b/birchslip/admission/log_events.py
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class DrainStarted:
-    """The app server has been asked to drain."""
+    """The app server has started to drain."""
 
     name: ClassVar[str] = "drain_started"
 
--- a/birchslip/admission/memory_budget.py
+++ b/birchslip/admission/memory_budget.py
@@ -1,6 +1,6 @@
 """Memory of open requests and of idempotency keys, and the room for results that a store still has.
 
-Owns both counts. A key's memory is kept for its whole retention.
+Owns both counts. A key's memory counts for its whole retention.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     """Keyed requests that a store of results still takes."""
 
     left: float = inf
-    scarce_below: float = 0  # from here on the last room is kept for those within their quota
+    scarce_below: float = 0  # from here on the last room is reserved for those within their quota
     retry_delay: int = 0  # time until there is room again
 
 
@@ -68,7 +68,7 @@
         return self.used + more <= MEMORY_SHARE * self.settings.memory_limit
 
     def may_store_result(self, request: Request, now: int) -> bool:
-        """Return whether the result of a keyed request can be kept.
+        """Return whether the result of a keyed request can be stored.
 
         The last of the room is not for those past their quota, nor for those who had more of their quota
         than all have together, so that no surge fills the store.
--- a/birchslip/admission/plan_override.py
+++ b/birchslip/admission/plan_override.py
@@ -46,7 +46,7 @@
     def fade(self, now: int) -> bool:
         """Bring the weight up to date; returns whether the plan has just lost all of it.
 
-        A plan fades evenly over its own span: at once, all that it kept away would come in one step.
+        A plan fades evenly over its own span: else the load that it rejected would return at once.
         """
         left = 1 - (now - self.plan.expires_at) / self.plan.fade_span
         weight = min(1.0, max(0.0, left))
--- a/birchslip/admission/quota.py
+++ b/birchslip/admission/quota.py
@@ -70,7 +70,7 @@
         self.served_count.add(now, 1)
 
     def delay(self, meter: QuotaMeter, now: int) -> int:
-        """Return the delay that a meter's quota asks for."""
+        """Return the delay that a meter's quota requires."""
         return meter.delay(now, self.quota(meter, now))
 
     def quota(self, meter: QuotaMeter, now: int) -> float:
@@ -97,7 +97,7 @@
         return usual + (meter.planned_quota - usual) * self.plan.weight
 
     def usage(self, request: Request, now: int) -> float:
-        """Return what a request's caller asked for, rejected or not, beyond chance, against its quota."""
+        """Return what a request's caller requested, rejected or not, beyond chance, against its quota."""
         meter = request.quota_meter
         requested = meter.requested.total(now)
         unit = 1 if meter.configured_quota else request.size
--- a/birchslip/admission/quota_meter.py
+++ b/birchslip/admission/quota_meter.py
@@ -16,7 +16,7 @@
 
 
 class QuotaMeter:
-    """What one caller or tenant asked for and had admitted: bytes, or requests with a configured quota."""
+    """What one caller or tenant requested and had admitted: bytes, or requests with a configured quota."""
 
     def __init__(self, configured_quota: float = 0.0) -> None:
         """Begin with empty windows; `configured_quota` is in requests a second here, 0 for none."""
--- a/birchslip/admission/types.py
+++ b/birchslip/admission/types.py
@@ -1,4 +1,4 @@
-"""Requests and settings, the events that decisions receive, and the actions that they ask for.
+"""Requests and settings, the events that decisions receive, and the actions that they return.
 
 Types only, and no wire: each protocol fills the same types. A time is a whole number of tenths of a
 millisecond, a size is a whole number of bytes, and a share is a fraction.
@@ -67,7 +67,7 @@
 
 @dataclass(eq=False, slots=True)
 class AdmissionSettings:
-    """Settings of an app server at its start. The defaults hold where a setting is absent."""
+    """Settings of an app server at its start. The defaults apply where a setting is absent."""
 
     request_classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
@@ -117,7 +117,7 @@
 class Request:
     """One request as it was read; the fields from `state` on belong to the decisions.
 
-    `context` is what the server keeps of it; it is dropped with `steps` once the request is over.
+    `context` is what the server stores with it; it is dropped with `steps` once the request is over.
     """
 
     request_class: RequestClass
@@ -253,7 +253,7 @@
 
 @dataclass(slots=True)
 class StoreKey:
-    """Keep its idempotency key for this long from now on."""
+    """Store its idempotency key for this long from now on."""
 
     retention: int
 
@@ -340,7 +340,7 @@
 class PlanOverride:
     """A plan of the fleet for this app server: quotas in service, and the order in which requests drop.
 
-    `term` is that of the leader who made the plan, and `number` counts its plans. It holds until
+    `term` is that of the leader who made the plan, and `number` counts its plans. It applies until
     `expires_at` and then fades over `fade_span`. `quotas` are requests a second here;
     `evacuated_callers` come from a lost site, and `evacuated_quota` is the quota of them all together.
     `serving_fraction` is the share of the cores that may be used while this app server is let back in;
--- a/birchslip/admission/windows.py
+++ b/birchslip/admission/windows.py
@@ -58,7 +58,7 @@
         """Begin without samples; all figures are 0."""
         self.buckets: list[list[float]] = [[] for _ in range(QUANTILE_BUCKETS)]
         self.slot = 0
-        self.count = 0  # of all samples ever, those not kept included
+        self.count = 0  # of all samples ever, those dropped from the window included
         self.ordered: list[float] = []
         self.sum = 0.0
         self.mean = 0.0
--- a/birchslip/idempotency/disk_health.py
+++ b/birchslip/idempotency/disk_health.py
@@ -54,7 +54,7 @@
             self._oldest_flush_at = now
 
     def flush_succeeded(self, now: int, more_pending: bool) -> bool:
-        """A flush has succeeded; `more_pending` tells whether others wait for the next one."""
+        """A flush has succeeded; `more_pending` is whether others wait for the next one."""
         self._oldest_flush_at = now if more_pending else NO_FLUSH
         self._probe_interval = MIN_PROBE_INTERVAL
         return self._enter(DiskState.HEALTHY, "")
--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -1,7 +1,7 @@
 """Answers for idempotency keys that an earlier incarnation of the app server started.
 
 The index of the recovered store says which keys those are; their results are read from the segments when a
-repeat asks for one. A run whose end the agent still reports is completed late. This module never lets such a
+repeat requests one. A run whose end the agent still reports is completed late. This module never lets such a
 key run again: the table of keys decides that, and is given an entry that has run.
 """
 
@@ -57,7 +57,7 @@
         self._writer = writer
         self._flush_queue = flush_queue
         self._recovered = recovered
-        self._entries: dict[bytes, Label] = {}  # of the keys that were asked for since the start
+        self._entries: dict[bytes, Label] = {}  # of the keys that were requested since the start
 
     @property
     def is_empty(self) -> bool:
@@ -109,7 +109,7 @@
             self._counters.count("keep.unread")
             self._resolve(entry, Conclusion(Outcome.FAILED))
             return
-        entry.asked = partial(_asks_the_same, record.request_digest)
+        entry.asked = partial(_is_same_request, record.request_digest)
         self._resolve(entry, Conclusion(record.outcome, record.result))
 
     def _resolve(self, entry: Label, conclusion: Conclusion) -> None:
@@ -125,7 +125,7 @@
 
 
 def _make_entry(repeat: Passage) -> Label:
-    """The entry of a key whose first request, as far as the decisions look at it, has run and is over."""
+    """The entry of a key whose first request, as far as the controller is concerned, has run and is over."""
     arrived_at = repeat.stamp
     request_class = repeat.transaction.request_class
     request = Request(request_class, caller=0, arrived_at=arrived_at, deadline=arrived_at, size=0)
@@ -137,5 +137,5 @@
     return Label(repeat.label_name, original, arrived_at, original, asked=lambda other: True)
 
 
-def _asks_the_same(digest: bytes, request: Passage) -> bool:
+def _is_same_request(digest: bytes, request: Passage) -> bool:
     return digest_request(request.profile, request.body) == digest
--- a/birchslip/idempotency/errors.py
+++ b/birchslip/idempotency/errors.py
@@ -31,7 +31,7 @@
     """
 
     def __init__(self, version: int, supported: int) -> None:
-        """Keep both versions."""
+        """Name both versions."""
         super().__init__(f"of version {version}, and this program reads up to {supported}")
         self.version = version
         self.supported = supported
--- a/birchslip/idempotency/maintenance.py
+++ b/birchslip/idempotency/maintenance.py
@@ -56,7 +56,7 @@
         "is_in_doubt": "doubt",
     },
 ):
-    """What a store holds.
+    """What a store contains.
 
     Attributes:
         owner: The app server whose store it is.
@@ -258,7 +258,7 @@
 
 
 def _encode_unknown(segments: list[SegmentContent], key: bytes) -> bytes:
-    """A started record for a key whose record is corrupt, which keeps it unknown; its run has no id."""
+    """A started record, without a run id, that leaves a key whose record is corrupt with an unknown outcome."""
     fragment = _find_corrupt(segments, key)
     if fragment is None:
         return b""
--- a/birchslip/idempotency/record_format.py
+++ b/birchslip/idempotency/record_format.py
@@ -102,7 +102,7 @@
 
 
 class RecordFragment(NamedTuple):
-    """A stretch of a segment that holds one record, or what is left of one; its body is not decoded.
+    """A stretch of a segment that contains one record, or what is left of one; its body is not decoded.
 
     The fields after `size` are those of the header, and have no meaning where `kind` is None because the
     header is not intact.
@@ -171,7 +171,7 @@
 
 
 def digest_request(request_class: str, body: bytes) -> bytes:
-    """A digest of what a request asks for; requests with one key must agree in it."""
+    """A digest of a request's content; requests with one key must agree in it."""
     return xxhash.xxh3_128_digest(request_class.encode() + b"\0" + body)
 
 
--- a/birchslip/idempotency/recovery.py
+++ b/birchslip/idempotency/recovery.py
@@ -87,7 +87,7 @@
     def __init__(self, budget: RetentionBudget, now: int, max_retention: int) -> None:
         self.budget = budget
         self.now = now
-        self.earliest_expiry = now - budget.grace  # before it nobody asks for a key any more
+        self.earliest_expiry = now - budget.grace  # before it no repeat of a key comes any more
         self.latest_expiry = now + max_retention
         self.store = RecoveredStore(KeyIndex(now - max_retention - budget.grace - 1))
         self.keys: dict[bytes, tuple[int, int]] = {}  # expiry and packed location
@@ -103,7 +103,7 @@
         self.budget.add_segment(segment.serial, len(segment.raw))
         self._apply_records(segment, is_last)
         for key, fragment in self.open_fragments.items():
-            # Decoded now: the segment is not kept in memory.
+            # Decoded now: the segment does not stay in memory.
             self.open_records[key] = fragment.decode(segment.raw)
         self.open_fragments.clear()
 
--- a/birchslip/idempotency/writer.py
+++ b/birchslip/idempotency/writer.py
@@ -37,7 +37,7 @@
         """Do the work, in the thread; an OSError counts as its failure."""
 
     def notify(self) -> None:
-        """Tell those who submitted it that it is over, in the scheduler."""
+        """Notify those who submitted it that it is over, in the scheduler."""
         return
 
 
--- a/birchslip/simulator/codec.py
+++ b/birchslip/simulator/codec.py
@@ -1,7 +1,7 @@
 """Lines of the simulator's wire to types and back; the wire's names go no further than this module.
 
 Absent values have defaults. Conversion errs on the safe side: deadlines are rounded down, spans up. It
-keeps nothing between lines.
+stores nothing between lines.
 """
 
 from __future__ import annotations
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -3,7 +3,7 @@
 import pytest
 
 from birchslip.admission.criticality import HIGHEST_LEVEL
-from birchslip.admission.idle_connections import RETURNS_KEPT
+from birchslip.admission.idle_connections import MAX_RETURN_GAPS
 from birchslip.admission.types import (
     SECOND,
     AdvertiseCriticality,
@@ -137,4 +137,4 @@
     for at in range(0, 20_000, 100):
         desk.at(at, desk.read(at, caller=at), cpu=0.5)
     returns = desk.controller.idle_connections.returns
-    assert len(returns.last_seen) <= 51 and len(returns.gaps) == RETURNS_KEPT
+    assert len(returns.last_seen) <= 51 and len(returns.gaps) == MAX_RETURN_GAPS
