--- a/birchslip/cluster/canary_analysis.py
+++ b/birchslip/cluster/canary_analysis.py
@@ -1,18 +1,18 @@
 """Canary analysis: is the new version worse than the previous one, by members that run at the same time?
 
-Only members that are warm are compared, and only in looks in which both sides had some, so that a surge or a
-slow service below affects both. Each metric is a share of bad outcomes: answers that were late, rejected or
-failed, and calls below that did not come through. A metric is judged as a whole and, where it is reported as
-`KIND:CLASS`, for each request class too: the failure of one class may drown in all. Memory is no share: a
-member whose memory is several times that of the others in look after look leaks.
+Only members that are warm are compared, and only in samples in which both sides had some, so that a surge
+or a slow service below affects both. Each metric is a share of bad outcomes: answers that were late,
+rejected or failed, and calls below that did not come through. A metric is judged as a whole and, where it is
+reported as `KIND:CLASS`, for each request class too: the failure of one class may drown in all. Memory is
+no share: a member whose memory is several times that of the others in sample after sample leaks.
 
 Run times have no bound of their own that would fit every class. The metric `slow` counts runs in the slowest
 buckets, as many as the baseline had when the watch began.
 
 | verdict | when |
 | --- | --- |
-| bad | one metric is worse by more than its margin, past doubt |
-| good | every whole metric is past doubt within its margin, no class looks worse, the minimum watch is over |
+| bad | one metric is worse by more than its margin, significantly |
+| good | every whole metric is significantly within its margin, no class appears worse, minimum watch over |
 | unclear | neither yet; at the end of the watch the rollout halts |
 
 It never orders anything. Moments and spans are tenths of a millisecond.
@@ -37,11 +37,11 @@
 from .messages import Count, Message, Name, Span
 
 CROSS_SITE_MARGIN_FACTOR = 2.0  # where only members of different sites can be compared
-LOAD_DEPENDENT_METRICS = ("late", "shed")  # not compared then: they tell more of a site's load
+LOAD_DEPENDENT_METRICS = ("late", "shed")  # not compared then: they depend more on a site's load
 SLOW_METRIC = "slow"
 MIN_BASELINE_RUNS = 200  # of a class, before it is settled which runs count as slow
 MAX_SLOW_SHARE = 0.15  # of the baseline's runs that count as slow
-MEMORY_LEAK_LOOKS = 10  # looks in a row with too much memory: fewer are a burst
+MEMORY_LEAK_SAMPLES = 10  # samples in a row with too much memory: fewer are a burst
 MIN_MEMORY_EXCESS_KB = 16_384  # above the baseline, before any factor counts
 
 
@@ -75,7 +75,7 @@
         metrics: Counts by metric.
         duration_histograms: By request class, runs of the baseline by bucket.
         slow_bounds: By request class, the first bucket that counts as slow.
-        excess_memory_count: Looks in a row with too much memory.
+        excess_memory_count: Samples in a row with too much memory.
     """
 
     batch_index: Count = 0
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSample:
-    """What one member served since the look before.
+    """What one member served since the sample before.
 
     Attributes:
         warm: Whether it has warmed up.
@@ -188,7 +188,7 @@
         now: int,
         previous_version: list[MemberSample] | None = None,
     ) -> CanaryVerdict:
-        """Take one look at both sides.
+        """Take one sample of both sides.
 
         Args:
             canary: Members in the new version.
@@ -214,7 +214,7 @@
         return verdict
 
     def _with_slow_metric(self, sample: MemberSample) -> MemberSample:
-        """Count slow runs by the bounds settled in earlier looks, so that they are not their own measure."""
+        """Count slow runs by the bounds of earlier samples, so that they are not their own measure."""
         slow = {
             f"{SLOW_METRIC}:{name}": (sum(sample.durations[name][bound:]), sum(sample.durations[name]))
             for name, bound in self.slow_bounds.items()
@@ -244,7 +244,7 @@
             self.metrics[name] = MetricComparison(name, margin)
 
     def check_memory(self, canary: list[MemberSample], baseline: list[MemberSample]) -> None:
-        """Count looks in a row in which a member of the canary holds too much, warm or not."""
+        """Count samples in a row in which a member of the canary uses too much, warm or not."""
         baseline_memory = [sample.memory_kb for sample in baseline if sample.memory_kb]
         largest = max((sample.memory_kb for sample in canary), default=0)
         is_excessive = False
@@ -253,14 +253,14 @@
             bound = max(self.max_memory_ratio * usual, usual + MIN_MEMORY_EXCESS_KB)
             is_excessive = largest > bound
         self.excess_memory_count = self.excess_memory_count + 1 if is_excessive else 0
-        if self.excess_memory_count >= MEMORY_LEAK_LOOKS:
+        if self.excess_memory_count >= MEMORY_LEAK_SAMPLES:
             self.reason = f"memory: {largest} KB against {median(baseline_memory):.0f} KB"
 
     # ---- verdict ---------------------------------------------------------------------------------------
 
     def verdict(self, now: int) -> CanaryVerdict:
         """The verdict on all metrics together; sets `reason`."""
-        if self.excess_memory_count >= MEMORY_LEAK_LOOKS:
+        if self.excess_memory_count >= MEMORY_LEAK_SAMPLES:
             return CanaryVerdict.BAD
         error = FALSE_ALARM_RATE / max(1, len(self.metrics))
         verdicts = {name: metric.verdict(error) for name, metric in self.metrics.items()}
--- a/birchslip/cluster/canary_metrics.py
+++ b/birchslip/cluster/canary_metrics.py
@@ -1,9 +1,9 @@
 """Compares the share of bad outcomes of two sides, with a test that may be repeated at any time.
 
-A test that is repeated again and again finds something in the end if its error is that of one look. So each
+A test that is repeated again and again finds something in the end if its error is that of one sample. So each
 comparison is judged by a mixture of sequential likelihood ratios (Robbins 1970; for continuous comparisons
 Johari, Pekelis and Walsh 2015): the chance to call two equal versions different stays under its error over
-all looks together, however many there are. A difference counts as bad only past its margin.
+all samples together, however many there are. A difference counts as bad only past its margin.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 import msgspec
 
-# Chance that equal versions are called different, over all metrics and looks.
+# Chance that equal versions are called different, over all metrics and samples.
 FALSE_ALARM_RATE = 0.005
-# Chance that a metric past its margin is called good, over all looks.
+# Chance that a metric past its margin is called good, over all samples.
 MISS_RATE = 0.02
 # Standard deviation of the differences that the mixture expects: the test is sharpest about there.
 MIXTURE_SPREAD = 0.05
@@ -87,7 +87,7 @@
     baseline: Proportion = field(default_factory=Proportion)
 
     def add(self, canary: tuple[float, float], baseline: tuple[float, float]) -> None:
-        """Add bad and all outcomes of one look; a look in which a side has none is ignored."""
+        """Add bad and all outcomes of one sample; a sample in which a side has none is ignored."""
         if canary[1] > 0 and baseline[1] > 0:
             self.canary.add(*canary)
             self.baseline.add(*baseline)
--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -76,8 +76,8 @@
         self, groups: list[BudgetGroup], dependencies: Mapping[str, Iterable[str]] | None = None
     ) -> None:
         """Replace the groups; the dependencies too, where they are given. Permits stay."""
-        kept = self.dependencies if dependencies is None else dependencies
-        self.index = BudgetIndex(groups, kept)
+        effective = self.dependencies if dependencies is None else dependencies
+        self.index = BudgetIndex(groups, effective)
 
     # ---- counting --------------------------------------------------------------------------------------
 
--- a/birchslip/cluster/disruption_tally.py
+++ b/birchslip/cluster/disruption_tally.py
@@ -38,7 +38,7 @@
 
 
 class DisruptionTally:
-    """How many of each group are unavailable, and the capacity that stays, kept as members are added.
+    """How many of each group are unavailable, and the capacity that stays, updated as members are added.
 
     Adding a member touches the groups it is in and nothing else, so all waiters are checked in one pass,
     whatever the fleet's size.
--- a/birchslip/cluster/durable_vote.py
+++ b/birchslip/cluster/durable_vote.py
@@ -14,7 +14,7 @@
 
 
 class Candidate(NamedTuple):
-    """One run of a planner that asks for votes."""
+    """One run of a planner that requests votes."""
 
     name: str
     nonce: int
--- a/birchslip/cluster/eviction_handler.py
+++ b/birchslip/cluster/eviction_handler.py
@@ -34,10 +34,10 @@
     incarnation = request.incarnation or observed.incarnation
     if request.operation is EvictionOperation.RETURN_PERMIT:
         return EvictionResponse(granted=budget.release(request.holder, incarnation, observations))
-    return _ask_permit(budget, request, incarnation, observations)
+    return _request_permit(budget, request, incarnation, observations)
 
 
-def _ask_permit(
+def _request_permit(
     budget: DisruptionBudget,
     request: EvictionRequest,
     incarnation: Incarnation,
--- a/birchslip/cluster/leadership.py
+++ b/birchslip/cluster/leadership.py
@@ -42,7 +42,7 @@
         return self.term > 0
 
     def is_effective_leader(self, now: int) -> bool:
-        """Returns whether it holds the lease at this moment and may instruct members."""
+        """Returns whether it has the lease at this moment and may instruct members."""
         holds_lease = self.election.is_leading(now) and self.term == self.election.term
         return holds_lease and self.replicated_version > 0
 
--- a/birchslip/cluster/member_metrics.py
+++ b/birchslip/cluster/member_metrics.py
@@ -41,7 +41,7 @@
     """Requests a second that a member can serve; 0 while nothing is known of it.
 
     By its cores and the typical service time, or what it has just served if that is more. The limit of
-    running requests tells nothing here: where it rises, more requests share the same cores.
+    running requests is no measure here: where it rises, more requests share the same cores.
     """
     if typical_service_time <= 0:
         return 0.0
@@ -52,15 +52,15 @@
     """Rates a second over the last two seconds.
 
     Attributes:
-        load: First tries by tenant of callers at home here.
-        visits: First tries of callers whose home is elsewhere.
+        load: First tries by tenant of the site's own callers.
+        visits: First tries of callers of other sites.
         retries: Further tries.
         served: Answers that were served.
         rejected: Answers that were rejected with Retry-After.
     """
 
     load: dict[str, float]
-    visits: float
+    evacuated_load: float
     retries: float
     served: float
     rejected: float
@@ -72,19 +72,19 @@
     def __init__(self, tenants: Sequence[str]) -> None:
         """Count by tenant; requests without one are counted under an empty name."""
         self.load = {name: WindowedCounter(WINDOW_SLICES, SLICE_SPAN) for name in [*tenants, ""]}
-        self.visits = WindowedCounter(WINDOW_SLICES, SLICE_SPAN)
+        self.evacuated_load = WindowedCounter(WINDOW_SLICES, SLICE_SPAN)
         self.retries = WindowedCounter(WINDOW_SLICES, SLICE_SPAN)
         self.served = WindowedCounter(WINDOW_SLICES, SLICE_SPAN)
         self.rejected = WindowedCounter(WINDOW_SLICES, SLICE_SPAN)
         self._last_served = 0
         self._last_rejected = 0
 
-    def record_arrival(self, now: int, tenant: str, at_home: bool, is_retry: bool) -> None:
+    def record_arrival(self, now: int, tenant: str, is_local: bool, is_retry: bool) -> None:
         """Count a request that has arrived."""
         if is_retry:
             self.retries.add(now, 1)
-        elif not at_home:
-            self.visits.add(now, 1)
+        elif not is_local:
+            self.evacuated_load.add(now, 1)
         else:
             self.load[tenant].add(now, 1)
 
@@ -103,7 +103,7 @@
             load[SINGLE_TENANT] = without_tenant
         return RateSnapshot(
             load=load,
-            visits=per_second(self.visits, now),
+            evacuated_load=per_second(self.evacuated_load, now),
             retries=per_second(self.retries, now),
             served=per_second(self.served, now),
             rejected=per_second(self.rejected, now),
@@ -138,7 +138,7 @@
         Args:
             request_class: Its class.
             outcome: The word of the counters. A caller that has gone counts only if it was late by then.
-            run_time: From its launch on, as the time before tells more of the load; below 0 for a repeat,
+            run_time: From its launch on, as the time before depends more on the load; below 0 for a repeat,
                 which ran as another request.
             is_late: Whether its deadline has passed.
         """
--- a/birchslip/cluster/member_prober.py
+++ b/birchslip/cluster/member_prober.py
@@ -1,7 +1,7 @@
 """Health checks of other members, made for the planners.
 
 Decides nothing from the results: they go to the planners with the next reports. A member is probed only if a
-planner asks for it, and never more often than `PROBE_INTERVAL`.
+planner requests it, and never more often than `PROBE_INTERVAL`.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class MemberProber:
-    """Probes members and keeps the latest results."""
+    """Probes members and stores the latest results."""
 
     def __init__(self, scheduler: Scheduler, counters: Counters) -> None:
         """Begins without results."""
--- a/birchslip/cluster/member_samples.py
+++ b/birchslip/cluster/member_samples.py
@@ -1,4 +1,4 @@
-"""Turns the growing sums of members' reports into samples of what each member served between two looks.
+"""Turns the growing sums of members' reports into samples: what each member served since the last one.
 
 Reports may be lost: sums lose nothing by it. Nothing is known of an incarnation before its first report here.
 """
--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -132,8 +132,8 @@
 
     def start_incarnation(self, incarnation: Incarnation, now: int, report_interval: int) -> None:
         """Forgets the evidence about the incarnation before."""
-        kept = self.previous_incarnations[1 - MAX_PREVIOUS_INCARNATIONS :]
-        self.previous_incarnations = [*kept, self.incarnation]
+        latest = self.previous_incarnations[1 - MAX_PREVIOUS_INCARNATIONS :]
+        self.previous_incarnations = [*latest, self.incarnation]
         self.incarnation = incarnation
         self.incarnation_since = now
         self.detector = PhiAccrualDetector(now, report_interval)
--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -50,15 +50,17 @@
         plan = self.published
         level = levels[site_of_member[name]]
         recovering = [site for site, part in levels.items() if part < 1]
-        visitors = [router for site in fleet.sites if site.name in recovering for router in site.routers]
+        evacuated_callers = [
+            router for site in fleet.sites if site.name in recovering for router in site.routers
+        ]
         return PlanAssignment(
             term=epoch,
             number=version,
             validity_span=span(fleet.plan_ms),
             fade_span=span(fleet.fade_ms),
             quotas=plan.member_tenant_quotas(name) if recovering else {},
-            evacuated_callers=visitors if level == 1 else [],
-            evacuated_quota=plan.member_visitor_quota(name),
+            evacuated_callers=evacuated_callers if level == 1 else [],
+            evacuated_quota=plan.member_evacuated_quota(name),
             shedding_order=list(fleet.shedding_tiers) if recovering else [],
             serving_fraction=level,
             is_listed=level > 0,
--- a/birchslip/cluster/plan_subscription.py
+++ b/birchslip/cluster/plan_subscription.py
@@ -1,9 +1,9 @@
 """A member's view of the plan: which planner's replies are binding, and until when.
 
-Decides only what holds; `planner_link.py` carries it out. A reply is binding only if its term is the highest
-heard of and, within a term, if it comes from the one planner that used it first. Spans are counted from when
-the member sent the report that is replied to, on a monotonic clock: a reply that was long on its way, or was
-written by a leader that was paused in between, has expired when it arrives.
+Decides only what is in force; `planner_link.py` carries it out. A reply is binding only if its term is the
+highest heard of and, within a term, if it comes from the one planner that used it first. Spans
+are counted from when the member sent the report that is replied to, on a monotonic clock: a reply that was long on its way,
+or was written by a leader that was paused in between, has expired when it arrives.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class PlanSubscription:
-    """What one member has been assigned, and what of it still holds.
+    """What one member has been assigned, and what of it is still in force.
 
     All times are of the member's monotonic clock, in units of 0.1 ms.
 
@@ -42,7 +42,7 @@
         term: Highest term that it has accepted a reply of.
         leader: The run of the planner that used this term.
         assignment: The assignment in force, expired or not.
-        assignment_expires_at: Until when it holds at full strength.
+        assignment_expires_at: Until when it is in force at full strength.
         plan_number: Number of its plan.
         call_limit: Downstream calls that may run at once under the lease.
         lease_expires_at: When the lease ends.
@@ -120,7 +120,7 @@
         return max(0, self.lease_expires_at - now)
 
     def assignment_remaining(self, now: int) -> int:
-        """How long the assignment still holds at full strength."""
+        """How long the assignment is still in force at full strength."""
         return max(0, self.assignment_expires_at - now)
 
     def is_listed(self, now: int) -> bool:
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -35,7 +35,7 @@
 
 
 class PlatformLink:
-    """Keeps a connection to the platform for as long as this planner leads."""
+    """Maintains a connection to the platform for as long as this planner leads."""
 
     def __init__(
         self,
--- a/birchslip/cluster/probe_scheduler.py
+++ b/birchslip/cluster/probe_scheduler.py
@@ -1,6 +1,6 @@
 """Probe scheduling: which members probe the addresses of members of silent sites.
 
-Asks for few probes, and only by members of other sites that are alive; `membership.py` judges the results.
+Requests few probes, and only by members of other sites that are alive; `membership.py` judges the results.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
         self.witnesses = [member for members in alive.values() for member in members if self.suspected]
 
     def targets(self, report: MemberReport, ramps: Mapping[str, RecoveryRamp]) -> dict[str, str]:
-        """Returns the addresses, by member, that the sender of this report is asked to probe."""
-        # Probes of a site that is known to be lost tell nothing new: other silent sites come first.
+        """Returns the addresses, by member, that the sender of this report should probe."""
+        # Probes of a site that is known to be lost show nothing new: other silent sites come first.
         suspects = [
             member
             for member in self.suspected
--- a/birchslip/cluster/quorum.py
+++ b/birchslip/cluster/quorum.py
@@ -14,7 +14,7 @@
 
 
 class QuorumLease:
-    """A lease that holds while a quorum of votes is recent enough."""
+    """A lease that is valid while a quorum of votes is recent enough."""
 
     def __init__(self, quorum: int) -> None:
         """Begins without votes."""
--- a/birchslip/cluster/quota_allocator.py
+++ b/birchslip/cluster/quota_allocator.py
@@ -1,6 +1,6 @@
 """Quota allocation: how much of the vault's quota each member should have while sites are evacuated.
 
-Decides what a member wants; `quota_leases.py` decides what it gets of that.
+Decides the target of each member; `quota_leases.py` decides what it gets of that.
 """
 
 from __future__ import annotations
@@ -73,12 +73,12 @@
         if self.leases is None:
             return QuotaGrant()
         reserved = self.leases.reserved_part * self.base_quotas[report.name]
-        held = max(0.0, report.call_limit - reserved) if report.lease_remaining else 0.0
-        wanted = self._wanted(self.leases, report.name, site)
-        leased = self.leases.grant(report.name, wanted, held, now)
+        current = max(0.0, report.call_limit - reserved) if report.lease_remaining else 0.0
+        target = self._target(self.leases, report.name, site)
+        leased = self.leases.grant(report.name, target, current, now)
         return QuotaGrant(reserved + leased, self.leases.lease_span)
 
-    def _wanted(self, leases: QuotaLeases, name: str, site: str) -> float:
+    def _target(self, leases: QuotaLeases, name: str, site: str) -> float:
         """The leased part that a member should have: its own, and a share of the evacuated quota.
 
         A site's share is in proportion to the visiting load that it takes on.
--- a/birchslip/cluster/quota_leases.py
+++ b/birchslip/cluster/quota_leases.py
@@ -46,8 +46,8 @@
 
     def add(self, amount: float, until: int) -> None:
         """Adds a grant; larger amounts granted before stay in force until their own end."""
-        kept = [(larger, end) for larger, end in self.limits if end > until or larger > amount]
-        self.limits = [*kept, (amount, until)]
+        remaining = [(larger, end) for larger, end in self.limits if end > until or larger > amount]
+        self.limits = [*remaining, (amount, until)]
         self.limits.sort(key=_descending_amount)
 
     def expire(self, now: int) -> None:
@@ -62,7 +62,7 @@
         base_quotas: The quota of each member by the fleet file.
         total: What all members may use together.
         reserved_part: The part of each base quota that is never lent.
-        lease_span: How long a grant holds, in tenths of a millisecond.
+        lease_span: How long a grant is valid, in tenths of a millisecond.
         leased_total: The sum of what members may use of their leased parts.
         reserved_total: The sum of the reserved parts, those of departed members included.
     """
@@ -111,16 +111,16 @@
         """Returns whether all leases that a previous leader may have granted have ended."""
         return now >= self._previous_leases_end
 
-    def grant(self, member: str, wanted: float, held: float, now: int) -> float:
+    def grant(self, member: str, target: float, current: float, now: int) -> float:
         """Grants a member its leased part for `lease_span` from now on.
 
-        Until all leases of the previous leader have ended, only what the member reports as still held is
-        renewed. After that it gets as much of what it wants as is available. A larger amount granted before
+        Until all leases of the previous leader have ended, only what the member reports as its current lease
+        is renewed. After that it gets as much of its target as is available. A larger amount granted before
         may be used up to its own end, and is recorded until then.
         """
         available = self.available(now) + self._records[member].amount
-        limit = available if self.previous_leases_ended(now) else held
-        amount = min(wanted, limit)
+        limit = available if self.previous_leases_ended(now) else current
+        amount = min(target, limit)
         until = now + safe_expiry(self.lease_span)
         self._change(member, lambda record: record.add(amount, until))
         heapq.heappush(self._expirations, (until, member))
--- a/birchslip/cluster/request_recorder.py
+++ b/birchslip/cluster/request_recorder.py
@@ -35,7 +35,7 @@
         """Begins without requests.
 
         Args:
-            scheduler: Tells the time and runs the sampling.
+            scheduler: Gives the time and runs the sampling.
             counters: Where answers are counted.
             tenants: The tenants by name.
             request_classes: Names of the request classes.
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -7,12 +7,12 @@
     ROLLING_BACK --halt-->            HALTED
     ROLLING_BACK --finish rollback--> ROLLED_BACK    every member is in the previous version
 
-Any planner can continue it: the `RolloutRecord` holds what is wanted, while the state of members comes anew
+Any planner can continue it: the `RolloutRecord` has the target, while the state of members comes anew
 at each step from the platform and from the members' reports, so that nothing is lost with a leader.
 
-A halt takes hold at once: no drain begins any more. A member that is stopped already is started again, in the
-new version or, where that was found bad, in the previous one; one that starts in neither is excluded, and the
-rollout halts. It never resumes by itself. Moments and spans are tenths of a millisecond.
+A halt takes effect at once: no drain begins any more. A member that is stopped already is started again, in
+the new version or, where that was found bad, in the previous one; one that starts in neither is excluded, and
+the rollout halts. It never resumes by itself. Moments and spans are tenths of a millisecond.
 """
 
 from __future__ import annotations
--- a/birchslip/cluster/rollout_steps.py
+++ b/birchslip/cluster/rollout_steps.py
@@ -62,7 +62,7 @@
 
     @property
     def permit_reason(self) -> str:
-        """The reason of its permits, which tells them from those of other requesters."""
+        """The reason of its permits, which distinguishes them from those of other requesters."""
         return f"release {self.record.number} of {self.record.spec.version}"
 
     def own_permit(self, name: str) -> Permit | None:
--- a/birchslip/cluster/rollout_supervisor.py
+++ b/birchslip/cluster/rollout_supervisor.py
@@ -1,7 +1,7 @@
 """Rollout supervision: when rollouts are evaluated, and when their orders may go to the platform.
 
 `rollout_controller.py` decides on rollouts; this module calls it at its interval, reports what has changed,
-and holds orders back until a majority has stored all that they rest on.
+and delays orders until a majority has stored all that they rest on.
 """
 
 from __future__ import annotations
--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -4,10 +4,10 @@
 sites admit. Three steps:
 
 1. *Reject*: as much as all load exceeds all capacity, tier by tier in the operators' order.
-2. *Place*: home load stays at home, the rest takes the cheapest link that still has capacity behind it.
-3. *Quotas*: visitors have one of their own; the rest of a site's capacity is divided among home tenants by
-   water-filling (max-min fairness), so that none within its share gets less than that while another gets more
-   than its own.
+2. *Place*: local load stays at its site, the rest takes the cheapest link that still has capacity behind it.
+3. *Quotas*: evacuated callers have one of their own; the rest of a site's capacity is divided among tenants
+   by water-filling (max-min fairness), so that none within its share gets less than that while another gets
+   more than its own.
 
 Rates are requests a second. The order of every sum is part of the behaviour: plans are compared to the last
 digit.
@@ -36,7 +36,7 @@
 
     Attributes:
         member_capacity: What each member could serve.
-        load: First tries of callers at home in this site, by tenant.
+        load: First tries of the site's own callers, by tenant.
         retry_load: Further tries.
         is_lost: Whether it can serve nothing.
         level: The part of its capacity that may be used, less than 1 while it recovers.
@@ -65,12 +65,12 @@
     """What each site admits.
 
     Attributes:
-        flows: Rates from home site to serving site, load that stays at home included.
+        flows: Rates from the site of the callers to the serving site, local load included.
         rejected: Rates by the tier that they were rejected in.
-        rejected_by_site: The same by home site.
+        rejected_by_site: The same by site of the callers.
         utilization: The planned load of each site over its capacity, at most 1.
-        tenant_quotas: What each site admits of its home tenants.
-        visitor_quotas: What each site admits of all visitors together.
+        tenant_quotas: What each site admits of its local load, by tenant.
+        visitor_quotas: What each site admits of evacuated callers, all together.
         member_sites: The site of each member that has a quota.
         member_parts: The part of its site's quotas that each of them gets.
         visiting_load: What each site takes on from others.
@@ -82,7 +82,7 @@
     rejected_by_site: dict[str, float] = field(default_factory=dict)
     utilization: dict[str, float] = field(default_factory=dict)
     tenant_quotas: dict[str, TenantRates] = field(default_factory=dict)
-    visitor_quotas: dict[str, float] = field(default_factory=dict)
+    evacuated_quotas: dict[str, float] = field(default_factory=dict)
     member_sites: dict[str, str] = field(default_factory=dict)
     member_parts: dict[str, float] = field(default_factory=dict)
     visiting_load: dict[str, float] = field(default_factory=dict)
@@ -96,11 +96,11 @@
         quotas = self.tenant_quotas[self.member_sites[member]]
         return {tenant: rate * part for tenant, rate in quotas.items()}
 
-    def member_visitor_quota(self, member: str) -> float:
-        """Returns a member's part of what its site admits of visitors."""
+    def member_evacuated_quota(self, member: str) -> float:
+        """Returns a member's part of what its site admits of evacuated callers."""
         if member not in self.member_sites:
             return 0.0
-        return self.visitor_quotas[self.member_sites[member]] * self.member_parts[member]
+        return self.evacuated_quotas[self.member_sites[member]] * self.member_parts[member]
 
     def total_rejected(self) -> float:
         """Returns the sum over all tiers."""
@@ -149,7 +149,7 @@
     order: tuple[SheddingTier, ...],
     capacity: float,
 ) -> RejectionResult:
-    """Rejects the load beyond `capacity`, one tier after the other, home load last."""
+    """Rejects the load beyond `capacity`, one tier after the other, local load last."""
     admitted = {site.name: dict(site.load) for site in sites}
     evacuated = {site.name for site in sites if site.is_lost or site.level < 1}
     retry_load = sum(site.retry_load for site in sites)
@@ -179,7 +179,7 @@
     shares: Mapping[str, float],
     capacity: float,
 ) -> list[SiteTenantRates]:
-    """Returns what a tier may reject by home site and tenant; one pool is exhausted before the next."""
+    """Returns what a tier may reject by site and tenant; one pool is exhausted before the next."""
     if tier is SheddingTier.EVACUATED:
         return [{(site, tenant): rate for site in evacuated for tenant, rate in admitted[site].items()}]
     if tier is SheddingTier.LOCAL:
@@ -190,7 +190,7 @@
 def _over_quota_pools(
     admitted: dict[str, TenantRates], evacuated: set[str], shares: Mapping[str, float], capacity: float
 ) -> list[SiteTenantRates]:
-    """What exceeds the tenants' shares: visitors first, as at home the tenant may be within its share."""
+    """What exceeds the tenants' shares: evacuated load first, as locally it may be within its share."""
     total: TenantRates = {}
     visiting: TenantRates = {}
     for site, load in admitted.items():
@@ -198,26 +198,28 @@
             visiting_rate = rate if site in evacuated else 0.0
             total[tenant] = total.get(tenant, 0.0) + rate
             visiting[tenant] = visiting.get(tenant, 0.0) + visiting_rate
-    visitors: SiteTenantRates = {}
-    residents: SiteTenantRates = {}
+    evacuated_pool: SiteTenantRates = {}
+    local_pool: SiteTenantRates = {}
     for tenant, rate in total.items():
         excess = max(0.0, rate - shares.get(tenant, 0.0) * capacity)
-        of_visitors = min(excess, visiting[tenant])
+        evacuated_excess = min(excess, visiting[tenant])
         for site, load in admitted.items():
             if tenant not in load:
                 continue
             if site in evacuated and visiting[tenant] > 0:
-                visitors[site, tenant] = of_visitors * load[tenant] / visiting[tenant]
+                evacuated_pool[site, tenant] = evacuated_excess * load[tenant] / visiting[tenant]
             elif site not in evacuated and rate > visiting[tenant]:
-                residents[site, tenant] = (excess - of_visitors) * load[tenant] / (rate - visiting[tenant])
-    return [visitors, residents]
+                local_pool[site, tenant] = (
+                    (excess - evacuated_excess) * load[tenant] / (rate - visiting[tenant])
+                )
+    return [evacuated_pool, local_pool]
 
 
 # ---- step 2: place -------------------------------------------------------------------------------------
 
 
 class LoadPlacement:
-    """Places the admitted load of each site, at home first and then over the cheapest links."""
+    """Places the admitted load of each site, locally first and then over the cheapest links."""
 
     def __init__(self, sites: list[SiteCapacity], admitted: dict[str, TenantRates]) -> None:
         """Starts with nothing placed."""
@@ -225,12 +227,12 @@
         self._spare = {site.name: site.capacity for site in sites if site.capacity > 0}
         self._unplaced = {site.name: sum(admitted[site.name].values()) for site in sites}
 
-    def place_at_home(self) -> None:
-        """Keeps at home what fits there."""
+    def place_locally(self) -> None:
+        """Places at each site what fits there of its own load."""
         for site in self._spare:
             self._place(site, site, self._spare[site])
 
-    def place_away(self, costs: LinkCosts) -> None:
+    def place_remotely(self, costs: LinkCosts) -> None:
         """Sends the rest over the cheapest links; links of one cost share it by spare capacity."""
         targets_by_cost: dict[tuple[float, str], list[str]] = {}
         for source in self._unplaced:
@@ -260,18 +262,18 @@
 def _set_quotas(
     plan: SitePlan, site: SiteCapacity, admitted: TenantRates, shares: Mapping[str, float]
 ) -> None:
-    """Divides a site's capacity among its home tenants and visitors, and its quotas among its members."""
-    home = plan.flows.get((site.name, site.name), 0.0)
+    """Divides a site's capacity among its tenants and evacuated callers, and its quotas among its members."""
+    local = plan.flows.get((site.name, site.name), 0.0)
     placed = sum(rate for (_, target), rate in plan.flows.items() if target == site.name)
-    visiting = placed - home
+    visiting = placed - local
     total = max(EPSILON, sum(admitted.values()))
-    demands = {tenant: home * admitted.get(tenant, 0.0) / total for tenant in shares}
+    demands = {tenant: local * admitted.get(tenant, 0.0) / total for tenant in shares}
     allotted = water_fill(site.capacity - visiting, demands, shares)
     # Unused capacity is free for whoever comes: a quota binds only where capacity is short.
     unused = max(0.0, site.capacity - placed)
     plan.visiting_load[site.name] = visiting
     plan.utilization[site.name] = min(1.0, placed / site.capacity)
-    plan.visitor_quotas[site.name] = visiting + unused
+    plan.evacuated_quotas[site.name] = visiting + unused
     plan.tenant_quotas[site.name] = {
         tenant: allotted[tenant] + unused * share for tenant, share in shares.items()
     }
@@ -296,14 +298,14 @@
         sites: The measured sites.
         tenants: The configured share of each tenant.
         costs: Of links from site to site, `DEFAULT_LINK_COST` where there is none.
-        order: The tiers in which load is rejected; home load is always the last one.
+        order: The tiers in which load is rejected; local load is always the last one.
     """
     shares = normalized_shares(tenants, sites)
     capacity = sum(site.capacity for site in sites)
     admitted, rejected = reject_excess(sites, shares, order, capacity)
     placement = LoadPlacement(sites, admitted)
-    placement.place_at_home()
-    placement.place_away(costs)
+    placement.place_locally()
+    placement.place_remotely(costs)
     plan = SitePlan(flows=placement.flows, rejected=rejected)
     plan.is_short = plan.total_rejected() > EPSILON
     for site in sites:
--- a/birchslip/idempotency/maintenance.py
+++ b/birchslip/idempotency/maintenance.py
@@ -258,7 +258,7 @@
 
 
 def _encode_unknown(segments: list[SegmentContent], key: bytes) -> bytes:
-    """A started record, without a run id, that leaves a key whose record is corrupt with an unknown outcome."""
+    """A started record, without a run id, for a key whose record is corrupt: its outcome is unknown."""
     fragment = _find_corrupt(segments, key)
     if fragment is None:
         return b""
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -123,11 +123,11 @@
 
 def test_reports_count_local_and_evacuated_first_tries_and_retries_apart(linked):
     rates = linked.link.recorder.rates
-    for tenant, at_home, again in [("blue", True, False)] * 4 + [
+    for tenant, is_local, is_retry in [("blue", True, False)] * 4 + [
         ("blue", False, False),
         ("blue", True, True),
     ]:
-        rates.record_arrival(SECOND, tenant, at_home, again)
+        rates.record_arrival(SECOND, tenant, is_local, is_retry)
     rates.record_answers(SECOND, 3, 2)
     linked.link.scheduler.now = SECOND
     told = decode(encode(linked.link.build_report(SECOND)), type(report()))
--- a/tests/test_site_plan.py
+++ b/tests/test_site_plan.py
@@ -49,7 +49,7 @@
         if site.capacity > 0:
             quotas = sum(sum(plan.member_tenant_quotas(name).values()) for name in site.member_capacity)
             assert quotas == pytest.approx(site.capacity - (taken - home), abs=1e-3)
-            visits = sum(plan.member_visitor_quota(name) for name in site.member_capacity)
+            visits = sum(plan.member_evacuated_quota(name) for name in site.member_capacity)
             assert visits == pytest.approx(site.capacity - home, abs=1e-3)
     assert plan.is_short == (plan.total_rejected() > 1e-9)
     assert all(amount >= 0 for amount in plan.flows.values())
