--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -1,4 +1,4 @@
-"""Permits at real planners, asked as an operator asks: killed leaders, restarts, a minority."""
+"""Permits of real planner processes: killed leaders, restarts, a leader without a quorum."""
 
 import json
 import os
@@ -31,11 +31,11 @@
 
 pytestmark = pytest.mark.xdist_group("processes")
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 30
+TIMEOUT_SECONDS = 30
 
 
 class Member(threading.Thread):
-    """Reports to one planner as a member would, for as long as it is told to."""
+    """Reports to one planner as a member would, until it is stopped."""
 
     def __init__(self, name, address):
         super().__init__(daemon=True)
@@ -61,8 +61,8 @@
                     return
 
 
-class Place:
-    """Three planners and the members of two sites."""
+class PlannerCluster:
+    """Three planner processes and the members of two sites."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -85,7 +85,7 @@
         for member in self.members:
             member.start()
         try:
-            self.until(lambda: self.leader() and len(self.show()["members"]) == 4)
+            self.wait_until(lambda: self.leader() and len(self.show()["members"]) == 4)
         except BaseException:
             self.stop()  # or they would live on: a fixture that fails is not torn down
             raise
@@ -99,7 +99,7 @@
 
     def kill(self, name):
         self.planners[name].kill()
-        self.planners[name].wait(PATIENCE)
+        self.planners[name].wait(TIMEOUT_SECONDS)
 
     def show(self, name=""):
         return ask_any(self.fleet, OperatorCommand(operation=OperatorOperation.SHOW), name)
@@ -111,8 +111,8 @@
             return ""
         return told["planner"] if told["leads"] else ""
 
-    def want(self, holder, what="permit"):
-        """Asked until somebody leads."""
+    def evict(self, holder, what="permit"):
+        """Sends an eviction request until a leader replies."""
         found = []
         request = EvictionRequest(operation=EvictionOperation(what), holder=holder, reason="a release")
 
@@ -123,17 +123,17 @@
                 return False
             return True
 
-        self.until(answered)
+        self.wait_until(answered)
         return found[-1]
 
     @staticmethod
-    def until(holds):
-        end = time.monotonic() + PATIENCE
+    def wait_until(holds):
+        end = time.monotonic() + TIMEOUT_SECONDS
         while not holds():
             assert time.monotonic() < end, "it did not come about in time"
             time.sleep(0.05)
 
-    def come_back(self, name):
+    def restart_member(self, name):
         for member in self.members:
             if member.member == name:
                 member.mark, member.number = 2, 0
@@ -144,41 +144,41 @@
         for planner in self.planners.values():
             if planner.poll() is None:
                 planner.send_signal(signal.SIGTERM)
-        assert {planner.wait(PATIENCE) for planner in self.planners.values()} <= {0, -signal.SIGKILL}
+        assert {planner.wait(TIMEOUT_SECONDS) for planner in self.planners.values()} <= {0, -signal.SIGKILL}
 
 
 @pytest.fixture
-def place(tmp_path):
-    made = Place(tmp_path)
+def cluster(tmp_path):
+    made = PlannerCluster(tmp_path)
     yield made
     made.stop()
 
 
-def test_a_permit_survives_its_leader_and_every_planner(place):
-    first = place.want("a-0")
-    assert first["granted"] and place.want("a-0")["number"] == first["number"]
-    assert place.want("b-0")["place"] == 1
-    leader = place.leader()
-    place.kill(leader)
-    assert place.want("a-0") == first
-    assert not place.want("b-0")["granted"]
-    for name in place.planners:
+def test_a_permit_survives_its_leader_and_a_restart_of_every_planner(cluster):
+    first = cluster.evict("a-0")
+    assert first["granted"] and cluster.evict("a-0")["number"] == first["number"]
+    assert cluster.evict("b-0")["place"] == 1
+    leader = cluster.leader()
+    cluster.kill(leader)
+    assert cluster.evict("a-0") == first
+    assert not cluster.evict("b-0")["granted"]
+    for name in cluster.planners:
         if name != leader:
-            place.kill(name)
-    for name in place.planners:
-        place.start(name)
-    assert place.want("a-0") == first
-    place.come_back("a-0")
-    place.until(lambda: place.want("b-0")["granted"])
-    assert [one["holder"] for one in place.show()["permits"]] == ["b-0"]
-
-
-def test_a_minority_grants_nothing(place):
-    leader = place.leader()
-    others = [name for name in place.planners if name != leader]
+            cluster.kill(name)
+    for name in cluster.planners:
+        cluster.start(name)
+    assert cluster.evict("a-0") == first
+    cluster.restart_member("a-0")
+    cluster.wait_until(lambda: cluster.evict("b-0")["granted"])
+    assert [one["holder"] for one in cluster.show()["permits"]] == ["b-0"]
+
+
+def test_a_leader_without_a_quorum_grants_no_permit(cluster):
+    leader = cluster.leader()
+    others = [name for name in cluster.planners if name != leader]
     for name in others:
-        os.kill(place.planners[name].pid, signal.SIGSTOP)
-    address = next(one.address for one in place.fleet.planners if one.name == leader)
+        os.kill(cluster.planners[name].pid, signal.SIGSTOP)
+    address = next(one.address for one in cluster.fleet.planners if one.name == leader)
     with pytest.raises((OSError, InvalidInputError)):
         ask(
             address,
@@ -190,6 +190,6 @@
             EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder="a-0", reason="a release"),
         )
     for name in others:
-        os.kill(place.planners[name].pid, signal.SIGCONT)
-    assert place.want("a-0")["granted"]
-    assert len(place.show()["permits"]) == 1
+        os.kill(cluster.planners[name].pid, signal.SIGCONT)
+    assert cluster.evict("a-0")["granted"]
+    assert len(cluster.show()["permits"]) == 1
