--- a/birchslip/cluster/plan_subscription.py
+++ b/birchslip/cluster/plan_subscription.py
@@ -1,9 +1,9 @@
 """A member's view of the plan: which planner's replies are binding, and until when.
 
 Decides only what is in force; `planner_link.py` carries it out. A reply is binding only if its term is the
-highest heard of and, within a term, if it comes from the one planner that used it first. Spans
-are counted from when the member sent the report that is replied to, on a monotonic clock: a reply that was long on its way,
-or was written by a leader that was paused in between, has expired when it arrives.
+highest heard of and, within a term, if it comes from the one planner that used it first. Spans are counted
+from when the member sent the report that is replied to, on a monotonic clock: a reply that was long on its
+way, or was written by a leader that was paused in between, has expired when it arrives.
 """
 
 from __future__ import annotations
