--- /dev/null
+++ b/birchslip/cluster/load_rejection.py
@@ -0,0 +1,92 @@
+"""The first step of a site plan: which load is rejected, tier by tier in the operators' order.
+
+Rejects as much as all load exceeds all capacity and never places any. The order of every sum is part of the
+behaviour: plans are compared to the last digit.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import NamedTuple
+
+from ..admission.types import SheddingTier
+from .site_capacity import EPSILON, SiteCapacity, SiteTenantRates, TenantRates
+
+
+class RejectionResult(NamedTuple):
+    """What is still admitted of each site's load by tenant, and what was rejected in which tier."""
+
+    admitted: dict[str, TenantRates]
+    rejected: dict[SheddingTier, float]
+
+
+def reject_excess(
+    sites: list[SiteCapacity],
+    shares: Mapping[str, float],
+    order: tuple[SheddingTier, ...],
+    capacity: float,
+) -> RejectionResult:
+    """Rejects the load beyond `capacity`, one tier after the other, local load last."""
+    admitted = {site.name: dict(site.load) for site in sites}
+    evacuated = {site.name for site in sites if site.is_lost or site.level < 1}
+    retry_load = sum(site.retry_load for site in sites)
+    rejected = dict.fromkeys(SheddingTier, 0.0)
+    excess = sum(sum(load.values()) for load in admitted.values()) + retry_load - capacity
+    for tier in (*order, SheddingTier.LOCAL):
+        if tier is SheddingTier.RETRY:
+            rejected[tier] = max(0.0, min(retry_load, excess))
+            excess -= rejected[tier]
+            continue
+        for pool in rejection_pools(tier, admitted, evacuated, shares, capacity):
+            size = sum(pool.values())
+            if excess <= EPSILON or size <= EPSILON:
+                continue
+            part = min(1.0, excess / size)
+            for (site, tenant), rate in pool.items():
+                admitted[site][tenant] -= part * rate
+            rejected[tier] += part * size
+            excess -= part * size
+    return RejectionResult(admitted, {tier: rate for tier, rate in rejected.items() if rate > EPSILON})
+
+
+def rejection_pools(
+    tier: SheddingTier,
+    admitted: dict[str, TenantRates],
+    evacuated: set[str],
+    shares: Mapping[str, float],
+    capacity: float,
+) -> list[SiteTenantRates]:
+    """Returns what a tier may reject by site and tenant; one pool is exhausted before the next."""
+    if tier is SheddingTier.EVACUATED:
+        return [{(site, tenant): rate for site in evacuated for tenant, rate in admitted[site].items()}]
+    if tier is SheddingTier.LOCAL:
+        return [{(site, tenant): rate for site in admitted for tenant, rate in admitted[site].items()}]
+    return _over_quota_pools(admitted, evacuated, shares, capacity)
+
+
+def _over_quota_pools(
+    admitted: dict[str, TenantRates], evacuated: set[str], shares: Mapping[str, float], capacity: float
+) -> list[SiteTenantRates]:
+    """What exceeds the tenants' shares: evacuated load first, as locally it may be within its share."""
+    total: TenantRates = {}
+    visiting: TenantRates = {}
+    for site, load in admitted.items():
+        for tenant, rate in load.items():
+            visiting_rate = rate if site in evacuated else 0.0
+            total[tenant] = total.get(tenant, 0.0) + rate
+            visiting[tenant] = visiting.get(tenant, 0.0) + visiting_rate
+    evacuated_pool: SiteTenantRates = {}
+    local_pool: SiteTenantRates = {}
+    for tenant, rate in total.items():
+        excess = max(0.0, rate - shares.get(tenant, 0.0) * capacity)
+        evacuated_excess = min(excess, visiting[tenant])
+        for site, load in admitted.items():
+            if tenant not in load:
+                continue
+            if site in evacuated and visiting[tenant] > 0:
+                evacuated_pool[site, tenant] = evacuated_excess * load[tenant] / visiting[tenant]
+            elif site not in evacuated and rate > visiting[tenant]:
+                local_pool[site, tenant] = (
+                    (excess - evacuated_excess) * load[tenant] / (rate - visiting[tenant])
+                )
+    return [evacuated_pool, local_pool]
--- a/birchslip/cluster/operator_views.py
+++ b/birchslip/cluster/operator_views.py
@@ -14,7 +14,8 @@
 from .recovery_ramp import RecoveryRamp
 from .rollout_controller import RolloutController
 from .rollout_messages import RolloutReport
-from .site_plan import SiteCapacity, plan_without_site
+from .site_capacity import SiteCapacity
+from .site_plan import plan_without_site
 from .site_supervisor import restore_ramps
 
 RECORD_LINES = 16  # the newest lines of the permits' record that are shown
--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -9,7 +9,8 @@
 
 from .fleet_file import Fleet, span
 from .messages import PlanAssignment
-from .site_plan import SiteCapacity, SitePlan, plan_sites
+from .site_capacity import SiteCapacity
+from .site_plan import SitePlan, plan_sites
 
 
 class PlanPublisher:
--- a/birchslip/cluster/site_supervisor.py
+++ b/birchslip/cluster/site_supervisor.py
@@ -12,7 +12,7 @@
 from .planner_events import EventBuffer
 from .recovery_ramp import RecoveryRamp, RecoveryStage
 from .replicated_state import SiteState
-from .site_plan import SiteCapacity
+from .site_capacity import SiteCapacity
 
 LOAD_SMOOTHING = 0.1  # of each sample: a mean over about two seconds
 MAX_OPERATOR_REASON_LENGTH = 300  # characters
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -10,7 +10,8 @@
 from birchslip.cluster.operator_views import fleet_status, site_loss_forecast
 from birchslip.cluster.planner_state import PlannerState
 from birchslip.cluster.recovery_ramp import RecoveryStage
-from birchslip.cluster.site_plan import SiteCapacity, plan_sites
+from birchslip.cluster.site_capacity import SiteCapacity
+from birchslip.cluster.site_plan import plan_sites
 from birchslip.lab.months import play_month
 
 from .fleetdesk import SECOND, SimulatedPlanner, fleet, report
--- a/tests/test_site_plan.py
+++ b/tests/test_site_plan.py
@@ -5,7 +5,9 @@
 from hypothesis import strategies as st
 
 from birchslip.admission.types import SheddingTier
-from birchslip.cluster.site_plan import SiteCapacity, plan_sites, plan_without_site, water_fill
+from birchslip.cluster.fair_share import water_fill
+from birchslip.cluster.site_capacity import SiteCapacity
+from birchslip.cluster.site_plan import plan_sites, plan_without_site
 
 TENANTS = ("blue", "green", "red")
 TIER_ORDERS = [
