--- a/birchslip/cluster/disruption_types.py
+++ b/birchslip/cluster/disruption_types.py
@@ -74,7 +74,7 @@
 class Permit(Message, rename={"reason": "why"}):
     """The right of one incarnation of a member to be unavailable.
 
-    `number` rises with each grant; `override` says that it was granted past the budgets.
+    `number` rises with each grant; `override` is set if it was granted past the budgets.
     """
 
     holder: Name
--- a/birchslip/cluster/leadership.py
+++ b/birchslip/cluster/leadership.py
@@ -24,7 +24,7 @@
     """The term of one planner.
 
     Attributes:
-        term: The epoch in which it leads, 0 while it does not.
+        term: The term in which it leads, 0 while it does not.
         version: The newest version of its state within the term.
         replicated_version: The newest version that a majority has stored.
     """
@@ -59,10 +59,10 @@
         self.replicated_version = 0
         return LeadershipChange.ACQUIRED
 
-    def observe_epoch(self, epoch: int) -> None:
-        """Ends the term if somebody obeys a higher epoch; the next candidacy starts above it."""
-        if epoch > self.election.highest_term:
-            self.election.observe_term(epoch)
+    def observe_term(self, term: int) -> None:
+        """Ends the term if somebody follows a higher one; the next candidacy starts above it."""
+        if term > self.election.highest_term:
+            self.election.observe_term(term)
 
     def known_leader(self, now: int) -> str:
         """Returns the name of the planner that this one has voted for, empty if its lease is over."""
--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -199,7 +199,7 @@
             member.disconnected = True
 
     def mark_heard_by_peers(self, names: Iterable[str], now: int) -> None:
-        """Takes the word of another planner that it hears these members."""
+        """Records that another planner hears these members."""
         for name in names:
             if name in self.members:
                 self.members[name].last_heard_by_peers = now
--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -41,7 +41,7 @@
         self.published_levels = levels
 
     def assignment(
-        self, fleet: Fleet, site_of_member: Mapping[str, str], name: str, epoch: int, version: int
+        self, fleet: Fleet, site_of_member: Mapping[str, str], name: str, term: int, number: int
     ) -> PlanAssignment:
         """Returns one member's part of the published plan.
 
@@ -55,8 +55,8 @@
             router for site in fleet.sites if site.name in recovering for router in site.routers
         ]
         return PlanAssignment(
-            term=epoch,
-            number=version,
+            term=term,
+            number=number,
             validity_span=span(fleet.plan_ms),
             fade_span=span(fleet.fade_ms),
             quotas=plan.member_tenant_quotas(name) if recovering else {},
--- a/birchslip/cluster/plan_subscription.py
+++ b/birchslip/cluster/plan_subscription.py
@@ -46,8 +46,8 @@
         plan_number: Number of its plan.
         call_limit: Downstream calls that may run at once under the lease.
         lease_expires_at: When the lease ends.
-        assigned_listing: Whether routers may find the member, as the leader said last.
-        report_interval: Span between two reports, as the leader said last; 0 before.
+        assigned_listing: Whether routers may find the member, by the leader's last reply.
+        report_interval: Span between two reports, by the leader's last reply; 0 before.
         rejected_replies: Number of replies of outdated leaders.
     """
 
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -1,6 +1,6 @@
 """Planner state: what one planner knows and decides, composed of one module for each concern.
 
-Owns the order in which the others are asked; the decisions are theirs:
+Owns the order in which the others are called; the decisions are theirs:
 
 | module | decides |
 | --- | --- |
@@ -140,7 +140,7 @@
             case LeadershipChange.LOST:
                 self.events.record("leadership_lost", epoch=term_before)
             case LeadershipChange.ACQUIRED:
-                self.restore(self.election.newest_state[2], now)
+                self.restore(self.election.newest_state.state, now)
                 self.quotas.start_term(now)
                 self.events.record("leadership_acquired", epoch=self.leadership.term)
                 self.replan(now)
@@ -201,7 +201,7 @@
         self.membership.receive_report(report, now)
         for probe in report.probes:
             self.membership.record_probe(report.name, probe.member, probe.outcome, now)
-        self.leadership.observe_epoch(report.plan_term)
+        self.leadership.observe_term(report.plan_term)
         member = self.membership.members.get(report.name)
         if not self.is_effective_leader(now):
             return self._follower_reply(now)
@@ -221,7 +221,7 @@
         )
 
     def _follower_reply(self, now: int) -> ReportReply:
-        """Instructs nothing; tells only where to ask."""
+        """Instructs nothing; only names the leader."""
         return ReportReply(
             term=self.election.durable.promised_term,
             planner=self.election.incarnation,
@@ -232,9 +232,9 @@
 
     def assignment(self, name: str) -> PlanAssignment:
         """Returns one member's part of the published plan."""
-        epoch = self.leadership.term
-        version = self.leadership.replicated_version
-        return self.plans.assignment(self.fleet, self.site_of_member, name, epoch, version)
+        term = self.leadership.term
+        number = self.leadership.replicated_version
+        return self.plans.assignment(self.fleet, self.site_of_member, name, term, number)
 
     def report_interval(self) -> int:
         """Returns how often a member reports: less often in a fleet that would overload a planner."""
@@ -293,7 +293,7 @@
         """Returns for each member, and for each service while it leads, whether it is out and why."""
         members = observe_members(self.site_of_member, self.sites, self.report_interval(), now)
         if not self.leadership.is_leading:
-            return members  # the leader alone asks the platform for services
+            return members  # the leader alone polls the platform
         return with_dependents(
             members | self.rollouts.controller.observe_services(now), self.budget.dependencies
         )
@@ -337,7 +337,7 @@
         return self.rollouts.controller.orders
 
     def receive_inventory(self, inventory: Inventory, sent: int) -> None:
-        """Takes what the platform has answered; `sent` is when it was asked."""
+        """Takes what the platform has replied; `sent` is when it was polled."""
         self.rollouts.controller.receive_inventory(inventory, sent)
 
     def evacuate_site(self, site: str, who: str, why: str, now: int) -> bool:
--- a/birchslip/cluster/release_file.py
+++ b/birchslip/cluster/release_file.py
@@ -25,7 +25,7 @@
     """Read and check a release file.
 
     Raises:
-        InvalidInputError: With one line that says what is wrong and where.
+        InvalidInputError: With one line on what is wrong and where.
         OSError: If the file can't be read.
     """
     try:
--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -1,6 +1,6 @@
 """Site plan: where the load of lost sites goes, what each site admits, and what is rejected first.
 
-Works with measured capacity, not with nominal size, and never directs routers: the plan says what surviving
+Works with measured capacity, not with nominal size, and never directs routers: the plan states what surviving
 sites admit. Three steps:
 
 1. *Reject*: as much as all load exceeds all capacity, tier by tier in the operators' order.
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -54,12 +54,12 @@
     assert not leadership.mark_replicated(2)
 
 
-def test_a_higher_epoch_that_somebody_obeys_ends_the_term():
+def test_a_higher_term_that_somebody_follows_ends_this_one():
     leadership, now = elected(), 3 * SECOND
     leadership.update(now)
-    leadership.observe_epoch(leadership.term - 1)
+    leadership.observe_term(leadership.term - 1)
     assert leadership.update(now) is LeadershipChange.UNCHANGED
-    leadership.observe_epoch(leadership.term + 64)
+    leadership.observe_term(leadership.term + 64)
     assert leadership.update(now) is LeadershipChange.LOST
 
 
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -119,7 +119,7 @@
     assert levels(planner, "b") == {1.0}
 
 
-def test_a_higher_epoch_that_members_obey_ends_the_term_and_the_next_starts_above_it(tmp_path):
+def test_a_higher_term_that_members_follow_ends_this_one_and_the_next_starts_above_it(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
     planner.report_fields["c-1"] = {"plan_term": 6400}
     planner.advance(4)
