--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -140,7 +140,7 @@
             case LeadershipChange.LOST:
                 self.events.record("leadership_lost", epoch=term_before)
             case LeadershipChange.ACQUIRED:
-                self.restore(self.election.newest_state[2], now)
+                self.restore(self.election.newest_state.state, now)
                 self.quotas.start_term(now)
                 self.events.record("leadership_acquired", epoch=self.leadership.term)
                 self.replan(now)
--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -64,6 +64,11 @@
         """Whether no key of an earlier incarnation is known."""
         return len(self._recovered.index) == 0
 
+    @property
+    def entry_count(self) -> int:
+        """How many keys that were asked for since the start are held in memory."""
+        return len(self._entries)
+
     def find(self, request: Passage) -> Label | None:
         """The entry of a request's key if an earlier incarnation started it; its result is fetched."""
         key = bytes.fromhex(request.label_name)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -29,6 +29,10 @@
     tests.mkdir()
     (tests / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
     (tests / "test_some.py").write_text(SUITE)
+    return run_suite(folder, text, *words)
+
+
+def run_suite(folder, text, *words):
     (folder / "pytest.ini").write_text("[pytest]\n")
     if text is not None:
         (folder / "KNOWN-RED.txt").write_text(text)
@@ -86,3 +90,15 @@
     code, output = run(tmp_path, f"{BAD_ENTRY}\n", "-k", "good")
     assert code == 0
     assert "1 passed" in output
+
+
+def test_more_than_three_tests_may_be_listed(tmp_path):
+    suite = tmp_path / "tests"
+    suite.mkdir()
+    (suite / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
+    (suite / "test_four.py").write_text("\n".join(f"def test_{place}(): assert 0" for place in range(4)))
+    entries = [f"tests/test_four.py::test_{place} | pytest | it fails | #{place}" for place in range(4)]
+    code, output = run_suite(tmp_path, "\n".join(entries))
+    assert code == 0
+    assert "4 xfailed" in output
+    assert all(entry in output for entry in entries)
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -240,5 +240,5 @@
 def test_replies_carry_the_incarnation_of_the_planner(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
     assert planner.replies["a-0"].planner == Incarnation(generation=1, nonce=1)
-    assert fleet(tmp_path).order[0].value == "beyond"
+    assert fleet(tmp_path).shedding_order[0].value == "beyond"
     assert planner.now == 4 * SECOND
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -8,6 +8,7 @@
 import sys
 import threading
 import time
+from base64 import b64decode
 from pathlib import Path
 
 import pytest
@@ -604,12 +605,14 @@
     At its bound the program may close a connection with no open request on it. A request that crosses such a
     close is sent once more, on a new connection.
     """
+    made_room_before = place.counters()["clients.made_room"]
     router = place.router()
     assert router.answer(router.ping())[0] is None
     sent_again = False
     try:
         error, _ = router.answer(router.call("lookup", b"1", timeout="5000"))
     except EOFError:
+        assert place.counters()["clients.made_room"] > made_room_before
         sent_again = True
         router.link.close()
         router = place.router()
@@ -658,6 +661,9 @@
     assert place.process.poll() is None
     seen = place.counters()
     assert sent_again <= seen["clients.made_room"]
+    orders = [place.agent.seen.get_nowait() for _ in range(place.agent.seen.qsize())]
+    honest = [order for order in orders if order["op"] == "launch" and b64decode(order["body"]) == b"1"]
+    assert len(honest) <= 5  # what crossed a close has not run
     assert seen["process.memory_kb_most"] < 64 << 10
     assert seen["book.faults"] == seen.get("program.faults", 0) == 0
 
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -262,6 +262,7 @@
     later.store.find_earlier_result(later.request(1))
     later.advance(30).flush()
     assert later.store.earlier_results.is_empty
+    assert later.store.earlier_results.entry_count == 0
     assert later.store.find_earlier_result(later.request(1, arrived_at=first.now)) is None
     assert len(later.system.files) == 1  # and so are their segments
 
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -356,7 +356,7 @@
             member["calls"] = 4.0
     told["vault"]["total"] = 40
     planner.state.fleet = read_fleet_of(folder, told)
-    planner.state.quotas.base_quotas = planner.state.fleet.bases()
+    planner.state.quotas.base_quotas = planner.state.fleet.base_calls()
     return planner
 
 
