--- a/birchslip/admission/admission_queue.py
+++ b/birchslip/admission/admission_queue.py
@@ -158,7 +158,9 @@
 
     def _dropped(self, now: int) -> list[Request]:
         wait = self.limit.core_wait(self.health.slowdown)
-        running, limit, slowdown = len(self.limit.running), self.limit.limit, self.health.slowdown
+        running = len(self.limit.running)
+        limit = self.limit.limit
+        slowdown = self.health.slowdown
         remaining: list[Request] = []
         dropped: list[Request] = []
         for entry in self.entries:
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -332,7 +332,8 @@
         self._fade_plan()
         if is_news:
             callers = tuple(sorted(plan.evacuated_callers))
-            fraction, is_short = plan.serving_fraction, plan.is_capacity_short
+            fraction = plan.serving_fraction
+            is_short = plan.is_capacity_short
             self._log(PlanApplied(plan.term, plan.number, fraction, callers, is_short))
         return True
 
--- a/birchslip/admission/idle_connections.py
+++ b/birchslip/admission/idle_connections.py
@@ -110,7 +110,9 @@
     def _measure_overload(self, now: int, read_delay: int) -> None:
         rejected = self.stats.count.total(now)
         could_serve = self.limit.throughput() * WINDOW_COUNT
-        ratio, longest_delay = OVERLOAD_RATIO, OVERLOAD_READ_DELAY
+        ratio = OVERLOAD_RATIO
+        longest_delay = OVERLOAD_READ_DELAY
         if self.is_overloaded:
-            ratio, longest_delay = OVERLOAD_END_RATIO, OVERLOAD_END_READ_DELAY
+            ratio = OVERLOAD_END_RATIO
+            longest_delay = OVERLOAD_END_READ_DELAY
         self.is_overloaded = read_delay > longest_delay or 0 < could_serve * ratio < rejected
--- a/birchslip/admission/quota.py
+++ b/birchslip/admission/quota.py
@@ -84,7 +84,8 @@
             return meter.configured_quota / max(SMALLEST_PLAN_WEIGHT, self.plan.weight)
         if meter.configured_quota:
             return self._configured_quota(meter, throughput, now)
-        served, number = self.served_bytes.total(now), max(1, self.served_count.total(now))
+        served = self.served_bytes.total(now)
+        number = max(1, self.served_count.total(now))
         callers = len(self.callers)
         derived = DERIVED_QUOTA_SHARES * max(1.0, callers / number) / WINDOW_COUNT
         return max(derived, throughput / number) * served / max(1, callers)
--- a/birchslip/admission/settings.py
+++ b/birchslip/admission/settings.py
@@ -203,7 +203,9 @@
 def _with_downstream(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
     """Set the service below; only a shared one has a quota."""
     downstream = reader.choice("family_info.downstream", DOWNSTREAM_BY_NAME, "off")
-    quota, window, linger = settings.downstream_quota, settings.downstream_quota_window / SECOND, 0.0
+    quota = settings.downstream_quota
+    window = settings.downstream_quota_window / SECOND
+    linger = 0.0
     if downstream is Downstream.SHARED:
         quota = reader.bounded("family_info.calls_out", quota)
         window = reader.bounded("family_info.share_span_s", window, SHORTEST_SPAN_S)
--- a/birchslip/admission/windows.py
+++ b/birchslip/admission/windows.py
@@ -28,7 +28,8 @@
 
     def total(self, now: int) -> int:
         """Drop the buckets that have run out and return the sum of the rest."""
-        slot, count = now // self.span, len(self.buckets)
+        slot = now // self.span
+        count = len(self.buckets)
         if slot <= self.slot:
             return self.sum
         for passed in range(max(self.slot + 1, slot - count + 1), slot + 1):
--- a/birchslip/cluster/canary_metrics.py
+++ b/birchslip/cluster/canary_metrics.py
@@ -109,7 +109,8 @@
 
     def variance(self) -> float:
         """Of the difference, if both sides were equal; never 0, as no share of 0 is certain."""
-        canary, baseline = self.canary, self.baseline
+        canary = self.canary
+        baseline = self.baseline
         pooled = (canary.bad + baseline.bad + 1) / (canary.total + baseline.total + 2)
         return VARIANCE_INFLATION * pooled * (1 - pooled) * (1 / canary.total + 1 / baseline.total)
 
--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -222,7 +222,8 @@
         self, holder: str, incarnation: Incarnation, observations: Mapping[str, MemberObservation]
     ) -> bool:
         """End an unused permit. Only the incarnation that holds it may, and only while it is in service."""
-        permit, observation = self.permit_of(holder), observations.get(holder)
+        permit = self.permit_of(holder)
+        observation = observations.get(holder)
         if permit is None or permit.incarnation != incarnation:
             return False
         if observation is None or observation.unavailability is not None:
--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -51,18 +51,24 @@
         plan = self.published
         level = levels[site_of_member[name]]
         recovering = [site for site, part in levels.items() if part < 1]
-        evacuated_callers = [
-            router for site in fleet.sites if site.name in recovering for router in site.routers
-        ]
+        quotas: dict[str, float] = {}
+        shedding_order: list[str] = []
+        if recovering:
+            quotas = plan.member_tenant_quotas(name)
+            shedding_order = list(fleet.shedding_tiers)
+        evacuated_callers: list[int] = []
+        if level == 1:
+            evacuated = [site for site in fleet.sites if site.name in recovering]
+            evacuated_callers = [router for site in evacuated for router in site.routers]
         return PlanAssignment(
             term=term,
             number=number,
             validity_span=span(fleet.plan_ms),
             fade_span=span(fleet.fade_ms),
-            quotas=plan.member_tenant_quotas(name) if recovering else {},
-            evacuated_callers=evacuated_callers if level == 1 else [],
+            quotas=quotas,
+            evacuated_callers=evacuated_callers,
             evacuated_quota=plan.member_evacuated_quota(name),
-            shedding_order=list(fleet.shedding_tiers) if recovering else [],
+            shedding_order=shedding_order,
             serving_fraction=level,
             is_listed=level > 0,
             is_capacity_short=plan.is_short and bool(recovering),
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -86,7 +86,8 @@
             OSError: If the platform does not answer, or refuses.
             InvalidInputError: If its answer is malformed.
         """
-        term, sent_at = self.state.leadership.term, self.scheduler.tell_time()
+        term = self.state.leadership.term
+        sent_at = self.scheduler.tell_time()
         response = self._request("GET", f"/fleet/members?epoch={term}", b"")
         if response.status != HTTPStatus.OK:
             raise OSError(f"answered {response.status}")
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -263,7 +263,8 @@
 
     def _restart_failed(self, instance: InstanceView, order: PlatformOrder) -> list[PlatformOrder]:
         """Try a failed start again, then the previous version, and then exclude the member and halt."""
-        name, number = order.member, order.permit_number
+        name = order.member
+        number = order.permit_number
         match decide_restart(self.record, instance):
             case RestartDecision.RETRY:
                 return [PlatformOrder(OrderAction.START, name, instance.version, number)]
@@ -325,7 +326,8 @@
     def _member_states(self, view: FleetView) -> list[MemberState]:
         states = []
         for name in self.record.all_members():
-            instance, observation = view.instances.get(name), view.observations.get(name)
+            instance = view.instances.get(name)
+            observation = view.observations.get(name)
             if instance is None:
                 continue
             state = MemberState(
@@ -348,7 +350,8 @@
             known: All members of the fleet; others are removed from the rollout.
             joined: Members that have joined its sites; they become its last batch, unless it has ended.
         """
-        names, taken = set(known), set(self.record.all_members())
+        names = set(known)
+        taken = set(self.record.all_members())
         left = sorted(taken - names)
         for batch in self.record.batches:
             batch[:] = [name for name in batch if name in names]
@@ -357,5 +360,6 @@
         if added and self.phase not in ENDED_PHASES:
             self.record.batches.append(added)
         if left or added:
-            left_names, added_names = ", ".join(left) or "nobody", ", ".join(added) or "nobody"
+            left_names = ", ".join(left) or "nobody"
+            added_names = ", ".join(added) or "nobody"
             self.record_event(f"the fleet has changed: left {left_names}; joined {added_names}")
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -90,7 +90,9 @@
     ) -> None:
         """Follow a changed fleet file; unfinished rollouts lose and gain members."""
         previous = {name for names in self.members_by_part.values() for name in names}
-        self.members_by_part, self.services, self.sites = parts, list(services), sites
+        self.members_by_part = parts
+        self.services = list(services)
+        self.sites = sites
         known = [name for names in parts.values() for name in names]
         for rollout in self.unfinished():
             spec = rollout.spec
@@ -244,7 +246,9 @@
         return [self._report_of(rollout, history) for rollout in reversed(chosen)]
 
     def _report_of(self, rollout: Rollout, history: bool) -> RolloutReport:
-        record, spec, analysis = rollout.record, rollout.spec, rollout.analysis
+        record = rollout.record
+        spec = rollout.spec
+        analysis = rollout.analysis
         members = rollout.all_members()
         known = [self.instances[name] for name in members if name in self.instances]
         return RolloutReport(
--- a/birchslip/cluster/rollout_steps.py
+++ b/birchslip/cluster/rollout_steps.py
@@ -102,7 +102,8 @@
         return orders, progress[:MAX_PROGRESS_LENGTH]
 
     def _evict_member(self, name: str, version: str, view: FleetView) -> EvictionStep:
-        instance, observation = view.instances.get(name), view.observations.get(name)
+        instance = view.instances.get(name)
+        observation = view.observations.get(name)
         if instance is None:
             return EvictionStep(f"{name} is not known to the platform")
         if observation is None:
@@ -133,7 +134,8 @@
         Call this only once no order to drain can be on its way any more.
         """
         for name in self.record.all_members():
-            instance, observation = view.instances.get(name), view.observations.get(name)
+            instance = view.instances.get(name)
+            observation = view.observations.get(name)
             permit = self.own_permit(name)
             if permit is None or instance is None or observation is None:
                 continue
@@ -149,7 +151,8 @@
     def stopped_members(self, view: FleetView) -> Iterator[tuple[InstanceView, PlatformOrder]]:
         """Members that are down on this rollout's account, each with the order that would start it."""
         for name in self.record.all_members():
-            instance, permit = view.instances.get(name), self.own_permit(name)
+            instance = view.instances.get(name)
+            permit = self.own_permit(name)
             if instance is None or permit is None or name in self.record.excluded:
                 continue
             if instance.status in (InstanceStatus.STOPPED, InstanceStatus.FAILED):
--- a/birchslip/cluster/rollout_types.py
+++ b/birchslip/cluster/rollout_types.py
@@ -227,7 +227,8 @@
 
     def is_serving(self, name: str, version: str) -> bool:
         """Whether a member is up in that version, and observed in service."""
-        instance, observation = self.instances.get(name), self.observations.get(name)
+        instance = self.instances.get(name)
+        observation = self.observations.get(name)
         if instance is None or observation is None:
             return False
         return instance.is_up_in(version) and observation.unavailability is None
--- a/birchslip/cluster/rollout_watch.py
+++ b/birchslip/cluster/rollout_watch.py
@@ -119,7 +119,9 @@
 
     def _compared_samples(self, view: FleetView) -> ComparedSamples:
         """Samples of both sides on sites that have both, as load differs by site; all where none has."""
-        spec, instances, samples = self.record.spec, view.instances, view.samples
+        spec = self.record.spec
+        instances = view.instances
+        samples = view.samples
         canaries = {
             name
             for name in self.record.all_members()
--- a/birchslip/idempotency/recovery.py
+++ b/birchslip/idempotency/recovery.py
@@ -120,7 +120,9 @@
         return store
 
     def _apply_records(self, segment: SegmentContent, is_last: bool) -> None:
-        intact, started, void = RecordState.INTACT, RecordKind.STARTED, RecordKind.VOID
+        intact = RecordState.INTACT
+        started = RecordKind.STARTED
+        void = RecordKind.VOID
         last_expiry = intact_count = 0
         for fragment in read_fragments(segment.raw, SEGMENT_HEADER.size):
             state, _, _, kind, key, arrived_at, retention = fragment
@@ -142,7 +144,8 @@
         self.budget.segments[-1].last_expiry = last_expiry
 
     def _apply_completed(self, segment: SegmentContent, fragment: RecordFragment, expires_at: int) -> None:
-        key, offset = fragment.key, fragment.offset
+        key = fragment.key
+        offset = fragment.offset
         self._close_run(key)
         if segment.raw[offset + OUTCOME_OFFSET] in NEVER_RAN_CODES:
             self.keys.pop(key, None)
--- a/birchslip/simulator/host.py
+++ b/birchslip/simulator/host.py
@@ -150,7 +150,8 @@
         return reply
 
     def _handle(self, parts: list[str]) -> None:
-        kind, server_id = parts[0], self.server_id
+        kind = parts[0]
+        server_id = self.server_id
         if kind == "sync":
             self.now = round_up_seconds(parse_number(codec.part(parts, 1), "the clock"))
         elif kind == "to":
