--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+from .canary_metrics import MetricReport
 from .disruption_budget import DisruptionBudget
 from .disruption_types import MemberObservation, UnavailabilityReason
 from .inventory import Inventory
@@ -249,6 +250,11 @@
         record = rollout.record
         spec = rollout.spec
         analysis = rollout.analysis
+        metrics: list[MetricReport] = []
+        verdict = ""
+        if analysis is not None:
+            metrics = analysis.report()
+            verdict = analysis.reason
         members = rollout.all_members()
         known = [self.instances[name] for name in members if name in self.instances]
         return RolloutReport(
@@ -264,7 +270,7 @@
             released=sum(1 for instance in known if instance.version == spec.version),
             progress=rollout.progress,
             excluded=list(record.excluded),
-            metrics=analysis.report() if analysis is not None else [],
-            verdict=analysis.reason if analysis is not None else "",
+            metrics=metrics,
+            verdict=verdict,
             history=list(record.history) if history else msgspec.UNSET,
         )
--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -66,7 +66,7 @@
 
     @property
     def entry_count(self) -> int:
-        """How many keys that were asked for since the start are held in memory."""
+        """How many keys that were requested since the start are in memory."""
         return len(self._entries)
 
     def find(self, request: Passage) -> Label | None:
--- a/birchslip/idempotency/maintenance.py
+++ b/birchslip/idempotency/maintenance.py
@@ -150,6 +150,11 @@
     recovered = snapshot.recovered
     counts = recovered.fragment_counts
     expiries = sorted(entry.expires_at for entry in recovered.index.entries(now))
+    first_expiry_s = None
+    last_expiry_s = None
+    if expiries:
+        first_expiry_s = _seconds_until(expiries[0], now)
+        last_expiry_s = _seconds_until(expiries[-1], now)
     return StoreReport(
         owner=owner,
         is_locked=_is_locked(directory, owner),
@@ -158,8 +163,8 @@
         keys=len(expiries),
         unknown=recovered.unknown,
         expired=recovered.expired,
-        first_expiry_s=_seconds_until(expiries[0], now) if expiries else None,
-        last_expiry_s=_seconds_until(expiries[-1], now) if expiries else None,
+        first_expiry_s=first_expiry_s,
+        last_expiry_s=last_expiry_s,
         open_runs=sorted(recovered.open_runs)[:MAX_SHOWN_RUNS],
         intact=counts[RecordState.INTACT],
         truncated=counts[RecordState.TRUNCATED],
--- a/birchslip/simulator/codec.py
+++ b/birchslip/simulator/codec.py
@@ -116,14 +116,28 @@
         read_delay=_duration_down(backlog, "backlog_time_s"),
         deadline=_duration_down(deadline, "client_deadline_s"),
         tenant_index=_count(user_group, "user_group"),
-        original=None if original == NO_ORIGINAL else _optional_count(original, "original"),
+        original=_original(original),
         caller=_count(who, "who"),
-        size=0 if is_absent(size) else -int(-parse_number(size, "kb") * BYTES_PER_KB // 1),
-        cost_hint=0 if is_absent(work) else round_up_seconds(parse_number(work, "work_s")),
+        size=_size(size),
+        cost_hint=_duration_up(work, "work_s"),
         is_retry=bool(_count(flags, "flags") & RETRY_FLAG),
     )
 
 
+def _original(text: str) -> int | None:
+    return None if text == NO_ORIGINAL else _optional_count(text, "original")
+
+
+def _size(text: str) -> int:
+    if is_absent(text):
+        return 0
+    return -int(-parse_number(text, "kb") * BYTES_PER_KB // 1)  # rounded up
+
+
+def _duration_up(text: str, what: str) -> int:
+    return 0 if is_absent(text) else round_up_seconds(parse_number(text, what))
+
+
 def _duration_down(text: str, what: str) -> int:
     return 0 if is_absent(text) else round_down_seconds(parse_number(text, what))
 
