--- a/birchslip/cluster/election.py
+++ b/birchslip/cluster/election.py
@@ -13,7 +13,7 @@
   outdated disk shows by a generation or a state that the others have already seen.
 
 Handling a request may change `durable`: the caller must store it before it sends the response, or the
-guarantees do not hold.
+guarantees are void.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
         needs_flush: Whether `durable` has changed since it was stored.
         observations: The latest known of each other planner.
         recovery_responses: Responses of the other planners while this one is blank.
-        granted_to: Who holds this planner's vote.
+        granted_to: Who has this planner's vote.
         granted_until: When that vote ends.
         silent_until: Until when it does not vote after its start.
         term: Term of its own candidacy or leadership; 0 if none.
@@ -242,7 +242,7 @@
     def observe_restart(
         self, name: str, shown: PeerObservation, known: PeerObservation | None
     ) -> PeerObservation:
-        """Stores that a planner runs anew: it may have to be told one day that its disk is outdated."""
+        """Records that a planner has restarted, so that an outdated disk of it is recognised."""
         renewed = PeerObservation(generation=shown.generation, nonce=shown.nonce)
         if known is not None:
             renewed.promised_term = known.promised_term
@@ -253,7 +253,7 @@
         return renewed
 
     def has_lost_state(self, own: PeerObservation) -> bool:
-        """Whether another planner has seen more of this one than its disk holds."""
+        """Whether another planner has seen more of this one than its disk contains."""
         durable = self.durable
         return (
             (own.generation >= durable.generation and own.nonce != self.nonce)
@@ -310,7 +310,7 @@
         match self.role(now):
             case ElectionRole.RECOVERING:
                 self.next_request_at = self.now + RENEWAL_INTERVAL
-                return self.vote_request(0)  # asks only what the others know
+                return self.vote_request(0)  # requests only what the others know
             case ElectionRole.LEADER:
                 self.next_request_at = self.now + RENEWAL_INTERVAL
                 return self.vote_request(self.term)
@@ -323,7 +323,7 @@
     def abandon_candidacy(self) -> None:
         """Frees this planner's vote, as it will never lead in that term.
 
-        Candidates that all kept their votes for themselves would never agree.
+        Candidates that all voted for themselves would never agree.
         """
         self.term = 0
         if self.granted_to.name == self.name:
@@ -331,7 +331,7 @@
         self.next_request_at = self.now + self.rng.randrange(2 * MAX_JITTER)
 
     def start_candidacy(self) -> VoteRequest | None:
-        """Begins a new term, or waits until nobody else can hold the lease."""
+        """Begins a new term, or waits until nobody else can have the lease."""
         if self.now < self.granted_until and self.granted_to.name != self.name:
             self.next_request_at = self.granted_until + self.rng.randrange(MAX_JITTER)
             return None
@@ -380,12 +380,13 @@
         self.newest_state = max(self.newest_state, StoredState(*response.state_version, response.state))
 
     def is_leading(self, now: int) -> bool:
-        """Whether it holds the lease at this moment; has to be asked just before each reply."""
+        """Whether it has the lease at this moment; to be checked just before each reply."""
         self.now = max(self.now, now)
         if self.term and (self.now >= self.lease.end() or self.term < self.fencing_term):
             if self.is_elected:
                 # A lapsed lease is never resumed: others may have led, and stored more, in the meantime.
-                self.term, self.is_elected = 0, False
+                self.term = 0
+                self.is_elected = False
             return False
         self.is_elected = self.term > 0
         return self.is_elected
--- a/birchslip/cluster/election_messages.py
+++ b/birchslip/cluster/election_messages.py
@@ -51,11 +51,11 @@
     Message,
     rename={"term": "epoch", "candidate": "name", "observations": "seen", "suspects": "doubt"},
 ):
-    """A planner asks for votes, or to extend its lease; with term 0 only for what the others know.
+    """A planner requests votes, or the extension of its lease; with term 0 only what the others know.
 
     Attributes:
         term: Term of the candidacy or leadership.
-        candidate: Name of the planner that asks.
+        candidate: Name of the planner that requests them.
         incarnation: Its run.
         observations: What it knows of the other planners, which may show one that its disk is outdated.
         suspects: Members that it does not hear.
@@ -69,7 +69,7 @@
 
     @property
     def observation(self) -> PeerObservation:
-        """What the request shows of the planner that asks."""
+        """What the request shows of the planner that sent it."""
         return PeerObservation(generation=self.incarnation.generation, nonce=self.incarnation.nonce)
 
 
--- a/birchslip/cluster/fleet_file.py
+++ b/birchslip/cluster/fleet_file.py
@@ -65,7 +65,7 @@
     Attributes:
         address: Where it is found.
         ask_ms: Interval between two polls.
-        stale_ms: How long the response to a poll holds.
+        stale_ms: How long the response to a poll is valid.
     """
 
     address: Address
@@ -149,13 +149,13 @@
         sites: Its sites with their app servers.
         links: Costs of sending load between sites.
         tenant_shares: Each tenant's share of an app server.
-        shedding_tiers: What is shed when capacity is short, in that order.
+        shedding_tiers: What is rejected when capacity is short, in that order.
         vault: The shared vault, if there is one.
         disruption_budgets: How many may be out at once.
         services: Downstream services.
         platform: What starts and stops processes, if there is such a thing.
         report_ms: Interval between two reports of a member.
-        plan_ms: How long a plan holds without being renewed.
+        plan_ms: How long a plan is valid without being renewed.
         fade_ms: Over how long an expired plan loses its effect.
         patience_ms: How long a starting member waits for a planner before it is listed.
     """
--- a/birchslip/cluster/messages.py
+++ b/birchslip/cluster/messages.py
@@ -40,7 +40,7 @@
 
 
 class EvictionOperation(StrEnum):
-    """What a requester asks of the disruption budget."""
+    """What a requester requests of the disruption budget."""
 
     REQUEST_PERMIT = "permit"
     BYPASS_BUDGET = "past"
@@ -50,7 +50,7 @@
 
 
 class OperatorOperation(StrEnum):
-    """What an operator asks of the planners by hand."""
+    """What an operator orders by hand."""
 
     SHOW = "show"
     WHAT_IF = "what-if"
@@ -66,7 +66,7 @@
     """Identifies one run of a process.
 
     Attributes:
-        generation: Number of starts, where the process keeps it on disk; else 0.
+        generation: Number of starts, where the process stores it on disk; else 0.
         nonce: Drawn at random at each start.
     """
 
@@ -118,7 +118,7 @@
         address: HOST:PORT where routers find the member.
         uptime: Span since it began to serve.
         is_serving: Whether it accepts requests.
-        is_draining: Whether it has been told to stop.
+        is_draining: Whether it is stopping.
         is_warm: Whether its warm-up is over.
         capacity: Requests per second that its cores could do.
         slowdown: Run times relative to the usual ones; 1 is as usual.
@@ -130,8 +130,8 @@
         calls_in_flight: Downstream calls that are running.
         call_limit: Downstream calls that may run at once.
         lease_remaining: Time left of the leased part of `call_limit`.
-        plan_term: Term of the plan that it holds.
-        plan_number: Number of the plan that it holds.
+        plan_term: Term of the plan that it follows.
+        plan_number: Number of the plan that it follows.
         probes: Results of the last probes of other members.
         metrics: Bad and all requests since the start of this run, by metric and request class.
         latency_histograms: Run times of served requests since the start of this run, by request class.
@@ -185,7 +185,7 @@
     Attributes:
         term: Term of the leader that made the plan.
         number: The plan's number within its term.
-        validity_span: How long it holds, from when the report it answers was sent.
+        validity_span: How long it is valid, from when the report it answers was sent.
         fade_span: Over how long it loses its effect once it is no longer valid.
         quotas: Requests per second by tenant.
         evacuated_callers: Routers whose own site is evacuated.
@@ -251,13 +251,13 @@
     """A request to the disruption budget.
 
     Attributes:
-        operation: What is asked for.
+        operation: What is requested.
         holder: The member concerned.
         incarnation: Its run; the one that the planner sees by default.
-        operator: Who asks.
+        operator: Who requests it.
         reason: Why.
         count: Number of permits of an override.
-        span: How long an override holds.
+        span: How long an override is valid.
     """
 
     operation: EvictionOperation
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -67,10 +67,10 @@
 def raise_descriptor_limit() -> int:
     """Raises the limit of open files as far as allowed, up to a bound; returns the limit in force."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = MAX_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, MAX_DESCRIPTORS)
-    if soft < wanted:
+    target = MAX_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, MAX_DESCRIPTORS)
+    if soft < target:
         with suppress(OSError, ValueError):
-            resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
+            resource.setrlimit(resource.RLIMIT_NOFILE, (target, hard))
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
@@ -219,12 +219,12 @@
     def reload_fleet_file(self) -> None:
         """Reads the fleet file again; one that can't be taken over leaves the old one in force."""
         try:
-            troubles = self.state.apply_fleet(read_fleet(self.path), self.scheduler.tell_time())
+            violations = self.state.apply_fleet(read_fleet(self.path), self.scheduler.tell_time())
         except (InvalidInputError, OSError) as error:
-            troubles = str(error).splitlines()
-        self.counters.count("fleet.not_taken_over" if troubles else "fleet.taken_over")
-        for trouble in troubles:
-            self.log.info("fleet_file_rejected", why=trouble)
+            violations = str(error).splitlines()
+        self.counters.count("fleet.not_taken_over" if violations else "fleet.taken_over")
+        for violation in violations:
+            self.log.info("fleet_file_rejected", why=violation)
 
     def log_counters(self) -> None:
         """Logs all counters."""
@@ -240,7 +240,7 @@
     # ---- clock ticks -----------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Looks at everything that depends on time, then again after an interval."""
+        """Evaluates everything that depends on time, then again after an interval."""
         now = self.scheduler.tell_time()
         self.scheduler.at(now + TICK_INTERVAL, self.tick)
         self.replicator.request_votes(now)
@@ -254,7 +254,7 @@
             self.log.info(event, **fields)
 
     def check_leadership(self, now: int) -> None:
-        """Takes in at once that the leadership was won or lost."""
+        """Handles at once that the leadership was won or lost."""
         is_leading = self.election.is_leading(now)
         if is_leading == self.was_leading:
             return
@@ -263,11 +263,11 @@
         self.state.tick(now)
 
     def wake_platform_link(self) -> None:
-        """Has the platform asked at once if there is something to ask."""
+        """Has the platform polled at once if there is an order for it."""
         if self.platform is not None and self.state.platform_orders(self.scheduler.now):
             self.platform.wake()
 
 
 def run_planner(fleet: Fleet, name: str, folder: Path, listen: str = "", path: str = "") -> None:
-    """Runs a planner until it is told to stop; the arguments are those of `Planner`."""
+    """Runs a planner until it is stopped; the arguments are those of `Planner`."""
     Planner(fleet, name, folder, listen, path).run()
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -70,12 +70,12 @@
 
 
 class MemberStatus:
-    """What the app server tells of itself; it goes into each report.
+    """What the app server states of itself; it goes into each report.
 
     Attributes:
         address: HOST:PORT where routers find it.
         is_serving: Whether it accepts requests.
-        is_draining: Whether it has been told to stop.
+        is_draining: Whether it is stopping.
     """
 
     def __init__(self) -> None:
@@ -163,7 +163,7 @@
         self.log.info("joined_fleet", site=self.site, planners=len(planners), mark=self.incarnation.nonce)
         self.scheduler.at(self.scheduler.now + SAMPLE_INTERVAL, self.recorder.sample)
 
-    # ---- what the app server tells ---------------------------------------------------------------------
+    # ---- calls of the app server -----------------------------------------------------------------------
 
     def record_arrival(self, passage: Passage) -> None:
         """Counts a request that has been read."""
@@ -174,7 +174,7 @@
         self.recorder.record_answer(passage, outcome)
 
     def apply_lease(self) -> None:
-        """Has the controller keep to the calls that are allowed at this moment.
+        """Sets the controller's downstream quota to the calls that are allowed at this moment.
 
         Called before each batch of decisions, so that a lease that ended in a pause of this process or of the
         machine binds before the next downstream call.
@@ -205,7 +205,7 @@
         """The task of one planner: a report, its reply, a pause, and so on."""
         retry_delay = MIN_RETRY_DELAY
         while True:
-            began = self.scheduler.tell_time()
+            started_at = self.scheduler.tell_time()
             pause = span(self.fleet.report_ms)
             try:
                 self.send_report(connection)
@@ -227,7 +227,7 @@
                 self.log.trace("planner_link_failed", error, planner=planner)
                 connection.close()
                 pause = MAX_RETRY_DELAY
-            self.scheduler.sleep(max(began + pause, self.scheduler.now + MIN_REPORT_PAUSE))
+            self.scheduler.sleep(max(started_at + pause, self.scheduler.now + MIN_REPORT_PAUSE))
 
     def send_report(self, connection: PeerConnection) -> None:
         """Sends one report and applies its reply, if that is binding.
@@ -253,8 +253,8 @@
         """The next report, at a time of the monotonic clock."""
         self.sequence += 1
         moment = self.scheduler.now
-        load, visits, again, honoured, shed = self.recorder.rates.snapshot(moment)
-        controller_load = self.controller_load(honoured)
+        rates = self.recorder.rates.snapshot(moment)
+        controller_load = self.controller_load(rates.served)
         outcomes = self.recorder.outcome_counts
         return MemberReport(
             name=self.name,
@@ -268,11 +268,11 @@
             is_warm=controller_load.is_warm,
             capacity=controller_load.capacity,
             slowdown=controller_load.slowdown,
-            local_load=load,
-            evacuated_load=visits,
-            retries=again,
-            served=honoured,
-            rejected=shed,
+            local_load=rates.load,
+            evacuated_load=rates.evacuated_load,
+            retries=rates.retries,
+            served=rates.served,
+            rejected=rates.rejected,
             calls_in_flight=controller_load.calls_in_flight,
             call_limit=max(0.0, self.subscription.allowed_calls(now)),
             lease_remaining=self.subscription.lease_remaining(now),
--- a/birchslip/cluster/planner_service.py
+++ b/birchslip/cluster/planner_service.py
@@ -46,7 +46,7 @@
     """
 
     def __init__(self, leader: str) -> None:
-        """Names whom to ask instead."""
+        """Names the leader, if it is known."""
         super().__init__(f"not the leader: ask {leader or 'again soon'}")
         self.leader = leader
 
@@ -101,7 +101,7 @@
     # ---- members ---------------------------------------------------------------------------------------
 
     def handle_report(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Takes in a member's report and replies with its part of the plan."""
+        """Handles a member's report and replies with its part of the plan."""
         self.counters.count("members.reports")
         try:
             report = decode(value, MemberReport)
@@ -118,7 +118,7 @@
         return encode(reply)
 
     def handle_close(self, connection: IncomingConnection, reason: str) -> None:
-        """Takes in that a connection was closed."""
+        """Handles the end of a connection."""
         self.forget_reporter(connection)
 
     def forget_reporter(self, connection: IncomingConnection) -> None:
@@ -135,7 +135,7 @@
     # ---- other planners --------------------------------------------------------------------------------
 
     def handle_vote_request(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Votes, and tells which suspects this planner hears."""
+        """Votes, and lists which suspects this planner hears."""
         request = decode(value, VoteRequest)
         response = self.replicator.election.handle_vote_request(request, now)
         self.replicator.flush()
@@ -172,7 +172,7 @@
         return msgspec.json.encode({"done": done, "site": command.site, "what": command.operation})
 
     def handle_eviction_request(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Asks the disruption budget.
+        """Requests a permit of the disruption budget.
 
         The reply waits for a quorum; one that loses its leadership meanwhile says so, and the next leader
         knows of a permit that was granted.
--- a/birchslip/cluster/tables.py
+++ b/birchslip/cluster/tables.py
@@ -122,7 +122,7 @@
     """Shows rollouts until none is active.
 
     Args:
-        query: Asks the planners for the rollouts.
+        query: Requests the rollouts from the planners.
         as_json: Whether to print a line of JSON for each change of phases, in place of tables.
 
     Returns:
