--- a/birchslip/cluster/election_store.py
+++ b/birchslip/cluster/election_store.py
@@ -1,6 +1,6 @@
 """Storage of a planner's durable vote: an SQLite file with one row, flushed before anything is answered.
 
-A file that is truncated, damaged or of a later version doesn't keep the planner from starting: it is renamed
+A file that is truncated, damaged or of a later version doesn't stop the planner from starting: it is renamed
 and the planner starts blank, until the others have sent it what it missed. The table's name, its columns and
 the checksum never change.
 """
@@ -13,7 +13,7 @@
 from dataclasses import astuple
 from pathlib import Path
 
-from ..errors import BirchslipError
+from ..errors import BirchslipError, StoreWriteError
 from .durable_vote import DurableVote
 
 VERSION = 1
@@ -41,21 +41,6 @@
 FILE_SUFFIXES = ("", "-wal", "-shm")  # of the database and its companions
 
 
-class StoreWriteError(BirchslipError, OSError):
-    """The vote could not be flushed: nothing may be answered that rests on it.
-
-    Attributes:
-        path: The planner's file.
-        reason: What SQLite said.
-    """
-
-    def __init__(self, path: Path, reason: str) -> None:
-        """Makes the message of both."""
-        super().__init__(f"{path}: {reason}")
-        self.path = path
-        self.reason = reason
-
-
 class DamagedStoreError(BirchslipError, ValueError):
     """The file is readable but is not, or is no longer, a vote that this version wrote."""
 
--- a/birchslip/cluster/state_replicator.py
+++ b/birchslip/cluster/state_replicator.py
@@ -1,7 +1,7 @@
 """Carries out a planner's election and replication: stores, sends to the other planners, counts responses.
 
 Owns the order in which that happens: what a response or a reply rests on is on this planner's disk before it
-is sent, and stored by a quorum before a member or an operator is told of it. Who leads and what the state is
+is sent, and stored by a quorum before a member or an operator learns of it. Who leads and what the state is
 are decided by `election.py` and `planner_state.py`.
 """
 
@@ -11,7 +11,7 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from ..errors import InvalidInputError
+from ..errors import InvalidInputError, StoreWriteError
 from ..net.counters import Counters
 from ..net.log import Log
 from ..net.scheduler import Scheduler
@@ -22,7 +22,7 @@
     VoteRequest,
     VoteResponse,
 )
-from .election_store import ElectionStore, StoreWriteError
+from .election_store import ElectionStore
 from .messages import Message, decode
 from .peer_channel import PeerChannel, PlannerMethod
 from .planner_state import PlannerState
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingReply:
-    """A reply that waits until a quorum has stored the state it tells of."""
+    """A reply that waits until a quorum has stored the state that it confirms."""
 
     term: int
     state_number: int
@@ -59,7 +59,7 @@
         """Sets it up.
 
         Args:
-            scheduler: Runs the tasks and tells the time.
+            scheduler: Runs the tasks and gives the time.
             counters: What is counted for operators.
             log: Where failures go.
             store: Where the vote is stored.
--- a/birchslip/errors.py
+++ b/birchslip/errors.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from pathlib import Path
+
 
 class BirchslipError(Exception):
     """Base class of every error raised by birchslip itself."""
@@ -17,3 +19,18 @@
 
 class ConfigurationError(InvalidInputError):
     """A setting, a configuration file or an operator's file that can't be used as it is."""
+
+
+class StoreWriteError(BirchslipError, OSError):
+    """A store on disk can't be opened or written: nothing may be answered that rests on it.
+
+    Attributes:
+        location: The directory or file concerned.
+        reason: What is wrong with it, in one line.
+    """
+
+    def __init__(self, location: Path, reason: str) -> None:
+        """Name the location first, then the reason."""
+        super().__init__(f"{location}: {reason}")
+        self.location = location
+        self.reason = reason
--- a/birchslip/idempotency/errors.py
+++ b/birchslip/idempotency/errors.py
@@ -2,26 +2,9 @@
 
 from __future__ import annotations
 
-from pathlib import Path
-
 from ..errors import BirchslipError
 
 
-class StoreWriteError(BirchslipError, OSError):
-    """The store can't be opened or written by this program.
-
-    Attributes:
-        location: The directory or file concerned.
-        reason: What is wrong with it, in one line.
-    """
-
-    def __init__(self, location: Path, reason: str) -> None:
-        """Name the location first, then the reason."""
-        super().__init__(f"{location}: {reason}")
-        self.location = location
-        self.reason = reason
-
-
 class UnsupportedVersionError(BirchslipError, ValueError):
     """A segment was written by a later version of the format; it must be left untouched.
 
--- a/birchslip/idempotency/maintenance.py
+++ b/birchslip/idempotency/maintenance.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..admission.types import SECOND
-from .errors import StoreWriteError
+from ..errors import StoreWriteError
 from .key_index import UNKNOWN_LOCATION, unpack_location
 from .record_format import (
     DIGEST_BYTES,
--- a/birchslip/idempotency/segment_files.py
+++ b/birchslip/idempotency/segment_files.py
@@ -18,7 +18,8 @@
 from types import TracebackType
 from typing import NamedTuple, Self
 
-from .errors import ForeignStoreError, StoreWriteError, UnsupportedVersionError
+from ..errors import StoreWriteError
+from .errors import ForeignStoreError, UnsupportedVersionError
 from .file_system import FileSystem
 from .segment_header import (
     SEGMENT_HEADER,
--- a/tests/test_election_store.py
+++ b/tests/test_election_store.py
@@ -7,9 +7,10 @@
 
 from birchslip.cluster.durable_vote import DurableVote
 from birchslip.cluster.election_messages import ReplicationRequest, ReplicationResponse
-from birchslip.cluster.election_store import ElectionStore, StoreWriteError
+from birchslip.cluster.election_store import ElectionStore
 from birchslip.cluster.messages import encode
 from birchslip.cluster.planner import Planner
+from birchslip.errors import StoreWriteError
 
 from .fleetdesk import fleet
 
--- a/tests/test_record_format.py
+++ b/tests/test_record_format.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from birchslip.admission.types import Outcome
+from birchslip.errors import StoreWriteError
 from birchslip.idempotency.errors import (
     CorruptRecordError,
     ForeignStoreError,
-    StoreWriteError,
     UnsupportedVersionError,
 )
 from birchslip.idempotency.record_format import (
--- a/tests/test_segment_files.py
+++ b/tests/test_segment_files.py
@@ -2,8 +2,7 @@
 
 import pytest
 
-from birchslip.errors import BirchslipError
-from birchslip.idempotency.errors import StoreWriteError
+from birchslip.errors import BirchslipError, StoreWriteError
 from birchslip.idempotency.file_system import FileSystem
 from birchslip.idempotency.record_format import RecordState, encode, read_fragments
 from birchslip.idempotency.segment_files import SegmentFiles
