--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -137,7 +137,7 @@
         return self._waiting_decision(holder, observations)
 
     def _enqueue(self, requester: EvictionWaiter) -> bool:
-        """Add a waiter; a new incarnation of one that waits keeps its place. False where too many wait."""
+        """Add a waiter; a new incarnation of one that waits retains its place. False where too many wait."""
         place = self._waiting_index(requester.holder)
         if place is not None:
             self.state.waiters[place] = requester
@@ -178,7 +178,7 @@
                 continue
             if not tally.blocking_reason(waiter.holder):
                 granted.append(self.grant(waiter))
-            tally.add(waiter.holder)  # unavailable now, or its place is kept for it
+            tally.add(waiter.holder)  # unavailable now, or its place is reserved
         return granted
 
     def grant(self, requester: EvictionWaiter, override: bool = False) -> Permit:
--- a/birchslip/cluster/member_metrics.py
+++ b/birchslip/cluster/member_metrics.py
@@ -53,7 +53,7 @@
 
     Attributes:
         load: First tries by tenant of the site's own callers.
-        visits: First tries of callers of other sites.
+        evacuated_load: First tries of callers of other sites.
         retries: Further tries.
         served: Answers that were served.
         rejected: Answers that were rejected with Retry-After.
