--- a/tests/test_idempotency_processes.py
+++ b/tests/test_idempotency_processes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from birchslip.admission.types import Outcome
-from birchslip.idempotency.errors import StoreWriteError
+from birchslip.errors import StoreWriteError
 from birchslip.idempotency.maintenance import DamagedRecord, compact_store, show_store, verify_store
 from birchslip.idempotency.record_format import (
     RecordKind,
