--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -15,7 +15,8 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.cluster.election import DurableVote, Election
+from birchslip.cluster.durable_vote import DurableVote
+from birchslip.cluster.election import Election
 from birchslip.cluster.fleet_file import Fleet, Member, Planner, Site, Vault
 from birchslip.cluster.messages import Incarnation, MemberReport, decode, encode
 from birchslip.cluster.planner_state import PlannerState
--- a/benchmarks/permit_grants.py
+++ b/benchmarks/permit_grants.py
@@ -14,12 +14,12 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from birchslip.cli import ask
 from birchslip.cluster.messages import EvictionOperation, EvictionRequest
-from tests.test_permit_processes import Place
+from tests.test_permit_processes import PlannerCluster
 
 
 def main() -> None:
     asks = int((sys.argv[1:] or ["300"])[0])
-    place = Place(Path(tempfile.mkdtemp(prefix="birchslip-grants-")))
+    place = PlannerCluster(Path(tempfile.mkdtemp(prefix="birchslip-grants-")))
     try:
         leader = place.leader()
         address = next(one.address for one in place.fleet.planners if one.name == leader)
@@ -41,7 +41,7 @@
         print(f"{asks} grants: median {median:.1f} ms, p99 {p99:.1f} ms, worst {took[-1]:.1f} ms")
         began = time.monotonic()
         place.kill(leader)
-        place.want("a-0")
+        place.evict("a-0")
         print(f"granted again {time.monotonic() - began:.2f} s after the leader's death (asked every 50 ms)")
     finally:
         place.stop()
