--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -29,7 +29,7 @@
 )
 from .cluster.release_file import read_release, release_schema
 from .cluster.rollout_batches import find_unknown_part, plan_batches
-from .cluster.rollout_messages import RolloutAction, RolloutCommand
+from .cluster.rollout_messages import READ_ACTIONS, RolloutAction, RolloutCommand
 from .cluster.rollout_types import RolloutSpec
 from .errors import InvalidInputError
 from .net.buffer import Buffer
@@ -37,7 +37,6 @@
 from .net.messagepack import pack
 
 PATIENCE = 2.0  # seconds for one planner
-SHOWN = ("show", "status", "history")  # any planner answers these, the leader best
 FLEET = click.option(
     "--fleet", "path", type=click.Path(), envvar="BIRCHSLIP_FLEET", required=True, help="The fleet file."
 )
@@ -91,7 +90,7 @@
     if not planners:
         raise NotAsked(f"no planner is named {planner!r}")
     operation = wish.action if isinstance(wish, RolloutCommand) else wish.operation
-    shows_only = operation.value in SHOWN
+    shows_only = operation is OperatorOperation.SHOW or operation in READ_ACTIONS
     answers, troubles = [], []
     for one in planners:
         try:
--- a/birchslip/cluster/eviction_handler.py
+++ b/birchslip/cluster/eviction_handler.py
@@ -18,6 +18,13 @@
 )
 
 
+def has_unknown_holder(request: EvictionRequest, observations: Mapping[str, MemberObservation]) -> bool:
+    """Whether a request is for a holder that is neither a member nor a service of the fleet."""
+    if request.operation is EvictionOperation.GRANT_OVERRIDE:
+        return False
+    return request.holder not in observations
+
+
 def handle_eviction(
     budget: DisruptionBudget, request: EvictionRequest, observations: Mapping[str, MemberObservation]
 ) -> EvictionResponse:
@@ -25,13 +32,12 @@
     if request.operation is EvictionOperation.GRANT_OVERRIDE:
         reason = budget.add_override(request.operator, request.reason, request.count, request.span)
         return EvictionResponse(granted=not reason, reason=reason)
-    observed = observations.get(request.holder)
-    if observed is None:
+    if has_unknown_holder(request, observations):
         return EvictionResponse(granted=False, reason=f"no member is named {request.holder!r}")
     if request.operation is EvictionOperation.REVOKE_PERMIT:
         budget.revoke(request.holder, request.operator)
         return EvictionResponse(granted=True)
-    incarnation = request.incarnation or observed.incarnation
+    incarnation = request.incarnation or observations[request.holder].incarnation
     if request.operation is EvictionOperation.RETURN_PERMIT:
         return EvictionResponse(granted=budget.release(request.holder, incarnation, observations))
     return _request_permit(budget, request, incarnation, observations)
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -29,7 +29,7 @@
 from .disruption_types import MemberObservation, UnavailabilityReason
 from .election import Election
 from .election_messages import ReplicationRequest
-from .eviction_handler import handle_eviction
+from .eviction_handler import handle_eviction, has_unknown_holder
 from .fleet_diff import blocked_changes, member_changes
 from .fleet_file import Fleet, span
 from .inventory import Inventory
@@ -37,7 +37,6 @@
 from .member_observations import observe_members
 from .membership import Membership
 from .messages import (
-    EvictionOperation,
     EvictionRequest,
     EvictionResponse,
     MemberReport,
@@ -303,11 +302,10 @@
     def handle_eviction(self, request: EvictionRequest, now: int) -> EvictionOutcome:
         """Carries out a request for permits."""
         observations = self.observations(now)
-        if request.operation is not EvictionOperation.GRANT_OVERRIDE and request.holder not in observations:
-            response = handle_eviction(self.budget, request, observations)
-            return EvictionOutcome(self.leadership.replicated_version, response)
         before = self.budget.encode()
         response = handle_eviction(self.budget, request, observations)
+        if has_unknown_holder(request, observations):
+            return EvictionOutcome(self.leadership.replicated_version, response)
         if self.budget.encode() != before:
             self.events.record(
                 "permits_changed",
--- a/birchslip/cluster/rollout_supervisor.py
+++ b/birchslip/cluster/rollout_supervisor.py
@@ -81,10 +81,10 @@
 
     def _record_phase_changes(self, phases_before: Mapping[int, RolloutPhase]) -> None:
         for rollout in self.controller.rollouts:
-            course = rollout.record
-            before = phases_before.get(course.number)
+            record = rollout.record
+            before = phases_before.get(record.number)
             if before is not None and before is not rollout.phase:
                 phase = rollout.phase.value
                 self.events.record(
-                    "rollout_phase_changed", number=course.number, phase=phase, why=course.reason
+                    "rollout_phase_changed", number=record.number, phase=phase, why=record.reason
                 )
