--- /dev/null
+++ b/benchmarks/same_decisions.py
@@ -0,0 +1,114 @@
+"""Compare the simulated days of two checkouts to the last digit, apart from processor time.
+
+    python benchmarks/same_decisions.py --bench PATH/TO/lbsim --why "..." \\
+        --checkout BEFORE --record before.json SITE.toml...
+    python benchmarks/same_decisions.py --bench PATH/TO/lbsim --why "..." \\
+        --checkout AFTER --against before.json SITE.toml...
+
+Each site is played for one day of each kind in `KINDS`, always with the same seeds, by the bench in the
+checkout's folder. The bench adds an entry to the journal of that checkout for each day: use a scratch clone.
+The exit code is 1 where two reports differ.
+"""
+
+from __future__ import annotations
+
+import argparse
+import json
+import subprocess
+import sys
+from collections.abc import Iterator
+from concurrent.futures import ThreadPoolExecutor
+from pathlib import Path
+from typing import NamedTuple
+
+KINDS = ("trouble", "overload")
+SEEDS = {"trouble": 7001, "overload": 7002}
+DAYS_AT_ONCE = 2
+MOST_DIFFERENCES_SHOWN = 12
+DAY_TIMEOUT_S = 300
+UNSTABLE_KEYS = frozenset({"snapshot", "usage"})  # the journal entry; processor time and memory
+
+
+class Day(NamedTuple):
+    """One day to play: a site file and the kind of day drawn from it."""
+
+    site: Path
+    kind: str
+
+    @property
+    def name(self) -> str:
+        """The key of this day in a record."""
+        return f"{self.site.stem} {self.kind} {SEEDS[self.kind]}"
+
+
+def play(bench: Path, checkout: Path, day: Day, why: str) -> object:
+    """Play one day in the checkout's folder and return its report without processor times."""
+    command = [str(bench), "run", str(day.site), "--seed", str(SEEDS[day.kind]), "--kind", day.kind]
+    command += ["--json", "--why", why]
+    done = subprocess.run(
+        command, cwd=checkout, capture_output=True, text=True, timeout=DAY_TIMEOUT_S, check=False
+    )
+    if done.returncode != 0:
+        raise RuntimeError(f"{day.name}: exit code {done.returncode}: {done.stderr[-500:]}")
+    return without_processor_time(json.loads(done.stdout))
+
+
+def without_processor_time(report: object) -> object:
+    """Copy a report without the figures that depend on the machine's load."""
+    if isinstance(report, dict):
+        return {key: value for key, value in report.items() if key not in UNSTABLE_KEYS}
+    return report
+
+
+def differences(before: object, after: object, path: str = "") -> Iterator[str]:
+    """Name every place at which two reports differ."""
+    if isinstance(before, dict) and isinstance(after, dict):
+        for key in sorted(before.keys() | after.keys()):
+            yield from differences(before.get(key), after.get(key), f"{path}.{key}")
+    elif isinstance(before, list) and isinstance(after, list) and len(before) == len(after):
+        for place, (old, new) in enumerate(zip(before, after, strict=True)):
+            yield from differences(old, new, f"{path}[{place}]")
+    elif before != after:
+        yield f"{path}: {before!r} before, {after!r} after"
+
+
+def parse_arguments() -> argparse.Namespace:
+    """Read the command line."""
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
+    parser.add_argument("sites", nargs="+", type=Path, help="site files of the bench")
+    parser.add_argument("--bench", required=True, type=Path, help="the program lbsim")
+    parser.add_argument("--checkout", required=True, type=Path, help="the checkout that is played")
+    parser.add_argument("--why", required=True, help="the note of the journal entries")
+    result = parser.add_mutually_exclusive_group(required=True)
+    result.add_argument("--record", type=Path, help="write the reports to this file")
+    result.add_argument("--against", type=Path, help="compare with the reports in this file")
+    return parser.parse_args()
+
+
+def main() -> int:
+    """Play all days; record their reports or compare them with a record."""
+    arguments = parse_arguments()
+    days = [Day(site.resolve(), kind) for site in arguments.sites for kind in KINDS]
+    with ThreadPoolExecutor(DAYS_AT_ONCE) as pool:
+        reports = list(
+            pool.map(lambda day: play(arguments.bench, arguments.checkout, day, arguments.why), days)
+        )
+    played = {day.name: report for day, report in zip(days, reports, strict=True)}
+    if arguments.record is not None:
+        arguments.record.write_text(json.dumps(played, indent=1, sort_keys=True) + "\n")
+        print(f"{len(played)} days recorded in {arguments.record}")
+        return 0
+    recorded = json.loads(arguments.against.read_text())
+    different_days = 0
+    for name, report in played.items():
+        found = list(differences(recorded[name], report))
+        different_days += bool(found)
+        print(f"{name}: {'same' if not found else f'{len(found)} differences'}", flush=True)
+        for line in found[:MOST_DIFFERENCES_SHOWN]:
+            print(f"    {line}")
+    print(f"{len(played) - different_days} of {len(played)} days are the same")
+    return 1 if different_days else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
