--- a/birchslip/admission/admission_queue.py
+++ b/birchslip/admission/admission_queue.py
@@ -12,13 +12,13 @@
 
 from .concurrency_limit import ConcurrencyLimit
 from .deadlines import Deadlines
-from .downstream import DownstreamCalls, WakeUp
+from .downstream import DownstreamCalls
 from .health import HealthMonitor
 from .memory_budget import MemoryBudget
 from .plan_override import PlanState
 from .quota import Quotas
 from .service_time import ServiceTimes
-from .types import Request, RequestState, SheddingTier, TurnGranted, WaitExpired
+from .types import Request, RequestState, SheddingTier, TurnGranted, WaitExpired, WakeUp
 from .units import MS
 
 SWEEP_INTERVAL = 4 * MS  # under pressure a sweep costs as much as all other decisions
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -15,7 +15,7 @@
 from .concurrency_limit import ConcurrencyLimit
 from .criticality import CriticalityLevel
 from .deadlines import TIMER_INTERVAL, Deadlines
-from .downstream import DownstreamCalls, WakeUp
+from .downstream import DownstreamCalls
 from .health import HealthMonitor
 from .idle_connections import IdleConnections
 from .memory_budget import KeyCapacity, MemoryBudget
@@ -62,6 +62,7 @@
     TurnGranted,
     Wait,
     WaitExpired,
+    WakeUp,
 )
 
 Steps = Generator[Action, Event, None]
--- a/birchslip/admission/downstream.py
+++ b/birchslip/admission/downstream.py
@@ -28,6 +28,7 @@
     RequestState,
     TurnGranted,
     WaitExpired,
+    WakeUp,
 )
 from .units import MS
 from .windows import QuantileWindow, WindowedCounter
@@ -50,13 +51,6 @@
     request: Request
 
 
-class WakeUp(NamedTuple):
-    """A waiting request and the event that it is resumed with."""
-
-    request: Request
-    event: Event
-
-
 class DownstreamCalls:
     """Calls of all requests to the service below."""
 
--- a/birchslip/admission/types.py
+++ b/birchslip/admission/types.py
@@ -9,7 +9,7 @@
 from collections.abc import Generator
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, ClassVar
+from typing import Any, ClassVar, NamedTuple
 
 from .quota_meter import UNMETERED, QuotaMeter
 from .units import MS as MS
@@ -94,7 +94,15 @@
 
 
 class RequestState(Enum):
-    """Where a request is."""
+    """Where a request is; `COMPLETED` also before it is queued, when nothing of it is here.
+
+    COMPLETED        -> QUEUED (admitted) | ATTACHED (a repeat)
+    QUEUED           -> RUNNING (its turn) | COMPLETED (rejected, caller gone)
+    RUNNING          -> WAITING_FOR_CALL (needs a call) | COMPLETED (run ended)
+    WAITING_FOR_CALL -> CALLING (its turn) | RUNNING (call skipped) | COMPLETED (run ended)
+    CALLING          -> RUNNING (served, skipped) | WAITING_FOR_CALL (retried) | COMPLETED (run ended)
+    ATTACHED         -> COMPLETED (original ended, deadline)
+    """
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -197,6 +205,13 @@
 Event = RunEnded | CallNeeded | CallEnded | CallerGone | TurnGranted | WaitExpired
 
 
+class WakeUp(NamedTuple):
+    """A waiting request and the event that it is resumed with."""
+
+    request: Request
+    event: Event
+
+
 # Actions that a request's steps may yield. After the first five they wait for an event.
 
 
--- /dev/null
+++ b/tests/test_decision_modules.py
@@ -0,0 +1,45 @@
+"""The decisions are pure: no I/O, no clock, no import circles, and all are listed in the deploy file."""
+
+import ast
+import tomllib
+from graphlib import TopologicalSorter
+
+import pytest
+
+from .desk import ROOT
+
+ADMISSION = ROOT / "birchslip" / "admission"
+PURE_LIBRARY = {"__future__", "bisect", "collections", "dataclasses", "enum", "heapq", "math", "typing"}
+NOT_DECISIONS = {"__init__", "driver", "settings", "types", "units"}  # types, edges and the unit of time
+MODULES = {path.stem: path for path in sorted(ADMISSION.glob("*.py"))}
+DECISIONS = sorted(MODULES.keys() - NOT_DECISIONS)
+
+
+def imports(name):
+    """The imported modules of the package, and the others, wherever in the file they are imported."""
+    inner, outer = set(), set()
+    for node in ast.walk(ast.parse(MODULES[name].read_text())):
+        if isinstance(node, ast.Import):
+            outer |= {alias.name.split(".")[0] for alias in node.names}
+        elif isinstance(node, ast.ImportFrom) and node.level == 1:
+            inner.add(node.module)
+        elif isinstance(node, ast.ImportFrom):
+            outer.add("." * node.level + node.module.split(".")[0])
+    return inner, outer
+
+
+def test_every_decision_is_listed_as_policy():
+    listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    assert sorted(listed) == [f"birchslip/admission/{name}.py" for name in DECISIONS]
+
+
+@pytest.mark.parametrize("name", DECISIONS)
+def test_a_decision_imports_nothing_that_does_io_or_tells_the_time(name):
+    inner, outer = imports(name)
+    assert outer <= PURE_LIBRARY
+    assert not inner & {"driver", "settings"}
+
+
+def test_modules_import_each_other_in_no_circle():
+    graph = {name: imports(name)[0] for name in MODULES}
+    assert set(TopologicalSorter(graph).static_order()) == MODULES.keys()
