--- a/birchslip/cluster/load_rejection.py
+++ b/birchslip/cluster/load_rejection.py
@@ -28,7 +28,7 @@
 ) -> RejectionResult:
     """Rejects the load beyond `capacity`, one tier after the other, local load last."""
     admitted = {site.name: dict(site.load) for site in sites}
-    evacuated = {site.name for site in sites if site.is_lost or site.level < 1}
+    evacuated = {site.name for site in sites if site.is_lost or site.serving_fraction < 1}
     retry_load = sum(site.retry_load for site in sites)
     rejected = dict.fromkeys(SheddingTier, 0.0)
     excess = sum(sum(load.values()) for load in admitted.values()) + retry_load - capacity
@@ -38,14 +38,14 @@
             excess -= rejected[tier]
             continue
         for pool in rejection_pools(tier, admitted, evacuated, shares, capacity):
-            size = sum(pool.values())
-            if excess <= EPSILON or size <= EPSILON:
+            pool_rate = sum(pool.values())
+            if excess <= EPSILON or pool_rate <= EPSILON:
                 continue
-            part = min(1.0, excess / size)
+            fraction = min(1.0, excess / pool_rate)
             for (site, tenant), rate in pool.items():
-                admitted[site][tenant] -= part * rate
-            rejected[tier] += part * size
-            excess -= part * size
+                admitted[site][tenant] -= fraction * rate
+            rejected[tier] += fraction * pool_rate
+            excess -= fraction * pool_rate
     return RejectionResult(admitted, {tier: rate for tier, rate in rejected.items() if rate > EPSILON})
 
 
@@ -69,24 +69,24 @@
 ) -> list[SiteTenantRates]:
     """What exceeds the tenants' shares: evacuated load first, as locally it may be within its share."""
     total: TenantRates = {}
-    visiting: TenantRates = {}
+    evacuated_total: TenantRates = {}
     for site, load in admitted.items():
         for tenant, rate in load.items():
-            visiting_rate = rate if site in evacuated else 0.0
+            evacuated_rate = rate if site in evacuated else 0.0
             total[tenant] = total.get(tenant, 0.0) + rate
-            visiting[tenant] = visiting.get(tenant, 0.0) + visiting_rate
+            evacuated_total[tenant] = evacuated_total.get(tenant, 0.0) + evacuated_rate
     evacuated_pool: SiteTenantRates = {}
     local_pool: SiteTenantRates = {}
     for tenant, rate in total.items():
         excess = max(0.0, rate - shares.get(tenant, 0.0) * capacity)
-        evacuated_excess = min(excess, visiting[tenant])
+        evacuated_excess = min(excess, evacuated_total[tenant])
         for site, load in admitted.items():
             if tenant not in load:
                 continue
-            if site in evacuated and visiting[tenant] > 0:
-                evacuated_pool[site, tenant] = evacuated_excess * load[tenant] / visiting[tenant]
-            elif site not in evacuated and rate > visiting[tenant]:
+            if site in evacuated and evacuated_total[tenant] > 0:
+                evacuated_pool[site, tenant] = evacuated_excess * load[tenant] / evacuated_total[tenant]
+            elif site not in evacuated and rate > evacuated_total[tenant]:
                 local_pool[site, tenant] = (
-                    (excess - evacuated_excess) * load[tenant] / (rate - visiting[tenant])
+                    (excess - evacuated_excess) * load[tenant] / (rate - evacuated_total[tenant])
                 )
     return [evacuated_pool, local_pool]
--- a/birchslip/cluster/operator_views.py
+++ b/birchslip/cluster/operator_views.py
@@ -80,12 +80,12 @@
         "name": site,
         "verdict": state.membership.verdict(site, now).value,
         "stage": ramp.stage.value,
-        "level": ramp.level,
+        "level": ramp.serving_fraction,
         "flaps": ramp.flap_count,
         "by_hand": ramp.evacuated_by_operator,
         "why": ramp.reason,
         "load": round(sum(state.sites.usual_load[site].values()), 1),
-        "visiting": round(published.visiting_load.get(site, 0.0), 1),
+        "visiting": round(published.remote_load.get(site, 0.0), 1),
         "refused": round(published.rejected_by_site.get(site, 0.0), 1),
     }
 
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -182,7 +182,7 @@
         """Publishes the plan of a version that a majority has stored."""
         if not self.leadership.mark_replicated(version):
             return
-        self.plans.publish(self.sites.levels())
+        self.plans.publish(self.sites.serving_fractions())
         self.quotas.follow_plan(self.plans.published, self.plans.published_levels, self.site_of_member)
 
     def replan(self, now: int) -> None:
--- a/birchslip/cluster/quota_allocator.py
+++ b/birchslip/cluster/quota_allocator.py
@@ -38,8 +38,8 @@
         self.leases: QuotaLeases | None = None
         self.evacuated_quota = 0.0
         self.alive_members: dict[str, int] = {}
-        self._levels: Mapping[str, float] = {}
-        self._visiting_load: Mapping[str, float] = {}
+        self._serving_fractions: Mapping[str, float] = {}
+        self._remote_load: Mapping[str, float] = {}
 
     def start_term(self, now: int) -> None:
         """Starts with what may still be in use of a previous leader's leases."""
@@ -57,22 +57,22 @@
             self.leases.update_members(base_quotas)
 
     def follow_plan(
-        self, plan: SitePlan, levels: Mapping[str, float], site_of_member: Mapping[str, str]
+        self, plan: SitePlan, serving_fractions: Mapping[str, float], site_of_member: Mapping[str, str]
     ) -> None:
-        """Allocates by a published plan and the sites' levels at its publication."""
-        self._levels = levels
-        self._visiting_load = plan.visiting_load
+        """Allocates by a published plan and the sites' serving fractions at its publication."""
+        self._serving_fractions = serving_fractions
+        self._remote_load = plan.remote_load
         if self.leases is None:
             self.evacuated_quota = 0.0
             return
-        evacuated = [name for name, site in site_of_member.items() if levels[site] <= 0]
+        evacuated = [name for name, site in site_of_member.items() if serving_fractions[site] <= 0]
         self.evacuated_quota = sum(self.leases.leasable_quota(name) for name in evacuated)
 
     def grant(self, report: MemberReport, site: str, now: int) -> QuotaGrant:
         """Renews the lease of the sender of a report; `site` is where it is now."""
         if self.leases is None:
             return QuotaGrant()
-        reserved = self.leases.reserved_part * self.base_quotas[report.name]
+        reserved = self.leases.reserved_fraction * self.base_quotas[report.name]
         current = max(0.0, report.call_limit - reserved) if report.lease_remaining else 0.0
         target = self._target(self.leases, report.name, site)
         leased = self.leases.grant(report.name, target, current, now)
@@ -81,15 +81,19 @@
     def _target(self, leases: QuotaLeases, name: str, site: str) -> float:
         """The leased part that a member should have: its own, and a share of the evacuated quota.
 
-        A site's share is in proportion to the visiting load that it takes on.
+        A site's share is in proportion to the remote load that it takes on.
         """
         own = leases.leasable_quota(name)
-        levels = self._levels
-        if levels.get(site, 1.0) <= 0:
+        serving_fractions = self._serving_fractions
+        if serving_fractions.get(site, 1.0) <= 0:
             return 0.0
-        site_visiting = self._visiting_load.get(site, 0.0)
-        visiting = sum(rate for place, rate in self._visiting_load.items() if levels.get(place, 1.0) > 0)
-        if not self.evacuated_quota or not visiting or not site_visiting:
+        site_remote_load = self._remote_load.get(site, 0.0)
+        total_remote_load = sum(
+            rate
+            for other_site, rate in self._remote_load.items()
+            if serving_fractions.get(other_site, 1.0) > 0
+        )
+        if not self.evacuated_quota or not total_remote_load or not site_remote_load:
             return own
         alive = max(1, self.alive_members.get(site, 0))
-        return own + self.evacuated_quota * site_visiting / visiting / alive
+        return own + self.evacuated_quota * site_remote_load / total_remote_load / alive
--- a/birchslip/cluster/quota_leases.py
+++ b/birchslip/cluster/quota_leases.py
@@ -46,7 +46,11 @@
 
     def add(self, amount: float, until: int) -> None:
         """Adds a grant; larger amounts granted before stay in force until their own end."""
-        remaining = [(larger, end) for larger, end in self.limits if end > until or larger > amount]
+        remaining = [
+            (earlier_amount, end)
+            for earlier_amount, end in self.limits
+            if end > until or earlier_amount > amount
+        ]
         self.limits = [*remaining, (amount, until)]
         self.limits.sort(key=_descending_amount)
 
@@ -61,7 +65,7 @@
     Attributes:
         base_quotas: The quota of each member by the fleet file.
         total: What all members may use together.
-        reserved_part: The part of each base quota that is never lent.
+        reserved_fraction: The part of each base quota that is never lent.
         lease_span: How long a grant is valid, in tenths of a millisecond.
         leased_total: The sum of what members may use of their leased parts.
         reserved_total: The sum of the reserved parts, those of departed members included.
@@ -71,17 +75,17 @@
         self,
         base_quotas: Mapping[str, float],
         total: float,
-        reserved_part: float,
+        reserved_fraction: float,
         lease_span: int,
         since: int,
     ) -> None:
         """Starts with nothing leased; `since` is when this leader's term began."""
         self.base_quotas = base_quotas
         self.total = total
-        self.reserved_part = reserved_part
+        self.reserved_fraction = reserved_fraction
         self.lease_span = lease_span
         self.leased_total = 0.0
-        self.reserved_total = reserved_part * sum(base_quotas.values())
+        self.reserved_total = reserved_fraction * sum(base_quotas.values())
         self._previous_leases_end = since + safe_expiry(lease_span)
         self._records = {name: LeaseRecord() for name in base_quotas}
         self._expirations: list[tuple[int, str]] = []
@@ -93,14 +97,14 @@
         the term.
         """
         joined = [quota for name, quota in base_quotas.items() if name not in self._records]
-        self.reserved_total += self.reserved_part * sum(joined)
+        self.reserved_total += self.reserved_fraction * sum(joined)
         self.base_quotas = {**self.base_quotas, **base_quotas}
         for name in base_quotas:
             self._records.setdefault(name, LeaseRecord())
 
     def leasable_quota(self, member: str) -> float:
         """Returns the leased part of a member's base quota."""
-        return (1 - self.reserved_part) * self.base_quotas[member]
+        return (1 - self.reserved_fraction) * self.base_quotas[member]
 
     def available(self, now: int) -> float:
         """Returns what nobody may use any more and has not been granted again."""
--- a/birchslip/cluster/recovery_ramp.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -17,11 +17,11 @@
 from ..admission.types import MS, SECOND
 from .messages import MemberReport
 
-STEP_LEVELS = (0.5, 0.75, 1.0)  # of the cores of each member
+STEP_FRACTIONS = (0.5, 0.75, 1.0)  # of the cores of each member
 GOOD_EVALUATIONS = 2  # in a row before the next step
 BAD_EVALUATIONS = 2  # in a row before a step is taken back
-MAX_GOOD_PACE = 1.6  # run times against the usual
-MIN_BAD_PACE = 2.5
+MAX_GOOD_SLOWDOWN = 1.6  # run times against the usual
+MIN_BAD_SLOWDOWN = 2.5
 MAX_REJECTED_RATIO = 0.5  # so large as routers offer all of the load from the first step on
 MIN_OFFERED_RATIO = 0.4  # of the load of a step, before it counts as carried
 MIN_SERVED_RATIO = 0.5  # of the capacity of a step, at which rejections come of the level alone
@@ -46,7 +46,7 @@
     """What the members of a site show during a step; rates in requests a second."""
 
     members: int
-    pace: float
+    slowdown: float
     offered: float
     served: float
     rejected_ratio: float
@@ -59,7 +59,7 @@
     rejected_ratio = sum(report.rejected for report in reports) / offered if offered else 0.0
     return StepObservation(
         members=len(reports),
-        pace=max((report.slowdown for report in reports), default=0.0),
+        slowdown=max((report.slowdown for report in reports), default=0.0),
         offered=offered,
         served=sum(report.served for report in reports),
         rejected_ratio=rejected_ratio,
@@ -72,7 +72,7 @@
     """The stage of one site. Times are in tenths of a millisecond.
 
     Attributes:
-        step: The place in `STEP_LEVELS`, while the stage is STEP.
+        step: The place in `STEP_FRACTIONS`, while the stage is STEP.
         since: When the stage or step was entered.
         flap_count: Losses in a row; each doubles the wait.
         good_streak: Evaluations in a row that showed the step carried.
@@ -94,11 +94,11 @@
     reason: str = ""
 
     @property
-    def level(self) -> float:
+    def serving_fraction(self) -> float:
         """The part of its members' cores that may be used."""
         if self.stage is RecoveryStage.SERVING:
             return 1.0
-        return STEP_LEVELS[self.step] if self.stage is RecoveryStage.STEP else 0.0
+        return STEP_FRACTIONS[self.step] if self.stage is RecoveryStage.STEP else 0.0
 
     @property
     def is_serving(self) -> bool:
@@ -179,15 +179,17 @@
         return self.reason
 
     def _evaluate_step(self, reports: list[MemberReport], usual_load: float, now: int) -> str:
-        shown = observe_step(reports)
-        self._count_streaks(shown)
+        observation = observe_step(reports)
+        self._update_streaks(observation)
         if self.bad_streak >= BAD_EVALUATIONS and self.step:
-            return self._step_back(shown, now)
-        if not self._is_carried(shown, usual_load, now):
+            return self._step_back(observation, now)
+        if not self._is_step_passed(observation, usual_load, now):
             return ""
-        if self.step + 1 < len(STEP_LEVELS):
+        if self.step + 1 < len(STEP_FRACTIONS):
             self.step += 1
-            reason = f"carried the step: pace {shown.pace:.1f}, shed {shown.rejected_ratio:.2f}"
+            reason = (
+                f"carried the step: pace {observation.slowdown:.1f}, shed {observation.rejected_ratio:.2f}"
+            )
             self._enter(RecoveryStage.STEP, now, reason)
             return self.reason
         if all(report.is_warm for report in reports):
@@ -195,31 +197,32 @@
             return self.reason
         return ""
 
-    def _count_streaks(self, shown: StepObservation) -> None:
-        if not shown.members or shown.pace >= MIN_BAD_PACE:
+    def _update_streaks(self, observation: StepObservation) -> None:
+        if not observation.members or observation.slowdown >= MIN_BAD_SLOWDOWN:
             self.good_streak = 0
             self.bad_streak += 1
             return
-        rejects_little = shown.rejected_ratio < MAX_REJECTED_RATIO or self._is_limited_by_level(shown)
-        if shown.pace <= MAX_GOOD_PACE and rejects_little:
+        is_limited_by_step = self._is_limited_by_step(observation)
+        rejects_little = observation.rejected_ratio < MAX_REJECTED_RATIO or is_limited_by_step
+        if observation.slowdown <= MAX_GOOD_SLOWDOWN and rejects_little:
             self.good_streak += 1
             self.bad_streak = 0
 
-    def _is_limited_by_level(self, shown: StepObservation) -> bool:
+    def _is_limited_by_step(self, observation: StepObservation) -> bool:
         """Whether it rejects only because it already serves as much as the step lets it."""
-        return shown.served >= MIN_SERVED_RATIO * self.level * shown.capacity
+        return observation.served >= MIN_SERVED_RATIO * self.serving_fraction * observation.capacity
 
-    def _is_carried(self, shown: StepObservation, usual_load: float, now: int) -> bool:
-        in_step = now - self.since
-        if self.good_streak < GOOD_EVALUATIONS or in_step < self.min_step_duration:
+    def _is_step_passed(self, observation: StepObservation, usual_load: float, now: int) -> bool:
+        time_in_step = now - self.since
+        if self.good_streak < GOOD_EVALUATIONS or time_in_step < self.min_step_duration:
             return False
         # A step without load has shown nothing: routers learn late which members are listed.
-        has_load = shown.offered >= MIN_OFFERED_RATIO * self.level * usual_load
-        return has_load or in_step >= IDLE_STEP_FACTOR * self.min_step_duration
+        has_load = observation.offered >= MIN_OFFERED_RATIO * self.serving_fraction * usual_load
+        return has_load or time_in_step >= IDLE_STEP_FACTOR * self.min_step_duration
 
-    def _step_back(self, shown: StepObservation, now: int) -> str:
+    def _step_back(self, observation: StepObservation, now: int) -> str:
         self.step -= 1
         self.min_step_duration = min(MAX_WAIT, 2 * self.min_step_duration)
-        reason = f"the step hurt: pace {shown.pace:.1f}, back to {self.level:.2f}"
+        reason = f"the step hurt: pace {observation.slowdown:.1f}, back to {self.serving_fraction:.2f}"
         self._enter(RecoveryStage.STEP, now, reason)
         return self.reason
--- a/birchslip/cluster/site_capacity.py
+++ b/birchslip/cluster/site_capacity.py
@@ -22,7 +22,7 @@
         load: First tries of the site's own callers, by tenant.
         retry_load: Further tries.
         is_lost: Whether it can serve nothing.
-        level: The part of its capacity that may be used, less than 1 while it recovers.
+        serving_fraction: The part of its capacity that may be used, less than 1 while it recovers.
     """
 
     name: str
@@ -30,12 +30,12 @@
     load: TenantRates
     retry_load: float = 0.0
     is_lost: bool = False
-    level: float = 1.0
+    serving_fraction: float = 1.0
 
     @property
     def capacity(self) -> float:
         """What the site can serve now."""
-        return 0.0 if self.is_lost else self.level * sum(self.member_capacity.values())
+        return 0.0 if self.is_lost else self.serving_fraction * sum(self.member_capacity.values())
 
     @property
     def total_load(self) -> float:
--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -39,8 +39,8 @@
         tenant_quotas: What each site admits of its local load, by tenant.
         visitor_quotas: What each site admits of evacuated callers, all together.
         member_sites: The site of each member that has a quota.
-        member_parts: The part of its site's quotas that each of them gets.
-        visiting_load: What each site takes on from others.
+        member_fractions: The part of its site's quotas that each of them gets.
+        remote_load: What each site takes on from others.
         is_short: Whether anything has to be rejected.
     """
 
@@ -51,23 +51,23 @@
     tenant_quotas: dict[str, TenantRates] = field(default_factory=dict)
     evacuated_quotas: dict[str, float] = field(default_factory=dict)
     member_sites: dict[str, str] = field(default_factory=dict)
-    member_parts: dict[str, float] = field(default_factory=dict)
-    visiting_load: dict[str, float] = field(default_factory=dict)
+    member_fractions: dict[str, float] = field(default_factory=dict)
+    remote_load: dict[str, float] = field(default_factory=dict)
     is_short: bool = False
 
     def member_tenant_quotas(self, member: str) -> TenantRates:
         """Returns a member's part of its site's quotas; computed on demand, as all members' would be slow."""
         if member not in self.member_sites:
             return {}
-        part = self.member_parts[member]
+        fraction = self.member_fractions[member]
         quotas = self.tenant_quotas[self.member_sites[member]]
-        return {tenant: rate * part for tenant, rate in quotas.items()}
+        return {tenant: rate * fraction for tenant, rate in quotas.items()}
 
     def member_evacuated_quota(self, member: str) -> float:
         """Returns a member's part of what its site admits of evacuated callers."""
         if member not in self.member_sites:
             return 0.0
-        return self.evacuated_quotas[self.member_sites[member]] * self.member_parts[member]
+        return self.evacuated_quotas[self.member_sites[member]] * self.member_fractions[member]
 
     def total_rejected(self) -> float:
         """Returns the sum over all tiers."""
@@ -118,7 +118,7 @@
             site.load,
             site.retry_load,
             is_lost=site.is_lost or site.name == lost_site,
-            level=site.level,
+            serving_fraction=site.serving_fraction,
         )
         for site in sites
     ]
@@ -131,19 +131,19 @@
     """Divides a site's capacity among its tenants and evacuated callers, and its quotas among its members."""
     local = plan.flows.get((site.name, site.name), 0.0)
     placed = sum(rate for (_, target), rate in plan.flows.items() if target == site.name)
-    visiting = placed - local
+    remote = placed - local
     total = max(EPSILON, sum(admitted.values()))
     demands = {tenant: local * admitted.get(tenant, 0.0) / total for tenant in shares}
-    allotted = water_fill(site.capacity - visiting, demands, shares)
+    allotted = water_fill(site.capacity - remote, demands, shares)
     # Unused capacity is free for whoever comes: a quota binds only where capacity is short.
     unused = max(0.0, site.capacity - placed)
-    plan.visiting_load[site.name] = visiting
+    plan.remote_load[site.name] = remote
     plan.utilization[site.name] = min(1.0, placed / site.capacity)
-    plan.evacuated_quotas[site.name] = visiting + unused
+    plan.evacuated_quotas[site.name] = remote + unused
     plan.tenant_quotas[site.name] = {
         tenant: allotted[tenant] + unused * share for tenant, share in shares.items()
     }
     total_capacity = sum(site.member_capacity.values())
     for member, capacity in site.member_capacity.items():
         plan.member_sites[member] = site.name
-        plan.member_parts[member] = capacity / total_capacity
+        plan.member_fractions[member] = capacity / total_capacity
--- a/birchslip/cluster/site_supervisor.py
+++ b/birchslip/cluster/site_supervisor.py
@@ -52,9 +52,9 @@
         """Returns the sites that do not carry all of their load."""
         return [site for site, ramp in self.ramps.items() if not ramp.is_serving]
 
-    def levels(self) -> dict[str, float]:
+    def serving_fractions(self) -> dict[str, float]:
         """Returns the part of each site's cores that may be used."""
-        return {site: ramp.level for site, ramp in self.ramps.items()}
+        return {site: ramp.serving_fraction for site, ramp in self.ramps.items()}
 
     # ---- stored state ----------------------------------------------------------------------------------
 
@@ -107,7 +107,7 @@
             load=self.usual_load[site],
             retry_load=self.usual_retry_load[site],
             is_lost=ramp.stage in (RecoveryStage.LOST, RecoveryStage.WAITING),
-            level=ramp.level,
+            serving_fraction=ramp.serving_fraction,
         )
 
     # ---- events ----------------------------------------------------------------------------------------
@@ -137,29 +137,29 @@
         if not reason:
             return False
         self.events.record(
-            "site_stage_changed", site=site, stage=ramp.stage.value, level=ramp.level, why=reason
+            "site_stage_changed", site=site, stage=ramp.stage.value, level=ramp.serving_fraction, why=reason
         )
         return True
 
     def _update_verdict(self, site: str, now: int) -> SiteVerdict:
         verdict = self.membership.verdict(site, now)
-        before = self.verdicts[site]
-        if verdict is not before:
-            self.events.record("site_verdict_changed", site=site, before=before.value, now=verdict.value)
+        previous = self.verdicts[site]
+        if verdict is not previous:
+            self.events.record("site_verdict_changed", site=site, before=previous.value, now=verdict.value)
             self.verdicts[site] = verdict
         return verdict
 
-    def evacuate(self, site: str, who: str, why: str, now: int) -> bool:
+    def evacuate(self, site: str, operator: str, reason: str, now: int) -> bool:
         """Evacuates a site on an operator's command; returns whether that is a change."""
-        reason = f"by hand: {who}: {why}"[:MAX_OPERATOR_REASON_LENGTH]
-        if not self.ramps[site].mark_lost(now, reason, by_operator=True):
+        stored_reason = f"by hand: {operator}: {reason}"[:MAX_OPERATOR_REASON_LENGTH]
+        if not self.ramps[site].mark_lost(now, stored_reason, by_operator=True):
             return False
-        self.events.record("site_evacuated", site=site, who=who, why=why)
+        self.events.record("site_evacuated", site=site, who=operator, why=reason)
         return True
 
-    def end_evacuation(self, site: str, who: str, now: int) -> bool:
+    def end_evacuation(self, site: str, operator: str, now: int) -> bool:
         """Lets a site recover on an operator's command; returns whether that is a change."""
         if not self.ramps[site].end_evacuation(now):
             return False
-        self.events.record("site_returned", site=site, who=who)
+        self.events.record("site_returned", site=site, who=operator)
         return True
--- a/tests/test_recovery_ramp.py
+++ b/tests/test_recovery_ramp.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from birchslip.cluster.recovery_ramp import STEP_LEVELS, RecoveryRamp, RecoveryStage
+from birchslip.cluster.recovery_ramp import STEP_FRACTIONS, RecoveryRamp, RecoveryStage
 
 from .fleetdesk import SECOND, report
 
@@ -22,7 +22,7 @@
         now += EVALUATION_INTERVAL
         reason = ramp.evaluate(shown, 4, usual, now)
         if reason:
-            changes.append((now, ramp.stage, ramp.level))
+            changes.append((now, ramp.stage, ramp.serving_fraction))
     return changes
 
 
@@ -37,11 +37,11 @@
     ramp = lost_ramp()
     changes = evaluate_until(ramp, reports(served=50.0), 0, 10 * SECOND)
     assert [stage for _, stage, _ in changes] == [
-        *[RecoveryStage.STEP] * len(STEP_LEVELS),
+        *[RecoveryStage.STEP] * len(STEP_FRACTIONS),
         RecoveryStage.SERVING,
     ]
-    assert [level for *_, level in changes][:-1] == list(STEP_LEVELS)
-    assert ramp.level == 1.0
+    assert [level for *_, level in changes][:-1] == list(STEP_FRACTIONS)
+    assert ramp.serving_fraction == 1.0
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
     duration = ramp.min_step_duration
     now = ramp.since
     changes = evaluate_until(ramp, reports(slowdown=3.0), now, now + 3 * EVALUATION_INTERVAL)
-    assert changes[0][2] == STEP_LEVELS[0]
+    assert changes[0][2] == STEP_FRACTIONS[0]
     assert ramp.min_step_duration == 2 * duration
     assert ramp.stage is RecoveryStage.STEP
 
--- a/tests/test_site_plan.py
+++ b/tests/test_site_plan.py
@@ -129,7 +129,7 @@
     )
     green = sum(plan.member_tenant_quotas(name)["green"] for name in ("b-0", "b-1"))
     assert green >= 45.0
-    assert plan.visiting_load["b"] == pytest.approx(45.0)
+    assert plan.remote_load["b"] == pytest.approx(45.0)
     assert plan.rejected == {SheddingTier.OVER_QUOTA: pytest.approx(45.0)}
 
 
--- a/tests/test_stored_planner_state.py
+++ b/tests/test_stored_planner_state.py
@@ -72,7 +72,7 @@
 def test_each_stored_stage_has_the_level_it_had(tmp_path, site, level):
     state = planner_state(tmp_path)
     state.restore(STORED_STATE, 5)
-    assert state.sites.ramps[site].level == level
+    assert state.sites.ramps[site].serving_fraction == level
 
 
 @pytest.mark.parametrize(
