--- a/birchslip/cluster/fair_share.py
+++ b/birchslip/cluster/fair_share.py
@@ -1,6 +1,7 @@
-"""Max-min fair division of a capacity among tenants.
+"""Max-min fair division of capacity among tenants.
 
-None within its share gets less than that while another gets more than its own.
+A tenant never gets less than its share, or than its demand if that is lower, so that another one can exceed
+its own share.
 """
 
 from __future__ import annotations
@@ -11,7 +12,16 @@
 
 
 def water_fill(capacity: float, demands: Mapping[str, float], weights: Mapping[str, float]) -> TenantRates:
-    """Divides a capacity max-min fairly: nobody within its weighted share gets less than it demands."""
+    """Divides capacity by weighted max-min fairness.
+
+    Args:
+        capacity: Capacity to divide.
+        demands: Demand of each tenant, in the unit of `capacity`.
+        weights: Weight of each tenant; a missing weight counts as `EPSILON`.
+
+    Returns:
+        The allotment of each tenant; a tenant that demands no more than its weighted share gets its demand.
+    """
     allotted = dict.fromkeys(demands, 0.0)
     by_demand = sorted(demands, key=lambda name: demands[name] / max(EPSILON, weights.get(name, 0.0)))
     remaining_weight = sum(max(EPSILON, weights.get(name, 0.0)) for name in by_demand)
@@ -24,7 +34,7 @@
 
 
 def normalized_shares(tenants: Mapping[str, float], sites: list[SiteCapacity]) -> TenantRates:
-    """Returns the tenants' shares scaled to a sum of 1; even ones if none are configured."""
+    """Returns the tenants' shares scaled to a sum of 1, or equal shares if none are configured."""
     names = {tenant for site in sites for tenant in site.load} | set(tenants)
     configured = {name: tenants.get(name, 0.0) for name in sorted(names)}
     total = sum(configured.values())
--- a/birchslip/cluster/load_placement.py
+++ b/birchslip/cluster/load_placement.py
@@ -1,6 +1,7 @@
-"""The second step of a site plan: local load stays at its site, the rest takes the cheapest links.
+"""Second step of a site plan: keeps local load at its site and sends the rest over the cheapest links.
 
-Places only within measured capacity. The order of every sum is part of the behaviour.
+Load is placed only within measured capacity. Rates are in requests per second. Plans are compared for exact
+equality, so the order in which floating-point values are summed must not change.
 """
 
 from __future__ import annotations
@@ -15,21 +16,29 @@
 
 
 class LoadPlacement:
-    """Places the admitted load of each site, locally first and then over the cheapest links."""
+    """Places the admitted load of each site, locally first and then over the cheapest links.
+
+    Attributes:
+        flows: Placed load by the callers' site and the serving site.
+    """
 
     def __init__(self, sites: list[SiteCapacity], admitted: dict[str, TenantRates]) -> None:
-        """Starts with nothing placed."""
+        """Starts with no load placed; `admitted` is the load by site and tenant."""
         self.flows: dict[tuple[str, str], float] = {}
         self._spare = {site.name: site.capacity for site in sites if site.capacity > 0}
         self._unplaced = {site.name: sum(admitted[site.name].values()) for site in sites}
 
     def place_locally(self) -> None:
-        """Places at each site what fits there of its own load."""
+        """Places the local load of each site there, up to the site's capacity."""
         for site in self._spare:
             self._place(site, site, self._spare[site])
 
     def place_remotely(self, costs: LinkCosts) -> None:
-        """Sends the rest over the cheapest links; links of one cost share it by spare capacity."""
+        """Places the remaining load over the cheapest links; links of equal cost share it by spare capacity.
+
+        Args:
+            costs: Cost of the link from one site to another; `DEFAULT_LINK_COST` if it is not given.
+        """
         targets_by_cost: dict[tuple[float, str], list[str]] = {}
         for source in self._unplaced:
             for target in self._spare:
--- a/birchslip/cluster/load_rejection.py
+++ b/birchslip/cluster/load_rejection.py
@@ -1,7 +1,8 @@
-"""The first step of a site plan: which load is rejected, tier by tier in the operators' order.
+"""First step of a site plan: rejects the load that exceeds the capacity of all sites.
 
-Rejects as much as all load exceeds all capacity and never places any. The order of every sum is part of the
-behaviour: plans are compared to the last digit.
+Load is rejected tier by tier in the operators' order; placing the rest is the task of `load_placement.py`.
+Rates are in requests per second. Plans are compared for exact equality, so the order in which floating-point
+values are summed must not change.
 """
 
 from __future__ import annotations
@@ -14,7 +15,12 @@
 
 
 class RejectionResult(NamedTuple):
-    """What is still admitted of each site's load by tenant, and what was rejected in which tier."""
+    """Load that is admitted and load that is rejected.
+
+    Attributes:
+        admitted: Admitted load by site and tenant, without retries.
+        rejected: Rejected load by tier.
+    """
 
     admitted: dict[str, TenantRates]
     rejected: dict[SheddingTier, float]
@@ -26,7 +32,14 @@
     order: tuple[SheddingTier, ...],
     capacity: float,
 ) -> RejectionResult:
-    """Rejects the load beyond `capacity`, one tier after the other, local load last."""
+    """Rejects the load that exceeds the capacity, one tier after another and local load last.
+
+    Args:
+        sites: Sites with their measured load.
+        shares: Share of each tenant; the sum is 1.
+        order: Tiers in the order in which load is rejected.
+        capacity: Capacity of all sites together.
+    """
     admitted = {site.name: dict(site.load) for site in sites}
     evacuated = {site.name for site in sites if site.is_lost or site.serving_fraction < 1}
     retry_load = sum(site.retry_load for site in sites)
@@ -56,7 +69,17 @@
     shares: Mapping[str, float],
     capacity: float,
 ) -> list[SiteTenantRates]:
-    """Returns what a tier may reject by site and tenant; one pool is exhausted before the next."""
+    """Returns the load that a tier may reject, as pools by site and tenant.
+
+    A pool is exhausted before load of the next one is rejected.
+
+    Args:
+        tier: Any tier but `RETRY`, whose load is not known by tenant.
+        admitted: Load by site and tenant that earlier tiers have not rejected.
+        evacuated: Sites that are lost or still recovering.
+        shares: Share of each tenant; the sum is 1.
+        capacity: Capacity of all sites together.
+    """
     if tier is SheddingTier.EVACUATED:
         return [{(site, tenant): rate for site in evacuated for tenant, rate in admitted[site].items()}]
     if tier is SheddingTier.LOCAL:
@@ -67,7 +90,10 @@
 def _over_quota_pools(
     admitted: dict[str, TenantRates], evacuated: set[str], shares: Mapping[str, float], capacity: float
 ) -> list[SiteTenantRates]:
-    """What exceeds the tenants' shares: evacuated load first, as locally it may be within its share."""
+    """Returns the load beyond the tenants' shares, in a pool of evacuated load and a pool of local load.
+
+    Evacuated load is rejected first, because the tenant's local load alone may be within its share.
+    """
     total: TenantRates = {}
     evacuated_total: TenantRates = {}
     for site, load in admitted.items():
--- a/birchslip/cluster/quota_allocator.py
+++ b/birchslip/cluster/quota_allocator.py
@@ -1,6 +1,6 @@
-"""Quota allocation: how much of the vault's quota each member should have while sites are evacuated.
+"""Quota allocation: the part of the vault's quota that each member should have while sites are evacuated.
 
-Decides the target of each member; `quota_leases.py` decides what it gets of that.
+Computes the target of each member; `quota_leases.py` decides how much of it is granted.
 """
 
 from __future__ import annotations
@@ -15,24 +15,30 @@
 
 
 class QuotaGrant(NamedTuple):
-    """Concurrent calls that a member may make, and for how long from when it sent its report."""
+    """Quota that is granted in reply to a member's report.
+
+    Attributes:
+        quota: Number of concurrent calls that the member may make.
+        lease_span: Validity from when the member sent its report, in tenths of a millisecond.
+    """
 
     quota: float = 0.0
     lease_span: int = 0
 
 
 class QuotaAllocator:
-    """The leases of this leader's term and the published plan that they follow.
+    """The leases of this leader's term, allocated by the published plan. Quotas are in concurrent calls.
 
     Attributes:
-        base_quotas: The quota of each member by the fleet file, in concurrent calls.
-        leases: None before the first term and without a vault.
-        evacuated_quota: The leased parts of all members of evacuated sites together.
-        alive_members: The number of members of each site that are alive.
+        vault: The vault's quota and lease settings; None if the fleet has no vault.
+        base_quotas: Quota of each member according to the fleet file.
+        leases: The leases of this term; None before the first term and without a vault.
+        evacuated_quota: Leasable quota of all members of evacuated sites together.
+        alive_members: Number of alive members by site.
     """
 
     def __init__(self, vault: Vault | None, base_quotas: Mapping[str, float]) -> None:
-        """Starts without leases; without a vault there never are any."""
+        """Starts without leases; without a vault none are ever granted."""
         self.vault = vault
         self.base_quotas = base_quotas
         self.leases: QuotaLeases | None = None
@@ -42,7 +48,7 @@
         self._remote_load: Mapping[str, float] = {}
 
     def start_term(self, now: int) -> None:
-        """Starts with what may still be in use of a previous leader's leases."""
+        """Starts a term, in which leases of a previous leader may still be in use."""
         vault = self.vault
         if vault is not None:
             lease_span = span(vault.lease_ms)
@@ -51,7 +57,7 @@
             )
 
     def update_members(self, base_quotas: Mapping[str, float]) -> None:
-        """Takes over the quotas of a later fleet file."""
+        """Applies the base quotas of a later fleet file."""
         self.base_quotas = base_quotas
         if self.leases is not None:
             self.leases.update_members(base_quotas)
@@ -59,7 +65,7 @@
     def follow_plan(
         self, plan: SitePlan, serving_fractions: Mapping[str, float], site_of_member: Mapping[str, str]
     ) -> None:
-        """Allocates by a published plan and the sites' serving fractions at its publication."""
+        """Allocates by a published plan and the sites' serving fractions at the time of its publication."""
         self._serving_fractions = serving_fractions
         self._remote_load = plan.remote_load
         if self.leases is None:
@@ -69,7 +75,7 @@
         self.evacuated_quota = sum(self.leases.leasable_quota(name) for name in evacuated)
 
     def grant(self, report: MemberReport, site: str, now: int) -> QuotaGrant:
-        """Renews the lease of the sender of a report; `site` is where it is now."""
+        """Renews the lease of the member that sent a report; `site` is its current site."""
         if self.leases is None:
             return QuotaGrant()
         reserved = self.leases.reserved_fraction * self.base_quotas[report.name]
@@ -79,9 +85,10 @@
         return QuotaGrant(reserved + leased, self.leases.lease_span)
 
     def _target(self, leases: QuotaLeases, name: str, site: str) -> float:
-        """The leased part that a member should have: its own, and a share of the evacuated quota.
+        """Returns the leased quota that a member should have: its own and a share of the evacuated quota.
 
-        A site's share is in proportion to the remote load that it takes on.
+        The evacuated quota is divided among sites in proportion to the remote load that the plan places
+        there, and evenly among the alive members of a site. Members of evacuated sites should have none.
         """
         own = leases.leasable_quota(name)
         serving_fractions = self._serving_fractions
--- a/birchslip/cluster/quota_leases.py
+++ b/birchslip/cluster/quota_leases.py
@@ -1,11 +1,14 @@
 """Quota leases: how many concurrent calls to the shared vault each member may make.
 
-Every member has a base quota. A *reserved* part of it is never lent, so that a member that hears no planner
-can go on calling; the rest is a lease with a known end (Gray and Cheriton 1989). What is lent on is only the
-leased part of members of a lost site whose leases have surely ended. At no instant may the quotas in use add
-up to more than the vault's total, whoever is paused, partitioned or led by whom: the member counts a lease
-from when it *sent* the report that the lease answers, on its own clock; the leader counts it from when the
-answer is *given*, and longer by a margin for clocks that run at different speeds.
+Every member has a base quota. A *reserved* fraction of it is never granted to other members, so that a
+member that receives no replies from planners can continue to make calls. The rest is leased, with a known
+expiry (Gray and Cheriton 1989). Only leased quota of members of a lost site is granted to others, and only
+once their leases have certainly expired.
+
+The quotas in use must never exceed the vault's total, even while processes are paused or partitioned, or
+follow different leaders. Therefore the member counts a lease from when it *sent* the report that the lease
+replies to, on its own clock; the leader counts it from when it *grants* it, and longer by a margin for clocks
+that run at different speeds.
 """
 
 from __future__ import annotations
@@ -15,12 +18,12 @@
 
 from ..admission.types import MS
 
-MAX_CLOCK_DRIFT = 0.02  # relative, of two monotonic clocks
+MAX_CLOCK_DRIFT = 0.02  # largest relative difference in speed of two monotonic clocks
 EXPIRY_MARGIN = 10 * MS
 
 
 def safe_expiry(lease_span: int) -> int:
-    """Returns after how long on this clock a lease of that span has ended on its holder's clock."""
+    """Returns the time on this clock after which a lease of that span has expired on its holder's clock."""
     return int(lease_span * (1 + MAX_CLOCK_DRIFT)) + EXPIRY_MARGIN
 
 
@@ -29,10 +32,10 @@
 
 
 class LeaseRecord:
-    """What one member may still use of its leased part.
+    """Leased quota that one member may still be using.
 
     Attributes:
-        limits: Falling amounts, each with the time until which it may be in use.
+        limits: Amounts in descending order, each with the time until which it may be in use.
     """
 
     def __init__(self) -> None:
@@ -41,11 +44,11 @@
 
     @property
     def amount(self) -> float:
-        """The most that may be in use now."""
+        """The largest amount that may be in use now."""
         return self.limits[0][0] if self.limits else 0.0
 
     def add(self, amount: float, until: int) -> None:
-        """Adds a grant; larger amounts granted before stay in force until their own end."""
+        """Adds a grant; larger amounts that were granted earlier are kept until they expire."""
         remaining = [
             (earlier_amount, end)
             for earlier_amount, end in self.limits
@@ -55,20 +58,20 @@
         self.limits.sort(key=_descending_amount)
 
     def expire(self, now: int) -> None:
-        """Drops what has ended."""
+        """Removes the amounts that have expired."""
         self.limits = [(amount, end) for amount, end in self.limits if end > now]
 
 
 class QuotaLeases:
-    """The leader's record of all leases, in concurrent calls.
+    """The leader's record of all leases. Quotas are in concurrent calls, times in tenths of a millisecond.
 
     Attributes:
-        base_quotas: The quota of each member by the fleet file.
-        total: What all members may use together.
-        reserved_fraction: The part of each base quota that is never lent.
-        lease_span: How long a grant is valid, in tenths of a millisecond.
-        leased_total: The sum of what members may use of their leased parts.
-        reserved_total: The sum of the reserved parts, those of departed members included.
+        base_quotas: Quota of each member according to the fleet file.
+        total: Quota of all members together.
+        reserved_fraction: Fraction of each base quota that is never granted to other members.
+        lease_span: Validity of a grant.
+        leased_total: Sum of the leased quotas that may be in use.
+        reserved_total: Sum of the reserved quotas, including those of departed members.
     """
 
     def __init__(
@@ -79,7 +82,7 @@
         lease_span: int,
         since: int,
     ) -> None:
-        """Starts with nothing leased; `since` is when this leader's term began."""
+        """Starts without leases; `since` is the time at which this leader's term began."""
         self.base_quotas = base_quotas
         self.total = total
         self.reserved_fraction = reserved_fraction
@@ -91,9 +94,9 @@
         self._expirations: list[tuple[int, str]] = []
 
     def update_members(self, base_quotas: Mapping[str, float]) -> None:
-        """Takes over a later fleet file, in which each member that stays has the same base quota.
+        """Applies a later fleet file, in which each member that stays has the same base quota.
 
-        What a departed member may still use stays recorded to its end, and its reserved part to the end of
+        The lease of a departed member is recorded until it expires, and its reserved quota until the end of
         the term.
         """
         joined = [quota for name, quota in base_quotas.items() if name not in self._records]
@@ -103,24 +106,33 @@
             self._records.setdefault(name, LeaseRecord())
 
     def leasable_quota(self, member: str) -> float:
-        """Returns the leased part of a member's base quota."""
+        """Returns the part of a member's base quota that is not reserved."""
         return (1 - self.reserved_fraction) * self.base_quotas[member]
 
     def available(self, now: int) -> float:
-        """Returns what nobody may use any more and has not been granted again."""
+        """Returns the quota that is neither reserved nor possibly in use under a lease."""
         self._expire(now)
         return max(0.0, self.total - self.reserved_total - self.leased_total)
 
     def previous_leases_ended(self, now: int) -> bool:
-        """Returns whether all leases that a previous leader may have granted have ended."""
+        """Returns whether all leases that a previous leader may have granted have expired."""
         return now >= self._previous_leases_end
 
     def grant(self, member: str, target: float, current: float, now: int) -> float:
-        """Grants a member its leased part for `lease_span` from now on.
+        """Grants a member leased quota for `lease_span` from now on.
 
-        Until all leases of the previous leader have ended, only what the member reports as its current lease
-        is renewed. After that it gets as much of its target as is available. A larger amount granted before
-        may be used up to its own end, and is recorded until then.
+        Until all leases of the previous leader have expired, only the current lease that the member reports
+        is renewed. After that the member gets as much of its target as is available. A larger amount that
+        was granted earlier may be used until it expires, and is recorded until then.
+
+        Args:
+            member: The member's name.
+            target: Leased quota that the member should have.
+            current: Leased quota that the member reports to hold.
+            now: The current time.
+
+        Returns:
+            The granted quota, at most `target`.
         """
         available = self.available(now) + self._records[member].amount
         limit = available if self.previous_leases_ended(now) else current
--- a/birchslip/cluster/recovery_ramp.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -1,11 +1,12 @@
-"""Recovery ramp: the steps in which a lost site gets its load back.
+"""Recovery ramp: returns load to a lost site in steps.
 
     SERVING -> LOST -> WAITING -> STEP 1 .. STEP n -> SERVING
-                 ^__________________|   it is lost again: the next wait is twice as long
+                 ^__________________|   if the site is lost again, the next wait is twice as long
 
-A step lasts until the members have shown, report after report, that they carry it: warm, at a usual pace and
-rejecting little. Time alone never advances a step; it only bounds the waits from below. This module decides
-the stage of one site and never whether the site is lost: that is `membership.py`.
+A step lasts until several evaluations of the members' reports show that they handle its load: at usual run
+times and with few rejections, and after the last step also warmed up. Time alone never completes a step; it
+only sets minimum durations. This module decides the stage of one site; whether the site is lost is decided by
+`membership.py`.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 from ..admission.types import MS, SECOND
 from .messages import MemberReport
 
-STEP_FRACTIONS = (0.5, 0.75, 1.0)  # of the cores of each member
-GOOD_EVALUATIONS = 2  # in a row before the next step
-BAD_EVALUATIONS = 2  # in a row before a step is taken back
-MAX_GOOD_SLOWDOWN = 1.6  # run times against the usual
+STEP_FRACTIONS = (0.5, 0.75, 1.0)  # of each member's cores
+GOOD_EVALUATIONS = 2  # before the next step, without a bad one in between
+BAD_EVALUATIONS = 2  # before the ramp goes back a step, without a good one in between
+MAX_GOOD_SLOWDOWN = 1.6  # run times relative to the usual ones
 MIN_BAD_SLOWDOWN = 2.5
-MAX_REJECTED_RATIO = 0.5  # so large as routers offer all of the load from the first step on
-MIN_OFFERED_RATIO = 0.4  # of the load of a step, before it counts as carried
-MIN_SERVED_RATIO = 0.5  # of the capacity of a step, at which rejections come of the level alone
-IDLE_STEP_FACTOR = 8  # times the least duration of a step after which it advances without load
+MAX_REJECTED_RATIO = 0.5  # high, because routers offer the full load from the first step on
+MIN_OFFERED_RATIO = 0.4  # of a step's share of the usual load, without which the step proves nothing
+MIN_SERVED_RATIO = 0.5  # of a step's capacity, from which on rejections are put down to the step's limit
+IDLE_STEP_FACTOR = 8  # times the minimum duration, after which a step without load is completed
 MIN_STEP_DURATION = 300 * MS
 FIRST_WAIT = SECOND // 2
 MAX_WAIT = 60 * SECOND
@@ -34,7 +35,7 @@
 
 
 class RecoveryStage(Enum):
-    """Where a site is on its way back; the values are stored and shown to operators."""
+    """Stage of a site's recovery; the values are stored and shown to operators."""
 
     SERVING = "home"
     LOST = "lost"
@@ -43,7 +44,16 @@
 
 
 class StepObservation(NamedTuple):
-    """What the members of a site show during a step; rates in requests a second."""
+    """Summary of the reports of a site's members; rates are in requests per second.
+
+    Attributes:
+        members: Number of members that report.
+        slowdown: The highest slowdown of a member: run times relative to the usual ones.
+        offered: Rate of served and rejected requests.
+        served: Rate of served requests.
+        rejected_ratio: Rejected requests divided by offered requests.
+        capacity: Rate that all cores of the members can serve.
+    """
 
     members: int
     slowdown: float
@@ -54,7 +64,7 @@
 
 
 def observe_step(reports: list[MemberReport]) -> StepObservation:
-    """Sums up the newest reports of the members of a site."""
+    """Summarizes the newest reports of a site's members."""
     offered = sum(report.served + report.rejected for report in reports)
     rejected_ratio = sum(report.rejected for report in reports) / offered if offered else 0.0
     return StepObservation(
@@ -69,17 +79,20 @@
 
 @dataclass(slots=True)
 class RecoveryRamp:
-    """The stage of one site. Times are in tenths of a millisecond.
+    """Recovery stage of one site. Times are in tenths of a millisecond.
 
     Attributes:
-        step: The place in `STEP_FRACTIONS`, while the stage is STEP.
-        since: When the stage or step was entered.
-        flap_count: Losses in a row; each doubles the wait.
-        good_streak: Evaluations in a row that showed the step carried.
-        bad_streak: Evaluations in a row that showed it overloaded.
-        min_step_duration: How long a step lasts at least.
-        evacuated_by_operator: Only an operator ends the evacuation.
-        reason: Why the stage was entered.
+        site: The site's name.
+        stage: The current stage.
+        step: Index into `STEP_FRACTIONS`, while the stage is STEP.
+        since: Time at which the stage or step was entered.
+        flap_count: Losses without a long time of serving between them; from the third on each doubles the
+            wait.
+        good_streak: Evaluations in which the members handled the load, since the last overloaded one.
+        bad_streak: Evaluations in which they were overloaded, since the last one in which they handled it.
+        min_step_duration: Minimum duration of a step.
+        evacuated_by_operator: Whether only an operator can end the evacuation.
+        reason: Why the stage or step was entered.
     """
 
     site: str
@@ -95,19 +108,19 @@
 
     @property
     def serving_fraction(self) -> float:
-        """The part of its members' cores that may be used."""
+        """The fraction of the members' cores that may be used."""
         if self.stage is RecoveryStage.SERVING:
             return 1.0
         return STEP_FRACTIONS[self.step] if self.stage is RecoveryStage.STEP else 0.0
 
     @property
     def is_serving(self) -> bool:
-        """Whether it carries all of its load."""
+        """Whether the site serves its full load."""
         return self.stage is RecoveryStage.SERVING
 
     @property
     def wait_duration(self) -> int:
-        """How long it waits between its loss and the first step: a site that flaps waits longer."""
+        """The time between the loss and the first step; it grows while the site is flapping."""
         if self.flap_count <= 1:
             return 0
         doublings = min(MAX_WAIT_DOUBLINGS, self.flap_count - 2)
@@ -116,7 +129,16 @@
     # ---- events ----------------------------------------------------------------------------------------
 
     def mark_lost(self, now: int, reason: str, by_operator: bool = False) -> bool:
-        """Enters LOST; returns whether that is a change."""
+        """Enters the stage LOST.
+
+        Args:
+            now: The current time.
+            reason: Why the site is lost or evacuated.
+            by_operator: Whether an operator evacuates the site.
+
+        Returns:
+            Whether the stage has changed.
+        """
         self.evacuated_by_operator = self.evacuated_by_operator or by_operator
         if self.stage is RecoveryStage.LOST:
             return False
@@ -127,23 +149,23 @@
         return True
 
     def end_evacuation(self, now: int) -> bool:
-        """Lets a site recover that an operator has evacuated; returns whether that is a change."""
+        """Starts the recovery of a site that an operator evacuated; returns whether the stage has changed."""
         if self.stage is not RecoveryStage.LOST or not self.evacuated_by_operator:
             return False
         self.evacuated_by_operator = False
-        self._enter(RecoveryStage.WAITING, now, "let back by hand")
+        self._enter(RecoveryStage.WAITING, now, "evacuation ended by an operator")
         return True
 
     def evaluate(
         self, reports: list[MemberReport], expected_members: int, usual_load: float, now: int
     ) -> str:
-        """Moves on, or back, by what the members show.
+        """Advances the ramp or goes back a step, depending on the members' reports.
 
         Args:
             reports: The newest report of each member that is alive.
-            expected_members: How many members the site has in the fleet file.
-            usual_load: The load of the site before its loss, in requests a second.
-            now: The time.
+            expected_members: Number of members that the site has in the fleet file.
+            usual_load: Load of the site before its loss, in requests per second.
+            now: The current time.
 
         Returns:
             Why the stage or step has changed, or an empty string if it has not.
@@ -153,7 +175,7 @@
         if self.stage is RecoveryStage.LOST:
             if self.evacuated_by_operator or 2 * len(reports) < expected_members or not reports:
                 return ""
-            self._enter(RecoveryStage.WAITING, now, "its members are heard again")
+            self._enter(RecoveryStage.WAITING, now, "its members report again")
             if self.wait_duration:
                 return self.reason
         if self.stage is RecoveryStage.WAITING:
@@ -175,7 +197,7 @@
         self.step = 0
         self.min_step_duration = MIN_STEP_DURATION
         waited_ms = self.wait_duration // MS
-        self._enter(RecoveryStage.STEP, now, f"waited {waited_ms} ms, flap {self.flap_count}")
+        self._enter(RecoveryStage.STEP, now, f"waited {waited_ms} ms after loss {self.flap_count}")
         return self.reason
 
     def _evaluate_step(self, reports: list[MemberReport], usual_load: float, now: int) -> str:
@@ -188,12 +210,13 @@
         if self.step + 1 < len(STEP_FRACTIONS):
             self.step += 1
             reason = (
-                f"carried the step: pace {observation.slowdown:.1f}, shed {observation.rejected_ratio:.2f}"
+                f"step completed: slowdown {observation.slowdown:.1f}, "
+                f"rejected ratio {observation.rejected_ratio:.2f}"
             )
             self._enter(RecoveryStage.STEP, now, reason)
             return self.reason
         if all(report.is_warm for report in reports):
-            self._enter(RecoveryStage.SERVING, now, "carries all of its load")
+            self._enter(RecoveryStage.SERVING, now, "serves its full load")
             return self.reason
         return ""
 
@@ -209,20 +232,20 @@
             self.bad_streak = 0
 
     def _is_limited_by_step(self, observation: StepObservation) -> bool:
-        """Whether it rejects only because it already serves as much as the step lets it."""
+        """Whether the members reject requests only because of the step's limit and not for overload."""
         return observation.served >= MIN_SERVED_RATIO * self.serving_fraction * observation.capacity
 
     def _is_step_passed(self, observation: StepObservation, usual_load: float, now: int) -> bool:
         time_in_step = now - self.since
         if self.good_streak < GOOD_EVALUATIONS or time_in_step < self.min_step_duration:
             return False
-        # A step without load has shown nothing: routers learn late which members are listed.
+        # Low load proves nothing: routers learn with a delay that the members are listed.
         has_load = observation.offered >= MIN_OFFERED_RATIO * self.serving_fraction * usual_load
         return has_load or time_in_step >= IDLE_STEP_FACTOR * self.min_step_duration
 
     def _step_back(self, observation: StepObservation, now: int) -> str:
         self.step -= 1
         self.min_step_duration = min(MAX_WAIT, 2 * self.min_step_duration)
-        reason = f"the step hurt: pace {observation.slowdown:.1f}, back to {self.serving_fraction:.2f}"
+        reason = f"overloaded: slowdown {observation.slowdown:.1f}, back to {self.serving_fraction:.2f}"
         self._enter(RecoveryStage.STEP, now, reason)
         return self.reason
--- a/birchslip/cluster/site_capacity.py
+++ b/birchslip/cluster/site_capacity.py
@@ -1,13 +1,13 @@
-"""A site as the planners measure it: what it can serve and the load of its own callers.
+"""Measured capacity of a site and load of its local callers.
 
-Rates are requests a second.
+Rates are in requests per second.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-EPSILON = 1e-9  # rates below it are rounding errors
+EPSILON = 1e-9  # lower rates are rounding errors
 
 TenantRates = dict[str, float]
 SiteTenantRates = dict[tuple[str, str], float]
@@ -15,14 +15,15 @@
 
 @dataclass(slots=True)
 class SiteCapacity:
-    """A site as it was measured.
+    """Capacity and load of one site.
 
     Attributes:
-        member_capacity: What each member could serve.
-        load: First tries of the site's own callers, by tenant.
-        retry_load: Further tries.
-        is_lost: Whether it can serve nothing.
-        serving_fraction: The part of its capacity that may be used, less than 1 while it recovers.
+        name: The site's name in the fleet file.
+        member_capacity: Rate that each member can serve.
+        load: First attempts of the site's local callers, by tenant.
+        retry_load: Retries of the site's local callers.
+        is_lost: Whether the site cannot serve any load.
+        serving_fraction: Fraction of the capacity that may be used; less than 1 while the site recovers.
     """
 
     name: str
@@ -34,10 +35,10 @@
 
     @property
     def capacity(self) -> float:
-        """What the site can serve now."""
+        """The rate that the site may serve now."""
         return 0.0 if self.is_lost else self.serving_fraction * sum(self.member_capacity.values())
 
     @property
     def total_load(self) -> float:
-        """The first tries of all tenants together."""
+        """The first attempts of all tenants together."""
         return sum(self.load.values())
--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -1,16 +1,17 @@
 """Site plan: where the load of lost sites goes, what each site admits, and what is rejected first.
 
-Works with measured capacity, not with nominal size, and never directs routers: the plan states what surviving
-sites admit. Three steps:
-
-1. *Reject*: as much as all load exceeds all capacity, tier by tier in the operators' order.
-2. *Place*: local load stays at its site, the rest takes the cheapest link that still has capacity behind it.
-3. *Quotas*: evacuated callers have one of their own; the rest of a site's capacity is divided among tenants
-   by water-filling (max-min fairness), so that none within its share gets less than that while another gets
-   more than its own.
-
-Rates are requests a second. The order of every sum is part of the behaviour: plans are compared to the last
-digit.
+The plan is computed from measured capacity, not from nominal size. It does not configure routers; it only
+states what the surviving sites admit. It is computed in three steps:
+
+1. *Reject*: rejects the load that exceeds the capacity of all sites, tier by tier in the operators' order.
+2. *Place*: keeps local load at its site and sends the rest over the cheapest links to sites with spare
+   capacity.
+3. *Quotas*: gives the evacuated callers of each site a quota of their own and divides the rest of its
+   capacity among tenants by water-filling (max-min fairness): a tenant never gets less than its share, or
+   than its demand if that is lower, so that another one can exceed its own share.
+
+Rates are in requests per second. Plans are compared for exact equality, so the order in which floating-point
+values are summed must not change.
 """
 
 from __future__ import annotations
@@ -29,19 +30,19 @@
 
 @dataclass(slots=True)
 class SitePlan:
-    """What each site admits.
+    """What each site admits; rates are in requests per second.
 
     Attributes:
-        flows: Rates from the site of the callers to the serving site, local load included.
-        rejected: Rates by the tier that they were rejected in.
-        rejected_by_site: The same by site of the callers.
-        utilization: The planned load of each site over its capacity, at most 1.
-        tenant_quotas: What each site admits of its local load, by tenant.
-        visitor_quotas: What each site admits of evacuated callers, all together.
-        member_sites: The site of each member that has a quota.
-        member_fractions: The part of its site's quotas that each of them gets.
-        remote_load: What each site takes on from others.
-        is_short: Whether anything has to be rejected.
+        flows: Placed load by the callers' site and the serving site, local load included.
+        rejected: Rejected load by tier.
+        rejected_by_site: Rejected load, without retries, by the callers' site.
+        utilization: Planned load of each site divided by its capacity, at most 1.
+        tenant_quotas: Quota of each tenant for local load, by site.
+        evacuated_quotas: Quota of all evacuated callers together, by site.
+        member_sites: Site of each member that has a quota.
+        member_fractions: Fraction of its site's quotas that each of these members gets.
+        remote_load: Load from callers of other sites that is placed at each site.
+        is_short: Whether any load has to be rejected.
     """
 
     flows: dict[tuple[str, str], float] = field(default_factory=dict)
@@ -56,7 +57,10 @@
     is_short: bool = False
 
     def member_tenant_quotas(self, member: str) -> TenantRates:
-        """Returns a member's part of its site's quotas; computed on demand, as all members' would be slow."""
+        """Returns a member's part of its site's tenant quotas.
+
+        The quotas are computed on demand, because computing them for all members of a plan is slow.
+        """
         if member not in self.member_sites:
             return {}
         fraction = self.member_fractions[member]
@@ -64,13 +68,13 @@
         return {tenant: rate * fraction for tenant, rate in quotas.items()}
 
     def member_evacuated_quota(self, member: str) -> float:
-        """Returns a member's part of what its site admits of evacuated callers."""
+        """Returns a member's part of its site's quota for evacuated callers."""
         if member not in self.member_sites:
             return 0.0
         return self.evacuated_quotas[self.member_sites[member]] * self.member_fractions[member]
 
     def total_rejected(self) -> float:
-        """Returns the sum over all tiers."""
+        """Returns the rejected load of all tiers."""
         return sum(self.rejected.values())
 
 
@@ -80,13 +84,13 @@
     costs: LinkCosts,
     order: tuple[SheddingTier, ...] = ALL_TIERS,
 ) -> SitePlan:
-    """Returns the plan for the sites as they are.
+    """Returns the plan for the given sites.
 
     Args:
-        sites: The measured sites.
-        tenants: The configured share of each tenant.
-        costs: Of links from site to site, `DEFAULT_LINK_COST` where there is none.
-        order: The tiers in which load is rejected; local load is always the last one.
+        sites: Sites with their measured capacity and load.
+        tenants: Configured share of each tenant.
+        costs: Cost of the link from one site to another; `DEFAULT_LINK_COST` if it is not given.
+        order: Tiers in the order in which load is rejected; local load is always rejected last.
     """
     shares = normalized_shares(tenants, sites)
     capacity = sum(site.capacity for site in sites)
@@ -110,7 +114,7 @@
     costs: LinkCosts,
     order: tuple[SheddingTier, ...] = ALL_TIERS,
 ) -> SitePlan:
-    """Returns the plan that the loss of a site would bring about now."""
+    """Returns the plan that would apply if `lost_site` were lost now; see `plan_sites` for the arguments."""
     remaining = [
         SiteCapacity(
             site.name,
@@ -128,14 +132,15 @@
 def _set_quotas(
     plan: SitePlan, site: SiteCapacity, admitted: TenantRates, shares: Mapping[str, float]
 ) -> None:
-    """Divides a site's capacity among its tenants and evacuated callers, and its quotas among its members."""
+    """Sets the quotas of a site's tenants and of its evacuated callers, and the fraction of each member."""
     local = plan.flows.get((site.name, site.name), 0.0)
     placed = sum(rate for (_, target), rate in plan.flows.items() if target == site.name)
     remote = placed - local
     total = max(EPSILON, sum(admitted.values()))
     demands = {tenant: local * admitted.get(tenant, 0.0) / total for tenant in shares}
     allotted = water_fill(site.capacity - remote, demands, shares)
-    # Unused capacity is free for whoever comes: a quota binds only where capacity is short.
+    # Unused capacity is added to the quotas of both tenants and evacuated callers, so that quotas only limit
+    # load where capacity is short.
     unused = max(0.0, site.capacity - placed)
     plan.remote_load[site.name] = remote
     plan.utilization[site.name] = min(1.0, placed / site.capacity)
--- a/birchslip/cluster/site_supervisor.py
+++ b/birchslip/cluster/site_supervisor.py
@@ -1,7 +1,7 @@
-"""Site supervision: the verdict on each site, its evacuation and its way back.
+"""Site supervision: the verdict on each site, its evacuation and its recovery.
 
-Owns the recovery ramps and the usual load of the sites. It evacuates a site only on the verdict LOST or an
-operator's command, and never works out where the load goes: that is `site_plan.py`.
+Owns the recovery ramps and the usual load of the sites. A site is evacuated only on the verdict LOST or on an
+operator's command; where its load goes is decided by `site_plan.py`.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from .replicated_state import SiteState
 from .site_capacity import SiteCapacity
 
-LOAD_SMOOTHING = 0.1  # of each sample: a mean over about two seconds
+LOAD_SMOOTHING = 0.1  # weight of each sample: a mean over about two seconds
 MAX_OPERATOR_REASON_LENGTH = 300  # characters
-LOST_REASON = "no planner hears it and its doors are shut"
+LOST_REASON = "no planner receives its reports and probes of its members failed"
 SITE_LOST_EVENT = "site_lost"
 
 
 def restore_ramps(stored: Mapping[str, SiteState], sites: Iterable[str], now: int) -> dict[str, RecoveryRamp]:
-    """Returns the ramp of each site; stored sites that the fleet file does not name are ignored."""
+    """Returns the ramp of each site; stored sites that are not in the fleet file are ignored."""
     return {
         site: stored[site].to_ramp(site, now) if site in stored else RecoveryRamp(site, since=now)
         for site in sites
@@ -29,13 +29,15 @@
 
 
 class SiteSupervisor:
-    """The state of all sites. Rates are in requests a second, times in tenths of a millisecond.
+    """State of all sites. Rates are in requests per second, times in tenths of a millisecond.
 
     Attributes:
-        ramps: The recovery ramp of each site.
-        verdicts: The verdict on each site at the last evaluation as leader.
-        usual_load: The smoothed load of each site by tenant.
-        usual_retry_load: The same of further tries.
+        membership: The members of each site and their reports.
+        events: Buffer for the events that this object logs.
+        ramps: Recovery ramp of each site.
+        verdicts: Verdict on each site at the last evaluation as leader.
+        usual_load: Smoothed rate of first attempts at each site, by tenant.
+        usual_retry_load: Smoothed rate of retries at each site.
     """
 
     def __init__(self, sites: Iterable[str], membership: Membership, events: EventBuffer, now: int) -> None:
@@ -49,17 +51,17 @@
         self._last_capacity: dict[str, float] = {}
 
     def sites_not_serving(self) -> list[str]:
-        """Returns the sites that do not carry all of their load."""
+        """Returns the sites that do not serve their full load."""
         return [site for site, ramp in self.ramps.items() if not ramp.is_serving]
 
     def serving_fractions(self) -> dict[str, float]:
-        """Returns the part of each site's cores that may be used."""
+        """Returns the fraction of each site's cores that may be used."""
         return {site: ramp.serving_fraction for site, ramp in self.ramps.items()}
 
     # ---- stored state ----------------------------------------------------------------------------------
 
     def stored_sites(self) -> dict[str, SiteState]:
-        """Returns what is to be stored: sites that are not serving or have flapped."""
+        """Returns the states to store: those of sites that are not serving or have flapped."""
         return {
             site: SiteState.from_ramp(ramp, self.usual_load[site])
             for site, ramp in self.ramps.items()
@@ -67,7 +69,7 @@
         }
 
     def restore(self, stored: Mapping[str, SiteState], now: int) -> None:
-        """Takes over what the previous leader had stored."""
+        """Restores the states that the previous leader stored."""
         self.ramps = restore_ramps(stored, self.ramps, now)
         for site, state in stored.items():
             if site in self.ramps:
@@ -76,7 +78,10 @@
     # ---- measurements ----------------------------------------------------------------------------------
 
     def measure_load(self, now: int) -> None:
-        """Updates the usual load of each site; to be called only while all sites serve and are heard."""
+        """Updates the usual load of each site.
+
+        Must be called only while all sites are serving and their reports arrive.
+        """
         for site, usual in self.usual_load.items():
             reports = [member.report for member in self.membership.alive_members(site, now)]
             for tenant in {name for report in reports for name in report.local_load} | set(usual):
@@ -86,13 +91,13 @@
             self.usual_retry_load[site] += (retry_load - self.usual_retry_load[site]) * LOAD_SMOOTHING
 
     def member_capacity(self, member: Member) -> float:
-        """Returns a member's measured capacity; of one that has just started, the last one before that."""
+        """Returns a member's measured capacity, or the last known one while a restarted member has none."""
         if member.report.capacity > 0:
             self._last_capacity[member.name] = member.report.capacity
         return self._last_capacity.get(member.name, 0.0)
 
     def capacities(self) -> list[SiteCapacity]:
-        """Returns the sites as they are now, for the plan."""
+        """Returns the current capacity and usual load of each site, for the site plan."""
         return [self._site_capacity(site, ramp) for site, ramp in self.ramps.items()]
 
     def _site_capacity(self, site: str, ramp: RecoveryRamp) -> SiteCapacity:
@@ -113,11 +118,11 @@
     # ---- events ----------------------------------------------------------------------------------------
 
     def evaluate(self, site_sizes: Mapping[str, int], now: int) -> bool:
-        """Judges all sites; returns whether any has changed its stage or step.
+        """Evaluates all sites; returns whether any has changed its stage or step.
 
         Args:
-            site_sizes: The number of members of each site in the fleet file.
-            now: The time.
+            site_sizes: Number of members of each site in the fleet file.
+            now: The current time.
         """
         changes = [
             self._evaluate_site(site, ramp, site_sizes[site], now) for site, ramp in self.ramps.items()
@@ -150,15 +155,15 @@
         return verdict
 
     def evacuate(self, site: str, operator: str, reason: str, now: int) -> bool:
-        """Evacuates a site on an operator's command; returns whether that is a change."""
-        stored_reason = f"by hand: {operator}: {reason}"[:MAX_OPERATOR_REASON_LENGTH]
+        """Evacuates a site on an operator's command; returns whether its stage has changed."""
+        stored_reason = f"by operator {operator}: {reason}"[:MAX_OPERATOR_REASON_LENGTH]
         if not self.ramps[site].mark_lost(now, stored_reason, by_operator=True):
             return False
         self.events.record("site_evacuated", site=site, who=operator, why=reason)
         return True
 
     def end_evacuation(self, site: str, operator: str, now: int) -> bool:
-        """Lets a site recover on an operator's command; returns whether that is a change."""
+        """Ends an operator's evacuation on command; returns whether the site's stage has changed."""
         if not self.ramps[site].end_evacuation(now):
             return False
         self.events.record("site_returned", site=site, who=operator)
