--- a/birchslip/cluster/recovery_ramp.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -88,8 +88,8 @@
         since: Time at which the stage or step was entered.
         flap_count: Losses without a long time of serving between them; from the third on each doubles the
             wait.
-        good_streak: Evaluations in which the members handled the load, since the last overloaded one.
-        bad_streak: Evaluations in which they were overloaded, since the last one in which they handled it.
+        good_streak: Evaluations of this step that showed the load handled, since the last overloaded one.
+        bad_streak: Evaluations of this step that showed an overload, since the last good one.
         min_step_duration: Minimum duration of a step.
         evacuated_by_operator: Whether only an operator can end the evacuation.
         reason: Why the stage or step was entered.
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""Quota leases: never may more calls be in use than the vault's total."""
+"""Quota leases: the quotas in use never exceed the vault's total, and members obey only valid replies."""
 
 import pytest
 from hypothesis import given, settings
@@ -12,8 +12,8 @@
 BASES = {"a": 4.0, "b": 4.0, "c": 4.0}
 
 
-def leases_of(since=-(10**6), total=12.0, kept=0.5):
-    return QuotaLeases(BASES, total, kept, SPAN, since)
+def leases_of(since=-(10**6), total=12.0, reserved_fraction=0.5):
+    return QuotaLeases(BASES, total, reserved_fraction, SPAN, since)
 
 
 @settings(max_examples=200, deadline=None)
@@ -24,28 +24,30 @@
     )
 )
 def test_the_quotas_in_use_never_exceed_the_total(grants):
-    """Each grant answers a report that was sent some time before; members' own clocks bound their use."""
+    """Each grant replies to a report sent some time before; members count the lease from the sending."""
     leases, now = leases_of(), 0
     subscriptions = {name: PlanSubscription(0.5 * base, 0, 0) for name, base in BASES.items()}
-    author = Incarnation(nonce=1)
-    for name, wanted, delay, transit in grants:
+    planner = Incarnation(nonce=1)
+    for name, target, delay, transit in grants:
         now += delay
-        amount = leases.grant(name, wanted, 0.0, now)
-        assert 0 <= amount <= wanted
-        reply = ReportReply(term=1, planner=author, is_leading=True, call_limit=2.0 + amount, lease_span=SPAN)
+        amount = leases.grant(name, target, 0.0, now)
+        assert 0 <= amount <= target
+        reply = ReportReply(
+            term=1, planner=planner, is_leading=True, call_limit=2.0 + amount, lease_span=SPAN
+        )
         subscriptions[name].accept(reply, now - transit, now)
         for moment in (now, now + SPAN // 2):
-            assert sum(one.allowed_calls(moment) for one in subscriptions.values()) <= 12.0 + 1e-6
+            assert sum(member.allowed_calls(moment) for member in subscriptions.values()) <= 12.0 + 1e-6
         assert leases.leased_total + leases.reserved_total <= 12.0 + 1e-6
 
 
-def test_the_lease_of_a_silent_member_is_lent_only_after_its_safe_expiry():
+def test_the_lease_of_a_silent_member_is_granted_to_others_only_after_its_safe_expiry():
     leases = leases_of()
     for name in BASES:
         assert leases.grant(name, 2.0, 0.0, 0) == 2.0
-    assert leases.grant("b", 4.0, 2.0, SPAN) == 2.0  # a's may still run
+    assert leases.grant("b", 4.0, 2.0, SPAN) == 2.0  # the lease of a may still be in use
     assert leases.grant("b", 4.0, 2.0, safe_expiry(SPAN)) == 4.0
-    assert leases.grant("a", 2.0, 0.0, safe_expiry(SPAN) + 10) == 2.0  # what c no longer holds
+    assert leases.grant("a", 2.0, 0.0, safe_expiry(SPAN) + 10) == 2.0  # the expired lease of c
 
 
 def test_a_new_leader_only_renews_until_the_previous_leases_have_ended():
@@ -56,7 +58,7 @@
     assert leases.grant("b", 2.0, 0.0, safe_expiry(SPAN)) == 2.0
 
 
-def test_a_larger_grant_stays_recorded_until_its_end():
+def test_a_larger_grant_stays_recorded_until_it_expires():
     leases = leases_of()
     leases.grant("a", 6.0, 0.0, 0)
     leases.grant("a", 1.0, 0.0, 1_000)
@@ -64,14 +66,14 @@
     assert leases.available(safe_expiry(SPAN)) == 5.0
 
 
-# ---- the member's side --------------------------------------------------------------------------------
+# ---- member side --------------------------------------------------------------------------------------
 
-FIRST, SECOND_AUTHOR = Incarnation(nonce=1), Incarnation(nonce=2)
+FIRST_PLANNER, SECOND_PLANNER = Incarnation(nonce=1), Incarnation(nonce=2)
 
 
-def assignment(epoch, number, span=40_000, listed=True):
+def assignment(term, number, span=40_000, listed=True):
     return PlanAssignment(
-        term=epoch,
+        term=term,
         number=number,
         validity_span=span,
         fade_span=10_000,
@@ -85,43 +87,45 @@
     )
 
 
-def reply_of(epoch=5, author=FIRST, leads=True, number=1, **more):
-    plan = assignment(epoch, number, **{name: more.pop(name) for name in ("span", "listed") if name in more})
-    return ReportReply(term=epoch, planner=author, is_leading=leads, assignment=plan, **more)
+def reply_of(term=5, planner=FIRST_PLANNER, is_leading=True, number=1, **fields):
+    plan = assignment(
+        term, number, **{name: fields.pop(name) for name in ("span", "listed") if name in fields}
+    )
+    return ReportReply(term=term, planner=planner, is_leading=is_leading, assignment=plan, **fields)
 
 
 @pytest.mark.parametrize(
     ("reply", "is_obeyed"),
     [
         (reply_of(), True),
-        (reply_of(epoch=6, author=SECOND_AUTHOR), True),
-        (reply_of(epoch=4), False),
-        (reply_of(author=SECOND_AUTHOR, number=9), False),
-        (reply_of(epoch=9, leads=False), False),
+        (reply_of(term=6, planner=SECOND_PLANNER), True),
+        (reply_of(term=4), False),
+        (reply_of(planner=SECOND_PLANNER, number=9), False),
+        (reply_of(term=9, is_leading=False), False),
     ],
     ids=[
         "same leader",
-        "newer epoch",
-        "older epoch",
-        "other leader of the epoch",
+        "newer term",
+        "older term",
+        "other leader of the same term",
         "follower",
     ],
 )
-def test_which_replies_are_obeyed(reply, is_obeyed):
+def test_a_reply_is_obeyed_only_from_the_leader_of_the_newest_term(reply, is_obeyed):
     member = PlanSubscription(1.0, 0, 0)
     assert member.accept(reply_of(), 0, 10)
     assert member.accept(reply, 20, 30) is is_obeyed
     assert member.term == max(5, reply.term if is_obeyed else 0)
 
 
-def test_a_reply_with_a_long_transit_has_expired_on_arrival():
+def test_a_reply_that_took_too_long_has_expired_on_arrival():
     member = PlanSubscription(1.0, 0, 0)
     assert member.accept(reply_of(call_limit=3.0, lease_span=30_000), 0, 50_000)
     assert member.assignment is None
     assert member.allowed_calls(50_000) == 1.0
 
 
-def test_an_older_plan_of_the_same_epoch_is_ignored_and_a_doubled_one_only_extends_it():
+def test_an_older_plan_of_the_same_term_is_ignored_and_a_repeated_one_only_extends_it():
     member = PlanSubscription(1.0, 0, 0)
     member.accept(reply_of(number=4), 0, 10)
     member.accept(reply_of(number=3, listed=False), 5_000, 5_010)
@@ -131,7 +135,7 @@
     assert member.assignment_expires_at == 45_000
 
 
-def test_a_member_that_hears_nobody_is_listed_after_its_patience_and_after_a_plan_has_expired():
+def test_a_member_without_replies_is_listed_after_its_patience_and_after_its_plan_expires():
     member = PlanSubscription(1.0, 15_000, 0)
     assert not member.is_listed(14_999)
     assert member.is_listed(15_000)
--- a/tests/test_recovery_ramp.py
+++ b/tests/test_recovery_ramp.py
@@ -1,4 +1,4 @@
-"""Recovery ramp: steps advance on evidence, overloaded ones are taken back, flapping sites wait longer."""
+"""Recovery ramp: completed steps advance it, overloaded ones set it back, and flapping sites wait longer."""
 
 from itertools import pairwise
 
@@ -11,16 +11,16 @@
 EVALUATION_INTERVAL = 1_000
 
 
-def reports(count=4, **more):
-    return [report(f"a-{n}", **more) for n in range(count)]
+def reports(count=4, **fields):
+    return [report(f"a-{n}", **fields) for n in range(count)]
 
 
-def evaluate_until(ramp, shown, now, until, usual=200.0):
-    """Evaluates at each tick until that time; returns the changes."""
+def evaluate_until(ramp, member_reports, now, until, usual_load=200.0):
+    """Evaluates at each interval until that time; returns the changes of stage and step."""
     changes = []
     while now < until:
         now += EVALUATION_INTERVAL
-        reason = ramp.evaluate(shown, 4, usual, now)
+        reason = ramp.evaluate(member_reports, 4, usual_load, now)
         if reason:
             changes.append((now, ramp.stage, ramp.serving_fraction))
     return changes
@@ -28,24 +28,24 @@
 
 def lost_ramp(now=0):
     ramp = RecoveryRamp("a")
-    assert ramp.mark_lost(now, "shut")
-    assert not ramp.mark_lost(now + 1, "again")
+    assert ramp.mark_lost(now, "probes failed")
+    assert not ramp.mark_lost(now + 1, "probes failed again")
     return ramp
 
 
-def test_it_serves_after_the_last_step():
+def test_the_site_serves_after_the_last_step():
     ramp = lost_ramp()
     changes = evaluate_until(ramp, reports(served=50.0), 0, 10 * SECOND)
     assert [stage for _, stage, _ in changes] == [
         *[RecoveryStage.STEP] * len(STEP_FRACTIONS),
         RecoveryStage.SERVING,
     ]
-    assert [level for *_, level in changes][:-1] == list(STEP_FRACTIONS)
+    assert [fraction for *_, fraction in changes][:-1] == list(STEP_FRACTIONS)
     assert ramp.serving_fraction == 1.0
 
 
 @pytest.mark.parametrize(
-    ("shown", "stage", "step"),
+    ("member_reports", "stage", "step"),
     [
         ([], RecoveryStage.LOST, 0),
         (reports(1), RecoveryStage.LOST, 0),
@@ -54,21 +54,21 @@
         (reports(served=5.0, rejected=50.0), RecoveryStage.STEP, 0),
         (reports(is_warm=False, served=50.0), RecoveryStage.STEP, 2),
     ],
-    ids=["nobody", "one of four", "no load", "slow", "nearly all rejected", "cold"],
+    ids=["no member", "one of four members", "no load", "slow", "most rejected", "not warm"],
 )
-def test_it_does_not_advance_without_evidence(shown, stage, step):
+def test_the_ramp_does_not_advance_without_evidence(member_reports, stage, step):
     ramp = lost_ramp()
-    evaluate_until(ramp, shown, 0, 2 * SECOND)
+    evaluate_until(ramp, member_reports, 0, 2 * SECOND)
     assert (ramp.stage, ramp.step) == (stage, step)
 
 
-def test_rejections_due_to_the_level_alone_do_not_block_it():
+def test_rejections_due_to_the_step_limit_alone_do_not_block_the_ramp():
     ramp = lost_ramp()
     evaluate_until(ramp, reports(served=50.0, rejected=60.0), 0, 5 * SECOND)
     assert ramp.stage is RecoveryStage.SERVING
 
 
-def test_an_overloaded_step_is_taken_back_and_lasts_longer():
+def test_an_overloaded_step_goes_back_and_doubles_the_minimum_duration():
     ramp = lost_ramp()
     while ramp.step < 1:
         evaluate_until(ramp, reports(served=50.0), 0, EVALUATION_INTERVAL)
@@ -85,19 +85,19 @@
 def test_a_flapping_site_waits_longer_each_time_up_to_a_limit():
     ramp, waits, now = RecoveryRamp("a"), [], 0
     for _ in range(12):
-        ramp.mark_lost(now, "shut")
+        ramp.mark_lost(now, "probes failed")
         waits.append(ramp.wait_duration)
         ramp.evaluate(reports(), 4, 200.0, now + 1)
         now += SECOND
     assert waits[0] == 0
-    assert all(b >= 2 * a or b == 600_000 for a, b in pairwise(waits[1:]))
+    assert all(later >= 2 * earlier or later == 600_000 for earlier, later in pairwise(waits[1:]))
     assert waits[-1] == 600_000
 
 
-def test_flaps_are_forgiven_after_serving_for_long():
+def test_the_flap_count_restarts_after_a_long_time_of_serving():
     ramp = lost_ramp()
     evaluate_until(ramp, reports(served=50.0), 0, 10 * SECOND)
-    ramp.mark_lost(ramp.since + 700 * SECOND, "shut")
+    ramp.mark_lost(ramp.since + 700 * SECOND, "probes failed")
     assert ramp.flap_count == 1
 
 
--- a/tests/test_site_plan.py
+++ b/tests/test_site_plan.py
@@ -24,11 +24,11 @@
 def site_sets(draw):
     """Draws measured sites and the costs of the links between them."""
     sites = []
-    for place in range(draw(st.integers(1, 5))):
-        capacities = {f"s{place}-{n}": draw(rates) for n in range(draw(st.integers(1, 3)))}
+    for number in range(draw(st.integers(1, 5))):
+        capacities = {f"s{number}-{member}": draw(rates) for member in range(draw(st.integers(1, 3)))}
         load = {tenant: draw(rates) for tenant in TENANTS}
         retry_load = draw(st.floats(0, 100))
-        sites.append(SiteCapacity(f"s{place}", capacities, load, retry_load, is_lost=draw(st.booleans())))
+        sites.append(SiteCapacity(f"s{number}", capacities, load, retry_load, is_lost=draw(st.booleans())))
     costs = {(a.name, b.name): draw(st.floats(0, 9)) for a in sites for b in sites}
     return sites, costs
 
@@ -38,73 +38,79 @@
 def test_load_is_conserved_and_no_site_exceeds_its_capacity(site_set, tenants, order):
     sites, costs = site_set
     plan = plan_sites(sites, tenants, costs, order)
-    asked = sum(sum(site.load.values()) for site in sites)
+    offered = sum(sum(site.load.values()) for site in sites)
     retry_load = plan.rejected.get(SheddingTier.RETRY, 0.0)
     placed = sum(plan.flows.values())
-    assert placed + plan.total_rejected() - retry_load == pytest.approx(asked, abs=1e-3)
+    assert placed + plan.total_rejected() - retry_load == pytest.approx(offered, abs=1e-3)
     for site in sites:
-        taken = sum(amount for (_, to), amount in plan.flows.items() if to == site.name)
-        assert taken <= site.capacity + 1e-3
-        left = sum(amount for (home, _), amount in plan.flows.items() if home == site.name)
-        assert left + plan.rejected_by_site[site.name] == pytest.approx(sum(site.load.values()), abs=1e-3)
-        home = plan.flows.get((site.name, site.name), 0.0)
+        served = sum(rate for (_, target), rate in plan.flows.items() if target == site.name)
+        assert served <= site.capacity + 1e-3
+        placed_from_site = sum(rate for (source, _), rate in plan.flows.items() if source == site.name)
+        assert placed_from_site + plan.rejected_by_site[site.name] == pytest.approx(
+            sum(site.load.values()), abs=1e-3
+        )
+        local = plan.flows.get((site.name, site.name), 0.0)
         if site.capacity > 0:
             quotas = sum(sum(plan.member_tenant_quotas(name).values()) for name in site.member_capacity)
-            assert quotas == pytest.approx(site.capacity - (taken - home), abs=1e-3)
-            visits = sum(plan.member_evacuated_quota(name) for name in site.member_capacity)
-            assert visits == pytest.approx(site.capacity - home, abs=1e-3)
+            assert quotas == pytest.approx(site.capacity - (served - local), abs=1e-3)
+            evacuated_quota = sum(plan.member_evacuated_quota(name) for name in site.member_capacity)
+            assert evacuated_quota == pytest.approx(site.capacity - local, abs=1e-3)
     assert plan.is_short == (plan.total_rejected() > 1e-9)
-    assert all(amount >= 0 for amount in plan.flows.values())
+    assert all(rate >= 0 for rate in plan.flows.values())
 
 
 @settings(max_examples=200, deadline=None)
 @given(site_sets(), shares, st.sampled_from(TIER_ORDERS), rates)
-def test_more_capacity_never_means_more_rejected(site_set, tenants, order, more):
+def test_more_capacity_never_means_more_rejected(site_set, tenants, order, added_capacity):
     sites, costs = site_set
     before = plan_sites(sites, tenants, costs, order).total_rejected()
     first = sites[0]
-    roomier = SiteCapacity(
-        first.name, {**first.member_capacity, "more": more}, first.load, first.retry_load, first.is_lost
+    larger = SiteCapacity(
+        first.name,
+        {**first.member_capacity, "added": added_capacity},
+        first.load,
+        first.retry_load,
+        first.is_lost,
     )
-    assert plan_sites([roomier, *sites[1:]], tenants, costs, order).total_rejected() <= before + 1e-3
+    assert plan_sites([larger, *sites[1:]], tenants, costs, order).total_rejected() <= before + 1e-3
 
 
 @settings(max_examples=200, deadline=None)
 @given(site_sets(), shares, st.sampled_from(TIER_ORDERS))
-def test_a_later_tier_is_rejected_only_after_the_earlier_ones(site_set, tenants, order):
+def test_a_tier_is_rejected_only_after_the_earlier_tiers_are_exhausted(site_set, tenants, order):
     sites, costs = site_set
     plan = plan_sites(sites, tenants, costs, order)
     tiers = [*order, SheddingTier.LOCAL]
     if SheddingTier.RETRY in order:
         later = tiers[tiers.index(SheddingTier.RETRY) + 1 :]
         if any(plan.rejected.get(tier, 0) > 1e-6 for tier in later):
-            used_up = sum(site.retry_load for site in sites)
-            assert plan.rejected.get(SheddingTier.RETRY, 0.0) == pytest.approx(used_up, abs=1e-3)
+            total_retry_load = sum(site.retry_load for site in sites)
+            assert plan.rejected.get(SheddingTier.RETRY, 0.0) == pytest.approx(total_retry_load, abs=1e-3)
     if SheddingTier.EVACUATED in order and plan.rejected.get(SheddingTier.LOCAL, 0.0) > 1e-6:
         for site in sites:
             if site.is_lost:
-                assert sum(flow for (home, _), flow in plan.flows.items() if home == site.name) < 1e-3
+                assert sum(rate for (source, _), rate in plan.flows.items() if source == site.name) < 1e-3
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.floats(0, 1000), st.dictionaries(st.sampled_from("abcdef"), rates), st.data())
-def test_water_filling_gives_nobody_less_than_its_share_while_it_demands_more(room, demands, data):
+def test_water_filling_gives_each_tenant_at_least_the_lower_of_demand_and_share(capacity, demands, data):
     weights = {name: data.draw(st.floats(0.01, 1)) for name in demands}
-    parts = water_fill(room, demands, weights)
-    assert sum(parts.values()) <= room + 1e-6
+    allotted = water_fill(capacity, demands, weights)
+    assert sum(allotted.values()) <= capacity + 1e-6
     total = sum(weights.values())
-    for name, asked in demands.items():
-        assert parts[name] >= min(asked, room * weights[name] / total) - 1e-6
+    for name, demand in demands.items():
+        assert allotted[name] >= min(demand, capacity * weights[name] / total) - 1e-6
 
 
-def two_sites(load_a, load_b, room=100.0, is_lost=True):
+def two_sites(load_a, load_b, capacity=100.0, is_lost=True):
     return [
-        SiteCapacity("a", {"a-0": room}, load_a, is_lost=is_lost),
-        SiteCapacity("b", {"b-0": room / 2, "b-1": room / 2}, load_b),
+        SiteCapacity("a", {"a-0": capacity}, load_a, is_lost=is_lost),
+        SiteCapacity("b", {"b-0": capacity / 2, "b-1": capacity / 2}, load_b),
     ]
 
 
-def test_home_load_stays_and_the_cheapest_link_is_used_first():
+def test_local_load_stays_and_the_rest_takes_the_cheapest_link_first():
     sites = [
         SiteCapacity("a", {"a-0": 100}, {"blue": 60.0}, is_lost=True),
         SiteCapacity("b", {"b-0": 100}, {"blue": 70.0}),
@@ -123,7 +129,7 @@
     assert plan.is_short
 
 
-def test_a_home_tenant_gets_its_share_before_visitors_are_admitted():
+def test_a_local_tenant_gets_its_share_before_evacuated_load_is_admitted():
     plan = plan_sites(
         two_sites({"blue": 90.0}, {"blue": 10.0, "green": 45.0}), {"blue": 0.5, "green": 0.5}, {}
     )
@@ -133,7 +139,7 @@
     assert plan.rejected == {SheddingTier.OVER_QUOTA: pytest.approx(45.0)}
 
 
-def test_the_plan_without_a_site_shows_what_would_be_short():
+def test_plan_without_site_reports_the_capacity_shortage():
     plan = plan_without_site(two_sites({"blue": 30.0}, {"blue": 60.0}, is_lost=False), "a", {}, {})
     assert plan.flows["a", "b"] == pytest.approx(30.0)
     assert not plan.is_short
@@ -143,7 +149,7 @@
 
 
 @pytest.mark.parametrize("is_lost", [True, False], ids=["lost sites", "serving sites"])
-def test_a_tenant_that_only_one_of_several_sites_serves_can_be_rejected(is_lost):
+def test_rejects_load_of_a_tenant_that_has_load_at_only_one_of_several_sites(is_lost):
     sites = [
         SiteCapacity("a", {"a-0": 100.0}, {"blue": 10.0, "red": 150.0}, is_lost=is_lost),
         SiteCapacity("b", {"b-0": 100.0}, {"blue": 10.0}, is_lost=is_lost),
