--- a/birchslip/idempotency/flush_queue.py
+++ b/birchslip/idempotency/flush_queue.py
@@ -86,14 +86,14 @@
         now = self._scheduler.now
         if self._disk.time_passed(now):
             self._report_disk_state()
-            self._abandon_listeners()
+            self._notify_all_not_flushed()
         if self._disk.needs_probe(now):
             self.append(ResultRecord(RecordKind.VOID, bytes(KEY_BYTES), now, 0))
 
     def _append_done(self, on_done: Callable[[AppendTask], None] | None, task: AppendTask) -> None:
         now = self._scheduler.tell_time()
         self._unflushed -= 1
-        self._account(now - task.submitted_at, bool(task.error))
+        self._record_latency(now - task.submitted_at, bool(task.error))
         if task.error:
             self._segment_has_failed = True
             has_changed = self._disk.flush_failed(now, task.error)
@@ -104,19 +104,19 @@
         if on_done is not None:
             on_done(task)
         if task.error:
-            self._abandon_listeners()
+            self._notify_all_not_flushed()
 
     def _notify_listener(self, number: int, is_flushed: bool) -> None:
         listener = self._listeners.pop(number, None)
         if listener is not None:  # else it was notified before, at a stall or an error
             listener(is_flushed)
 
-    def _abandon_listeners(self) -> None:
+    def _notify_all_not_flushed(self) -> None:
         listeners, self._listeners = self._listeners, {}
         for listener in listeners.values():
             listener(False)
 
-    def _account(self, latency: int, has_failed: bool) -> None:
+    def _record_latency(self, latency: int, has_failed: bool) -> None:
         self._counters.count("keep.unflushed" if has_failed else "keep.flushed")
         self._counters.peak("keep.flush_ms", latency // MS)
         self._latencies_ms.append(latency / MS)
@@ -125,12 +125,12 @@
 
     def _report_latencies(self) -> None:
         latencies_ms, self._latencies_ms = self._latencies_ms, []
-        cuts = quantiles(latencies_ms, n=PERCENTILES, method="inclusive")
+        percentiles = quantiles(latencies_ms, n=PERCENTILES, method="inclusive")
         self._log.info(
             "store_flush_latency",
             flushes=len(latencies_ms),
-            p50_ms=round(cuts[49], 2),
-            p99_ms=round(cuts[98], 2),
+            p50_ms=round(percentiles[49], 2),
+            p99_ms=round(percentiles[98], 2),
         )
 
     def _report_disk_state(self) -> None:
--- a/birchslip/idempotency/record_format.py
+++ b/birchslip/idempotency/record_format.py
@@ -29,7 +29,7 @@
 from .errors import CorruptRecordError
 
 RECORD_HEADER = struct.Struct("<2sBBI16sqIII")
-RECORD_MARK = b"\xb5k"
+RECORD_MAGIC = b"\xb5k"
 CHECKSUM = struct.Struct("<I")
 MAX_BODY_BYTES = 1 << 20
 MIN_COMPRESSED_BYTES = 256  # shorter results don't gain from compression
@@ -180,7 +180,7 @@
     return xxhash.xxh32_intdigest(raw)
 
 
-def seal(header: bytes) -> bytes:
+def with_checksum(header: bytes) -> bytes:
     """Replace the last four bytes of a header by the checksum of the others."""
     content = header[: -CHECKSUM.size]
     return content + CHECKSUM.pack(checksum(content))
@@ -190,7 +190,7 @@
     """Encode a record as it is stored."""
     body = _encode_body(record)
     header = RECORD_HEADER.pack(
-        RECORD_MARK,
+        RECORD_MAGIC,
         record.kind.value,
         0,
         len(body),
@@ -200,7 +200,7 @@
         checksum(body),
         0,
     )
-    return seal(header) + body
+    return with_checksum(header) + body
 
 
 def read_fragments(raw: bytes, offset: int = 0) -> Iterator[RecordFragment]:
@@ -219,10 +219,12 @@
     while offset < end:
         kind = None
         if end - offset >= header_size:
-            mark, code, _, body_size, key, arrived_at, retention, body_sum, header_sum = unpack_header(
+            magic, code, _, body_size, key, arrived_at, retention, body_sum, header_sum = unpack_header(
                 raw, offset
             )
-            is_intact = mark == RECORD_MARK and digest(view[offset : offset + header_size - 4]) == header_sum
+            is_intact = (
+                magic == RECORD_MAGIC and digest(view[offset : offset + header_size - 4]) == header_sum
+            )
             if is_intact and body_size <= MAX_BODY_BYTES:
                 kind = KINDS_BY_CODE.get(code)
         if kind is None:
@@ -270,9 +272,9 @@
 
 def _find_header(raw: bytes, offset: int) -> int:
     """The next offset with an intact header, or the end."""
-    while (offset := raw.find(RECORD_MARK, offset)) >= 0:
+    while (offset := raw.find(RECORD_MAGIC, offset)) >= 0:
         header = raw[offset : offset + RECORD_HEADER.size]
-        if len(header) == RECORD_HEADER.size and seal(header) == header:
+        if len(header) == RECORD_HEADER.size and with_checksum(header) == header:
             return offset
         offset += 1
     return len(raw)
--- a/birchslip/idempotency/result_store.py
+++ b/birchslip/idempotency/result_store.py
@@ -77,8 +77,10 @@
         self.scheduler = scheduler
         self.counters = counters
         self.log = log
-        self.max_retention = max([one.key_retention for one in request_classes], default=0)
-        grace = max([one.deadline for one in request_classes], default=0)
+        self.max_retention = max(
+            [request_class.key_retention for request_class in request_classes], default=0
+        )
+        grace = max([request_class.deadline for request_class in request_classes], default=0)
         self.budget = RetentionBudget(settings.entries, settings.bytes, grace)
         self.disk = DiskHealth(settings.stall_ms * MS)
         self.files = SegmentFiles(Path(settings.folder), owner, system)
@@ -175,13 +177,13 @@
             return
         record = _make_started(request)
 
-        def flushed(is_flushed: bool) -> None:
+        def on_flushed(is_flushed: bool) -> None:
             if not is_flushed:
                 self._append_never_ran(record)
             listener(is_flushed)
 
         self.budget.start_entry(record.expires_at)
-        self.flush_queue.append_and_wait(record, flushed)
+        self.flush_queue.append_and_wait(record, on_flushed)
 
     def record_never_ran(self, request: Passage) -> None:
         """Record that a request whose start was recorded will not be launched after all."""
--- a/birchslip/idempotency/segment_header.py
+++ b/birchslip/idempotency/segment_header.py
@@ -7,16 +7,18 @@
 import xxhash
 
 from .errors import ForeignStoreError, UnsupportedVersionError
-from .record_format import CHECKSUM, checksum, seal
+from .record_format import CHECKSUM, checksum, with_checksum
 
 SEGMENT_HEADER = struct.Struct("<8sHHIQI")  # mark, version, zero, serial, checksum of owner, checksum
-SEGMENT_MARK = b"bslpkeep"
+SEGMENT_MAGIC = b"bslpkeep"
 FORMAT_VERSION = 1
 
 
 def encode_segment_header(serial: int, owner: str) -> bytes:
     """Encode the header of the segment `serial` in the store of `owner`."""
-    return seal(SEGMENT_HEADER.pack(SEGMENT_MARK, FORMAT_VERSION, 0, serial, _checksum_owner(owner), 0))
+    return with_checksum(
+        SEGMENT_HEADER.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0, serial, _checksum_owner(owner), 0)
+    )
 
 
 def decode_segment_header(raw: bytes, owner: str) -> int | None:
@@ -29,8 +31,8 @@
     header = raw[: SEGMENT_HEADER.size]
     if len(header) < SEGMENT_HEADER.size:
         return None
-    mark, version, _, serial, owner_sum, header_sum = SEGMENT_HEADER.unpack(header)
-    if mark != SEGMENT_MARK or checksum(header[: -CHECKSUM.size]) != header_sum:
+    magic, version, _, serial, owner_sum, header_sum = SEGMENT_HEADER.unpack(header)
+    if magic != SEGMENT_MAGIC or checksum(header[: -CHECKSUM.size]) != header_sum:
         return None
     if version > FORMAT_VERSION:
         raise UnsupportedVersionError(version, FORMAT_VERSION)
--- a/birchslip/idempotency/writer.py
+++ b/birchslip/idempotency/writer.py
@@ -166,7 +166,7 @@
         with self._condition:
             batch = list(self._submitted)
             self._submitted.clear()
-        executed = [task for task in batch if self._attempt(task)]
+        executed = [task for task in batch if self._execute(task)]
         appended = [task for task in executed if isinstance(task, AppendTask)]
         if appended:
             self._flush(appended)
@@ -187,7 +187,7 @@
                 self._condition.wait()
             return bool(self._submitted)
 
-    def _attempt(self, task: WriterTask) -> bool:
+    def _execute(self, task: WriterTask) -> bool:
         try:
             task.execute(self._files)
         except OSError as error:
