--- a/birchslip/idempotency/__init__.py
+++ b/birchslip/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""Durable results by idempotency key: which requests were started and what they came to, across restarts."""
+"""Durable results by idempotency key: which requests were started and how they ended, across restarts."""
--- a/birchslip/idempotency/disk_health.py
+++ b/birchslip/idempotency/disk_health.py
@@ -1,4 +1,4 @@
-"""Whether the disk of the store is fit for new keyed requests, as its flushes show.
+"""Health of the store's disk, derived from its flushes: whether new keyed requests may start.
 
 | state | event | next state |
 | --- | --- | --- |
@@ -7,9 +7,10 @@
 | healthy, stalled | a flush fails | failed |
 | failed | a probe is flushed | healthy |
 
-In every state but healthy, keyed requests are rejected before they start; the others are served. The state
-recovers without a restart: while the disk has failed, a void record is written now and then as a probe. This
-module does no I/O and reads no clock; times are in ticks.
+In every state but healthy, keyed requests are rejected before they start; other requests are served. The
+state recovers without a restart: while the disk has failed, void records are written as probes, at intervals
+that double up to a limit. This module does no I/O and reads no clock. Times are in ticks of a tenth of a
+millisecond.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 MIN_PROBE_INTERVAL = SECOND // 2
 MAX_PROBE_INTERVAL = 10 * SECOND
-NO_FLUSH = -1
+NO_FLUSH = -1  # time that stands for no pending flush
 
 
 class DiskState(Enum):
-    """The value is the operators' word for the state."""
+    """State of the disk; the values are shown to operators."""
 
     HEALTHY = "good"
     STALLED = "stalled"
@@ -32,10 +33,18 @@
 
 
 class DiskHealth:
-    """The state machine of one disk; each event returns whether the state has changed."""
+    """State machine of one disk.
+
+    The methods for events return whether the state has changed.
+
+    Attributes:
+        stall_limit: Age in ticks from which on an unfinished flush counts as stalled.
+        state: The current state.
+        reason: Why the disk is not healthy, in one line; empty if it is.
+    """
 
     def __init__(self, stall_limit: int) -> None:
-        """Start healthy; a flush that takes longer than `stall_limit` ticks counts as stalled."""
+        """Start healthy, without a pending flush."""
         self.stall_limit = stall_limit
         self.state = DiskState.HEALTHY
         self.reason = ""
@@ -49,25 +58,25 @@
         return self.state is DiskState.HEALTHY
 
     def flush_requested(self, now: int) -> None:
-        """Something waits for a flush from now on."""
+        """Handle a request for a flush; the pending flush counts from the first one."""
         if self._oldest_flush_at == NO_FLUSH:
             self._oldest_flush_at = now
 
     def flush_succeeded(self, now: int, more_pending: bool) -> bool:
-        """A flush has succeeded; `more_pending` is whether others wait for the next one."""
+        """Handle a successful flush; `more_pending` states whether records wait for the next flush."""
         self._oldest_flush_at = now if more_pending else NO_FLUSH
         self._probe_interval = MIN_PROBE_INTERVAL
         return self._enter(DiskState.HEALTHY, "")
 
     def flush_failed(self, now: int, reason: str) -> bool:
-        """A write or a flush has failed."""
+        """Handle a failed write or flush, and schedule the next probe."""
         self._oldest_flush_at = NO_FLUSH
         self._next_probe_at = now + self._probe_interval
         self._probe_interval = min(2 * self._probe_interval, MAX_PROBE_INTERVAL)
         return self._enter(DiskState.FAILED, reason)
 
     def time_passed(self, now: int) -> bool:
-        """Detect a stall."""
+        """Detect a stalled flush; called periodically."""
         is_waiting = self._oldest_flush_at != NO_FLUSH
         if not self.is_healthy or not is_waiting or now - self._oldest_flush_at < self.stall_limit:
             return False
@@ -75,7 +84,7 @@
         return self._enter(DiskState.STALLED, f"no flush for {waited_ms} ms")
 
     def needs_probe(self, now: int) -> bool:
-        """Whether a probe is due; none is while one is under way."""
+        """Return whether a probe is due; none is due while another one is pending."""
         is_waiting = self._oldest_flush_at != NO_FLUSH
         return self.state is DiskState.FAILED and not is_waiting and now >= self._next_probe_at
 
--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -1,8 +1,9 @@
-"""Answers for idempotency keys that an earlier incarnation of the app server started.
+"""Answers to repeats of requests that an earlier incarnation of the app server started.
 
-The index of the recovered store says which keys those are; their results are read from the segments when a
-repeat requests one. A run whose end the agent still reports is completed late. This module never lets such a
-key run again: the table of keys decides that, and is given an entry that has run.
+The index of the recovered store holds the keys of these requests; their results are read from the segments
+when a repeat arrives. If the agent reports the end of such a run only now, the run is completed late. Whether
+a key may run is decided by the table of keys alone; the entries that it gets from this module count as having
+run.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class DiscardingCaller:
-    """The caller of a request of an earlier incarnation: there is nobody to answer."""
+    """Caller of a request of an earlier incarnation; its connection is gone, so answers are discarded."""
 
     def __init__(self) -> None:
         """Start without open requests."""
@@ -42,22 +43,22 @@
 
 
 class EarlierResults:
-    """The keys of earlier incarnations, and the answers to their repeats.
+    """Keys of earlier incarnations and answers to their repeats.
 
     Attributes:
-        on_resolved: Notified of the entry of a key and what it came to, once that is known.
+        on_resolved: Called with the entry of a key and the outcome of its run, once the outcome is known.
     """
 
     def __init__(
         self, counters: Counters, writer: Writer, flush_queue: FlushQueue, recovered: RecoveredStore
     ) -> None:
-        """Answer from a recovered store, which is changed as keys are resolved and expire."""
+        """Answer from a recovered store, which is updated as keys are resolved or expire."""
         self.on_resolved: ResolutionListener
         self._counters = counters
         self._writer = writer
         self._flush_queue = flush_queue
         self._recovered = recovered
-        self._entries: dict[bytes, Label] = {}  # of the keys that were requested since the start
+        self._entries: dict[bytes, Label] = {}  # of keys that were repeated since the start
 
     @property
     def is_empty(self) -> bool:
@@ -66,11 +67,14 @@
 
     @property
     def entry_count(self) -> int:
-        """How many keys that were requested since the start are in memory."""
+        """The number of keys in memory: those that were repeated since the start."""
         return len(self._entries)
 
     def find(self, request: Passage) -> Label | None:
-        """The entry of a request's key if an earlier incarnation started it; its result is fetched."""
+        """Return the entry of a request's key if an earlier incarnation started it, or None.
+
+        If the result is stored, it is read from its segment, and `on_resolved` is called afterwards.
+        """
         key = bytes.fromhex(request.label_name)
         location = self._recovered.index.get(key, request.stamp)
         if location is None:
@@ -92,7 +96,7 @@
         return entry
 
     def complete_run(self, run_id: str, outcome: Outcome, result: bytes) -> None:
-        """Complete a run of an earlier incarnation whose end the agent still reports; others are ignored."""
+        """Complete a run of an earlier incarnation whose end the agent reports late; ignore other runs."""
         started = self._recovered.open_runs.pop(run_id, None)
         if started is None:
             return
@@ -104,7 +108,7 @@
         self._flush_queue.append(completed, partial(self._completion_done, completed))
 
     def forget(self, now: int) -> None:
-        """Forget all keys, once the last one has expired."""
+        """Drop all keys; called once the last one has expired."""
         self._recovered.index = KeyIndex(now)
         self._entries = {}
 
@@ -124,13 +128,13 @@
     def _completion_done(self, record: ResultRecord, task: AppendTask) -> None:
         index = self._recovered.index
         if record.outcome in NEVER_RAN_OUTCOMES:
-            index.put(record.key, 0)  # expired: the key is free again
+            index.put(record.key, 0)  # expired, so that the key can be started again
         elif not task.error:
             index.put(record.key, record.expires_at, pack_location(task.serial, task.offset))
 
 
 def _make_entry(repeat: Passage) -> Label:
-    """The entry of a key whose first request, as far as the controller is concerned, has run and is over."""
+    """Return an entry whose original request has, to the admission controller, run and been answered."""
     arrived_at = repeat.stamp
     request_class = repeat.transaction.request_class
     request = Request(request_class, caller=0, arrived_at=arrived_at, deadline=arrived_at, size=0)
--- a/birchslip/idempotency/errors.py
+++ b/birchslip/idempotency/errors.py
@@ -6,41 +6,41 @@
 
 
 class UnsupportedVersionError(BirchslipError, ValueError):
-    """A segment was written by a later version of the format; it must be left untouched.
+    """A segment was written in a later version of the format and must not be changed.
 
     Attributes:
-        version: The version of the segment.
-        supported: The latest version that this program reads.
+        version: The format version of the segment.
+        supported: The latest format version that this program reads.
     """
 
     def __init__(self, version: int, supported: int) -> None:
-        """Name both versions."""
-        super().__init__(f"of version {version}, and this program reads up to {supported}")
+        """State both versions in the message."""
+        super().__init__(f"segment of version {version}, but this program reads versions up to {supported}")
         self.version = version
         self.supported = supported
 
 
 class ForeignStoreError(BirchslipError, ValueError):
-    """A segment belongs to the store of another owner.
+    """A segment belongs to the store of a different owner.
 
     Attributes:
-        owner: The owner that was expected.
+        owner: The expected owner.
     """
 
     def __init__(self, owner: str) -> None:
-        """Name the owner that was expected; the other one is known only by its checksum."""
-        super().__init__(f"kept by another name than {owner!r}")
+        """State the expected owner in the message; of the actual one the segment only holds a checksum."""
+        super().__init__(f"segment does not belong to {owner!r}")
         self.owner = owner
 
 
 class CorruptRecordError(BirchslipError, ValueError):
-    """A record can't be decoded.
+    """A record cannot be decoded.
 
     Attributes:
-        offset: Where the record starts in its segment, in bytes.
+        offset: Offset of the record in its segment, in bytes.
     """
 
     def __init__(self, offset: int) -> None:
-        """Name the offset of the record."""
-        super().__init__(f"the record at {offset} can't be decoded")
+        """State the offset in the message."""
+        super().__init__(f"the record at offset {offset} cannot be decoded")
         self.offset = offset
--- a/birchslip/idempotency/flush_queue.py
+++ b/birchslip/idempotency/flush_queue.py
@@ -1,8 +1,8 @@
-"""Appends records to the store, notifies who waits for a flush, and accounts for flushes and disk health.
+"""Appends records to the store, notifies listeners of flushes, and tracks flush latency and disk health.
 
-Nobody waits longer than a stall: once the disk is not healthy, all who wait are notified that their record is
-not flushed, and are not notified again if it is flushed after all. This module decides which segment a record
-goes to, and does no I/O itself.
+No listener waits longer than the stall limit: once the disk is not healthy, all waiting listeners are
+notified that their record is not flushed, and are not notified again if it is flushed later. This module
+decides which segment a record is appended to, and does no I/O itself.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 PERCENTILES = 100
 KEY_BYTES = 16
 
-FlushListener = Callable[[bool], None]  # notified whether its record was flushed
+FlushListener = Callable[[bool], None]  # its argument states whether the record was flushed
 
 
 class FlushQueue:
-    """The records that are on their way to the disk."""
+    """Records that are submitted to the writer and not flushed yet."""
 
     def __init__(
         self,
@@ -40,26 +40,35 @@
         budget: RetentionBudget,
         disk: DiskHealth,
     ) -> None:
-        """Start with nothing on its way."""
+        """Start empty.
+
+        Args:
+            scheduler: Source of the time; calls the listeners.
+            counters: Where flushes and changes of the disk state are counted, as `keep.*`.
+            log: Where flush latencies and changes of the disk state are logged.
+            writer: Executes the appends in its thread.
+            budget: Accounts for the segments and their records.
+            disk: Health of the disk, updated on each flush.
+        """
         self._scheduler = scheduler
         self._counters = counters
         self._log = log
         self._writer = writer
         self._budget = budget
         self._disk = disk
-        self._listeners: dict[int, FlushListener] = {}  # by the number of the append
+        self._listeners: dict[int, FlushListener] = {}  # by append number
         self._last_append = 0
         self._unflushed = 0
         self._segment_has_failed = False
-        self._latencies_ms: list[float] = []  # as those saw it who waited; until the next event
+        self._latencies_ms: list[float] = []  # from submission to notification, since the last event
 
     def append(self, record: ResultRecord, on_done: Callable[[AppendTask], None] | None = None) -> None:
-        """Append a record; `on_done` is called once it is flushed, or has failed."""
+        """Append a record; `on_done` is called once the record is flushed or has failed."""
         raw = encode(record)
         starts_segment = self._segment_has_failed or self._budget.needs_new_segment(len(raw))
         if starts_segment:
-            # After an error the old segment is not written to: what the system reports of it later can't be
-            # relied on.
+            # After an error the old segment is not written to again: a later flush of it may report success
+            # although data was lost.
             self._segment_has_failed = False
             self._budget.add_segment(self._budget.segments[-1].serial + 1, SEGMENT_HEADER.size)
         self._budget.add_record(len(raw), record.expires_at)
@@ -75,14 +84,17 @@
         self._writer.submit(task)
 
     def append_and_wait(self, record: ResultRecord, listener: FlushListener) -> None:
-        """Append a record; the listener is notified once whether it was flushed, at a stall at the latest."""
+        """Append a record and notify the listener once whether it was flushed.
+
+        The listener is notified at the latest when the disk counts as stalled.
+        """
         self._last_append += 1
         number = self._last_append
         self._listeners[number] = listener
         self.append(record, lambda task: self._notify_listener(number, not task.error))
 
     def time_passed(self) -> None:
-        """Detect a stall, and probe a disk that has failed."""
+        """Detect a stalled disk and probe a failed one; called periodically."""
         now = self._scheduler.now
         if self._disk.time_passed(now):
             self._report_disk_state()
@@ -108,7 +120,7 @@
 
     def _notify_listener(self, number: int, is_flushed: bool) -> None:
         listener = self._listeners.pop(number, None)
-        if listener is not None:  # else it was notified before, at a stall or an error
+        if listener is not None:  # None if it was notified at a stall or an error
             listener(is_flushed)
 
     def _notify_all_not_flushed(self) -> None:
--- a/birchslip/idempotency/maintenance.py
+++ b/birchslip/idempotency/maintenance.py
@@ -1,7 +1,7 @@
-"""The operators' commands for a store: show it, verify it, and compact it.
+"""Operators' commands for a store: show, verify and compact it.
 
-Nothing is changed but by `compact_store`, and that only while no program has the store. The reports become
-JSON with the operators' words for their fields, which are read by tools and must not change.
+Only `compact_store` changes the store, and only while no other program uses it. The reports are printed as
+JSON; tools read them, so the names of their keys must not change.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 UNBOUNDED_ENTRIES = 1 << 30
 UNBOUNDED_BYTES = 1 << 40
-MAX_RETENTION = 1 << 30  # ticks, a day: no request classes are known here, so the records are believed
+MAX_RETENTION = 1 << 30  # ticks, about a day; in place of the request classes' retentions, unknown here
 MAX_SHOWN_RUNS = 20
 
 
@@ -56,23 +56,23 @@
         "is_in_doubt": "doubt",
     },
 ):
-    """What a store contains.
+    """Contents of a store.
 
     Attributes:
-        owner: The app server whose store it is.
-        is_locked: Whether a program has it at the moment.
-        segments: The number of its files.
-        stored_bytes: The bytes of its files, without a truncated end.
-        keys: The number of keys that have not expired.
-        unknown: How many keys were started, and nothing is known of their results.
-        expired: How many records have expired.
-        first_expiry_s: In how many seconds the first key expires; None without keys.
-        last_expiry_s: In how many seconds the last key expires; None without keys.
-        open_runs: The ids of runs that were started and not completed, up to `MAX_SHOWN_RUNS`.
-        intact: How many records can be read.
-        truncated: How many records are cut short.
-        corrupt: How many records have an intact header and a damaged body.
-        lost: How many stretches have no intact header.
+        owner: Name of the app server that owns the store.
+        is_locked: Whether a program is using the store.
+        segments: Number of segments.
+        stored_bytes: Size of the segments in bytes, without a truncated record at the end.
+        keys: Number of keys that have not expired.
+        unknown: Number of keys that were started and whose results are unknown.
+        expired: Number of expired records.
+        first_expiry_s: Seconds until the first key expires; None without keys.
+        last_expiry_s: Seconds until the last key expires; None without keys.
+        open_runs: Ids of runs that were started and not completed, up to `MAX_SHOWN_RUNS`.
+        intact: Number of records that can be read.
+        truncated: Number of records that are cut short.
+        corrupt: Number of records with an intact header and a damaged body.
+        lost: Number of ranges of bytes without an intact header.
         is_in_doubt: Whether records were lost, so that keys may be missing.
     """
 
@@ -98,7 +98,14 @@
     frozen=True,
     rename={"segment": "file", "offset": "at", "state": "found", "size": "bytes"},
 ):
-    """A record that can't be read whole: its segment's file name, its offset and its size in bytes."""
+    """A record that cannot be read whole.
+
+    Attributes:
+        segment: File name of the segment.
+        offset: Offset in the segment in bytes.
+        state: How much of the record can be read.
+        size: Size of the record or its remains in bytes.
+    """
 
     segment: str
     offset: int
@@ -116,7 +123,14 @@
         "damaged_records": "troubles",
     },
 ):
-    """Whether every segment header and every record of a store can be read."""
+    """Whether every segment header and every record of a store can be read.
+
+    Attributes:
+        owner: Name of the app server that owns the store.
+        segments: Number of segments.
+        are_headers_intact: Whether all segment headers are intact.
+        damaged_records: Records that cannot be read whole.
+    """
 
     owner: str
     segments: int
@@ -127,7 +141,14 @@
 class CompactionReport(
     msgspec.Struct, frozen=True, rename={"owner": "name", "keys": "labels", "bytes_after": "bytes"}
 ):
-    """How many keys a store was compacted to, and its size before and after."""
+    """Result of a compaction.
+
+    Attributes:
+        owner: Name of the app server that owns the store.
+        keys: Number of keys in the compacted store.
+        bytes_before: Size of the store before the compaction.
+        bytes_after: Size of the compacted store.
+    """
 
     owner: str
     keys: int
@@ -136,7 +157,13 @@
 
 
 class StoreSnapshot(NamedTuple):
-    """A whole store in memory: its segments, oldest first, and what is known of its keys."""
+    """A whole store in memory.
+
+    Attributes:
+        segments: The segments, oldest first.
+        recovered: The recovered state of the keys.
+        stored_bytes: Size of the segments in bytes, without a truncated record at the end.
+    """
 
     segments: list[SegmentContent]
     recovered: RecoveredStore
@@ -144,7 +171,15 @@
 
 
 def show_store(directory: Path, now: int) -> StoreReport:
-    """Report the keys, their ages and sizes, and what can't be read; `now` is in ticks."""
+    """Report the keys, expiries and size of a store, and how many records cannot be read.
+
+    Args:
+        directory: Directory of the store.
+        now: The current time in ticks.
+
+    Raises:
+        StoreWriteError: There is no store in the directory, there are several, or it has a later version.
+    """
     owner = find_owner(directory)
     snapshot = _read_store(SegmentFiles(directory, owner), now)
     recovered = snapshot.recovered
@@ -175,7 +210,11 @@
 
 
 def verify_store(directory: Path) -> VerificationReport:
-    """Read every record whole, and report where one can't be read."""
+    """Decode every record of a store, and report those that cannot be read.
+
+    Raises:
+        StoreWriteError: There is no store in the directory, there are several, or it has a later version.
+    """
     owner = find_owner(directory)
     files = SegmentFiles(directory, owner)
     damaged_records: list[DamagedRecord] = []
@@ -187,10 +226,14 @@
 
 
 def compact_store(directory: Path, now: int) -> CompactionReport:
-    """Write what has not expired to one new segment; the others are deleted once that is flushed.
+    """Write all keys that have not expired to one new segment, flush it, and delete the other segments.
+
+    Args:
+        directory: Directory of the store.
+        now: The current time in ticks.
 
     Raises:
-        StoreWriteError: A program has the store, or records are lost in it.
+        StoreWriteError: A program is using the store, or records of it are lost.
     """
     owner = find_owner(directory)
     with SegmentFiles(directory, owner) as files:
@@ -198,7 +241,8 @@
         snapshot = _read_store(files, now)
         if snapshot.recovered.is_in_doubt:
             raise StoreWriteError(
-                directory, "records are lost in it; it is left as it is until a program has read it"
+                directory,
+                "records are lost; the store is not compacted before an app server has recovered it",
             )
         files.create_segment(max(files.serials(), default=0) + 1)
         key_count = 0
@@ -223,7 +267,7 @@
 
 
 def _is_locked(directory: Path, owner: str) -> bool:
-    """Whether a program has the store at the moment."""
+    """Return whether a program is using the store."""
     with SegmentFiles(directory, owner) as files:
         try:
             files.lock()
@@ -244,7 +288,7 @@
 
 
 def _live_records(snapshot: StoreSnapshot, now: int) -> Iterator[bytes]:
-    """The encoded last record of every key that has not expired."""
+    """Yield the encoded last record of every key that has not expired."""
     contents = dict(snapshot.segments)
     open_records = {record.key: record for record in snapshot.recovered.open_runs.values()}
     for entry in snapshot.recovered.index.entries(now):
@@ -263,7 +307,7 @@
 
 
 def _encode_unknown(segments: list[SegmentContent], key: bytes) -> bytes:
-    """A started record, without a run id, for a key whose record is corrupt: its outcome is unknown."""
+    """Encode a started record without a run id for a key whose record is corrupt and outcome is unknown."""
     fragment = _find_corrupt(segments, key)
     if fragment is None:
         return b""
--- a/birchslip/idempotency/record_format.py
+++ b/birchslip/idempotency/record_format.py
@@ -1,16 +1,17 @@
-"""The binary format of records: each has checksums of its own and is read whatever surrounds it.
+"""Binary format of records; each has its own checksums and can be read even if its neighbours are damaged.
 
-A record is a header of 44 bytes, with a checksum of itself, and a body whose checksum is in the header:
+A record consists of a header of 44 bytes and a body. The header holds checksums of the body and of itself.
+Its fields have these sizes in bytes:
 
-    mark 2, kind 1, zero 1, body size 4, key 16, arrival 8, retention 4, checksums of body and header 4 each
+    magic 2, kind 1, zero 1, body size 4, key 16, arrival 8, retention 4, checksums of body and header 4 each
 
-A *started* record says that a run of this key may be under way; its body holds the digest of the request and
-the id of the run. A *completed* record says what came of it; its body holds the digest, the outcome and the
-result. The arrival is that of the request that ran, in ticks of a tenth of a millisecond of the Unix clock,
-and the retention is counted from it.
+A *started* record states that a run of its key may be in progress; its body holds the digest of the request
+and the id of the run. A *completed* record states how the run ended; its body holds the digest, the outcome
+and the result. The arrival is that of the request that ran, in ticks of a tenth of a millisecond of the Unix
+clock; the retention is counted from it, in ticks.
 
-What can't be read is classified by what may be concluded from it; see `RecordState`. This module must never
-change a byte of a record kind that is already on disk.
+Records that cannot be read whole are classified by what is still known about their key; see `RecordState`.
+The encoding of a record kind that is already on disks must not change.
 """
 
 from __future__ import annotations
@@ -32,11 +33,11 @@
 RECORD_MAGIC = b"\xb5k"
 CHECKSUM = struct.Struct("<I")
 MAX_BODY_BYTES = 1 << 20
-MIN_COMPRESSED_BYTES = 256  # shorter results don't gain from compression
+MIN_COMPRESSED_BYTES = 256  # compression does not pay off for shorter results
 COMPRESSION_LEVEL = 1
 DIGEST_BYTES = 16
 OUTCOME_OFFSET = RECORD_HEADER.size + DIGEST_BYTES  # in a completed record
-RESULT_OFFSET = DIGEST_BYTES + 2  # in the body of a completed record: after outcome and compression flag
+RESULT_OFFSET = DIGEST_BYTES + 2  # in the body of a completed record, after outcome and compression flag
 
 OUTCOME_CODES = {
     Outcome.SERVED: 0,
@@ -52,23 +53,23 @@
 
 
 class RecordKind(Enum):
-    """What a record says of its key; the value is the code on disk."""
+    """Kind of a record; the value is its code on disk."""
 
     STARTED = 1
     COMPLETED = 2
-    VOID = 3  # says nothing: written to find out whether the disk accepts writes
+    VOID = 3  # concerns no key: written to probe whether the disk accepts writes
 
 
 KINDS_BY_CODE = {kind.value: kind for kind in RecordKind}
 
 
 class RecordState(Enum):
-    """How much of a record can be read; the value is the operators' word for it."""
+    """How much of a record can be read; the values are shown to operators."""
 
     INTACT = "good"
-    TRUNCATED = "torn"  # the segment ends within it: never flushed whole, so nothing rests on it
-    CORRUPT = "spoilt"  # its header is intact and its body is not: its key was started, no more is known
-    LOST = "lost"  # its header is not intact: keys that nobody can name may have been there
+    TRUNCATED = "torn"  # the segment ends within it: it was never flushed, so no run or answer depends on it
+    CORRUPT = "spoilt"  # header intact, body damaged: the key was started, its result is unknown
+    LOST = "lost"  # header damaged: records of unknown keys may have been here
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,14 +77,14 @@
     """One decoded record.
 
     Attributes:
-        kind: What the record says; it decides which of the other fields are set.
-        key: The idempotency key, 16 bytes.
-        arrived_at: When the request that ran arrived, in ticks of the Unix clock.
-        retention: For how long the key is retained from then on, in ticks.
-        run_id: The id of the run at the agent; of a started record.
-        request_digest: The digest of the request; see `digest_request`.
-        outcome: How the run ended; of a completed record.
-        result: What the run returned; of a completed record.
+        kind: Kind of the record; determines which of the other fields are set.
+        key: Idempotency key, 16 bytes.
+        arrived_at: Arrival of the request that ran, in ticks of the Unix clock.
+        retention: Time for which the key is retained from the arrival on, in ticks.
+        run_id: Id of the run at the agent; only in started records.
+        request_digest: Digest of the request; see `digest_request`. Not in void records.
+        outcome: Outcome of the run; only in completed records.
+        result: Result of the run; only in completed records.
     """
 
     kind: RecordKind
@@ -97,15 +98,21 @@
 
     @property
     def expires_at(self) -> int:
-        """The last arrival, in ticks, of a repeat that the record still stands for."""
+        """The latest arrival, in ticks, of a repeat that this record still applies to."""
         return self.arrived_at + self.retention
 
 
 class RecordFragment(NamedTuple):
-    """A stretch of a segment that contains one record, or what is left of one; its body is not decoded.
+    """Range of bytes in a segment that holds one record or the remains of one; the body is not decoded.
 
-    The fields after `size` are those of the header, and have no meaning where `kind` is None because the
-    header is not intact.
+    Attributes:
+        state: How much of the record can be read.
+        offset: Offset of the first byte in the segment.
+        size: Size in bytes.
+        kind: Kind from the header; None if the header cannot be read, and the fields below are unset.
+        key: Key from the header.
+        arrived_at: Arrival from the header, in ticks of the Unix clock.
+        retention: Retention from the header, in ticks.
     """
 
     state: RecordState
@@ -120,7 +127,7 @@
         """Decode the record.
 
         Args:
-            raw: The bytes that the fragment was read from.
+            raw: The bytes of the segment that the fragment was read from.
 
         Raises:
             CorruptRecordError: The record is not intact, or its body is malformed.
@@ -135,7 +142,7 @@
         return ResultRecord(self.kind, self.key, self.arrived_at, self.retention)
 
     def decoded_state(self, raw: bytes) -> RecordState:
-        """The state of the record once its body is decoded as well; `raw` as for `decode`."""
+        """Return the state after also trying to decode the body; `raw` as for `decode`."""
         if self.state is not RecordState.INTACT:
             return self.state
         try:
@@ -171,23 +178,23 @@
 
 
 def digest_request(request_class: str, body: bytes) -> bytes:
-    """A digest of a request's content; requests with one key must agree in it."""
+    """Return a digest of a request; a repeat with the same key must have the same digest."""
     return xxhash.xxh3_128_digest(request_class.encode() + b"\0" + body)
 
 
 def checksum(raw: bytes) -> int:
-    """The checksum of headers and bodies, 32 bits."""
+    """Return the 32-bit checksum that headers and bodies use."""
     return xxhash.xxh32_intdigest(raw)
 
 
 def with_checksum(header: bytes) -> bytes:
-    """Replace the last four bytes of a header by the checksum of the others."""
+    """Return a header with its last four bytes replaced by the checksum of the bytes before."""
     content = header[: -CHECKSUM.size]
     return content + CHECKSUM.pack(checksum(content))
 
 
 def encode(record: ResultRecord) -> bytes:
-    """Encode a record as it is stored."""
+    """Encode a record for a segment."""
     body = _encode_body(record)
     header = RECORD_HEADER.pack(
         RECORD_MAGIC,
@@ -204,10 +211,9 @@
 
 
 def read_fragments(raw: bytes, offset: int = 0) -> Iterator[RecordFragment]:
-    """Yield everything in a segment from `offset` to its end, in order and without a gap.
+    """Yield fragments that cover a segment from `offset` to its end, in order and without gaps.
 
-    Bodies are checked and not decoded, so that a start-up that reads many records builds nothing but one
-    tuple for each.
+    Bodies are checked but not decoded: start-up reads many records, and this creates only one tuple for each.
     """
     end = len(raw)
     view = memoryview(raw)
@@ -215,7 +221,9 @@
     unpack_header = RECORD_HEADER.unpack_from
     digest = xxhash.xxh32_intdigest
     intact = RecordState.INTACT
-    new_fragment = partial(tuple.__new__, RecordFragment)  # skips the constructor, which is Python code
+    new_fragment = partial(
+        tuple.__new__, RecordFragment
+    )  # skips the slower constructor, which is Python code
     while offset < end:
         kind = None
         if end - offset >= header_size:
@@ -234,7 +242,7 @@
             continue
         body_offset = offset + header_size
         if body_offset + body_size > end:
-            # What follows the header is shorter than its body: the segment was cut, or never flushed.
+            # The segment ends within the body: it was truncated or not flushed completely.
             yield RecordFragment(
                 RecordState.TRUNCATED, offset, end - offset, kind, key, arrived_at, retention
             )
@@ -262,7 +270,7 @@
 
 
 def _unreadable_fragment(raw: bytes, offset: int) -> RecordFragment:
-    """The stretch up to the next intact header, of which nothing is known."""
+    """Return the fragment that reaches up to the next intact header or the end of the segment."""
     next_offset = _find_header(raw, offset + 1)
     state = RecordState.LOST
     if next_offset == len(raw) and next_offset - offset < RECORD_HEADER.size:
@@ -271,7 +279,7 @@
 
 
 def _find_header(raw: bytes, offset: int) -> int:
-    """The next offset with an intact header, or the end."""
+    """Return the next offset with an intact header, or the size of the segment."""
     while (offset := raw.find(RECORD_MAGIC, offset)) >= 0:
         header = raw[offset : offset + RECORD_HEADER.size]
         if len(header) == RECORD_HEADER.size and with_checksum(header) == header:
--- a/birchslip/idempotency/recovery.py
+++ b/birchslip/idempotency/recovery.py
@@ -1,15 +1,15 @@
-"""What is known of each key when a store is read again, segment by segment, oldest first.
+"""Recovery of a store: reads its segments, oldest first, and determines the state of each key.
 
-| record | what is known of its key from then on |
+| record | state of its key after it |
 | --- | --- |
-| started | unknown: its run may have had its effect; repeats fail, and never run |
-| completed | the result: repeats get it |
-| completed as never run | nothing: the key is free |
-| corrupt | unknown, whatever the record said |
-| truncated, at the end of the last segment | as before: nothing was done that rests on it |
-| lost, or truncated elsewhere | as before; keys that nobody can name may be lost: the store is *in doubt* |
-
-This module does no I/O and reads no clock; times are in ticks.
+| started | unknown: the run may have had its effect, so repeats fail and are never run |
+| completed | the result is known: repeats get it |
+| completed with an outcome that means never run | none: the key can be started again |
+| corrupt | unknown, whatever the record held |
+| truncated, at the end of the last segment | unchanged: it was not flushed, so nothing depends on it |
+| lost, or truncated elsewhere | unchanged, but records of unknown keys are missing: the store is *in doubt* |
+
+This module does no I/O and reads no clock. Times are in ticks of a tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 
 @dataclass(slots=True)
 class RecoveredStore:
-    """What earlier incarnations have left.
+    """State of the keys that earlier incarnations stored.
 
     Attributes:
-        index: The keys that are still of use.
-        open_runs: The started records without a completed one, by run id.
-        fragment_counts: How many records were found in each state.
-        expired: How many records have expired.
-        unknown: How many keys were started, and nothing is known of their results.
+        index: Keys that have not expired.
+        open_runs: Started records without a completed one, by run id.
+        fragment_counts: Number of records by state.
+        expired: Number of expired records.
+        unknown: Number of keys that were started and whose results are unknown.
         is_in_doubt: Whether records were lost, so that keys may be missing.
-        truncated_at: The offset at which the last segment has to be cut; None where it ends as it should.
+        truncated_at: Offset at which the last segment must be truncated; None if it ends with a whole record.
     """
 
     index: KeyIndex = field(default_factory=KeyIndex)
@@ -65,15 +65,15 @@
     max_retention: int,
     last_serial: int,
 ) -> RecoveredStore:
-    """Recover a store.
+    """Recover a store from its segments.
 
     Args:
-        segments: All segments, oldest first; each is needed once.
-        budget: An empty budget, in which the segments and live entries are counted.
-        now: The present time.
-        max_retention: The longest retention, in ticks. An expiry further away comes from a clock that has
-            been set back since, and counts from `now`.
-        last_serial: The serial number of the newest segment.
+        segments: All segments, oldest first; each is read once, so that only one has to be in memory.
+        budget: An empty budget, to which the segments and live entries are added.
+        now: The current time.
+        max_retention: The longest retention, in ticks. A later expiry comes from a clock that has been set
+            back since, and is reduced to `now` plus this retention.
+        last_serial: Serial number of the newest segment.
     """
     recovery = _Recovery(budget, now, max_retention)
     for segment in segments:
@@ -82,17 +82,21 @@
 
 
 class _Recovery:
-    """One reading of a store."""
+    """State of one recovery while segments are read."""
 
     def __init__(self, budget: RetentionBudget, now: int, max_retention: int) -> None:
         self.budget = budget
         self.now = now
-        self.earliest_expiry = now - budget.grace  # before it no repeat of a key comes any more
+        self.earliest_expiry = now - budget.grace  # keys with an earlier expiry get no more repeats
         self.latest_expiry = now + max_retention
         self.store = RecoveredStore(KeyIndex(now - max_retention - budget.grace - 1))
         self.keys: dict[bytes, tuple[int, int]] = {}  # expiry and packed location
-        self.open_fragments: dict[bytes, RecordFragment] = {}  # started in this segment, not completed
-        self.open_records: dict[bytes, ResultRecord] = {}  # started in those before it, not completed
+        self.open_fragments: dict[
+            bytes, RecordFragment
+        ] = {}  # keys started in this segment and not completed
+        self.open_records: dict[
+            bytes, ResultRecord
+        ] = {}  # keys started in earlier segments and not completed
         self.previous_serial: int | None = None
 
     def read_segment(self, segment: SegmentContent, is_last: bool) -> None:
@@ -103,12 +107,12 @@
         self.budget.add_segment(segment.serial, len(segment.raw))
         self._apply_records(segment, is_last)
         for key, fragment in self.open_fragments.items():
-            # Decoded now: the segment does not stay in memory.
+            # Decoded here, because the segment is not kept in memory.
             self.open_records[key] = fragment.decode(segment.raw)
         self.open_fragments.clear()
 
     def finish(self) -> RecoveredStore:
-        """Build the index of all keys that were found."""
+        """Build the index from the keys that were found, and return the recovered store."""
         store = self.store
         store.open_runs = {record.run_id: record for record in self.open_records.values()}
         store.index.reserve(len(self.keys))
@@ -153,7 +157,7 @@
             self.keys[key] = (expires_at, pack_location(segment.serial, offset))
 
     def _apply_damaged(self, fragment: RecordFragment, is_last: bool) -> int:
-        """Apply a record that is not intact, and return when whatever it said expires."""
+        """Apply a record that is not intact, and return the latest time at which it may expire."""
         self.store.fragment_counts[fragment.state] += 1
         if fragment.state is RecordState.CORRUPT:
             return self._apply_corrupt(fragment)
--- a/birchslip/idempotency/result_store.py
+++ b/birchslip/idempotency/result_store.py
@@ -1,8 +1,8 @@
-"""Durable results by idempotency key of one app server.
+"""Durable store of results by idempotency key, for one app server.
 
-A *started* record is flushed before the run is launched, a *completed* one before the request is answered.
-The store says how many new keys it can take, and knows what earlier incarnations have left. It must never
-decide who may run: that is for the table of idempotency keys alone.
+A *started* record is flushed before a run is launched, and a *completed* record before its request is
+answered. The store reports how many new keys it can take, and holds the results of earlier incarnations. It
+must never decide which request may run: that is decided by the table of idempotency keys alone.
 """
 
 from __future__ import annotations
@@ -29,17 +29,17 @@
 from .settings_file import StoreSettings
 from .writer import DeleteSegmentTask, Writer
 
-CHECK_INTERVAL = 50 * MS
-SCARCE_SHARE = 0.2  # of the entries: the last ones are left to callers within their quota
+CHECK_INTERVAL = 50 * MS  # between checks of the disk and of expiries
+SCARCE_SHARE = 0.2  # of all entries: the last ones are reserved for callers within their quota
 
 
 class KeyCapacity(NamedTuple):
-    """How many new keys the store takes.
+    """Capacity of the store for new keys.
 
     Attributes:
-        remaining: How many more may be started.
-        scarce_below: From which number on those that remain are scarce.
-        time_until_room: The ticks until there is room again; 0 while there is.
+        remaining: Number of keys that may still be started.
+        scarce_below: Number of remaining keys below which they are scarce.
+        time_until_room: Ticks until a key may be started; 0 if one may be started now.
     """
 
     remaining: int
@@ -48,7 +48,21 @@
 
 
 class ResultStore:
-    """The store of one app server, opened when it is made."""
+    """Store of one app server; the constructor opens it.
+
+    Attributes:
+        scheduler: The scheduler; it never waits for the disk.
+        counters: Where events are counted, as `keep.*`.
+        log: Where events are logged.
+        max_retention: The longest retention of any request class, in ticks.
+        budget: Limits of the store and their use.
+        disk: Health of the disk.
+        files: Files of the store.
+        recovered: State that was recovered when the store was opened.
+        writer: Thread that writes the store.
+        flush_queue: Records that are not flushed yet.
+        earlier_results: Results of earlier incarnations.
+    """
 
     def __init__(
         self,
@@ -60,19 +74,19 @@
         request_classes: list[RequestClass],
         system: FileSystem | None = None,
     ) -> None:
-        """Lock the store, recover what it holds, and start a segment.
+        """Lock the store, recover its contents, and create a new segment.
 
         Args:
-            scheduler: The scheduler that is never to wait for the disk.
+            scheduler: The scheduler; it must never wait for the disk.
             counters: Where events are counted, as `keep.*`.
             log: Where events are logged.
             settings: The operators' settings.
-            owner: The name of the app server.
-            request_classes: All request classes, which say for how long keys are retained.
+            owner: Name of the app server.
+            request_classes: All request classes; they define how long keys are retained.
             system: Replaces the real file system in tests.
 
         Raises:
-            ConfigurationError: The store can't be opened; the message is one line.
+            ConfigurationError: The store cannot be opened; the message is one line.
         """
         self.scheduler = scheduler
         self.counters = counters
@@ -96,11 +110,11 @@
     # ---- lifetime --------------------------------------------------------------------------------------
 
     def set_resolution_listener(self, listener: ResolutionListener) -> None:
-        """Set who is notified of what keys of earlier incarnations have come to; before `start`."""
+        """Set the listener for outcomes of keys of earlier incarnations; must be called before `start`."""
         self.earlier_results.on_resolved = listener
 
     def start(self) -> None:
-        """Report what was recovered, and start writing."""
+        """Log the recovered state, and start the writer and the periodic check."""
         recovered = self.recovered
         self.log.info(
             "store_recovered",
@@ -117,12 +131,12 @@
         self.scheduler.at(self.scheduler.now + CHECK_INTERVAL, self.time_passed)
 
     def close(self) -> None:
-        """Finish what is being written, and release the store."""
+        """Finish the submitted writes, close the files and release the lock."""
         self.writer.close()
         self.files.close()
 
     def time_passed(self) -> None:
-        """Check the disk, and delete what has expired; calls itself again after the check interval."""
+        """Check the disk, delete what has expired, and schedule the next check."""
         now = self.scheduler.now
         self.scheduler.at(now + CHECK_INTERVAL, self.time_passed)
         self.flush_queue.time_passed()
@@ -135,12 +149,12 @@
     # ---- capacity --------------------------------------------------------------------------------------
 
     def capacity(self) -> KeyCapacity:
-        """How many new keys the store takes at the moment."""
+        """Return how many new keys the store can take now."""
         scarce_below = int(SCARCE_SHARE * self.budget.max_entries)
         return KeyCapacity(self._remaining_keys(), scarce_below, self._time_until_room())
 
     def health(self) -> dict[str, str]:
-        """Why keyed requests are rejected at the moment, for health checks; empty while they are not."""
+        """Return why keyed requests are rejected now, for health checks; empty if they are accepted."""
         if not self.disk.is_healthy:
             return {"store": self.disk.state.value}
         if self.scheduler.now < self._in_doubt_until:
@@ -168,8 +182,8 @@
     def record_start(self, request: Passage, listener: FlushListener) -> None:
         """Record that a request is about to run.
 
-        The listener is notified once whether it may be launched: whether its started record was flushed in
-        time.
+        The listener is notified once whether the run may be launched, which is the case if the started
+        record was flushed in time.
         """
         if not self._remaining_keys():
             self.counters.count("keep.no_room")
@@ -186,14 +200,14 @@
         self.flush_queue.append_and_wait(record, on_flushed)
 
     def record_never_ran(self, request: Passage) -> None:
-        """Record that a request whose start was recorded will not be launched after all."""
+        """Record that a request whose start was recorded will not be launched."""
         self._append_never_ran(_make_started(request))
 
     def record_completion(self, request: Passage, conclusion: Conclusion, listener: FlushListener) -> None:
-        """Record what a run has come to.
+        """Record the outcome and the result of a run.
 
-        The listener is notified once, and the request may be answered: its completed record is flushed, or
-        the disk takes too long.
+        The listener is notified once, and the request may be answered then: either the completed record is
+        flushed, or the disk has stalled or failed.
         """
         completed = replace(
             _make_started(request),
@@ -206,7 +220,7 @@
         self.flush_queue.append_and_wait(completed, listener)
 
     def _append_never_ran(self, started: ResultRecord) -> None:
-        """Complete a started record that may be on the disk, lest it counts as unknown after a restart."""
+        """Complete a started record that may be on the disk, so that a restart does not find it unknown."""
         never_ran = replace(started, kind=RecordKind.COMPLETED, run_id="", outcome=Outcome.SUPERSEDED)
         self.budget.release_reserve()
         self.flush_queue.append(never_ran)
@@ -214,11 +228,11 @@
     # ---- earlier incarnations --------------------------------------------------------------------------
 
     def find_earlier_result(self, request: Passage) -> Label | None:
-        """The entry of a request's key, if an earlier incarnation started it."""
+        """Return the entry of a request's key if an earlier incarnation started it, or None."""
         return self.earlier_results.find(request)
 
     def complete_earlier_run(self, run_id: str, outcome: Outcome, result: bytes) -> None:
-        """Complete a run of an earlier incarnation whose end the agent still reports."""
+        """Complete a run of an earlier incarnation whose end the agent reports late."""
         self.earlier_results.complete_run(run_id, outcome, result)
 
     # ---- opening ---------------------------------------------------------------------------------------
@@ -231,7 +245,7 @@
             raise ConfigurationError(f"keep: {error}") from None
 
     def _recover(self, now: int) -> RecoveredStore:
-        """Read what earlier incarnations have left, and start a segment behind it."""
+        """Read the segments of earlier incarnations, and create a new one after them."""
         files = self.files
         files.lock()
         last_serial = max(files.serials(), default=0)
--- a/birchslip/idempotency/segment_files.py
+++ b/birchslip/idempotency/segment_files.py
@@ -1,10 +1,10 @@
-"""The files of one store: a lock, and a row of segments of which only the last one is written to.
+"""Files of one store: a lock file and segments, of which only the last one is appended to.
 
-    NAME.lock             locked as long as a program has the store; holds its process id
-    NAME-00000001.kept    records, in segments; the oldest has the lowest serial number
+    NAME.lock             locked while a program uses the store; holds its process id
+    NAME-00000001.kept    a segment with records; the oldest has the lowest serial number
 
-Every program starts a segment of its own. The segments before it are read, cut at a truncated end, and
-deleted whole; this module must never rewrite one.
+Every program starts a new segment. Earlier segments are read, truncated at an incomplete last record, and
+deleted as a whole; this module must never rewrite one.
 """
 
 from __future__ import annotations
@@ -33,39 +33,44 @@
 
 
 class SegmentContent(NamedTuple):
-    """A whole segment as it was read, header included."""
+    """Serial number of a segment and its bytes, header included."""
 
     serial: int
     raw: bytes
 
 
 def find_owner(directory: Path) -> str:
-    """Whose store is in a directory.
+    """Return the owner of the store in a directory.
 
     Raises:
-        StoreWriteError: There is no store in it, or there are several.
+        StoreWriteError: There is no store in the directory, or there are several.
     """
     matches = (SEGMENT_NAME.fullmatch(path.name) for path in directory.iterdir())
     owners = sorted({match["owner"] for match in matches if match})
     if not owners:
         raise StoreWriteError(directory, "no store")
     if len(owners) > 1:
-        raise StoreWriteError(directory, f"stores of {', '.join(owners)}")
+        raise StoreWriteError(directory, f"several stores, of {', '.join(owners)}")
     return owners[0]
 
 
 class SegmentFiles:
-    """The store of one owner in a directory.
+    """Files of one owner's store in a directory.
 
-    As a context manager it closes what is open, and releases the lock.
+    As a context manager it closes the open segment and releases the lock on exit.
 
     Attributes:
-        has_damaged_header: Whether the last reading found a header that is damaged, so that what the segment
-            held is in doubt; complete once all segments are read.
+        directory: Directory of the files.
+        owner: Name of the app server that owns the store.
+        system: System calls that are used.
+        serial: Serial number of the open segment; 0 if none was created.
+        size: Size of the open segment in bytes.
+        has_damaged_header: Whether `read_segments` found a damaged segment header, so that records may be
+            missing; final once all segments are read.
     """
 
     def __init__(self, directory: Path, owner: str, system: FileSystem | None = None) -> None:
-        """Open nothing yet; `system` replaces the real file system in tests."""
+        """Open no file yet; `system` replaces the real file system in tests."""
         self.directory = directory
         self.owner = owner
         self.system = system or FileSystem()
@@ -76,7 +81,7 @@
         self._lock_descriptor: int | None = None
 
     def __enter__(self) -> Self:
-        """Return the files as they are."""
+        """Return this object, without opening any file."""
         return self
 
     def __exit__(
@@ -85,18 +90,18 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Close the files, whatever was raised."""
+        """Close the open segment and release the lock, also after an exception."""
         self.close()
 
     def path_of(self, serial: int) -> Path:
-        """The path of a segment."""
+        """Return the path of a segment."""
         return self.directory / f"{self.owner}-{serial:08}{SEGMENT_SUFFIX}"
 
     def lock(self) -> None:
-        """Create the directory if need be, and lock the store for this program.
+        """Create the directory if it does not exist, and lock the store for this program.
 
         Raises:
-            StoreWriteError: The directory can't be used, or the store is locked or of another owner.
+            StoreWriteError: The directory cannot be used, the store is locked, or it has another owner.
         """
         try:
             self.directory.mkdir(parents=True, exist_ok=True)
@@ -113,17 +118,17 @@
         self._check_owner()
 
     def serials(self) -> list[int]:
-        """The serial numbers of all segments, oldest first."""
+        """Return the serial numbers of all segments, oldest first."""
         matches = (SEGMENT_NAME.fullmatch(name) for name in self.system.list_names(self.directory))
         return sorted(int(match["serial"]) for match in matches if match and match["owner"] == self.owner)
 
     def read_segments(self) -> Iterator[SegmentContent]:
-        """Yield the segments one by one, oldest first, so that only one need be in memory.
+        """Yield the segments one by one, oldest first, so that only one has to be in memory.
 
-        A segment that ends within its header was just being created and holds nothing.
+        A segment that ends within its header was interrupted while it was created, and holds no records.
 
         Raises:
-            StoreWriteError: A segment is of a later version or of another owner.
+            StoreWriteError: A segment has a later format version or another owner.
         """
         self.has_damaged_header = False
         for serial in self.serials():
@@ -138,7 +143,7 @@
             yield SegmentContent(serial, raw)
 
     def create_segment(self, serial: int) -> None:
-        """Start a new segment; the one before is not written to any more."""
+        """Create and open a new segment; the previous one is closed and not appended to again."""
         self._close_segment()
         descriptor = self.system.create(self.path_of(serial))
         self._descriptor = descriptor
@@ -149,13 +154,13 @@
         self.system.flush_directory(self.directory)
 
     def append(self, raw: bytes) -> int:
-        """Append to the open segment and return the offset; nothing is flushed yet.
+        """Append to the open segment without flushing it, and return the offset.
 
         Raises:
-            OSError: The write has failed; what was written of `raw` is cut off again.
+            OSError: The write has failed; the written part of `raw` has been truncated, if possible.
         """
         if self._descriptor is None:
-            raise OSError("no file is open")
+            raise OSError("no segment is open")
         offset = self.size
         remaining = memoryview(raw)
         try:
@@ -180,7 +185,7 @@
         self.system.unlink(self.path_of(serial))
 
     def close(self) -> None:
-        """Close the open segment and release the lock; to call it again does nothing."""
+        """Close the open segment and release the lock; further calls have no effect."""
         self._close_segment()
         if self._lock_descriptor is not None:
             os.close(self._lock_descriptor)
@@ -190,7 +195,7 @@
         names = self.system.list_names(self.directory)
         segments = [name for name in names if name.endswith(SEGMENT_SUFFIX)]
         if segments and not self.serials():
-            raise StoreWriteError(self.directory, f"belongs to another name: {min(segments)}")
+            raise StoreWriteError(self.directory, f"belongs to another owner: {min(segments)}")
 
     def _close_segment(self) -> None:
         if self._descriptor is not None:
--- a/birchslip/idempotency/segment_header.py
+++ b/birchslip/idempotency/segment_header.py
@@ -1,4 +1,4 @@
-"""The header of a segment file: which version wrote it, for which owner, and its place in the row."""
+"""Header of a segment file: format version, owner and serial number."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from .errors import ForeignStoreError, UnsupportedVersionError
 from .record_format import CHECKSUM, checksum, with_checksum
 
-SEGMENT_HEADER = struct.Struct("<8sHHIQI")  # mark, version, zero, serial, checksum of owner, checksum
+SEGMENT_HEADER = struct.Struct("<8sHHIQI")  # magic, version, zero, serial, checksum of owner, checksum
 SEGMENT_MAGIC = b"bslpkeep"
 FORMAT_VERSION = 1
 
 
 def encode_segment_header(serial: int, owner: str) -> bytes:
-    """Encode the header of the segment `serial` in the store of `owner`."""
+    """Encode the header of a segment."""
     return with_checksum(
         SEGMENT_HEADER.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0, serial, _checksum_owner(owner), 0)
     )
 
 
 def decode_segment_header(raw: bytes, owner: str) -> int | None:
-    """The serial number in a segment's header, or None where the header is cut short or damaged.
+    """Return the serial number from a segment's header, or None if the header is cut short or damaged.
 
     Raises:
-        UnsupportedVersionError: The segment was written by a later version.
-        ForeignStoreError: The segment is not of `owner`.
+        UnsupportedVersionError: The segment has a later format version.
+        ForeignStoreError: The segment does not belong to `owner`.
     """
     header = raw[: SEGMENT_HEADER.size]
     if len(header) < SEGMENT_HEADER.size:
--- a/birchslip/idempotency/settings_file.py
+++ b/birchslip/idempotency/settings_file.py
@@ -1,4 +1,4 @@
-"""The operators' settings file of a store: JSON with a schema, checked whole before anything starts."""
+"""Operators' settings file of a store: JSON with a schema, validated completely at start-up."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from .retention_budget import COMPLETION_RESERVE_BYTES, MIN_SEGMENTS
 
 MIN_COMPLETIONS_PER_SEGMENT = 4
-SCHEMA_NAME = "Keep"  # published, as is the description
+SCHEMA_NAME = "Keep"  # part of the published schema, as is the description
 SCHEMA_DESCRIPTION = (
-    "Where results are kept, and within which bounds; `stall_ms` is when a flush counts as stalled,\n"
-    "`gather_ms` how long one waits for more to share it."
+    "Directory and limits of the result store. A flush that takes longer than `stall_ms` counts as stalled;\n"
+    "a flush waits `gather_ms` for more records to share it."
 )
 
 
 class StoreSettings(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Where results are stored, and within which bounds.
+    """Directory and limits of a store.
 
     Attributes:
-        folder: The directory of the store.
-        bytes: How many bytes the segments may take.
-        entries: How many keys may be live at a time.
-        stall_ms: When a flush counts as stalled.
-        gather_ms: How long a flush waits for more records to share it.
+        folder: Directory of the store.
+        bytes: Maximum size of all segments in bytes.
+        entries: Maximum number of live keys.
+        stall_ms: Time after which an unfinished flush counts as stalled.
+        gather_ms: Time that a flush waits for more records to share it.
     """
 
     folder: Annotated[str, msgspec.Meta(min_length=1, max_length=4_096)]
@@ -40,11 +40,11 @@
 
 
 def read_store_settings(path: str | Path) -> StoreSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises:
-        ConfigurationError: The file is malformed; the message says in one line what is wrong, and where.
-        OSError: The file can't be read.
+        ConfigurationError: The file is invalid; the message states in one line what is wrong, and where.
+        OSError: The file cannot be read.
     """
     try:
         settings: StoreSettings = msgspec.json.decode(Path(path).read_bytes(), type=StoreSettings)
@@ -54,7 +54,7 @@
 
 
 def store_settings_schema() -> dict[str, Any]:
-    """The JSON Schema of the file, as it is in `deploy/keep.schema.json`."""
+    """Return the JSON Schema of the file, which is stored in `deploy/keep.schema.json`."""
     _, components = msgspec.json.schema_components([StoreSettings])
     definition = components[StoreSettings.__name__]
     definition |= {"title": SCHEMA_NAME, "description": SCHEMA_DESCRIPTION}
--- a/birchslip/idempotency/writer.py
+++ b/birchslip/idempotency/writer.py
@@ -1,8 +1,8 @@
-"""The thread that writes and flushes the store, so that the scheduler never waits for the disk.
+"""Thread that writes and flushes the store, so that the scheduler never waits for the disk.
 
-Everything that is submitted while one flush is under way shares the next one (group commit). The scheduler
-is woken by a pipe and notifies those who submitted. Tasks are executed in the order of submission, and
-nobody is notified of an append before it is flushed.
+All tasks that are submitted during one flush share the next one (group commit). The thread wakes the
+scheduler through a pipe, and the scheduler calls the tasks' callbacks. Tasks are executed in the order of
+submission; the callback of an append is never called before its record is flushed or has failed.
 """
 
 from __future__ import annotations
@@ -21,37 +21,41 @@
 from .record_format import RECORD_HEADER, ResultRecord, read_fragments
 from .segment_files import SegmentFiles
 
-CLOSE_TIMEOUT_S = 0.2  # for the last flush: every request has been answered by then
+CLOSE_TIMEOUT_S = 0.2  # for the last flush; short, as all requests have been answered by then
 WAKE_BYTES = 4096
 TASK_NAME = "keep"
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class WriterTask(ABC):
-    """Something for the thread to do; `error` says in one line why it has failed, or is empty."""
+    """A task for the writer thread.
+
+    Attributes:
+        error: Why the task has failed, in one line; empty if it has not.
+    """
 
     error: str = field(default="", init=False)
 
     @abstractmethod
     def execute(self, files: SegmentFiles) -> None:
-        """Do the work, in the thread; an OSError counts as its failure."""
+        """Do the work in the writer thread; an OSError that it raises is recorded as `error`."""
 
     def notify(self) -> None:
-        """Notify those who submitted it that it is over, in the scheduler."""
+        """Call the task's callback, if it has one; runs in the scheduler."""
         return
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class AppendTask(WriterTask):
-    """Append a record, and flush it.
+    """Append a record and flush it.
 
     Attributes:
         raw: The encoded record.
-        serial: The serial number of the segment that it goes to.
-        starts_segment: Whether that segment has to be created first.
-        submitted_at: When it was submitted, in ticks.
-        on_done: Called once it is flushed, or has failed.
-        offset: Where the record was written; set by the thread.
+        serial: Serial number of the segment to append to.
+        starts_segment: Whether this segment has to be created first.
+        submitted_at: Time of the submission, in ticks.
+        on_done: Called once the record is flushed or has failed.
+        offset: Offset of the record in the segment; set by the writer thread.
     """
 
     raw: bytes
@@ -62,7 +66,7 @@
     offset: int = field(default=0, init=False)
 
     def execute(self, files: SegmentFiles) -> None:
-        """Append the record; the flush is left to the end of the batch."""
+        """Append the record; it is flushed at the end of the batch."""
         if self.starts_segment:
             files.create_segment(self.serial)
         self.offset = files.append(self.raw)
@@ -77,10 +81,10 @@
     """Read a record.
 
     Attributes:
-        location: Where the record is.
-        max_body_bytes: The longest body that is read.
-        on_done: Called with the task at its end.
-        record: The record; None where it could not be read, or is not intact any more.
+        location: Location of the record.
+        max_body_bytes: Maximum size of the body; a record with a larger one counts as unreadable.
+        on_done: Called with this task when it is done.
+        record: The record; None if it could not be read or is no longer intact.
     """
 
     location: RecordLocation
@@ -106,7 +110,7 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class DeleteSegmentTask(WriterTask):
-    """Delete a segment; nobody waits for it."""
+    """Delete a segment; the submitter is not notified."""
 
     serial: int
 
@@ -116,10 +120,16 @@
 
 
 class Writer:
-    """A queue of tasks, the thread that executes them, and the notifications at their end."""
+    """Queue of tasks with the thread that executes them and the scheduler task that calls their callbacks."""
 
     def __init__(self, scheduler: Scheduler, files: SegmentFiles, gather_s: float) -> None:
-        """Start nothing yet; a batch waits `gather_s` seconds for more tasks to share its flush."""
+        """Create the writer without starting its thread.
+
+        Args:
+            scheduler: Calls the callbacks of finished tasks.
+            files: Files of the store.
+            gather_s: Time that a batch waits for more tasks to share its flush, in seconds.
+        """
         self._scheduler = scheduler
         self._files = files
         self._gather_s = gather_s
@@ -133,18 +143,18 @@
     # ---- in the scheduler ------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start the thread, and the scheduler's task that notifies of finished work."""
+        """Start the thread, and the scheduler task that calls the callbacks of finished tasks."""
         self._thread.start()
         self._scheduler.spawn(TASK_NAME, self._notify_forever)
 
     def submit(self, task: WriterTask) -> None:
-        """Queue a task."""
+        """Submit a task to the thread."""
         with self._condition:
             self._submitted.append(task)
             self._condition.notify()
 
     def close(self) -> None:
-        """Let the thread finish what was submitted, and wait for it for a moment."""
+        """Let the thread finish the submitted tasks, and wait for it up to `CLOSE_TIMEOUT_S`."""
         with self._condition:
             self._is_closing = True
             self._condition.notify()
@@ -162,7 +172,7 @@
     # ---- in the thread ---------------------------------------------------------------------------------
 
     def execute_submitted(self) -> list[WriterTask]:
-        """Execute what is submitted as one batch with one flush, and return it."""
+        """Execute all submitted tasks as one batch with one flush, and return them."""
         with self._condition:
             batch = list(self._submitted)
             self._submitted.clear()
@@ -181,7 +191,7 @@
                 os.write(self._wake_writer, b"x")
 
     def _wait_for_tasks(self) -> bool:
-        """Wait until there is a task; False once the writer is closing and nothing is left to do."""
+        """Wait for a task; return False once the writer is closing and no task is left."""
         with self._condition:
             while not self._submitted and not self._is_closing:
                 self._condition.wait()
@@ -204,5 +214,5 @@
 
 
 def describe_error(error: OSError) -> str:
-    """An operating system's error in one line."""
+    """Return the message of an operating system error in one line."""
     return error.strerror or str(error)
