--- a/tests/test_disk_health.py
+++ b/tests/test_disk_health.py
@@ -1,9 +1,9 @@
-"""The states of the store's disk."""
+"""Health of the store's disk: transitions between its states."""
 
 from birchslip.idempotency.disk_health import MIN_PROBE_INTERVAL, DiskHealth, DiskState
 
 
-def test_a_disk_that_stalls_fails_once_or_for_good_changes_its_state_and_recovers():
+def test_a_disk_that_stalls_or_fails_changes_its_state_and_recovers():
     disk = DiskHealth(stall_limit=2_500)
     disk.flush_requested(0)
     assert not disk.time_passed(2_499)
@@ -18,7 +18,7 @@
     assert not disk.needs_probe(5_000)
     assert disk.needs_probe(5_000 + MIN_PROBE_INTERVAL)
     disk.flush_requested(10_000)
-    assert not disk.needs_probe(99_999)  # one is under way
+    assert not disk.needs_probe(99_999)  # a probe is pending
     assert not disk.flush_failed(10_001, "no space")
     assert not disk.needs_probe(10_001 + MIN_PROBE_INTERVAL)
     assert disk.needs_probe(10_001 + 2 * MIN_PROBE_INTERVAL)
--- a/tests/test_key_index.py
+++ b/tests/test_key_index.py
@@ -1,4 +1,4 @@
-"""The index of idempotency keys against a dict."""
+"""The index of idempotency keys, compared with a dict."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -8,10 +8,10 @@
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(1, 60), st.integers(0, 9)), max_size=120))
 @settings(max_examples=100, deadline=None)
-def test_the_index_finds_what_a_dict_would(steps):
+def test_the_index_finds_the_same_keys_as_a_dict(steps):
     index, expected = KeyIndex(), {}
     for number, expires_at, location in steps:
-        key = (number * 2**64).to_bytes(16)  # halves alike, to collide
+        key = (number * 2**64).to_bytes(16)  # equal low halves, so that keys collide more often
         index.put(key, expires_at, location)
         expected[key] = (expires_at, location)
     for key, (expires_at, location) in expected.items():
@@ -24,5 +24,5 @@
 
 
 @given(st.integers(1, 2**31), st.integers(0, 2**32 - 1))
-def test_a_location_is_packed_and_unpacked(serial, offset):
+def test_unpacking_a_packed_location_restores_it(serial, offset):
     assert unpack_location(pack_location(serial, offset)) == RecordLocation(serial, offset)
--- a/tests/test_record_format.py
+++ b/tests/test_record_format.py
@@ -1,4 +1,4 @@
-"""The binary format of records and segment headers: what is written is read, and damage is classified."""
+"""The binary format of records and segment headers: encoded data is decoded, and damage is classified."""
 
 import struct
 
@@ -40,11 +40,11 @@
     st.sampled_from(list(Outcome)),
 )
 @settings(max_examples=100, deadline=None)
-def test_what_is_encoded_is_decoded(key, arrived_at, retention, result, outcome):
-    first = ResultRecord(
+def test_decoding_restores_the_encoded_records(key, arrived_at, retention, result, outcome):
+    started_record = ResultRecord(
         RecordKind.STARTED, key, arrived_at, retention, "0123456789abcdef", request_digest=b"x" * 16
     )
-    second = ResultRecord(
+    completed_record = ResultRecord(
         RecordKind.COMPLETED,
         key,
         arrived_at,
@@ -53,15 +53,15 @@
         outcome=outcome,
         result=result,
     )
-    raw = encode(first) + encode(second)
+    raw = encode(started_record) + encode(completed_record)
     fragments = list(read_fragments(raw))
-    assert [fragment.decode(raw) for fragment in fragments] == [first, second]
+    assert [fragment.decode(raw) for fragment in fragments] == [started_record, completed_record]
     assert {fragment.state for fragment in fragments} == {RecordState.INTACT}
 
 
 @given(st.binary(max_size=400))
 @settings(max_examples=300, deadline=None)
-def test_any_bytes_are_read_to_their_end_without_a_gap(raw):
+def test_fragments_cover_arbitrary_bytes_without_gaps(raw):
     fragments = list(read_fragments(raw))
     assert sum(fragment.size for fragment in fragments) == len(raw)
     assert not any(fragment.state is RecordState.INTACT for fragment in fragments)
@@ -95,7 +95,7 @@
         fragment.decode(raw)
 
 
-def test_an_intact_body_that_is_no_completed_record_counts_as_corrupt_once_decoded():
+def test_a_completed_record_with_an_undecodable_body_counts_as_corrupt_once_decoded():
     raw = encode(
         ResultRecord(RecordKind.STARTED, key_of(1), 0, 0, run_id="\x7f\x00", request_digest=b"d" * 16)
     )
@@ -120,7 +120,7 @@
     return bytes(raw)
 
 
-def test_a_store_of_a_later_version_is_refused_and_left_as_it_is(tmp_path):
+def test_a_store_of_a_later_version_is_rejected_and_left_unchanged(tmp_path):
     raw = later_version_header()
     path = tmp_path / "a-00000001.kept"
     path.write_bytes(raw)
@@ -129,7 +129,7 @@
     assert path.read_bytes() == raw
 
 
-def test_a_segment_header_names_its_serial_its_version_and_its_owner():
+def test_a_segment_header_holds_its_serial_version_and_owner():
     assert decode_segment_header(encode_segment_header(7, "a"), "a") == 7
     assert decode_segment_header(encode_segment_header(7, "a")[:-1], "a") is None
     with pytest.raises(UnsupportedVersionError) as unsupported:
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -1,4 +1,4 @@
-"""The result store between request stages and disk: who waits for which flush, and what repeats are told."""
+"""The result store in the request pipeline: notifications of flushes, and results for repeats."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 class Incarnation:
-    """A store over a disk in memory; the thread's work is done when `flush` is called."""
+    """A store on a simulated disk; `flush` does the work of the writer thread."""
 
     def __init__(self, folder, system=None, now=10**13, **settings):
         self.system = system or Memory()
@@ -76,7 +76,7 @@
         return self
 
     def restart(self):
-        """The next incarnation, after a kill, on what is on the disk."""
+        """Kills this incarnation and returns the next one, on the same disk."""
         self.store.files.close()
         self.system.kill()
         return Incarnation(self.store.files.directory, self.system, self.now)
@@ -91,7 +91,7 @@
     return Incarnation(tmp_path)
 
 
-def test_nothing_is_launched_or_answered_before_its_flush(first):
+def test_no_run_is_launched_and_no_request_answered_before_its_flush(first):
     request = first.start(1)
     assert first.flushed == []
     assert first.flush().take_flushed() == [(1, "started", True)]
@@ -100,7 +100,7 @@
     assert first.flush().take_flushed() == [(1, "completed", True)]
 
 
-def test_many_that_wait_share_one_flush(first):
+def test_concurrent_records_share_one_flush(first):
     for n in range(5):
         first.start(n)
     before = first.system.flushes
@@ -109,18 +109,18 @@
     assert len(first.flushed) == 5
 
 
-def test_a_disk_that_stalls_rejects_what_has_not_started_and_lets_answers_go(first):
-    one = first.start(1)
+def test_a_stalled_disk_rejects_new_keys_and_releases_pending_answers(first):
+    request = first.start(1)
     first.flush().take_flushed()
     first.start(2)
-    first.complete(one)
+    first.complete(request)
     first.advance(0.1)
     assert sorted(first.take_flushed()) == [(1, "completed", False), (2, "started", False)]
     assert first.store.capacity().remaining == 0
     assert not first.store.disk.is_healthy
     assert first.start(3)
     assert first.take_flushed() == [(3, "started", False)]
-    first.flush()  # it ends after all
+    first.flush()  # the stalled flush ends
     assert first.store.disk.is_healthy
     assert first.store.capacity().remaining > 0
     assert first.flushed == []
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("failures", [1, 3])
-def test_a_disk_that_fails_changes_its_state_and_recovers_without_a_restart(first, failures):
+def test_a_failed_disk_changes_its_state_and_recovers_without_a_restart(first, failures):
     first.start(1)
     first.system.fails = failures
     first.flush()
@@ -152,7 +152,7 @@
     assert later.store.recovered.index.get(bytes.fromhex(f"{2:032x}"), second.stamp) is not None
 
 
-def test_a_full_disk_stops_keyed_requests_and_room_brings_them_back(first):
+def test_a_full_disk_stops_keyed_requests_until_there_is_room(first):
     first.system.room = sum(len(one.data) for one in first.system.files.values()) + 40
     first.start(1)
     first.flush()
@@ -171,7 +171,7 @@
     later = first.restart()
     entry = later.store.find_earlier_result(later.request(1))
     original = entry.original.transaction
-    assert original.has_started  # so that to the decisions it is a repeat
+    assert original.has_started  # so that the admission controller treats it as a repeat
     assert original.state is RequestState.COMPLETED
     assert entry.conclusion is None
     assert later.store.find_earlier_result(later.request(1)) is entry
@@ -181,7 +181,7 @@
     assert not entry.same(later.request(1, b"another body"))
 
 
-def test_a_repeat_of_a_result_that_is_corrupt_by_now_fails(first):
+def test_a_repeat_fails_if_its_stored_result_has_become_corrupt(first):
     request = first.start(1)
     first.flush()
     first.complete(request)
@@ -217,7 +217,7 @@
     assert later.store.recovered.unknown == 1
     entry = later.store.find_earlier_result(later.request(1))
     assert entry.conclusion.outcome is Outcome.FAILED
-    later.store.complete_earlier_run("no run of ours", Outcome.SERVED, b"")
+    later.store.complete_earlier_run("unknown run", Outcome.SERVED, b"")
     later.store.complete_earlier_run(request.name, Outcome.SERVED, b"reported late")
     later.flush()
     entry = later.store.find_earlier_result(later.request(1))
@@ -231,7 +231,7 @@
     assert last.resolved == [(Outcome.SERVED, b"reported late")]
 
 
-def test_a_key_that_the_agent_never_ran_is_free_again(first):
+def test_a_key_that_the_agent_never_ran_can_be_started_again(first):
     request = first.start(1)
     first.flush()
     later = first.restart()
@@ -240,12 +240,12 @@
     assert later.store.find_earlier_result(later.request(1)) is None
 
 
-def test_a_store_in_doubt_starts_nothing_for_one_retention(first):
+def test_a_store_in_doubt_takes_no_new_keys_for_one_retention(first):
     for n in range(3):
         first.start(n)
     first.flush()
-    held = next(iter(first.system.files.values()))
-    held.data[32 + 7] ^= 1  # in the header of the first record
+    segment_file = next(iter(first.system.files.values()))
+    segment_file.data[32 + 7] ^= 1  # in the header of the first record
     later = first.restart()
     assert later.store.recovered.is_in_doubt
     assert later.store.recovered.fragment_counts[RecordState.LOST] == 1
@@ -255,7 +255,7 @@
     assert later.store.capacity().remaining > 0
 
 
-def test_keys_of_earlier_incarnations_are_forgotten_once_all_have_expired(first):
+def test_keys_of_earlier_incarnations_are_dropped_once_all_have_expired(first):
     first.start(1)
     first.flush()
     later = first.restart()
@@ -264,10 +264,10 @@
     assert later.store.earlier_results.is_empty
     assert later.store.earlier_results.entry_count == 0
     assert later.store.find_earlier_result(later.request(1, arrived_at=first.now)) is None
-    assert len(later.system.files) == 1  # and so are their segments
+    assert len(later.system.files) == 1  # their segments are deleted as well
 
 
-def test_a_full_store_takes_no_more_keys_and_says_when(first):
+def test_a_full_store_takes_no_new_keys_and_reports_when_it_has_room(first):
     for n in range(10):
         first.start(n)
     first.flush()
@@ -280,9 +280,9 @@
     assert first.store.capacity().remaining == 10
 
 
-def test_a_folder_that_can_not_be_used_is_reported_in_one_line(tmp_path):
+def test_an_unusable_directory_is_reported_in_one_line(tmp_path):
     path = tmp_path / "file"
-    path.write_text("no folder")
+    path.write_text("not a directory")
     with pytest.raises(InvalidInputError, match="keep: ") as error:
         Incarnation(path)
     assert "\n" not in str(error.value)
@@ -293,7 +293,7 @@
 
 
 @pytest.mark.parametrize(
-    ("disturb", "health"),
+    ("prepare", "health"),
     [
         (lambda incarnation: None, {}),
         (lambda incarnation: incarnation.advance(0.1), {"store": "stalled"}),
@@ -301,13 +301,13 @@
     ],
     ids=["healthy", "a stalled flush", "a full store"],
 )
-def test_a_health_check_says_why_keyed_requests_are_rejected(first, disturb, health):
+def test_health_reports_why_keyed_requests_are_rejected(first, prepare, health):
     first.start(0)
-    disturb(first)
+    prepare(first)
     assert first.store.health() == health
 
 
-def test_a_start_and_slow_flushes_are_logged_as_events(first):
+def test_logs_the_recovery_and_a_stalled_disk(first):
     events = []
     first.log.info = lambda event, **fields: events.append((event, fields))
     first.store.start()
--- a/tests/test_retention_budget.py
+++ b/tests/test_retention_budget.py
@@ -1,4 +1,4 @@
-"""The bounds of a store: entries, bytes, and the time until there is room."""
+"""The limits of a store: entries, bytes, and the time until it has room."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 from .result_records import NOW, RETENTION
 
 
-def test_a_full_store_says_when_room_comes_and_drops_nothing_before():
+def test_a_full_store_reports_when_it_has_room_and_drops_nothing_before():
     budget = RetentionBudget(3, 1 << 20, SECOND)
     budget.add_segment(1, 0)
     assert budget.remaining_entries(NOW) == 3
@@ -23,7 +23,7 @@
     assert budget.remaining_entries(NOW + 10 * RETENTION) == 3
 
 
-def test_a_started_entry_reserves_its_completion_and_segments_expire_whole():
+def test_a_started_entry_reserves_room_for_its_completion_and_segments_expire_as_a_whole():
     max_bytes = MIN_SEGMENTS * 4 * COMPLETION_RESERVE_BYTES
     budget = RetentionBudget(10**6, max_bytes, SECOND)
     budget.add_segment(1, 0)
@@ -34,7 +34,7 @@
         budget.add_record(50, NOW + RETENTION + n)
     assert budget.remaining_entries(NOW) == 0
     budget.release_reserve()
-    assert budget.remaining_entries(NOW) == 0  # what was written of the others takes the rest
+    assert budget.remaining_entries(NOW) == 0  # the records of the other entries take the rest
     assert budget.needs_new_segment(budget.max_segment_bytes)
     budget.add_segment(2, 0)
     assert budget.remove_expired_segments(NOW + RETENTION) == []
@@ -45,7 +45,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 5)), max_size=60))
 @settings(max_examples=100, deadline=None)
-def test_the_live_entries_are_those_that_counting_anew_would_find(steps):
+def test_the_number_of_live_entries_equals_a_recount_of_expiries(steps):
     budget, expiries, now = RetentionBudget(10**6, 1 << 30, 0), [], 0
     for retention_s, passed_s in steps:
         now += passed_s * SECOND
--- a/tests/test_segment_files.py
+++ b/tests/test_segment_files.py
@@ -1,4 +1,4 @@
-"""The files of a store: its lock, its owner, and writes that fail."""
+"""The files of a store: lock, owner, and failed writes."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 from .result_records import key_of, started
 
 
-def test_one_program_has_a_store_and_another_owner_does_not_get_it(tmp_path):
+def test_only_one_program_locks_a_store_and_another_owner_cannot(tmp_path):
     first = SegmentFiles(tmp_path, "a")
     first.lock()
     first.create_segment(1)
@@ -34,7 +34,7 @@
 
 
 class LimitedFileSystem(FileSystem):
-    """A disk that takes `remaining` bytes and no more."""
+    """A disk that has room for only `remaining` bytes."""
 
     remaining = 1 << 20
 
@@ -45,7 +45,7 @@
         return super().write(descriptor, accepted)
 
 
-def test_a_write_that_fails_half_way_leaves_whole_records(tmp_path):
+def test_a_write_that_fails_half_way_leaves_only_whole_records(tmp_path):
     files = SegmentFiles(tmp_path, "a", LimitedFileSystem())
     files.create_segment(1)
     record = encode(started(key_of(1)))
