--- a/tests/result_records.py
+++ b/tests/result_records.py
@@ -1,4 +1,4 @@
-"""Records and stores that the tests of stored results share."""
+"""Records and helpers shared by the tests of the result store."""
 
 from birchslip.admission.types import SECOND, Outcome
 from birchslip.idempotency.record_format import RecordKind, ResultRecord, encode
@@ -35,14 +35,14 @@
     )
 
 
-# three keys with their results, and one that was only started
+# Three keys with their results, and one that was only started.
 STORED_RECORDS = [
     encode(record) for n in range(3) for record in (started(key_of(n)), completed(key_of(n)))
 ] + [encode(started(key_of(3)))]
 
 
 def recover_segments(contents, now=NOW):
-    """Recover segments that hold these records, numbered from 1."""
+    """Recovers segments with the given encoded records, with serial numbers from 1."""
     segments = [
         SegmentContent(serial, encode_segment_header(serial, OWNER) + raw)
         for serial, raw in enumerate(contents, 1)
--- a/tests/test_idempotency_processes.py
+++ b/tests/test_idempotency_processes.py
@@ -1,4 +1,4 @@
-"""Stored results among processes: the program killed at chosen points, its store looked at from outside."""
+"""The result store across processes: the program is killed at chosen points, and its store is inspected."""
 
 import json
 import os
@@ -28,25 +28,26 @@
 
 pytestmark = pytest.mark.xdist_group("processes")
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 150
-PLAYS = {
+TIMEOUT_S = 150
+FAULTS = {
     "none": (400, 10),
     "agent-too": (400, 10),
     "full-disk": (400, 10),
     "filling": (1_200, 0),
-}  # labels, kills
+}  # numbers of keys and kills
 NOW = time.time_ns() // 100_000
 RETENTION = 600_000
 DIGEST = b"d" * 16
 
 
 def start(fault, folder):
-    labels, kills = PLAYS[fault]
-    words = ["lab", "play", "kept", "--seed", "7", "--fault", fault]
-    words += ["--labels", str(labels), "--kills", str(kills)]
+    key_count, kill_count = FAULTS[fault]
+    arguments = ["lab", "play", "kept", "--seed", "7", "--fault", fault]
+    arguments += ["--labels", str(key_count), "--kills", str(kill_count)]
+    arguments += ["--alone", "--json", str(folder / f"{fault}.json")]
     with (folder / f"{fault}.out").open("w") as out:
         return subprocess.Popen(
-            [sys.executable, "-m", "birchslip", *words, "--alone", "--json", str(folder / f"{fault}.json")],
+            [sys.executable, "-m", "birchslip", *arguments],
             cwd=ROOT,
             stdout=out,
             stderr=out,
@@ -54,29 +55,30 @@
 
 
 @pytest.fixture(scope="module")
-def plays(tmp_path_factory):
+def runs(tmp_path_factory):
     folder = tmp_path_factory.mktemp("kept")
-    running = {fault: start(fault, folder) for fault in PLAYS}
-    codes = {fault: one.wait(PATIENCE) for fault, one in running.items()}
-    said = {fault: (folder / f"{fault}.out").read_text() for fault in PLAYS}
-    return codes, said, folder
+    running = {fault: start(fault, folder) for fault in FAULTS}
+    exit_codes = {fault: process.wait(TIMEOUT_S) for fault, process in running.items()}
+    outputs = {fault: (folder / f"{fault}.out").read_text() for fault in FAULTS}
+    return exit_codes, outputs, folder
 
 
-@pytest.mark.parametrize("fault", PLAYS)
-def test_no_key_runs_twice_and_every_try_is_answered(plays, fault):
-    codes, said, folder = plays
-    assert codes[fault] == 0, said[fault]
-    told = json.loads((folder / f"{fault}.json").read_text())
-    assert told["broken"] == []
-    assert told["double_runs"] == told["unanswered"] == told["other_answer"] == 0
-    assert (told["labels"], told["kills"] >= PLAYS[fault][1]) == (PLAYS[fault][0], True)
-    assert told["first_answer_again"] > 20
-    assert told["unknown_beyond"] == 0 or fault == "full-disk"  # there an answer may go out unkept
+@pytest.mark.parametrize("fault", FAULTS)
+def test_no_key_runs_twice_and_every_attempt_is_answered(runs, fault):
+    exit_codes, outputs, folder = runs
+    assert exit_codes[fault] == 0, outputs[fault]
+    report = json.loads((folder / f"{fault}.json").read_text())
+    assert report["broken"] == []
+    assert report["double_runs"] == report["unanswered"] == report["other_answer"] == 0
+    assert (report["labels"], report["kills"] >= FAULTS[fault][1]) == (FAULTS[fault][0], True)
+    assert report["first_answer_again"] > 20
+    # On a full disk a request may be answered although its result is not stored.
+    assert report["unknown_beyond"] == 0 or fault == "full-disk"
 
 
-def test_a_surge_that_fills_the_store_leaves_room_for_the_other_accounts(plays):
-    sheds = json.loads((plays[2] / "filling.json").read_text())["sheds_each"]
-    assert sheds["blue"] > 3 * max(sheds["green"], sheds["red"])
+def test_a_surge_that_fills_the_store_leaves_room_for_other_tenants(runs):
+    rejections = json.loads((runs[2] / "filling.json").read_text())["sheds_each"]
+    assert rejections["blue"] > 3 * max(rejections["green"], rejections["red"])
 
 
 def write_segment(folder, records, serial=1):
@@ -128,17 +130,17 @@
     assert verify_store(tmp_path).damaged_records == []
 
 
-@pytest.mark.parametrize("drops", [0, 1])
-def test_a_store_whose_compaction_is_killed_says_the_same_of_every_key(tmp_path, monkeypatch, drops):
+@pytest.mark.parametrize("deletions", [0, 1])
+def test_a_store_whose_compaction_is_killed_keeps_the_state_of_every_key(tmp_path, monkeypatch, deletions):
     write_segment(tmp_path, [started(1), completed(1), started(2)])
     write_segment(tmp_path, [completed(2), started(3)], serial=2)
-    before, inner, left = show_store(tmp_path, NOW), SegmentFiles.delete_segment, [drops]
+    before, original, remaining = show_store(tmp_path, NOW), SegmentFiles.delete_segment, [deletions]
 
     def delete_segment(files, serial):
-        if not left[0]:
+        if not remaining[0]:
             raise KeyboardInterrupt
-        left[0] -= 1
-        inner(files, serial)
+        remaining[0] -= 1
+        original(files, serial)
 
     monkeypatch.setattr(SegmentFiles, "delete_segment", delete_segment)
     with pytest.raises(KeyboardInterrupt):
@@ -159,7 +161,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "words"),
+    ("settings", "message"),
     [
         ("{", "truncated"),
         ('{"folder": ""}', "`$.folder`"),
@@ -167,46 +169,46 @@
         ('{"folder": "x", "bytes": 10}', "`$.bytes`"),
     ],
 )
-def test_invalid_settings_of_the_store_keep_the_program_from_starting(tmp_path, told, words):
+def test_the_program_does_not_start_with_invalid_store_settings(tmp_path, settings, message):
     path = tmp_path / "keep.json"
-    path.write_text(told)
+    path.write_text(settings)
     config = str(ROOT / "examples" / "app-server.json")
-    code, _, said = command(PROXY_CONFIG=config, BIRCHSLIP_KEEP=str(path))
+    code, _, error_output = command(PROXY_CONFIG=config, BIRCHSLIP_KEEP=str(path))
     assert code == 2
-    assert words in said
-    assert "Traceback" not in said
+    assert message in error_output
+    assert "Traceback" not in error_output
 
 
-def test_the_schema_in_the_repository_is_the_one_in_force():
-    told = json.loads((ROOT / "deploy" / "keep.schema.json").read_text())
-    assert told == json.loads(json.dumps(store_settings_schema()))
+def test_the_schema_in_the_repository_matches_the_settings():
+    stored_schema = json.loads((ROOT / "deploy" / "keep.schema.json").read_text())
+    assert stored_schema == json.loads(json.dumps(store_settings_schema()))
 
 
 def test_a_second_program_on_the_folder_does_not_start(tmp_path):
     config = json.loads((ROOT / "examples" / "app-server.json").read_text()) | {"listen": "127.0.0.1:0"}
-    path, store = tmp_path / "config.json", tmp_path / "keep.json"
-    path.write_text(json.dumps(config))
-    store.write_text(json.dumps({"folder": str(tmp_path / "kept")}))
-    there = {"PROXY_CONFIG": str(path), "BIRCHSLIP_KEEP": str(store)}
+    config_path, settings_path = tmp_path / "config.json", tmp_path / "keep.json"
+    config_path.write_text(json.dumps(config))
+    settings_path.write_text(json.dumps({"folder": str(tmp_path / "kept")}))
+    environment = {"PROXY_CONFIG": str(config_path), "BIRCHSLIP_KEEP": str(settings_path)}
     first = subprocess.Popen(
         [sys.executable, "-m", "birchslip"],
         cwd=ROOT,
-        env=os.environ | there,
+        env=os.environ | environment,
         stderr=subprocess.PIPE,
         text=True,
     )
     try:
         while "listening" not in first.stderr.readline():
             assert first.poll() is None
-        code, _, said = command(**there)
+        code, _, error_output = command(**environment)
         assert code == 2
-        assert "another program has the store" in said
-        assert "Traceback" not in said
+        assert "another program has the store" in error_output
+        assert "Traceback" not in error_output
         assert command("keep", "show", str(tmp_path / "kept"))[0] == 0
         assert command("keep", "compact", str(tmp_path / "kept"))[0] == 2
     finally:
         first.send_signal(signal.SIGTERM)
-        first.wait(PATIENCE)
+        first.wait(TIMEOUT_S)
         first.stderr.close()
     files = SegmentFiles(tmp_path / "kept", config["name"])
     (segment,) = files.read_segments()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What is known of each key once a store is read again, also after kills and power failures at any point."""
+"""Recovery of a store, also after kills and power failures at any point."""
 
 import random
 from pathlib import Path
@@ -39,23 +39,24 @@
     return next(read_fragments(raw, offset)).decode(raw)
 
 
-def test_a_store_cut_anywhere_is_its_whole_records_and_no_more():
+def test_a_store_truncated_anywhere_recovers_exactly_its_whole_records():
     raw = b"".join(STORED_RECORDS)
     ends = [sum(map(len, STORED_RECORDS[:n])) for n in range(len(STORED_RECORDS) + 1)]
     for size in range(len(raw) + 1):
         store = recover_segments([raw[:size]])
-        whole = sum(end <= size for end in ends) - 1
-        is_completed = {key_of(n // 2): n % 2 for n in range(whole)}  # by the last whole record of each
-        for key, has_result in is_completed.items():
+        whole_count = sum(end <= size for end in ends) - 1
+        # A key has a result if its last whole record is a completed one.
+        has_result_by_key = {key_of(n // 2): n % 2 for n in range(whole_count)}
+        for key, has_result in has_result_by_key.items():
             location = store.index.get(key, NOW)
             assert location is not None
             assert (location == UNKNOWN_LOCATION) == (not has_result)
         assert not store.is_in_doubt
-        assert store.unknown == sum(not has_result for has_result in is_completed.values())
+        assert store.unknown == sum(not has_result for has_result in has_result_by_key.values())
         assert (store.truncated_at is not None) == (size not in ends)
 
 
-def test_a_flipped_byte_never_frees_a_key_and_never_returns_another_result():
+def test_a_changed_byte_never_frees_a_key_and_never_changes_a_result():
     raw = encode_segment_header(1, OWNER) + b"".join(STORED_RECORDS)
     for offset in range(len(raw)):
         damaged = bytearray(raw)
@@ -95,10 +96,10 @@
         "never ran",
         "started again",
         "expired",
-        "clock set back since",
+        "clock was set back",
     ],
 )
-def test_what_is_known_of_a_key_after_its_records(segments, is_unknown, is_known):
+def test_the_state_of_a_key_follows_from_its_records(segments, is_unknown, is_known):
     store = recover_segments([b"".join(map(encode, records)) for records in segments])
     location = store.index.get(KEY, NOW)
     assert (location == UNKNOWN_LOCATION) is is_unknown
@@ -107,13 +108,13 @@
     assert len(store.open_runs) == is_unknown
 
 
-def test_after_a_clock_was_set_back_no_key_is_retained_for_longer_than_a_retention_from_now():
+def test_after_the_clock_was_set_back_a_key_is_retained_for_at_most_one_retention_from_now():
     store = recover_segments([encode(started(KEY, NOW + 1_000 * RETENTION))])
     assert store.index.get(KEY, NOW + RETENTION) == UNKNOWN_LOCATION
     assert store.index.get(KEY, NOW + RETENTION + 1) is None
 
 
-def test_a_missing_segment_and_a_truncated_one_before_the_last_put_the_store_in_doubt():
+def test_a_missing_segment_or_a_truncated_earlier_one_puts_the_store_in_doubt():
     assert recover_segments([b"".join(STORED_RECORDS)[:-3], encode(started(key_of(9)))]).is_in_doubt
     segments = [SegmentContent(serial, encode_segment_header(serial, OWNER)) for serial in (1, 3)]
     assert recover(segments, RetentionBudget(9, 1 << 20, 0), NOW, RETENTION, 3).is_in_doubt
@@ -126,7 +127,7 @@
 
 
 class Incarnation:
-    """One incarnation of a store over a disk in memory, flushed by hand; what is flushed may be acted on."""
+    """One incarnation of a store on a simulated disk, which the test flushes explicitly."""
 
     def __init__(self, system, now):
         self.budget = RetentionBudget(MAX_ENTRIES, MIN_SEGMENTS * 8 * COMPLETION_RESERVE_BYTES, SECOND)
@@ -142,10 +143,10 @@
             self.files.delete_segment(serial)
         self.files.create_segment(last_serial + 1)
         self.budget.add_segment(self.files.serial, self.files.size)
-        self.own_keys = {}  # started in this incarnation: when they expire
+        self.own_keys = {}  # expiry of the keys that this incarnation started
 
-    def standing(self, key, now):
-        """What a request that arrives now may be told: own, unknown, a result, rejected, or free."""
+    def state_of(self, key, now):
+        """Returns a key's state for a request that arrives now: own, unknown, a result, rejected or free."""
         if now <= self.own_keys.get(key, 0):
             return "own"
         packed = self.store.index.get(key, now)
@@ -169,44 +170,44 @@
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """Keys are started, run and completed; the process is killed, the power fails, time passes."""
+    """Starts, runs and completes keys while processes are killed, the power fails and time passes."""
 
     def __init__(self):
         super().__init__()
         self.system, self.now = Memory(), NOW
         self.incarnation = Incarnation(self.system, self.now)
-        self.ran = {}  # key: when the run that had an effect arrived
-        self.answers = {}  # key: what was answered, and when it expires
-        self.open = {}  # key: when it arrived; launched in this incarnation
+        self.ran = {}  # arrival of the last launched request of each key
+        self.answers = {}  # answered result of each key, and its expiry
+        self.open = {}  # arrival of each key that was launched in this incarnation and not completed
         self.completions = 0
 
     keys = st.sampled_from(KEYS)
 
     @rule(key=keys)
     def request(self, key):
-        standing = self.incarnation.standing(key, self.now)
-        if isinstance(standing, bytes):
-            assert self.answers.get(key, (standing, 0))[0] == standing  # the first answer again
-        if standing != "free":
+        state = self.incarnation.state_of(key, self.now)
+        if isinstance(state, bytes):
+            assert self.answers.get(key, (state, 0))[0] == state  # the same answer as before
+        if state != "free":
             return
         before = self.ran.get(key)
         assert before is None or self.now > before + RETENTION, "a second run within the retention"
         self.incarnation.write(started(key, self.now))
         self.incarnation.files.flush()
         self.incarnation.budget.start_entry(self.now + RETENTION)
-        # It is flushed, and so it is launched.
+        # The run is launched, because its started record is flushed.
         self.ran[key] = self.now
         self.incarnation.own_keys[key] = self.now + RETENTION
         self.open[key] = self.now
         self.answers.pop(key, None)
 
     @rule(key=keys)
-    def start_and_never_flush(self, key):
-        if self.incarnation.standing(key, self.now) == "free":
+    def start_without_flush(self, key):
+        if self.incarnation.state_of(key, self.now) == "free":
             self.incarnation.write(started(key, self.now))
             self.incarnation.budget.start_entry(self.now + RETENTION)
             self.incarnation.own_keys[key] = self.now + RETENTION
-            # Its flush never ends in this incarnation: nothing is launched.
+            # The flush does not end in this incarnation, so the run is not launched.
             self.open.pop(key, None)
 
     @precondition(lambda self: self.open)
@@ -237,19 +238,19 @@
         self.incarnation = Incarnation(self.system, self.now)
 
     @invariant()
-    def what_was_answered_is_answered_again_or_unknown_but_never_free(self):
+    def an_answered_key_is_never_free_and_never_gets_another_result(self):
         for key, (result, expires_at) in self.answers.items():
             if self.now <= expires_at and key not in self.incarnation.own_keys:
-                assert self.incarnation.standing(key, self.now) in (result, "unknown", "rejected")
+                assert self.incarnation.state_of(key, self.now) in (result, "unknown", "rejected")
 
     @invariant()
-    def what_ran_is_never_free_within_its_retention(self):
+    def a_key_that_ran_is_never_free_within_its_retention(self):
         for key, arrived_at in self.ran.items():
             if self.now <= arrived_at + RETENTION:
-                assert self.incarnation.standing(key, self.now) != "free"
+                assert self.incarnation.state_of(key, self.now) != "free"
 
     @invariant()
-    def bounds_hold(self):
+    def limits_hold(self):
         budget = self.incarnation.budget
         assert budget.live_entries <= MAX_ENTRIES + len(KEYS)
         assert budget.remaining_entries(self.now) >= 0
--- a/tests/test_stored_results_record.py
+++ b/tests/test_stored_results_record.py
@@ -1,7 +1,8 @@
-"""A store and its records as the version before this one wrote them, read and written by this one.
+"""Compatibility with a store and records that the previous version wrote.
 
-The bytes were made by the version before (`birchslip/keep/`), with keys 1 to 9 and 20 to 27: results over
-several files, a record that extends its key's retention, one with a corrupt body, one that is cut short.
+The bytes were written by the previous version (`birchslip/keep/`), with keys 1 to 9 and 20 to 27: results in
+several files, a record that extends the retention of its key, one with a corrupt body, and one that is cut
+short.
 """
 
 import msgspec
@@ -154,7 +155,7 @@
         "6464646464646464646464640700"
     ),
 }
-STORED_FILE_HEAD = bytes.fromhex("62736c706b65657001000000070000001f4e961eb632c6e629fb2502")
+STORED_SEGMENT_HEADER = bytes.fromhex("62736c706b65657001000000070000001f4e961eb632c6e629fb2502")
 STORED_DIGEST = bytes.fromhex("7b56ecadcda3742ceef8b83e67f6f784")
 
 
@@ -217,14 +218,14 @@
     return tmp_path
 
 
-def flip_byte(path, at):
+def flip_byte(path, offset):
     raw = bytearray(path.read_bytes())
-    raw[at] ^= 1
+    raw[offset] ^= 1
     path.write_bytes(raw)
 
 
 def recover_folder(folder):
-    """What is known of the store, with the budget that its files take."""
+    """Returns the recovered store, and the budget that accounts for its files."""
     files = SegmentFiles(folder, "a")
     budget = RetentionBudget(10**6, 1 << 30, 10_000)
     recovered = recover(files.read_segments(), budget, RECOVERED_AT, RETENTION, 4)
@@ -260,7 +261,7 @@
     assert (recovered.expired, recovered.unknown, recovered.truncated_at) == (3, 3, 672)
     assert not recovered.is_in_doubt
     assert budget.live_entries == 12
-    assert [(one.serial, one.size, one.last_expiry - NOW) for one in budget.segments] == [
+    assert [(segment.serial, segment.size, segment.last_expiry - NOW) for segment in budget.segments] == [
         (1, 559, RETENTION),
         (2, 426, RETENTION),
         (3, 396, RETENTION + RETENTION // 2),
@@ -268,7 +269,7 @@
     ]
 
 
-def test_an_extended_key_stands_for_longer_than_the_others(folder):
+def test_an_extended_key_is_retained_longer_than_the_others(folder):
     recovered, _ = recover_folder(folder)
     assert recovered.index.get(key(6), NOW + RETENTION + RETENTION // 2) is not None
     assert recovered.index.get(key(1), NOW + RETENTION + 1) is None
@@ -283,7 +284,7 @@
     assert recovered.unknown == 3
 
 
-def test_show_and_verify_tell_the_same_of_a_stored_folder(folder):
+def test_show_and_verify_report_the_same_for_a_stored_folder(folder):
     assert msgspec.to_builtins(show_store(folder, RECOVERED_AT)) == {
         "name": "a",
         "held": False,
@@ -325,7 +326,7 @@
 
 
 @pytest.mark.parametrize("name", RECORDS)
-def test_a_record_of_the_version_before_is_read_whole(name):
+def test_a_record_of_the_previous_version_is_decoded(name):
     raw = STORED_RECORDS[name]
     assert [fragment.decode(raw) for fragment in read_fragments(raw)] == [RECORDS[name]]
 
@@ -335,6 +336,6 @@
     assert set(RECORDS) == set(STORED_RECORDS)
 
 
-def test_a_file_head_and_a_request_digest_are_as_before():
-    assert encode_segment_header(7, "a") == STORED_FILE_HEAD
+def test_the_segment_header_and_the_request_digest_are_unchanged():
+    assert encode_segment_header(7, "a") == STORED_SEGMENT_HEADER
     assert digest_request("order", b"body") == STORED_DIGEST
