--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -6,9 +6,9 @@
 1. *Reject*: rejects the load that exceeds the capacity of all sites, tier by tier in the operators' order.
 2. *Place*: keeps local load at its site and sends the rest over the cheapest links to sites with spare
    capacity.
-3. *Quotas*: gives the evacuated callers of each site a quota of their own and divides the rest of its
-   capacity among tenants by water-filling (max-min fairness): a tenant never gets less than its share, or
-   than its demand if that is lower, so that another one can exceed its own share.
+3. *Quotas*: sets a quota for all evacuated callers at each site, and divides the rest of the site's capacity
+   among tenants by water-filling (max-min fairness): a tenant never gets less than its share, or than its
+   demand if that is lower, so that another one can exceed its own share.
 
 Rates are in requests per second. Plans are compared for exact equality, so the order in which floating-point
 values are summed must not change.
--- a/birchslip/idempotency/flush_queue.py
+++ b/birchslip/idempotency/flush_queue.py
@@ -43,7 +43,7 @@
         """Start empty.
 
         Args:
-            scheduler: Source of the time; calls the listeners.
+            scheduler: Source of the current time.
             counters: Where flushes and changes of the disk state are counted, as `keep.*`.
             log: Where flush latencies and changes of the disk state are logged.
             writer: Executes the appends in its thread.
@@ -57,7 +57,7 @@
         self._budget = budget
         self._disk = disk
         self._listeners: dict[int, FlushListener] = {}  # by append number
-        self._last_append = 0
+        self._last_append_number = 0
         self._unflushed = 0
         self._segment_has_failed = False
         self._latencies_ms: list[float] = []  # from submission to notification, since the last event
@@ -88,8 +88,8 @@
 
         The listener is notified at the latest when the disk counts as stalled.
         """
-        self._last_append += 1
-        number = self._last_append
+        self._last_append_number += 1
+        number = self._last_append_number
         self._listeners[number] = listener
         self.append(record, lambda task: self._notify_listener(number, not task.error))
 
--- a/birchslip/idempotency/recovery.py
+++ b/birchslip/idempotency/recovery.py
@@ -91,12 +91,8 @@
         self.latest_expiry = now + max_retention
         self.store = RecoveredStore(KeyIndex(now - max_retention - budget.grace - 1))
         self.keys: dict[bytes, tuple[int, int]] = {}  # expiry and packed location
-        self.open_fragments: dict[
-            bytes, RecordFragment
-        ] = {}  # keys started in this segment and not completed
-        self.open_records: dict[
-            bytes, ResultRecord
-        ] = {}  # keys started in earlier segments and not completed
+        self.open_fragments: dict[bytes, RecordFragment] = {}  # started in this segment, not completed
+        self.open_records: dict[bytes, ResultRecord] = {}  # started in earlier segments, not completed
         self.previous_serial: int | None = None
 
     def read_segment(self, segment: SegmentContent, is_last: bool) -> None:
