--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -17,8 +17,8 @@
 from ..errors import InvalidInputError
 from ..net.counters import Counters
 from ..net.log import Log
-from ..net.passage import Passage
 from ..net.program import memory
+from ..net.request_context import RequestContext
 from ..net.scheduler import Scheduler
 from ..net.site import address
 from .fleet_file import Fleet, Site, span
@@ -165,13 +165,13 @@
 
     # ---- calls of the app server -----------------------------------------------------------------------
 
-    def record_arrival(self, passage: Passage) -> None:
+    def record_arrival(self, context: RequestContext) -> None:
         """Counts a request that has been read."""
-        self.recorder.record_arrival(passage)
+        self.recorder.record_arrival(context)
 
-    def record_answer(self, passage: Passage, outcome: str) -> None:
+    def record_answer(self, context: RequestContext, outcome: str) -> None:
         """Counts a request that has been answered."""
-        self.recorder.record_answer(passage, outcome)
+        self.recorder.record_answer(context, outcome)
 
     def apply_lease(self) -> None:
         """Sets the controller's downstream quota to the calls that are allowed at this moment.
--- a/birchslip/cluster/request_recorder.py
+++ b/birchslip/cluster/request_recorder.py
@@ -9,7 +9,7 @@
 
 from ..admission.types import Tenant
 from ..net.counters import Counters
-from ..net.passage import Passage
+from ..net.request_context import RequestContext
 from ..net.scheduler import Scheduler
 from .member_metrics import OutcomeCounts, RequestRates
 
@@ -48,20 +48,20 @@
         self.rates = RequestRates(list(tenants))
         self.outcome_counts = OutcomeCounts(request_classes)
 
-    def record_arrival(self, passage: Passage) -> None:
+    def record_arrival(self, context: RequestContext) -> None:
         """Counts a request that has been read."""
-        request = passage.transaction
+        request = context.request
         tenant = self.tenant_names.get(id(request.tenant), "") if request.tenant is not None else ""
         is_local = not self.local_callers or request.caller in self.local_callers
         self.rates.record_arrival(self.scheduler.now, tenant, is_local, request.is_retry)
 
-    def record_answer(self, passage: Passage, outcome: str) -> None:
+    def record_answer(self, context: RequestContext, outcome: str) -> None:
         """Counts a request that has been answered, with its run time."""
-        request = passage.transaction
+        request = context.request
         now = self.scheduler.now
         is_late = now - request.arrived_at > request.request_class.latency_objective
-        run_time = now - passage.launched_at if passage.launched else -1
-        self.outcome_counts.record_answer(passage.profile, outcome, run_time, is_late)
+        run_time = now - context.launched_at if context.is_launched else -1
+        self.outcome_counts.record_answer(context.class_name, outcome, run_time, is_late)
 
     def sample(self) -> None:
         """Takes over the counters of answers, then again after an interval."""
--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -13,7 +13,7 @@
 
 from ..admission.types import NEVER_RAN_OUTCOMES, Outcome, Request, RequestState
 from ..net.counters import Counters
-from ..net.passage import Conclusion, Label, Passage
+from ..net.request_context import IdempotencyEntry, RequestContext, RunResult
 from .flush_queue import FlushQueue
 from .key_index import UNKNOWN_LOCATION, KeyIndex, pack_location, unpack_location
 from .record_format import RecordKind, ResultRecord, digest_request
@@ -21,7 +21,7 @@
 from .retention_budget import COMPLETION_RESERVE_BYTES
 from .writer import AppendTask, FetchTask, Writer
 
-ResolutionListener = Callable[[Label, Conclusion], None]
+ResolutionListener = Callable[[IdempotencyEntry, RunResult], None]
 
 
 class DiscardingCaller:
@@ -29,15 +29,15 @@
 
     def __init__(self) -> None:
         """Start without open requests."""
-        self.open: dict[int, Passage] = {}
+        self.open_requests: dict[int, RequestContext] = {}
 
-    def honour(self, number: int, result: bytes) -> None:
+    def send_result(self, message_id: int, body: bytes) -> None:
         """Discard a result."""
 
-    def shed(self, number: int, after: int, last: bool) -> None:
+    def send_rejection(self, message_id: int, retry_after: int, stop_retrying: bool) -> None:
         """Discard a rejection."""
 
-    def write_off(self, number: int) -> None:
+    def send_error(self, message_id: int) -> None:
         """Discard a failure."""
 
 
@@ -57,7 +57,7 @@
         self._writer = writer
         self._flush_queue = flush_queue
         self._recovered = recovered
-        self._entries: dict[bytes, Label] = {}  # of the keys that were requested since the start
+        self._entries: dict[bytes, IdempotencyEntry] = {}  # of the keys that were requested since the start
 
     @property
     def is_empty(self) -> bool:
@@ -69,18 +69,18 @@
         """How many keys that were requested since the start are in memory."""
         return len(self._entries)
 
-    def find(self, request: Passage) -> Label | None:
+    def find(self, context: RequestContext) -> IdempotencyEntry | None:
         """The entry of a request's key if an earlier incarnation started it; its result is fetched."""
-        key = bytes.fromhex(request.label_name)
-        location = self._recovered.index.get(key, request.stamp)
+        key = bytes.fromhex(context.idempotency_key)
+        location = self._recovered.index.get(key, context.received_at)
         if location is None:
             return None
         if key in self._entries:
             return self._entries[key]
-        entry = self._entries[key] = _make_entry(request)
+        entry = self._entries[key] = _make_entry(context)
         if location == UNKNOWN_LOCATION:
             self._counters.count("keep.unknown")
-            entry.conclusion = Conclusion(Outcome.FAILED)
+            entry.result = RunResult(Outcome.FAILED)
         else:
             self._counters.count("keep.fetched")
             task = FetchTask(
@@ -99,7 +99,7 @@
         self._counters.count("keep.resolved")
         entry = self._entries.pop(started.key, None)
         if entry is not None:
-            self._resolve(entry, Conclusion(outcome, result))
+            self._resolve(entry, RunResult(outcome, result))
         completed = replace(started, kind=RecordKind.COMPLETED, run_id="", outcome=outcome, result=result)
         self._flush_queue.append(completed, partial(self._completion_done, completed))
 
@@ -108,18 +108,18 @@
         self._recovered.index = KeyIndex(now)
         self._entries = {}
 
-    def _fetched(self, entry: Label, task: FetchTask) -> None:
+    def _fetched(self, entry: IdempotencyEntry, task: FetchTask) -> None:
         record = task.record
-        if record is None or record.key != bytes.fromhex(entry.name):
+        if record is None or record.key != bytes.fromhex(entry.key):
             self._counters.count("keep.unread")
-            self._resolve(entry, Conclusion(Outcome.FAILED))
+            self._resolve(entry, RunResult(Outcome.FAILED))
             return
-        entry.asked = partial(_is_same_request, record.request_digest)
-        self._resolve(entry, Conclusion(record.outcome, record.result))
+        entry.matches_earlier_run = partial(_is_same_request, record.request_digest)
+        self._resolve(entry, RunResult(record.outcome, record.result))
 
-    def _resolve(self, entry: Label, conclusion: Conclusion) -> None:
-        if entry.conclusion is None:
-            self.on_resolved(entry, conclusion)
+    def _resolve(self, entry: IdempotencyEntry, run_result: RunResult) -> None:
+        if entry.result is None:
+            self.on_resolved(entry, run_result)
 
     def _completion_done(self, record: ResultRecord, task: AppendTask) -> None:
         index = self._recovered.index
@@ -129,18 +129,20 @@
             index.put(record.key, record.expires_at, pack_location(task.serial, task.offset))
 
 
-def _make_entry(repeat: Passage) -> Label:
+def _make_entry(repeat: RequestContext) -> IdempotencyEntry:
     """The entry of a key whose first request, as far as the controller is concerned, has run and is over."""
-    arrived_at = repeat.stamp
-    request_class = repeat.transaction.request_class
+    arrived_at = repeat.received_at
+    request_class = repeat.request.request_class
     request = Request(request_class, caller=0, arrived_at=arrived_at, deadline=arrived_at, size=0)
     request.has_started = True
     request.state = RequestState.COMPLETED
-    original = Passage(DiscardingCaller(), 0, "", "", b"", request, arrived_at, repeat.label_name)
-    original.launched = True
-    original.answered = True
-    return Label(repeat.label_name, original, arrived_at, original, asked=lambda other: True)
+    original = RequestContext(DiscardingCaller(), 0, "", "", b"", request, arrived_at, repeat.idempotency_key)
+    original.is_launched = True
+    original.is_answered = True
+    return IdempotencyEntry(
+        repeat.idempotency_key, original, arrived_at, original, matches_earlier_run=lambda other: True
+    )
 
 
-def _is_same_request(digest: bytes, request: Passage) -> bool:
-    return digest_request(request.profile, request.body) == digest
+def _is_same_request(digest: bytes, context: RequestContext) -> bool:
+    return digest_request(context.class_name, context.body) == digest
--- a/birchslip/idempotency/result_store.py
+++ b/birchslip/idempotency/result_store.py
@@ -15,7 +15,7 @@
 from ..errors import ConfigurationError
 from ..net.counters import Counters
 from ..net.log import Log
-from ..net.passage import Conclusion, Label, Passage
+from ..net.request_context import IdempotencyEntry, RequestContext, RunResult
 from ..net.scheduler import Scheduler
 from .disk_health import DiskHealth
 from .earlier_results import EarlierResults, ResolutionListener
@@ -163,7 +163,7 @@
 
     # ---- keyed requests --------------------------------------------------------------------------------
 
-    def record_start(self, request: Passage, listener: FlushListener) -> None:
+    def record_start(self, context: RequestContext, listener: FlushListener) -> None:
         """Record that a request is about to run.
 
         The listener is notified once whether it may be launched: whether its started record was flushed in
@@ -173,7 +173,7 @@
             self.counters.count("keep.no_room")
             self.scheduler.at(self.scheduler.now, lambda: listener(False))
             return
-        record = _make_started(request)
+        record = _make_started(context)
 
         def flushed(is_flushed: bool) -> None:
             if not is_flushed:
@@ -183,22 +183,24 @@
         self.budget.start_entry(record.expires_at)
         self.flush_queue.append_and_wait(record, flushed)
 
-    def record_never_ran(self, request: Passage) -> None:
+    def record_never_ran(self, context: RequestContext) -> None:
         """Record that a request whose start was recorded will not be launched after all."""
-        self._append_never_ran(_make_started(request))
+        self._append_never_ran(_make_started(context))
 
-    def record_completion(self, request: Passage, conclusion: Conclusion, listener: FlushListener) -> None:
+    def record_completion(
+        self, context: RequestContext, run_result: RunResult, listener: FlushListener
+    ) -> None:
         """Record what a run has come to.
 
         The listener is notified once, and the request may be answered: its completed record is flushed, or
         the disk takes too long.
         """
         completed = replace(
-            _make_started(request),
+            _make_started(context),
             kind=RecordKind.COMPLETED,
             run_id="",
-            outcome=conclusion.outcome,
-            result=conclusion.result,
+            outcome=run_result.outcome,
+            result=run_result.body,
         )
         self.budget.release_reserve()
         self.flush_queue.append_and_wait(completed, listener)
@@ -211,9 +213,9 @@
 
     # ---- earlier incarnations --------------------------------------------------------------------------
 
-    def find_earlier_result(self, request: Passage) -> Label | None:
+    def find_earlier_result(self, context: RequestContext) -> IdempotencyEntry | None:
         """The entry of a request's key, if an earlier incarnation started it."""
-        return self.earlier_results.find(request)
+        return self.earlier_results.find(context)
 
     def complete_earlier_run(self, run_id: str, outcome: Outcome, result: bytes) -> None:
         """Complete a run of an earlier incarnation whose end the agent still reports."""
@@ -246,12 +248,12 @@
         return recovered
 
 
-def _make_started(request: Passage) -> ResultRecord:
+def _make_started(context: RequestContext) -> ResultRecord:
     return ResultRecord(
         RecordKind.STARTED,
-        bytes.fromhex(request.label_name),
-        request.window_from,
-        request.transaction.request_class.key_retention,
-        run_id=request.name,
-        request_digest=digest_request(request.profile, request.body),
+        bytes.fromhex(context.idempotency_key),
+        context.retention_start,
+        context.request.request_class.key_retention,
+        run_id=context.request_id,
+        request_digest=digest_request(context.class_name, context.body),
     )
--- a/birchslip/lab/dying.py
+++ b/birchslip/lab/dying.py
@@ -24,10 +24,10 @@
 
 POINTS = {
     "before-begun": ("birchslip.idempotency.result_store", "ResultStore", "record_start", True),
-    "after-begun": ("birchslip.net.stages.send", "Send", "begun", True),
+    "after-begun": ("birchslip.net.stages.run_dispatcher", "RunDispatcher", "on_start_recorded", True),
     "after-launch": ("birchslip.net.servers", "Agent", "launch", False),
     "before-concluded": ("birchslip.idempotency.result_store", "ResultStore", "record_completion", True),
-    "after-concluded": ("birchslip.net.stages.send", "Send", "conclude", True),
+    "after-concluded": ("birchslip.net.stages.run_dispatcher", "RunDispatcher", "complete", True),
     "after-answer": ("birchslip.net.connection", "Connection", "flush", False),
     "compacting": ("birchslip.idempotency.segment_files", "SegmentFiles", "delete_segment", True),
 }
--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -24,7 +24,7 @@
 from .counters import Counters
 from .log import Log
 from .messagepack import Incomplete, pack, unpack
-from .passage import Passage, Told
+from .request_context import DecodedRequest, RequestContext
 from .scheduler import READ, Scheduler
 
 SHED, WRITTEN_OFF = "Overloaded", "Failed"  # the words of answers that are no result
@@ -95,7 +95,7 @@
     return value
 
 
-def read_told(profile: str, params: list[Any]) -> Told:
+def decode_request(class_name: str, params: list[Any]) -> DecodedRequest:
     """A call's profile, fields and body; Malformed names what is wrong."""
     match params:
         case [dict(fields), bytes(body)] if len(body) <= BODY:
@@ -111,20 +111,22 @@
         raise InvalidInputError("need is 0")
     if "subject" in fields:
         matched(fields, "subject", NAME)
-    return Told(
-        name=matched(fields, "req", NAME),
-        profile=profile,
+    return DecodedRequest(
+        request_id=matched(fields, "req", NAME),
+        class_name=class_name,
         body=body,
-        stamp=int(ranged(fields, "ts", WHOLE, 0, 1 << 50)) * MS,
+        router_timestamp=int(ranged(fields, "ts", WHOLE, 0, 1 << 50)) * MS,
         # Where callers don't say how long they wait, the settings bound it.
-        wait=int(ranged(fields, "timeout", WHOLE, 1, LONGEST_WAIT) if "timeout" in fields else LONGEST_WAIT)
+        timeout=int(
+            ranged(fields, "timeout", WHOLE, 1, LONGEST_WAIT) if "timeout" in fields else LONGEST_WAIT
+        )
         * MS,
         caller=int(matched(fields, "via", WHOLE)),
         tenant=fields.get("owner", ""),
         size=ceil(need * 1024),
-        again="resent" in fields and bool(matched(fields, "resent", MARK)),
-        label=matched(fields, "opkey", LABEL) if "opkey" in fields else "",
-        about="subject" in fields,
+        is_retry="resent" in fields and bool(matched(fields, "resent", MARK)),
+        idempotency_key=matched(fields, "opkey", LABEL) if "opkey" in fields else "",
+        has_subject="subject" in fields,
     )
 
 
@@ -133,7 +135,7 @@
 
     def __init__(self, clients: Clients, connection: Connection) -> None:
         self.clients, self.connection = clients, connection
-        self.open: dict[int, Passage] = {}
+        self.open_requests: dict[int, RequestContext] = {}
         self.highest = 0
         self.closing = False
 
@@ -153,15 +155,15 @@
                 if method == "ping" and len(params) < 2:
                     self.clients.counters.count("clients.pings")
                     self.send(pack([Type.REPLY, at, None, [self.clients.good, self.clients.health()]]))
-                elif len(self.open) >= OPEN_MOST:
+                elif len(self.open_requests) >= OPEN_MOST:
                     self.clients.counters.count("clients.too_many")
-                    self.write_off(at, f"more than {OPEN_MOST} open transactions")
+                    self.send_error(at, f"more than {OPEN_MOST} open transactions")
                 else:
-                    self.clients.take_in(self, at, partial(read_told, method, params))
+                    self.clients.on_request(self, at, partial(decode_request, method, params))
             case [Type.NEWS, "abort", [int(at)]]:
-                passage = self.open.get(at)
-                if passage is not None:
-                    self.clients.gone(passage)
+                context = self.open_requests.get(at)
+                if context is not None:
+                    self.clients.gone(context)
             case [Type.NEWS, str(), list()]:
                 self.clients.counters.count("clients.unknown_news")
             case [Type.CALL, int(), *_]:
@@ -171,18 +173,18 @@
 
     # ---- answers -------------------------------------------------------------------------------------------
 
-    def honour(self, number: int, result: bytes) -> None:
-        self.send(pack([Type.REPLY, number, None, [result, {}]]))
+    def send_result(self, message_id: int, body: bytes) -> None:
+        self.send(pack([Type.REPLY, message_id, None, [body, {}]]))
 
-    def shed(self, number: int, after: int, last: bool) -> None:
-        """When to come back, in whole milliseconds rounded up; `last` asks not to try elsewhere."""
-        fields = {"holdoff": str(-(-after // MS))} if after else {}
-        if last:
+    def send_rejection(self, message_id: int, retry_after: int, stop_retrying: bool) -> None:
+        """When to come back, in whole milliseconds rounded up; `stop_retrying` asks not to try elsewhere."""
+        fields = {"holdoff": str(-(-retry_after // MS))} if retry_after else {}
+        if stop_retrying:
             fields["nomore"] = "1"
-        self.send(pack([Type.REPLY, number, [SHED, fields], None]))
+        self.send(pack([Type.REPLY, message_id, [SHED, fields], None]))
 
-    def write_off(self, number: int, why: str = WRITTEN_OFF) -> None:
-        self.send(pack([Type.REPLY, number, [why, {}], None]))
+    def send_error(self, message_id: int, why: str = WRITTEN_OFF) -> None:
+        self.send(pack([Type.REPLY, message_id, [why, {}], None]))
 
     def send(self, message: bytes) -> None:
         self.connection.write(message)
@@ -237,9 +239,9 @@
         self.looking = False
         self.pool = Pool(bounds.unsent)
         self.listener: socket.socket | None = None
-        self.take_in: Callable[[Client, int, Callable[[], Told]], None]
-        self.gone: Callable[[Passage], None]
-        self.given_up: Callable[[Passage], None]
+        self.on_request: Callable[[Client, int, Callable[[], DecodedRequest]], None]
+        self.gone: Callable[[RequestContext], None]
+        self.given_up: Callable[[RequestContext], None]
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -314,8 +316,8 @@
             self.leave_out(client)
             self.ending.pop(client, None)
             self.counters.count("clients.closed")
-            for passage in list(client.open.values()):
-                self.gone(passage)
+            for context in list(client.open_requests.values()):
+                self.gone(context)
 
     # ---- who may stay --------------------------------------------------------------------------------------
 
@@ -336,7 +338,7 @@
     def rest(self, client: Client) -> None:
         """It has moved; without an open transaction it is one that may be closed to make room."""
         self.spare.pop(client, None)
-        if not client.open and client in self.all:
+        if not client.open_requests and client in self.all:
             self.spare[client] = None
 
     def owe(self, client: Client) -> None:
@@ -356,7 +358,7 @@
             if since > self.scheduler.now - WORD:
                 break
             client.connection.read(client.take)
-            if self.owing.get(client) == since and not client.open and client.connection.open:
+            if self.owing.get(client) == since and not client.open_requests and client.connection.open:
                 self.counters.count("clients.silent")
                 self.dismiss(client, "no whole message in time")
         if self.owing and not self.judging:
@@ -383,7 +385,7 @@
         silent = (client for client in self.fresh if self.owing[client] <= self.scheduler.now - FRESH)
         some = list(islice(chain(silent, self.spare, self.fresh), CANDIDATES))
         one = next((client for client in some if self.finish(client, "room for another", mute=True)), None)
-        if one is None and (one := next((client for client in some if not client.open), None)):
+        if one is None and (one := next((client for client in some if not client.open_requests), None)):
             self.dismiss(one, "room for another")  # each has said something: the first of them
         if one is not None:
             self.counters.count("clients.made_room")
@@ -398,7 +400,7 @@
         """
         heard = self.hear(client)
         stays = client.connection.open and client in self.all
-        if stays and (client.open or len(client.connection.buffer) or (heard and mute)):
+        if stays and (client.open_requests or len(client.connection.buffer) or (heard and mute)):
             return False
         self.dismiss(client, why)
         return True
@@ -413,8 +415,8 @@
 
     def dismiss(self, client: Client, why: str) -> None:
         """End it whatever is on it: what is open is answered now, and what comes from now on is not taken."""
-        for passage in list(client.open.values()):
-            self.given_up(passage)
+        for context in list(client.open_requests.values()):
+            self.given_up(context)
         self.leave_out(client)
         if client.connection.open:
             self.ending[client] = self.scheduler.now
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -27,18 +27,18 @@
 from .catalog import Catalog
 from .clients import Clients
 from .counters import Counters
-from .labels import Labels
+from .idempotency_table import IdempotencyTable
 from .log import Log
-from .passage import Conclusion, Label, Passage
+from .request_context import IdempotencyEntry, RequestContext, RunResult
 from .scheduler import READ, Scheduler
 from .servers import Agent
 from .site import MOVING, Site, read_site
-from .stages.admit import Admit
-from .stages.book import Book
-from .stages.relay import Relay
-from .stages.route import Route
-from .stages.send import Keeping, Send
-from .stages.take_in import TakeIn
+from .stages.action_dispatcher import ActionDispatcher
+from .stages.admission_stage import AdmissionStage
+from .stages.downstream_caller import DownstreamCaller
+from .stages.request_decoder import RequestDecoder
+from .stages.response_recorder import ResponseRecorder
+from .stages.run_dispatcher import ResultKeeper, RunDispatcher
 from .vault import Vault
 
 SAMPLE_AHEAD = 50  # gauges are asked for 5 ms before the tick that reads them
@@ -77,21 +77,21 @@
     on_listing_changed: Callable[[], None]
 
     def start(self) -> None: ...
-    def record_arrival(self, passage: Passage) -> None: ...
-    def record_answer(self, passage: Passage, what: str) -> None: ...
+    def record_arrival(self, context: RequestContext) -> None: ...
+    def record_answer(self, context: RequestContext, what: str) -> None: ...
     def apply_lease(self) -> None: ...
     def update_listing(self) -> bool: ...
 
 
-class Keep(Keeping, Protocol):
+class Keep(ResultKeeper, Protocol):
     """Kept results, as the program has them beside it; off without a file of the operators'."""
 
-    def set_resolution_listener(self, listener: Callable[[Label, Conclusion], None]) -> None: ...
+    def set_resolution_listener(self, listener: Callable[[IdempotencyEntry, RunResult], None]) -> None: ...
     def start(self) -> None: ...
     def close(self) -> None: ...
     def capacity(self) -> tuple[int, int, int]: ...
     def health(self) -> dict[str, str]: ...
-    def find_earlier_result(self, request: Passage) -> Label | None: ...
+    def find_earlier_result(self, context: RequestContext) -> IdempotencyEntry | None: ...
     def complete_earlier_run(self, run_id: str, outcome: Outcome, result: bytes) -> None: ...
 
 
@@ -118,27 +118,59 @@
         self.vault = Vault(scheduler, counters, log, site.vault, self.bounds.calls)
         self.catalog = Catalog(scheduler, counters, log, site.catalog, site.name, self.passing)
         # stages
-        self.labels = Labels(max(profile.deadline for profile in site.deployment.request_classes))
-        self.take_in = TakeIn(scheduler, counters, log, site.deployment, site.profiles, site.tenants)
-        self.admit = Admit(scheduler, counters, self.labels)
-        self.book = Book(counters, log, self.labels, self.admit)
-        self.relay = Relay(scheduler, counters, self.agent, self.vault, self.admit)
-        self.send = Send(counters, log, self.agent, self.labels, self.admit, self.relay, self.book)
-        self.route = Route(scheduler, self.labels, self.send, self.relay, self.book)
+        self.idempotency_table = IdempotencyTable(
+            max(profile.deadline for profile in site.deployment.request_classes)
+        )
+        self.request_decoder = RequestDecoder(
+            scheduler, counters, log, site.deployment, site.profiles, site.tenants
+        )
+        self.admission_stage = AdmissionStage(scheduler, counters, self.idempotency_table)
+        self.response_recorder = ResponseRecorder(counters, log, self.idempotency_table, self.admission_stage)
+        self.downstream_caller = DownstreamCaller(
+            scheduler, counters, self.agent, self.vault, self.admission_stage
+        )
+        self.run_dispatcher = RunDispatcher(
+            counters,
+            log,
+            self.agent,
+            self.idempotency_table,
+            self.admission_stage,
+            self.downstream_caller,
+            self.response_recorder,
+        )
+        self.action_dispatcher = ActionDispatcher(
+            scheduler,
+            self.idempotency_table,
+            self.run_dispatcher,
+            self.downstream_caller,
+            self.response_recorder,
+        )
         # who hears whom
-        self.clients.take_in, self.clients.gone = self.take_in, self.gone
+        self.clients.on_request, self.clients.gone = self.request_decoder, self.gone
         self.clients.given_up = self.given_up
-        self.take_in.admit, self.take_in.open = self.admit.arrive, self.book.open
-        self.take_in.in_use = self.in_use
-        self.admit.carry, self.admit.tell = self.route.carry, self.tell
-        self.admit.unready, self.admit.fault = self.book.shed, self.book.fault
-        self.admit.mislabelled = self.book.write_off
-        guarded = self.book.guarded
-        self.agent.greeted, self.agent.wanted = self.greeted, guarded(self.relay.wanted)
-        self.agent.ended, self.agent.doubt = guarded(self.send.ended), guarded(self.send.doubt)
-        self.agent.refused = guarded(self.send.refused)
-        self.vault.ended = guarded(self.relay.ended)
-        self.relay.guarded_overdue = guarded(self.relay.overdue)
+        self.request_decoder.submit, self.request_decoder.register = (
+            self.admission_stage.submit,
+            self.response_recorder.open,
+        )
+        self.request_decoder.is_id_in_use = self.in_use
+        self.admission_stage.perform, self.admission_stage.announce = (
+            self.action_dispatcher.perform,
+            self.tell,
+        )
+        self.admission_stage.on_not_ready, self.admission_stage.on_fault = (
+            self.response_recorder.send_rejection,
+            self.response_recorder.handle_fault,
+        )
+        self.admission_stage.on_key_mismatch = self.response_recorder.send_error
+        guard = self.response_recorder.guard
+        self.agent.greeted, self.agent.wanted = self.greeted, guard(self.downstream_caller.on_call_needed)
+        self.agent.ended, self.agent.doubt = (
+            guard(self.run_dispatcher.on_run_ended),
+            guard(self.run_dispatcher.mark_outcome_unknown),
+        )
+        self.agent.refused = guard(self.run_dispatcher.on_launch_refused)
+        self.vault.ended = guard(self.downstream_caller.on_call_ended)
+        self.downstream_caller.guarded_on_timeout = guard(self.downstream_caller.on_timeout)
         self.signals, self.wakeup = socket.socketpair()
         self.companion: Companion | None = None
         self.keeper: Keep | None = None
@@ -147,22 +179,22 @@
         """Before `run`: the fleet's side of it."""
         self.companion = companion
         companion.on_listing_changed = self.catalog.hurry
-        taken = self.take_in.admit
+        taken = self.request_decoder.submit
 
-        def seen(passage: Passage) -> None:
-            taken(passage)
-            self.scheduler.guard(lambda: companion.record_arrival(passage), "companion")
+        def seen(context: RequestContext) -> None:
+            taken(context)
+            self.scheduler.guard(lambda: companion.record_arrival(context), "companion")
 
-        def answered(passage: Passage, what: str) -> None:
-            self.scheduler.guard(lambda: companion.record_answer(passage, what), "companion")
+        def answered(context: RequestContext, what: str) -> None:
+            self.scheduler.guard(lambda: companion.record_answer(context, what), "companion")
 
-        self.take_in.admit, self.book.told = seen, answered
+        self.request_decoder.submit, self.response_recorder.on_answered = seen, answered
 
     def keep_results(self, keeper: Keep) -> None:
         """Before `run`: what labelled transactions come to survives this process."""
-        self.keeper = self.send.keep = keeper
-        keeper.set_resolution_listener(self.book.resolve)
-        self.labels.earlier = keeper.find_earlier_result
+        self.keeper = self.run_dispatcher.result_keeper = keeper
+        keeper.set_resolution_listener(self.response_recorder.resolve_entry)
+        self.idempotency_table.find_earlier = keeper.find_earlier_result
         self.agent.stranger = keeper.complete_earlier_run
         self.clients.health = keeper.health
 
@@ -222,11 +254,11 @@
         """
         if self.phase is Phase.STARTING:
             self.move(Phase.SERVING)
-            self.admit.begin(
+            self.admission_stage.start(
                 replace(self.site.deployment, starts_cold=cold), began if cold else self.scheduler.now
             )
             if self.companion is not None:
-                self.companion.driver = self.admit.driver
+                self.companion.driver = self.admission_stage.driver
 
     def leave(self) -> None:
         """The notice to leave; a second one means now: what is open is answered, and the program ends."""
@@ -240,7 +272,7 @@
             self.close()
             return
         self.move(Phase.DRAINING)
-        self.admit.leave(end)
+        self.admission_stage.start_drain(end)
         # Routers learn late that this one leaves. Turned away meanwhile, they would crowd those that stay.
         grace_over = self.scheduler.now + self.site.deployment.drain_grace
         self.scheduler.at(min(grace_over, end - SHUT_AHEAD), self.shut)
@@ -249,14 +281,14 @@
     def shut(self) -> None:
         if self.phase is Phase.DRAINING:
             self.move(Phase.SHUT)
-            self.admit.shut = True
+            self.admission_stage.rejects_new_requests = True
             self.clients.leave()
 
     def close(self) -> None:
         """Nothing more is owed, or the time is up: what has no answer yet gets one, and nothing runs."""
         if self.phase in (Phase.STARTING, Phase.DRAINING, Phase.SHUT):
             self.move(Phase.CLOSING)
-            self.admit.shut = True
+            self.admission_stage.rejects_new_requests = True
             self.clients.leave()
             self.clients.end("the program ends")
             now = self.scheduler.now
@@ -279,8 +311,12 @@
         if self.companion is not None:
             # Whatever is wrong with the fleet's side, the batch goes on.
             self.scheduler.guard(self.companion.apply_lease, "companion")
-        self.admit.settle()
-        if self.phase in (Phase.DRAINING, Phase.SHUT) and not self.clients.all and not self.admit.news:
+        self.admission_stage.process_pending()
+        if (
+            self.phase in (Phase.DRAINING, Phase.SHUT)
+            and not self.clients.all
+            and not self.admission_stage.pending_events
+        ):
             self.close()
 
     # ---- signals -------------------------------------------------------------------------------------------
@@ -357,9 +393,9 @@
                 self.log.info(notice.name, **asdict(notice))
 
     def tick(self) -> None:
-        if self.keeper is not None and self.admit.driver is not None:
-            self.admit.driver.limit_new_keys(*self.keeper.capacity())
-        self.admit.tick(Gauges(self.agent.cores_used()))
+        if self.keeper is not None and self.admission_stage.driver is not None:
+            self.admission_stage.driver.limit_new_keys(*self.keeper.capacity())
+        self.admission_stage.tick(Gauges(self.agent.cores_used()))
 
     def passing(self) -> bool:
         if self.companion is not None and not self.companion.update_listing():
@@ -367,17 +403,17 @@
         return self.clients.good and self.phase in (Phase.STARTING, Phase.SERVING)
 
     def in_use(self, name: str) -> bool:
-        return name in self.book.open_names or name in self.agent.runs
+        return name in self.response_recorder.open_request_ids or name in self.agent.runs
 
-    def gone(self, passage: Passage) -> None:
-        self.relay.drop(passage)
-        self.book.gone(passage)
+    def gone(self, context: RequestContext) -> None:
+        self.downstream_caller.cancel_call(context)
+        self.response_recorder.on_caller_gone(context)
 
-    def given_up(self, passage: Passage) -> None:
-        if self.admit.driver is not None:
-            self.admit.find_label(passage)  # it may have been read just now
-        self.relay.drop(passage)
-        self.book.give_up(passage)
+    def given_up(self, context: RequestContext) -> None:
+        if self.admission_stage.driver is not None:
+            self.admission_stage.look_up_entry(context)  # it may have been read just now
+        self.downstream_caller.cancel_call(context)
+        self.response_recorder.abandon(context)
 
     def fault(self, name: str, trouble: Exception) -> None:
         """What a task or a timer raised: it ends that alone."""
--- a/birchslip/net/servers.py
+++ b/birchslip/net/servers.py
@@ -20,7 +20,7 @@
 from .connection import Connection, Dial
 from .counters import Counters
 from .log import Log
-from .passage import Passage
+from .request_context import RequestContext
 from .scheduler import Scheduler
 
 LINE = 65_536
@@ -93,12 +93,12 @@
         self.began: int | None = None
         self.values: dict[str, float] = {}
         self.values_at = 0
-        self.runs: dict[str, Passage] = {}
+        self.runs: dict[str, RequestContext] = {}
         self.greeted: Callable[[bool, int], None]
-        self.wanted: Callable[[Passage, int, bytes], None]
-        self.ended: Callable[[Passage, Outcome, bytes, int], None]
-        self.refused: Callable[[Passage], None]
-        self.doubt: Callable[[Passage], None]
+        self.wanted: Callable[[RequestContext, int, bytes], None]
+        self.ended: Callable[[RequestContext, Outcome, bytes, int], None]
+        self.refused: Callable[[RequestContext], None]
+        self.doubt: Callable[[RequestContext], None]
         # hears of the end of runs that are not this life's
         self.stranger: Callable[[str, Outcome, bytes], None] = lambda name, outcome, result: None
 
@@ -111,20 +111,24 @@
             self.link.write(line)
         return line
 
-    def launch(self, passage: Passage) -> None:
-        self.runs[passage.name] = passage
-        coded = b64encode(passage.body).decode()
-        passage.order = self.order(op="launch", id=passage.name, **{"class": passage.profile}, body=coded)
+    def launch(self, context: RequestContext) -> None:
+        self.runs[context.request_id] = context
+        coded = b64encode(context.body).decode()
+        context.pending_orders = self.order(
+            op="launch", id=context.request_id, **{"class": context.class_name}, body=coded
+        )
 
-    def freeze(self, passage: Passage) -> None:
+    def freeze(self, context: RequestContext) -> None:
         # Behind a launch that may not have reached the agent: both are given again then.
-        passage.order += self.order(op="freeze", id=passage.name)
+        context.pending_orders += self.order(op="freeze", id=context.request_id)
 
-    def deliver(self, passage: Passage, reply: bytes) -> None:
-        passage.order = self.order(op="deliver", id=passage.name, body=b64encode(reply).decode())
+    def deliver(self, context: RequestContext, reply: bytes) -> None:
+        context.pending_orders = self.order(
+            op="deliver", id=context.request_id, body=b64encode(reply).decode()
+        )
 
-    def forgo(self, passage: Passage) -> None:
-        passage.order = self.order(op="forgo", id=passage.name, seq=passage.need)
+    def forgo(self, context: RequestContext) -> None:
+        context.pending_orders = self.order(op="forgo", id=context.request_id, seq=context.call_notice_number)
 
     def sample(self) -> None:
         """Ask for the gauges; a link on which nothing at all is heard is opened anew.
@@ -237,11 +241,11 @@
         """A launch that is refused never runs; a run that the agent does not know any more has gone."""
         self.counters.count("agent.declined")
         self.log.fault("the agent did not carry out an order", order=order, id=name)
-        passage = self.runs.get(name)
-        if passage is not None and order in ("launch", "deliver", "forgo"):
+        context = self.runs.get(name)
+        if context is not None and order in ("launch", "deliver", "forgo"):
             del self.runs[name]
-            passage.order = b""
-            (self.refused if order == "launch" else self.doubt)(passage)
+            context.pending_orders = b""
+            (self.refused if order == "launch" else self.doubt)(context)
 
     def greeting(self, cold: bool, age: int) -> None:
         began = self.scheduler.now - max(0, age)
@@ -285,14 +289,14 @@
         self.log.fault("remark of the agent", text=text)
 
     def call_wanted(self, name: str, number: int, body: bytes) -> None:
-        passage = self.runs[name]
-        passage.order = b""
-        self.wanted(passage, number, body)
+        context = self.runs[name]
+        context.pending_orders = b""
+        self.wanted(context, number, body)
 
     def outcome(self, name: str, outcome: Outcome, result: bytes, elapsed: int) -> None:
-        passage = self.runs.pop(name)
-        passage.order = b""
-        self.ended(passage, outcome, result, elapsed)
+        context = self.runs.pop(name)
+        context.pending_orders = b""
+        self.ended(context, outcome, result, elapsed)
 
     def sampled(self, tag: str, values: list[float]) -> None:
         if tag == f"fence-{self.fences}":
@@ -308,11 +312,11 @@
             return
         if self.fences > 1:
             self.log.info("link to the agent found again", last=self.last, runs=len(self.runs))
-        for passage in list(self.runs.values()):
+        for context in list(self.runs.values()):
             if self.gap:
                 # Its outcome may be among those that are gone for good.
-                del self.runs[passage.name]
-                self.doubt(passage)
-            elif passage.order:
-                self.link.write(passage.order)
+                del self.runs[context.request_id]
+                self.doubt(context)
+            elif context.pending_orders:
+                self.link.write(context.pending_orders)
         self.gap = False
--- /dev/null
+++ b/birchslip/net/stages/downstream_caller.py
@@ -0,0 +1,70 @@
+"""Relay: a run's call goes to the vault when its turn has come, and the reply goes back to the run."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from ...admission.types import MS, CallEnded, CallNeeded, Outcome
+from ..counters import Counters
+from ..request_context import RequestContext
+from ..scheduler import Scheduler
+from ..servers import Agent
+from ..vault import Vault
+from .admission_stage import AdmissionStage
+
+
+class DownstreamCaller:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        counters: Counters,
+        agent: Agent,
+        vault: Vault,
+        admission_stage: AdmissionStage,
+    ) -> None:
+        self.scheduler, self.counters = scheduler, counters
+        self.agent, self.vault, self.admission_stage = agent, vault, admission_stage
+        self.guarded_on_timeout: Callable[[RequestContext], None] = self.on_timeout
+
+    def on_call_needed(self, context: RequestContext, notice_number: int, body: bytes) -> None:
+        self.counters.count("relay.wanted")
+        self.cancel_call(context)  # one that is out is none that the run waits for any more
+        context.call_notice_number, context.call_body = notice_number, body
+        self.admission_stage.add_event(context, CallNeeded())
+
+    def start_call(self, context: RequestContext, timeout: int) -> None:
+        self.counters.count("relay.called")
+        now = self.scheduler.now
+        context.call_started_at = now
+        context.call_timer = self.scheduler.at(now + timeout, lambda: self.guarded_on_timeout(context))
+        self.vault.ask(context, max(1, timeout // MS), context.call_body)
+
+    def skip_call(self, context: RequestContext) -> None:
+        self.counters.count("relay.skipped")
+        self.agent.forgo(context)
+
+    def on_timeout(self, context: RequestContext) -> None:
+        self.vault.unask(context)
+        self.on_call_ended(context, Outcome.TIMED_OUT, b"")
+
+    def on_call_ended(self, context: RequestContext, outcome: Outcome, reply: bytes) -> None:
+        self.counters.count(f"relay.{outcome.value}")
+        self.stop_timer(context)
+        if outcome is Outcome.SERVED:
+            self.agent.deliver(context, reply)
+        self.admission_stage.add_event(
+            context, CallEnded(outcome, self.scheduler.now - context.call_started_at)
+        )
+
+    def cancel_call(self, context: RequestContext) -> None:
+        """Its transaction or its run is over: no call is left behind."""
+        if context.call_timer is not None:
+            self.counters.count("relay.dropped")
+            self.stop_timer(context)
+            self.vault.unask(context)
+
+    @staticmethod
+    def stop_timer(context: RequestContext) -> None:
+        if context.call_timer is not None:
+            context.call_timer.cancel()
+            context.call_timer = None
--- a/birchslip/net/vault.py
+++ b/birchslip/net/vault.py
@@ -18,7 +18,7 @@
 from .connection import Connection, Dial
 from .counters import Counters
 from .log import Log
-from .passage import Passage
+from .request_context import RequestContext
 from .scheduler import Scheduler
 
 LINE = 256
@@ -54,8 +54,8 @@
 class Asked:
     """One call and what has been read for it."""
 
-    def __init__(self, passage: Passage, message: bytes) -> None:
-        self.passage, self.message = passage, message
+    def __init__(self, context: RequestContext, message: bytes) -> None:
+        self.context, self.message = context, message
         self.dial: Dial | None = None  # while its connection is being opened
         self.link: Connection | None = None
         self.head: tuple[str, bytes, int] | None = None  # of the reply whose body comes next
@@ -81,7 +81,7 @@
             else:
                 body = b""
             self.head = None
-            if name == self.passage.name:
+            if name == self.context.request_id:
                 self.outcome, self.body = OUTCOMES[word], body
                 return
             self.strays += 1
@@ -109,18 +109,18 @@
             deque()
         )  # when each has brought a reply, the last at the end
         self.looking = False
-        self.ended: Callable[[Passage, Outcome, bytes], None]
+        self.ended: Callable[[RequestContext, Outcome, bytes], None]
 
-    def ask(self, passage: Passage, milliseconds: int, body: bytes) -> None:
+    def ask(self, context: RequestContext, milliseconds: int, body: bytes) -> None:
         """A second call for the same run gives up the first, as the vault sees it too."""
-        self.unask(passage)
-        message = b"ask %b %d %d\r\n%b\r\n" % (passage.name.encode(), milliseconds, len(body), body)
-        asked = self.calls[passage.name] = Asked(passage, message)
+        self.unask(context)
+        message = b"ask %b %d %d\r\n%b\r\n" % (context.request_id.encode(), milliseconds, len(body), body)
+        asked = self.calls[context.request_id] = Asked(context, message)
         self.scheduler.spawn("vault", partial(self.make, asked))
 
-    def unask(self, passage: Passage) -> None:
+    def unask(self, context: RequestContext) -> None:
         """Give the call up: that its connection is closed says so."""
-        asked = self.calls.pop(passage.name, None)
+        asked = self.calls.pop(context.request_id, None)
         if asked is not None and asked.dial is not None:
             asked.dial.give_up()
         if asked is not None and asked.link is not None:
@@ -229,7 +229,7 @@
             self.over(asked, asked.outcome)
 
     def stands(self, asked: Asked) -> bool:
-        return self.calls.get(asked.passage.name) is asked
+        return self.calls.get(asked.context.request_id) is asked
 
     def lost(self, asked: Asked, outcome: Outcome, why: str) -> None:
         if self.stands(asked):
@@ -239,5 +239,5 @@
 
     def over(self, asked: Asked, outcome: Outcome) -> None:
         if self.stands(asked):
-            del self.calls[asked.passage.name]
-            self.ended(asked.passage, outcome, asked.body)
+            del self.calls[asked.context.request_id]
+            self.ended(asked.context, outcome, asked.body)
--- a/tests/hall.py
+++ b/tests/hall.py
@@ -96,8 +96,8 @@
 
     def end(self, name, outcome, result=b"made"):
         """The agent tells how a run ended."""
-        passage = self.program.agent.runs.pop(name)
-        self.program.agent.ended(passage, outcome, result, 10)
+        context = self.program.agent.runs.pop(name)
+        self.program.agent.ended(context, outcome, result, 10)
 
     def stop(self):
         self.clients.close_all()
--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -7,11 +7,11 @@
 import pytest
 
 from birchslip.admission.types import MS, Outcome, Request
-from birchslip.net.labels import Labels
-from birchslip.net.passage import Passage
+from birchslip.net.idempotency_table import IdempotencyTable
+from birchslip.net.request_context import RequestContext
 from birchslip.net.servers import SILENT, Agent
-from birchslip.net.stages.admit import Admit
-from birchslip.net.stages.relay import Relay
+from birchslip.net.stages.admission_stage import AdmissionStage
+from birchslip.net.stages.downstream_caller import DownstreamCaller
 from birchslip.net.vault import Vault
 
 from .desk import profile
@@ -33,10 +33,12 @@
         self.agent = Agent(*self.parts, self.place.address, ["core_use"], 1 << 20)
         self.ends = []
         self.agent.greeted = lambda cold, began: None
-        self.agent.wanted = lambda passage, number, body: None
-        self.agent.ended = lambda passage, outcome, made, took: self.ends.append((passage.name, outcome))
-        self.agent.doubt = lambda passage: self.ends.append((passage.name, "doubt"))
-        self.agent.refused = lambda passage: self.ends.append((passage.name, "refused"))
+        self.agent.wanted = lambda context, number, body: None
+        self.agent.ended = lambda context, outcome, made, took: self.ends.append(
+            (context.request_id, outcome)
+        )
+        self.agent.doubt = lambda context: self.ends.append((context.request_id, "doubt"))
+        self.agent.refused = lambda context: self.ends.append((context.request_id, "refused"))
         self.scheduler.spawn("agent", self.agent.keep_link)
         self.greet()
 
@@ -59,10 +61,10 @@
 
     def launch(self, name):
         now = self.scheduler.now
-        passage = Passage(None, 1, name, "lookup", b"", Request(profile(), 0, now, now + 9999, 1), now)
-        self.agent.launch(passage)
+        context = RequestContext(None, 1, name, "lookup", b"", Request(profile(), 0, now, now + 9999, 1), now)
+        self.agent.launch(context)
         self.passes()
-        return passage
+        return context
 
     def ticks(self, count, answered=False):
         for _ in range(count):
@@ -137,13 +139,13 @@
 def test_a_call_that_is_asked_for_again_gives_up_the_one_that_is_out(linked):
     below = linked.there()
     vault = Vault(*linked.parts, below.address, 8)
-    admit = Admit(linked.scheduler, linked.parts[1], Labels(1000))
-    relay = Relay(linked.scheduler, linked.parts[1], linked.agent, vault, admit)
-    vault.ended, relay.guarded_overdue = relay.ended, relay.overdue
-    passage = linked.launch("a1")
+    admission_stage = AdmissionStage(linked.scheduler, linked.parts[1], IdempotencyTable(1000))
+    caller = DownstreamCaller(linked.scheduler, linked.parts[1], linked.agent, vault, admission_stage)
+    vault.ended, caller.guarded_on_timeout = caller.on_call_ended, caller.on_timeout
+    context = linked.launch("a1")
     for number in (1, 2):
-        relay.wanted(passage, number, b"ask")
-        relay.call(passage, 2000 * MS if number == 2 else 300 * MS)
+        caller.on_call_needed(context, number, b"ask")
+        caller.start_call(context, 2000 * MS if number == 2 else 300 * MS)
         assert linked.hears(below, b"ask a1 " + (b"2000" if number == 2 else b"300"))
     linked.passes(ms=400)  # the first one's limit is over
     assert linked.count("relay.overdue") == 0
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -10,8 +10,8 @@
 from birchslip.admission.types import Outcome
 from birchslip.net.clients import LAST_LOOK, SPARE, WORD, WORD_EVERY, YOUNG
 from birchslip.net.messagepack import pack
-from birchslip.net.passage import Label
 from birchslip.net.program import Phase
+from birchslip.net.request_context import IdempotencyEntry
 
 from .hall import Hall
 
@@ -343,8 +343,8 @@
 def test_before_the_agent_greets_a_repeat_of_an_earlier_life_may_come_again(begin):
     """Guards against writing off, as unknown, what is kept and can be told a moment later."""
     hall = begin(greets=False)
-    hall.program.labels.earlier = lambda passage: Label(
-        passage.label_name, passage, passage.stamp, passage, asked=lambda other: True
+    hall.program.idempotency_table.find_earlier = lambda context: IdempotencyEntry(
+        context.idempotency_key, context, context.received_at, context, matches_earlier_run=lambda other: True
     )
     router = hall.router()
     call = router.call("order", b"1", opkey=KEY)
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -24,10 +24,10 @@
 
 
 class Asking:
-    """What the vault wants of a passage."""
+    """What the vault wants of a request's context."""
 
     def __init__(self, name):
-        self.name = name
+        self.request_id = name
 
 
 @pytest.fixture
@@ -46,7 +46,7 @@
 
 def vault(clocked, place):
     one = Vault(*clocked.parts, place.address, 64)
-    one.ended = lambda passage, outcome, reply: ends.append((passage.name, outcome))
+    one.ended = lambda context, outcome, reply: ends.append((context.request_id, outcome))
     ends = one.ends = []
     return one
 
@@ -56,11 +56,11 @@
     below = vault(clocked, clocked.there(deaf=True))
     before = opened()  # the deaf place's own
     for number in range(200):
-        passage = Asking(f"a{number}")
-        below.ask(passage, 80, b"")
+        context = Asking(f"a{number}")
+        below.ask(context, 80, b"")
         clocked.passes(count=2)
         assert opened() <= before + 1
-        below.unask(passage)
+        below.unask(context)
         clocked.passes(count=2)
     assert opened() == before
     assert below.ends == []
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -17,12 +17,12 @@
 from birchslip.lab.power import Memory
 from birchslip.net.counters import Counters
 from birchslip.net.log import Log
-from birchslip.net.passage import Conclusion, Passage
+from birchslip.net.request_context import RequestContext, RunResult
 from birchslip.net.scheduler import Scheduler
 
 RETENTION = 17 * SECOND
 KEYED_CLASS = RequestClass(Idempotency.KEYED, SECOND, 4 * SECOND, key_retention=RETENTION)
-SERVED = Conclusion(Outcome.SERVED, b"made")
+SERVED = RunResult(Outcome.SERVED, b"made")
 
 
 class Incarnation:
@@ -43,14 +43,14 @@
     def raise_fault(self, name, error):
         raise error
 
-    def resolve(self, entry, conclusion):
-        entry.conclusion = conclusion
-        self.resolved.append((conclusion.outcome, conclusion.result))
+    def resolve(self, entry, run_result):
+        entry.result = run_result
+        self.resolved.append((run_result.outcome, run_result.body))
 
     def request(self, n, body=b"body", arrived_at=None):
         arrived_at = self.now if arrived_at is None else arrived_at
         request = Request(KEYED_CLASS, 0, arrived_at, arrived_at + KEYED_CLASS.deadline, 100)
-        return Passage(None, n, f"{n:016x}", "order", body, request, arrived_at, f"{n:032x}")
+        return RequestContext(None, n, f"{n:016x}", "order", body, request, arrived_at, f"{n:032x}")
 
     def start(self, n):
         request = self.request(n)
@@ -58,10 +58,10 @@
         self.scheduler.run_due()
         return request
 
-    def complete(self, request, conclusion=SERVED):
-        number = int(request.name, 16)
+    def complete(self, request, run_result=SERVED):
+        number = int(request.request_id, 16)
         self.store.record_completion(
-            request, conclusion, lambda ok: self.flushed.append((number, "completed", ok))
+            request, run_result, lambda ok: self.flushed.append((number, "completed", ok))
         )
 
     def flush(self):
@@ -149,7 +149,7 @@
     first.flush()
     later = first.restart()
     assert not later.store.recovered.is_in_doubt
-    assert later.store.recovered.index.get(bytes.fromhex(f"{2:032x}"), second.stamp) is not None
+    assert later.store.recovered.index.get(bytes.fromhex(f"{2:032x}"), second.received_at) is not None
 
 
 def test_a_full_disk_stops_keyed_requests_and_room_brings_them_back(first):
@@ -170,15 +170,15 @@
     first.flush()
     later = first.restart()
     entry = later.store.find_earlier_result(later.request(1))
-    original = entry.original.transaction
+    original = entry.original.request
     assert original.has_started  # so that to the decisions it is a repeat
     assert original.state is RequestState.COMPLETED
-    assert entry.conclusion is None
+    assert entry.result is None
     assert later.store.find_earlier_result(later.request(1)) is entry
     later.flush()
     assert later.resolved == [(Outcome.SERVED, b"made")]
-    assert entry.same(later.request(1))
-    assert not entry.same(later.request(1, b"another body"))
+    assert entry.matches(later.request(1))
+    assert not entry.matches(later.request(1, b"another body"))
 
 
 def test_a_repeat_of_a_result_that_is_corrupt_by_now_fails(first):
@@ -206,7 +206,7 @@
     first.complete(request)
     first.flush()
     later = first.restart()
-    repeat = later.request(1, arrived_at=request.stamp + delay)
+    repeat = later.request(1, arrived_at=request.received_at + delay)
     assert (later.store.find_earlier_result(repeat) is not None) is is_repeat
 
 
@@ -216,14 +216,14 @@
     later = first.restart()
     assert later.store.recovered.unknown == 1
     entry = later.store.find_earlier_result(later.request(1))
-    assert entry.conclusion.outcome is Outcome.FAILED
+    assert entry.result.outcome is Outcome.FAILED
     later.store.complete_earlier_run("no run of ours", Outcome.SERVED, b"")
-    later.store.complete_earlier_run(request.name, Outcome.SERVED, b"reported late")
+    later.store.complete_earlier_run(request.request_id, Outcome.SERVED, b"reported late")
     later.flush()
     entry = later.store.find_earlier_result(later.request(1))
     later.flush()
     assert later.resolved == [(Outcome.SERVED, b"reported late")]
-    assert entry.conclusion.result == b"reported late"
+    assert entry.result.body == b"reported late"
     last = later.restart()
     assert last.store.recovered.unknown == 0
     last.store.find_earlier_result(last.request(1))
@@ -235,7 +235,7 @@
     request = first.start(1)
     first.flush()
     later = first.restart()
-    later.store.complete_earlier_run(request.name, Outcome.SUPERSEDED, b"")
+    later.store.complete_earlier_run(request.request_id, Outcome.SUPERSEDED, b"")
     later.flush()
     assert later.store.find_earlier_result(later.request(1)) is None
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -309,7 +309,9 @@
         self.vault = Vault(
             world.scheduler, Counters(), Log(world.scheduler, "t"), self.listener.getsockname(), 8
         )
-        self.vault.ended = lambda passage, outcome, body: self.ended.append((passage.name, outcome, body))
+        self.vault.ended = lambda context, outcome, body: self.ended.append(
+            (context.request_id, outcome, body)
+        )
 
     def until(self, happened, time=None):
         for _ in range(1000):
@@ -320,7 +322,7 @@
 
     def ask(self, name, link=None):
         """The call, read from its connection: a new one, or this."""
-        self.vault.ask(SimpleNamespace(name=name), 500, b"body")
+        self.vault.ask(SimpleNamespace(request_id=name), 500, b"body")
         counts, before = self.vault.counters.counts, self.vault.counters.counts["vault.links"]
         if link is None:
             self.until(lambda: counts["vault.links"] > before)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 from birchslip.admission.types import SECOND, Downstream, Idempotency, Preemption
 from birchslip.errors import InvalidInputError
 from birchslip.net.bounds import SOCKETS_LEAST
-from birchslip.net.clients import FIELD, LONGEST_WAIT, read_told
+from birchslip.net.clients import FIELD, LONGEST_WAIT, decode_request
 from birchslip.net.site import site_of
 from examples.toy import CONFIGURATION
 
@@ -182,10 +182,10 @@
 
 
 def test_a_long_tenant_and_a_caller_that_does_not_say_how_long_it_waits_are_read():
-    told = read_told("lookup", [FIELDS, b""])
+    told = decode_request("lookup", [FIELDS, b""])
     assert told.tenant == "o" * 100
-    assert told.wait == 50
+    assert told.timeout == 50
     del FIELDS["timeout"]
-    assert read_told("lookup", [FIELDS, b""]).wait == LONGEST_WAIT * 10
+    assert decode_request("lookup", [FIELDS, b""]).timeout == LONGEST_WAIT * 10
     with pytest.raises(InvalidInputError):
-        read_told("lookup", [FIELDS | {"owner": "o" * (FIELD + 1)}, b""])
+        decode_request("lookup", [FIELDS | {"owner": "o" * (FIELD + 1)}, b""])
--- a/tests/test_socket_wire_record.py
+++ b/tests/test_socket_wire_record.py
@@ -6,7 +6,7 @@
 import pytest
 
 from birchslip.net import http
-from birchslip.net.clients import Client, read_told
+from birchslip.net.clients import Client, decode_request
 from birchslip.net.messagepack import pack, unpack
 from birchslip.net.program import Program
 from birchslip.net.site import site_of
@@ -66,14 +66,16 @@
 
 
 def to_agent(write):
-    run = SimpleNamespace(name=NAME, profile="lookup", body=b"body", need=5, order=b"")
+    run = SimpleNamespace(
+        request_id=NAME, class_name="lookup", body=b"body", call_notice_number=5, pending_orders=b""
+    )
     write(program().agent, run)
-    return run.order
+    return run.pending_orders
 
 
 def to_vault():
     vault = program().vault
-    vault.ask(SimpleNamespace(name=NAME), 250, b"question")
+    vault.ask(SimpleNamespace(request_id=NAME), 250, b"question")
     return vault.calls[NAME].message
 
 
@@ -83,11 +85,11 @@
 
 
 MESSAGES = {
-    "served": lambda: to_router(lambda client: client.honour(7, b"made")),
-    "rejected with Retry-After": lambda: to_router(lambda client: client.shed(8, 12_345, True)),
-    "rejected": lambda: to_router(lambda client: client.shed(9, 0, False)),
-    "failed": lambda: to_router(lambda client: client.write_off(10)),
-    "failed with a reason": lambda: to_router(lambda client: client.write_off(11, "need is 0")),
+    "served": lambda: to_router(lambda client: client.send_result(7, b"made")),
+    "rejected with Retry-After": lambda: to_router(lambda client: client.send_rejection(8, 12_345, True)),
+    "rejected": lambda: to_router(lambda client: client.send_rejection(9, 0, False)),
+    "failed": lambda: to_router(lambda client: client.send_error(10)),
+    "failed with a reason": lambda: to_router(lambda client: client.send_error(11, "need is 0")),
     "health check": lambda: to_router(lambda client: client.message([0, 12, "ping", [{}]])),
     "closing": lambda: to_router(lambda client: client.say_closing()),
     "launch": lambda: to_agent(lambda agent, run: agent.launch(run)),
@@ -136,8 +138,11 @@
     assert end == len(raw)
     kind, number, method, parameters = message
     assert (kind, number, method) == (0, 7, "lookup")
-    request = read_told(method, parameters)
-    assert (request.name, request.profile, request.body) == (NAME, "lookup", b"body")
-    assert (request.stamp, request.wait) == (17_647_452_000_000, 25_000)  # tenths of a millisecond
+    request = decode_request(method, parameters)
+    assert (request.request_id, request.class_name, request.body) == (NAME, "lookup", b"body")
+    assert (request.router_timestamp, request.timeout) == (
+        17_647_452_000_000,
+        25_000,
+    )  # tenths of a millisecond
     assert (request.caller, request.tenant, request.size) == (3, "green", 1536)
-    assert (request.again, request.label, request.about) == (True, "f" * 32, False)
+    assert (request.is_retry, request.idempotency_key, request.has_subject) == (True, "f" * 32, False)
