--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -11,13 +11,13 @@
 from .net.site import read_site
 
 
-def join(program: Program, path: str) -> None:
+def attach_planner_link(program: Program, path: str) -> None:
     """The fleet's side is loaded where a fleet file is named, and nowhere else."""
     from .cluster.fleet_reader import read_fleet
     from .cluster.planner_link import PlannerLink
 
     site = program.site
-    bond = PlannerLink(
+    planner_link = PlannerLink(
         program.scheduler,
         program.counters,
         program.log,
@@ -27,10 +27,10 @@
         site.tenants,
         site.profiles,
     )
-    program.accompany(bond)
+    program.accompany(planner_link)
 
 
-def keep(program: Program, path: str) -> None:
+def attach_result_store(program: Program, path: str) -> None:
     """Kept results are loaded where a file names their folder, and nowhere else."""
     from .idempotency.result_store import ResultStore
     from .idempotency.settings_file import read_store_settings
@@ -56,18 +56,18 @@
         site = read_site(os.environ)
         program = Program(site)
         if os.environ.get("BIRCHSLIP_FLEET"):
-            join(program, os.environ["BIRCHSLIP_FLEET"])
+            attach_planner_link(program, os.environ["BIRCHSLIP_FLEET"])
         if os.environ.get("BIRCHSLIP_KEEP"):
-            keep(program, os.environ["BIRCHSLIP_KEEP"])
-    except (InvalidInputError, OSError) as trouble:
-        print(f"birchslip: {trouble}", file=sys.stderr)
+            attach_result_store(program, os.environ["BIRCHSLIP_KEEP"])
+    except (InvalidInputError, OSError) as error:
+        print(f"birchslip: {error}", file=sys.stderr)
         return 2
     gc.collect()
     gc.freeze()
     try:
         program.run()
-    except OSError as trouble:
-        print(f"birchslip: {trouble}", file=sys.stderr)
+    except OSError as error:
+        print(f"birchslip: {error}", file=sys.stderr)
         return 1
     except Exception:
         # One in a task or a transaction's stages is caught there: this one is the scheduler's own.
--- a/birchslip/admission/admission_queue.py
+++ b/birchslip/admission/admission_queue.py
@@ -108,9 +108,9 @@
             return ShedOrder(0, usage, request.is_retry)
         is_evacuated = self.plan.is_evacuated(request)
         tiers = self.plan.plan.shedding_order
-        for place, tier in enumerate(tiers):
+        for position, tier in enumerate(tiers):
             # Within a tier evacuated requests are dropped before local ones.
-            rank = 2 * (len(tiers) - place) + is_evacuated
+            rank = 2 * (len(tiers) - position) + is_evacuated
             if tier is SheddingTier.OVER_QUOTA and self.quotas.delay(request.quota_meter, now):
                 return ShedOrder(rank, usage, request.is_retry)
             if tier is SheddingTier.RETRY and request.is_retry:
@@ -122,8 +122,8 @@
 
     # ---- changes ---------------------------------------------------------------------------------------
 
-    def enter(self, request: Request, delay: int, now: int) -> QueueEntry:
-        """Queue a request, not to start before its delay; returns the entry to `leave` with."""
+    def enqueue(self, request: Request, delay: int, now: int) -> QueueEntry:
+        """Queue a request, not to start before its delay; returns the entry to `remove` with."""
         request.state = RequestState.QUEUED
         request.eligible_at = now + delay
         self.is_changed = True
@@ -131,7 +131,7 @@
         insort(self.entries, entry)
         return entry
 
-    def leave(self, entry: QueueEntry) -> None:
+    def remove(self, entry: QueueEntry) -> None:
         """Take a request out of the queue."""
         self.entries.remove(entry)
 
@@ -153,10 +153,10 @@
         """
         self.is_changed = False
         self.next_sweep_at = now + SWEEP_INTERVAL
-        for request in self._dropped(now):
+        for request in self._requests_to_drop(now):
             yield WakeUp(request, WaitExpired())
 
-    def _dropped(self, now: int) -> list[Request]:
+    def _requests_to_drop(self, now: int) -> list[Request]:
         wait = self.limit.core_wait(self.health.slowdown)
         running = len(self.limit.running)
         limit = self.limit.limit
@@ -172,12 +172,12 @@
                 continue
             remaining.append(request)
             while now + wait + needed >= useful_until:
-                heaviest = max(reversed(remaining), key=lambda one: self.shed_order(one, now))
-                remaining.remove(heaviest)
-                dropped.append(heaviest)
-                if heaviest is request:
+                victim = max(reversed(remaining), key=lambda candidate: self.shed_order(candidate, now))
+                remaining.remove(victim)
+                dropped.append(victim)
+                if victim is request:
                     break
-                wait -= self.times.remaining(heaviest, slowdown) / limit
+                wait -= self.times.remaining(victim, slowdown) / limit
             else:
                 wait += self.times.remaining(request, slowdown) / limit
         return dropped
--- a/birchslip/admission/concurrency_limit.py
+++ b/birchslip/admission/concurrency_limit.py
@@ -16,7 +16,7 @@
 INCREASE_STEP = 0.25
 DECREASE_FACTOR = 0.9
 SLOW_RUN_RATIO = 2.0  # median run against the low quantile
-SURVIVABLE_SHARE = 0.6
+OVERLOAD_THRESHOLD_SHARE = 0.6
 STARTED_PER_LIMIT = 1.5  # started requests that wait for calls come back to the cores
 UTILIZATION_STEP = 50 * MS
 
@@ -31,8 +31,8 @@
         self.plan = plan
         self.started_at = now
         self.limit = float(settings.cores)
-        self.raised_at = now
-        self.cut_at = now
+        self.full_since = now
+        self.decreased_at = now
         self.running: dict[Request, None] = {}
         self.started_count = 0
         self.is_busy = False
@@ -62,18 +62,18 @@
         """
         if self.is_reached:
             return False
-        if self.started_count >= SURVIVABLE_SHARE * self.survivable(now):
+        if self.started_count >= OVERLOAD_THRESHOLD_SHARE * self.overload_threshold(now):
             return False
         return not self.is_busy or self.started_count < STARTED_PER_LIMIT * self.limit
 
-    def survivable(self, now: int) -> float:
+    def overload_threshold(self, now: int) -> float:
         """Return how many running requests the app server survives; fewer while it warms up."""
         settings = self.settings
-        grown = 1.0
+        warm_up_progress = 1.0
         if settings.starts_cold:
-            grown = min(1.0, (now - self.started_at) / max(1, settings.warm_up_span))
-        warm = settings.cold_start_speed + (1 - settings.cold_start_speed) * grown
-        return (1 + (settings.overload_multiple - 1) * warm) * settings.cores
+            warm_up_progress = min(1.0, (now - self.started_at) / max(1, settings.warm_up_span))
+        speed = settings.cold_start_speed + (1 - settings.cold_start_speed) * warm_up_progress
+        return (1 + (settings.overload_multiple - 1) * speed) * settings.cores
 
     def throughput(self) -> float:
         """Return the runs a second under the limit, each of the mean time; 0 while that is unknown."""
@@ -100,19 +100,21 @@
         """
         cores = self.settings.cores
         if not has_queue or not self.is_reached:
-            self.raised_at = now
-        if not self.is_busy and is_healthy and now - self.raised_at >= GAUGE_DELAY:
+            self.full_since = now
+        if not self.is_busy and is_healthy and now - self.full_since >= GAUGE_DELAY:
             self.limit += max(1.0, self.limit * INCREASE_STEP)
-            self.raised_at = now
+            self.full_since = now
         elif (
             self.is_busy
             and self.limit > cores
-            and now - self.cut_at >= WINDOW_SPAN
+            and now - self.decreased_at >= WINDOW_SPAN
             and self._runs_slowed(now)
         ):
             self.limit *= DECREASE_FACTOR
-            self.cut_at = now
-        self.limit = max(float(cores), min(self.limit, SURVIVABLE_SHARE * self.survivable(now)))
+            self.decreased_at = now
+        self.limit = max(
+            float(cores), min(self.limit, OVERLOAD_THRESHOLD_SHARE * self.overload_threshold(now))
+        )
         fraction = self.plan.plan.serving_fraction
         if self.plan.weight and fraction < 1:
             # Let back in by steps: only the plan's share of its cores, and more as the plan fades.
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -85,7 +85,7 @@
         self.started_at = now
         self.saturation_logged_at = now
         self.sequence = 0
-        self.notices: list[ServerAction] = [SetHealth(True), SetTimer(now + TIMER_INTERVAL)]
+        self.server_actions: list[ServerAction] = [SetHealth(True), SetTimer(now + TIMER_INTERVAL)]
         self.times = ServiceTimes(settings.request_classes)
         self.health = HealthMonitor(settings.cores, self.times)
         self.plan = PlanState(now)
@@ -156,30 +156,30 @@
             return None
         if not self.queue.fits(request, delay, self.now):
             self.quotas.uncount(request, self.now)
-            yield self.rejections.reject(request, self.now, self._callers_delay(request, delay))
+            yield self.rejections.reject(request, self.now, self._delay_of_caller(request, delay))
             return None
         return delay
 
-    def _callers_delay(self, request: Request, delay: int) -> int:
+    def _delay_of_caller(self, request: Request, delay: int) -> int:
         """Return the part of a delay that its caller waits out: a tenant's delay is not its caller's.
 
         All requests of an evacuated caller count against one quota, and its delay is the caller's.
         """
         meter = request.quota_meter
-        is_tenants = meter.configured_quota and meter is not self.quotas.evacuated
-        return 0 if is_tenants else delay
+        is_tenant_quota = meter.configured_quota and meter is not self.quotas.evacuated
+        return 0 if is_tenant_quota else delay
 
     def _wait_in_queue(self, request: Request, delay: int) -> Generator[Action, Event, bool]:
         """Queue a request; returns whether it may start, else it has been answered or its caller is gone."""
         is_keyed = request.request_class.idempotency is Idempotency.KEYED
-        entry = self.queue.enter(request, delay, self.now)
+        entry = self.queue.enqueue(request, delay, self.now)
         self.memory.charge(request, request.size)
         self.deadlines.watch(request)
         if is_keyed:
             self.memory.store_key(request, self.now)
             yield StoreKey(request.request_class.key_retention)
         event = yield Wait()
-        self.queue.leave(entry)
+        self.queue.remove(entry)
         if isinstance(event, TurnGranted):
             return True
         self.quotas.uncount(request, self.now)
@@ -203,23 +203,23 @@
             if isinstance(event, CallNeeded):
                 event = yield from self._call_downstream(request)
             else:
-                event = yield from self._cut_off(request, event)
+                event = yield from self._handle_expiry_or_disconnect(request, event)
         self.limit.release_core(request, self.now)
         self.limit.started_count -= 1
         self.memory.charge(request, 0)
         request.state = RequestState.COMPLETED
-        self._learn(request, event)
+        self._record_run(request, event)
 
     def _call_downstream(self, request: Request) -> Generator[Action, Event, Event]:
         """Wait for a turn, call, and go on; returns the event that ends this."""
         self.limit.release_core(request, self.now)
-        entry = self.downstream.enter(request)
+        entry = self.downstream.enqueue(request)
         event = yield Wait()
-        self.downstream.leave(entry)
+        self.downstream.remove(entry)
         if isinstance(event, TurnGranted):
             event = yield CallDownstream(self.downstream.begin(request, self.now))
             while isinstance(event, WaitExpired | CallerGone):
-                event = yield from self._cut_off(request, event)
+                event = yield from self._handle_expiry_or_disconnect(request, event)
             self.downstream.end(request, event, self.now)
         if isinstance(event, CallEnded):
             if event.outcome is Outcome.SERVED:
@@ -232,9 +232,9 @@
         if self.downstream.may_skip(request, self.now):
             self.limit.occupy_core(request, self.now)
             return (yield SkipCall())
-        return (yield from self._cut_off(request, WaitExpired()))
+        return (yield from self._handle_expiry_or_disconnect(request, WaitExpired()))
 
-    def _cut_off(self, request: Request, event: Event) -> Generator[Action, Event, Event]:
+    def _handle_expiry_or_disconnect(self, request: Request, event: Event) -> Generator[Action, Event, Event]:
         """Answer a started request at once; its run is stopped where that frees something."""
         if isinstance(event, WaitExpired) and not request.is_answered:
             request.is_answered = True
@@ -250,7 +250,7 @@
         is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
         return is_idempotent and self.settings.preemption is not Preemption.OFF
 
-    def _learn(self, request: Request, ended: RunEnded) -> None:
+    def _record_run(self, request: Request, ended: RunEnded) -> None:
         """Learn from a run without its calls; a stopped one counts as far as it got."""
         typical = self.times.typical(request)
         if ended.outcome not in (Outcome.SERVED, Outcome.FAILED):
@@ -272,9 +272,9 @@
         """Bring all figures up to date at a timer, and adjust what follows from them."""
         now = self.now
         self.queue.is_changed = True
-        self.notices.append(SetTimer(now + TIMER_INTERVAL))
-        self.quotas.forget_silent(now)
-        self.idle_connections.returns.forget(now)
+        self.server_actions.append(SetTimer(now + TIMER_INTERVAL))
+        self.quotas.drop_idle_callers(now)
+        self.idle_connections.returns.drop_idle_callers(now)
         self.memory.expire_keys(now)
         self.health.measure(self.limit.running, now)
         self.downstream.measure(now)
@@ -284,7 +284,7 @@
         if self.plan.weight:
             self._fade_plan()
         self.limit.adjust(now, bool(self.queue.entries), self.health.is_healthy)
-        self._judge_health()
+        self._update_health()
         self.choose_idle_timeout()
         self._adjust_criticality()
 
@@ -297,9 +297,9 @@
         if self.plan.fade(self.now):
             self._log(PlanExpired(self.plan.plan.term, self.plan.plan.number))
 
-    def _judge_health(self) -> None:
-        if self.health.judge(self.deadlines.is_draining):
-            self.notices.append(SetHealth(self.health.is_healthy))
+    def _update_health(self) -> None:
+        if self.health.update(self.deadlines.is_draining):
+            self.server_actions.append(SetHealth(self.health.is_healthy))
             self._log(HealthChanged(self.health.is_healthy, self.health.stall_ratio))
 
     def choose_idle_timeout(self) -> None:
@@ -307,30 +307,30 @@
         self.rejection_stats.measure(self.now, self.quotas.served_count.total(self.now))
         timeout = self.idle_connections.choose(self.now, self.queue.read_delay)
         if timeout is not None:
-            self.notices.append(SetIdleTimeout(timeout))
+            self.server_actions.append(SetIdleTimeout(timeout))
 
     def _adjust_criticality(self) -> None:
         rejected = self.rejection_stats.count.total(self.now)
         served = self.quotas.served_count.total(self.now)
         level = self.criticality.adjust(bool(self.queue.entries), rejected, served)
         if level is not None:
-            self.notices.append(AdvertiseCriticality(level))
+            self.server_actions.append(AdvertiseCriticality(level))
 
     def drain(self, ends_at: int) -> None:
         """Admit for the grace only, turn unhealthy, and answer all before the process ends."""
         self.deadlines.begin_drain(self.now, self.settings.drain_grace, ends_at)
         self._log(DrainStarted())
-        self._judge_health()
+        self._update_health()
 
     def apply_plan(self, plan: PlanOverride) -> bool:
         """Put a plan in force or renew it; returns False for an older or late one, which changes nothing."""
         if not self.plan.is_superseded_by(plan):
             return False
-        is_news = self.plan.is_changed_by(plan)
-        self.quotas.adopt_plan(plan, self.now, self.plan.brings_new_callers(plan))
-        self.plan.put_in_force(plan)
+        is_changed = self.plan.is_changed_by(plan)
+        self.quotas.adopt_plan(plan, self.now, self.plan.adds_evacuated_callers(plan))
+        self.plan.activate(plan)
         self._fade_plan()
-        if is_news:
+        if is_changed:
             callers = tuple(sorted(plan.evacuated_callers))
             fraction = plan.serving_fraction
             is_short = plan.is_capacity_short
@@ -365,7 +365,7 @@
         if is_sweep_due:
             yield from self.queue.sweep(now)
         if self.downstream.waiting and (is_sweep_due or self.downstream.next_call_at <= now):
-            yield from self.downstream.next_turns(now)
+            yield from self.downstream.next_calls(now)
         if self.queue.entries:
             yield from self.queue.next_starts(now)
 
@@ -375,14 +375,14 @@
         if not self.queue.entries or self.settings.preemption is Preemption.OFF:
             return
         # A run past its latency deadline earns nothing: while others wait for its core, it gives way.
-        worthless = [
+        late_runs = [
             request
             for request in self.limit.running
             if self.now >= request.latency_deadline and not request.request_class.late_weight
         ]
-        for request in worthless:
+        for request in late_runs:
             if not request.is_answered and self._may_stop(request):
                 yield WakeUp(request, WaitExpired())
 
     def _log(self, event: LogEvent) -> None:
-        self.notices.append(event)
+        self.server_actions.append(event)
--- a/birchslip/admission/downstream.py
+++ b/birchslip/admission/downstream.py
@@ -12,7 +12,7 @@
 from math import ceil
 from typing import NamedTuple
 
-from .concurrency_limit import SURVIVABLE_SHARE, ConcurrencyLimit
+from .concurrency_limit import OVERLOAD_THRESHOLD_SHARE, ConcurrencyLimit
 from .deadlines import TIMER_INTERVAL, Deadlines
 from .health import HealthMonitor
 from .service_time import ServiceTimes
@@ -81,15 +81,15 @@
         self.recent_time = 0.0
         self.expected_limit = 1.0  # the limit at the last timer
 
-    def enter(self, request: Request) -> CallEntry:
-        """Queue a request for its call; returns the entry to `leave` with."""
+    def enqueue(self, request: Request) -> CallEntry:
+        """Queue a request for its call; returns the entry to `remove` with."""
         request.state = RequestState.WAITING_FOR_CALL
         is_skippable = request.request_class.weight_without_call > 0
         entry = CallEntry(is_skippable, request.latency_deadline, request.sequence, request)
         insort(self.waiting, entry)
         return entry
 
-    def leave(self, entry: CallEntry) -> None:
+    def remove(self, entry: CallEntry) -> None:
         """Take a request out of the queue."""
         self.waiting.remove(entry)
 
@@ -105,20 +105,20 @@
     def end(self, request: Request, event: Event, now: int) -> None:
         """Learn from the end of a call; one without an answer counts as a slow one."""
         self.in_flight -= 1
-        took = now - request.call_started_at
+        duration = now - request.call_started_at
         if not isinstance(event, CallEnded) or event.outcome is Outcome.TIMED_OUT:
             linger = self.settings.abandoned_call_linger
             heapq.heappush(self.lingering, now + linger)
-            took += linger
+            duration += linger
         elif event.outcome is not Outcome.SERVED:
             # A rejected or lost call says that the service below is in trouble, however quickly it says so.
-            took = max(took, ceil(REJECTED_CALL_TIMES * self.recent_time))
-        self.call_times.add(now, took)
-        self.recent_sum.add(now, took)
+            duration = max(duration, ceil(REJECTED_CALL_TIMES * self.recent_time))
+        self.call_times.add(now, duration)
+        self.recent_sum.add(now, duration)
         self.recent_count.add(now, 1)
         limit = self.concurrency(now)
         if limit < 1:
-            self.next_call_at = max(self.next_call_at, request.call_started_at + ceil(took / limit))
+            self.next_call_at = max(self.next_call_at, request.call_started_at + ceil(duration / limit))
 
     def measure(self, now: int) -> None:
         """Bring the recent call time and the limit up to date."""
@@ -129,19 +129,23 @@
     def concurrency(self, now: int) -> float:
         """Return how many calls may be in flight: the quota, less as calls take longer than usual."""
         if self.is_shared:
-            own = max(SMALLEST_QUOTA, self.quota)
+            base_limit = max(SMALLEST_QUOTA, self.quota)
         else:
-            own = SURVIVABLE_SHARE * self.limit.survivable(now)
-        usual = self.call_times.low
-        if not self.recent_time or not usual:
-            return own
-        return max(min(1.0, own), own * MIN_QUOTA_SHARE, own * min(1.0, usual / self.recent_time))
+            base_limit = OVERLOAD_THRESHOLD_SHARE * self.limit.overload_threshold(now)
+        usual_time = self.call_times.low
+        if not self.recent_time or not usual_time:
+            return base_limit
+        return max(
+            min(1.0, base_limit),
+            base_limit * MIN_QUOTA_SHARE,
+            base_limit * min(1.0, usual_time / self.recent_time),
+        )
 
     def expected_time(self) -> float:
         """Return the time of a call with the wait for its turn."""
         return self.recent_time * (1 + len(self.waiting) / self.expected_limit)
 
-    def next_turns(self, now: int) -> Iterator[WakeUp]:
+    def next_calls(self, now: int) -> Iterator[WakeUp]:
         """Yield the requests that may call, at a rate that follows the recent call time.
 
         A call that can't fit is skipped where a part of the priority weight is still earned.
@@ -150,15 +154,15 @@
             heapq.heappop(self.lingering)
         limit = self.concurrency(now)
         interval = self.recent_time / limit
-        for place, entry in enumerate(list(self.waiting)):
+        for position, entry in enumerate(list(self.waiting)):
             request = entry.request
-            if self._is_hopeless(request, place * interval, now):
+            if self._is_wait_useless(request, position * interval, now):
                 yield WakeUp(request, WaitExpired())
             elif self.in_flight + len(self.lingering) + 1 <= max(1.0, limit) and self.next_call_at <= now:
                 self.next_call_at = max(self.next_call_at, now - TIMER_INTERVAL) + ceil(interval)
                 yield WakeUp(request, TurnGranted())
 
-    def _is_hopeless(self, request: Request, wait: float, now: int) -> bool:
+    def _is_wait_useless(self, request: Request, wait: float, now: int) -> bool:
         request_class = request.request_class
         if request_class.weight_without_call and self.recent_time:
             remaining = self.times.remaining(request, self.health.slowdown)
@@ -168,15 +172,15 @@
         return now >= request.latency_deadline and not request_class.late_weight
 
     def _timeout(self, request: Request, now: int) -> int:
-        left = request.deadline - now - TIMER_INTERVAL
+        time_left = request.deadline - now - TIMER_INTERVAL
         if request.request_class.weight_without_call:
             remaining = self.times.remaining(request, self.health.slowdown)
-            left = min(left, self.deadlines.useful_until(request) - now - ceil(remaining))
+            time_left = min(time_left, self.deadlines.useful_until(request) - now - ceil(remaining))
         if self.is_shared and self.quota < 1:
             # With a quota under one call, a single call may not fill the quota's window by itself.
             allowed = ceil(self.quota * self.settings.downstream_quota_window)
-            left = min(left, allowed - self.settings.abandoned_call_linger)
-        return max(SHORTEST_TIMEOUT, left)
+            time_left = min(time_left, allowed - self.settings.abandoned_call_linger)
+        return max(SHORTEST_TIMEOUT, time_left)
 
     def may_retry(self, request: Request, outcome: Outcome, now: int) -> bool:
         """Return whether a call may be made again: it is known not to have run, or may run twice."""
--- a/birchslip/admission/driver.py
+++ b/birchslip/admission/driver.py
@@ -29,7 +29,7 @@
         settings: AdmissionSettings,
         now: int,
         perform: Callable[[Request, Action], None],
-        announce: Callable[[ServerAction], None],
+        perform_server_action: Callable[[ServerAction], None],
         on_error: Callable[[Request, Exception], None] | None = None,
     ) -> None:
         """Begin without requests.
@@ -38,15 +38,15 @@
             settings: Settings of the app server.
             now: The present time.
             perform: Performs an action of one request.
-            announce: Performs an action for the app server as a whole.
+            perform_server_action: Performs an action for the app server as a whole.
             on_error: Hears what the steps of one request raised, which ends these steps alone; without it
                 the error is raised.
         """
         self.perform = perform
-        self.announce = announce
+        self.perform_server_action = perform_server_action
         self.on_error = on_error
         self.controller = AdmissionController(settings, now)
-        self._announce_all()
+        self._perform_server_actions()
 
     def advance_clock(self, now: int) -> None:
         """Set the present time, which may not go back."""
@@ -95,15 +95,15 @@
         """Put a plan in force; returns False for one of an older term or number, which is ignored."""
         return self.controller.apply_plan(plan)
 
-    def limit_new_keys(self, left: int, scarce_below: int, retry_delay: int) -> None:
+    def limit_new_keys(self, remaining: int, scarce_below: int, retry_delay: int) -> None:
         """Bound the keyed requests that may still start where results are stored.
 
         Args:
-            left: How many the store still takes.
+            remaining: How many the store still takes.
             scarce_below: From how many on the room is reserved for callers within their quota.
             retry_delay: Time until there is room again.
         """
-        self.controller.limit_new_keys(KeyCapacity(left, scarce_below, retry_delay))
+        self.controller.limit_new_keys(KeyCapacity(remaining, scarce_below, retry_delay))
 
     def set_downstream_quota(self, calls: float) -> None:
         """Set how many calls to the service below may be in flight from now on."""
@@ -117,9 +117,9 @@
         """Resume, after each batch, the requests that the controller picks, one at a time."""
         for request, event in self.controller.settle():
             self.deliver(request, event)
-        self._announce_all()
+        self._perform_server_actions()
 
-    def _announce_all(self) -> None:
-        for notice in self.controller.notices:
-            self.announce(notice)
-        self.controller.notices.clear()
+    def _perform_server_actions(self) -> None:
+        for action in self.controller.server_actions:
+            self.perform_server_action(action)
+        self.controller.server_actions.clear()
--- a/birchslip/admission/health.py
+++ b/birchslip/admission/health.py
@@ -65,7 +65,7 @@
                 within_typical += taken
         self.stall_ratio = (spent - within_typical + health_prior) / (completed + health_prior)
 
-    def judge(self, is_draining: bool) -> bool:
+    def update(self, is_draining: bool) -> bool:
         """Bring the health up to date; returns whether it has changed."""
         bound = UNHEALTHY_STALL_RATIO if self.is_healthy else HEALTHY_STALL_RATIO
         is_healthy = not is_draining and self.stall_ratio < bound
--- a/birchslip/admission/idle_connections.py
+++ b/birchslip/admission/idle_connections.py
@@ -38,21 +38,21 @@
         self.caller_count = caller_count
         self.last_seen: dict[int, int] = {}
         self.gaps: deque[int] = deque(maxlen=MAX_RETURN_GAPS)
-        self.seen_count = 0
+        self.request_count = 0
 
     def add(self, caller: int, now: int) -> None:
         """Count a request of a caller."""
-        self.seen_count += 1
+        self.request_count += 1
         gap = now - self.last_seen.pop(caller, now - 2 * self.keepalive_timeout)
         self.last_seen[caller] = now
         uptime = now - self.started_at
         if gap > self.keepalive_timeout > uptime:
             # Not seen since the start: taken to come as often as all callers do.
             callers = self.caller_count or len(self.last_seen)
-            gap = min(gap, callers * max(SECOND, uptime) // self.seen_count)
+            gap = min(gap, callers * max(SECOND, uptime) // self.request_count)
         self.gaps.append(gap)
 
-    def forget(self, now: int) -> None:
+    def drop_idle_callers(self, now: int) -> None:
         """Drop the callers whose connections have ended by themselves."""
         while self.last_seen:
             caller, seen_at = next(iter(self.last_seen.items()))
@@ -109,10 +109,10 @@
 
     def _measure_overload(self, now: int, read_delay: int) -> None:
         rejected = self.stats.count.total(now)
-        could_serve = self.limit.throughput() * WINDOW_COUNT
+        serviceable = self.limit.throughput() * WINDOW_COUNT
         ratio = OVERLOAD_RATIO
         longest_delay = OVERLOAD_READ_DELAY
         if self.is_overloaded:
             ratio = OVERLOAD_END_RATIO
             longest_delay = OVERLOAD_END_READ_DELAY
-        self.is_overloaded = read_delay > longest_delay or 0 < could_serve * ratio < rejected
+        self.is_overloaded = read_delay > longest_delay or 0 < serviceable * ratio < rejected
--- a/birchslip/admission/memory_budget.py
+++ b/birchslip/admission/memory_budget.py
@@ -27,7 +27,7 @@
 class KeyCapacity(NamedTuple):
     """Keyed requests that a store of results still takes."""
 
-    left: float = inf
+    remaining: float = inf
     scarce_below: float = 0  # from here on the last room is reserved for those within their quota
     retry_delay: int = 0  # time until there is room again
 
@@ -64,8 +64,8 @@
 
     def has_room_running(self, request: Request) -> bool:
         """Return whether a queued request fits once it runs."""
-        more = request.size * (self.settings.running_memory_factor - 1)
-        return self.used + more <= MEMORY_SHARE * self.settings.memory_limit
+        extra = request.size * (self.settings.running_memory_factor - 1)
+        return self.used + extra <= MEMORY_SHARE * self.settings.memory_limit
 
     def may_store_result(self, request: Request, now: int) -> bool:
         """Return whether the result of a keyed request can be stored.
@@ -73,11 +73,11 @@
         The last of the room is not for those past their quota, nor for those who had more of their quota
         than all have together, so that no surge fills the store.
         """
-        left, scarce_below, _ = self.key_capacity
-        if request.request_class.idempotency is not Idempotency.KEYED or left > scarce_below:
+        remaining, scarce_below, _ = self.key_capacity
+        if request.request_class.idempotency is not Idempotency.KEYED or remaining > scarce_below:
             return True
         meter = request.quota_meter
-        if left < 1 or self.quotas.delay(meter, now):
+        if remaining < 1 or self.quotas.delay(meter, now):
             return False
         # A store may hold less than one quota's window: nobody need be past its quota when it is full.
         return self.quotas.is_within_fair_share(meter, now)
--- a/birchslip/admission/plan_override.py
+++ b/birchslip/admission/plan_override.py
@@ -20,10 +20,10 @@
     def is_superseded_by(self, plan: PlanOverride) -> bool:
         """Return whether a plan is newer than the one in force, or renews it for longer."""
         offered = (plan.term, plan.number)
-        in_force = (self.plan.term, self.plan.number)
-        if offered == in_force:
+        current = (self.plan.term, self.plan.number)
+        if offered == current:
             return plan.expires_at > self.plan.expires_at
-        return offered > in_force
+        return offered > current
 
     def is_changed_by(self, plan: PlanOverride) -> bool:
         """Return whether a plan says anything new to an operator."""
@@ -35,11 +35,11 @@
             or plan.evacuated_callers != current.evacuated_callers
         )
 
-    def brings_new_callers(self, plan: PlanOverride) -> bool:
+    def adds_evacuated_callers(self, plan: PlanOverride) -> bool:
         """Return whether a plan sends callers here that the plan in force does not."""
         return bool(plan.evacuated_callers - self.plan.evacuated_callers) or not self.weight
 
-    def put_in_force(self, plan: PlanOverride) -> None:
+    def activate(self, plan: PlanOverride) -> None:
         """Take over a plan; `fade` gives it its weight."""
         self.plan = plan
 
@@ -48,11 +48,11 @@
 
         A plan fades evenly over its own span: else the load that it rejected would return at once.
         """
-        left = 1 - (now - self.plan.expires_at) / self.plan.fade_span
-        weight = min(1.0, max(0.0, left))
-        has_run_out = bool(self.weight) and not weight
+        remaining_weight = 1 - (now - self.plan.expires_at) / self.plan.fade_span
+        weight = min(1.0, max(0.0, remaining_weight))
+        has_expired = bool(self.weight) and not weight
         self.weight = weight
-        return has_run_out
+        return has_expired
 
     def is_evacuated(self, request: Request) -> bool:
         """Return whether the plan, in force or not, names a request's caller as evacuated."""
--- a/birchslip/admission/quota.py
+++ b/birchslip/admission/quota.py
@@ -37,7 +37,7 @@
 
     def meter(self, request: Request, now: int) -> QuotaMeter:
         """Return the meter of a request's tenant, where it has a quota, or else of its caller."""
-        # The last one seen stands last, so that `forget_silent` finds the silent ones at the head.
+        # The last one seen stands last, so that `drop_idle_callers` finds the silent ones at the head.
         meter = self.callers.pop(request.caller) if request.caller in self.callers else QuotaMeter()
         self.callers[request.caller] = meter
         meter.last_seen_at = now
@@ -62,7 +62,7 @@
         """Take back a request that never ran, or a caller that goes on asking would be shut out whole."""
         meter = request.quota_meter
         amount = 1 if meter.configured_quota else request.size
-        meter.admitted.take(now, request.counted_at, amount)
+        meter.admitted.subtract(now, request.counted_at, amount)
 
     def record_served(self, request: Request, now: int) -> None:
         """Count a request that was answered in time."""
@@ -91,7 +91,7 @@
         return max(derived, throughput / number) * served / max(1, callers)
 
     def _configured_quota(self, meter: QuotaMeter, throughput: float, now: int) -> float:
-        active = max(1, sum(1 for peer in self.tenants.values() if peer.admitted.total(now) > 0))
+        active = max(1, sum(1 for other in self.tenants.values() if other.admitted.total(now) > 0))
         usual = max(meter.configured_quota, throughput / active)
         if not meter.planned_quota:
             return usual
@@ -109,23 +109,23 @@
         """Return whether a tenant had no more of its quota than all active tenants together."""
         if not meter.configured_quota:
             return True
-        active = [peer for peer in self.tenants.values() if peer.admitted.total(now) > 0]
-        admitted = sum(peer.admitted.sum for peer in active)
-        configured = sum(peer.configured_quota for peer in active)
+        active = [other for other in self.tenants.values() if other.admitted.total(now) > 0]
+        admitted = sum(other.admitted.sum for other in active)
+        configured = sum(other.configured_quota for other in active)
         return meter.admitted.sum * configured <= admitted * meter.configured_quota
 
-    def adopt_plan(self, plan: PlanOverride, now: int, brings_new_callers: bool) -> None:
+    def adopt_plan(self, plan: PlanOverride, now: int, adds_evacuated_callers: bool) -> None:
         """Set the planned quotas. New evacuated callers begin with a full window: they come all at once."""
-        if brings_new_callers:
+        if adds_evacuated_callers:
             self.evacuated = QuotaMeter()
             amount = ceil(plan.evacuated_quota * WINDOW_LENGTH / SECOND)
-            for ago in range(WINDOW_COUNT):
-                self.evacuated.admitted.add(now - (WINDOW_COUNT - 1 - ago) * WINDOW_LENGTH, amount)
+            for windows_ago in range(WINDOW_COUNT):
+                self.evacuated.admitted.add(now - (WINDOW_COUNT - 1 - windows_ago) * WINDOW_LENGTH, amount)
         self.evacuated.configured_quota = max(SMALLEST_EVACUATED_QUOTA, plan.evacuated_quota)
         for tenant, meter in self.tenants.items():
             meter.planned_quota = plan.quotas.get(tenant, 0.0)
 
-    def forget_silent(self, now: int) -> None:
+    def drop_idle_callers(self, now: int) -> None:
         """Drop the meters of callers not seen for a whole window."""
         while self.callers:
             caller, meter = next(iter(self.callers.items()))
--- a/birchslip/admission/rejection.py
+++ b/birchslip/admission/rejection.py
@@ -17,13 +17,13 @@
 from .rejection_stats import RejectionStats
 from .types import AdmissionSettings, Reject, Request
 
-SLOWED_RUNS = 2.0  # slowdown from which another server is worth trying all the same
-LOWEST_SPREAD = 0.75  # of the Retry-After; the highest is 1.25
+RETRY_ELSEWHERE_SLOWDOWN = 2.0  # slowdown from which another server is worth trying all the same
+MIN_JITTER = 0.75  # of the Retry-After; the highest is 1.25
 RANDOM_FACTOR = 6364136223846793005  # Knuth's MMIX linear congruential generator
 RANDOM_INCREMENT = 1442695040888963407
 RANDOM_BITS = 64
 RANDOM_LOW_BITS = 40  # not used: their period is short
-SPREAD_BITS = 25
+JITTER_BITS = 25
 
 
 class Rejections:
@@ -54,12 +54,12 @@
         self.stats.add(now, self._age(request, now))
         if not self.settings.sends_retry_after:
             return Reject()
-        longest = self.settings.max_retry_after
-        wait: float = longest
+        max_retry_after = self.settings.max_retry_after
+        wait: float = max_retry_after
         if self.health.is_healthy:
             core_wait = self.limit.core_wait(self.health.slowdown)
             wait = max(delay, core_wait, self.queue.read_delay, TIMER_INTERVAL)
-        retry_after = min(ceil(wait * self._spread()), longest)
+        retry_after = min(ceil(wait * self._jitter()), max_retry_after)
         return Reject(retry_after, self._is_retry_useless())
 
     def _age(self, request: Request, now: int) -> int:
@@ -68,10 +68,10 @@
             return int(self.stats.mean_age(now))
         return now - request.arrived_at
 
-    def _spread(self) -> float:
+    def _jitter(self) -> float:
         state = self.random_state * RANDOM_FACTOR + RANDOM_INCREMENT
         self.random_state = state % (1 << RANDOM_BITS)
-        return LOWEST_SPREAD + (self.random_state >> RANDOM_LOW_BITS) / (1 << SPREAD_BITS)
+        return MIN_JITTER + (self.random_state >> RANDOM_LOW_BITS) / (1 << JITTER_BITS)
 
     def _is_retry_useless(self) -> bool:
         is_full = (
@@ -80,4 +80,4 @@
             or self.idle_connections.retry_needs_handshake
             or self.plan.is_capacity_short
         )
-        return is_full and self.health.slowdown < SLOWED_RUNS
+        return is_full and self.health.slowdown < RETRY_ELSEWHERE_SLOWDOWN
--- a/birchslip/admission/service_time.py
+++ b/birchslip/admission/service_time.py
@@ -11,7 +11,7 @@
 from .types import Request, RequestClass
 from .windows import QuantileWindow
 
-HINT_MEMORY_RUNS = 200  # runs over which the hints' precision is learned
+HINT_WINDOW_RUNS = 200  # runs over which the hints' precision is learned
 EXACT_HINT_PRIOR = 3.0  # weight of the assumption that hints are exact
 SMALLEST_VARIANCE = 1e-9
 
@@ -41,14 +41,16 @@
     def add(self, request_class: RequestClass, cost_hint: int, service_time: float) -> None:
         """Learn from one run."""
         means = self.means[request_class]
-        number = min(means.count + 1, HINT_MEMORY_RUNS)
-        from_cost = log(max(1, cost_hint)) - means.cost
-        from_time = log(max(1.0, service_time)) - means.time
-        means.count = number
-        means.cost += from_cost / number
-        means.time += from_time / number
-        self.variance += from_cost * from_cost * (1 - 1 / number) - self.variance / HINT_MEMORY_RUNS
-        self.covariance += from_cost * from_time * (1 - 1 / number) - self.covariance / HINT_MEMORY_RUNS
+        count = min(means.count + 1, HINT_WINDOW_RUNS)
+        cost_deviation = log(max(1, cost_hint)) - means.cost
+        time_deviation = log(max(1.0, service_time)) - means.time
+        means.count = count
+        means.cost += cost_deviation / count
+        means.time += time_deviation / count
+        self.variance += cost_deviation * cost_deviation * (1 - 1 / count) - self.variance / HINT_WINDOW_RUNS
+        self.covariance += (
+            cost_deviation * time_deviation * (1 - 1 / count) - self.covariance / HINT_WINDOW_RUNS
+        )
         self.power = min(1.0, max(0.0, self.covariance / max(SMALLEST_VARIANCE, self.variance)))
 
     def factor(self, request_class: RequestClass, cost_hint: int) -> float:
--- a/birchslip/admission/settings.py
+++ b/birchslip/admission/settings.py
@@ -32,8 +32,8 @@
 LEVEL_SIGNAL = "level"
 ABSENT = ("", "-")
 LARGEST_NUMBER = 1e15
-MOST_DIGITS = 20
-SHOWN_CHARACTERS = 40  # of a wrong value, in an error
+MAX_DIGITS = 20
+MAX_SHOWN_CHARACTERS = 40  # of a wrong value, in an error
 DEFAULT_DEADLINE_S = 1.0
 SHORTEST_SPAN_S = 0.001
 SHORTEST_KEEPALIVE_S = 0.01
@@ -43,21 +43,21 @@
 Choice = TypeVar("Choice")
 
 
-def parse_number(text: str, what: str) -> float:
-    """Read a finite number; `what` names it in an `InvalidInputError`."""
+def parse_number(text: str, name: str) -> float:
+    """Read a finite number; `name` names it in an `InvalidInputError`."""
     try:
         value = float(text)
     except ValueError:
-        raise InvalidInputError(f"{what} is not a number: {text[:SHOWN_CHARACTERS]!r}") from None
+        raise InvalidInputError(f"{name} is not a number: {text[:MAX_SHOWN_CHARACTERS]!r}") from None
     if not -LARGEST_NUMBER < value < LARGEST_NUMBER:
-        raise InvalidInputError(f"{what} is out of range: {text[:SHOWN_CHARACTERS]!r}")
+        raise InvalidInputError(f"{name} is out of range: {text[:MAX_SHOWN_CHARACTERS]!r}")
     return value
 
 
-def parse_count(text: str, what: str) -> int:
-    """Read a whole number of at least 0; `what` names it in an `InvalidInputError`."""
-    if not text.isascii() or not text.isdigit() or len(text) > MOST_DIGITS:
-        raise InvalidInputError(f"{what} is not a whole number: {text[:SHOWN_CHARACTERS]!r}")
+def parse_count(text: str, name: str) -> int:
+    """Read a whole number of at least 0; `name` names it in an `InvalidInputError`."""
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_DIGITS:
+        raise InvalidInputError(f"{name} is not a whole number: {text[:MAX_SHOWN_CHARACTERS]!r}")
     return int(text)
 
 
@@ -97,7 +97,7 @@
         """Return a number that a rule hangs on: a lower one is an error and not ignored."""
         value = self.number(name, default)
         if value < lowest:
-            shown = self.text(name, "")[:SHOWN_CHARACTERS]
+            shown = self.text(name, "")[:MAX_SHOWN_CHARACTERS]
             raise InvalidInputError(f"{name} is under {lowest:g}: {shown!r}")
         return value
 
@@ -105,28 +105,28 @@
         """Return the choice of a word, where an unknown word could break a rule and is an error."""
         word = self.text(name, default)
         if word not in choices:
-            raise InvalidInputError(f"{name} is unknown: {word[:SHOWN_CHARACTERS]!r}")
+            raise InvalidInputError(f"{name} is unknown: {word[:MAX_SHOWN_CHARACTERS]!r}")
         return choices[word]
 
-    def flag(self, name: str, unclear: bool = False) -> bool:
-        """Return a truth value; `unclear` is what a value means that is neither true nor false."""
+    def flag(self, name: str, if_unclear: bool = False) -> bool:
+        """Return a truth value; `if_unclear` is what a value means that is neither true nor false."""
         text = self.text(name, "false")
-        return text in ("true", "1") or (unclear and text not in ("false", "0"))
+        return text in ("true", "1") or (if_unclear and text not in ("false", "0"))
 
     def count(self, name: str) -> int:
         """Return the length of a list of objects."""
         return int(self.number(f"{name}.count", 0))
 
-    def list_item(self, name: str, place: int, default: str) -> str:
+    def list_item(self, name: str, index: int, default: str) -> str:
         """Return one item of a plain list."""
         values = self.text(name, "").split(",")
-        if place >= len(values) or is_absent(values[place]):
+        if index >= len(values) or is_absent(values[index]):
             return default
-        return values[place]
+        return values[index]
 
     def names(self, name: str) -> list[str]:
         """Return the names of a list of objects, in the order of their places; any text is a name."""
-        return [self.values.get(f"{name}.{place}.name", "") for place in range(self.count(name))]
+        return [self.values.get(f"{name}.{index}.name", "") for index in range(self.count(name))]
 
 
 def flatten(settings: object, path: str = "") -> Iterable[tuple[str, str]]:
@@ -136,8 +136,8 @@
             yield from flatten(value, f"{path}.{name}" if path else str(name))
     elif isinstance(settings, list) and any(isinstance(item, dict) for item in settings):
         yield f"{path}.count", str(len(settings))
-        for place, item in enumerate(settings):
-            yield from flatten(item, f"{path}.{place}")
+        for index, item in enumerate(settings):
+            yield from flatten(item, f"{path}.{index}")
     elif isinstance(settings, list):
         yield path, ",".join(_scalar_text(item) for item in settings)
     else:
@@ -156,10 +156,10 @@
     Raises:
         InvalidInputError: A value is no number, or one that a rule hangs on can't be meant.
     """
-    classes = [_read_request_class(reader, place) for place in range(reader.count("classes"))]
+    classes = [_read_request_class(reader, index) for index in range(reader.count("classes"))]
     tenants = [
-        Tenant(max(0.0, reader.number(f"tenants.{place}.quota_per_s", 0.0)))
-        for place in range(reader.count("tenants"))
+        Tenant(max(0.0, reader.number(f"tenants.{index}.quota_per_s", 0.0)))
+        for index in range(reader.count("tenants"))
     ]
     settings = AdmissionSettings(classes, tenants, seed=seed)
     settings = _with_callers(reader, settings)
@@ -167,14 +167,14 @@
     return _with_resources(reader, settings)
 
 
-def _read_request_class(reader: SettingsReader, place: int) -> RequestClass:
-    name = f"classes.{place}"
+def _read_request_class(reader: SettingsReader, index: int) -> RequestClass:
+    name = f"classes.{index}"
     idempotency = reader.choice(f"{name}.effect", IDEMPOTENCY_BY_EFFECT, "once")
     deadline = reader.bounded(f"{name}.hard_limit_s", DEFAULT_DEADLINE_S, SHORTEST_SPAN_S)
     # Without a window, a key's repeat may come for as long as its caller waits.
     is_keyed = idempotency is Idempotency.KEYED
     retention = reader.bounded(f"{name}.window_s", deadline) if is_keyed else 0.0
-    weight_without_call = reader.list_item("family_info.class_skip_worth", place, "0")
+    weight_without_call = reader.list_item("family_info.class_skip_worth", index, "0")
     return RequestClass(
         idempotency=idempotency,
         latency_objective=round_down_seconds(reader.number(f"{name}.aim_s", deadline)),
@@ -188,12 +188,12 @@
 
 def _with_callers(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
     """Set what callers heed and how many there are."""
-    longest = reader.number("ceilings.max_retry_after_s", 0.0)
+    max_retry_after = reader.number("ceilings.max_retry_after_s", 0.0)
     keepalive = reader.number("family_info.keepalive_max_s", settings.keepalive_timeout / SECOND)
     return replace(
         settings,
-        sends_retry_after=reader.flag("ceilings.retry_after") and longest > 0,
-        max_retry_after=round_down_seconds(longest),
+        sends_retry_after=reader.flag("ceilings.retry_after") and max_retry_after > 0,
+        max_retry_after=round_down_seconds(max_retry_after),
         caller_count=max(0, int(reader.number("family_info.clients_total", settings.caller_count))),
         sends_criticality=reader.text("family_info.signal", "off") == LEVEL_SIGNAL,
         keepalive_timeout=round_up_seconds(max(SHORTEST_KEEPALIVE_S, keepalive)),
@@ -232,7 +232,7 @@
         idempotency_key_size=ceil(reader.bounded("family_info.key_kb", 0.0) * BYTES_PER_KB),
         preemption=preemption,
         fleet_size=max(1, int(reader.bounded("group_size", settings.fleet_size))),
-        starts_cold=reader.flag("family_info.cold", unclear=True),
+        starts_cold=reader.flag("family_info.cold", if_unclear=True),
         cold_start_speed=reader.bounded("contract.cold_from", 0.0),
         warm_up_span=round_up_seconds(reader.bounded("contract.cold_s", 0.0)),
         overload_multiple=reader.bounded("contract.fall_multiple", settings.overload_multiple),
--- a/birchslip/admission/windows.py
+++ b/birchslip/admission/windows.py
@@ -32,9 +32,9 @@
         count = len(self.buckets)
         if slot <= self.slot:
             return self.sum
-        for passed in range(max(self.slot + 1, slot - count + 1), slot + 1):
-            self.sum -= self.buckets[passed % count]
-            self.buckets[passed % count] = 0
+        for expired in range(max(self.slot + 1, slot - count + 1), slot + 1):
+            self.sum -= self.buckets[expired % count]
+            self.buckets[expired % count] = 0
         self.slot = slot
         return self.sum
 
@@ -44,7 +44,7 @@
         self.buckets[self.slot % len(self.buckets)] += amount
         self.sum += amount
 
-    def take(self, now: int, added_at: int, amount: int) -> None:
+    def subtract(self, now: int, added_at: int, amount: int) -> None:
         """Subtract what was added at `added_at`, unless its bucket has run out meanwhile."""
         self.total(now)
         if added_at // self.span > self.slot - len(self.buckets):
@@ -84,8 +84,8 @@
         self.high = self.ordered[int(size * HIGH_QUANTILE)]
 
     def _drop_before(self, slot: int) -> None:
-        for passed in range(max(self.slot + 1, slot - QUANTILE_BUCKETS + 1), slot + 1):
-            bucket = self.buckets[passed % QUANTILE_BUCKETS]
+        for expired in range(max(self.slot + 1, slot - QUANTILE_BUCKETS + 1), slot + 1):
+            bucket = self.buckets[expired % QUANTILE_BUCKETS]
             for old in bucket:
                 del self.ordered[bisect_left(self.ordered, old)]
                 self.sum -= old
--- a/birchslip/simulator/codec.py
+++ b/birchslip/simulator/codec.py
@@ -56,7 +56,7 @@
     "refused_conn": Outcome.UNREACHABLE,
     "superseded": Outcome.SUPERSEDED,
 }
-BARE_ACTIONS: dict[type[Action], str] = {
+ACTIONS_WITHOUT_ARGUMENTS: dict[type[Action], str] = {
     StartRun: "dispatch",
     SkipCall: "bypass",
     AttachToOriginal: "attach",
@@ -85,11 +85,11 @@
     original: int | None
 
 
-def part(parts: list[str], place: int) -> str:
+def required_part(parts: list[str], index: int) -> str:
     """Return one part of a line that has to have it."""
-    if place >= len(parts):
-        raise InvalidInputError(f"{parts[0]} has {len(parts) - 1} parts, at least {place} wanted")
-    return parts[place]
+    if index >= len(parts):
+        raise InvalidInputError(f"{parts[0]} has {len(parts) - 1} parts, at least {index} wanted")
+    return parts[index]
 
 
 def decode_settings(seed: str, pairs: list[str]) -> AdmissionSettings:
@@ -107,7 +107,7 @@
 def decode_request(parts: list[str]) -> RequestLine:
     """Read a request."""
     parts = parts + ["-"] * (REQUEST_PARTS - len(parts))
-    _, request_id, priority, user_group, _, deadline, work, size, _, flags, who, backlog, original = parts[
+    _, request_id, priority, user_group, _, deadline, work, size, _, flags, caller, backlog, original = parts[
         :REQUEST_PARTS
     ]
     return RequestLine(
@@ -117,7 +117,7 @@
         deadline=_duration_down(deadline, "client_deadline_s"),
         tenant_index=_count(user_group, "user_group"),
         original=_original(original),
-        caller=_count(who, "who"),
+        caller=_count(caller, "who"),
         size=_size(size),
         cost_hint=_duration_up(work, "work_s"),
         is_retry=bool(_count(flags, "flags") & RETRY_FLAG),
@@ -134,41 +134,41 @@
     return -int(-parse_number(text, "kb") * BYTES_PER_KB // 1)  # rounded up
 
 
-def _duration_up(text: str, what: str) -> int:
-    return 0 if is_absent(text) else round_up_seconds(parse_number(text, what))
+def _duration_up(text: str, name: str) -> int:
+    return 0 if is_absent(text) else round_up_seconds(parse_number(text, name))
 
 
-def _duration_down(text: str, what: str) -> int:
-    return 0 if is_absent(text) else round_down_seconds(parse_number(text, what))
+def _duration_down(text: str, name: str) -> int:
+    return 0 if is_absent(text) else round_down_seconds(parse_number(text, name))
 
 
-def _optional_count(text: str, what: str) -> int | None:
-    return None if is_absent(text) else parse_count(text, what)
+def _optional_count(text: str, name: str) -> int | None:
+    return None if is_absent(text) else parse_count(text, name)
 
 
-def _count(text: str, what: str) -> int:
-    return 0 if is_absent(text) else parse_count(text, what)
+def _count(text: str, name: str) -> int:
+    return 0 if is_absent(text) else parse_count(text, name)
 
 
 def decode_request_event(parts: list[str]) -> Event | None:
     """Read what happened to one request; None for an event of another kind."""
     match parts[0]:
         case "completed":
-            return RunEnded(decode_outcome(part(parts, 2)), _elapsed(parts))
+            return RunEnded(decode_outcome(required_part(parts, 2)), _elapsed(parts))
         case "ready_to_call":
             return CallNeeded()
         case "call_ended":
-            return CallEnded(decode_outcome(part(parts, 2)), _elapsed(parts))
+            return CallEnded(decode_outcome(required_part(parts, 2)), _elapsed(parts))
         case "hangup":
             return CallerGone()
     return None
 
 
 def _elapsed(parts: list[str]) -> int:
-    place = 3
-    if len(parts) <= place or is_absent(parts[place]):
+    index = 3
+    if len(parts) <= index or is_absent(parts[index]):
         return 0
-    return round_up_seconds(parse_number(parts[place], "elapsed_s"))
+    return round_up_seconds(parse_number(parts[index], "elapsed_s"))
 
 
 def decode_outcome(text: str) -> Outcome:
@@ -195,9 +195,9 @@
 
 def encode_action(request_id: int, action: Action) -> str | None:
     """Write an action for one request; None where nothing is to be said."""
-    verb = BARE_ACTIONS.get(type(action))
-    if verb is not None:
-        return f"{verb}\t{request_id}"
+    action_name = ACTIONS_WITHOUT_ARGUMENTS.get(type(action))
+    if action_name is not None:
+        return f"{action_name}\t{request_id}"
     match action:
         case CallDownstream(timeout):
             return f"dial\t{request_id}\t{encode_seconds(timeout)}"
--- a/birchslip/simulator/host.py
+++ b/birchslip/simulator/host.py
@@ -23,8 +23,8 @@
 
 END_OF_BATCH = "go"
 END_OF_REPLY = "ack"
-START_PARTS = 2
-GAUGES_PLACE = 2
+START_HEADER_PARTS = 2
+GAUGES_INDEX = 2
 
 
 class SimulatedServer:
@@ -32,13 +32,13 @@
 
     def __init__(self, parts: list[str], now: int) -> None:
         """Start as the line of a start says."""
-        if len(parts) < START_PARTS:
+        if len(parts) < START_HEADER_PARTS:
             raise InvalidInputError("a start without a seed")
         self.lines: list[str] = []
-        self.settings = codec.decode_settings(parts[1], parts[START_PARTS:])
+        self.settings = codec.decode_settings(parts[1], parts[START_HEADER_PARTS:])
         self.ids: WeakKeyDictionary[Request, int] = WeakKeyDictionary()
         self.requests: WeakValueDictionary[int, Request] = WeakValueDictionary()
-        self.driver = AdmissionDriver(self.settings, now, self.perform, self.announce)
+        self.driver = AdmissionDriver(self.settings, now, self.perform, self.perform_server_action)
 
     def perform(self, request: Request, action: Action) -> None:
         """Write an action for one request."""
@@ -46,7 +46,7 @@
         if line is not None:
             self.lines.append(line)
 
-    def announce(self, action: ServerAction) -> None:
+    def perform_server_action(self, action: ServerAction) -> None:
         """Write an action for the app server as a whole."""
         self.lines.append(codec.encode_server_action(action))
 
@@ -56,10 +56,10 @@
             case "call":
                 self._admit(codec.decode_request(parts), now)
             case "wakeup":
-                gauges = parts[GAUGES_PLACE] if len(parts) > GAUGES_PLACE else "-"
+                gauges = parts[GAUGES_INDEX] if len(parts) > GAUGES_INDEX else "-"
                 self.driver.tick(codec.decode_gauges(gauges))
             case "wind_down":
-                ends_at = parse_number(codec.part(parts, 1), "the end of a wind_down")
+                ends_at = parse_number(codec.required_part(parts, 1), "the end of a wind_down")
                 self.driver.drain(round_down_seconds(ends_at))
             case _:
                 self._deliver(parts)
@@ -69,7 +69,7 @@
         event = codec.decode_request_event(parts)
         if event is None:
             return
-        request = self.requests.get(parse_count(codec.part(parts, 1), "request_id"))
+        request = self.requests.get(parse_count(codec.required_part(parts, 1), "request_id"))
         if request is not None:
             self.driver.deliver(request, event)
 
@@ -91,25 +91,25 @@
         self.requests[line.request_id] = request
         self.driver.admit(request)
 
-    def _request_class(self, place: int) -> RequestClass:
-        if place >= len(self.settings.request_classes):
-            raise InvalidInputError(f"no such priority: {place}")
-        return self.settings.request_classes[place]
+    def _request_class(self, index: int) -> RequestClass:
+        if index >= len(self.settings.request_classes):
+            raise InvalidInputError(f"no such priority: {index}")
+        return self.settings.request_classes[index]
 
-    def _tenant(self, place: int) -> Tenant | None:
+    def _tenant(self, index: int) -> Tenant | None:
         tenants = self.settings.tenants
         if not tenants:
             return None
-        if place >= len(tenants):
-            raise InvalidInputError(f"no such user_group: {place}")
-        return tenants[place]
+        if index >= len(tenants):
+            raise InvalidInputError(f"no such user_group: {index}")
+        return tenants[index]
 
     def _original(self, request_id: int | None, request_class: RequestClass, now: int) -> Request | None:
         if request_id is None:
             return None
-        known = self.requests.get(request_id)
-        if known is not None:
-            return known
+        original = self.requests.get(request_id)
+        if original is not None:
+            return original
         # One that is no longer remembered has to be taken as having run: the safe side.
         return Request(request_class, 0, now, now, 0, has_started=True)
 
@@ -143,19 +143,19 @@
                 self._report(self.server_id, error)
         reply: list[str] = []
         for server_id in self.replies:
-            said = self._settle(server_id)
-            if said:
+            reply_lines = self._settle(server_id)
+            if reply_lines:
                 reply.append(f"at\t{server_id}")
-                reply.extend(said)
+                reply.extend(reply_lines)
         return reply
 
     def _handle(self, parts: list[str]) -> None:
         kind = parts[0]
         server_id = self.server_id
         if kind == "sync":
-            self.now = round_up_seconds(parse_number(codec.part(parts, 1), "the clock"))
+            self.now = round_up_seconds(parse_number(codec.required_part(parts, 1), "the clock"))
         elif kind == "to":
-            self._address(parse_count(codec.part(parts, 1), "server_id"))
+            self._select_server(parse_count(codec.required_part(parts, 1), "server_id"))
         elif server_id is None:
             raise InvalidInputError(f"an event before any 'to' line: {kind[:40]!r}")
         elif kind == "hello":
@@ -167,7 +167,7 @@
         else:
             raise InvalidInputError(f"an event for one that has not started: {kind[:40]!r}")
 
-    def _address(self, server_id: int) -> None:
+    def _select_server(self, server_id: int) -> None:
         self.server_id = server_id
         self.replies.setdefault(server_id, [])
         if server_id in self.servers:
@@ -187,8 +187,8 @@
         """Write one line on standard error, and declare a crash for the app server concerned."""
         text = " ".join(str(error).split()) or type(error).__name__
         if not isinstance(error, InvalidInputError):
-            where = traceback.extract_tb(error.__traceback__)[-1]
-            text = f"{type(error).__name__}: {text} ({where.name}, line {where.lineno})"
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            text = f"{type(error).__name__}: {text} ({frame.name}, line {frame.lineno})"
         name = "-" if server_id is None else server_id
         print(f"birchslip: app server {name}: {text}", file=self.errors, flush=True)
         if server_id is not None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -200,9 +200,9 @@
     cold = Desk(
         cores=2, starts_cold=True, cold_start_speed=0.2, warm_up_span=10_000 * MS, overload_multiple=8.0
     )
-    assert cold.controller.limit.survivable(0) == pytest.approx(4.8)
+    assert cold.controller.limit.overload_threshold(0) == pytest.approx(4.8)
     cold.at(10_000)
-    assert cold.controller.limit.survivable(cold.now) == pytest.approx(16)
+    assert cold.controller.limit.overload_threshold(cold.now) == pytest.approx(16)
 
 
 def test_late_events_are_harmless():
