--- a/birchslip/admission/admission_queue.py
+++ b/birchslip/admission/admission_queue.py
@@ -1,7 +1,8 @@
-"""The queue of admitted requests: which one fits, which one starts, and which one is dropped.
+"""The queue of admitted requests: which request fits, which one starts and which one is dropped.
 
-Requests start by latency deadline. Where the queue can't all be answered in time, the request with the
-greatest `ShedOrder` is dropped. Owns the queue; it starts and rejects nothing itself.
+Requests start in the order of their latency deadlines. If not all queued requests can be answered in time,
+the one with the greatest `ShedOrder` is dropped. This module owns the queue; the controller starts and
+rejects the requests that it selects.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 from .types import Request, RequestState, SheddingTier, TurnGranted, WaitExpired, WakeUp
 from .units import MS
 
-SWEEP_INTERVAL = 4 * MS  # under pressure a sweep costs as much as all other decisions
+SWEEP_INTERVAL = 4 * MS  # under overload a sweep costs as much as all other decisions together
 SATURATED_WAIT = 300 * MS
-STEADY_SLOWDOWN = 1.3  # up to which runs are taken to go as usual
+STEADY_SLOWDOWN = 1.3  # below this slowdown run times count as usual
 SMALLEST_PRIORITY_WEIGHT = 1e-9
 
 
@@ -39,12 +40,12 @@
     """Sort key: the request with the greatest key is dropped first."""
 
     plan_rank: int
-    quota_usage: float  # or service time per priority weight, where the plan ranks evacuated callers
+    quota_usage: float  # service time per priority weight in the tier of evacuated callers
     is_retry: bool
 
 
 class Estimators(NamedTuple):
-    """What the queue reads of other parts of the app server."""
+    """The parts of the controller from which the queue estimates waits and service times."""
 
     times: ServiceTimes
     health: HealthMonitor
@@ -54,10 +55,10 @@
 
 
 class AdmissionQueue:
-    """Admitted requests that do not run yet, ordered by latency deadline."""
+    """Admitted requests that have not started, ordered by latency deadline."""
 
     def __init__(self, estimators: Estimators, quotas: Quotas, plan: PlanState, memory: MemoryBudget) -> None:
-        """Begin with an empty queue."""
+        """Start with an empty queue."""
         self.times, self.health, self.limit, self.downstream, self.deadlines = estimators
         self.quotas = quotas
         self.plan = plan
@@ -65,25 +66,27 @@
         self.entries: list[QueueEntry] = []
         self.is_changed = False  # since the last sweep
         self.next_sweep_at = 0
-        self.is_saturated = False  # the cores are busy and requests wait
-        self.read_delay = 0  # how long the last request waited to be read
+        self.is_saturated = False  # the cores are busy and requests wait long
+        self.read_delay = 0  # time that the last request waited before it was read
 
     # ---- estimates -------------------------------------------------------------------------------------
 
     def expected_service_time(self, request: Request) -> float:
-        """Return the time from a request's start to its answer, as things go now.
+        """Return the time from a request's start to its answer at the current slowdown and call times.
 
-        It goes by a high run time: with the mean one left, run after run is stopped half-way.
+        It uses the high quantile of run times: with the mean, many runs would be started and then stopped
+        before they complete.
         """
         call_time = self.downstream.expected_time()
         run_time = self.times.high(request) * self.health.slowdown
         return run_time + self.times.mean_calls(request) * call_time
 
     def minimum_service_time(self, request: Request, ahead: int) -> float:
-        """Return the time that must be left of a request for it to be tried behind `ahead` others.
+        """Return the time that a request must have left to be accepted behind `ahead` others.
 
-        On empty cores it is 0, as nothing else would mend wrong figures; where a core is free it is a low
-        run time, while the pace is usual; else the expected service time.
+        It is 0 if all cores are idle: the request is then always tried, because only new runs can correct
+        wrong estimates. If a core is free and runs are not slowed down, it is the low quantile of run times,
+        and otherwise the expected service time.
         """
         if ahead >= int(self.limit.limit):
             return self.expected_service_time(request)
@@ -94,7 +97,7 @@
         return self.expected_service_time(request)
 
     def fits(self, request: Request, delay: int, now: int) -> bool:
-        """Return whether a new request can be answered in time after its delay."""
+        """Return whether a new request can be answered in time once its quota delay is over."""
         if delay:
             needed = self.expected_service_time(request)
         else:
@@ -102,14 +105,14 @@
         return now + delay + needed < self.deadlines.useful_until(request)
 
     def shed_order(self, request: Request, now: int) -> ShedOrder:
-        """Return the key by which requests are dropped: the plan's order, then usage of the quota."""
+        """Return the sort key for dropping: the plan's shedding order first, then quota usage."""
         usage = self.quotas.usage(request, now)
         if not self.plan.weight:
             return ShedOrder(0, usage, request.is_retry)
         is_evacuated = self.plan.is_evacuated(request)
         tiers = self.plan.plan.shedding_order
         for position, tier in enumerate(tiers):
-            # Within a tier evacuated requests are dropped before local ones.
+            # Within a tier, requests of evacuated callers are dropped before those of local callers.
             rank = 2 * (len(tiers) - position) + is_evacuated
             if tier is SheddingTier.OVER_QUOTA and self.quotas.delay(request.quota_meter, now):
                 return ShedOrder(rank, usage, request.is_retry)
@@ -123,7 +126,7 @@
     # ---- changes ---------------------------------------------------------------------------------------
 
     def enqueue(self, request: Request, delay: int, now: int) -> QueueEntry:
-        """Queue a request, not to start before its delay; returns the entry to `remove` with."""
+        """Queue a request that becomes eligible after `delay`; returns the entry to pass to `remove`."""
         request.state = RequestState.QUEUED
         request.eligible_at = now + delay
         self.is_changed = True
@@ -132,24 +135,24 @@
         return entry
 
     def remove(self, entry: QueueEntry) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue."""
         self.entries.remove(entry)
 
     def measure(self, now: int) -> bool:
-        """Bring `is_saturated` up to date; returns it. What waited unread has waited as well."""
+        """Update `is_saturated` and return it; time that a request waited to be read counts as waiting."""
         longest_wait = max((now - entry.request.eligible_at for entry in self.entries), default=0)
         self.is_saturated = self.limit.is_busy and max(longest_wait, self.read_delay) > SATURATED_WAIT
         return self.is_saturated
 
     def is_sweep_due(self, now: int) -> bool:
-        """Return whether the queue has changed and was not swept just now."""
+        """Return whether the queue has changed and the last sweep was at least `SWEEP_INTERVAL` ago."""
         return self.is_changed and self.next_sweep_at <= now
 
     def sweep(self, now: int) -> Iterator[WakeUp]:
-        """Yield what can't be answered in time any more.
+        """Yield the queued requests to drop, because not all can be answered in time.
 
-        Where the queue, run in its order, would leave a request behind, the one of the greatest shed order
-        among those up to it is dropped.
+        Requests are checked in queue order. If one would start too late, the request with the greatest shed
+        order among it and those ahead of it is dropped.
         """
         self.is_changed = False
         self.next_sweep_at = now + SWEEP_INTERVAL
@@ -183,7 +186,10 @@
         return dropped
 
     def next_starts(self, now: int) -> Iterator[WakeUp]:
-        """Yield the requests that may start, one at a time: those under a delay once it is over or void."""
+        """Yield the requests that may start, one at a time.
+
+        A delayed request is eligible once its delay is over or the queue is no longer saturated.
+        """
         while self.limit.may_start(now):
             request = self._first_eligible(now)
             if request is None or not self.memory.has_room_running(request):
--- a/birchslip/admission/concurrency_limit.py
+++ b/birchslip/admission/concurrency_limit.py
@@ -1,6 +1,7 @@
-"""How many requests may run at once: an adaptive limit, with a slow start.
+"""How many requests may run at once: an adaptive concurrency limit with slow start.
 
-Owns the limit, the set of running requests and the core gauge. It does not choose which request runs.
+This module owns the limit, the set of running requests and the core gauge. It does not choose which request
+runs next.
 """
 
 from __future__ import annotations
@@ -12,20 +13,20 @@
 from .units import MS, SECOND
 
 BUSY_UTILIZATION = 0.9
-GAUGE_DELAY = 1500 * MS  # three times the half second over which the core gauge fades
+GAUGE_DELAY = 1500 * MS  # three times the half second over which the core gauge averages
 INCREASE_STEP = 0.25
 DECREASE_FACTOR = 0.9
-SLOW_RUN_RATIO = 2.0  # median run against the low quantile
+SLOW_RUN_RATIO = 2.0  # recent median run time relative to the low quantile
 OVERLOAD_THRESHOLD_SHARE = 0.6
-STARTED_PER_LIMIT = 1.5  # started requests that wait for calls come back to the cores
+STARTED_PER_LIMIT = 1.5  # bounds started requests that wait for calls, since they return to the cores
 UTILIZATION_STEP = 50 * MS
 
 
 class ConcurrencyLimit:
-    """The limit of running requests and what runs."""
+    """The concurrency limit and the requests that are running."""
 
     def __init__(self, settings: AdmissionSettings, times: ServiceTimes, plan: PlanState, now: int) -> None:
-        """Begin with one request for each core."""
+        """Start with a limit of one request per core."""
         self.settings = settings
         self.times = times
         self.plan = plan
@@ -40,17 +41,17 @@
 
     @property
     def is_reached(self) -> bool:
-        """Whether as many run as may."""
+        """Whether as many requests run as the limit allows."""
         return len(self.running) >= int(self.limit)
 
     def occupy_core(self, request: Request, now: int) -> None:
-        """Count a request among those that run."""
+        """Mark a request as running."""
         request.state = RequestState.RUNNING
         request.running_since = now
         self.running[request] = None
 
     def release_core(self, request: Request, now: int) -> None:
-        """Count a request as running no more and add up its core time."""
+        """Mark a request as no longer running and add the elapsed time to its core time."""
         if request in self.running:
             del self.running[request]
             request.core_time_used += now - request.running_since
@@ -58,7 +59,8 @@
     def may_start(self, now: int) -> bool:
         """Return whether one more request may start.
 
-        All that has started may come back to the cores at once; while they have room, calls are the limit.
+        All started requests, including those in calls downstream, may need a core at the same time. Their
+        number is therefore bounded by the overload threshold, and more tightly while the cores are busy.
         """
         if self.is_reached:
             return False
@@ -67,7 +69,7 @@
         return not self.is_busy or self.started_count < STARTED_PER_LIMIT * self.limit
 
     def overload_threshold(self, now: int) -> float:
-        """Return how many running requests the app server survives; fewer while it warms up."""
+        """Return how many running requests the app server survives; it is lower while it warms up."""
         settings = self.settings
         warm_up_progress = 1.0
         if settings.starts_cold:
@@ -76,16 +78,16 @@
         return (1 + (settings.overload_multiple - 1) * speed) * settings.cores
 
     def throughput(self) -> float:
-        """Return the runs a second under the limit, each of the mean time; 0 while that is unknown."""
+        """Return the runs per second at the limit and the mean service time; 0 while that is unknown."""
         mean = self.times.overall.mean
         return self.limit * SECOND / mean if mean else 0.0
 
     def core_wait(self, slowdown: float) -> float:
-        """Return the expected time until a core is free."""
+        """Return the expected time until a core becomes free; 0 below the limit."""
         return self.times.overall.mean * slowdown / self.limit if self.is_reached else 0.0
 
     def observe(self, gauges: Gauges) -> None:
-        """Take in the core gauge; without one the cores are full once the limit is reached."""
+        """Record the core gauge; without a gauge, the cores count as busy once the limit is reached."""
         used: float = self.is_reached
         if gauges.core_utilization is not None:
             used = gauges.core_utilization
@@ -93,10 +95,10 @@
         self.utilization += (used - self.utilization) * UTILIZATION_STEP / WINDOW_SPAN
 
     def adjust(self, now: int, has_queue: bool, is_healthy: bool) -> None:
-        """Move the limit.
+        """Adjust the limit.
 
-        It rises while cores have room and requests wait for longer than the gauge lags, and falls as runs
-        slow down.
+        It rises if requests have waited for longer than the gauge's delay while the cores have room, and
+        falls if the cores are busy and runs slow down. A plan's serving fraction overrides both.
         """
         cores = self.settings.cores
         if not has_queue or not self.is_reached:
@@ -117,7 +119,7 @@
         )
         fraction = self.plan.plan.serving_fraction
         if self.plan.weight and fraction < 1:
-            # Let back in by steps: only the plan's share of its cores, and more as the plan fades.
+            # During a recovery ramp only the plan's fraction of the cores is used, rising as the plan fades.
             self.limit = max(1.0, cores * (1 - (1 - fraction) * self.plan.weight))
 
     def _runs_slowed(self, now: int) -> bool:
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -1,8 +1,9 @@
-"""The states of each request, and the order in which the decisions of one app server are made.
+"""The life cycle of each request, and the order in which one app server makes its decisions.
 
-`driver.py` makes one `AdmissionController` for each app server, resumes the generator of `steps` for each
-request with what happens to it, and after each batch resumes whom `settle` names. Two controllers share
-nothing; the same events bring the same decisions. It does no I/O and has no clock: the driver sets the time.
+`driver.py` creates one `AdmissionController` for each app server. It resumes the generator that `steps`
+returns for each request with the events of that request, and after each batch the requests that `settle`
+yields. Controllers share no state, and the same events lead to the same decisions. A controller does no I/O
+and reads no clock: the driver sets the time.
 """
 
 from __future__ import annotations
@@ -64,22 +65,22 @@
 
 
 class ControllerMetrics(NamedTuple):
-    """What others may read of a controller."""
+    """Read-only figures of a controller, for the program around it and for the fleet."""
 
     started_at: int
     starts_cold: bool
     mean_service_time: float  # 0 while unknown
-    slowdown: float  # of runs, against the usual
+    slowdown: float  # run time relative to the usual run time
     is_healthy: bool
     calls_in_flight: int
     plan_weight: float  # 0 without a plan in force
 
 
 class AdmissionController:
-    """The decisions of one app server, put together."""
+    """Makes all admission decisions of one app server."""
 
     def __init__(self, settings: AdmissionSettings, now: int) -> None:
-        """Begin without requests, healthy, with the timer set."""
+        """Start without requests, healthy, and with the timer set."""
         self.settings = settings
         self.now = now
         self.started_at = now
@@ -106,7 +107,7 @@
     # ---- the steps of a request ------------------------------------------------------------------------
 
     def steps(self, request: Request) -> Steps:
-        """Take a request from its reading to its final answer."""
+        """Yield the actions for a request, from its arrival to its final answer."""
         self._receive(request)
         original = request.original
         if original is not None and (original.has_started or original.state is not RequestState.COMPLETED):
@@ -120,7 +121,10 @@
             yield from self._run(request)
 
     def _receive(self, request: Request) -> None:
-        """Set its latency deadline; a retry, whose age is unknown, counts as old as rejected ones were."""
+        """Number a request and set its latency deadline.
+
+        The age of a retry is unknown: the mean age of the recently rejected requests stands in for it.
+        """
         self.sequence += 1
         request.sequence = self.sequence
         self.queue.read_delay = self.now - request.arrived_at
@@ -129,7 +133,7 @@
         request.latency_deadline = min(request.deadline, due_at)
 
     def _attach(self, request: Request) -> Steps:
-        """Let a repeat of what is queued, runs or has run share that outcome: nothing has effect twice."""
+        """Answer a repeat with the outcome of its original, so that the effect happens only once."""
         if not self.memory.has_room_attached(request):
             yield Fail()
             return
@@ -161,16 +165,20 @@
         return delay
 
     def _delay_of_caller(self, request: Request, delay: int) -> int:
-        """Return the part of a delay that its caller waits out: a tenant's delay is not its caller's.
+        """Return the part of a quota delay that belongs in the caller's Retry-After.
 
-        All requests of an evacuated caller count against one quota, and its delay is the caller's.
+        It is 0 if the delay comes from a tenant's quota, which the caller shares with others. All evacuated
+        callers share one quota as well, but are asked to wait for its delay.
         """
         meter = request.quota_meter
         is_tenant_quota = meter.configured_quota and meter is not self.quotas.evacuated
         return 0 if is_tenant_quota else delay
 
     def _wait_in_queue(self, request: Request, delay: int) -> Generator[Action, Event, bool]:
-        """Queue a request; returns whether it may start, else it has been answered or its caller is gone."""
+        """Queue a request until its turn; returns whether it may start.
+
+        If it may not, it has been rejected or its caller has disconnected.
+        """
         is_keyed = request.request_class.idempotency is Idempotency.KEYED
         entry = self.queue.enqueue(request, delay, self.now)
         self.memory.charge(request, request.size)
@@ -193,7 +201,7 @@
         return False
 
     def _run(self, request: Request) -> Steps:
-        """Run a request to its end, with its calls downstream."""
+        """Run a request to its end, including its calls downstream."""
         request.has_started = True
         self.limit.started_count += 1
         self.memory.charge_running(request)
@@ -211,7 +219,7 @@
         self._record_run(request, event)
 
     def _call_downstream(self, request: Request) -> Generator[Action, Event, Event]:
-        """Wait for a turn, call, and go on; returns the event that ends this."""
+        """Make one call downstream for a run, or skip it; returns the event that the run continues with."""
         self.limit.release_core(request, self.now)
         entry = self.downstream.enqueue(request)
         event = yield Wait()
@@ -235,13 +243,16 @@
         return (yield from self._handle_expiry_or_disconnect(request, WaitExpired()))
 
     def _handle_expiry_or_disconnect(self, request: Request, event: Event) -> Generator[Action, Event, Event]:
-        """Answer a started request at once; its run is stopped where that frees something."""
+        """Fail a started request whose time is over, and stop its run if that frees a core.
+
+        Nothing is sent to a caller that has disconnected. Returns the next event of the request.
+        """
         if isinstance(event, WaitExpired) and not request.is_answered:
             request.is_answered = True
             yield Fail()
         elif isinstance(event, CallerGone):
             request.is_answered = True
-        # A keyed run goes on: its repeat shares its outcome, and a stopped one may not start again.
+        # A keyed run goes on: a repeat needs its outcome, and a stopped run must not be started again.
         if request.is_answered and request.state is RequestState.RUNNING and self._may_stop(request):
             yield StopRun()
         return (yield Wait())
@@ -251,7 +262,7 @@
         return is_idempotent and self.settings.preemption is not Preemption.OFF
 
     def _record_run(self, request: Request, ended: RunEnded) -> None:
-        """Learn from a run without its calls; a stopped one counts as far as it got."""
+        """Record the core time of an ended run; a stopped run counts only for the time that it ran."""
         typical = self.times.typical(request)
         if ended.outcome not in (Outcome.SERVED, Outcome.FAILED):
             self.health.record_completed(min(request.core_time_used, ceil(typical)))
@@ -269,7 +280,7 @@
         self.now = now
 
     def tick(self, gauges: Gauges) -> None:
-        """Bring all figures up to date at a timer, and adjust what follows from them."""
+        """Update all measurements, then the limit, the health, the idle timeout and the criticality level."""
         now = self.now
         self.queue.is_changed = True
         self.server_actions.append(SetTimer(now + TIMER_INTERVAL))
@@ -303,7 +314,7 @@
             self._log(HealthChanged(self.health.is_healthy, self.health.stall_ratio))
 
     def choose_idle_timeout(self) -> None:
-        """Announce the idle timeout if it has changed."""
+        """Choose the idle timeout, and set it on the app server if it has changed."""
         self.rejection_stats.measure(self.now, self.quotas.served_count.total(self.now))
         timeout = self.idle_connections.choose(self.now, self.queue.read_delay)
         if timeout is not None:
@@ -317,13 +328,16 @@
             self.server_actions.append(AdvertiseCriticality(level))
 
     def drain(self, ends_at: int) -> None:
-        """Admit for the grace only, turn unhealthy, and answer all before the process ends."""
+        """Start a drain: new requests are admitted only during the grace period.
+
+        Health turns bad at once, and all requests are answered before the process ends at `ends_at`.
+        """
         self.deadlines.begin_drain(self.now, self.settings.drain_grace, ends_at)
         self._log(DrainStarted())
         self._update_health()
 
     def apply_plan(self, plan: PlanOverride) -> bool:
-        """Put a plan in force or renew it; returns False for an older or late one, which changes nothing."""
+        """Apply or renew a plan; returns False for an outdated plan, which is ignored."""
         if not self.plan.is_superseded_by(plan):
             return False
         is_changed = self.plan.is_changed_by(plan)
@@ -338,15 +352,15 @@
         return True
 
     def limit_new_keys(self, capacity: KeyCapacity) -> None:
-        """Bound the keyed requests that may still start, as the store of results has room."""
+        """Limit the keyed requests that may still start to the room in the result store."""
         self.memory.key_capacity = capacity
 
     def set_downstream_quota(self, calls: float) -> None:
-        """Set how many calls downstream may be in flight."""
+        """Set how many calls downstream may be in flight at once."""
         self.downstream.quota = calls
 
     def metrics(self) -> ControllerMetrics:
-        """Return what others may read of this controller."""
+        """Return the controller's current figures."""
         return ControllerMetrics(
             started_at=self.started_at,
             starts_cold=self.settings.starts_cold,
@@ -358,7 +372,7 @@
         )
 
     def settle(self) -> Iterator[WakeUp]:
-        """Yield, after each batch, who goes on: final answers that are due, then calls, then starts."""
+        """Yield the requests to resume after a batch: overdue requests first, then calls, then starts."""
         now = self.now
         yield from self._overdue()
         is_sweep_due = self.queue.is_sweep_due(now)
@@ -374,7 +388,7 @@
             yield WakeUp(request, WaitExpired())
         if not self.queue.entries or self.settings.preemption is Preemption.OFF:
             return
-        # A run past its latency deadline earns nothing: while others wait for its core, it gives way.
+        # An answer past its latency deadline has no value: stop the run while others wait for a core.
         late_runs = [
             request
             for request in self.limit.running
--- a/birchslip/admission/downstream.py
+++ b/birchslip/admission/downstream.py
@@ -1,7 +1,7 @@
-"""Pacing, limits and retries of calls to the service below.
+"""Pacing, limits and retries of calls to the downstream service.
 
-Owns the queue of requests that wait for a call, the calls in flight and the measured call times. Calls that
-were abandoned count until they have lingered.
+This module owns the queue of requests that wait for a call, the count of calls in flight and the measured
+call times. An abandoned call occupies the downstream quota until its linger time is over.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 CALL_WINDOW_COUNT = 10
 CALL_WINDOW = 200 * MS
 SMALLEST_QUOTA = 0.01
-MIN_QUOTA_SHARE = 0.33  # however slow calls are: by themselves or by their number
-CALL_TIMES_TO_FIT = 2.0  # recent call times that must fit where a call may be skipped: times scatter
-REJECTED_CALL_TIMES = 2  # recent call times that a call without an answer counts for
+MIN_QUOTA_SHARE = 0.33  # kept however slow calls are: slow calls need not come from their number
+CALL_TIMES_TO_FIT = 2.0  # recent call times that must fit for a skippable call, as call times vary
+REJECTED_CALL_TIMES = 2  # least duration that a failed call counts for, in recent call times
 SHORTEST_TIMEOUT = 1 * MS
 
 
 class CallEntry(NamedTuple):
-    """Sort key of waiting calls: those that can't be skipped come first, then by latency deadline."""
+    """Sort key of waiting calls: calls that can't be skipped come first, then by latency deadline."""
 
     is_skippable: bool
     latency_deadline: int
@@ -52,7 +52,7 @@
 
 
 class DownstreamCalls:
-    """Calls of all requests to the service below."""
+    """Calls of all requests to the downstream service."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         deadlines: Deadlines,
         now: int,
     ) -> None:
-        """Begin without calls."""
+        """Start without calls."""
         self.settings = settings
         self.times = times
         self.health = health
@@ -79,10 +79,10 @@
         self.recent_sum = WindowedCounter(CALL_WINDOW_COUNT, CALL_WINDOW)
         self.recent_count = WindowedCounter(CALL_WINDOW_COUNT, CALL_WINDOW)
         self.recent_time = 0.0
-        self.expected_limit = 1.0  # the limit at the last timer
+        self.expected_limit = 1.0  # concurrency at the last timer
 
     def enqueue(self, request: Request) -> CallEntry:
-        """Queue a request for its call; returns the entry to `remove` with."""
+        """Queue a request for its call; returns the entry to pass to `remove`."""
         request.state = RequestState.WAITING_FOR_CALL
         is_skippable = request.request_class.weight_without_call > 0
         entry = CallEntry(is_skippable, request.latency_deadline, request.sequence, request)
@@ -90,7 +90,7 @@
         return entry
 
     def remove(self, entry: CallEntry) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue."""
         self.waiting.remove(entry)
 
     def begin(self, request: Request, now: int) -> int:
@@ -103,7 +103,7 @@
         return timeout
 
     def end(self, request: Request, event: Event, now: int) -> None:
-        """Learn from the end of a call; one without an answer counts as a slow one."""
+        """Record the end of a call; a call that was not served counts as a slow one."""
         self.in_flight -= 1
         duration = now - request.call_started_at
         if not isinstance(event, CallEnded) or event.outcome is Outcome.TIMED_OUT:
@@ -111,7 +111,7 @@
             heapq.heappush(self.lingering, now + linger)
             duration += linger
         elif event.outcome is not Outcome.SERVED:
-            # A rejected or lost call says that the service below is in trouble, however quickly it says so.
+            # A rejected or lost call indicates an overloaded service, however quickly it ended.
             duration = max(duration, ceil(REJECTED_CALL_TIMES * self.recent_time))
         self.call_times.add(now, duration)
         self.recent_sum.add(now, duration)
@@ -121,13 +121,13 @@
             self.next_call_at = max(self.next_call_at, request.call_started_at + ceil(duration / limit))
 
     def measure(self, now: int) -> None:
-        """Bring the recent call time and the limit up to date."""
+        """Update the recent call time and the expected limit."""
         ended = self.recent_count.total(now)
         self.recent_time = self.recent_sum.total(now) / ended if ended else self.call_times.mean
         self.expected_limit = self.concurrency(now)
 
     def concurrency(self, now: int) -> float:
-        """Return how many calls may be in flight: the quota, less as calls take longer than usual."""
+        """Return how many calls may be in flight: the quota, reduced as calls take longer than usual."""
         if self.is_shared:
             base_limit = max(SMALLEST_QUOTA, self.quota)
         else:
@@ -142,13 +142,14 @@
         )
 
     def expected_time(self) -> float:
-        """Return the time of a call with the wait for its turn."""
+        """Return the expected time of a call, including the wait for its turn."""
         return self.recent_time * (1 + len(self.waiting) / self.expected_limit)
 
     def next_calls(self, now: int) -> Iterator[WakeUp]:
-        """Yield the requests that may call, at a rate that follows the recent call time.
+        """Yield the requests that may call, paced by the recent call time, and those that must not wait on.
 
-        A call that can't fit is skipped where a part of the priority weight is still earned.
+        A wait expires if a skippable call can't be completed in time, or if the latency deadline has passed
+        and a late answer has no value.
         """
         while self.lingering and self.lingering[0] <= now:
             heapq.heappop(self.lingering)
@@ -177,13 +178,13 @@
             remaining = self.times.remaining(request, self.health.slowdown)
             time_left = min(time_left, self.deadlines.useful_until(request) - now - ceil(remaining))
         if self.is_shared and self.quota < 1:
-            # With a quota under one call, a single call may not fill the quota's window by itself.
+            # With a quota below one call, a single call must not use up the whole quota window.
             allowed = ceil(self.quota * self.settings.downstream_quota_window)
             time_left = min(time_left, allowed - self.settings.abandoned_call_linger)
         return max(SHORTEST_TIMEOUT, time_left)
 
     def may_retry(self, request: Request, outcome: Outcome, now: int) -> bool:
-        """Return whether a call may be made again: it is known not to have run, or may run twice."""
+        """Return whether a call may be retried: it never ran, or was lost and the request is idempotent."""
         is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
         was_lost = outcome is Outcome.CONNECTION_LOST and is_idempotent
         if outcome not in NEVER_RAN_OUTCOMES and not was_lost:
@@ -191,7 +192,7 @@
         return not request.is_answered and now < request.latency_deadline
 
     def may_skip(self, request: Request, now: int) -> bool:
-        """Return whether a request may go on without its call."""
+        """Return whether a request may continue without its call."""
         if request.request_class.weight_without_call <= 0 or request.is_answered:
             return False
         return now < request.deadline - TIMER_INTERVAL
--- a/birchslip/admission/quota.py
+++ b/birchslip/admission/quota.py
@@ -1,6 +1,6 @@
-"""The quota of each caller or tenant and the delay for passing it, as in KIP-13 (Kafka quotas).
+"""The quota of each caller or tenant and the delay for exceeding it, as in KIP-13 (Kafka quotas).
 
-Owns the meters and what was served in the window. It delays nobody itself.
+This module owns the meters and the counts of served requests. It computes delays; the queue applies them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from .units import SECOND
 from .windows import WindowedCounter
 
-DERIVED_QUOTA_SHARES = 2.0  # a derived quota, in even shares of the bytes served
+DERIVED_QUOTA_SHARES = 2.0  # a derived quota, in even shares of the served bytes
 SMALLEST_PLAN_WEIGHT = 0.01
 SMALLEST_EVACUATED_QUOTA = 0.1
 
@@ -25,7 +25,7 @@
     def __init__(
         self, settings: AdmissionSettings, limit: ConcurrencyLimit, plan: PlanState, now: int
     ) -> None:
-        """Begin with empty windows; configured quotas are split evenly over the fleet."""
+        """Start with empty windows; configured quotas are split evenly over the fleet."""
         self.limit = limit
         self.plan = plan
         self.started_at = now
@@ -36,8 +36,11 @@
         self.served_count = WindowedCounter(WINDOW_COUNT, WINDOW_LENGTH)
 
     def meter(self, request: Request, now: int) -> QuotaMeter:
-        """Return the meter of a request's tenant, where it has a quota, or else of its caller."""
-        # The last one seen stands last, so that `drop_idle_callers` finds the silent ones at the head.
+        """Return the meter that a request counts against.
+
+        This is the meter shared by evacuated callers, that of a tenant with a quota, or that of the caller.
+        """
+        # Callers are kept in the order of their last requests: `drop_idle_callers` drops from the front.
         meter = self.callers.pop(request.caller) if request.caller in self.callers else QuotaMeter()
         self.callers[request.caller] = meter
         meter.last_seen_at = now
@@ -54,30 +57,34 @@
         amount = 1 if meter.configured_quota else request.size
         meter.admitted.add(now, amount)
         meter.requested.add(now, amount)
-        # A derived quota is learned over one full window; a configured one is known at once.
+        # A derived quota needs one full window of measurements; a configured one is known at once.
         is_known = meter.configured_quota or now - self.started_at >= WINDOW_SPAN
         return self.delay(meter, now) if is_saturated and is_known else 0
 
     def uncount(self, request: Request, now: int) -> None:
-        """Take back a request that never ran, or a caller that goes on asking would be shut out whole."""
+        """Uncount a request that never ran.
+
+        Otherwise a caller that keeps sending would use up its quota with rejected requests alone.
+        """
         meter = request.quota_meter
         amount = 1 if meter.configured_quota else request.size
         meter.admitted.subtract(now, request.counted_at, amount)
 
     def record_served(self, request: Request, now: int) -> None:
-        """Count a request that was answered in time."""
+        """Count a request that was served in time."""
         self.served_bytes.add(now, request.size)
         self.served_count.add(now, 1)
 
     def delay(self, meter: QuotaMeter, now: int) -> int:
-        """Return the delay that a meter's quota requires."""
+        """Return the delay that brings a meter back to its quota."""
         return meter.delay(now, self.quota(meter, now))
 
     def quota(self, meter: QuotaMeter, now: int) -> float:
-        """Return a second's quota: the tenant's as configured, or twice the caller's even share of bytes.
+        """Return the quota of a meter per second: the configured one, or twice an even share of served bytes.
 
-        It is never under an even share of what the limit could serve, nor is a share less than one request.
-        It is 0, for none, where nothing was served: the cores are stuck, and no caller is to blame.
+        It is at least an even share of what the concurrency limit can serve, and an even share is at least
+        one request. A derived quota is 0, which means none, if nothing was served: then the cores are stuck,
+        and no caller is the cause.
         """
         throughput = self.limit.throughput()
         if meter is self.evacuated:
@@ -98,7 +105,11 @@
         return usual + (meter.planned_quota - usual) * self.plan.weight
 
     def usage(self, request: Request, now: int) -> float:
-        """Return what a request's caller requested, rejected or not, beyond chance, against its quota."""
+        """Return how much was requested against a request's meter, relative to its quota.
+
+        Rejected requests count as well. One standard deviation of random arrivals is subtracted first, so
+        that chance alone does not make a small tenant look heavy.
+        """
         meter = request.quota_meter
         requested = meter.requested.total(now)
         unit = 1 if meter.configured_quota else request.size
@@ -106,7 +117,7 @@
         return beyond_chance / (meter.configured_quota or max(1.0, self.quota(meter, now)))
 
     def is_within_fair_share(self, meter: QuotaMeter, now: int) -> bool:
-        """Return whether a tenant had no more of its quota than all active tenants together."""
+        """Return whether a tenant has used no larger part of its quota than all active tenants together."""
         if not meter.configured_quota:
             return True
         active = [other for other in self.tenants.values() if other.admitted.total(now) > 0]
@@ -115,7 +126,10 @@
         return meter.admitted.sum * configured <= admitted * meter.configured_quota
 
     def adopt_plan(self, plan: PlanOverride, now: int, adds_evacuated_callers: bool) -> None:
-        """Set the planned quotas. New evacuated callers begin with a full window: they come all at once."""
+        """Set the quotas of a plan.
+
+        If the plan adds evacuated callers, their meter starts with full windows, as they arrive all at once.
+        """
         if adds_evacuated_callers:
             self.evacuated = QuotaMeter()
             amount = ceil(plan.evacuated_quota * WINDOW_LENGTH / SECOND)
@@ -126,7 +140,7 @@
             meter.planned_quota = plan.quotas.get(tenant, 0.0)
 
     def drop_idle_callers(self, now: int) -> None:
-        """Drop the meters of callers not seen for a whole window."""
+        """Drop the meters of callers that sent nothing for a whole window."""
         while self.callers:
             caller, meter = next(iter(self.callers.items()))
             if meter.last_seen_at > now - WINDOW_SPAN:
--- a/birchslip/admission/quota_meter.py
+++ b/birchslip/admission/quota_meter.py
@@ -1,6 +1,7 @@
 """The rate sensor of one caller or tenant, as in KIP-13 (Kafka quotas).
 
-Owns the windows of one caller and computes the delay for a quota; it does not decide what a quota is.
+It owns the windows of one caller or tenant and computes the delay for a given quota; `quota.py` decides
+which quota applies.
 """
 
 from __future__ import annotations
@@ -16,22 +17,25 @@
 
 
 class QuotaMeter:
-    """What one caller or tenant requested and had admitted: bytes, or requests with a configured quota."""
+    """Requested and admitted amounts of one caller or tenant.
+
+    The amounts are numbers of requests if there is a configured quota, and bytes otherwise.
+    """
 
     def __init__(self, configured_quota: float = 0.0) -> None:
-        """Begin with empty windows; `configured_quota` is in requests a second here, 0 for none."""
+        """Start with empty windows; `configured_quota` is in requests a second here, 0 for none."""
         self.admitted = WindowedCounter(WINDOW_COUNT, WINDOW_LENGTH)
         self.requested = WindowedCounter(WINDOW_COUNT, WINDOW_LENGTH)
         self.configured_quota = configured_quota
-        self.planned_quota = 0.0  # by the plan in force, 0 where it names none
+        self.planned_quota = 0.0  # from the plan in force, 0 if it sets none
         self.last_seen_at = 0
 
     def delay(self, now: int, quota: float) -> int:
-        """Return the delay that brings the rate back to a quota a second: (total - bound) / quota."""
+        """Return the delay that brings the rate back to `quota` per second: (total - bound) / quota."""
         if quota <= 0:
             return 0
         bound = quota * WINDOW_SPAN / SECOND
         return max(0, ceil((self.admitted.total(now) - bound) / quota * SECOND))
 
 
-UNMETERED = QuotaMeter()  # of requests that have not been counted yet
+UNMETERED = QuotaMeter()  # meter of requests that have not been counted yet
--- a/birchslip/admission/rejection.py
+++ b/birchslip/admission/rejection.py
@@ -1,6 +1,6 @@
-"""How a request is rejected: its Retry-After, and whether another server is worth trying.
+"""How a request is rejected: its Retry-After, and whether it may be retried on another app server.
 
-Owns what was rejected in the window, and the random sequence that spreads Retry-After.
+This module owns the random sequence for the jitter of Retry-After.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from .rejection_stats import RejectionStats
 from .types import AdmissionSettings, Reject, Request
 
-RETRY_ELSEWHERE_SLOWDOWN = 2.0  # slowdown from which another server is worth trying all the same
-MIN_JITTER = 0.75  # of the Retry-After; the highest is 1.25
+RETRY_ELSEWHERE_SLOWDOWN = 2.0  # from this slowdown on, a retry on another app server is allowed
+MIN_JITTER = 0.75  # factor on Retry-After; the highest is 1.25
 RANDOM_FACTOR = 6364136223846793005  # Knuth's MMIX linear congruential generator
 RANDOM_INCREMENT = 1442695040888963407
 RANDOM_BITS = 64
-RANDOM_LOW_BITS = 40  # not used: their period is short
+RANDOM_LOW_BITS = 40  # dropped, because the low bits have a short period
 JITTER_BITS = 25
 
 
 class Rejections:
-    """Final answers to requests that never ran."""
+    """Creates the final answers to requests that never ran."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         quotas: Quotas,
         plan: PlanState,
     ) -> None:
-        """Begin with the random sequence of the settings' seed."""
+        """Start the random sequence with the seed of the settings."""
         self.settings = settings
         self.stats = stats
         self.queue = queue
@@ -50,7 +50,10 @@
         self.random_state = settings.seed
 
     def reject(self, request: Request, now: int, delay: int = 0) -> Reject:
-        """Return the rejection of a request, with at least `delay` as its Retry-After."""
+        """Count a rejection and return it; its Retry-After, before jitter, is at least `delay`.
+
+        While the app server is unhealthy, the Retry-After is the longest allowed one.
+        """
         self.stats.add(now, self._age(request, now))
         if not self.settings.sends_retry_after:
             return Reject()
@@ -63,7 +66,7 @@
         return Reject(retry_after, self._is_retry_useless())
 
     def _age(self, request: Request, now: int) -> int:
-        # An evacuated caller past its quota is rejected at once, which says nothing of how old others are.
+        # An evacuated caller past its quota is rejected at once, so its age must not lower the mean.
         if request.quota_meter is self.quotas.evacuated:
             return int(self.stats.mean_age(now))
         return now - request.arrived_at
--- a/birchslip/admission/service_time.py
+++ b/birchslip/admission/service_time.py
@@ -1,6 +1,6 @@
-"""How long requests take on a core, from measurements and the cost hints that come with them.
+"""Estimates of the core time of requests, from measured runs and the cost hints of requests.
 
-Owns the measured times. It decides nothing and has no clock.
+This module owns the measured times. It makes no decisions and reads no clock.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from .types import Request, RequestClass
 from .windows import QuantileWindow
 
-HINT_WINDOW_RUNS = 200  # runs over which the hints' precision is learned
+HINT_WINDOW_RUNS = 200  # runs over which the precision of hints is averaged
 EXACT_HINT_PRIOR = 3.0  # weight of the assumption that hints are exact
 SMALLEST_VARIANCE = 1e-9
 
@@ -26,20 +26,20 @@
 
 
 class CostModel:
-    """How closely service times follow cost hints: time ~ hint ** power, by least squares within each class.
+    """Fits service times to cost hints: time ~ hint ** power, by least squares within each request class.
 
-    The power is below 1 where hints are rough: a hint is large also by its own error.
+    The power is below 1 if hints are imprecise, since part of a large hint is then its own error.
     """
 
     def __init__(self, request_classes: list[RequestClass]) -> None:
-        """Begin as if hints were exact."""
+        """Start with a power of 1: hints are assumed to be exact."""
         self.means = {request_class: LogMeans() for request_class in request_classes}
         self.variance = EXACT_HINT_PRIOR
         self.covariance = EXACT_HINT_PRIOR
         self.power = 1.0
 
     def add(self, request_class: RequestClass, cost_hint: int, service_time: float) -> None:
-        """Learn from one run."""
+        """Update the model with one run."""
         means = self.means[request_class]
         count = min(means.count + 1, HINT_WINDOW_RUNS)
         cost_deviation = log(max(1, cost_hint)) - means.cost
@@ -54,22 +54,22 @@
         self.power = min(1.0, max(0.0, self.covariance / max(SMALLEST_VARIANCE, self.variance)))
 
     def factor(self, request_class: RequestClass, cost_hint: int) -> float:
-        """Return the time that a hint stands for, against the mean of its class."""
+        """Return the service time expected for a hint, relative to the mean of its class."""
         return exp(self.power * (log(max(1, cost_hint)) - self.means[request_class].cost))
 
 
 class ServiceTimes:
-    """Service times without calls downstream, for each request class and over all."""
+    """Core times of runs, without their calls downstream, for each request class and over all."""
 
     def __init__(self, request_classes: list[RequestClass]) -> None:
-        """Begin without measurements; all estimates are 0."""
+        """Start without measurements; all estimates are 0."""
         self.by_class = {request_class: QuantileWindow() for request_class in request_classes}
         self.calls_by_class = {request_class: QuantileWindow() for request_class in request_classes}
         self.overall = QuantileWindow()
         self.cost_model = CostModel(request_classes)
 
     def add(self, request: Request, now: int) -> None:
-        """Learn from a run that went to its end."""
+        """Record a run that went to its end."""
         request_class = request.request_class
         self.cost_model.add(request_class, request.cost_hint, request.core_time_used)
         factor = self.cost_model.factor(request_class, request.cost_hint)
@@ -78,24 +78,24 @@
         self.overall.add(now, request.core_time_used)
 
     def typical(self, request: Request) -> float:
-        """Return the mean time on a core of requests like this one."""
+        """Return the mean core time for the class and cost hint of a request."""
         factor = self.cost_model.factor(request.request_class, request.cost_hint)
         return self.by_class[request.request_class].mean * factor
 
     def low(self, request: Request) -> float:
-        """Return a time on a core that requests like this one rarely stay under."""
+        """Return the low quantile of core times for the class and cost hint of a request."""
         factor = self.cost_model.factor(request.request_class, request.cost_hint)
         return self.by_class[request.request_class].low * factor
 
     def high(self, request: Request) -> float:
-        """Return a time on a core that requests like this one rarely pass."""
+        """Return the high quantile of core times for the class and cost hint of a request."""
         factor = self.cost_model.factor(request.request_class, request.cost_hint)
         return self.by_class[request.request_class].high * factor
 
     def remaining(self, request: Request, slowdown: float) -> float:
-        """Return the time on a core that is left of a request at the present slowdown."""
+        """Return the core time that a request is expected to need still, at the given slowdown."""
         return max(0.0, self.typical(request) * slowdown - request.core_time_used)
 
     def mean_calls(self, request: Request) -> float:
-        """Return how many calls downstream a request like this one makes."""
+        """Return the mean number of calls downstream for the class of a request."""
         return self.calls_by_class[request.request_class].mean
