--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -1,4 +1,4 @@
-"""One real app server: `python -m birchslip`, told where it stands by `PROXY_CONFIG`."""
+"""One app server on sockets: `python -m birchslip`, configured by the file that `PROXY_CONFIG` names."""
 
 import gc
 import os
@@ -12,7 +12,7 @@
 
 
 def attach_planner_link(program: Program, path: str) -> None:
-    """The fleet's side is loaded where a fleet file is named, and nowhere else."""
+    """Connect the app server to its fleet; the code of the fleet is imported only here."""
     from .cluster.fleet_reader import read_fleet
     from .cluster.planner_link import PlannerLink
 
@@ -31,7 +31,7 @@
 
 
 def attach_result_store(program: Program, path: str) -> None:
-    """Kept results are loaded where a file names their folder, and nowhere else."""
+    """Open the result store; its code is imported only here."""
     from .idempotency.result_store import ResultStore
     from .idempotency.settings_file import read_store_settings
 
@@ -49,7 +49,7 @@
         from .cli import main as command
 
         return command()
-    # Until the program listens for them: there is nothing to read again, and nothing to tell, yet.
+    # Ignored until the program installs its handlers: there is nothing to reload or report before.
     for number in (signal.SIGHUP, signal.SIGUSR1):
         signal.signal(number, signal.SIG_IGN)
     try:
@@ -70,7 +70,7 @@
         print(f"birchslip: {error}", file=sys.stderr)
         return 1
     except Exception:
-        # One in a task or a transaction's stages is caught there: this one is the scheduler's own.
+        # Exceptions in tasks and request stages are handled there, so this one comes from the scheduler.
         print(f"birchslip: ended by a fault\n{traceback.format_exc()}", file=sys.stderr)
         return 1
     return 0
--- a/birchslip/admission/__init__.py
+++ b/birchslip/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission control of one app server: what it accepts, runs, delays and rejects."""
+"""Admission control of one app server: which requests it accepts, runs, delays and rejects."""
--- a/birchslip/admission/criticality.py
+++ b/birchslip/admission/criticality.py
@@ -1,27 +1,27 @@
-"""The criticality level that callers receive: requests of a lower rank should not be sent.
+"""The criticality level that callers receive: they should not send requests below it.
 
-Owns the level alone.
+This module owns nothing but the level.
 """
 
 from __future__ import annotations
 
 from .types import AdmissionSettings
 
-REJECTED_RATIO = 0.1  # rejected over served at which the level rises
-LEVEL_STEP = 0.02  # a timer
+REJECTED_RATIO = 0.1  # ratio of rejected to served requests above which the level rises
+LEVEL_STEP = 0.02  # per timer
 HIGHEST_LEVEL = 0.9
 
 
 class CriticalityLevel:
-    """The level in force, from 0 to `HIGHEST_LEVEL`."""
+    """The current level, from 0 to `HIGHEST_LEVEL`."""
 
     def __init__(self, settings: AdmissionSettings) -> None:
-        """Begin at 0."""
+        """Start at level 0."""
         self.is_sent = settings.sends_criticality
         self.level = 0.0
 
     def adjust(self, has_queue: bool, rejected: int, served: int) -> float | None:
-        """Move the level by a step; returns it if it has changed and callers heed one."""
+        """Raise or lower the level by a step; returns it if it has changed and is sent to callers."""
         is_rejecting = has_queue and rejected > REJECTED_RATIO * served
         step = LEVEL_STEP if is_rejecting else -LEVEL_STEP / 2
         level = min(HIGHEST_LEVEL, max(0.0, self.level + step))
--- a/birchslip/admission/deadlines.py
+++ b/birchslip/admission/deadlines.py
@@ -1,7 +1,7 @@
-"""By when each request has to be answered, and how a drain shortens that.
+"""The time by which each request must be answered, and how a drain shortens it.
 
-Owns the watch over open requests and the state of a drain. No request is lost: what is open at its
-deadline, or shortly before the process ends, is named by `overdue`.
+This module owns the heap of open requests and the state of a drain. Every request is answered: `overdue`
+yields those that are open at their deadline or shortly before the process ends.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
     """Deadlines of open requests and the end of the process."""
 
     def __init__(self) -> None:
-        """Begin with nothing open and no drain."""
+        """Start without open requests and without a drain."""
         self.watched: list[WatchEntry] = []
         self.admits_until = inf
         self.ends_at: int | None = None
 
     def begin_drain(self, now: int, grace: int, ends_at: int) -> None:
-        """Admit what arrives within the grace, and have all answered before the end."""
+        """Stop admission after `grace`, and make all requests overdue shortly before `ends_at`."""
         self.admits_until = now + grace
         self.ends_at = ends_at
 
@@ -45,18 +45,18 @@
         return self.ends_at is not None
 
     def watch(self, request: Request) -> None:
-        """Watch an open request for its deadline."""
+        """Add an open request, so that `overdue` yields it at its deadline."""
         answer_by = request.deadline - TIMER_INTERVAL
         heapq.heappush(self.watched, WatchEntry(answer_by, request.sequence, request))
 
     def useful_until(self, request: Request) -> int:
-        """Return the time until which an answer has its full worth and can still be given."""
+        """Return the time until which an answer has its full value and can still be sent."""
         if self.ends_at is None:
             return request.latency_deadline
         return min(request.latency_deadline, self.ends_at - 2 * TIMER_INTERVAL)
 
     def overdue(self, now: int) -> Iterator[Request]:
-        """Yield the open requests whose final answer is due now."""
+        """Yield the open requests that must be answered now."""
         is_ending = self.ends_at is not None and now >= self.ends_at - 2 * TIMER_INTERVAL
         while self.watched and (is_ending or self.watched[0].answer_by <= now):
             request = heapq.heappop(self.watched).request
--- a/birchslip/admission/driver.py
+++ b/birchslip/admission/driver.py
@@ -1,6 +1,7 @@
-"""Runs an `AdmissionController`: resumes requests with events and performs what they yield.
+"""Runs an `AdmissionController`: resumes requests with events and performs the actions that they yield.
 
-It decides nothing. The server around it sets the clock, delivers events and calls `settle` after each batch.
+It makes no decisions. The server around it sets the clock, delivers events and calls `settle` after each
+batch.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class AdmissionDriver:
-    """The controller of one app server, between events and actions."""
+    """Passes events to the controller of one app server and performs the resulting actions."""
 
     def __init__(
         self,
@@ -32,15 +33,15 @@
         perform_server_action: Callable[[ServerAction], None],
         on_error: Callable[[Request, Exception], None] | None = None,
     ) -> None:
-        """Begin without requests.
+        """Start without requests.
 
         Args:
             settings: Settings of the app server.
-            now: The present time.
+            now: The current time.
             perform: Performs an action of one request.
             perform_server_action: Performs an action for the app server as a whole.
-            on_error: Hears what the steps of one request raised, which ends these steps alone; without it
-                the error is raised.
+            on_error: Receives an exception raised by the steps of a request. It ends the steps of that
+                request only. Without `on_error` the exception is raised.
         """
         self.perform = perform
         self.perform_server_action = perform_server_action
@@ -49,16 +50,16 @@
         self._perform_server_actions()
 
     def advance_clock(self, now: int) -> None:
-        """Set the present time, which may not go back."""
+        """Set the current time, which must not go back."""
         self.controller.advance_clock(now)
 
     def admit(self, request: Request) -> None:
-        """Take in a request that was read."""
+        """Start the steps of a request that was read."""
         request.steps = self.controller.steps(request)
         self.deliver(request, None)
 
     def deliver(self, request: Request, event: Event | None) -> None:
-        """Resume a request until it waits again; one that is over hears nothing."""
+        """Resume a request with an event until it waits again; ignored for a request that is over."""
         steps = request.steps
         if steps is None:
             return
@@ -80,41 +81,41 @@
 
     @staticmethod
     def release(request: Request) -> None:
-        """Drop what a request that is over refers to, so that no reference cycle stays in memory."""
+        """Drop the references of a request that is over, so that no reference cycle stays in memory."""
         request.steps = request.context = None
 
     def tick(self, gauges: Gauges) -> None:
-        """Bring the controller's figures up to date, when its timer is due."""
+        """Update the controller's measurements; called when its timer is due."""
         self.controller.tick(gauges)
 
     def drain(self, ends_at: int) -> None:
-        """Begin a drain that ends with the process."""
+        """Start a drain; the process ends at `ends_at`."""
         self.controller.drain(ends_at)
 
     def apply_plan(self, plan: PlanOverride) -> bool:
-        """Put a plan in force; returns False for one of an older term or number, which is ignored."""
+        """Apply a plan; returns False for a plan of an older term or number, which is ignored."""
         return self.controller.apply_plan(plan)
 
     def limit_new_keys(self, remaining: int, scarce_below: int, retry_delay: int) -> None:
-        """Bound the keyed requests that may still start where results are stored.
+        """Limit the keyed requests that may still start to the room in the result store.
 
         Args:
-            remaining: How many the store still takes.
-            scarce_below: From how many on the room is reserved for callers within their quota.
+            remaining: How many keyed requests the store still takes.
+            scarce_below: From this number down, the room is reserved for callers within their quota.
             retry_delay: Time until there is room again.
         """
         self.controller.limit_new_keys(KeyCapacity(remaining, scarce_below, retry_delay))
 
     def set_downstream_quota(self, calls: float) -> None:
-        """Set how many calls to the service below may be in flight from now on."""
+        """Set how many calls to the downstream service may be in flight at once."""
         self.controller.set_downstream_quota(calls)
 
     def metrics(self) -> ControllerMetrics:
-        """Return what others may read of the controller."""
+        """Return the controller's current figures."""
         return self.controller.metrics()
 
     def settle(self) -> None:
-        """Resume, after each batch, the requests that the controller picks, one at a time."""
+        """Resume the requests that the controller selects after a batch, one at a time."""
         for request, event in self.controller.settle():
             self.deliver(request, event)
         self._perform_server_actions()
--- a/birchslip/admission/health.py
+++ b/birchslip/admission/health.py
@@ -1,7 +1,7 @@
-"""Whether runs go on at their usual pace, and whether health checks should hear so.
+"""The slowdown of runs and the health of the app server.
 
-Owns the core time spent and completed. Both are counted over core time, not over the clock: a slow spell is
-not forgotten while little runs.
+This module owns the windows of core time spent and completed. They advance with core time and not with the
+clock, so that a slow period is not forgotten while few requests run.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 PACE_WINDOW_COUNT = 10
 PACE_WINDOW_PER_CORE = 200 * MS
-HEALTH_PRIOR_RUNS = 2  # typical runs that stand in for what has not been seen
+HEALTH_PRIOR_RUNS = 2  # typical runs assumed before there are measurements
 SLOWDOWN_PRIOR_RUNS = 6
 FEWEST_RUNS_PER_CORE = 3
 UNHEALTHY_STALL_RATIO = 4.0
@@ -23,10 +23,10 @@
 
 
 class HealthMonitor:
-    """Slowdown of runs against the usual, and the health that follows from it."""
+    """Slowdown of runs relative to their usual time, and the resulting health."""
 
     def __init__(self, cores: int, times: ServiceTimes) -> None:
-        """Begin healthy, at the usual pace."""
+        """Start healthy and without slowdown."""
         window = PACE_WINDOW_PER_CORE * cores
         self.times = times
         self.fewest_runs = FEWEST_RUNS_PER_CORE * cores
@@ -38,17 +38,17 @@
         self.is_healthy = True
 
     def advance(self, elapsed: int, running: int) -> None:
-        """Count the core time of `running` requests over the time that has passed."""
+        """Add the core time that `running` requests have spent in the time `elapsed`."""
         spent = running * elapsed
         self.core_clock += spent + elapsed
         self.spent.add(self.core_clock, spent)
 
     def record_completed(self, core_time: int) -> None:
-        """Count the usual core time of a run that has ended."""
+        """Add the usual core time of a run that has ended."""
         self.completed.add(self.core_clock, core_time)
 
     def measure(self, running: Iterable[Request], now: int) -> None:
-        """Bring the slowdown and the stall ratio up to date, once enough runs are known."""
+        """Update the slowdown and the stall ratio, once enough runs have been measured."""
         overall = self.times.overall
         if overall.count < self.fewest_runs:
             return
@@ -57,7 +57,7 @@
         health_prior = HEALTH_PRIOR_RUNS * overall.mean
         slowdown_prior = SLOWDOWN_PRIOR_RUNS * overall.mean
         self.slowdown = (spent + slowdown_prior) / (completed + slowdown_prior)
-        # A run that goes on is no sign of trouble until it has passed its typical time.
+        # A running request does not count as stalled until it has taken longer than its typical time.
         within_typical: int = 0
         for request in running:
             taken = request.core_time_used + now - request.running_since
@@ -66,7 +66,7 @@
         self.stall_ratio = (spent - within_typical + health_prior) / (completed + health_prior)
 
     def update(self, is_draining: bool) -> bool:
-        """Bring the health up to date; returns whether it has changed."""
+        """Update the health; returns whether it has changed."""
         bound = UNHEALTHY_STALL_RATIO if self.is_healthy else HEALTHY_STALL_RATIO
         is_healthy = not is_draining and self.stall_ratio < bound
         has_changed = is_healthy != self.is_healthy
--- a/birchslip/admission/idle_connections.py
+++ b/birchslip/admission/idle_connections.py
@@ -1,7 +1,7 @@
-"""The idle timeout of connections that costs least, by how callers come back.
+"""The idle timeout of connections with the lowest cost, from the intervals between callers' requests.
 
-Owns the last returns of callers. An idle connection takes cores and room in a table; a new one takes a
-handshake.
+An idle connection costs core time and room in a table, a new connection costs a handshake. This module owns
+the recent intervals between requests of the same caller.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from .units import MS, SECOND
 
 TIMEOUT_CHOICES = tuple(100 * MS << step for step in range(7, -1, -1))
-HANDSHAKE_COST = WINDOW_SPAN // 2  # time of an idle connection that costs as much, on busy cores
+HANDSHAKE_COST = WINDOW_SPAN // 2  # idle time that costs as much as a handshake, on fully used cores
 MAX_RETURN_GAPS = 100
 FEWEST_RETURNS = 6
 CHOICE_INTERVAL = SECOND
 NO_TIMEOUT = 0
 NOT_ANNOUNCED = -1
 SMALLEST_UTILIZATION = 0.01
-OVERLOAD_RATIO = 2.0  # rejected over what the cores could serve
+OVERLOAD_RATIO = 2.0  # ratio of rejected requests to those that the cores could serve
 OVERLOAD_END_RATIO = 1.0
 OVERLOAD_READ_DELAY = SECOND
 OVERLOAD_END_READ_DELAY = 300 * MS
 
 
 class CallerReturns:
-    """After how long callers come back."""
+    """Intervals between successive requests of the same caller."""
 
     def __init__(self, now: int, keepalive_timeout: int, caller_count: int) -> None:
-        """Begin with no caller seen; a `caller_count` of 0 is unknown."""
+        """Start without callers; a `caller_count` of 0 means that their number is unknown."""
         self.started_at = now
         self.keepalive_timeout = keepalive_timeout
         self.caller_count = caller_count
@@ -41,19 +41,19 @@
         self.request_count = 0
 
     def add(self, caller: int, now: int) -> None:
-        """Count a request of a caller."""
+        """Record a request of a caller."""
         self.request_count += 1
         gap = now - self.last_seen.pop(caller, now - 2 * self.keepalive_timeout)
         self.last_seen[caller] = now
         uptime = now - self.started_at
         if gap > self.keepalive_timeout > uptime:
-            # Not seen since the start: taken to come as often as all callers do.
+            # First request since the start: assume the mean interval of all callers.
             callers = self.caller_count or len(self.last_seen)
             gap = min(gap, callers * max(SECOND, uptime) // self.request_count)
         self.gaps.append(gap)
 
     def drop_idle_callers(self, now: int) -> None:
-        """Drop the callers whose connections have ended by themselves."""
+        """Drop the callers whose connections have been closed by the keepalive timeout."""
         while self.last_seen:
             caller, seen_at = next(iter(self.last_seen.items()))
             if seen_at > now - self.keepalive_timeout:
@@ -61,7 +61,7 @@
             del self.last_seen[caller]
 
     def cheapest_timeout(self, handshake_cost: float) -> int:
-        """Return the timeout at which idle connections and handshakes together cost least."""
+        """Return the timeout with the lowest total cost of idle connections and handshakes."""
 
         def cost(timeout: int) -> float:
             return sum(gap if gap <= timeout else timeout + handshake_cost for gap in self.gaps)
@@ -71,12 +71,12 @@
 
 
 class IdleConnections:
-    """The idle timeout in force."""
+    """Chooses the idle timeout."""
 
     def __init__(
         self, settings: AdmissionSettings, limit: ConcurrencyLimit, stats: RejectionStats, now: int
     ) -> None:
-        """Begin without a timeout of its own."""
+        """Start with no timeout announced."""
         self.keepalive_timeout = settings.keepalive_timeout
         self.limit = limit
         self.stats = stats
@@ -89,8 +89,8 @@
     def choose(self, now: int, read_delay: int) -> int | None:
         """Choose the timeout once a second; returns it if it has changed.
 
-        In an overload connections stay open: a full table refuses callers at no cost, while a rejection
-        costs a handshake and the reading of a request.
+        During an overload connections stay open: a full connection table refuses callers at no cost, while a
+        rejection costs a handshake and the reading of a request.
         """
         self._measure_overload(now, read_delay)
         gaps = self.returns.gaps
--- a/birchslip/admission/log_events.py
+++ b/birchslip/admission/log_events.py
@@ -1,6 +1,6 @@
-"""Events that a controller has logged: a stable name and typed fields.
+"""Log events of a controller, each with a stable name and typed fields.
 
-The server around the controller writes them; the text is made where it is written.
+The server around the controller writes them to its log in its own format.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class HealthChanged:
-    """The answer to health checks has changed."""
+    """The health that health checks report has changed."""
 
     name: ClassVar[str] = "health_changed"
     is_healthy: bool
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class PlanApplied:
-    """A plan of the fleet that says something new has come into force."""
+    """A fleet plan with notable changes has been applied."""
 
     name: ClassVar[str] = "plan_applied"
     term: int
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class PlanExpired:
-    """A plan of the fleet that was not renewed has lost all its weight."""
+    """A fleet plan that was not renewed has faded completely."""
 
     name: ClassVar[str] = "plan_expired"
     term: int
--- a/birchslip/admission/plan_override.py
+++ b/birchslip/admission/plan_override.py
@@ -1,7 +1,6 @@
-"""What a plan of the fleet changes here, and how it fades once it is no longer renewed.
+"""The fleet plan that applies to this app server, and how it fades once it is no longer renewed.
 
-Owns the plan in force and its weight. It changes no quota and no limit itself: those who own them read
-the weight.
+This module owns the current plan and its weight. The modules that own quotas and limits read them from here.
 """
 
 from __future__ import annotations
@@ -10,15 +9,15 @@
 
 
 class PlanState:
-    """The plan in force; `weight` is 1 while it is renewed, fades afterwards, and is 0 without a plan."""
+    """The current plan; `weight` is 1 while it is renewed, then fades, and is 0 without a plan."""
 
     def __init__(self, now: int) -> None:
-        """Begin with a plan that has run out."""
+        """Start with an expired plan."""
         self.plan = PlanOverride(term=0, number=0, expires_at=now, fade_span=1)
         self.weight = 0.0
 
     def is_superseded_by(self, plan: PlanOverride) -> bool:
-        """Return whether a plan is newer than the one in force, or renews it for longer."""
+        """Return whether a plan is newer than the current one or extends it."""
         offered = (plan.term, plan.number)
         current = (self.plan.term, self.plan.number)
         if offered == current:
@@ -26,7 +25,7 @@
         return offered > current
 
     def is_changed_by(self, plan: PlanOverride) -> bool:
-        """Return whether a plan says anything new to an operator."""
+        """Return whether a plan has changes that are worth a log event for operators."""
         current = self.plan
         return (
             not self.weight
@@ -36,17 +35,18 @@
         )
 
     def adds_evacuated_callers(self, plan: PlanOverride) -> bool:
-        """Return whether a plan sends callers here that the plan in force does not."""
+        """Return whether a plan evacuates callers to here that the current plan does not."""
         return bool(plan.evacuated_callers - self.plan.evacuated_callers) or not self.weight
 
     def activate(self, plan: PlanOverride) -> None:
-        """Take over a plan; `fade` gives it its weight."""
+        """Make a plan the current one; `fade` then sets its weight."""
         self.plan = plan
 
     def fade(self, now: int) -> bool:
-        """Bring the weight up to date; returns whether the plan has just lost all of it.
+        """Update the weight; returns whether it has just become 0.
 
-        A plan fades evenly over its own span: else the load that it rejected would return at once.
+        The weight falls linearly over the plan's `fade_span`; otherwise the load that the plan rejected would
+        return all at once.
         """
         remaining_weight = 1 - (now - self.plan.expires_at) / self.plan.fade_span
         weight = min(1.0, max(0.0, remaining_weight))
@@ -55,10 +55,10 @@
         return has_expired
 
     def is_evacuated(self, request: Request) -> bool:
-        """Return whether the plan, in force or not, names a request's caller as evacuated."""
+        """Return whether the plan, expired or not, lists a request's caller as evacuated."""
         return request.caller in self.plan.evacuated_callers
 
     @property
     def is_capacity_short(self) -> bool:
-        """Whether a plan in force says that no app server has room."""
+        """Whether a plan that is not expired reports that no app server has room."""
         return self.plan.is_capacity_short and self.weight > 0
--- a/birchslip/admission/settings.py
+++ b/birchslip/admission/settings.py
@@ -1,7 +1,7 @@
-"""Reads settings into `AdmissionSettings`, alike for the simulator's wire and for the app server on sockets.
+"""Reads settings into `AdmissionSettings`, for the simulator's wire and for the app server on sockets alike.
 
-Settings are pairs of a path and a text, as the wire gives them; `flatten` brings nested JSON to the same
-paths. Conversion errs on the safe side: deadlines are rounded down, timers and spans up.
+Settings are pairs of a path and a text, as on the simulator's wire; `flatten` converts nested JSON to such
+pairs. Conversion is conservative: deadlines are rounded down, timers and spans up.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 ABSENT = ("", "-")
 LARGEST_NUMBER = 1e15
 MAX_DIGITS = 20
-MAX_SHOWN_CHARACTERS = 40  # of a wrong value, in an error
+MAX_SHOWN_CHARACTERS = 40  # of an invalid value in an error message
 DEFAULT_DEADLINE_S = 1.0
 SHORTEST_SPAN_S = 0.001
 SHORTEST_KEEPALIVE_S = 0.01
-ROUNDING_DIGITS = 3  # of a tenth of a millisecond: mends what binary fractions add
+ROUNDING_DIGITS = 3  # decimals of a tenth of a millisecond; removes the error of binary fractions
 BYTES_PER_KB = 1024
 
 Choice = TypeVar("Choice")
 
 
 def parse_number(text: str, name: str) -> float:
-    """Read a finite number; `name` names it in an `InvalidInputError`."""
+    """Parse a finite number; an `InvalidInputError` refers to it by `name`."""
     try:
         value = float(text)
     except ValueError:
@@ -55,14 +55,14 @@
 
 
 def parse_count(text: str, name: str) -> int:
-    """Read a whole number of at least 0; `name` names it in an `InvalidInputError`."""
+    """Parse a whole number of at least 0; an `InvalidInputError` refers to it by `name`."""
     if not text.isascii() or not text.isdigit() or len(text) > MAX_DIGITS:
         raise InvalidInputError(f"{name} is not a whole number: {text[:MAX_SHOWN_CHARACTERS]!r}")
     return int(text)
 
 
 def is_absent(text: str) -> bool:
-    """Return whether a text stands for no value."""
+    """Return whether a text means that a value is absent."""
     return text in ABSENT
 
 
@@ -77,24 +77,24 @@
 
 
 class SettingsReader:
-    """Pairs of settings, read with a default for what is absent."""
+    """Settings by path, with defaults for absent values."""
 
     def __init__(self, pairs: Iterable[tuple[str, str]]) -> None:
-        """Take the pairs; of two with one path the last one counts."""
+        """Store the pairs; if a path occurs twice, the last pair counts."""
         self.values = dict(pairs)
 
     def text(self, name: str, default: str) -> str:
-        """Return a text."""
+        """Return a setting as text."""
         value = self.values.get(name, default)
         return default if is_absent(value) else value
 
     def number(self, name: str, default: float) -> float:
-        """Return a number."""
+        """Return a setting as a number."""
         value = self.values.get(name, "-")
         return default if is_absent(value) else parse_number(value, name)
 
     def bounded(self, name: str, default: float, lowest: float = 0.0) -> float:
-        """Return a number that a rule hangs on: a lower one is an error and not ignored."""
+        """Return a number that is unsafe below `lowest`, where it raises `InvalidInputError`."""
         value = self.number(name, default)
         if value < lowest:
             shown = self.text(name, "")[:MAX_SHOWN_CHARACTERS]
@@ -102,14 +102,14 @@
         return value
 
     def choice(self, name: str, choices: Mapping[str, Choice], default: str) -> Choice:
-        """Return the choice of a word, where an unknown word could break a rule and is an error."""
+        """Return the choice for a word; an unknown word would be unsafe and raises `InvalidInputError`."""
         word = self.text(name, default)
         if word not in choices:
             raise InvalidInputError(f"{name} is unknown: {word[:MAX_SHOWN_CHARACTERS]!r}")
         return choices[word]
 
     def flag(self, name: str, if_unclear: bool = False) -> bool:
-        """Return a truth value; `if_unclear` is what a value means that is neither true nor false."""
+        """Return a truth value; `if_unclear` is returned for a text that is neither true nor false."""
         text = self.text(name, "false")
         return text in ("true", "1") or (if_unclear and text not in ("false", "0"))
 
@@ -125,12 +125,12 @@
         return values[index]
 
     def names(self, name: str) -> list[str]:
-        """Return the names of a list of objects, in the order of their places; any text is a name."""
+        """Return the names in a list of objects, in order; any text is a valid name."""
         return [self.values.get(f"{name}.{index}.name", "") for index in range(self.count(name))]
 
 
 def flatten(settings: object, path: str = "") -> Iterable[tuple[str, str]]:
-    """Yield nested JSON as pairs: dotted paths, lists of objects with a count, plain lists joined."""
+    """Yield nested JSON as pairs: paths are dotted, lists of objects get a count, plain lists are joined."""
     if isinstance(settings, dict):
         for name, value in settings.items():
             yield from flatten(value, f"{path}.{name}" if path else str(name))
@@ -154,7 +154,7 @@
     """Read all settings of an app server.
 
     Raises:
-        InvalidInputError: A value is no number, or one that a rule hangs on can't be meant.
+        InvalidInputError: A value is not a number, or is out of the range that is safe.
     """
     classes = [_read_request_class(reader, index) for index in range(reader.count("classes"))]
     tenants = [
@@ -171,7 +171,7 @@
     name = f"classes.{index}"
     idempotency = reader.choice(f"{name}.effect", IDEMPOTENCY_BY_EFFECT, "once")
     deadline = reader.bounded(f"{name}.hard_limit_s", DEFAULT_DEADLINE_S, SHORTEST_SPAN_S)
-    # Without a window, a key's repeat may come for as long as its caller waits.
+    # Without a configured window, a key is kept for as long as its caller may wait and repeat the request.
     is_keyed = idempotency is Idempotency.KEYED
     retention = reader.bounded(f"{name}.window_s", deadline) if is_keyed else 0.0
     weight_without_call = reader.list_item("family_info.class_skip_worth", index, "0")
@@ -187,7 +187,7 @@
 
 
 def _with_callers(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
-    """Set what callers heed and how many there are."""
+    """Read the settings about callers: their number and the signals that they react to."""
     max_retry_after = reader.number("ceilings.max_retry_after_s", 0.0)
     keepalive = reader.number("family_info.keepalive_max_s", settings.keepalive_timeout / SECOND)
     return replace(
@@ -201,7 +201,7 @@
 
 
 def _with_downstream(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
-    """Set the service below; only a shared one has a quota."""
+    """Read the settings of the downstream service; only a shared service has a quota."""
     downstream = reader.choice("family_info.downstream", DOWNSTREAM_BY_NAME, "off")
     quota = settings.downstream_quota
     window = settings.downstream_quota_window / SECOND
@@ -220,9 +220,9 @@
 
 
 def _with_resources(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
-    """Set what the app server has, what it survives, and how it starts and ends."""
+    """Read the settings about resources, overload, start and drain of the app server."""
     memory = reader.bounded("family_info.mem_limit_kb", settings.memory_limit / BYTES_PER_KB)
-    # An unknown way to stop a run is not used.
+    # With an unknown way to stop runs, no run is stopped.
     preemption = PREEMPTION_BY_HALT.get(reader.text("family_info.halt", "off"), Preemption.OFF)
     return replace(
         settings,
--- a/birchslip/admission/types.py
+++ b/birchslip/admission/types.py
@@ -1,7 +1,7 @@
-"""Requests and settings, the events that decisions receive, and the actions that they return.
+"""Requests, settings, the events that the decisions receive, and the actions that they return.
 
-Types only, and no wire: each protocol fills the same types. A time is a whole number of tenths of a
-millisecond, a size is a whole number of bytes, and a share is a fraction.
+These types do not depend on a protocol: each protocol decodes its messages into them. A time is a whole
+number of tenths of a millisecond, a size is a whole number of bytes, and a share is a fraction.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request may do: any harm, none, or none with its idempotency key."""
+    """Whether a request may run more than once: always, once per idempotency key, or never."""
 
     IDEMPOTENT = "idempotent"
     KEYED = "keyed"
@@ -26,7 +26,7 @@
 
 
 class Preemption(Enum):
-    """What stopping a run does to the work it has done."""
+    """Whether a run can be stopped, and whether its work is then lost or kept."""
 
     OFF = "off"
     DROP = "drop"
@@ -34,7 +34,7 @@
 
 
 class Downstream(Enum):
-    """The service below the app server."""
+    """The kind of downstream service; the calls to a shared one are bounded by a quota."""
 
     NONE = "off"
     SHARED = "shared"
@@ -43,10 +43,10 @@
 
 @dataclass(eq=False, slots=True)
 class RequestClass:
-    """A class of requests with the same worth and effect.
+    """A class of requests with the same value, deadlines and idempotency.
 
-    `late_weight` is what an answer past the latency objective earns, `weight_without_call` what one earns
-    without its call downstream; `key_retention` counts for keyed requests.
+    `late_weight` is the value of an answer past the latency objective, `weight_without_call` the value of an
+    answer without its call downstream. `key_retention` applies to keyed requests.
     """
 
     idempotency: Idempotency
@@ -60,14 +60,14 @@
 
 @dataclass(eq=False, slots=True)
 class Tenant:
-    """A configured tenant; its quota is in requests a second over the whole fleet, 0 for none."""
+    """A configured tenant; its quota is in requests a second for the whole fleet, 0 for none."""
 
     quota: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
 class AdmissionSettings:
-    """Settings of an app server at its start. The defaults apply where a setting is absent."""
+    """Settings of an app server at its start; the defaults apply to absent settings."""
 
     request_classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
@@ -95,12 +95,12 @@
 
 
 class RequestState(Enum):
-    """Where a request is; `COMPLETED` also before it is queued, when nothing of it is here.
+    """The state of a request; a request that is not yet admitted is in state `COMPLETED` as well.
 
     COMPLETED        -> QUEUED (admitted) | ATTACHED (a repeat)
-    QUEUED           -> RUNNING (its turn) | COMPLETED (rejected, caller gone)
+    QUEUED           -> RUNNING (turn granted) | COMPLETED (rejected, caller gone)
     RUNNING          -> WAITING_FOR_CALL (needs a call) | COMPLETED (run ended)
-    WAITING_FOR_CALL -> CALLING (its turn) | RUNNING (call skipped) | COMPLETED (run ended)
+    WAITING_FOR_CALL -> CALLING (turn granted) | RUNNING (call skipped) | COMPLETED (run ended)
     CALLING          -> RUNNING (served, skipped) | WAITING_FOR_CALL (retried) | COMPLETED (run ended)
     ATTACHED         -> COMPLETED (original ended, deadline)
     """
@@ -115,9 +115,10 @@
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Request:
-    """One request as it was read; the fields from `state` on belong to the decisions.
+    """One request as it was read; the fields from `state` on are set by the decisions.
 
-    `context` is what the server stores with it; it is dropped with `steps` once the request is over.
+    `context` holds the server's own data of the request. It is dropped together with `steps` once the request
+    is over, while other requests may still refer to this one as their original.
     """
 
     request_class: RequestClass
@@ -149,9 +150,9 @@
 
 
 class Outcome(Enum):
-    """How a run or a call ended. The last three prove that it never ran.
+    """How a run or a call ended; with one of the last three it certainly never ran.
 
-    The values are part of the names of counters.
+    The values are parts of counter names.
     """
 
     SERVED = "honoured"
@@ -167,12 +168,12 @@
 NEVER_RAN_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.SUPERSEDED))
 
 
-# Events that a request's steps are resumed with: four from outside, two from the decisions themselves.
+# Events that resume the steps of a request: the first four come from the server, the last two from `settle`.
 
 
 @dataclass(slots=True)
 class RunEnded:
-    """Its run has ended; `elapsed` is the time since its start."""
+    """The run of the request has ended; `elapsed` is the time since the run's start."""
 
     outcome: Outcome
     elapsed: int = 0
@@ -180,12 +181,12 @@
 
 @dataclass(slots=True)
 class CallNeeded:
-    """It has left its core and needs a call downstream."""
+    """The run of the request has released its core and needs a call downstream."""
 
 
 @dataclass(slots=True)
 class CallEnded:
-    """Its call has ended; `elapsed` is the time since the call."""
+    """The call of the request has ended; `elapsed` is the time since the call's start."""
 
     outcome: Outcome
     elapsed: int = 0
@@ -193,17 +194,17 @@
 
 @dataclass(slots=True)
 class CallerGone:
-    """Its caller waits no longer."""
+    """The caller of the request has disconnected or no longer waits."""
 
 
 @dataclass(slots=True)
 class TurnGranted:
-    """Its turn to run or to call has come."""
+    """The request may now run, or make its call."""
 
 
 @dataclass(slots=True)
 class WaitExpired:
-    """Waiting for it is useless, or its deadline has come."""
+    """The request can't be answered in time, or its deadline has passed."""
 
 
 Event = RunEnded | CallNeeded | CallEnded | CallerGone | TurnGranted | WaitExpired
@@ -216,56 +217,59 @@
     event: Event
 
 
-# Actions that a request's steps may yield. After the first five they wait for an event.
+# Actions that the steps of a request may yield. After each of the first five, the steps wait for an event.
 
 
 @dataclass(slots=True)
 class Wait:
-    """Do nothing until something happens to it."""
+    """Do nothing until the next event of the request."""
 
 
 @dataclass(slots=True)
 class StartRun:
-    """Start its run."""
+    """Start the run of the request."""
 
 
 @dataclass(slots=True)
 class CallDownstream:
-    """Make its call, and give it up after the timeout."""
+    """Make the call downstream, and abandon it after the timeout."""
 
     timeout: int
 
 
 @dataclass(slots=True)
 class SkipCall:
-    """Let its run go on without its call."""
+    """Continue the run without its call."""
 
 
 @dataclass(slots=True)
 class AttachToOriginal:
-    """Answer it with the outcome of its original."""
+    """Answer the request with the outcome of its original."""
 
 
 @dataclass(slots=True)
 class StopRun:
-    """Stop its run."""
+    """Stop the run of the request."""
 
 
 @dataclass(slots=True)
 class StoreKey:
-    """Store its idempotency key for this long from now on."""
+    """Store the idempotency key of the request for the time `retention` from now on."""
 
     retention: int
 
 
 @dataclass(slots=True)
 class ReleaseKey:
-    """Forget its idempotency key: it never ran."""
+    """Delete the idempotency key of a request that never ran."""
 
 
 @dataclass(slots=True)
 class Reject:
-    """Answer that it never ran; a `retry_after` of 0 gives no advice."""
+    """Answer that the request never ran; with a `retry_after` of 0 the answer has no Retry-After.
+
+    `stop_retrying` asks the caller not to retry on another app server.
+    """
 
     retry_after: int = 0
     stop_retrying: bool = False
@@ -273,7 +277,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Answer that it failed."""
+    """Answer that the request failed."""
 
 
 # Actions for the app server as a whole.
@@ -281,14 +285,14 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send a tick at this time."""
+    """Call `tick` at the time `at`."""
 
     at: int
 
 
 @dataclass(slots=True)
 class SetHealth:
-    """Answer health checks from now on as said."""
+    """Set the health of the app server, and of its store, that health checks report."""
 
     is_healthy: bool
     is_store_healthy: bool = True
@@ -296,14 +300,14 @@
 
 @dataclass(slots=True)
 class SetIdleTimeout:
-    """Close connections that have carried nothing for so long; 0 leaves them to their callers."""
+    """Close connections that have been idle for `timeout`; with 0 only callers close them."""
 
     timeout: int
 
 
 @dataclass(slots=True)
 class AdvertiseCriticality:
-    """Send this criticality level with every answer from now on."""
+    """Send the criticality level `value` with every answer from now on."""
 
     value: float
 
@@ -325,26 +329,26 @@
 
 
 class SheddingTier(Enum):
-    """Requests that a plan may have dropped before others; the operators order them.
+    """Tiers of requests that a plan drops one after the other, in an order set by the operators.
 
     The values are the words of the fleet file.
     """
 
     OVER_QUOTA = "beyond"  # past its tenant's quota
-    RETRY = "again"  # a further try or a second copy
+    RETRY = "again"  # a retry or a duplicate
     EVACUATED = "visitor"  # from the lost site, by priority weight per service time
     LOCAL = "home"
 
 
 @dataclass(frozen=True, slots=True)
 class PlanOverride:
-    """A plan of the fleet for this app server: quotas in service, and the order in which requests drop.
+    """The part of a fleet plan that applies to this app server: quotas and the shedding order.
 
-    `term` is that of the leader who made the plan, and `number` counts its plans. It applies until
-    `expires_at` and then fades over `fade_span`. `quotas` are requests a second here;
-    `evacuated_callers` come from a lost site, and `evacuated_quota` is the quota of them all together.
-    `serving_fraction` is the share of the cores that may be used while this app server is let back in;
-    `is_capacity_short` says that no app server has room.
+    `term` is the term of the leader that made the plan, and `number` counts that leader's plans. The plan
+    applies until `expires_at` and then fades over `fade_span`. `quotas` are in requests a second on this app
+    server. `evacuated_callers` come from a lost site and share the quota `evacuated_quota`.
+    `serving_fraction` is the share of the cores that may be used during a recovery ramp, and
+    `is_capacity_short` is set if no app server has room.
     """
 
     term: int
@@ -361,6 +365,6 @@
 
 @dataclass(slots=True)
 class Gauges:
-    """Gauges of the app server itself; None where it has no such gauge."""
+    """Gauges of the app server; None for a gauge that it does not have."""
 
     core_utilization: float | None = None
--- a/birchslip/admission/windows.py
+++ b/birchslip/admission/windows.py
@@ -1,6 +1,6 @@
-"""Sliding windows over amounts and durations, in buckets of time that are used again in a ring.
+"""Sliding windows over amounts and durations, in a ring of time buckets.
 
-Owns no clock: each method takes the present time, which may never go back.
+The windows read no clock: each method takes the current time, which must not go back.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 
 class WindowedCounter:
-    """Sum of the amounts of the last `count` buckets of `span` each (the unit of time is the caller's)."""
+    """Sum of the amounts in the last `count` buckets, each of the length `span` in any unit of time."""
 
     def __init__(self, count: int, span: int) -> None:
-        """Begin with empty buckets at time 0."""
+        """Start with empty buckets at time 0."""
         self.buckets = [0] * count
         self.span = span
         self.slot = 0
         self.sum = 0
 
     def total(self, now: int) -> int:
-        """Drop the buckets that have run out and return the sum of the rest."""
+        """Drop the expired buckets and return the sum of the rest."""
         slot = now // self.span
         count = len(self.buckets)
         if slot <= self.slot:
@@ -39,13 +39,13 @@
         return self.sum
 
     def add(self, now: int, amount: int) -> None:
-        """Add an amount to the present bucket."""
+        """Add an amount to the current bucket."""
         self.total(now)
         self.buckets[self.slot % len(self.buckets)] += amount
         self.sum += amount
 
     def subtract(self, now: int, added_at: int, amount: int) -> None:
-        """Subtract what was added at `added_at`, unless its bucket has run out meanwhile."""
+        """Subtract an amount that was added at `added_at`, unless its bucket has expired."""
         self.total(now)
         if added_at // self.span > self.slot - len(self.buckets):
             self.buckets[added_at // self.span % len(self.buckets)] -= amount
@@ -53,13 +53,13 @@
 
 
 class QuantileWindow:
-    """Mean, a low and a high quantile of the samples of the last minute."""
+    """Mean, low quantile and high quantile of the samples of the last minute."""
 
     def __init__(self) -> None:
-        """Begin without samples; all figures are 0."""
+        """Start without samples; all figures are 0."""
         self.buckets: list[list[float]] = [[] for _ in range(QUANTILE_BUCKETS)]
         self.slot = 0
-        self.count = 0  # of all samples ever, those dropped from the window included
+        self.count = 0  # of all samples ever added, including those dropped from the window
         self.ordered: list[float] = []
         self.sum = 0.0
         self.mean = 0.0
@@ -67,7 +67,7 @@
         self.high = 0.0
 
     def add(self, now: int, value: float) -> None:
-        """Add a sample and bring the figures up to date."""
+        """Add a sample and update the figures."""
         slot = now // SECOND
         self._drop_before(slot)
         self.slot = slot
@@ -92,7 +92,7 @@
             bucket.clear()
 
     def recent(self, now: int) -> list[float]:
-        """Return the samples of the last ten seconds in order."""
+        """Return the samples of the last ten seconds, sorted by value."""
         first = max(now // SECOND - RECENT_BUCKETS, self.slot - QUANTILE_BUCKETS) + 1
         slots = range(first, self.slot + 1)
         return sorted(value for slot in slots for value in self.buckets[slot % QUANTILE_BUCKETS])
--- a/birchslip/errors.py
+++ b/birchslip/errors.py
@@ -1,4 +1,4 @@
-"""The base of all errors that birchslip raises, and those that several packages share."""
+"""The base class of all errors that birchslip raises, and errors shared by several packages."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class ConfigurationError(InvalidInputError):
-    """A setting, a configuration file or an operator's file that can't be used as it is."""
+    """An invalid setting, configuration file or operator's file."""
 
 
 class StoreWriteError(BirchslipError, OSError):
-    """A store on disk can't be opened or written: nothing may be answered that rests on it.
+    """A store on disk can't be opened or written, so no answer may depend on it.
 
     Attributes:
         location: The directory or file concerned.
--- a/birchslip/simulator/__init__.py
+++ b/birchslip/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""App servers on the simulator's wire: `python -m birchslip.simulator`."""
+"""App servers that speak the simulator's wire protocol: `python -m birchslip.simulator`."""
--- a/birchslip/simulator/__main__.py
+++ b/birchslip/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches from standard input, answers each on standard output: `python -m birchslip.simulator`."""
+"""Answers batches from standard input on standard output: `python -m birchslip.simulator`."""
 
 import gc
 import sys
--- a/birchslip/simulator/codec.py
+++ b/birchslip/simulator/codec.py
@@ -1,7 +1,7 @@
-"""Lines of the simulator's wire to types and back; the wire's names go no further than this module.
+"""Decodes lines of the simulator's wire and encodes actions; only this module uses the wire's names.
 
-Absent values have defaults. Conversion errs on the safe side: deadlines are rounded down, spans up. It
-stores nothing between lines.
+Absent values have defaults. Conversion is conservative: deadlines are rounded down, spans up. No state is
+kept between lines.
 """
 
 from __future__ import annotations
@@ -65,13 +65,13 @@
     Fail: "finish_error",
 }
 RETRY_FLAG = 2
-REQUEST_PARTS = 13  # a request's line is filled up with absent values to this length
+REQUEST_PARTS = 13  # a shorter request line is padded with absent values
 NO_ORIGINAL = "0"
 BYTES_PER_KB = 1024
 
 
 class RequestLine(NamedTuple):
-    """A request as the wire gives it; 0 where a number is absent, but for `original`."""
+    """A request line; an absent number is 0, an absent `original` is None."""
 
     request_id: int
     class_index: int
@@ -86,14 +86,14 @@
 
 
 def required_part(parts: list[str], index: int) -> str:
-    """Return one part of a line that has to have it."""
+    """Return one part of a line; raises `InvalidInputError` if the line is too short."""
     if index >= len(parts):
         raise InvalidInputError(f"{parts[0]} has {len(parts) - 1} parts, at least {index} wanted")
     return parts[index]
 
 
 def decode_settings(seed: str, pairs: list[str]) -> AdmissionSettings:
-    """Read the pairs of a start."""
+    """Read the settings of a `hello` line."""
     number = parse_count(seed, "prng")
     values = []
     for pair in pairs:
@@ -105,7 +105,7 @@
 
 
 def decode_request(parts: list[str]) -> RequestLine:
-    """Read a request."""
+    """Read a `call` line."""
     parts = parts + ["-"] * (REQUEST_PARTS - len(parts))
     _, request_id, priority, user_group, _, deadline, work, size, _, flags, caller, backlog, original = parts[
         :REQUEST_PARTS
@@ -151,7 +151,7 @@
 
 
 def decode_request_event(parts: list[str]) -> Event | None:
-    """Read what happened to one request; None for an event of another kind."""
+    """Read an event of one request; None for a line of another kind."""
     match parts[0]:
         case "completed":
             return RunEnded(decode_outcome(required_part(parts, 2)), _elapsed(parts))
@@ -189,12 +189,12 @@
 
 
 def encode_seconds(time: int) -> str:
-    """Write a time or span in seconds."""
+    """Encode a time or span in seconds."""
     return f"{time / SECOND:.4f}"
 
 
 def encode_action(request_id: int, action: Action) -> str | None:
-    """Write an action for one request; None where nothing is to be said."""
+    """Encode an action for one request; None for an action that is not sent."""
     action_name = ACTIONS_WITHOUT_ARGUMENTS.get(type(action))
     if action_name is not None:
         return f"{action_name}\t{request_id}"
@@ -214,7 +214,7 @@
 
 
 def encode_server_action(action: ServerAction) -> str:
-    """Write an action for the app server as a whole."""
+    """Encode an action for the app server as a whole."""
     match action:
         case SetTimer(at):
             return f"remind\t{encode_seconds(at)}\ttick"
@@ -229,7 +229,7 @@
 
 
 def _log_text(event: LogEvent) -> str:
-    """Return the text of a log event; operators read these lines, so their wording stays."""
+    """Return the text of a log event; operators rely on these lines, so their wording must not change."""
     match event:
         case QuotasBind(queued, running):
             return f"quota binds: {queued} held, {running} on the cores"
--- a/birchslip/simulator/host.py
+++ b/birchslip/simulator/host.py
@@ -1,6 +1,6 @@
-"""The app servers that one process hosts on the simulator's wire, and the loop over batches.
+"""Hosts the app servers of one process on the simulator's wire, and loops over batches.
 
-It decides nothing: ids of the wire on one side, requests and the driver on the other.
+It makes no decisions: it maps the ids of the wire to requests and passes their events to the drivers.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 
 class SimulatedServer:
-    """One app server on the wire: its driver, and its requests by id."""
+    """One app server on the wire: its driver and its requests by id."""
 
     def __init__(self, parts: list[str], now: int) -> None:
-        """Start as the line of a start says."""
+        """Start an app server with the seed and the settings of a `hello` line."""
         if len(parts) < START_HEADER_PARTS:
             raise InvalidInputError("a start without a seed")
         self.lines: list[str] = []
@@ -41,17 +41,17 @@
         self.driver = AdmissionDriver(self.settings, now, self.perform, self.perform_server_action)
 
     def perform(self, request: Request, action: Action) -> None:
-        """Write an action for one request."""
+        """Add the line of an action for one request to the reply."""
         line = codec.encode_action(self.ids[request], action)
         if line is not None:
             self.lines.append(line)
 
     def perform_server_action(self, action: ServerAction) -> None:
-        """Write an action for the app server as a whole."""
+        """Add the line of an action for the app server as a whole to the reply."""
         self.lines.append(codec.encode_server_action(action))
 
     def handle(self, parts: list[str], now: int) -> None:
-        """Take in one event; one of an unknown kind is ignored."""
+        """Handle one event line; an unknown kind is ignored."""
         match parts[0]:
             case "call":
                 self._admit(codec.decode_request(parts), now)
@@ -65,7 +65,7 @@
                 self._deliver(parts)
 
     def _deliver(self, parts: list[str]) -> None:
-        """Pass on an event of one request; one that is over or unknown is ignored."""
+        """Deliver an event of one request; ignored for a request that is over or unknown."""
         event = codec.decode_request_event(parts)
         if event is None:
             return
@@ -110,21 +110,21 @@
         original = self.requests.get(request_id)
         if original is not None:
             return original
-        # One that is no longer remembered has to be taken as having run: the safe side.
+        # An unknown original may have run: treat it as one that has, so that it does not run twice.
         return Request(request_class, 0, now, now, 0, has_started=True)
 
     def settle(self) -> list[str]:
-        """End a batch; returns the lines of its reply."""
+        """End a batch; returns the reply lines of this app server."""
         self.driver.settle()
         lines, self.lines = self.lines, []
         return lines
 
 
 class SimulatorHost:
-    """All app servers of this process; they share nothing but the process."""
+    """All app servers of this process; they share no state."""
 
     def __init__(self, errors: TextIO) -> None:
-        """Begin without app servers; `errors` gets a line for each error."""
+        """Start without app servers; one line for each error is written to `errors`."""
         self.servers: dict[int, SimulatedServer] = {}
         self.errors = errors
         self.now = 0
@@ -132,7 +132,7 @@
         self.replies: dict[int, list[str]] = {}
 
     def batch(self, lines: Iterable[str]) -> list[str]:
-        """Take in one batch; returns the reply without its closing line."""
+        """Handle one batch; returns the reply without its closing line."""
         self.now = 0
         self.server_id = None
         self.replies = {}
@@ -184,7 +184,7 @@
             return errors
 
     def _report(self, server_id: int | None, error: Exception) -> None:
-        """Write one line on standard error, and declare a crash for the app server concerned."""
+        """Write one line to `errors`, and add a `crash` line to the reply of the app server concerned."""
         text = " ".join(str(error).split()) or type(error).__name__
         if not isinstance(error, InvalidInputError):
             frame = traceback.extract_tb(error.__traceback__)[-1]
