--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -71,7 +71,7 @@
         return 1
     except Exception:
         # Exceptions in tasks and request stages are handled there, so this one comes from the scheduler.
-        print(f"birchslip: ended by a fault\n{traceback.format_exc()}", file=sys.stderr)
+        print(f"birchslip: stopped by an unhandled exception\n{traceback.format_exc()}", file=sys.stderr)
         return 1
     return 0
 
--- a/birchslip/simulator/codec.py
+++ b/birchslip/simulator/codec.py
@@ -88,7 +88,7 @@
 def required_part(parts: list[str], index: int) -> str:
     """Return one part of a line; raises `InvalidInputError` if the line is too short."""
     if index >= len(parts):
-        raise InvalidInputError(f"{parts[0]} has {len(parts) - 1} parts, at least {index} wanted")
+        raise InvalidInputError(f"{parts[0]} has {len(parts) - 1} parts, at least {index} required")
     return parts[index]
 
 
--- a/birchslip/simulator/host.py
+++ b/birchslip/simulator/host.py
@@ -33,7 +33,7 @@
     def __init__(self, parts: list[str], now: int) -> None:
         """Start an app server with the seed and the settings of a `hello` line."""
         if len(parts) < START_HEADER_PARTS:
-            raise InvalidInputError("a start without a seed")
+            raise InvalidInputError("hello without a seed")
         self.lines: list[str] = []
         self.settings = codec.decode_settings(parts[1], parts[START_HEADER_PARTS:])
         self.ids: WeakKeyDictionary[Request, int] = WeakKeyDictionary()
@@ -165,7 +165,7 @@
         elif server_id in self.servers:
             self.servers[server_id].handle(parts, self.now)
         else:
-            raise InvalidInputError(f"an event for one that has not started: {kind[:40]!r}")
+            raise InvalidInputError(f"an event for an app server that has not started: {kind[:40]!r}")
 
     def _select_server(self, server_id: int) -> None:
         self.server_id = server_id
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -61,7 +61,7 @@
         ([HELLO, "wind_down\tsoon"], "the end of a wind_down"),
         (["hello\tx"], "prng"),
         (["hello\t7\tclasses.count=1\tclasses.0.effect=maybe"], "classes.0.effect is unknown"),
-        (["wakeup\ttick\t-"], "an event for one that has not started"),
+        (["wakeup\ttick\t-"], "an event for an app server that has not started"),
     ],
 )
 def test_bad_input_is_one_plain_message_and_a_declared_fault(lines, named):
