--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -26,7 +26,7 @@
     [(2, 0, 0), (500, 0, 100), (500, 199, 100), (0, 0, 200)],
     ids=["few", "many", "many in a retry storm", "one heavy among many"],
 )
-def test_the_idle_limit_is_the_cheapest_for_how_callers_came_back(callers, rejected, limit):
+def test_idle_timeout_has_lowest_cost_for_return_intervals(callers, rejected, limit):
     desk = Desk(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
         number = at // 100
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(("cpu", "limit"), [(1.0, 100), (0.1, 0)], ids=["busy", "idle cores"])
-def test_a_handshake_is_worth_a_longer_wait_while_the_cores_have_room(cpu, limit):
+def test_idle_timeout_is_longer_while_cores_are_idle(cpu, limit):
     """Every caller comes back after 8 s: on busy cores its place costs more than its handshake."""
     desk = Desk(cores=1)
     for at in range(0, 60_000, 200):
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("callers", "limit"), [(20, 6400), (2000, 100)], ids=["small fleet", "large fleet"])
-def test_a_first_contact_soon_after_the_start_is_a_stranger_only_among_many_callers(callers, limit):
+def test_first_request_after_start_assumes_mean_interval_of_callers(callers, limit):
     desk = Desk(cores=1, caller_count=callers)
     for at in range(0, 2_000, 100):
         desk.at(at, desk.read(at, caller=at), cpu=1.0)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(("known", "limits"), [(True, [100, 0, 0, 100]), (False, [100, 100, 100, 100])])
-def test_connections_stay_in_a_flood_until_it_is_over(known, limits):
+def test_idle_timeout_is_off_during_overload(known, limits):
     """With 50 ms a run two hundred could be served in the window; without a run nothing is known of that."""
     desk = Desk(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
@@ -73,7 +73,7 @@
     assert seen == limits
 
 
-def test_what_has_waited_unread_for_a_second_is_an_overload_until_it_waits_shortly():
+def test_long_read_delay_is_overload_until_it_is_short():
     """Reading can't keep up, so that what is read is late and hardly rejected any more."""
     desk = Desk(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
@@ -91,7 +91,7 @@
     return [told.value for told in desk.announcements if isinstance(told, AdvertiseCriticality)]
 
 
-def test_a_level_rises_while_requests_are_rejected_and_falls_back_to_nothing():
+def test_criticality_level_rises_with_rejections_and_falls_to_zero():
     desk = Desk(profile(latency_objective=20_000, deadline=40_000), cores=1, sends_criticality=True)
     desk.at(0, desk.read(0), desk.read(0))
     desk.controller.rejections.reject(desk.read(0), desk.now)
@@ -105,7 +105,7 @@
     assert advertised(desk)[-1] == 0.0
 
 
-def test_no_level_is_told_where_callers_heed_none_or_nothing_is_rejected():
+def test_criticality_level_is_not_sent_if_disabled_or_without_rejections():
     heedless, calm = Desk(cores=1), Desk(cores=1, sends_criticality=True)
     for desk, rejected in ((heedless, 1), (calm, 0)):
         desk.at(0, desk.read(0), desk.read(0))
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize(("callers", "last"), [(2, False), (500, True)], ids=["few", "many"])
-def test_a_rejection_asks_not_to_be_tried_elsewhere_where_a_try_needs_a_new_connection(callers, last):
+def test_rejection_asks_to_stop_retrying_if_retry_needs_handshake(callers, last):
     desk = Desk(cores=1, caller_count=callers, sends_retry_after=True, max_retry_after=SECOND)
     for at in range(0, 16_000, 100):
         request = desk.read(at, caller=at // 100 % callers)
@@ -125,7 +125,7 @@
     assert desk.controller.rejections.reject(desk.read(16_000), desk.now).stop_retrying is last
 
 
-def test_an_untold_number_of_callers_makes_no_stranger_of_one_not_heard_yet():
+def test_unknown_caller_count_assumes_mean_interval_for_new_callers():
     """A few callers that come every two seconds, once all of them have been heard for the first time."""
     desk = Desk(cores=1)
     for at in range(0, 6_000, 200):
@@ -133,7 +133,7 @@
     assert idle_limit(desk) == 0
 
 
-def test_callers_are_remembered_for_no_longer_than_their_connections_last():
+def test_callers_are_dropped_after_keepalive_timeout():
     desk = Desk(cores=1, keepalive_timeout=5 * SECOND)
     for at in range(0, 20_000, 100):
         desk.at(at, desk.read(at, caller=at), cpu=0.5)
--- a/tests/test_decision_modules.py
+++ b/tests/test_decision_modules.py
@@ -28,18 +28,18 @@
     return inner, outer
 
 
-def test_every_decision_is_listed_as_policy():
+def test_every_decision_module_is_listed_as_policy():
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     assert sorted(listed) == [f"birchslip/admission/{name}.py" for name in DECISIONS]
 
 
 @pytest.mark.parametrize("name", DECISIONS)
-def test_a_decision_imports_nothing_that_does_io_or_tells_the_time(name):
+def test_decision_modules_import_no_io_or_clock(name):
     inner, outer = imports(name)
     assert outer <= PURE_LIBRARY
     assert not inner & {"driver", "settings"}
 
 
-def test_modules_import_each_other_in_no_circle():
+def test_admission_modules_have_no_import_cycle():
     graph = {name: imports(name)[0] for name in MODULES}
     assert set(TopologicalSorter(graph).static_order()) == MODULES.keys()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -33,7 +33,7 @@
     ("ran", "cpu", "quota", "binds"),
     [(12_000, 1, 0, True), (3_000, 1, 0, False), (3_000, 1, 1.0, True), (12_000, 0.5, 1.0, False)],
 )
-def test_quota_binds_once_it_is_known_without_room_and_with_requests_queued(ran, cpu, quota, binds):
+def test_quota_binds_only_if_known_and_saturated(ran, cpu, quota, binds):
     tenant = Tenant(quota)
     desk = Desk(cores=1, tenants=[tenant]).warm(until=ran, cpu=cpu)
     desk.at(ran, desk.read(ran), desk.read(ran)).at(ran + 350, cpu=cpu)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(("over", "action"), [(50, ["Reject"]), (0, [])])
-def test_a_told_quota_delays_or_rejects_its_own_tenant_only(over, action):
+def test_configured_quota_affects_only_its_tenant(over, action):
     heavy, light = Tenant(quota=2.0), Tenant(quota=2.0)
     desk = Desk(cores=1, tenants=[heavy, light], sends_retry_after=True, max_retry_after=1000 * MS)
     desk.controller.queue.is_saturated = True
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(("running", "busy"), [(9, False), (10, True)])
-def test_without_a_gauge_the_cores_show_no_room_once_the_limit_is_reached(running, busy):
+def test_cores_count_as_busy_at_limit_without_gauge(running, busy):
     desk = Desk(cores=10)
     desk.at(0, *(desk.read(0) for _ in range(running)))
     desk.driver.tick(Gauges(None))
@@ -63,14 +63,14 @@
     assert desk.controller.limit.is_busy is busy
 
 
-def test_what_is_rejected_or_gone_is_taken_out_of_the_windows():
+def test_disconnected_request_is_uncounted_from_quota_window():
     desk = Desk(cores=1)
     running, gone = desk.read(0), desk.read(0)
     desk.at(0, running, gone).at(10, (gone, CallerGone()))
     assert desk.controller.quotas.callers[0].admitted.total(desk.now) == running.size
 
 
-def test_the_heaviest_caller_pays_when_the_queue_does_not_fit():
+def test_drops_requests_of_heaviest_caller_first():
     desk = Desk(cores=1).warm()
     heavy = [desk.read(12_000, caller=1) for _ in range(4)]
     light = desk.read(12_000, caller=2)
@@ -88,7 +88,7 @@
         (False, 400, ["StartRun"]),  # on empty cores it is tried
     ],
 )
-def test_behind_others_it_is_tried_at_what_slow_ones_like_it_take(busy, left, action_names):
+def test_request_behind_others_needs_high_quantile_of_run_time_left(busy, left, action_names):
     desk = Desk(profile(latency_objective=5000, deadline=5000), cores=1)
     for took in (100, 100, 100, 500, 500):
         request = desk.read(desk.now // MS)
@@ -101,7 +101,7 @@
     assert desk.action_names(request) == action_names
 
 
-def test_the_queue_is_swept_once_in_a_while_however_much_comes():
+def test_queue_is_swept_at_most_once_per_sweep_interval():
     desk = Desk(cores=1).warm()
     looks = []
     sweep = desk.controller.queue.sweep
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(("held_for", "cpu", "limit"), [(1400, 0.5, 2), (1600, 0.5, 3), (1600, 0.95, 2)])
-def test_the_limit_rises_only_when_full_for_the_whole_look_back(held_for, cpu, limit):
+def test_limit_rises_only_after_full_for_gauge_delay_with_free_cores(held_for, cpu, limit):
     desk = Desk(profile(latency_objective=30_000, deadline=60_000))
     desk.at(0, *[desk.read(0) for _ in range(5)], cpu=cpu)
     for ms in range(50, held_for + 1, 50):
@@ -120,7 +120,7 @@
     assert int(desk.controller.limit.limit) == limit
 
 
-def test_the_limit_is_cut_when_runs_slow_and_never_under_the_cores():
+def test_limit_falls_with_slow_runs_but_not_below_cores():
     desk = Desk().warm(until=40_000)
     desk.controller.limit.limit = 2.1
     for ms in range(40_000, 52_000, 1500):
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize(("cpu", "crowd", "most"), [(1.0, 8.0, 3), (1.0, 1.5, 2), (0.5, 8.0, 10)])
-def test_what_has_begun_is_bounded_for_it_may_all_come_back(cpu, crowd, most):
+def test_number_of_started_requests_is_bounded(cpu, crowd, most):
     desk = Desk(
         profile(latency_objective=20_000, deadline=30_000),
         downstream=Downstream.SHARED,
@@ -142,7 +142,7 @@
     assert desk.controller.limit.started_count == most
 
 
-def test_one_long_run_of_known_cost_does_not_make_health_bad():
+def test_one_long_run_with_cost_hint_keeps_health_good():
     desk = Desk(profile(latency_objective=30_000, deadline=60_000)).warm(took=100)
     desk.controller.times.by_class[desk.profiles[0]].mean = 1.0
     desk.at(12_000, desk.read(12_000, cost_hint=4000 * MS))
@@ -151,7 +151,7 @@
     assert SetHealth(False) not in desk.announcements
 
 
-def test_calls_that_cannot_be_left_out_go_first():
+def test_calls_that_cannot_be_skipped_go_first():
     desk = Desk(
         profile(weight_without_call=0.5),
         profile(latency_objective=2000),
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize(("left", "action"), [(250, "CallDownstream"), (150, "SkipCall")])
-def test_a_call_that_may_be_left_out_is_made_where_it_fits_though_times_scatter(left, action):
+def test_skippable_call_is_made_only_if_it_fits_with_margin(left, action):
     """Guards against calls that run out of time: they hold up the others and are left out all the same."""
     desk = Desk(profile(weight_without_call=0.3), downstream=Downstream.SHARED, downstream_quota=4.0)
     first, request = desk.read(0), desk.read(0)
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize(("skip", "action"), [(0.3, "SkipCall"), (0.0, "Fail")])
-def test_a_call_that_cannot_fit_is_left_out_or_ends_it_at_once(skip, action):
+def test_call_that_cannot_fit_is_skipped_or_fails_request(skip, action):
     desk = Desk(profile(weight_without_call=skip), downstream=Downstream.SHARED, downstream_quota=1.0)
     first, second = desk.read(0), desk.read(0)
     desk.at(0, first, second).at(10, (first, CallNeeded())).at(
@@ -197,14 +197,14 @@
 @pytest.mark.parametrize(
     ("halt", "queued", "stopped"), [("drop", 1, True), ("drop", 0, False), ("off", 1, False)]
 )
-def test_a_run_past_its_latency_deadline_gives_way_only_to_others(halt, queued, stopped):
+def test_late_run_is_stopped_only_if_others_wait(halt, queued, stopped):
     desk = Desk(cores=1, preemption=Preemption(halt))
     request = desk.read(0)
     desk.at(0, request).at(1050, *[desk.read(1050) for _ in range(queued)])
     assert ("StopRun" in desk.action_names(request)) is stopped
 
 
-def test_health_turns_bad_when_runs_begin_and_none_ends_and_good_again():
+def test_health_turns_bad_while_no_run_ends_and_recovers():
     desk = Desk(cores=2).warm()
     desk.at(12_000, desk.read(12_000, wait=9000), desk.read(12_000, wait=9000))
     for ms in range(12_050, 14_000, 50):
@@ -217,19 +217,19 @@
     assert desk.controller.health.is_healthy
 
 
-def test_first_short_runs_do_not_make_health_bad():
+def test_long_run_after_first_short_run_keeps_health_good():
     desk = Desk(cores=2)
     short, long = desk.read(0), desk.read(0)
     desk.at(0, short, long).at(10, (short, SERVED), cpu=1.0).at(1000, cpu=1.0)
     assert desk.controller.health.is_healthy
 
 
-def test_an_empty_app_server_tries_whatever_the_figures_say():
+def test_idle_app_server_starts_request_despite_estimates():
     desk = Desk().warm(took=1500, until=14_000)
     assert desk.at(14_000, request := desk.read(14_000)).action_names(request) == ["StartRun"]
 
 
-def test_a_stuck_app_server_asks_to_be_left_for_longest():
+def test_unhealthy_app_server_sends_longest_retry_after():
     desk = Desk(sends_retry_after=True, max_retry_after=900 * MS).warm()
     desk.at(12_000, desk.read(12_000, wait=9000), desk.read(12_000, wait=9000))
     for ms in range(12_050, 14_000, 50):
@@ -238,7 +238,7 @@
     assert desk.actions[-1][1].retry_after > 600 * MS
 
 
-def test_the_recent_time_of_calls_forgets_a_slow_spell():
+def test_recent_call_time_drops_slow_calls_after_window():
     desk = Desk(
         profile(latency_objective=9000, deadline=9000), downstream=Downstream.SHARED, downstream_quota=9.0
     )
@@ -251,7 +251,7 @@
 
 
 @pytest.mark.parametrize(("stretch", "action"), [(1.0, "StartRun"), (1.5, "Reject")])
-def test_a_free_core_tries_at_base_time_while_the_pace_is_usual(stretch, action):
+def test_free_core_accepts_at_low_run_time_without_slowdown(stretch, action):
     desk = Desk(cores=2).warm(until=9000)
     desk.controller.times.by_class[desk.profiles[0]].low = 200 * MS
     desk.controller.times.by_class[desk.profiles[0]].mean = 1200 * MS
@@ -262,7 +262,7 @@
 
 
 @pytest.mark.parametrize(("quota", "longer"), [(2.0, False), (0.0, True)])
-def test_only_a_caller_past_its_own_quota_is_asked_to_wait_for_the_delay(quota, longer):
+def test_retry_after_covers_delay_of_caller_but_not_of_tenant(quota, longer):
     tenant = Tenant(quota)
     desk = Desk(cores=1, tenants=[tenant], sends_retry_after=True, max_retry_after=1000 * MS).warm(
         until=12_000
@@ -278,7 +278,7 @@
 
 # a gap after the one call; the rate that follows 300 ms
 @pytest.mark.parametrize(("share", "took", "early", "due"), [(0.5, 1000, 1900, 2000), (3.0, 300, 1030, 1060)])
-def test_calls_are_paced_by_their_recent_time(share, took, early, due):
+def test_calls_are_paced_by_recent_call_time(share, took, early, due):
     desk = Desk(
         profile(latency_objective=9000, deadline=9000),
         cores=4,
@@ -296,7 +296,7 @@
 
 
 @pytest.mark.parametrize(("call_time", "allowed"), [(100, 9.0), (200, 4.5), (9000, 9.0 * 0.33)])
-def test_fewer_calls_in_hand_as_they_slow_but_never_none(call_time, allowed):
+def test_fewer_calls_in_flight_as_calls_slow_down_to_minimum(call_time, allowed):
     desk = Desk(downstream=Downstream.SHARED, downstream_quota=9.0)
     desk.controller.downstream.call_times.low, desk.controller.downstream.recent_time = (
         100.0,
@@ -305,7 +305,7 @@
     assert desk.controller.downstream.concurrency(desk.now) == pytest.approx(allowed)
 
 
-def test_a_refused_call_counts_as_a_slow_one():
+def test_rejected_call_counts_as_slow():
     desk = Desk(downstream=Downstream.SHARED)
     desk.controller.downstream.recent_time = 100.0 * MS
     request = desk.read(0)
@@ -313,7 +313,7 @@
     assert desk.controller.downstream.call_times.mean >= 200 * MS
 
 
-def test_a_light_tenant_is_not_held_to_less_than_an_even_share():
+def test_tenant_quota_is_at_least_even_share_of_throughput():
     light = Tenant(quota=0.1)
     desk = Desk(cores=1, tenants=[light]).warm(until=9000)
     desk.controller.queue.is_saturated = True
@@ -327,7 +327,7 @@
 
 
 @pytest.mark.parametrize(("asked", "again"), [(5, False), (50, True)])
-def test_who_asked_most_pays_in_the_queue_and_first_tries_last(asked, again):
+def test_drops_tenant_with_most_usage_first_and_retries_before_first_attempts(asked, again):
     light, heavy = Tenant(1.0), Tenant(1.0)
     desk = Desk(cores=1, tenants=[light, heavy]).warm()
     desk.controller.quotas.tenants[light].requested.add(12_000 * MS, asked)
@@ -344,7 +344,7 @@
     [(4, 400, 200), (4, 4, 2), (40, 20, 2)],
     ids=["a hundred each", "one each", "less than one each"],
 )
-def test_a_derived_quota_is_twice_an_even_share_of_at_least_one_transaction(callers, served, bound):
+def test_derived_quota_is_twice_even_share_of_at_least_one_request(callers, served, bound):
     desk = Desk(cores=1)
     for caller in range(callers):
         desk.controller.quotas.meter(desk.read(0, caller=caller), desk.now)
@@ -354,7 +354,7 @@
     assert in_a_window == pytest.approx(bound * 1000)
 
 
-def test_chance_alone_does_not_make_a_light_tenant_pay():
+def test_random_excess_does_not_drop_light_tenant_first():
     """Both have asked for 1.2 times their quota: twenty for the one, two hundred for the other."""
     light, heavy = Tenant(2.0), Tenant(20.0)
     desk = Desk(cores=1, tenants=[light, heavy])
@@ -379,19 +379,19 @@
 
 
 @pytest.mark.parametrize(("error", "low", "high"), [(1, 3.9, 4.1), (2, 1.5, 3.0)], ids=["exact", "rough"])
-def test_a_cost_told_four_times_as_large_counts_for_less_where_hints_are_rough(error, low, high):
+def test_imprecise_cost_hints_have_less_effect_on_estimate(error, low, high):
     desk = Desk(cores=1)
     at = told_and_took(desk, error)
     small, large = (desk.read(at, cost_hint=cost * MS) for cost in (200, 800))
     assert low < desk.controller.times.typical(large) / desk.controller.times.typical(small) < high
 
 
-def test_without_a_told_cost_all_of_a_class_take_the_usual_time():
+def test_estimate_without_cost_hint_is_mean_of_class():
     desk = Desk(cores=1).warm(took=300)
     assert desk.controller.times.typical(desk.read(12_000)) == desk.controller.times.overall.mean
 
 
-def test_a_further_try_is_as_old_as_rejections_here_have_been():
+def test_retry_counts_as_old_as_mean_rejected_request():
     desk = Desk(cores=2).warm()
     desk.controller.rejection_stats.ages.add(12_000 * MS, 900 * MS)
     desk.controller.rejection_stats.count.add(12_000 * MS, 1)
@@ -401,7 +401,7 @@
     assert desk.action_names(again) == ["Reject"]
 
 
-def test_what_waited_unread_has_waited_and_the_advice_covers_it():
+def test_read_delay_counts_as_waiting_and_raises_retry_after():
     desk = Desk(cores=1, sends_retry_after=True, max_retry_after=5000 * MS).warm()
     request = desk.read(12_000)
     desk.at(12_990, request, desk.read(12_000), cpu=1.0)
@@ -429,9 +429,7 @@
         (0, 50, 0, Idempotency.IDEMPOTENT, []),
     ],
 )
-def test_what_can_not_be_kept_is_rejected_and_the_last_room_is_for_those_within_their_quota(
-    left, past, others, kind, action
-):
+def test_scarce_result_store_room_is_reserved_for_tenants_within_quota(left, past, others, kind, action):
     tenant, other, advice = Tenant(quota=2.0), Tenant(quota=2.0), 700 * MS
     desk = Desk(
         profile(kind, key_retention=5_000 * MS),
@@ -453,7 +451,7 @@
         assert desk.controller.quotas.tenants[tenant].admitted.total(0) == before
 
 
-def test_the_metrics_say_how_the_app_server_is():
+def test_metrics_report_controller_figures():
     desk = Desk(cores=1, starts_cold=True, downstream=Downstream.SHARED)
     before = desk.driver.metrics()
     assert (before.mean_service_time, before.calls_in_flight, before.plan_weight) == (0.0, 0, 0.0)
@@ -469,7 +467,7 @@
     assert after.calls_in_flight == 1
 
 
-def test_the_limit_rises_by_a_quarter_and_at_least_by_one():
+def test_limit_rises_by_a_quarter():
     desk = Desk(profile(latency_objective=30_000, deadline=60_000), cores=8, overload_multiple=8.0)
     desk.at(0, *[desk.read(0) for _ in range(20)], cpu=0.5)
     for ms in range(50, 1_601, 50):
@@ -478,7 +476,7 @@
 
 
 @pytest.mark.parametrize(("took", "limit"), [(500, 10.0), (700, 9.0)], ids=["under twice", "over twice"])
-def test_the_limit_is_cut_to_nine_tenths_once_the_median_run_is_over_twice_its_low(took, limit):
+def test_limit_falls_to_nine_tenths_if_median_run_exceeds_twice_low_quantile(took, limit):
     desk = Desk(profile(latency_objective=8_000, deadline=9_000)).warm(took=300, until=30_000)
     desk.controller.limit.limit = 10.0
     desk.controller.settings.overload_multiple = 20.0
@@ -488,7 +486,7 @@
     assert desk.controller.limit.limit == limit
 
 
-def test_a_call_has_a_millisecond_however_little_the_share_leaves():
+def test_call_timeout_is_at_least_one_millisecond():
     desk = Desk(downstream=Downstream.SHARED, downstream_quota=0.1, abandoned_call_linger=200 * MS)
     request = desk.read(0)
     desk.at(0, request).at(10, (request, CallNeeded()))
--- a/tests/test_plan_override.py
+++ b/tests/test_plan_override.py
@@ -35,14 +35,14 @@
     [((2, 1), 90, True), ((1, 5), 90, False), ((2, 0), 90, False), ((2, 1), 60, False), ((3, 0), 1, True)],
     ids=["told on", "older epoch", "older number", "doubled", "newer epoch, even one that ends sooner"],
 )
-def test_an_older_plan_changes_nothing(age, until, taken):
+def test_outdated_plan_is_ignored(age, until, taken):
     desk = wide()
     assert desk.driver.apply_plan(plan(2, 1, 60_000))
     assert desk.driver.apply_plan(plan(*age, until=until * 1000)) is taken
     assert (desk.controller.plan.plan.term, desk.controller.plan.plan.number) == (age if taken else (2, 1))
 
 
-def test_a_plan_that_runs_out_leaves_todays_quota_step_by_step():
+def test_quota_returns_linearly_to_usual_after_plan_expires():
     tenant = Tenant(10.0)
     desk = wide(tenants=[tenant])
     meter = desk.controller.quotas.tenants[tenant]
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("order", list(permutations((SheddingTier.RETRY, SheddingTier.EVACUATED)))[:2])
-def test_the_shedding_order_is_the_operators(order):
+def test_requests_are_dropped_in_shedding_order_of_plan(order):
     desk = wide(profile(latency_objective=2500, deadline=8000))
     full_queue(desk, 13_000, (*order, SheddingTier.LOCAL))
     ask = {
@@ -88,7 +88,7 @@
     assert gone == list(order)
 
 
-def test_of_two_evacuated_requests_the_one_of_less_weight_for_its_time_goes():
+def test_drops_evacuated_request_with_less_weight_per_service_time():
     dear, cheap = (
         profile(latency_objective=2500, deadline=8000, priority_weight=4.0),
         profile(latency_objective=2500, deadline=8000, priority_weight=1.0),
@@ -104,7 +104,7 @@
     assert "Reject" not in desk.action_names(first)
 
 
-def test_a_repeat_of_a_keyed_one_that_has_run_is_never_rejected():
+def test_repeat_of_keyed_request_that_has_run_is_never_rejected():
     desk = wide(profile(Idempotency.KEYED, latency_objective=2000, deadline=8000, key_retention=20_000 * MS))
     running = full_queue(desk, 13_000, tuple(SheddingTier), is_capacity_short=True)
     repeats = [desk.read(13_000 + n, caller=7, is_retry=True, original=running) for n in range(8)]
@@ -112,7 +112,7 @@
     assert all(desk.action_names(request) == ["AttachToOriginal"] for request in repeats)
 
 
-def test_one_let_back_in_uses_so_many_of_its_cores_and_more_as_the_plan_fades():
+def test_serving_fraction_bounds_cores_and_rises_as_plan_fades():
     desk = Desk(profile(latency_objective=9000, deadline=20_000), cores=8)
     desk.driver.apply_plan(plan(until=5_000, fade=8_000, serving_fraction=0.25))
     desk.at(100, cpu=0.1)
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("short", [True, False])
-def test_where_no_app_server_has_room_a_rejection_asks_not_to_try_elsewhere(short):
+def test_rejection_asks_to_stop_retrying_if_capacity_is_short(short):
     desk = wide(memory_limit=1000, sends_retry_after=True, max_retry_after=SECOND)
     desk.driver.apply_plan(plan(is_capacity_short=short))
     request = desk.read(1000, size=2000)
@@ -132,7 +132,7 @@
     assert [action.stop_retrying for who, action in desk.actions if who is request] == [short]
 
 
-def test_a_share_of_the_calls_told_anew_binds_at_once():
+def test_new_downstream_quota_applies_at_once():
     desk = Desk(
         profile(latency_objective=9000, deadline=20_000),
         cores=4,
@@ -150,7 +150,7 @@
     desk.at(700, (some[0], SERVED))
 
 
-def test_evacuated_callers_have_a_quota_of_their_own_from_the_start_and_are_told_when_to_come_back():
+def test_evacuated_callers_share_own_quota_at_once_and_get_retry_after():
     tenant = Tenant(100.0)
     desk = wide(
         profile(latency_objective=6000, deadline=8000),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -31,7 +31,7 @@
         (Preemption.DROP, Idempotency.NON_IDEMPOTENT, ["StartRun", "Fail"]),
     ],
 )
-def test_a_run_is_failed_at_its_deadline(halt, kind, end):
+def test_run_fails_at_its_deadline(halt, kind, end):
     desk = Desk(profile(kind), preemption=halt)
     request = desk.read(0)
     desk.at(0, request).at(3900)
@@ -51,7 +51,7 @@
         ("gone", ["StoreKey", "StartRun"]),
     ],
 )
-def test_a_repeat_shares_what_has_run(fate, repeat):
+def test_repeat_attaches_to_original_that_may_have_run(fate, repeat):
     desk = Desk(KEYED, cores=1)
     busy = desk.read(0)
     first = desk.read(0, wait=600)
@@ -70,14 +70,14 @@
     assert desk.action_names(again) == repeat
 
 
-def test_two_tries_in_one_batch_run_once():
+def test_repeat_in_same_batch_does_not_run():
     desk = Desk(KEYED)
     first = desk.read(0)
     desk.at(0, first, desk.read(0, original=first))
     assert [type(action).__name__ for _, action in desk.actions].count("StartRun") == 1
 
 
-def test_a_repeat_is_failed_and_not_rejected_at_its_deadline():
+def test_repeat_fails_and_is_not_rejected_at_its_deadline():
     desk = Desk(KEYED)
     first = desk.read(0)
     again = desk.read(10, wait=500, original=first)
@@ -85,7 +85,7 @@
     assert desk.action_names(again) == ["AttachToOriginal", "Fail"]
 
 
-def test_a_key_is_kept_for_its_whole_window_and_its_memory_counted():
+def test_key_is_stored_for_its_retention_and_its_memory_counted():
     desk = Desk(KEYED, memory_limit=10_000, idempotency_key_size=5_000)
     request, more = desk.read(0), desk.read(50)
     desk.at(0, request).at(20, (request, SERVED)).at(50, more)
@@ -112,7 +112,7 @@
     assert desk.controller.memory.used == size * count
 
 
-def test_a_run_that_does_not_fit_in_memory_waits():
+def test_run_that_does_not_fit_in_memory_waits():
     desk = Desk(memory_limit=1000, running_memory_factor=10.0, cores=4)
     desk.at(0, *[desk.read(0, size=50) for _ in range(3)])
     assert len(desk.controller.limit.running) == 1
@@ -120,14 +120,14 @@
 
 
 @pytest.mark.parametrize(("reached", "action"), [(900, "StartRun"), (2900, "StartRun"), (3100, "Reject")])
-def test_nothing_runs_that_arrived_after_the_grace(reached, action):
+def test_rejects_request_that_arrived_after_drain_grace(reached, action):
     desk = Desk(drain_grace=2000 * MS).at(1000, leave=10_000)
     request = desk.read(reached)
     desk.at(reached + 50, request)
     assert desk.action_names(request) == [action]
 
 
-def test_all_is_answered_before_the_end_and_health_turns_bad():
+def test_drain_answers_all_requests_and_turns_health_bad():
     desk = Desk(cores=1, drain_grace=2000 * MS)
     running, queued = desk.read(0), desk.read(0)
     desk.at(0, running, queued).at(10, leave=800).at(750)
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize(("share", "most"), [(0.5, 1), (1.0, 1), (3.2, 3)])
-def test_calls_in_hand_stay_within_the_share_abandoned_ones_too(share, most):
+def test_calls_in_flight_and_lingering_stay_within_quota(share, most):
     desk = Desk(cores=8, downstream=Downstream.SHARED, downstream_quota=share, abandoned_call_linger=200 * MS)
     requests = [desk.read(0) for _ in range(8)]
     desk.at(0, *requests).at(10, *[(request, CallNeeded()) for request in requests])
@@ -151,7 +151,7 @@
     assert sum(desk.action_names(request).count("CallDownstream") for request in requests) > most
 
 
-def test_one_call_alone_does_not_fill_the_span_of_a_share_under_one():
+def test_single_call_does_not_use_up_window_of_quota_below_one():
     desk = Desk(
         downstream=Downstream.SHARED,
         downstream_quota=0.5,
@@ -189,14 +189,14 @@
         (Idempotency.IDEMPOTENT, Outcome.TIMED_OUT, 0.3, ["StartRun", "CallDownstream", "SkipCall"]),
     ],
 )
-def test_a_call_is_repeated_only_if_it_never_ran_or_does_no_harm(kind, outcome, skip, action_names):
+def test_call_is_retried_only_if_it_never_ran_or_is_idempotent(kind, outcome, skip, action_names):
     desk = Desk(profile(kind, key_retention=5000 * MS, weight_without_call=skip), downstream=Downstream.TIER)
     request = desk.read(0)
     desk.at(0, request).at(10, (request, CallNeeded())).at(30, (request, CallEnded(outcome, 20 * MS))).at(80)
     assert [action for action in desk.action_names(request) if action != "StoreKey"] == action_names
 
 
-def test_crowd_on_the_cores_stays_under_the_survivable_and_lower_when_cold():
+def test_overload_threshold_is_lower_during_cold_start():
     cold = Desk(
         cores=2, starts_cold=True, cold_start_speed=0.2, warm_up_span=10_000 * MS, overload_multiple=8.0
     )
@@ -205,7 +205,7 @@
     assert cold.controller.limit.overload_threshold(cold.now) == pytest.approx(16)
 
 
-def test_late_events_are_harmless():
+def test_events_after_end_of_request_have_no_effect():
     desk = Desk()
     request = desk.read(0)
     desk.at(0, request).at(10, (request, SERVED))
@@ -219,7 +219,7 @@
     assert desk.controller.memory.used == 0
 
 
-def test_a_rejection_says_when_to_come_back_within_what_is_heeded():
+def test_rejection_has_retry_after_within_maximum():
     desk = Desk(cores=1, sends_retry_after=True, max_retry_after=300 * MS).warm()
     queue = [desk.read(12_000) for _ in range(9)]
     desk.at(12_000, *queue)
@@ -239,7 +239,7 @@
         {"fleet_size": 1000, "preemption": Preemption.DROP},
     ],
 )
-def test_extreme_settings_answer_everything_once(site):
+def test_every_request_is_answered_once_with_extreme_settings(site):
     desk = Desk(profile(), KEYED, profile(Idempotency.NON_IDEMPOTENT), **site)
     requests = [desk.read(ms, ms % 3, caller=ms % 7) for ms in range(0, 500, 10)]
     for request in requests:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -76,7 +76,7 @@
         ("seed", "zz", "seed is not hexadecimal"),
     ],
 )
-def test_a_value_that_could_break_a_rule_ends_the_start_and_is_named(path, value, named):
+def test_unsafe_value_is_rejected_with_its_name(path, value, named):
     with pytest.raises(InvalidInputError) as trouble:
         site_of(changed(path, value), {})
     assert named in str(trouble.value)
@@ -160,11 +160,11 @@
         ("settings.new_key", {"deep": [{"er": 1}]}, lambda d: d.cores == 2),  # further keys are ignored
     ],
 )
-def test_what_is_absent_or_harmless_errs_on_the_safe_side(path, value, read):
+def test_absent_or_harmless_value_gets_safe_default(path, value, read):
     assert read(site_of(changed(path, value), {}).deployment)
 
 
-def test_a_setting_on_the_simulators_wire_is_held_to_the_same():
+def test_unsafe_value_on_simulator_wire_is_rejected():
     pairs = [*flatten(TOLD["settings"]), ("family_info.downstream", "sideways")]
     with pytest.raises(InvalidInputError):
         read_admission_settings(1, SettingsReader(pairs))
@@ -181,7 +181,7 @@
 }
 
 
-def test_a_long_tenant_and_a_caller_that_does_not_say_how_long_it_waits_are_read():
+def test_reads_long_tenant_name_and_absent_timeout():
     told = read_told("lookup", [FIELDS, b""])
     assert told.tenant == "o" * 100
     assert told.wait == 50
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -44,7 +44,7 @@
         ("news\twithout\tmeaning", []),
     ],
 )
-def test_events(line, said):
+def test_events_get_expected_replies(line, said):
     replies, errors = play([HELLO], [line])
     assert replies[1][1:] == said
     assert not errors
@@ -64,14 +64,14 @@
         (["wakeup\ttick\t-"], "an event for an app server that has not started"),
     ],
 )
-def test_bad_input_is_one_plain_message_and_a_declared_fault(lines, named):
+def test_bad_input_gives_one_error_line_and_crash_reply(lines, named):
     replies, errors = play(lines)
     assert any(line.startswith("crash\t") and named in line for line in replies[0])
     assert named in errors
     assert errors.count("\n") == 1
 
 
-def test_a_restart_in_one_batch_forgets_the_life_before():
+def test_restart_in_one_batch_drops_earlier_requests():
     replies, errors = play(
         [HELLO, "call\t5\t0\t0\t-\t-"], ["crash_now", HELLO, "completed\t5\tcompleted\t0.1"]
     )
@@ -79,7 +79,7 @@
     assert "mark_health\t1\t1" in replies[1]
 
 
-def test_the_stream_ends_with_an_acknowledged_batch():
+def test_last_batch_of_stream_is_acknowledged():
     sink = io.BytesIO()
     assert serve(io.BytesIO(b"sync\t8.41225\ngo\n"), sink, io.StringIO()) == 0
     assert sink.getvalue() == b"ack\n"
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize(
     ("seconds", "early", "late"), [(0.00015, 1, 2), (8.65225, 86522, 86523), (0.3, 3000, 3000)]
 )
-def test_conversion_errs_on_the_safe_side(seconds, early, late):
+def test_seconds_are_rounded_down_and_up(seconds, early, late):
     assert (round_early(seconds), round_late(seconds)) == (early, late)
 
 
@@ -107,5 +107,5 @@
     ],
     ids=lambda value: value.name if hasattr(value, "name") else "",
 )
-def test_log_events_keep_the_wording_that_operators_read(event, text):
+def test_log_event_text_is_unchanged(event, text):
     assert encode_server_action(event) == f"record\t{text}"
--- a/tests/test_simulator_wire_record.py
+++ b/tests/test_simulator_wire_record.py
@@ -17,7 +17,7 @@
     return (RECORDED / f"simulator_session.{suffix}").read_bytes()
 
 
-def test_the_replies_of_a_recorded_session_are_the_same_to_the_byte():
+def test_replies_to_recorded_session_are_byte_identical():
     sink, errors = io.BytesIO(), io.StringIO()
     assert serve(io.BytesIO(read("in")), sink, errors) == 0
     replies, recorded = sink.getvalue().split(b"ack\n"), read("out").split(b"ack\n")
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -20,14 +20,14 @@
         ([43], 4.25, 1177),  # a told quota in requests; rounded up
     ],
 )
-def test_delay(amounts, quota, delay):
+def test_delay_brings_rate_back_to_quota(amounts, quota, delay):
     meter = QuotaMeter()
     for second, amount in enumerate(amounts):
         meter.admitted.add(second * SECOND, amount)
     assert meter.delay((len(amounts) - 1) * SECOND, quota) == delay
 
 
-def test_the_times_of_a_fast_server_are_a_sample_of_each_second():
+def test_quantile_window_keeps_limited_samples_per_second():
     times = QuantileWindow()
     for place in range(20 * QUANTILE_SAMPLES_PER_BUCKET):
         times.add(place * SECOND // (10 * QUANTILE_SAMPLES_PER_BUCKET), place % 10)
