--- a/tests/test_decision_modules.py
+++ b/tests/test_decision_modules.py
@@ -1,4 +1,4 @@
-"""The decisions are pure: no I/O, no clock, no import circles, and all are listed in the deploy file."""
+"""Decision modules do no I/O, read no clock, have no import cycles and are listed in the deploy file."""
 
 import ast
 import tomllib
@@ -10,13 +10,14 @@
 
 ADMISSION = ROOT / "birchslip" / "admission"
 PURE_LIBRARY = {"__future__", "bisect", "collections", "dataclasses", "enum", "heapq", "math", "typing"}
-NOT_DECISIONS = {"__init__", "driver", "log_events", "settings", "types", "units"}  # types and edges
+# Modules that only hold types or connect the decisions to the server.
+NOT_DECISIONS = {"__init__", "driver", "log_events", "settings", "types", "units"}
 MODULES = {path.stem: path for path in sorted(ADMISSION.glob("*.py"))}
 DECISIONS = sorted(MODULES.keys() - NOT_DECISIONS)
 
 
 def imports(name):
-    """The imported modules of the package, and the others, wherever in the file they are imported."""
+    """Return the modules of the package that a module imports anywhere, and the other modules it imports."""
     inner, outer = set(), set()
     for node in ast.walk(ast.parse(MODULES[name].read_text())):
         if isinstance(node, ast.Import):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Quotas, the queue, the concurrency limit, calls downstream and health."""
+"""Decisions of the controller: quotas, the queue, the concurrency limit, calls downstream and health."""
 
 import pytest
 
@@ -22,35 +22,35 @@
 
 def test_queued_requests_start_by_latency_deadline():
     desk = Desk(profile(latency_objective=3000), profile(latency_objective=1000), cores=1)
-    busy, late, soon = desk.read(0), desk.read(0), desk.read(0, 1)
-    desk.at(0, busy, late, soon).at(100, (busy, SERVED))
-    assert desk.action_names(soon) == ["StartRun"]
-    assert desk.action_names(late) == []
+    running, later, sooner = desk.read(0), desk.read(0), desk.read(0, 1)
+    desk.at(0, running, later, sooner).at(100, (running, SERVED))
+    assert desk.action_names(sooner) == ["StartRun"]
+    assert desk.action_names(later) == []
 
 
-# the window is over; too early; too early, but told; room
+# measured for a whole window; too early; too early, but configured; cores not busy
 @pytest.mark.parametrize(
-    ("ran", "cpu", "quota", "binds"),
+    ("now_ms", "cpu", "quota", "binds"),
     [(12_000, 1, 0, True), (3_000, 1, 0, False), (3_000, 1, 1.0, True), (12_000, 0.5, 1.0, False)],
 )
-def test_quota_binds_only_if_known_and_saturated(ran, cpu, quota, binds):
+def test_quota_binds_only_if_known_and_saturated(now_ms, cpu, quota, binds):
     tenant = Tenant(quota)
-    desk = Desk(cores=1, tenants=[tenant]).warm(until=ran, cpu=cpu)
-    desk.at(ran, desk.read(ran), desk.read(ran)).at(ran + 350, cpu=cpu)
-    request = desk.read(ran + 350, tenant=tenant)
+    desk = Desk(cores=1, tenants=[tenant]).warm(until=now_ms, cpu=cpu)
+    desk.at(now_ms, desk.read(now_ms), desk.read(now_ms)).at(now_ms + 350, cpu=cpu)
+    request = desk.read(now_ms + 350, tenant=tenant)
     desk.controller.quotas.meter(request, desk.now).admitted.add(desk.now, 1_000_000_000)
     assert (desk.controller.quotas.count(request, desk.now, desk.controller.queue.is_saturated) > 0) is binds
 
 
-@pytest.mark.parametrize(("over", "action"), [(50, ["Reject"]), (0, [])])
-def test_configured_quota_affects_only_its_tenant(over, action):
+@pytest.mark.parametrize(("excess", "actions"), [(50, ["Reject"]), (0, [])])
+def test_configured_quota_affects_only_its_tenant(excess, actions):
     heavy, light = Tenant(quota=2.0), Tenant(quota=2.0)
     desk = Desk(cores=1, tenants=[heavy, light], sends_retry_after=True, max_retry_after=1000 * MS)
     desk.controller.queue.is_saturated = True
-    desk.controller.quotas.tenants[heavy].admitted.add(0, 20 + over)
+    desk.controller.quotas.tenants[heavy].admitted.add(0, 20 + excess)
     request, other = desk.read(0, tenant=heavy), desk.read(0, tenant=light)
     desk.at(0, desk.read(0), request, other)
-    assert desk.action_names(request) == action
+    assert desk.action_names(request) == actions
     assert desk.action_names(other) == []
 
 
@@ -81,14 +81,14 @@
 
 
 @pytest.mark.parametrize(
-    ("busy", "left", "action_names"),
+    ("busy", "time_left", "action_names"),
     [
         (True, 800, []),
-        (True, 600, ["Reject"]),  # room for two of the mean of 260 ms, not for one and a slow one
-        (False, 400, ["StartRun"]),  # on empty cores it is tried
+        (True, 600, ["Reject"]),  # enough for two mean runs of 260 ms, but not for one and a slow one
+        (False, 400, ["StartRun"]),  # an idle app server accepts it
     ],
 )
-def test_request_behind_others_needs_high_quantile_of_run_time_left(busy, left, action_names):
+def test_request_behind_others_needs_high_quantile_of_run_time_left(busy, time_left, action_names):
     desk = Desk(profile(latency_objective=5000, deadline=5000), cores=1)
     for took in (100, 100, 100, 500, 500):
         request = desk.read(desk.now // MS)
@@ -96,26 +96,26 @@
     now = desk.now // MS
     if busy:
         desk.at(now, desk.read(now))
-    request = desk.read(now + 10, wait=left)
+    request = desk.read(now + 10, wait=time_left)
     desk.at(now + 10, request)
     assert desk.action_names(request) == action_names
 
 
 def test_queue_is_swept_at_most_once_per_sweep_interval():
     desk = Desk(cores=1).warm()
-    looks = []
+    sweeps = []
     sweep = desk.controller.queue.sweep
-    desk.controller.queue.sweep = lambda now: looks.append(now) or sweep(now)
+    desk.controller.queue.sweep = lambda now: sweeps.append(now) or sweep(now)
     for ms in range(12_010, 12_030):
         desk.at(ms, desk.read(ms))
-    assert len(looks) == 5
+    assert len(sweeps) == 5
 
 
-@pytest.mark.parametrize(("held_for", "cpu", "limit"), [(1400, 0.5, 2), (1600, 0.5, 3), (1600, 0.95, 2)])
-def test_limit_rises_only_after_full_for_gauge_delay_with_free_cores(held_for, cpu, limit):
+@pytest.mark.parametrize(("full_for", "cpu", "limit"), [(1400, 0.5, 2), (1600, 0.5, 3), (1600, 0.95, 2)])
+def test_limit_rises_only_after_full_for_gauge_delay_with_free_cores(full_for, cpu, limit):
     desk = Desk(profile(latency_objective=30_000, deadline=60_000))
     desk.at(0, *[desk.read(0) for _ in range(5)], cpu=cpu)
-    for ms in range(50, held_for + 1, 50):
+    for ms in range(50, full_for + 1, 50):
         desk.at(ms, cpu=cpu)
     assert int(desk.controller.limit.limit) == limit
 
@@ -129,17 +129,17 @@
     assert desk.controller.limit.limit == 2.0
 
 
-@pytest.mark.parametrize(("cpu", "crowd", "most"), [(1.0, 8.0, 3), (1.0, 1.5, 2), (0.5, 8.0, 10)])
-def test_number_of_started_requests_is_bounded(cpu, crowd, most):
+@pytest.mark.parametrize(("cpu", "multiple", "started"), [(1.0, 8.0, 3), (1.0, 1.5, 2), (0.5, 8.0, 10)])
+def test_number_of_started_requests_is_bounded(cpu, multiple, started):
     desk = Desk(
         profile(latency_objective=20_000, deadline=30_000),
         downstream=Downstream.SHARED,
-        overload_multiple=crowd,
+        overload_multiple=multiple,
     ).warm(cpu=cpu)
     for ms in range(12_000, 12_500, 10):
         request = desk.read(ms)
         desk.at(ms, request).at(ms + 5, (request, CallNeeded()))
-    assert desk.controller.limit.started_count == most
+    assert desk.controller.limit.started_count == started
 
 
 def test_one_long_run_with_cost_hint_keeps_health_good():
@@ -158,47 +158,49 @@
         cores=3,
         downstream=Downstream.SHARED,
     )
-    some, more, most = desk.read(0), desk.read(0), desk.read(0, 1)
-    desk.at(0, some, more, most).at(10, *[(request, CallNeeded()) for request in (some, more, most)])
-    desk.at(60, (some, CallEnded(Outcome.SERVED))).at(160)
-    assert desk.action_names(more) == ["StartRun"]
-    assert desk.action_names(most) == [
+    calling, skippable, required = desk.read(0), desk.read(0), desk.read(0, 1)
+    desk.at(0, calling, skippable, required).at(
+        10, *[(request, CallNeeded()) for request in (calling, skippable, required)]
+    )
+    desk.at(60, (calling, CallEnded(Outcome.SERVED))).at(160)
+    assert desk.action_names(skippable) == ["StartRun"]
+    assert desk.action_names(required) == [
         "StartRun",
         "CallDownstream",
     ]
 
 
-@pytest.mark.parametrize(("left", "action"), [(250, "CallDownstream"), (150, "SkipCall")])
-def test_skippable_call_is_made_only_if_it_fits_with_margin(left, action):
-    """Guards against calls that run out of time: they hold up the others and are left out all the same."""
+@pytest.mark.parametrize(("time_left", "action"), [(250, "CallDownstream"), (150, "SkipCall")])
+def test_skippable_call_is_made_only_if_it_fits_with_margin(time_left, action):
+    """Guards against skippable calls that time out: they delay other calls and are skipped anyway."""
     desk = Desk(profile(weight_without_call=0.3), downstream=Downstream.SHARED, downstream_quota=4.0)
     first, request = desk.read(0), desk.read(0)
     desk.at(0, first, request).at(0, (first, CallNeeded())).at(
         100, (first, CallEnded(Outcome.SERVED)), cpu=0.1
     )
-    desk.at(1000 - left, (request, CallNeeded()), cpu=0.1)
+    desk.at(1000 - time_left, (request, CallNeeded()), cpu=0.1)
     assert desk.action_names(request)[-1] == action
 
 
-@pytest.mark.parametrize(("skip", "action"), [(0.3, "SkipCall"), (0.0, "Fail")])
-def test_call_that_cannot_fit_is_skipped_or_fails_request(skip, action):
-    desk = Desk(profile(weight_without_call=skip), downstream=Downstream.SHARED, downstream_quota=1.0)
-    first, second = desk.read(0), desk.read(0)
-    desk.at(0, first, second).at(10, (first, CallNeeded())).at(
-        700, (first, CallEnded(Outcome.SERVED)), cpu=0.5
+@pytest.mark.parametrize(("weight", "action"), [(0.3, "SkipCall"), (0.0, "Fail")])
+def test_call_that_cannot_fit_is_skipped_or_fails_request(weight, action):
+    desk = Desk(profile(weight_without_call=weight), downstream=Downstream.SHARED, downstream_quota=1.0)
+    calling, waiting = desk.read(0), desk.read(0)
+    desk.at(0, calling, waiting).at(10, (calling, CallNeeded())).at(
+        700, (calling, CallEnded(Outcome.SERVED)), cpu=0.5
     )
-    busy = desk.read(700)
-    desk.at(710, busy, (first, SERVED)).at(720, (busy, CallNeeded())).at(730, (second, CallNeeded())).at(
+    other = desk.read(700)
+    desk.at(710, other, (calling, SERVED)).at(720, (other, CallNeeded())).at(730, (waiting, CallNeeded())).at(
         1001, cpu=0.5
     )
-    assert desk.action_names(second)[-1] == action
+    assert desk.action_names(waiting)[-1] == action
 
 
 @pytest.mark.parametrize(
-    ("halt", "queued", "stopped"), [("drop", 1, True), ("drop", 0, False), ("off", 1, False)]
+    ("preemption", "queued", "stopped"), [("drop", 1, True), ("drop", 0, False), ("off", 1, False)]
 )
-def test_late_run_is_stopped_only_if_others_wait(halt, queued, stopped):
-    desk = Desk(cores=1, preemption=Preemption(halt))
+def test_late_run_is_stopped_only_if_others_wait(preemption, queued, stopped):
+    desk = Desk(cores=1, preemption=Preemption(preemption))
     request = desk.read(0)
     desk.at(0, request).at(1050, *[desk.read(1050) for _ in range(queued)])
     assert ("StopRun" in desk.action_names(request)) is stopped
@@ -250,19 +252,19 @@
     assert desk.controller.downstream.recent_time == 100 * MS
 
 
-@pytest.mark.parametrize(("stretch", "action"), [(1.0, "StartRun"), (1.5, "Reject")])
-def test_free_core_accepts_at_low_run_time_without_slowdown(stretch, action):
+@pytest.mark.parametrize(("slowdown", "action"), [(1.0, "StartRun"), (1.5, "Reject")])
+def test_free_core_accepts_at_low_run_time_without_slowdown(slowdown, action):
     desk = Desk(cores=2).warm(until=9000)
     desk.controller.times.by_class[desk.profiles[0]].low = 200 * MS
     desk.controller.times.by_class[desk.profiles[0]].mean = 1200 * MS
-    desk.controller.health.slowdown = stretch
+    desk.controller.health.slowdown = slowdown
     request = desk.read(9000)
     desk.at(9000, desk.read(9000, wait=9000), request)
     assert desk.action_names(request)[-1] == action
 
 
-@pytest.mark.parametrize(("quota", "longer"), [(2.0, False), (0.0, True)])
-def test_retry_after_covers_delay_of_caller_but_not_of_tenant(quota, longer):
+@pytest.mark.parametrize(("quota", "covers_delay"), [(2.0, False), (0.0, True)])
+def test_retry_after_covers_delay_of_caller_but_not_of_tenant(quota, covers_delay):
     tenant = Tenant(quota)
     desk = Desk(cores=1, tenants=[tenant], sends_retry_after=True, max_retry_after=1000 * MS).warm(
         until=12_000
@@ -273,24 +275,26 @@
     request = desk.read(12_500, tenant=tenant)
     desk.at(12_500, request)
     assert desk.action_names(request) == ["Reject"]
-    assert (desk.actions[-1][1].retry_after > 500 * MS) is longer
+    assert (desk.actions[-1][1].retry_after > 500 * MS) is covers_delay
 
 
-# a gap after the one call; the rate that follows 300 ms
-@pytest.mark.parametrize(("share", "took", "early", "due"), [(0.5, 1000, 1900, 2000), (3.0, 300, 1030, 1060)])
-def test_calls_are_paced_by_recent_call_time(share, took, early, due):
+# a quota below one call leaves a gap after each call; a quota of three calls of 300 ms each
+@pytest.mark.parametrize(
+    ("quota", "call_time", "early", "due"), [(0.5, 1000, 1900, 2000), (3.0, 300, 1030, 1060)]
+)
+def test_calls_are_paced_by_recent_call_time(quota, call_time, early, due):
     desk = Desk(
         profile(latency_objective=9000, deadline=9000),
         cores=4,
         downstream=Downstream.SHARED,
-        downstream_quota=share,
+        downstream_quota=quota,
     )
     first, second, third = (desk.read(0, wait=9000) for _ in range(3))
     desk.at(0, first, second, third).at(0, (first, CallNeeded()))
-    desk.at(took, (first, CallEnded(Outcome.SERVED)), cpu=0.1)
-    if share > 1:
+    desk.at(call_time, (first, CallEnded(Outcome.SERVED)), cpu=0.1)
+    if quota > 1:
         desk.at(1000, (second, CallNeeded()))
-    desk.at(max(took, 1000), (third, CallNeeded())).at(early)
+    desk.at(max(call_time, 1000), (third, CallNeeded())).at(early)
     assert desk.action_names(third) == ["StartRun"]
     assert desk.at(due).action_names(third) == ["StartRun", "CallDownstream"]
 
@@ -326,14 +330,14 @@
     )
 
 
-@pytest.mark.parametrize(("asked", "again"), [(5, False), (50, True)])
-def test_drops_tenant_with_most_usage_first_and_retries_before_first_attempts(asked, again):
+@pytest.mark.parametrize(("light_requested", "is_retry"), [(5, False), (50, True)])
+def test_drops_tenant_with_most_usage_first_and_retries_before_first_attempts(light_requested, is_retry):
     light, heavy = Tenant(1.0), Tenant(1.0)
     desk = Desk(cores=1, tenants=[light, heavy]).warm()
-    desk.controller.quotas.tenants[light].requested.add(12_000 * MS, asked)
+    desk.controller.quotas.tenants[light].requested.add(12_000 * MS, light_requested)
     desk.controller.quotas.tenants[heavy].requested.add(12_000 * MS, 50)
     first = desk.read(12_000, tenant=light)
-    others = [desk.read(12_000, tenant=heavy, is_retry=again) for _ in range(4)]
+    others = [desk.read(12_000, tenant=heavy, is_retry=is_retry) for _ in range(4)]
     desk.at(12_000, first, *others)
     assert "Reject" not in desk.action_names(first)
     assert any("Reject" in desk.action_names(request) for request in others)
@@ -350,39 +354,41 @@
         desk.controller.quotas.meter(desk.read(0, caller=caller), desk.now)
     desk.controller.quotas.served_bytes.add(0, served * 1000)
     desk.controller.quotas.served_count.add(0, served)
-    in_a_window = desk.controller.quotas.quota(desk.controller.quotas.callers[0], desk.now) * 10
-    assert in_a_window == pytest.approx(bound * 1000)
+    window_quota = desk.controller.quotas.quota(desk.controller.quotas.callers[0], desk.now) * 10
+    assert window_quota == pytest.approx(bound * 1000)
 
 
 def test_random_excess_does_not_drop_light_tenant_first():
-    """Both have asked for 1.2 times their quota: twenty for the one, two hundred for the other."""
+    """Both tenants requested 1.2 times their quotas of 20 and 200 requests per window."""
     light, heavy = Tenant(2.0), Tenant(20.0)
     desk = Desk(cores=1, tenants=[light, heavy])
     desk.controller.quotas.tenants[light].requested.add(0, 24)
     desk.controller.quotas.tenants[heavy].requested.add(0, 239)
-    ones = [desk.read(0, tenant=tenant) for tenant in (light, heavy)]
-    for request in ones:
+    requests = [desk.read(0, tenant=tenant) for tenant in (light, heavy)]
+    for request in requests:
         desk.controller.quotas.count(request, desk.now, desk.controller.queue.is_saturated)
-    assert max(ones, key=lambda request: desk.controller.queue.shed_order(request, desk.now)).tenant is heavy
+    assert (
+        max(requests, key=lambda request: desk.controller.queue.shed_order(request, desk.now)).tenant is heavy
+    )
 
 
-def told_and_took(desk, error):
-    """Runs whose told cost is off by a factor of up to `error`, either way, whatever they take."""
-    at = 0
+def run_with_hints(desk, error):
+    """Run requests whose cost hints are off by a factor of up to `error`; returns the time in ms."""
+    now_ms = 0
     for run in range(60):
         took = 200 * 4 ** (run % 2)
         cost = took * MS * error ** ((-1, 0, 1)[run % 3])
-        request = desk.read(at, cost_hint=int(cost))
-        desk.at(at, request).at(at + took, (request, SERVED))
-        at += took + 10
-    return at
+        request = desk.read(now_ms, cost_hint=int(cost))
+        desk.at(now_ms, request).at(now_ms + took, (request, SERVED))
+        now_ms += took + 10
+    return now_ms
 
 
-@pytest.mark.parametrize(("error", "low", "high"), [(1, 3.9, 4.1), (2, 1.5, 3.0)], ids=["exact", "rough"])
+@pytest.mark.parametrize(("error", "low", "high"), [(1, 3.9, 4.1), (2, 1.5, 3.0)], ids=["exact", "imprecise"])
 def test_imprecise_cost_hints_have_less_effect_on_estimate(error, low, high):
     desk = Desk(cores=1)
-    at = told_and_took(desk, error)
-    small, large = (desk.read(at, cost_hint=cost * MS) for cost in (200, 800))
+    now_ms = run_with_hints(desk, error)
+    small, large = (desk.read(now_ms, cost_hint=cost * MS) for cost in (200, 800))
     assert low < desk.controller.times.typical(large) / desk.controller.times.typical(small) < high
 
 
@@ -395,10 +401,10 @@
     desk = Desk(cores=2).warm()
     desk.controller.rejection_stats.ages.add(12_000 * MS, 900 * MS)
     desk.controller.rejection_stats.count.add(12_000 * MS, 1)
-    first, again = desk.read(12_000), desk.read(12_000, is_retry=True)
-    desk.at(12_000, first, again)
+    first, retry = desk.read(12_000), desk.read(12_000, is_retry=True)
+    desk.at(12_000, first, retry)
     assert desk.action_names(first) == ["StartRun"]
-    assert desk.action_names(again) == ["Reject"]
+    assert desk.action_names(retry) == ["Reject"]
 
 
 def test_read_delay_counts_as_waiting_and_raises_retry_after():
@@ -409,9 +415,9 @@
     assert min(action.retry_after for _, action in desk.actions if isinstance(action, Reject)) > 700 * MS
 
 
-# room for many; the last of it, within the quota and past it; none
+# much room; scarce room, within the quota and past it; no room
 @pytest.mark.parametrize(
-    ("left", "past", "others", "kind", "action"),
+    ("remaining", "excess", "others", "kind", "action"),
     [
         (21, 50, 0, Idempotency.KEYED, []),
         (20, -5, 0, Idempotency.KEYED, []),
@@ -423,14 +429,16 @@
             15,
             Idempotency.KEYED,
             ["Reject"],
-        ),  # within its quota, but it has had more of it than the other
+        ),  # within its quota, but it has used a larger part of it than the other tenant
         (21, -5, 1, Idempotency.KEYED, []),
         (0, -5, 0, Idempotency.KEYED, ["Reject"]),
         (0, 50, 0, Idempotency.IDEMPOTENT, []),
     ],
 )
-def test_scarce_result_store_room_is_reserved_for_tenants_within_quota(left, past, others, kind, action):
-    tenant, other, advice = Tenant(quota=2.0), Tenant(quota=2.0), 700 * MS
+def test_scarce_result_store_room_is_reserved_for_tenants_within_quota(
+    remaining, excess, others, kind, action
+):
+    tenant, other, retry_delay = Tenant(quota=2.0), Tenant(quota=2.0), 700 * MS
     desk = Desk(
         profile(kind, key_retention=5_000 * MS),
         cores=1,
@@ -438,16 +446,16 @@
         sends_retry_after=True,
         max_retry_after=10**6,
     )
-    desk.driver.limit_new_keys(left, 20, advice)
-    desk.controller.quotas.tenants[tenant].admitted.add(0, 20 + past)
+    desk.driver.limit_new_keys(remaining, 20, retry_delay)
+    desk.controller.quotas.tenants[tenant].admitted.add(0, 20 + excess)
     desk.controller.quotas.tenants[other].admitted.add(0, others)
     before = desk.controller.quotas.tenants[tenant].admitted.total(0)
     request = desk.read(0, tenant=tenant)
     desk.at(0, desk.read(0, tenant=Tenant()), request)
     assert desk.action_names(request)[:1] == (action or ["StoreKey"] if kind is Idempotency.KEYED else action)
     if action:
-        (rejected,) = [said for who, said in desk.actions if who is request]
-        assert rejected.retry_after >= advice * 3 // 4
+        (rejected,) = [answer for answered, answer in desk.actions if answered is request]
+        assert rejected.retry_after >= retry_delay * 3 // 4
         assert desk.controller.quotas.tenants[tenant].admitted.total(0) == before
 
 
--- a/tests/test_plan_override.py
+++ b/tests/test_plan_override.py
@@ -1,4 +1,4 @@
-"""A plan of the fleet in the controller: quotas in service, the shedding order, term and expiry."""
+"""Fleet plans in the controller: quotas, the shedding order, terms and expiry."""
 
 from itertools import permutations
 
@@ -17,11 +17,11 @@
 from .desk import MS, SERVED, Desk, profile
 
 
-def plan(epoch=1, number=1, until=60_000, fade=10_000, **more):
-    return PlanOverride(epoch, number, until * MS, fade * MS, **more)
+def plan(term=1, number=1, until=60_000, fade=10_000, **more):
+    return PlanOverride(term, number, until * MS, fade * MS, **more)
 
 
-def wide(*profiles, tenants=(), **more):
+def single_core_desk(*profiles, tenants=(), **more):
     return Desk(
         *(profiles or (profile(latency_objective=2000, deadline=8000),)),
         tenants=list(tenants),
@@ -31,36 +31,38 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "until", "taken"),
+    ("version", "until", "is_applied"),
     [((2, 1), 90, True), ((1, 5), 90, False), ((2, 0), 90, False), ((2, 1), 60, False), ((3, 0), 1, True)],
-    ids=["told on", "older epoch", "older number", "doubled", "newer epoch, even one that ends sooner"],
+    ids=["renewed", "older term", "older number", "duplicate", "newer term that ends sooner"],
 )
-def test_outdated_plan_is_ignored(age, until, taken):
-    desk = wide()
+def test_outdated_plan_is_ignored(version, until, is_applied):
+    desk = single_core_desk()
     assert desk.driver.apply_plan(plan(2, 1, 60_000))
-    assert desk.driver.apply_plan(plan(*age, until=until * 1000)) is taken
-    assert (desk.controller.plan.plan.term, desk.controller.plan.plan.number) == (age if taken else (2, 1))
+    assert desk.driver.apply_plan(plan(*version, until=until * 1000)) is is_applied
+    assert (desk.controller.plan.plan.term, desk.controller.plan.plan.number) == (
+        version if is_applied else (2, 1)
+    )
 
 
 def test_quota_returns_linearly_to_usual_after_plan_expires():
     tenant = Tenant(10.0)
-    desk = wide(tenants=[tenant])
+    desk = single_core_desk(tenants=[tenant])
     meter = desk.controller.quotas.tenants[tenant]
     usual = desk.controller.quotas.quota(meter, desk.now)
     desk.at(1000, cpu=0.5)
     desk.driver.apply_plan(plan(until=20_000, quotas={tenant: 2.0}))
-    seen = []
+    quotas = []
     for ms in range(20_000, 30_001, 2_500):
         desk.at(ms, cpu=0.5)
-        seen.append(desk.controller.quotas.quota(meter, desk.now))
-    assert seen == pytest.approx([2.0 + (usual - 2.0) * step / 4 for step in range(5)])
+        quotas.append(desk.controller.quotas.quota(meter, desk.now))
+    assert quotas == pytest.approx([2.0 + (usual - 2.0) * step / 4 for step in range(5)])
     assert not desk.controller.plan.weight
     assert desk.driver.apply_plan(plan(number=2))
-    assert not desk.driver.apply_plan(plan(number=1, until=90_000))  # also after its end
+    assert not desk.driver.apply_plan(plan(number=1, until=90_000))  # older than the expired plan
 
 
 def full_queue(desk, ms, order, **more):
-    """Start one run on the only core and put a plan in force with a shedding order."""
+    """Start a run on the only core and apply a plan with a shedding order."""
     desk.warm(took=1000, until=12_000)
     running = desk.read(ms)
     desk.at(ms, running, cpu=1.0)
@@ -70,30 +72,30 @@
 
 @pytest.mark.parametrize("order", list(permutations((SheddingTier.RETRY, SheddingTier.EVACUATED)))[:2])
 def test_requests_are_dropped_in_shedding_order_of_plan(order):
-    desk = wide(profile(latency_objective=2500, deadline=8000))
+    desk = single_core_desk(profile(latency_objective=2500, deadline=8000))
     full_queue(desk, 13_000, (*order, SheddingTier.LOCAL))
-    ask = {
+    requests = {
         SheddingTier.RETRY: desk.read(13_100, caller=1, is_retry=True),
         SheddingTier.EVACUATED: desk.read(13_100, caller=7),
         SheddingTier.LOCAL: desk.read(13_100, caller=1),
     }
-    desk.at(13_100, *ask.values())
+    desk.at(13_100, *requests.values())
     desk.at(13_150, cpu=1.0)
-    names = {id(request): kind for kind, request in ask.items()}
-    gone = [
-        names[id(who)]
-        for who, action in desk.actions
-        if type(action).__name__ == "Reject" and id(who) in names
+    tiers = {id(request): tier for tier, request in requests.items()}
+    dropped = [
+        tiers[id(request)]
+        for request, action in desk.actions
+        if type(action).__name__ == "Reject" and id(request) in tiers
     ]
-    assert gone == list(order)
+    assert dropped == list(order)
 
 
 def test_drops_evacuated_request_with_less_weight_per_service_time():
-    dear, cheap = (
+    high_weight, low_weight = (
         profile(latency_objective=2500, deadline=8000, priority_weight=4.0),
         profile(latency_objective=2500, deadline=8000, priority_weight=1.0),
     )
-    desk = Desk(dear, cheap, cores=1)
+    desk = Desk(high_weight, low_weight, cores=1)
     desk.warm(took=1000, until=8_000).warm(took=1000, until=8_000, which=1)
     desk.at(13_000, desk.read(13_000), cpu=1.0)
     desk.driver.apply_plan(plan(evacuated_callers=frozenset((7,))))
@@ -105,7 +107,9 @@
 
 
 def test_repeat_of_keyed_request_that_has_run_is_never_rejected():
-    desk = wide(profile(Idempotency.KEYED, latency_objective=2000, deadline=8000, key_retention=20_000 * MS))
+    desk = single_core_desk(
+        profile(Idempotency.KEYED, latency_objective=2000, deadline=8000, key_retention=20_000 * MS)
+    )
     running = full_queue(desk, 13_000, tuple(SheddingTier), is_capacity_short=True)
     repeats = [desk.read(13_000 + n, caller=7, is_retry=True, original=running) for n in range(8)]
     desk.at(13_010, *repeats, cpu=1.0).at(13_100, cpu=1.0)
@@ -116,8 +120,8 @@
     desk = Desk(profile(latency_objective=9000, deadline=20_000), cores=8)
     desk.driver.apply_plan(plan(until=5_000, fade=8_000, serving_fraction=0.25))
     desk.at(100, cpu=0.1)
-    asked = [desk.read(150) for _ in range(12)]
-    desk.at(150, *asked, cpu=0.1)
+    requests = [desk.read(150) for _ in range(12)]
+    desk.at(150, *requests, cpu=0.1)
     assert len(desk.controller.limit.running) == 2
     desk.at(9_000, cpu=0.1)
     assert len(desk.controller.limit.running) == 5
@@ -125,11 +129,11 @@
 
 @pytest.mark.parametrize("short", [True, False])
 def test_rejection_asks_to_stop_retrying_if_capacity_is_short(short):
-    desk = wide(memory_limit=1000, sends_retry_after=True, max_retry_after=SECOND)
+    desk = single_core_desk(memory_limit=1000, sends_retry_after=True, max_retry_after=SECOND)
     desk.driver.apply_plan(plan(is_capacity_short=short))
     request = desk.read(1000, size=2000)
     desk.at(1000, request, cpu=0.1)
-    assert [action.stop_retrying for who, action in desk.actions if who is request] == [short]
+    assert [action.stop_retrying for answered, action in desk.actions if answered is request] == [short]
 
 
 def test_new_downstream_quota_applies_at_once():
@@ -139,20 +143,20 @@
         downstream=Downstream.SHARED,
         downstream_quota=3.0,
     )
-    some = [desk.read(0) for _ in range(4)]
-    desk.at(0, *some)
+    requests = [desk.read(0) for _ in range(4)]
+    desk.at(0, *requests)
     desk.driver.set_downstream_quota(1.0)
-    desk.at(10, *((request, CallNeeded()) for request in some))
+    desk.at(10, *((request, CallNeeded()) for request in requests))
     assert desk.controller.downstream.in_flight == 1
     desk.driver.set_downstream_quota(3.0)
     desk.at(600, cpu=0.2)
     assert desk.controller.downstream.in_flight > 1
-    desk.at(700, (some[0], SERVED))
+    desk.at(700, (requests[0], SERVED))
 
 
 def test_evacuated_callers_share_own_quota_at_once_and_get_retry_after():
     tenant = Tenant(100.0)
-    desk = wide(
+    desk = single_core_desk(
         profile(latency_objective=6000, deadline=8000),
         tenants=[tenant],
         sends_retry_after=True,
@@ -161,17 +165,17 @@
     desk.warm(took=1000, until=12_000)
     desk.driver.apply_plan(plan(evacuated_callers=frozenset((7,)), evacuated_quota=0.5))
     desk.at(13_000, desk.read(13_000, tenant=tenant), cpu=1.0)
-    desk.at(13_310, desk.read(13_000, tenant=tenant), cpu=1.0)  # read late: work has waited
-    home, visitor = (desk.read(13_320, tenant=tenant, caller=caller) for caller in (1, 7))
-    desk.at(13_320, visitor, home)
+    desk.at(13_310, desk.read(13_000, tenant=tenant), cpu=1.0)  # read late, so it has waited 310 ms
+    local, evacuated = (desk.read(13_320, tenant=tenant, caller=caller) for caller in (1, 7))
+    desk.at(13_320, evacuated, local)
     assert desk.controller.queue.is_saturated
-    assert desk.action_names(home) == []
+    assert desk.action_names(local) == []
     (rejected,) = [
-        action for who, action in desk.actions if who is visitor and type(action).__name__ == "Reject"
+        action
+        for request, action in desk.actions
+        if request is evacuated and type(action).__name__ == "Reject"
     ]
-    assert (
-        rejected.retry_after >= 0.75 * SECOND
-    )  # a whole one past half a request a second: a delay of over a second
-    assert (
-        desk.controller.quotas.tenants[tenant].admitted.total(desk.now) == 3
-    )  # visitors count against their own alone
+    # One request above a quota of 0.5 per second gives a delay of over a second.
+    assert rejected.retry_after >= 0.75 * SECOND
+    # Evacuated callers don't count against the tenant's quota.
+    assert desk.controller.quotas.tenants[tenant].admitted.total(desk.now) == 3
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, and what was found broken: each case fails when its guard is taken out."""
+"""Rules that must always hold; each case fails if the code that ensures its rule is removed."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("halt", "kind", "end"),
+    ("preemption", "kind", "actions"),
     [
         (Preemption.OFF, Idempotency.IDEMPOTENT, ["StartRun", "Fail"]),
         (Preemption.DROP, Idempotency.IDEMPOTENT, ["StartRun", "Fail", "StopRun"]),
@@ -31,43 +31,43 @@
         (Preemption.DROP, Idempotency.NON_IDEMPOTENT, ["StartRun", "Fail"]),
     ],
 )
-def test_run_fails_at_its_deadline(halt, kind, end):
-    desk = Desk(profile(kind), preemption=halt)
+def test_run_fails_at_its_deadline(preemption, kind, actions):
+    desk = Desk(profile(kind), preemption=preemption)
     request = desk.read(0)
     desk.at(0, request).at(3900)
     assert desk.action_names(request) == ["StartRun"]
     desk.at(3950)
-    assert desk.action_names(request) == end
+    assert desk.action_names(request) == actions
 
 
 @pytest.mark.parametrize(
-    ("fate", "repeat"),
+    ("original_state", "repeat_actions"),
     [
         ("queued", ["AttachToOriginal"]),
         ("running", ["AttachToOriginal"]),
         ("ended", ["AttachToOriginal"]),
         ("failed", ["AttachToOriginal"]),
-        ("rejected", ["StoreKey", "StartRun"]),  # it never ran: the repeat is new work
+        ("rejected", ["StoreKey", "StartRun"]),  # it never ran, so the repeat runs
         ("gone", ["StoreKey", "StartRun"]),
     ],
 )
-def test_repeat_attaches_to_original_that_may_have_run(fate, repeat):
+def test_repeat_attaches_to_original_that_may_have_run(original_state, repeat_actions):
     desk = Desk(KEYED, cores=1)
-    busy = desk.read(0)
+    other = desk.read(0)
     first = desk.read(0, wait=600)
-    desk.at(0, *[busy] * (fate in ("queued", "rejected", "gone"))).at(0, first)
-    if fate == "ended":
+    desk.at(0, *[other] * (original_state in ("queued", "rejected", "gone"))).at(0, first)
+    if original_state == "ended":
         desk.at(100, (first, SERVED))
-    elif fate == "gone":
-        desk.at(100, (first, CallerGone())).at(150, (busy, SERVED))
-    elif fate == "failed":
+    elif original_state == "gone":
+        desk.at(100, (first, CallerGone())).at(150, (other, SERVED))
+    elif original_state == "failed":
         desk.at(590)
-    elif fate == "rejected":
-        desk.at(590).at(595, (busy, SERVED))
+    elif original_state == "rejected":
+        desk.at(590).at(595, (other, SERVED))
         assert desk.action_names(first) == ["StoreKey", "ReleaseKey", "Reject"]
-    again = desk.read(600, original=first)
-    desk.at(600, again)
-    assert desk.action_names(again) == repeat
+    repeat = desk.read(600, original=first)
+    desk.at(600, repeat)
+    assert desk.action_names(repeat) == repeat_actions
 
 
 def test_repeat_in_same_batch_does_not_run():
@@ -80,23 +80,23 @@
 def test_repeat_fails_and_is_not_rejected_at_its_deadline():
     desk = Desk(KEYED)
     first = desk.read(0)
-    again = desk.read(10, wait=500, original=first)
-    desk.at(0, first).at(10, again).at(500)
-    assert desk.action_names(again) == ["AttachToOriginal", "Fail"]
+    repeat = desk.read(10, wait=500, original=first)
+    desk.at(0, first).at(10, repeat).at(500)
+    assert desk.action_names(repeat) == ["AttachToOriginal", "Fail"]
 
 
 def test_key_is_stored_for_its_retention_and_its_memory_counted():
     desk = Desk(KEYED, memory_limit=10_000, idempotency_key_size=5_000)
-    request, more = desk.read(0), desk.read(50)
-    desk.at(0, request).at(20, (request, SERVED)).at(50, more)
+    request, second = desk.read(0), desk.read(50)
+    desk.at(0, request).at(20, (request, SERVED)).at(50, second)
     assert (
         next(action for _, action in desk.actions if isinstance(action, StoreKey)).retention
         >= KEYED.key_retention
     )
     assert desk.controller.memory.used == 5_000
-    assert desk.action_names(more) == ["Reject"]  # no room for its label
-    late = desk.read(13_200)
-    desk.at(13_200, late, cpu=0.1).at(13_250, desk.read(13_250))
+    assert desk.action_names(second) == ["Reject"]  # no memory for its key
+    later = desk.read(13_200)
+    desk.at(13_200, later, cpu=0.1).at(13_250, desk.read(13_250))
     assert desk.controller.memory.used <= 10_000
 
 
@@ -119,11 +119,11 @@
     assert desk.controller.memory.used <= 900
 
 
-@pytest.mark.parametrize(("reached", "action"), [(900, "StartRun"), (2900, "StartRun"), (3100, "Reject")])
-def test_rejects_request_that_arrived_after_drain_grace(reached, action):
+@pytest.mark.parametrize(("arrived", "action"), [(900, "StartRun"), (2900, "StartRun"), (3100, "Reject")])
+def test_rejects_request_that_arrived_after_drain_grace(arrived, action):
     desk = Desk(drain_grace=2000 * MS).at(1000, leave=10_000)
-    request = desk.read(reached)
-    desk.at(reached + 50, request)
+    request = desk.read(arrived)
+    desk.at(arrived + 50, request)
     assert desk.action_names(request) == [action]
 
 
@@ -136,19 +136,18 @@
     assert desk.action_names(queued)[-1] in ("Reject", "Fail")
 
 
-@pytest.mark.parametrize(("share", "most"), [(0.5, 1), (1.0, 1), (3.2, 3)])
-def test_calls_in_flight_and_lingering_stay_within_quota(share, most):
-    desk = Desk(cores=8, downstream=Downstream.SHARED, downstream_quota=share, abandoned_call_linger=200 * MS)
+@pytest.mark.parametrize(("quota", "max_calls"), [(0.5, 1), (1.0, 1), (3.2, 3)])
+def test_calls_in_flight_and_lingering_stay_within_quota(quota, max_calls):
+    desk = Desk(cores=8, downstream=Downstream.SHARED, downstream_quota=quota, abandoned_call_linger=200 * MS)
     requests = [desk.read(0) for _ in range(8)]
     desk.at(0, *requests).at(10, *[(request, CallNeeded()) for request in requests])
     calling = [request for request in requests if "CallDownstream" in desk.action_names(request)]
-    assert len(calling) == most
+    assert len(calling) == max_calls
     desk.at(20, *[(request, CallEnded(Outcome.TIMED_OUT, 10 * MS)) for request in calling]).at(30)
-    assert (
-        sum(desk.action_names(request).count("CallDownstream") for request in requests) == most
-    )  # they linger
+    # Abandoned calls linger.
+    assert sum(desk.action_names(request).count("CallDownstream") for request in requests) == max_calls
     desk.at(230).at(600)
-    assert sum(desk.action_names(request).count("CallDownstream") for request in requests) > most
+    assert sum(desk.action_names(request).count("CallDownstream") for request in requests) > max_calls
 
 
 def test_single_call_does_not_use_up_window_of_quota_below_one():
@@ -166,7 +165,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "outcome", "skip", "action_names"),
+    ("kind", "outcome", "weight", "action_names"),
     [
         (Idempotency.KEYED, Outcome.SERVED, 0.0, ["StartRun", "CallDownstream"]),
         (Idempotency.KEYED, Outcome.REJECTED, 0.0, ["StartRun", "CallDownstream", "CallDownstream"]),
@@ -184,13 +183,15 @@
             Outcome.CONNECTION_LOST,
             0.3,
             ["StartRun", "CallDownstream", "CallDownstream"],
-        ),  # its call may be made twice
+        ),  # an idempotent call may be made twice
         (Idempotency.IDEMPOTENT, Outcome.FAILED, 0.3, ["StartRun", "CallDownstream", "SkipCall"]),
         (Idempotency.IDEMPOTENT, Outcome.TIMED_OUT, 0.3, ["StartRun", "CallDownstream", "SkipCall"]),
     ],
 )
-def test_call_is_retried_only_if_it_never_ran_or_is_idempotent(kind, outcome, skip, action_names):
-    desk = Desk(profile(kind, key_retention=5000 * MS, weight_without_call=skip), downstream=Downstream.TIER)
+def test_call_is_retried_only_if_it_never_ran_or_is_idempotent(kind, outcome, weight, action_names):
+    desk = Desk(
+        profile(kind, key_retention=5000 * MS, weight_without_call=weight), downstream=Downstream.TIER
+    )
     request = desk.read(0)
     desk.at(0, request).at(10, (request, CallNeeded())).at(30, (request, CallEnded(outcome, 20 * MS))).at(80)
     assert [action for action in desk.action_names(request) if action != "StoreKey"] == action_names
@@ -229,7 +230,7 @@
 
 
 @pytest.mark.parametrize(
-    "site",
+    "settings",
     [
         {"cores": 1, "overload_multiple": 1.0},
         {"downstream": Downstream.SHARED, "downstream_quota": 0.0},
@@ -239,14 +240,14 @@
         {"fleet_size": 1000, "preemption": Preemption.DROP},
     ],
 )
-def test_every_request_is_answered_once_with_extreme_settings(site):
-    desk = Desk(profile(), KEYED, profile(Idempotency.NON_IDEMPOTENT), **site)
+def test_every_request_is_answered_once_with_extreme_settings(settings):
+    desk = Desk(profile(), KEYED, profile(Idempotency.NON_IDEMPOTENT), **settings)
     requests = [desk.read(ms, ms % 3, caller=ms % 7) for ms in range(0, 500, 10)]
     for request in requests:
         desk.at(request.arrived_at // MS, request, cpu=1.0)
         desk.at(
             request.arrived_at // MS + 5,
-            *[(one, CallNeeded()) for one in list(desk.controller.limit.running)],
+            *[(running, CallNeeded()) for running in list(desk.controller.limit.running)],
         )
     for ms in range(500, 5000, 50):
         desk.at(ms, cpu=1.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of other customers: absent, at their bounds, of unknown values; a wrong start names the key."""
+"""Settings that are absent, out of range or unknown; an error at the start names the setting."""
 
 import copy
 import json
@@ -13,25 +13,25 @@
 from birchslip.net.site import site_of
 from examples.toy import CONFIGURATION
 
-TOLD = json.loads(CONFIGURATION.read_text())
+EXAMPLE = json.loads(CONFIGURATION.read_text())
 
 
-def changed(path, value, told=TOLD):
-    """The example's configuration with one value another, or with none where that is `...`."""
-    told = copy.deepcopy(told)
-    *way, last = path.split(".")
-    part = told
-    for step in way:
+def changed(path, value, configuration=EXAMPLE):
+    """Return a copy of the configuration with one value changed, or removed if the value is `...`."""
+    configuration = copy.deepcopy(configuration)
+    *parents, last = path.split(".")
+    part = configuration
+    for step in parents:
         part = part[int(step)] if step.isdigit() else part[step]
     if value is ...:
         part.pop(last, None)
     else:
         part[last] = value
-    return told
+    return configuration
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "message"),
     [
         ("settings.classes.0.effect", "sometimes", "classes.0.effect is unknown: 'sometimes'"),
         ("settings.classes.0.hard_limit_s", 0, "classes.0.hard_limit_s"),
@@ -76,11 +76,11 @@
         ("seed", "zz", "seed is not hexadecimal"),
     ],
 )
-def test_unsafe_value_is_rejected_with_its_name(path, value, named):
-    with pytest.raises(InvalidInputError) as trouble:
+def test_unsafe_value_is_rejected_with_its_name(path, value, message):
+    with pytest.raises(InvalidInputError) as raised:
         site_of(changed(path, value), {})
-    assert named in str(trouble.value)
-    assert "\n" not in str(trouble.value)
+    assert message in str(raised.value)
+    assert "\n" not in str(raised.value)
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
             "settings.family_info.halt",
             "softly",
             lambda d: d.preemption is Preemption.OFF,
-        ),  # not used where not known
+        ),  # an unknown way to stop runs is not used
         ("settings.family_info.halt", ..., lambda d: d.preemption is Preemption.OFF),
         ("settings.family_info.halt", "pause", lambda d: d.preemption is Preemption.PAUSE),
         ("settings.family_info.downstream", ..., lambda d: d.downstream is Downstream.NONE),
@@ -98,7 +98,7 @@
             "settings.family_info.linger_s",
             ...,
             lambda d: d.abandoned_call_linger == d.downstream_quota_window,
-        ),  # as long as the span
+        ),  # the default is the quota window
         ("settings.family_info.cold", "perhaps", lambda d: d.starts_cold),
         ("settings.family_info.cold", ..., lambda d: not d.starts_cold),
         ("settings.contract.cold_from", ..., lambda d: d.cold_start_speed == 0),
@@ -112,7 +112,7 @@
             "settings.classes.1.window_s",
             ...,
             lambda d: d.request_classes[1].key_retention == 4 * SECOND,
-        ),  # the deadline
+        ),  # the default is the deadline
         ("settings.classes.1.window_s", 0, lambda d: d.request_classes[1].key_retention == 0),
         (
             "settings.classes.0.aim_s",
@@ -133,7 +133,11 @@
         ),
         ("settings.tenants", ..., lambda d: d.tenants == []),
         ("settings.tenants", [], lambda d: d.tenants == []),
-        ("settings.tenants.0.quota_per_s", -1, lambda d: d.tenants[0].quota == 0),  # none is told
+        (
+            "settings.tenants.0.quota_per_s",
+            -1,
+            lambda d: d.tenants[0].quota == 0,
+        ),  # a negative quota means none
         ("settings.ceilings.retry_after", "maybe", lambda d: not d.sends_retry_after),
         ("settings.family_info.cores", 0.5, lambda d: d.cores == 1),
         ("settings.group_size", 0, lambda d: d.fleet_size == 1),
@@ -147,7 +151,7 @@
             "settings.family_info.signal",
             "later word",
             lambda d: not d.sends_criticality,
-        ),  # what is unknown is not used
+        ),  # an unknown signal is not used
         ("settings.family_info.clients_total", ..., lambda d: d.caller_count == 0),
         ("settings.family_info.clients_total", 40, lambda d: d.caller_count == 40),
         ("settings.family_info.clients_total", -3, lambda d: d.caller_count == 0),
@@ -156,8 +160,8 @@
             "settings.classes.0.window_s",
             -1,
             lambda d: d.request_classes[0].key_retention == 0,
-        ),  # of no labelled class
-        ("settings.new_key", {"deep": [{"er": 1}]}, lambda d: d.cores == 2),  # further keys are ignored
+        ),  # ignored for a class without keys
+        ("settings.new_key", {"deep": [{"er": 1}]}, lambda d: d.cores == 2),  # unknown keys are ignored
     ],
 )
 def test_absent_or_harmless_value_gets_safe_default(path, value, read):
@@ -165,7 +169,7 @@
 
 
 def test_unsafe_value_on_simulator_wire_is_rejected():
-    pairs = [*flatten(TOLD["settings"]), ("family_info.downstream", "sideways")]
+    pairs = [*flatten(EXAMPLE["settings"]), ("family_info.downstream", "sideways")]
     with pytest.raises(InvalidInputError):
         read_admission_settings(1, SettingsReader(pairs))
 
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: absent values, unknown keys, bad input, restarts, the safe side of conversion."""
+"""The simulator's wire: absent values, unknown keys, bad input, restarts and rounding of times."""
 
 import io
 
@@ -11,8 +11,7 @@
     PlanExpired,
     QuotasBind,
 )
-from birchslip.admission.settings import round_down_seconds as round_early
-from birchslip.admission.settings import round_up_seconds as round_late
+from birchslip.admission.settings import round_down_seconds, round_up_seconds
 from birchslip.simulator.codec import encode_server_action
 from birchslip.simulator.host import SimulatorHost, serve
 
@@ -20,15 +19,15 @@
 HELLO += "\tclasses.0.window_s=5.0\tfamily_info.cores=2\tnew.key=1"
 
 
-def play(*batches):
-    """The replies to batches of lines, and what was said on standard error."""
+def run_batches(*batches):
+    """Return the replies to batches of lines, and the text written to the error stream."""
     errors = io.StringIO()
-    loop = SimulatorHost(errors)
-    return [loop.batch(["sync\t1.0", "to\t3", *batch]) for batch in batches], errors.getvalue()
+    host = SimulatorHost(errors)
+    return [host.batch(["sync\t1.0", "to\t3", *batch]) for batch in batches], errors.getvalue()
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "reply"),
     [
         ("call\t5\t0\t0\t-\t-\t-\t-\t-\t-\t-\t-\t-", ["remember\t5\t5.0000", "dispatch\t5"]),
         (
@@ -38,20 +37,20 @@
         (
             "call\t5\t0\t0\t-\t9.5\t-\t3.5\t-\t1\t2\t-\t77",
             ["attach\t5"],
-        ),  # an original never heard of has run
+        ),  # an unknown original counts as one that has run
         ("hangup\t99", []),
         ("completed\t99\tcompleted\t0.1", []),
         ("news\twithout\tmeaning", []),
     ],
 )
-def test_events_get_expected_replies(line, said):
-    replies, errors = play([HELLO], [line])
-    assert replies[1][1:] == said
+def test_events_get_expected_replies(line, reply):
+    replies, errors = run_batches([HELLO], [line])
+    assert replies[1][1:] == reply
     assert not errors
 
 
 @pytest.mark.parametrize(
-    ("lines", "named"),
+    ("lines", "message"),
     [
         ([HELLO, "call\tfive\t0"], "request_id"),
         ([HELLO, "call\t5\t4\t0"], "no such priority: 4"),
@@ -64,15 +63,15 @@
         (["wakeup\ttick\t-"], "an event for an app server that has not started"),
     ],
 )
-def test_bad_input_gives_one_error_line_and_crash_reply(lines, named):
-    replies, errors = play(lines)
-    assert any(line.startswith("crash\t") and named in line for line in replies[0])
-    assert named in errors
+def test_bad_input_gives_one_error_line_and_crash_reply(lines, message):
+    replies, errors = run_batches(lines)
+    assert any(line.startswith("crash\t") and message in line for line in replies[0])
+    assert message in errors
     assert errors.count("\n") == 1
 
 
 def test_restart_in_one_batch_drops_earlier_requests():
-    replies, errors = play(
+    replies, errors = run_batches(
         [HELLO, "call\t5\t0\t0\t-\t-"], ["crash_now", HELLO, "completed\t5\tcompleted\t0.1"]
     )
     assert not errors
@@ -86,10 +85,10 @@
 
 
 @pytest.mark.parametrize(
-    ("seconds", "early", "late"), [(0.00015, 1, 2), (8.65225, 86522, 86523), (0.3, 3000, 3000)]
+    ("seconds", "down", "up"), [(0.00015, 1, 2), (8.65225, 86522, 86523), (0.3, 3000, 3000)]
 )
-def test_seconds_are_rounded_down_and_up(seconds, early, late):
-    assert (round_early(seconds), round_late(seconds)) == (early, late)
+def test_seconds_are_rounded_down_and_up(seconds, down, up):
+    assert (round_down_seconds(seconds), round_up_seconds(seconds)) == (down, up)
 
 
 @pytest.mark.parametrize(
