--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -50,8 +50,8 @@
 
         return command()
     # Ignored until the program installs its handlers: there is nothing to reload or report before.
-    for number in (signal.SIGHUP, signal.SIGUSR1):
-        signal.signal(number, signal.SIG_IGN)
+    for signal_number in (signal.SIGHUP, signal.SIGUSR1):
+        signal.signal(signal_number, signal.SIG_IGN)
     try:
         site = read_site(os.environ)
         program = Program(site)
--- a/birchslip/admission/admission_queue.py
+++ b/birchslip/admission/admission_queue.py
@@ -25,7 +25,7 @@
 SWEEP_INTERVAL = 4 * MS  # under overload a sweep costs as much as all other decisions together
 SATURATED_WAIT = 300 * MS
 STEADY_SLOWDOWN = 1.3  # below this slowdown run times count as usual
-SMALLEST_PRIORITY_WEIGHT = 1e-9
+MIN_PRIORITY_WEIGHT = 1e-9
 
 
 class QueueEntry(NamedTuple):
@@ -119,7 +119,7 @@
             if tier is SheddingTier.RETRY and request.is_retry:
                 return ShedOrder(rank, usage, True)
             if tier is SheddingTier.EVACUATED and is_evacuated:
-                weight = max(SMALLEST_PRIORITY_WEIGHT, request.request_class.priority_weight)
+                weight = max(MIN_PRIORITY_WEIGHT, request.request_class.priority_weight)
                 return ShedOrder(rank, self.times.typical(request) / weight, request.is_retry)
         return ShedOrder(0, usage, request.is_retry)
 
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -152,7 +152,7 @@
         if is_late or not self.memory.has_room(request):
             yield self.rejections.reject(request, self.now)
             return None
-        self.idle_connections.returns.add(request.caller, self.now)
+        self.idle_connections.request_intervals.add(request.caller, self.now)
         delay = self.quotas.count(request, self.now, self.queue.is_saturated)
         if not self.memory.may_store_result(request, self.now):
             self.quotas.uncount(request, self.now)
@@ -225,10 +225,10 @@
         event = yield Wait()
         self.downstream.remove(entry)
         if isinstance(event, TurnGranted):
-            event = yield CallDownstream(self.downstream.begin(request, self.now))
+            event = yield CallDownstream(self.downstream.begin_call(request, self.now))
             while isinstance(event, WaitExpired | CallerGone):
                 event = yield from self._handle_expiry_or_disconnect(request, event)
-            self.downstream.end(request, event, self.now)
+            self.downstream.end_call(request, event, self.now)
         if isinstance(event, CallEnded):
             if event.outcome is Outcome.SERVED:
                 self.limit.occupy_core(request, self.now)
@@ -285,7 +285,7 @@
         self.queue.is_changed = True
         self.server_actions.append(SetTimer(now + TIMER_INTERVAL))
         self.quotas.drop_idle_callers(now)
-        self.idle_connections.returns.drop_idle_callers(now)
+        self.idle_connections.request_intervals.drop_idle_callers(now)
         self.memory.expire_keys(now)
         self.health.measure(self.limit.running, now)
         self.downstream.measure(now)
--- a/birchslip/admission/downstream.py
+++ b/birchslip/admission/downstream.py
@@ -35,11 +35,11 @@
 
 CALL_WINDOW_COUNT = 10
 CALL_WINDOW = 200 * MS
-SMALLEST_QUOTA = 0.01
+MIN_QUOTA = 0.01
 MIN_QUOTA_SHARE = 0.33  # kept however slow calls are: slow calls need not come from their number
 CALL_TIMES_TO_FIT = 2.0  # recent call times that must fit for a skippable call, as call times vary
 REJECTED_CALL_TIMES = 2  # least duration that a failed call counts for, in recent call times
-SHORTEST_TIMEOUT = 1 * MS
+MIN_TIMEOUT = 1 * MS
 
 
 class CallEntry(NamedTuple):
@@ -93,7 +93,7 @@
         """Remove a request from the queue."""
         self.waiting.remove(entry)
 
-    def begin(self, request: Request, now: int) -> int:
+    def begin_call(self, request: Request, now: int) -> int:
         """Count a call as in flight; returns its timeout."""
         request.state = RequestState.CALLING
         self.in_flight += 1
@@ -102,7 +102,7 @@
         request.downstream_calls += 1
         return timeout
 
-    def end(self, request: Request, event: Event, now: int) -> None:
+    def end_call(self, request: Request, event: Event, now: int) -> None:
         """Record the end of a call; a call that was not served counts as a slow one."""
         self.in_flight -= 1
         duration = now - request.call_started_at
@@ -129,7 +129,7 @@
     def concurrency(self, now: int) -> float:
         """Return how many calls may be in flight: the quota, reduced as calls take longer than usual."""
         if self.is_shared:
-            base_limit = max(SMALLEST_QUOTA, self.quota)
+            base_limit = max(MIN_QUOTA, self.quota)
         else:
             base_limit = OVERLOAD_THRESHOLD_SHARE * self.limit.overload_threshold(now)
         usual_time = self.call_times.low
@@ -181,7 +181,7 @@
             # With a quota below one call, a single call must not use up the whole quota window.
             allowed = ceil(self.quota * self.settings.downstream_quota_window)
             time_left = min(time_left, allowed - self.settings.abandoned_call_linger)
-        return max(SHORTEST_TIMEOUT, time_left)
+        return max(MIN_TIMEOUT, time_left)
 
     def may_retry(self, request: Request, outcome: Outcome, now: int) -> bool:
         """Return whether a call may be retried: it never ran, or was lost and the request is idempotent."""
--- a/birchslip/admission/health.py
+++ b/birchslip/admission/health.py
@@ -13,11 +13,11 @@
 from .units import MS
 from .windows import WindowedCounter
 
-PACE_WINDOW_COUNT = 10
-PACE_WINDOW_PER_CORE = 200 * MS
+CORE_TIME_WINDOW_COUNT = 10
+CORE_TIME_WINDOW_PER_CORE = 200 * MS
 HEALTH_PRIOR_RUNS = 2  # typical runs assumed before there are measurements
 SLOWDOWN_PRIOR_RUNS = 6
-FEWEST_RUNS_PER_CORE = 3
+MIN_RUNS_PER_CORE = 3
 UNHEALTHY_STALL_RATIO = 4.0
 HEALTHY_STALL_RATIO = 2.0
 
@@ -27,11 +27,11 @@
 
     def __init__(self, cores: int, times: ServiceTimes) -> None:
         """Start healthy and without slowdown."""
-        window = PACE_WINDOW_PER_CORE * cores
+        window = CORE_TIME_WINDOW_PER_CORE * cores
         self.times = times
-        self.fewest_runs = FEWEST_RUNS_PER_CORE * cores
-        self.spent = WindowedCounter(PACE_WINDOW_COUNT, window)
-        self.completed = WindowedCounter(PACE_WINDOW_COUNT, window)
+        self.min_runs = MIN_RUNS_PER_CORE * cores
+        self.spent = WindowedCounter(CORE_TIME_WINDOW_COUNT, window)
+        self.completed = WindowedCounter(CORE_TIME_WINDOW_COUNT, window)
         self.core_clock = 0
         self.slowdown = 1.0
         self.stall_ratio = 1.0
@@ -50,7 +50,7 @@
     def measure(self, running: Iterable[Request], now: int) -> None:
         """Update the slowdown and the stall ratio, once enough runs have been measured."""
         overall = self.times.overall
-        if overall.count < self.fewest_runs:
+        if overall.count < self.min_runs:
             return
         spent = self.spent.total(self.core_clock)
         completed = self.completed.total(self.core_clock)
--- a/birchslip/admission/idle_connections.py
+++ b/birchslip/admission/idle_connections.py
@@ -16,19 +16,19 @@
 
 TIMEOUT_CHOICES = tuple(100 * MS << step for step in range(7, -1, -1))
 HANDSHAKE_COST = WINDOW_SPAN // 2  # idle time that costs as much as a handshake, on fully used cores
-MAX_RETURN_GAPS = 100
-FEWEST_RETURNS = 6
+MAX_INTERVALS = 100
+MIN_INTERVALS = 6
 CHOICE_INTERVAL = SECOND
 NO_TIMEOUT = 0
 NOT_ANNOUNCED = -1
-SMALLEST_UTILIZATION = 0.01
+MIN_UTILIZATION = 0.01
 OVERLOAD_RATIO = 2.0  # ratio of rejected requests to those that the cores could serve
 OVERLOAD_END_RATIO = 1.0
 OVERLOAD_READ_DELAY = SECOND
 OVERLOAD_END_READ_DELAY = 300 * MS
 
 
-class CallerReturns:
+class RequestIntervals:
     """Intervals between successive requests of the same caller."""
 
     def __init__(self, now: int, keepalive_timeout: int, caller_count: int) -> None:
@@ -37,20 +37,20 @@
         self.keepalive_timeout = keepalive_timeout
         self.caller_count = caller_count
         self.last_seen: dict[int, int] = {}
-        self.gaps: deque[int] = deque(maxlen=MAX_RETURN_GAPS)
+        self.intervals: deque[int] = deque(maxlen=MAX_INTERVALS)
         self.request_count = 0
 
     def add(self, caller: int, now: int) -> None:
         """Record a request of a caller."""
         self.request_count += 1
-        gap = now - self.last_seen.pop(caller, now - 2 * self.keepalive_timeout)
+        interval = now - self.last_seen.pop(caller, now - 2 * self.keepalive_timeout)
         self.last_seen[caller] = now
         uptime = now - self.started_at
-        if gap > self.keepalive_timeout > uptime:
+        if interval > self.keepalive_timeout > uptime:
             # First request since the start: assume the mean interval of all callers.
             callers = self.caller_count or len(self.last_seen)
-            gap = min(gap, callers * max(SECOND, uptime) // self.request_count)
-        self.gaps.append(gap)
+            interval = min(interval, callers * max(SECOND, uptime) // self.request_count)
+        self.intervals.append(interval)
 
     def drop_idle_callers(self, now: int) -> None:
         """Drop the callers whose connections have been closed by the keepalive timeout."""
@@ -64,7 +64,9 @@
         """Return the timeout with the lowest total cost of idle connections and handshakes."""
 
         def cost(timeout: int) -> float:
-            return sum(gap if gap <= timeout else timeout + handshake_cost for gap in self.gaps)
+            return sum(
+                interval if interval <= timeout else timeout + handshake_cost for interval in self.intervals
+            )
 
         shorter = (timeout for timeout in TIMEOUT_CHOICES if timeout < self.keepalive_timeout)
         return min((self.keepalive_timeout, *shorter), key=cost)
@@ -80,7 +82,7 @@
         self.keepalive_timeout = settings.keepalive_timeout
         self.limit = limit
         self.stats = stats
-        self.returns = CallerReturns(now, settings.keepalive_timeout, settings.caller_count)
+        self.request_intervals = RequestIntervals(now, settings.keepalive_timeout, settings.caller_count)
         self.next_choice_at = now
         self.timeout = NOT_ANNOUNCED
         self.is_overloaded = False
@@ -93,13 +95,13 @@
         rejection costs a handshake and the reading of a request.
         """
         self._measure_overload(now, read_delay)
-        gaps = self.returns.gaps
-        if now < self.next_choice_at or len(gaps) < FEWEST_RETURNS:
+        intervals = self.request_intervals.intervals
+        if now < self.next_choice_at or len(intervals) < MIN_INTERVALS:
             return None
         self.next_choice_at = now + CHOICE_INTERVAL
-        cost = HANDSHAKE_COST / max(SMALLEST_UTILIZATION, self.limit.utilization)
-        cheapest = self.returns.cheapest_timeout(cost)
-        self.retry_needs_handshake = 2 * sum(gap > cheapest for gap in gaps) > len(gaps)
+        cost = HANDSHAKE_COST / max(MIN_UTILIZATION, self.limit.utilization)
+        cheapest = self.request_intervals.cheapest_timeout(cost)
+        self.retry_needs_handshake = 2 * sum(interval > cheapest for interval in intervals) > len(intervals)
         is_shorter = cheapest < self.keepalive_timeout and not self.is_overloaded
         timeout = cheapest if is_shorter else NO_TIMEOUT
         if timeout == self.timeout:
@@ -111,8 +113,8 @@
         rejected = self.stats.count.total(now)
         serviceable = self.limit.throughput() * WINDOW_COUNT
         ratio = OVERLOAD_RATIO
-        longest_delay = OVERLOAD_READ_DELAY
+        max_read_delay = OVERLOAD_READ_DELAY
         if self.is_overloaded:
             ratio = OVERLOAD_END_RATIO
-            longest_delay = OVERLOAD_END_READ_DELAY
-        self.is_overloaded = read_delay > longest_delay or 0 < serviceable * ratio < rejected
+            max_read_delay = OVERLOAD_END_READ_DELAY
+        self.is_overloaded = read_delay > max_read_delay or 0 < serviceable * ratio < rejected
--- a/birchslip/admission/quota.py
+++ b/birchslip/admission/quota.py
@@ -15,8 +15,8 @@
 from .windows import WindowedCounter
 
 DERIVED_QUOTA_SHARES = 2.0  # a derived quota, in even shares of the served bytes
-SMALLEST_PLAN_WEIGHT = 0.01
-SMALLEST_EVACUATED_QUOTA = 0.1
+MIN_PLAN_WEIGHT = 0.01
+MIN_EVACUATED_QUOTA = 0.1
 
 
 class Quotas:
@@ -88,14 +88,14 @@
         """
         throughput = self.limit.throughput()
         if meter is self.evacuated:
-            return meter.configured_quota / max(SMALLEST_PLAN_WEIGHT, self.plan.weight)
+            return meter.configured_quota / max(MIN_PLAN_WEIGHT, self.plan.weight)
         if meter.configured_quota:
             return self._configured_quota(meter, throughput, now)
         served = self.served_bytes.total(now)
-        number = max(1, self.served_count.total(now))
+        served_count = max(1, self.served_count.total(now))
         callers = len(self.callers)
-        derived = DERIVED_QUOTA_SHARES * max(1.0, callers / number) / WINDOW_COUNT
-        return max(derived, throughput / number) * served / max(1, callers)
+        derived = DERIVED_QUOTA_SHARES * max(1.0, callers / served_count) / WINDOW_COUNT
+        return max(derived, throughput / served_count) * served / max(1, callers)
 
     def _configured_quota(self, meter: QuotaMeter, throughput: float, now: int) -> float:
         active = max(1, sum(1 for other in self.tenants.values() if other.admitted.total(now) > 0))
@@ -135,7 +135,7 @@
             amount = ceil(plan.evacuated_quota * WINDOW_LENGTH / SECOND)
             for windows_ago in range(WINDOW_COUNT):
                 self.evacuated.admitted.add(now - (WINDOW_COUNT - 1 - windows_ago) * WINDOW_LENGTH, amount)
-        self.evacuated.configured_quota = max(SMALLEST_EVACUATED_QUOTA, plan.evacuated_quota)
+        self.evacuated.configured_quota = max(MIN_EVACUATED_QUOTA, plan.evacuated_quota)
         for tenant, meter in self.tenants.items():
             meter.planned_quota = plan.quotas.get(tenant, 0.0)
 
--- a/birchslip/admission/service_time.py
+++ b/birchslip/admission/service_time.py
@@ -13,7 +13,7 @@
 
 HINT_WINDOW_RUNS = 200  # runs over which the precision of hints is averaged
 EXACT_HINT_PRIOR = 3.0  # weight of the assumption that hints are exact
-SMALLEST_VARIANCE = 1e-9
+MIN_VARIANCE = 1e-9
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
         self.covariance += (
             cost_deviation * time_deviation * (1 - 1 / count) - self.covariance / HINT_WINDOW_RUNS
         )
-        self.power = min(1.0, max(0.0, self.covariance / max(SMALLEST_VARIANCE, self.variance)))
+        self.power = min(1.0, max(0.0, self.covariance / max(MIN_VARIANCE, self.variance)))
 
     def factor(self, request_class: RequestClass, cost_hint: int) -> float:
         """Return the service time expected for a hint, relative to the mean of its class."""
--- a/birchslip/admission/settings.py
+++ b/birchslip/admission/settings.py
@@ -30,13 +30,13 @@
 PREEMPTION_BY_HALT = {"off": Preemption.OFF, "drop": Preemption.DROP, "pause": Preemption.PAUSE}
 DOWNSTREAM_BY_NAME = {"off": Downstream.NONE, "shared": Downstream.SHARED, "tier": Downstream.TIER}
 LEVEL_SIGNAL = "level"
-ABSENT = ("", "-")
-LARGEST_NUMBER = 1e15
+ABSENT_VALUES = ("", "-")
+MAX_NUMBER = 1e15
 MAX_DIGITS = 20
 MAX_SHOWN_CHARACTERS = 40  # of an invalid value in an error message
 DEFAULT_DEADLINE_S = 1.0
-SHORTEST_SPAN_S = 0.001
-SHORTEST_KEEPALIVE_S = 0.01
+MIN_SPAN_S = 0.001
+MIN_KEEPALIVE_S = 0.01
 ROUNDING_DIGITS = 3  # decimals of a tenth of a millisecond; removes the error of binary fractions
 BYTES_PER_KB = 1024
 
@@ -49,7 +49,7 @@
         value = float(text)
     except ValueError:
         raise InvalidInputError(f"{name} is not a number: {text[:MAX_SHOWN_CHARACTERS]!r}") from None
-    if not -LARGEST_NUMBER < value < LARGEST_NUMBER:
+    if not -MAX_NUMBER < value < MAX_NUMBER:
         raise InvalidInputError(f"{name} is out of range: {text[:MAX_SHOWN_CHARACTERS]!r}")
     return value
 
@@ -63,7 +63,7 @@
 
 def is_absent(text: str) -> bool:
     """Return whether a text means that a value is absent."""
-    return text in ABSENT
+    return text in ABSENT_VALUES
 
 
 def round_down_seconds(seconds: float) -> int:
@@ -170,7 +170,7 @@
 def _read_request_class(reader: SettingsReader, index: int) -> RequestClass:
     name = f"classes.{index}"
     idempotency = reader.choice(f"{name}.effect", IDEMPOTENCY_BY_EFFECT, "once")
-    deadline = reader.bounded(f"{name}.hard_limit_s", DEFAULT_DEADLINE_S, SHORTEST_SPAN_S)
+    deadline = reader.bounded(f"{name}.hard_limit_s", DEFAULT_DEADLINE_S, MIN_SPAN_S)
     # Without a configured window, a key is kept for as long as its caller may wait and repeat the request.
     is_keyed = idempotency is Idempotency.KEYED
     retention = reader.bounded(f"{name}.window_s", deadline) if is_keyed else 0.0
@@ -196,7 +196,7 @@
         max_retry_after=round_down_seconds(max_retry_after),
         caller_count=max(0, int(reader.number("family_info.clients_total", settings.caller_count))),
         sends_criticality=reader.text("family_info.signal", "off") == LEVEL_SIGNAL,
-        keepalive_timeout=round_up_seconds(max(SHORTEST_KEEPALIVE_S, keepalive)),
+        keepalive_timeout=round_up_seconds(max(MIN_KEEPALIVE_S, keepalive)),
     )
 
 
@@ -208,7 +208,7 @@
     linger = 0.0
     if downstream is Downstream.SHARED:
         quota = reader.bounded("family_info.calls_out", quota)
-        window = reader.bounded("family_info.share_span_s", window, SHORTEST_SPAN_S)
+        window = reader.bounded("family_info.share_span_s", window, MIN_SPAN_S)
         linger = window
     return replace(
         settings,
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from birchslip.admission.criticality import HIGHEST_LEVEL
-from birchslip.admission.idle_connections import MAX_RETURN_GAPS
+from birchslip.admission.criticality import MAX_LEVEL
+from birchslip.admission.idle_connections import MAX_INTERVALS
 from birchslip.admission.types import (
     SECOND,
     AdvertiseCriticality,
@@ -103,7 +103,7 @@
         desk.at(at, cpu=1.0)
     levels = advertised_levels(desk)
     assert levels == sorted(levels)
-    assert levels[-1] == HIGHEST_LEVEL
+    assert levels[-1] == MAX_LEVEL
     for at in range(5_000, 20_000, 50):
         desk.at(at, cpu=0.0)
     assert advertised_levels(desk)[-1] == 0.0
@@ -141,6 +141,6 @@
     desk = Desk(cores=1, keepalive_timeout=5 * SECOND)
     for at in range(0, 20_000, 100):
         desk.at(at, desk.read(at, caller=at), cpu=0.5)
-    returns = desk.controller.idle_connections.returns
-    assert len(returns.last_seen) <= 51
-    assert len(returns.gaps) == MAX_RETURN_GAPS
+    intervals = desk.controller.idle_connections.request_intervals
+    assert len(intervals.last_seen) <= 51
+    assert len(intervals.intervals) == MAX_INTERVALS
