--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -12,7 +12,7 @@
 
 
 def attach_planner_link(program: Program, path: str) -> None:
-    """Connect the app server to its fleet; the code of the fleet is imported only here."""
+    """Connect the app server to its fleet; without a fleet file, the fleet code is not imported."""
     from .cluster.fleet_reader import read_fleet
     from .cluster.planner_link import PlannerLink
 
@@ -31,7 +31,7 @@
 
 
 def attach_result_store(program: Program, path: str) -> None:
-    """Open the result store; its code is imported only here."""
+    """Open the result store; without a settings file for it, its code is not imported."""
     from .idempotency.result_store import ResultStore
     from .idempotency.settings_file import read_store_settings
 
@@ -49,7 +49,7 @@
         from .cli import main as command
 
         return command()
-    # Ignored until the program installs its handlers: there is nothing to reload or report before.
+    # Ignored until the program installs its handlers: before that there is nothing to reload or report.
     for signal_number in (signal.SIGHUP, signal.SIGUSR1):
         signal.signal(signal_number, signal.SIG_IGN)
     try:
@@ -70,7 +70,7 @@
         print(f"birchslip: {error}", file=sys.stderr)
         return 1
     except Exception:
-        # Exceptions in tasks and request stages are handled there, so this one comes from the scheduler.
+        # Exceptions of tasks and request stages are caught earlier, so this one comes from the scheduler.
         print(f"birchslip: stopped by an unhandled exception\n{traceback.format_exc()}", file=sys.stderr)
         return 1
     return 0
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -262,7 +262,7 @@
         return is_idempotent and self.settings.preemption is not Preemption.OFF
 
     def _record_run(self, request: Request, ended: RunEnded) -> None:
-        """Record the core time of an ended run; a stopped run counts only for the time that it ran."""
+        """Record an ended run; a stopped run counts as completed only for the core time that it used."""
         typical = self.times.typical(request)
         if ended.outcome not in (Outcome.SERVED, Outcome.FAILED):
             self.health.record_completed(min(request.core_time_used, ceil(typical)))
@@ -275,7 +275,7 @@
     # ---- the app server --------------------------------------------------------------------------------
 
     def advance_clock(self, now: int) -> None:
-        """Set the present time, which may not go back."""
+        """Set the current time, which must not go back."""
         self.health.advance(now - self.now, len(self.limit.running))
         self.now = now
 
--- a/birchslip/admission/criticality.py
+++ b/birchslip/admission/criticality.py
@@ -1,6 +1,6 @@
-"""The criticality level that callers receive: they should not send requests below it.
+"""The criticality level sent to callers, which should not send requests of a lower criticality.
 
-This module owns nothing but the level.
+This module owns only the level.
 """
 
 from __future__ import annotations
--- a/birchslip/admission/downstream.py
+++ b/birchslip/admission/downstream.py
@@ -36,9 +36,9 @@
 CALL_WINDOW_COUNT = 10
 CALL_WINDOW = 200 * MS
 MIN_QUOTA = 0.01
-MIN_QUOTA_SHARE = 0.33  # kept however slow calls are: slow calls need not come from their number
+MIN_QUOTA_SHARE = 0.33  # kept however slow calls are, as their number need not be the cause
 CALL_TIMES_TO_FIT = 2.0  # recent call times that must fit for a skippable call, as call times vary
-REJECTED_CALL_TIMES = 2  # least duration that a failed call counts for, in recent call times
+REJECTED_CALL_TIMES = 2  # minimum duration recorded for a failed call, in recent call times
 MIN_TIMEOUT = 1 * MS
 
 
@@ -146,7 +146,7 @@
         return self.recent_time * (1 + len(self.waiting) / self.expected_limit)
 
     def next_calls(self, now: int) -> Iterator[WakeUp]:
-        """Yield the requests that may call, paced by the recent call time, and those that must not wait on.
+        """Yield the requests that may call, paced by the recent call time, and those whose wait expires.
 
         A wait expires if a skippable call can't be completed in time, or if the latency deadline has passed
         and a late answer has no value.
--- a/birchslip/admission/health.py
+++ b/birchslip/admission/health.py
@@ -44,7 +44,7 @@
         self.spent.add(self.core_clock, spent)
 
     def record_completed(self, core_time: int) -> None:
-        """Add the usual core time of a run that has ended."""
+        """Add the typical core time of a run that has ended."""
         self.completed.add(self.core_clock, core_time)
 
     def measure(self, running: Iterable[Request], now: int) -> None:
--- a/birchslip/admission/idle_connections.py
+++ b/birchslip/admission/idle_connections.py
@@ -1,4 +1,4 @@
-"""The idle timeout of connections with the lowest cost, from the intervals between callers' requests.
+"""The choice of the idle timeout with the lowest cost, from the intervals between callers' requests.
 
 An idle connection costs core time and room in a table, a new connection costs a handshake. This module owns
 the recent intervals between requests of the same caller.
--- a/birchslip/admission/types.py
+++ b/birchslip/admission/types.py
@@ -117,8 +117,8 @@
 class Request:
     """One request as it was read; the fields from `state` on are set by the decisions.
 
-    `context` holds the server's own data of the request. It is dropped together with `steps` once the request
-    is over, while other requests may still refer to this one as their original.
+    `context` holds the server's own data of the request; it is dropped together with `steps` once the request
+    is over.
     """
 
     request_class: RequestClass
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -65,8 +65,8 @@
 
 def test_disconnected_request_is_uncounted_from_quota_window():
     desk = Desk(cores=1)
-    running, gone = desk.read(0), desk.read(0)
-    desk.at(0, running, gone).at(10, (gone, CallerGone()))
+    running, disconnected = desk.read(0), desk.read(0)
+    desk.at(0, running, disconnected).at(10, (disconnected, CallerGone()))
     assert desk.controller.quotas.callers[0].admitted.total(desk.now) == running.size
 
 
@@ -90,9 +90,9 @@
 )
 def test_request_behind_others_needs_high_quantile_of_run_time_left(busy, time_left, action_names):
     desk = Desk(profile(latency_objective=5000, deadline=5000), cores=1)
-    for took in (100, 100, 100, 500, 500):
+    for run_time in (100, 100, 100, 500, 500):
         request = desk.read(desk.now // MS)
-        desk.at(desk.now // MS, request).at(desk.now // MS + took, (request, SERVED))
+        desk.at(desk.now // MS, request).at(desk.now // MS + run_time, (request, SERVED))
     now = desk.now // MS
     if busy:
         desk.at(now, desk.read(now))
@@ -376,11 +376,11 @@
     """Run requests whose cost hints are off by a factor of up to `error`; returns the time in ms."""
     now_ms = 0
     for run in range(60):
-        took = 200 * 4 ** (run % 2)
-        cost = took * MS * error ** ((-1, 0, 1)[run % 3])
+        run_time = 200 * 4 ** (run % 2)
+        cost = run_time * MS * error ** ((-1, 0, 1)[run % 3])
         request = desk.read(now_ms, cost_hint=int(cost))
-        desk.at(now_ms, request).at(now_ms + took, (request, SERVED))
-        now_ms += took + 10
+        desk.at(now_ms, request).at(now_ms + run_time, (request, SERVED))
+        now_ms += run_time + 10
     return now_ms
 
 
@@ -483,14 +483,14 @@
     assert desk.controller.limit.limit == 10.0
 
 
-@pytest.mark.parametrize(("took", "limit"), [(500, 10.0), (700, 9.0)], ids=["under twice", "over twice"])
-def test_limit_falls_to_nine_tenths_if_median_run_exceeds_twice_low_quantile(took, limit):
+@pytest.mark.parametrize(("run_time", "limit"), [(500, 10.0), (700, 9.0)], ids=["under twice", "over twice"])
+def test_limit_falls_to_nine_tenths_if_median_run_exceeds_twice_low_quantile(run_time, limit):
     desk = Desk(profile(latency_objective=8_000, deadline=9_000)).warm(took=300, until=30_000)
     desk.controller.limit.limit = 10.0
     desk.controller.settings.overload_multiple = 20.0
     for ms in range(30_000, 41_000, 1_000):
         request = desk.read(ms)
-        desk.at(ms, request).at(ms + took, (request, SERVED), cpu=1.0)
+        desk.at(ms, request).at(ms + run_time, (request, SERVED), cpu=1.0)
     assert desk.controller.limit.limit == limit
 
 
--- a/tests/test_plan_override.py
+++ b/tests/test_plan_override.py
@@ -17,16 +17,16 @@
 from .desk import MS, SERVED, Desk, profile
 
 
-def plan(term=1, number=1, until=60_000, fade=10_000, **more):
-    return PlanOverride(term, number, until * MS, fade * MS, **more)
+def plan(term=1, number=1, until=60_000, fade=10_000, **fields):
+    return PlanOverride(term, number, until * MS, fade * MS, **fields)
 
 
-def single_core_desk(*profiles, tenants=(), **more):
+def single_core_desk(*profiles, tenants=(), **settings):
     return Desk(
         *(profiles or (profile(latency_objective=2000, deadline=8000),)),
         tenants=list(tenants),
         cores=1,
-        **more,
+        **settings,
     )
 
 
@@ -61,19 +61,19 @@
     assert not desk.driver.apply_plan(plan(number=1, until=90_000))  # older than the expired plan
 
 
-def full_queue(desk, ms, order, **more):
+def start_run_and_apply_plan(desk, ms, order, **fields):
     """Start a run on the only core and apply a plan with a shedding order."""
     desk.warm(took=1000, until=12_000)
     running = desk.read(ms)
     desk.at(ms, running, cpu=1.0)
-    desk.driver.apply_plan(plan(shedding_order=order, evacuated_callers=frozenset((7,)), **more))
+    desk.driver.apply_plan(plan(shedding_order=order, evacuated_callers=frozenset((7,)), **fields))
     return running
 
 
 @pytest.mark.parametrize("order", list(permutations((SheddingTier.RETRY, SheddingTier.EVACUATED)))[:2])
 def test_requests_are_dropped_in_shedding_order_of_plan(order):
     desk = single_core_desk(profile(latency_objective=2500, deadline=8000))
-    full_queue(desk, 13_000, (*order, SheddingTier.LOCAL))
+    start_run_and_apply_plan(desk, 13_000, (*order, SheddingTier.LOCAL))
     requests = {
         SheddingTier.RETRY: desk.read(13_100, caller=1, is_retry=True),
         SheddingTier.EVACUATED: desk.read(13_100, caller=7),
@@ -110,7 +110,7 @@
     desk = single_core_desk(
         profile(Idempotency.KEYED, latency_objective=2000, deadline=8000, key_retention=20_000 * MS)
     )
-    running = full_queue(desk, 13_000, tuple(SheddingTier), is_capacity_short=True)
+    running = start_run_and_apply_plan(desk, 13_000, tuple(SheddingTier), is_capacity_short=True)
     repeats = [desk.read(13_000 + n, caller=7, is_retry=True, original=running) for n in range(8)]
     desk.at(13_010, *repeats, cpu=1.0).at(13_100, cpu=1.0)
     assert all(desk.action_names(request) == ["AttachToOriginal"] for request in repeats)
