--- a/birchslip/admission/admission_queue.py
+++ b/birchslip/admission/admission_queue.py
@@ -160,6 +160,7 @@
             yield WakeUp(request, WaitExpired())
 
     def _requests_to_drop(self, now: int) -> list[Request]:
+        """Return the requests to drop; `wait` is the time until the next queued request would start."""
         wait = self.limit.core_wait(self.health.slowdown)
         running = len(self.limit.running)
         limit = self.limit.limit
@@ -197,6 +198,7 @@
             yield WakeUp(request, TurnGranted())
 
     def _first_eligible(self, now: int) -> Request | None:
+        """Return the first request whose delay is over, or simply the first while not saturated."""
         for entry in self.entries:
             if entry.request.eligible_at <= now or not self.is_saturated:
                 return entry.request
--- a/birchslip/admission/concurrency_limit.py
+++ b/birchslip/admission/concurrency_limit.py
@@ -17,9 +17,9 @@
 INCREASE_STEP = 0.25
 DECREASE_FACTOR = 0.9
 SLOW_RUN_RATIO = 2.0  # recent median run time relative to the low quantile
-OVERLOAD_THRESHOLD_SHARE = 0.6
+OVERLOAD_THRESHOLD_SHARE = 0.6  # share of the overload threshold that may be used
 STARTED_PER_LIMIT = 1.5  # bounds started requests that wait for calls, since they return to the cores
-UTILIZATION_STEP = 50 * MS
+UTILIZATION_STEP = 50 * MS  # time between two readings of the core gauge
 
 
 class ConcurrencyLimit:
@@ -123,6 +123,7 @@
             self.limit = max(1.0, cores * (1 - (1 - fraction) * self.plan.weight))
 
     def _runs_slowed(self, now: int) -> bool:
+        """Return whether the recent median run time of any request class is far above its low quantile."""
         for times in self.times.by_class.values():
             recent = times.recent(now)
             if recent and recent[len(recent) // 2] > SLOW_RUN_RATIO * times.low:
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -258,6 +258,7 @@
         return (yield Wait())
 
     def _may_stop(self, request: Request) -> bool:
+        """Return whether the run of a request may be stopped: it is idempotent, and preemption is on."""
         is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
         return is_idempotent and self.settings.preemption is not Preemption.OFF
 
@@ -300,6 +301,7 @@
         self._adjust_criticality()
 
     def _log_saturation(self) -> None:
+        """Log that quotas bind, at most once per quota window."""
         if self.now - self.saturation_logged_at >= WINDOW_SPAN:
             self.saturation_logged_at = self.now
             self._log(QuotasBind(len(self.queue.entries), len(self.limit.running)))
@@ -384,6 +386,7 @@
             yield from self.queue.next_starts(now)
 
     def _overdue(self) -> Iterator[WakeUp]:
+        """Yield the requests that must be answered now and the late runs that may be stopped."""
         for request in self.deadlines.overdue(self.now):
             yield WakeUp(request, WaitExpired())
         if not self.queue.entries or self.settings.preemption is Preemption.OFF:
--- a/birchslip/admission/downstream.py
+++ b/birchslip/admission/downstream.py
@@ -164,6 +164,7 @@
                 yield WakeUp(request, TurnGranted())
 
     def _is_wait_useless(self, request: Request, wait: float, now: int) -> bool:
+        """Return whether a request should not wait for its call any longer."""
         request_class = request.request_class
         if request_class.weight_without_call and self.recent_time:
             remaining = self.times.remaining(request, self.health.slowdown)
@@ -173,6 +174,7 @@
         return now >= request.latency_deadline and not request_class.late_weight
 
     def _timeout(self, request: Request, now: int) -> int:
+        """Return the timeout of a call; a skippable call must leave time to finish the run without it."""
         time_left = request.deadline - now - TIMER_INTERVAL
         if request.request_class.weight_without_call:
             remaining = self.times.remaining(request, self.health.slowdown)
--- a/birchslip/admission/idle_connections.py
+++ b/birchslip/admission/idle_connections.py
@@ -110,6 +110,7 @@
         return timeout
 
     def _measure_overload(self, now: int, read_delay: int) -> None:
+        """Update `is_overloaded`; an overload ends at lower bounds than those at which it starts."""
         rejected = self.stats.count.total(now)
         serviceable = self.limit.throughput() * WINDOW_COUNT
         ratio = OVERLOAD_RATIO
--- a/birchslip/admission/quota.py
+++ b/birchslip/admission/quota.py
@@ -98,6 +98,7 @@
         return max(derived, throughput / served_count) * served / max(1, callers)
 
     def _configured_quota(self, meter: QuotaMeter, throughput: float, now: int) -> float:
+        """Return a tenant's quota per second; it moves to the planned quota with the weight of the plan."""
         active = max(1, sum(1 for other in self.tenants.values() if other.admitted.total(now) > 0))
         usual = max(meter.configured_quota, throughput / active)
         if not meter.planned_quota:
--- a/birchslip/admission/rejection.py
+++ b/birchslip/admission/rejection.py
@@ -66,17 +66,20 @@
         return Reject(retry_after, self._is_retry_useless())
 
     def _age(self, request: Request, now: int) -> int:
+        """Return the age that a rejected request adds to the mean age of rejected requests."""
         # An evacuated caller past its quota is rejected at once, so its age must not lower the mean.
         if request.quota_meter is self.quotas.evacuated:
             return int(self.stats.mean_age(now))
         return now - request.arrived_at
 
     def _jitter(self) -> float:
+        """Return the next random factor, evenly distributed from 0.75 to 1.25."""
         state = self.random_state * RANDOM_FACTOR + RANDOM_INCREMENT
         self.random_state = state % (1 << RANDOM_BITS)
         return MIN_JITTER + (self.random_state >> RANDOM_LOW_BITS) / (1 << JITTER_BITS)
 
     def _is_retry_useless(self) -> bool:
+        """Return whether the caller should not retry on another app server."""
         is_full = (
             self.queue.is_saturated
             or self.stats.is_retry_storm
