--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -1,4 +1,4 @@
-"""One real app server: `python -m birchslip`, told where it stands by `PROXY_CONFIG`."""
+"""One app server on sockets: `python -m birchslip`, configured by the file that `PROXY_CONFIG` names."""
 
 import gc
 import os
@@ -11,13 +11,13 @@
 from .net.site import read_site
 
 
-def join(program: Program, path: str) -> None:
-    """The fleet's side is loaded where a fleet file is named, and nowhere else."""
+def attach_planner_link(program: Program, path: str) -> None:
+    """Connect the app server to its fleet; without a fleet file, the fleet code is not imported."""
     from .cluster.fleet_reader import read_fleet
     from .cluster.planner_link import PlannerLink
 
     site = program.site
-    bond = PlannerLink(
+    planner_link = PlannerLink(
         program.scheduler,
         program.counters,
         program.log,
@@ -27,11 +27,11 @@
         site.tenants,
         site.profiles,
     )
-    program.accompany(bond)
+    program.accompany(planner_link)
 
 
-def keep(program: Program, path: str) -> None:
-    """Kept results are loaded where a file names their folder, and nowhere else."""
+def attach_result_store(program: Program, path: str) -> None:
+    """Open the result store; without a settings file for it, its code is not imported."""
     from .idempotency.result_store import ResultStore
     from .idempotency.settings_file import read_store_settings
 
@@ -49,29 +49,29 @@
         from .cli import main as command
 
         return command()
-    # Until the program listens for them: there is nothing to read again, and nothing to tell, yet.
-    for number in (signal.SIGHUP, signal.SIGUSR1):
-        signal.signal(number, signal.SIG_IGN)
+    # Ignored until the program installs its handlers: before that there is nothing to reload or report.
+    for signal_number in (signal.SIGHUP, signal.SIGUSR1):
+        signal.signal(signal_number, signal.SIG_IGN)
     try:
         site = read_site(os.environ)
         program = Program(site)
         if os.environ.get("BIRCHSLIP_FLEET"):
-            join(program, os.environ["BIRCHSLIP_FLEET"])
+            attach_planner_link(program, os.environ["BIRCHSLIP_FLEET"])
         if os.environ.get("BIRCHSLIP_KEEP"):
-            keep(program, os.environ["BIRCHSLIP_KEEP"])
-    except (InvalidInputError, OSError) as trouble:
-        print(f"birchslip: {trouble}", file=sys.stderr)
+            attach_result_store(program, os.environ["BIRCHSLIP_KEEP"])
+    except (InvalidInputError, OSError) as error:
+        print(f"birchslip: {error}", file=sys.stderr)
         return 2
     gc.collect()
     gc.freeze()
     try:
         program.run()
-    except OSError as trouble:
-        print(f"birchslip: {trouble}", file=sys.stderr)
+    except OSError as error:
+        print(f"birchslip: {error}", file=sys.stderr)
         return 1
     except Exception:
-        # One in a task or a transaction's stages is caught there: this one is the scheduler's own.
-        print(f"birchslip: ended by a fault\n{traceback.format_exc()}", file=sys.stderr)
+        # Exceptions of tasks and request stages are caught earlier, so this one comes from the scheduler.
+        print(f"birchslip: stopped by an unhandled exception\n{traceback.format_exc()}", file=sys.stderr)
         return 1
     return 0
 
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -1,8 +1,9 @@
-"""The states of each request, and the order in which the decisions of one app server are made.
+"""The life cycle of each request, and the order in which one app server makes its decisions.
 
-`driver.py` makes one `AdmissionController` for each app server, resumes the generator of `steps` for each
-request with what happens to it, and after each batch resumes whom `settle` names. Two controllers share
-nothing; the same events bring the same decisions. It does no I/O and has no clock: the driver sets the time.
+`driver.py` creates one `AdmissionController` for each app server. It resumes the generator that `steps`
+returns for each request with the events of that request, and after each batch the requests that `settle`
+yields. Controllers share no state, and the same events lead to the same decisions. A controller does no I/O
+and reads no clock: the driver sets the time.
 """
 
 from __future__ import annotations
@@ -64,28 +65,28 @@
 
 
 class ControllerMetrics(NamedTuple):
-    """What others may read of a controller."""
+    """Read-only figures of a controller, for the program around it and for the fleet."""
 
     started_at: int
     starts_cold: bool
     mean_service_time: float  # 0 while unknown
-    slowdown: float  # of runs, against the usual
+    slowdown: float  # run time relative to the usual run time
     is_healthy: bool
     calls_in_flight: int
     plan_weight: float  # 0 without a plan in force
 
 
 class AdmissionController:
-    """The decisions of one app server, put together."""
+    """Makes all admission decisions of one app server."""
 
     def __init__(self, settings: AdmissionSettings, now: int) -> None:
-        """Begin without requests, healthy, with the timer set."""
+        """Start without requests, healthy, and with the timer set."""
         self.settings = settings
         self.now = now
         self.started_at = now
         self.saturation_logged_at = now
         self.sequence = 0
-        self.notices: list[ServerAction] = [SetHealth(True), SetTimer(now + TIMER_INTERVAL)]
+        self.server_actions: list[ServerAction] = [SetHealth(True), SetTimer(now + TIMER_INTERVAL)]
         self.times = ServiceTimes(settings.request_classes)
         self.health = HealthMonitor(settings.cores, self.times)
         self.plan = PlanState(now)
@@ -106,7 +107,7 @@
     # ---- the steps of a request ------------------------------------------------------------------------
 
     def steps(self, request: Request) -> Steps:
-        """Take a request from its reading to its final answer."""
+        """Yield the actions for a request, from its arrival to its final answer."""
         self._receive(request)
         original = request.original
         if original is not None and (original.has_started or original.state is not RequestState.COMPLETED):
@@ -120,7 +121,10 @@
             yield from self._run(request)
 
     def _receive(self, request: Request) -> None:
-        """Set its latency deadline; a retry, whose age is unknown, counts as old as rejected ones were."""
+        """Number a request and set its latency deadline.
+
+        The age of a retry is unknown: the mean age of the recently rejected requests stands in for it.
+        """
         self.sequence += 1
         request.sequence = self.sequence
         self.queue.read_delay = self.now - request.arrived_at
@@ -129,7 +133,7 @@
         request.latency_deadline = min(request.deadline, due_at)
 
     def _attach(self, request: Request) -> Steps:
-        """Let a repeat of what is queued, runs or has run share that outcome: nothing has effect twice."""
+        """Answer a repeat with the outcome of its original, so that the effect happens only once."""
         if not self.memory.has_room_attached(request):
             yield Fail()
             return
@@ -148,7 +152,7 @@
         if is_late or not self.memory.has_room(request):
             yield self.rejections.reject(request, self.now)
             return None
-        self.idle_connections.returns.add(request.caller, self.now)
+        self.idle_connections.request_intervals.add(request.caller, self.now)
         delay = self.quotas.count(request, self.now, self.queue.is_saturated)
         if not self.memory.may_store_result(request, self.now):
             self.quotas.uncount(request, self.now)
@@ -156,30 +160,34 @@
             return None
         if not self.queue.fits(request, delay, self.now):
             self.quotas.uncount(request, self.now)
-            yield self.rejections.reject(request, self.now, self._callers_delay(request, delay))
+            yield self.rejections.reject(request, self.now, self._delay_of_caller(request, delay))
             return None
         return delay
 
-    def _callers_delay(self, request: Request, delay: int) -> int:
-        """Return the part of a delay that its caller waits out: a tenant's delay is not its caller's.
+    def _delay_of_caller(self, request: Request, delay: int) -> int:
+        """Return the part of a quota delay that belongs in the caller's Retry-After.
 
-        All requests of an evacuated caller count against one quota, and its delay is the caller's.
+        It is 0 if the delay comes from a tenant's quota, which the caller shares with others. All evacuated
+        callers share one quota as well, but are asked to wait for its delay.
         """
         meter = request.quota_meter
-        is_tenants = meter.configured_quota and meter is not self.quotas.evacuated
-        return 0 if is_tenants else delay
+        is_tenant_quota = meter.configured_quota and meter is not self.quotas.evacuated
+        return 0 if is_tenant_quota else delay
 
     def _wait_in_queue(self, request: Request, delay: int) -> Generator[Action, Event, bool]:
-        """Queue a request; returns whether it may start, else it has been answered or its caller is gone."""
+        """Queue a request until its turn; returns whether it may start.
+
+        If it may not, it has been rejected or its caller has disconnected.
+        """
         is_keyed = request.request_class.idempotency is Idempotency.KEYED
-        entry = self.queue.enter(request, delay, self.now)
+        entry = self.queue.enqueue(request, delay, self.now)
         self.memory.charge(request, request.size)
         self.deadlines.watch(request)
         if is_keyed:
             self.memory.store_key(request, self.now)
             yield StoreKey(request.request_class.key_retention)
         event = yield Wait()
-        self.queue.leave(entry)
+        self.queue.remove(entry)
         if isinstance(event, TurnGranted):
             return True
         self.quotas.uncount(request, self.now)
@@ -193,7 +201,7 @@
         return False
 
     def _run(self, request: Request) -> Steps:
-        """Run a request to its end, with its calls downstream."""
+        """Run a request to its end, including its calls downstream."""
         request.has_started = True
         self.limit.started_count += 1
         self.memory.charge_running(request)
@@ -203,24 +211,24 @@
             if isinstance(event, CallNeeded):
                 event = yield from self._call_downstream(request)
             else:
-                event = yield from self._cut_off(request, event)
+                event = yield from self._handle_expiry_or_disconnect(request, event)
         self.limit.release_core(request, self.now)
         self.limit.started_count -= 1
         self.memory.charge(request, 0)
         request.state = RequestState.COMPLETED
-        self._learn(request, event)
+        self._record_run(request, event)
 
     def _call_downstream(self, request: Request) -> Generator[Action, Event, Event]:
-        """Wait for a turn, call, and go on; returns the event that ends this."""
+        """Make one call downstream for a run, or skip it; returns the event that the run continues with."""
         self.limit.release_core(request, self.now)
-        entry = self.downstream.enter(request)
+        entry = self.downstream.enqueue(request)
         event = yield Wait()
-        self.downstream.leave(entry)
+        self.downstream.remove(entry)
         if isinstance(event, TurnGranted):
-            event = yield CallDownstream(self.downstream.begin(request, self.now))
+            event = yield CallDownstream(self.downstream.begin_call(request, self.now))
             while isinstance(event, WaitExpired | CallerGone):
-                event = yield from self._cut_off(request, event)
-            self.downstream.end(request, event, self.now)
+                event = yield from self._handle_expiry_or_disconnect(request, event)
+            self.downstream.end_call(request, event, self.now)
         if isinstance(event, CallEnded):
             if event.outcome is Outcome.SERVED:
                 self.limit.occupy_core(request, self.now)
@@ -232,26 +240,30 @@
         if self.downstream.may_skip(request, self.now):
             self.limit.occupy_core(request, self.now)
             return (yield SkipCall())
-        return (yield from self._cut_off(request, WaitExpired()))
+        return (yield from self._handle_expiry_or_disconnect(request, WaitExpired()))
 
-    def _cut_off(self, request: Request, event: Event) -> Generator[Action, Event, Event]:
-        """Answer a started request at once; its run is stopped where that frees something."""
+    def _handle_expiry_or_disconnect(self, request: Request, event: Event) -> Generator[Action, Event, Event]:
+        """Fail a started request whose time is over, and stop its run if that frees a core.
+
+        Nothing is sent to a caller that has disconnected. Returns the next event of the request.
+        """
         if isinstance(event, WaitExpired) and not request.is_answered:
             request.is_answered = True
             yield Fail()
         elif isinstance(event, CallerGone):
             request.is_answered = True
-        # A keyed run goes on: its repeat shares its outcome, and a stopped one may not start again.
+        # A keyed run goes on: a repeat needs its outcome, and a stopped run must not be started again.
         if request.is_answered and request.state is RequestState.RUNNING and self._may_stop(request):
             yield StopRun()
         return (yield Wait())
 
     def _may_stop(self, request: Request) -> bool:
+        """Return whether the run of a request may be stopped: it is idempotent, and preemption is on."""
         is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
         return is_idempotent and self.settings.preemption is not Preemption.OFF
 
-    def _learn(self, request: Request, ended: RunEnded) -> None:
-        """Learn from a run without its calls; a stopped one counts as far as it got."""
+    def _record_run(self, request: Request, ended: RunEnded) -> None:
+        """Record an ended run; a stopped run counts as completed only for the core time that it used."""
         typical = self.times.typical(request)
         if ended.outcome not in (Outcome.SERVED, Outcome.FAILED):
             self.health.record_completed(min(request.core_time_used, ceil(typical)))
@@ -264,17 +276,17 @@
     # ---- the app server --------------------------------------------------------------------------------
 
     def advance_clock(self, now: int) -> None:
-        """Set the present time, which may not go back."""
+        """Set the current time, which must not go back."""
         self.health.advance(now - self.now, len(self.limit.running))
         self.now = now
 
     def tick(self, gauges: Gauges) -> None:
-        """Bring all figures up to date at a timer, and adjust what follows from them."""
+        """Update all measurements, then the limit, the health, the idle timeout and the criticality level."""
         now = self.now
         self.queue.is_changed = True
-        self.notices.append(SetTimer(now + TIMER_INTERVAL))
-        self.quotas.forget_silent(now)
-        self.idle_connections.returns.forget(now)
+        self.server_actions.append(SetTimer(now + TIMER_INTERVAL))
+        self.quotas.drop_idle_callers(now)
+        self.idle_connections.request_intervals.drop_idle_callers(now)
         self.memory.expire_keys(now)
         self.health.measure(self.limit.running, now)
         self.downstream.measure(now)
@@ -284,11 +296,12 @@
         if self.plan.weight:
             self._fade_plan()
         self.limit.adjust(now, bool(self.queue.entries), self.health.is_healthy)
-        self._judge_health()
+        self._update_health()
         self.choose_idle_timeout()
         self._adjust_criticality()
 
     def _log_saturation(self) -> None:
+        """Log that quotas bind, at most once per quota window."""
         if self.now - self.saturation_logged_at >= WINDOW_SPAN:
             self.saturation_logged_at = self.now
             self._log(QuotasBind(len(self.queue.entries), len(self.limit.running)))
@@ -297,40 +310,43 @@
         if self.plan.fade(self.now):
             self._log(PlanExpired(self.plan.plan.term, self.plan.plan.number))
 
-    def _judge_health(self) -> None:
-        if self.health.judge(self.deadlines.is_draining):
-            self.notices.append(SetHealth(self.health.is_healthy))
+    def _update_health(self) -> None:
+        if self.health.update(self.deadlines.is_draining):
+            self.server_actions.append(SetHealth(self.health.is_healthy))
             self._log(HealthChanged(self.health.is_healthy, self.health.stall_ratio))
 
     def choose_idle_timeout(self) -> None:
-        """Announce the idle timeout if it has changed."""
+        """Choose the idle timeout, and set it on the app server if it has changed."""
         self.rejection_stats.measure(self.now, self.quotas.served_count.total(self.now))
         timeout = self.idle_connections.choose(self.now, self.queue.read_delay)
         if timeout is not None:
-            self.notices.append(SetIdleTimeout(timeout))
+            self.server_actions.append(SetIdleTimeout(timeout))
 
     def _adjust_criticality(self) -> None:
         rejected = self.rejection_stats.count.total(self.now)
         served = self.quotas.served_count.total(self.now)
         level = self.criticality.adjust(bool(self.queue.entries), rejected, served)
         if level is not None:
-            self.notices.append(AdvertiseCriticality(level))
+            self.server_actions.append(AdvertiseCriticality(level))
 
     def drain(self, ends_at: int) -> None:
-        """Admit for the grace only, turn unhealthy, and answer all before the process ends."""
+        """Start a drain: new requests are admitted only during the grace period.
+
+        Health turns bad at once, and all requests are answered before the process ends at `ends_at`.
+        """
         self.deadlines.begin_drain(self.now, self.settings.drain_grace, ends_at)
         self._log(DrainStarted())
-        self._judge_health()
+        self._update_health()
 
     def apply_plan(self, plan: PlanOverride) -> bool:
-        """Put a plan in force or renew it; returns False for an older or late one, which changes nothing."""
+        """Apply or renew a plan; returns False for an outdated plan, which is ignored."""
         if not self.plan.is_superseded_by(plan):
             return False
-        is_news = self.plan.is_changed_by(plan)
-        self.quotas.adopt_plan(plan, self.now, self.plan.brings_new_callers(plan))
-        self.plan.put_in_force(plan)
+        is_changed = self.plan.is_changed_by(plan)
+        self.quotas.adopt_plan(plan, self.now, self.plan.adds_evacuated_callers(plan))
+        self.plan.activate(plan)
         self._fade_plan()
-        if is_news:
+        if is_changed:
             callers = tuple(sorted(plan.evacuated_callers))
             fraction = plan.serving_fraction
             is_short = plan.is_capacity_short
@@ -338,15 +354,15 @@
         return True
 
     def limit_new_keys(self, capacity: KeyCapacity) -> None:
-        """Bound the keyed requests that may still start, as the store of results has room."""
+        """Limit the keyed requests that may still start to the room in the result store."""
         self.memory.key_capacity = capacity
 
     def set_downstream_quota(self, calls: float) -> None:
-        """Set how many calls downstream may be in flight."""
+        """Set how many calls downstream may be in flight at once."""
         self.downstream.quota = calls
 
     def metrics(self) -> ControllerMetrics:
-        """Return what others may read of this controller."""
+        """Return the controller's current figures."""
         return ControllerMetrics(
             started_at=self.started_at,
             starts_cold=self.settings.starts_cold,
@@ -358,31 +374,32 @@
         )
 
     def settle(self) -> Iterator[WakeUp]:
-        """Yield, after each batch, who goes on: final answers that are due, then calls, then starts."""
+        """Yield the requests to resume after a batch: overdue requests first, then calls, then starts."""
         now = self.now
         yield from self._overdue()
         is_sweep_due = self.queue.is_sweep_due(now)
         if is_sweep_due:
             yield from self.queue.sweep(now)
         if self.downstream.waiting and (is_sweep_due or self.downstream.next_call_at <= now):
-            yield from self.downstream.next_turns(now)
+            yield from self.downstream.next_calls(now)
         if self.queue.entries:
             yield from self.queue.next_starts(now)
 
     def _overdue(self) -> Iterator[WakeUp]:
+        """Yield the requests that must be answered now and the late runs that may be stopped."""
         for request in self.deadlines.overdue(self.now):
             yield WakeUp(request, WaitExpired())
         if not self.queue.entries or self.settings.preemption is Preemption.OFF:
             return
-        # A run past its latency deadline earns nothing: while others wait for its core, it gives way.
-        worthless = [
+        # An answer past its latency deadline has no value: stop the run while others wait for a core.
+        late_runs = [
             request
             for request in self.limit.running
             if self.now >= request.latency_deadline and not request.request_class.late_weight
         ]
-        for request in worthless:
+        for request in late_runs:
             if not request.is_answered and self._may_stop(request):
                 yield WakeUp(request, WaitExpired())
 
     def _log(self, event: LogEvent) -> None:
-        self.notices.append(event)
+        self.server_actions.append(event)
