--- a/birchslip/admission/quota.py
+++ b/birchslip/admission/quota.py
@@ -1,6 +1,6 @@
-"""The quota of each caller or tenant and the delay for passing it, as in KIP-13 (Kafka quotas).
+"""The quota of each caller or tenant and the delay for exceeding it, as in KIP-13 (Kafka quotas).
 
-Owns the meters and what was served in the window. It delays nobody itself.
+This module owns the meters and the counts of served requests. It computes delays; the queue applies them.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from .units import SECOND
 from .windows import WindowedCounter
 
-DERIVED_QUOTA_SHARES = 2.0  # a derived quota, in even shares of the bytes served
-SMALLEST_PLAN_WEIGHT = 0.01
-SMALLEST_EVACUATED_QUOTA = 0.1
+DERIVED_QUOTA_SHARES = 2.0  # a derived quota, in even shares of the served bytes
+MIN_PLAN_WEIGHT = 0.01
+MIN_EVACUATED_QUOTA = 0.1
 
 
 class Quotas:
@@ -25,7 +25,7 @@
     def __init__(
         self, settings: AdmissionSettings, limit: ConcurrencyLimit, plan: PlanState, now: int
     ) -> None:
-        """Begin with empty windows; configured quotas are split evenly over the fleet."""
+        """Start with empty windows; configured quotas are split evenly over the fleet."""
         self.limit = limit
         self.plan = plan
         self.started_at = now
@@ -36,8 +36,11 @@
         self.served_count = WindowedCounter(WINDOW_COUNT, WINDOW_LENGTH)
 
     def meter(self, request: Request, now: int) -> QuotaMeter:
-        """Return the meter of a request's tenant, where it has a quota, or else of its caller."""
-        # The last one seen stands last, so that `forget_silent` finds the silent ones at the head.
+        """Return the meter that a request counts against.
+
+        This is the meter shared by evacuated callers, that of a tenant with a quota, or that of the caller.
+        """
+        # Callers are kept in the order of their last requests: `drop_idle_callers` drops from the front.
         meter = self.callers.pop(request.caller) if request.caller in self.callers else QuotaMeter()
         self.callers[request.caller] = meter
         meter.last_seen_at = now
@@ -54,51 +57,60 @@
         amount = 1 if meter.configured_quota else request.size
         meter.admitted.add(now, amount)
         meter.requested.add(now, amount)
-        # A derived quota is learned over one full window; a configured one is known at once.
+        # A derived quota needs one full window of measurements; a configured one is known at once.
         is_known = meter.configured_quota or now - self.started_at >= WINDOW_SPAN
         return self.delay(meter, now) if is_saturated and is_known else 0
 
     def uncount(self, request: Request, now: int) -> None:
-        """Take back a request that never ran, or a caller that goes on asking would be shut out whole."""
+        """Uncount a request that never ran.
+
+        Otherwise a caller that keeps sending would use up its quota with rejected requests alone.
+        """
         meter = request.quota_meter
         amount = 1 if meter.configured_quota else request.size
-        meter.admitted.take(now, request.counted_at, amount)
+        meter.admitted.subtract(now, request.counted_at, amount)
 
     def record_served(self, request: Request, now: int) -> None:
-        """Count a request that was answered in time."""
+        """Count a request that was served in time."""
         self.served_bytes.add(now, request.size)
         self.served_count.add(now, 1)
 
     def delay(self, meter: QuotaMeter, now: int) -> int:
-        """Return the delay that a meter's quota requires."""
+        """Return the delay that brings a meter back to its quota."""
         return meter.delay(now, self.quota(meter, now))
 
     def quota(self, meter: QuotaMeter, now: int) -> float:
-        """Return a second's quota: the tenant's as configured, or twice the caller's even share of bytes.
+        """Return the quota of a meter per second: the configured one, or twice an even share of served bytes.
 
-        It is never under an even share of what the limit could serve, nor is a share less than one request.
-        It is 0, for none, where nothing was served: the cores are stuck, and no caller is to blame.
+        It is at least an even share of what the concurrency limit can serve, and an even share is at least
+        one request. A derived quota is 0, which means none, if nothing was served: then the cores are stuck,
+        and no caller is the cause.
         """
         throughput = self.limit.throughput()
         if meter is self.evacuated:
-            return meter.configured_quota / max(SMALLEST_PLAN_WEIGHT, self.plan.weight)
+            return meter.configured_quota / max(MIN_PLAN_WEIGHT, self.plan.weight)
         if meter.configured_quota:
             return self._configured_quota(meter, throughput, now)
         served = self.served_bytes.total(now)
-        number = max(1, self.served_count.total(now))
+        served_count = max(1, self.served_count.total(now))
         callers = len(self.callers)
-        derived = DERIVED_QUOTA_SHARES * max(1.0, callers / number) / WINDOW_COUNT
-        return max(derived, throughput / number) * served / max(1, callers)
+        derived = DERIVED_QUOTA_SHARES * max(1.0, callers / served_count) / WINDOW_COUNT
+        return max(derived, throughput / served_count) * served / max(1, callers)
 
     def _configured_quota(self, meter: QuotaMeter, throughput: float, now: int) -> float:
-        active = max(1, sum(1 for peer in self.tenants.values() if peer.admitted.total(now) > 0))
+        """Return a tenant's quota per second; it moves to the planned quota with the weight of the plan."""
+        active = max(1, sum(1 for other in self.tenants.values() if other.admitted.total(now) > 0))
         usual = max(meter.configured_quota, throughput / active)
         if not meter.planned_quota:
             return usual
         return usual + (meter.planned_quota - usual) * self.plan.weight
 
     def usage(self, request: Request, now: int) -> float:
-        """Return what a request's caller requested, rejected or not, beyond chance, against its quota."""
+        """Return how much was requested against a request's meter, relative to its quota.
+
+        Rejected requests count as well. One standard deviation of random arrivals is subtracted first, so
+        that chance alone does not make a small tenant look heavy.
+        """
         meter = request.quota_meter
         requested = meter.requested.total(now)
         unit = 1 if meter.configured_quota else request.size
@@ -106,27 +118,30 @@
         return beyond_chance / (meter.configured_quota or max(1.0, self.quota(meter, now)))
 
     def is_within_fair_share(self, meter: QuotaMeter, now: int) -> bool:
-        """Return whether a tenant had no more of its quota than all active tenants together."""
+        """Return whether a tenant has used no larger part of its quota than all active tenants together."""
         if not meter.configured_quota:
             return True
-        active = [peer for peer in self.tenants.values() if peer.admitted.total(now) > 0]
-        admitted = sum(peer.admitted.sum for peer in active)
-        configured = sum(peer.configured_quota for peer in active)
+        active = [other for other in self.tenants.values() if other.admitted.total(now) > 0]
+        admitted = sum(other.admitted.sum for other in active)
+        configured = sum(other.configured_quota for other in active)
         return meter.admitted.sum * configured <= admitted * meter.configured_quota
 
-    def adopt_plan(self, plan: PlanOverride, now: int, brings_new_callers: bool) -> None:
-        """Set the planned quotas. New evacuated callers begin with a full window: they come all at once."""
-        if brings_new_callers:
+    def adopt_plan(self, plan: PlanOverride, now: int, adds_evacuated_callers: bool) -> None:
+        """Set the quotas of a plan.
+
+        If the plan adds evacuated callers, their meter starts with full windows, as they arrive all at once.
+        """
+        if adds_evacuated_callers:
             self.evacuated = QuotaMeter()
             amount = ceil(plan.evacuated_quota * WINDOW_LENGTH / SECOND)
-            for ago in range(WINDOW_COUNT):
-                self.evacuated.admitted.add(now - (WINDOW_COUNT - 1 - ago) * WINDOW_LENGTH, amount)
-        self.evacuated.configured_quota = max(SMALLEST_EVACUATED_QUOTA, plan.evacuated_quota)
+            for windows_ago in range(WINDOW_COUNT):
+                self.evacuated.admitted.add(now - (WINDOW_COUNT - 1 - windows_ago) * WINDOW_LENGTH, amount)
+        self.evacuated.configured_quota = max(MIN_EVACUATED_QUOTA, plan.evacuated_quota)
         for tenant, meter in self.tenants.items():
             meter.planned_quota = plan.quotas.get(tenant, 0.0)
 
-    def forget_silent(self, now: int) -> None:
-        """Drop the meters of callers not seen for a whole window."""
+    def drop_idle_callers(self, now: int) -> None:
+        """Drop the meters of callers that sent nothing for a whole window."""
         while self.callers:
             caller, meter = next(iter(self.callers.items()))
             if meter.last_seen_at > now - WINDOW_SPAN:
