--- a/birchslip/cluster/recovery_ramp.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -6,7 +6,7 @@
 A step lasts until several evaluations of the members' reports show that they handle its load: at usual run
 times and with few rejections, and after the last step also warmed up. Time alone never completes a step; it
 only sets minimum durations. This module decides the stage of one site; whether the site is lost is decided by
-`membership.py`.
+`membership.py`. The texts of the reasons are stored and replicated, so they must not change.
 """
 
 from __future__ import annotations
@@ -153,7 +153,7 @@
         if self.stage is not RecoveryStage.LOST or not self.evacuated_by_operator:
             return False
         self.evacuated_by_operator = False
-        self._enter(RecoveryStage.WAITING, now, "evacuation ended by an operator")
+        self._enter(RecoveryStage.WAITING, now, "let back by hand")
         return True
 
     def evaluate(
@@ -175,7 +175,7 @@
         if self.stage is RecoveryStage.LOST:
             if self.evacuated_by_operator or 2 * len(reports) < expected_members or not reports:
                 return ""
-            self._enter(RecoveryStage.WAITING, now, "its members report again")
+            self._enter(RecoveryStage.WAITING, now, "its members are heard again")
             if self.wait_duration:
                 return self.reason
         if self.stage is RecoveryStage.WAITING:
@@ -197,7 +197,7 @@
         self.step = 0
         self.min_step_duration = MIN_STEP_DURATION
         waited_ms = self.wait_duration // MS
-        self._enter(RecoveryStage.STEP, now, f"waited {waited_ms} ms after loss {self.flap_count}")
+        self._enter(RecoveryStage.STEP, now, f"waited {waited_ms} ms, flap {self.flap_count}")
         return self.reason
 
     def _evaluate_step(self, reports: list[MemberReport], usual_load: float, now: int) -> str:
@@ -210,13 +210,12 @@
         if self.step + 1 < len(STEP_FRACTIONS):
             self.step += 1
             reason = (
-                f"step completed: slowdown {observation.slowdown:.1f}, "
-                f"rejected ratio {observation.rejected_ratio:.2f}"
+                f"carried the step: pace {observation.slowdown:.1f}, shed {observation.rejected_ratio:.2f}"
             )
             self._enter(RecoveryStage.STEP, now, reason)
             return self.reason
         if all(report.is_warm for report in reports):
-            self._enter(RecoveryStage.SERVING, now, "serves its full load")
+            self._enter(RecoveryStage.SERVING, now, "carries all of its load")
             return self.reason
         return ""
 
@@ -246,6 +245,6 @@
     def _step_back(self, observation: StepObservation, now: int) -> str:
         self.step -= 1
         self.min_step_duration = min(MAX_WAIT, 2 * self.min_step_duration)
-        reason = f"overloaded: slowdown {observation.slowdown:.1f}, back to {self.serving_fraction:.2f}"
+        reason = f"the step hurt: pace {observation.slowdown:.1f}, back to {self.serving_fraction:.2f}"
         self._enter(RecoveryStage.STEP, now, reason)
         return self.reason
--- a/birchslip/cluster/site_supervisor.py
+++ b/birchslip/cluster/site_supervisor.py
@@ -16,7 +16,7 @@
 
 LOAD_SMOOTHING = 0.1  # weight of each sample: a mean over about two seconds
 MAX_OPERATOR_REASON_LENGTH = 300  # characters
-LOST_REASON = "no planner receives its reports and probes of its members failed"
+LOST_REASON = "no planner hears it and its doors are shut"  # stored, so the text must not change
 SITE_LOST_EVENT = "site_lost"
 
 
@@ -156,7 +156,7 @@
 
     def evacuate(self, site: str, operator: str, reason: str, now: int) -> bool:
         """Evacuates a site on an operator's command; returns whether its stage has changed."""
-        stored_reason = f"by operator {operator}: {reason}"[:MAX_OPERATOR_REASON_LENGTH]
+        stored_reason = f"by hand: {operator}: {reason}"[:MAX_OPERATOR_REASON_LENGTH]
         if not self.ramps[site].mark_lost(now, stored_reason, by_operator=True):
             return False
         self.events.record("site_evacuated", site=site, who=operator, why=reason)
