--- a/birchslip/cluster/recovery_ramp.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -224,8 +224,8 @@
             self.good_streak = 0
             self.bad_streak += 1
             return
-        is_limited_by_step = self._is_limited_by_step(observation)
-        rejects_little = observation.rejected_ratio < MAX_REJECTED_RATIO or is_limited_by_step
+        rejected_ratio = observation.rejected_ratio
+        rejects_little = rejected_ratio < MAX_REJECTED_RATIO or self._is_limited_by_step(observation)
         if observation.slowdown <= MAX_GOOD_SLOWDOWN and rejects_little:
             self.good_streak += 1
             self.bad_streak = 0
