--- a/birchslip/idempotency/disk_health.py
+++ b/birchslip/idempotency/disk_health.py
@@ -75,7 +75,7 @@
         self._probe_interval = min(2 * self._probe_interval, MAX_PROBE_INTERVAL)
         return self._enter(DiskState.FAILED, reason)
 
-    def time_passed(self, now: int) -> bool:
+    def detect_stall(self, now: int) -> bool:
         """Detect a stalled flush; called periodically."""
         is_waiting = self._oldest_flush_at != NO_FLUSH
         if not self.is_healthy or not is_waiting or now - self._oldest_flush_at < self.stall_limit:
--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -25,7 +25,7 @@
 ResolutionListener = Callable[[IdempotencyEntry, RunResult], None]
 
 
-class DiscardingCaller:
+class DiscardingChannel:
     """Caller of a request of an earlier incarnation; its connection is gone, so answers are discarded."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
             task = FetchTask(
                 location=unpack_location(location),
                 max_body_bytes=COMPLETION_RESERVE_BYTES,
-                on_done=partial(self._fetched, entry),
+                on_done=partial(self._on_fetched, entry),
             )
             self._writer.submit(task)
         return entry
@@ -105,14 +105,14 @@
         if entry is not None:
             self._resolve(entry, RunResult(outcome, result))
         completed = replace(started, kind=RecordKind.COMPLETED, run_id="", outcome=outcome, result=result)
-        self._flush_queue.append(completed, partial(self._completion_done, completed))
+        self._flush_queue.append(completed, partial(self._on_completion_appended, completed))
 
     def forget(self, now: int) -> None:
         """Drop all keys; called once the last one has expired."""
         self._recovered.index = KeyIndex(now)
         self._entries = {}
 
-    def _fetched(self, entry: IdempotencyEntry, task: FetchTask) -> None:
+    def _on_fetched(self, entry: IdempotencyEntry, task: FetchTask) -> None:
         record = task.record
         if record is None or record.key != bytes.fromhex(entry.key):
             self._counters.count("keep.unread")
@@ -125,7 +125,7 @@
         if entry.result is None:
             self.on_resolved(entry, run_result)
 
-    def _completion_done(self, record: ResultRecord, task: AppendTask) -> None:
+    def _on_completion_appended(self, record: ResultRecord, task: AppendTask) -> None:
         index = self._recovered.index
         if record.outcome in NEVER_RAN_OUTCOMES:
             index.put(record.key, 0)  # expired, so that the key can be started again
@@ -140,7 +140,9 @@
     request = Request(request_class, caller=0, arrived_at=arrived_at, deadline=arrived_at, size=0)
     request.has_started = True
     request.state = RequestState.COMPLETED
-    original = RequestContext(DiscardingCaller(), 0, "", "", b"", request, arrived_at, repeat.idempotency_key)
+    original = RequestContext(
+        DiscardingChannel(), 0, "", "", b"", request, arrived_at, repeat.idempotency_key
+    )
     original.is_launched = True
     original.is_answered = True
     return IdempotencyEntry(
--- a/birchslip/idempotency/flush_queue.py
+++ b/birchslip/idempotency/flush_queue.py
@@ -79,7 +79,7 @@
             serial=self._budget.segments[-1].serial,
             starts_segment=starts_segment,
             submitted_at=self._scheduler.now,
-            on_done=partial(self._append_done, on_done),
+            on_done=partial(self._on_append_done, on_done),
         )
         self._writer.submit(task)
 
@@ -93,16 +93,16 @@
         self._listeners[number] = listener
         self.append(record, lambda task: self._notify_listener(number, not task.error))
 
-    def time_passed(self) -> None:
+    def check_disk(self) -> None:
         """Detect a stalled disk and probe a failed one; called periodically."""
         now = self._scheduler.now
-        if self._disk.time_passed(now):
+        if self._disk.detect_stall(now):
             self._report_disk_state()
             self._notify_all_not_flushed()
         if self._disk.needs_probe(now):
             self.append(ResultRecord(RecordKind.VOID, bytes(KEY_BYTES), now, 0))
 
-    def _append_done(self, on_done: Callable[[AppendTask], None] | None, task: AppendTask) -> None:
+    def _on_append_done(self, on_done: Callable[[AppendTask], None] | None, task: AppendTask) -> None:
         now = self._scheduler.tell_time()
         self._unflushed -= 1
         self._record_latency(now - task.submitted_at, bool(task.error))
--- a/birchslip/idempotency/record_format.py
+++ b/birchslip/idempotency/record_format.py
@@ -219,11 +219,10 @@
     view = memoryview(raw)
     header_size = RECORD_HEADER.size
     unpack_header = RECORD_HEADER.unpack_from
-    digest = xxhash.xxh32_intdigest
+    compute_checksum = xxhash.xxh32_intdigest
+    checked_size = header_size - CHECKSUM.size  # the header's checksum covers all but itself
     intact = RecordState.INTACT
-    new_fragment = partial(
-        tuple.__new__, RecordFragment
-    )  # skips the slower constructor, which is Python code
+    new_fragment = partial(tuple.__new__, RecordFragment)  # skips the slower constructor in Python
     while offset < end:
         kind = None
         if end - offset >= header_size:
@@ -231,7 +230,7 @@
                 raw, offset
             )
             is_intact = (
-                magic == RECORD_MAGIC and digest(view[offset : offset + header_size - 4]) == header_sum
+                magic == RECORD_MAGIC and compute_checksum(view[offset : offset + checked_size]) == header_sum
             )
             if is_intact and body_size <= MAX_BODY_BYTES:
                 kind = KINDS_BY_CODE.get(code)
@@ -248,7 +247,7 @@
             )
             return
         state = intact
-        if digest(view[body_offset : body_offset + body_size]) != body_sum:
+        if compute_checksum(view[body_offset : body_offset + body_size]) != body_sum:
             state = RecordState.CORRUPT
         size = header_size + body_size
         yield new_fragment((state, offset, size, kind, key, arrived_at, retention))
--- a/birchslip/idempotency/result_store.py
+++ b/birchslip/idempotency/result_store.py
@@ -105,7 +105,7 @@
         self._in_doubt_until = 0
         if self.recovered.is_in_doubt:
             self._in_doubt_until = scheduler.now + self.max_retention
-        self._earlier_expire_at = scheduler.now + self.max_retention + grace
+        self._earlier_keys_expire_at = scheduler.now + self.max_retention + grace
 
     # ---- lifetime --------------------------------------------------------------------------------------
 
@@ -128,19 +128,19 @@
             bytes=self.budget.stored_bytes,
         )
         self.writer.start()
-        self.scheduler.at(self.scheduler.now + CHECK_INTERVAL, self.time_passed)
+        self.scheduler.at(self.scheduler.now + CHECK_INTERVAL, self.run_periodic_check)
 
     def close(self) -> None:
         """Finish the submitted writes, close the files and release the lock."""
         self.writer.close()
         self.files.close()
 
-    def time_passed(self) -> None:
+    def run_periodic_check(self) -> None:
         """Check the disk, delete what has expired, and schedule the next check."""
         now = self.scheduler.now
-        self.scheduler.at(now + CHECK_INTERVAL, self.time_passed)
-        self.flush_queue.time_passed()
-        if now > self._earlier_expire_at and not self.earlier_results.is_empty:
+        self.scheduler.at(now + CHECK_INTERVAL, self.run_periodic_check)
+        self.flush_queue.check_disk()
+        if now > self._earlier_keys_expire_at and not self.earlier_results.is_empty:
             self.earlier_results.forget(now)
         for serial in self.budget.remove_expired_segments(now):
             self.counters.count("keep.files_dropped")
--- a/birchslip/idempotency/retention_budget.py
+++ b/birchslip/idempotency/retention_budget.py
@@ -57,9 +57,7 @@
         self.grace = grace
         self.segments: deque[Segment] = deque()
         self.live_entries = 0
-        self._entries_by_second: dict[
-            int, int
-        ] = {}  # live entries by the second in which they expire, grace included
+        self._entries_by_second: dict[int, int] = {}  # live entries by second of expiry, grace included
         self._reserved_bytes = 0
         self._swept_second = 0
 
@@ -116,10 +114,10 @@
         """Subtract the entries that expired in past seconds; the work depends on seconds, not on entries."""
         current_second = now // SECOND
         if current_second - self._swept_second > len(self._entries_by_second):
-            passed = [second for second in self._entries_by_second if second < current_second]
+            past_seconds = [second for second in self._entries_by_second if second < current_second]
         else:
-            passed = list(range(self._swept_second, current_second))
-        for second in passed:
+            past_seconds = list(range(self._swept_second, current_second))
+        for second in past_seconds:
             self.live_entries -= self._entries_by_second.pop(second, 0)
         self._swept_second = current_second
 
--- a/tests/test_disk_health.py
+++ b/tests/test_disk_health.py
@@ -6,9 +6,9 @@
 def test_a_disk_that_stalls_or_fails_changes_its_state_and_recovers():
     disk = DiskHealth(stall_limit=2_500)
     disk.flush_requested(0)
-    assert not disk.time_passed(2_499)
+    assert not disk.detect_stall(2_499)
     assert disk.is_healthy
-    assert disk.time_passed(2_500)
+    assert disk.detect_stall(2_500)
     assert disk.state is DiskState.STALLED
     assert "250 ms" in disk.reason
     assert disk.flush_succeeded(4_000, more_pending=False)
@@ -25,4 +25,4 @@
     disk.flush_requested(30_000)
     assert disk.flush_succeeded(30_001, more_pending=False)
     assert disk.is_healthy
-    assert not disk.time_passed(99_999)
+    assert not disk.detect_stall(99_999)
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -72,7 +72,7 @@
     def advance(self, seconds):
         self.now += int(seconds * SECOND)
         self.scheduler.tell_time()
-        self.store.time_passed()
+        self.store.run_periodic_check()
         return self
 
     def restart(self):
