--- a/birchslip/idempotency/disk_health.py
+++ b/birchslip/idempotency/disk_health.py
@@ -38,7 +38,7 @@
     The methods for events return whether the state has changed.
 
     Attributes:
-        stall_limit: Age in ticks from which on an unfinished flush counts as stalled.
+        stall_limit: Age in ticks at which an unfinished flush counts as stalled.
         state: The current state.
         reason: Why the disk is not healthy, in one line; empty if it is.
     """
--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -1,9 +1,9 @@
 """Answers to repeats of requests that an earlier incarnation of the app server started.
 
 The index of the recovered store holds the keys of these requests; their results are read from the segments
-when a repeat arrives. If the agent reports the end of such a run only now, the run is completed late. Whether
-a key may run is decided by the table of keys alone; the entries that it gets from this module count as having
-run.
+when a repeat arrives. If the agent reports the end of such a run only after the restart, the run is completed
+then. Whether a request may run is decided by `IdempotencyTable` alone; the entries that it gets from this
+module are marked as run, so that their keys are not run again.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class DiscardingChannel:
-    """Caller of a request of an earlier incarnation; its connection is gone, so answers are discarded."""
+    """Response channel of a request whose connection ended with an earlier incarnation; discards answers."""
 
     def __init__(self) -> None:
         """Start without open requests."""
@@ -46,7 +46,8 @@
     """Keys of earlier incarnations and answers to their repeats.
 
     Attributes:
-        on_resolved: Called with the entry of a key and the outcome of its run, once the outcome is known.
+        on_resolved: Called with the entry of a key and the result of its run, once the result is known; must
+            be set before the first repeat.
     """
 
     def __init__(
@@ -134,7 +135,7 @@
 
 
 def _make_entry(repeat: RequestContext) -> IdempotencyEntry:
-    """Return an entry whose original request has, to the admission controller, run and been answered."""
+    """Return an entry whose original request counts as run and answered, so that it is not run again."""
     arrived_at = repeat.received_at
     request_class = repeat.request.request_class
     request = Request(request_class, caller=0, arrived_at=arrived_at, deadline=arrived_at, size=0)
@@ -145,6 +146,7 @@
     )
     original.is_launched = True
     original.is_answered = True
+    # Every repeat matches until the stored digest is read, and always if none can be read.
     return IdempotencyEntry(
         repeat.idempotency_key, original, arrived_at, original, matches_earlier_run=lambda other: True
     )
--- a/birchslip/idempotency/maintenance.py
+++ b/birchslip/idempotency/maintenance.py
@@ -65,7 +65,7 @@
         stored_bytes: Size of the segments in bytes, without a truncated record at the end.
         keys: Number of keys that have not expired.
         unknown: Number of keys that were started and whose results are unknown.
-        expired: Number of expired records.
+        expired: Number of expired records, void ones included.
         first_expiry_s: Seconds until the first key expires; None without keys.
         last_expiry_s: Seconds until the last key expires; None without keys.
         open_runs: Ids of runs that were started and not completed, up to `MAX_SHOWN_RUNS`.
@@ -307,7 +307,10 @@
 
 
 def _encode_unknown(segments: list[SegmentContent], key: bytes) -> bytes:
-    """Encode a started record without a run id for a key whose record is corrupt and outcome is unknown."""
+    """Encode a started record without a run id for a key whose record is corrupt.
+
+    The key stays unknown in the compacted store. Returns no bytes if the corrupt record is not found.
+    """
     fragment = _find_corrupt(segments, key)
     if fragment is None:
         return b""
--- a/birchslip/idempotency/record_format.py
+++ b/birchslip/idempotency/record_format.py
@@ -222,7 +222,7 @@
     compute_checksum = xxhash.xxh32_intdigest
     checked_size = header_size - CHECKSUM.size  # the header's checksum covers all but itself
     intact = RecordState.INTACT
-    new_fragment = partial(tuple.__new__, RecordFragment)  # skips the slower constructor in Python
+    new_fragment = partial(tuple.__new__, RecordFragment)  # faster than the constructor
     while offset < end:
         kind = None
         if end - offset >= header_size:
--- a/birchslip/idempotency/recovery.py
+++ b/birchslip/idempotency/recovery.py
@@ -43,7 +43,7 @@
         index: Keys that have not expired.
         open_runs: Started records without a completed one, by run id.
         fragment_counts: Number of records by state.
-        expired: Number of expired records.
+        expired: Number of expired records, void ones included.
         unknown: Number of keys that were started and whose results are unknown.
         is_in_doubt: Whether records were lost, so that keys may be missing.
         truncated_at: Offset at which the last segment must be truncated; None if it ends with a whole record.
--- a/birchslip/idempotency/result_store.py
+++ b/birchslip/idempotency/result_store.py
@@ -2,7 +2,7 @@
 
 A *started* record is flushed before a run is launched, and a *completed* record before its request is
 answered. The store reports how many new keys it can take, and holds the results of earlier incarnations. It
-must never decide which request may run: that is decided by the table of idempotency keys alone.
+must never decide which request may run: that is decided by `IdempotencyTable` alone.
 """
 
 from __future__ import annotations
@@ -174,7 +174,7 @@
         if now < self._in_doubt_until:
             return self._in_doubt_until - now
         if not self.disk.is_healthy:
-            return self.disk.stall_limit
+            return self.disk.stall_limit  # an estimate: it is unknown when the disk recovers
         return self.budget.time_until_room(now)
 
     # ---- keyed requests --------------------------------------------------------------------------------
--- a/birchslip/idempotency/retention_budget.py
+++ b/birchslip/idempotency/retention_budget.py
@@ -2,7 +2,7 @@
 
 A segment is deleted as a whole once all its records have expired. Nothing is rewritten to make room and
 nothing is deleted before it expires; a full store only reports when it will have room. This module does no
-I/O and reads no clock. Times are in ticks of a tenth of a millisecond, of the clock that stamps the requests.
+I/O and reads no clock. Times are in ticks of a tenth of a millisecond, on the clock of request arrivals.
 """
 
 from __future__ import annotations
--- a/birchslip/idempotency/writer.py
+++ b/birchslip/idempotency/writer.py
@@ -23,7 +23,7 @@
 
 CLOSE_TIMEOUT_S = 0.2  # for the last flush; short, as all requests have been answered by then
 WAKE_BYTES = 4096
-TASK_NAME = "keep"
+TASK_NAME = "keep"  # of the thread and the scheduler task; logged with unhandled exceptions
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
