--- a/birchslip/cluster/durable_vote.py
+++ b/birchslip/cluster/durable_vote.py
@@ -33,7 +33,7 @@
         return StateVersion(self.term, self.number)
 
 
-NOBODY = Candidate("", 0)
+NO_CANDIDATE = Candidate("", 0)
 NO_STATE = StoredState(0, 0, b"")
 
 
--- a/birchslip/cluster/election.py
+++ b/birchslip/cluster/election.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from .durable_vote import NO_STATE, NOBODY, Candidate, DurableVote, StoredState
+from .durable_vote import NO_CANDIDATE, NO_STATE, Candidate, DurableVote, StoredState
 from .election_messages import (
     PeerObservation,
     ReplicationRequest,
@@ -66,7 +66,7 @@
         recovery_responses: Responses of the other planners while this one is blank.
         granted_to: Who has this planner's vote.
         granted_until: When that vote ends.
-        silent_until: Until when it does not vote after its start.
+        can_vote_from: Until when it does not vote after its start.
         term: Term of its own candidacy or leadership; 0 if none.
         lease: Votes for `term` and the lease that they grant.
         highest_term: Highest term heard of; the next candidacy is above it.
@@ -89,9 +89,9 @@
     needs_flush: bool = True
     observations: dict[str, PeerObservation] = field(default_factory=dict)
     recovery_responses: dict[str, VoteResponse] = field(default_factory=dict)
-    granted_to: Candidate = NOBODY
+    granted_to: Candidate = NO_CANDIDATE
     granted_until: int = 0
-    silent_until: int = 0
+    can_vote_from: int = 0
     term: int = 0
     lease: QuorumLease = field(init=False)
     highest_term: int = 0
@@ -110,16 +110,16 @@
         self.observations = self.durable.load_observations()
         self.lease = QuorumLease(self.quorum)
         self.replicas = QuorumReplicas(self.quorum)
-        self.silent_until = self.now + self.silent_span
+        self.can_vote_from = self.now + self.startup_delay
         self.next_request_at = self.now + self.rng.randrange(MAX_JITTER)
         self.highest_term = self.durable.promised_term
         self.unconfirmed_peers = {name for name in self.planners if name != self.name}
-        self.confirmed_from = self.now + CONFIRMATION_LEASES * self.silent_span
+        self.confirmed_from = self.now + CONFIRMATION_LEASES * self.startup_delay
         if len(self.planners) == 1:
             self.durable.is_blank = False
 
     @property
-    def silent_span(self) -> int:
+    def startup_delay(self) -> int:
         """Span after which a lease granted just before has ended by every clock."""
         return int(LEASE_SPAN * (1 + CLOCK_DRIFT))
 
@@ -163,7 +163,7 @@
         """Whether the vote may be given without breaking an earlier one."""
         if term <= 0 or self.durable.is_blank or not self.is_confirmed():
             return False
-        if self.now < self.silent_until:
+        if self.now < self.can_vote_from:
             return False
         if self.now < self.granted_until and self.granted_to != candidate:
             return False
@@ -188,7 +188,7 @@
             voter=self.name,
             incarnation=self.incarnation,
             is_blank=durable.is_blank,
-            lease_remaining=max(0, max(self.granted_until, self.silent_until) - self.now),
+            lease_remaining=max(0, max(self.granted_until, self.can_vote_from) - self.now),
             state_term=durable.state_term,
             state_number=durable.state_number,
             state=durable.state,
@@ -226,46 +226,46 @@
     # ---- what the planners know of each other ----------------------------------------------------------
 
     def observe_peer(
-        self, name: str, shown: PeerObservation, observations: dict[str, PeerObservation]
+        self, name: str, reported: PeerObservation, observations: dict[str, PeerObservation]
     ) -> None:
         """Takes in what another planner shows of itself, and what it has observed of this one."""
         self.unconfirmed_peers.discard(name)
         known = self.observations.get(name)
-        if known is None or (known.nonce != shown.nonce and shown.generation >= known.generation):
-            known = self.observe_restart(name, shown, known)
-        known.promised_term = max(known.promised_term, shown.promised_term)
-        known.record_state(shown.state_version)
-        own = observations.get(self.name)
-        if own is not None and self.has_lost_state(own):
-            self.discard_state(own)
+        if known is None or (known.nonce != reported.nonce and reported.generation >= known.generation):
+            known = self.observe_restart(name, reported, known)
+        known.promised_term = max(known.promised_term, reported.promised_term)
+        known.record_state(reported.state_version)
+        own_observation = observations.get(self.name)
+        if own_observation is not None and self.has_lost_state(own_observation):
+            self.discard_state(own_observation)
 
     def observe_restart(
-        self, name: str, shown: PeerObservation, known: PeerObservation | None
+        self, name: str, reported: PeerObservation, known: PeerObservation | None
     ) -> PeerObservation:
         """Records that a planner has restarted, so that an outdated disk of it is recognised."""
-        renewed = PeerObservation(generation=shown.generation, nonce=shown.nonce)
+        restarted = PeerObservation(generation=reported.generation, nonce=reported.nonce)
         if known is not None:
-            renewed.promised_term = known.promised_term
-            renewed.record_state(known.state_version)
-        self.observations[name] = renewed
+            restarted.promised_term = known.promised_term
+            restarted.record_state(known.state_version)
+        self.observations[name] = restarted
         self.durable.save_observations(self.observations)
         self.needs_flush = True
-        return renewed
+        return restarted
 
-    def has_lost_state(self, own: PeerObservation) -> bool:
+    def has_lost_state(self, own_observation: PeerObservation) -> bool:
         """Whether another planner has seen more of this one than its disk contains."""
         durable = self.durable
         return (
-            (own.generation >= durable.generation and own.nonce != self.nonce)
-            or own.promised_term > durable.promised_term
-            or own.state_version > max(self.lost_version, durable.state_version)
+            (own_observation.generation >= durable.generation and own_observation.nonce != self.nonce)
+            or own_observation.promised_term > durable.promised_term
+            or own_observation.state_version > max(self.lost_version, durable.state_version)
         )
 
-    def discard_state(self, own: PeerObservation) -> None:
+    def discard_state(self, own_observation: PeerObservation) -> None:
         """Becomes blank: promises and state of an earlier run are not on this disk."""
-        self.durable.generation = max(self.durable.generation, own.generation + 1)
-        self.durable.promised_term = max(self.durable.promised_term, own.promised_term)
-        self.lost_version = max(self.lost_version, own.state_version)
+        self.durable.generation = max(self.durable.generation, own_observation.generation + 1)
+        self.durable.promised_term = max(self.durable.promised_term, own_observation.promised_term)
+        self.lost_version = max(self.lost_version, own_observation.state_version)
         self.durable.is_blank = True
         self.recovery_responses.clear()
         self.needs_flush = True
@@ -290,11 +290,11 @@
         if len(self.recovery_responses) < len(self.planners) - 1:
             return
         responses = self.recovery_responses.values()
-        newest = max(responses, key=lambda one: one.state_version)
+        newest = max(responses, key=lambda response: response.state_version)
         durable = self.durable
         if newest.state_version > durable.state_version:
             durable.store(newest.state_version, newest.state)
-        highest_promised = max(one.promised_term for one in responses)
+        highest_promised = max(response.promised_term for response in responses)
         durable.promised_term = max(durable.promised_term, highest_promised)
         durable.is_blank = False
         self.recovery_responses.clear()
@@ -335,8 +335,8 @@
         if self.now < self.granted_until and self.granted_to.name != self.name:
             self.next_request_at = self.granted_until + self.rng.randrange(MAX_JITTER)
             return None
-        if self.now < self.silent_until:
-            self.next_request_at = self.silent_until + self.rng.randrange(MAX_JITTER)
+        if self.now < self.can_vote_from:
+            self.next_request_at = self.can_vote_from + self.rng.randrange(MAX_JITTER)
             return None
         self.term = self.next_term()
         self.is_elected = False
@@ -354,9 +354,9 @@
 
     def next_term(self) -> int:
         """A term above all heard of, which no other planner uses."""
-        place = self.planners.index(self.name)
+        index = self.planners.index(self.name)
         highest = max(self.highest_term, self.durable.promised_term)
-        return (highest // TERM_STRIDE + 1) * TERM_STRIDE + place
+        return (highest // TERM_STRIDE + 1) * TERM_STRIDE + index
 
     def handle_vote_response(self, response: VoteResponse, term: int, sent: int, now: int) -> None:
         """Counts a vote.
--- a/birchslip/cluster/election_store.py
+++ b/birchslip/cluster/election_store.py
@@ -38,7 +38,7 @@
 PLACEHOLDERS = ", ".join("?" * (len(COLUMNS) + 2))
 REPLACE_ROW = f"insert or replace into ballot values ({PLACEHOLDERS})"
 ROW_KEY = 1
-FILE_SUFFIXES = ("", "-wal", "-shm")  # of the database and its companions
+DATABASE_FILE_SUFFIXES = ("", "-wal", "-shm")  # of the database and its companions
 
 
 class DamagedStoreError(BirchslipError, ValueError):
@@ -138,7 +138,7 @@
 
     def set_aside(self) -> None:
         """Renames the file and its companions, so that a new one can be made."""
-        for suffix in FILE_SUFFIXES:
+        for suffix in DATABASE_FILE_SUFFIXES:
             path = Path(f"{self.path}{suffix}")
             if path.exists():
                 path.replace(f"{self.path}.damaged{suffix}")
--- a/birchslip/cluster/member_observations.py
+++ b/birchslip/cluster/member_observations.py
@@ -9,7 +9,7 @@
 from .messages import Incarnation
 from .site_supervisor import SiteSupervisor
 
-NEVER_HEARD = MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
+NEVER_REPORTED = MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
 
 
 def observe_members(
@@ -20,7 +20,7 @@
     for name, site in site_of_member.items():
         member = sites.membership.members.get(name)
         if member is None:
-            observations[name] = NEVER_HEARD
+            observations[name] = NEVER_REPORTED
             continue
         reason = _unavailability(member, sites.ramps[site].is_serving, report_interval, now)
         capacity = sites.member_capacity(member)
--- a/birchslip/cluster/member_prober.py
+++ b/birchslip/cluster/member_prober.py
@@ -32,7 +32,7 @@
     outcome: ProbeOutcome
 
 
-def is_refusal(error: OSError) -> bool:
+def is_connection_refused(error: OSError) -> bool:
     """Whether the address is reachable and nothing listens there."""
     return isinstance(error, ConnectionRefusedError) or error.errno == errno.ECONNREFUSED
 
@@ -74,7 +74,7 @@
         try:
             connection.call(PING_METHOD, b"", deadline, params=[{}])
         except OSError as error:
-            return ProbeOutcome.REFUSED if is_refusal(error) else ProbeOutcome.SILENT
+            return ProbeOutcome.REFUSED if is_connection_refused(error) else ProbeOutcome.SILENT
         finally:
             connection.close()
         return ProbeOutcome.ANSWERED
--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -28,13 +28,13 @@
 from .phi_accrual import PhiAccrualDetector
 
 SUSPICION_THRESHOLD_PHI = 5.0
-GONE_AFTER = 10 * SECOND
+GONE_TIMEOUT = 10 * SECOND
 MIN_WITNESSES = 2  # of a lost site, where there are so many
 MIN_UNREACHABLE_MEMBERS = 2  # of a lost site, where it has so many
 PROBE_VALIDITY = 2_000 * MS
-PEER_HEARD_INTERVALS = 4  # report intervals for which another planner's word counts
-RECENTLY_HEARD_INTERVALS = 4  # report intervals for which this planner vouches for a member
-SLOW_PACE = 2.0  # run times against the usual
+PEER_OBSERVATION_INTERVALS = 4  # report intervals for which another planner's word counts
+RECENT_REPORT_INTERVALS = 4  # report intervals for which this planner vouches for a member
+SLOW_MEMBER_SLOWDOWN = 2.0  # run times against the usual
 MAX_DEPARTED = 1_024
 MAX_PREVIOUS_INCARNATIONS = 16  # of one name, so that a late report of an earlier one is recognised
 
@@ -82,7 +82,7 @@
     Attributes:
         incarnation_since: When its present incarnation was first heard.
         disconnected: Whether its connections to this planner ended and it has not been heard since.
-        last_heard_by_peers: When another planner last said that it hears this member, -1 for never.
+        last_reported_by_peers: When another planner last said that it hears this member, -1 for never.
         probes: The newest probe by each witness.
         restarts: Changes of incarnation that this planner has seen.
     """
@@ -94,15 +94,18 @@
     report: MemberReport
     incarnation_since: int
     disconnected: bool = False
-    last_heard_by_peers: int = -1
+    last_reported_by_peers: int = -1
     previous_incarnations: list[Incarnation] = field(default_factory=list)
     probes: dict[str, ProbeEvidence] = field(default_factory=dict)
     restarts: int = 0
 
-    def is_heard(self, now: int, report_interval: int) -> bool:
+    def is_reporting(self, now: int, report_interval: int) -> bool:
         """Returns whether any planner hears it."""
-        peers_heard_it = self.last_heard_by_peers >= 0
-        if peers_heard_it and now - self.last_heard_by_peers <= PEER_HEARD_INTERVALS * report_interval:
+        peers_report_it = self.last_reported_by_peers >= 0
+        if (
+            peers_report_it
+            and now - self.last_reported_by_peers <= PEER_OBSERVATION_INTERVALS * report_interval
+        ):
             return True
         return not self.disconnected and self.detector.phi(now) < SUSPICION_THRESHOLD_PHI
 
@@ -114,7 +117,7 @@
             if now - probe.at <= PROBE_VALIDITY and probe.at >= self.detector.last_heartbeat
         }
 
-    def answered_a_probe(self, now: int) -> bool:
+    def answered_probe(self, now: int) -> bool:
         """Returns whether a valid probe reached it."""
         return any(probe.outcome == ProbeOutcome.ANSWERED for probe in self.valid_probes(now).values())
 
@@ -122,11 +125,11 @@
         """Returns the verdict on this member."""
         if self.report.is_draining:
             return MemberLiveness.LEFT
-        if self.is_heard(now, report_interval):
+        if self.is_reporting(now, report_interval):
             return MemberLiveness.ALIVE
-        if self.answered_a_probe(now):
+        if self.answered_probe(now):
             return MemberLiveness.PARTITIONED
-        if now - self.detector.last_heartbeat >= GONE_AFTER:
+        if now - self.detector.last_heartbeat >= GONE_TIMEOUT:
             return MemberLiveness.GONE
         return MemberLiveness.SUSPECTED
 
@@ -198,11 +201,11 @@
         if member is not None and member.incarnation == incarnation:
             member.disconnected = True
 
-    def mark_heard_by_peers(self, names: Iterable[str], now: int) -> None:
+    def mark_reported_by_peers(self, names: Iterable[str], now: int) -> None:
         """Records that another planner hears these members."""
         for name in names:
             if name in self.members:
-                self.members[name].last_heard_by_peers = now
+                self.members[name].last_reported_by_peers = now
 
     def record_probe(self, witness: str, name: str, outcome: str, now: int) -> None:
         """Takes a probe as evidence, if the witness is of another site and heard itself."""
@@ -210,7 +213,7 @@
         prober = self.members.get(witness)
         if member is None or prober is None or prober.site == member.site:
             return
-        if prober.is_heard(now, self.report_interval):
+        if prober.is_reporting(now, self.report_interval):
             member.probes[witness] = ProbeEvidence(now, outcome)
 
     def _add(self, report: MemberReport, now: int) -> None:
@@ -249,10 +252,10 @@
             if member.liveness(now, interval) is MemberLiveness.ALIVE
         ]
 
-    def recently_heard(self, names: Iterable[str], report_interval: int, now: int) -> list[str]:
+    def recently_reporting(self, names: Iterable[str], report_interval: int, now: int) -> list[str]:
         """Returns those of `names` whose own reports have come to this planner lately."""
         members = (self.members.get(name) for name in names)
-        max_silence = RECENTLY_HEARD_INTERVALS * report_interval
+        max_silence = RECENT_REPORT_INTERVALS * report_interval
         return [
             member.name
             for member in members
@@ -268,8 +271,8 @@
     def silent_site_members(self, site: str, now: int) -> list[Member]:
         """Returns the members of a site none of which is heard; nobody if any is, or if it is empty."""
         expected = [member for member in self.sites[site].values() if not member.report.is_draining]
-        unheard = [member for member in expected if not member.is_heard(now, self.report_interval)]
-        return unheard if len(unheard) == len(expected) else []
+        silent = [member for member in expected if not member.is_reporting(now, self.report_interval)]
+        return silent if len(silent) == len(expected) else []
 
     def verdict(self, site: str, now: int) -> SiteVerdict:
         """Returns what the evidence says about a site."""
@@ -280,11 +283,11 @@
         alive = self.alive_members(site, now)
         if not alive:
             return SiteVerdict.RESTARTING if members else SiteVerdict.REACHABLE
-        slow = sum(1 for member in alive if member.report.slowdown >= SLOW_PACE)
+        slow = sum(1 for member in alive if member.report.slowdown >= SLOW_MEMBER_SLOWDOWN)
         if 2 * slow > len(alive):
             return SiteVerdict.SLOW
         restarted = sum(
-            1 for member in alive if member.restarts and now - member.incarnation_since < GONE_AFTER
+            1 for member in alive if member.restarts and now - member.incarnation_since < GONE_TIMEOUT
         )
         missing = len(members) - len(alive)
         if 2 * (restarted + missing) > len(members):
@@ -296,14 +299,14 @@
         outcomes = [probe.outcome for by_witness in probes.values() for probe in by_witness.values()]
         if ProbeOutcome.ANSWERED in outcomes:
             return SiteVerdict.PARTITIONED
-        able_to_witness = sum(
+        potential_witnesses = sum(
             1
             for member in self.members.values()
-            if member.site != site and member.is_heard(now, self.report_interval)
+            if member.site != site and member.is_reporting(now, self.report_interval)
         )
         witnesses = {witness for by_witness in probes.values() for witness in by_witness}
         unreachable = sum(1 for by_witness in probes.values() if by_witness)
-        if not able_to_witness or len(witnesses) < min(MIN_WITNESSES, able_to_witness):
+        if not potential_witnesses or len(witnesses) < min(MIN_WITNESSES, potential_witnesses):
             return SiteVerdict.UNKNOWN
         if unreachable < min(MIN_UNREACHABLE_MEMBERS, len(silent)):
             return SiteVerdict.UNKNOWN
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -36,7 +36,7 @@
 MAX_DESCRIPTORS = 16_384
 RESERVED_DESCRIPTORS = 32  # for the disk, the log, the other planners and operators
 NONCE_BITS = 48
-SIGNALS_READ = 64  # bytes read at once from the wakeup socket, a byte for each signal
+MAX_SIGNALS_PER_READ = 64  # bytes read at once from the wakeup socket, a byte for each signal
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 COUNTER_NAMES = [
     "vote.asked",
@@ -206,7 +206,7 @@
         while True:
             self.scheduler.wait(self.signals.fileno(), READ)
             try:
-                numbers = self.signals.recv(SIGNALS_READ)
+                numbers = self.signals.recv(MAX_SIGNALS_PER_READ)
             except BlockingIOError:
                 continue
             if signal.SIGUSR1 in numbers:
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -34,7 +34,7 @@
 # All spans are in units of 0.1 ms.
 MIN_RETRY_DELAY = 1_000
 MAX_RETRY_DELAY = 20_000
-MIN_REPORT_PAUSE = 100
+MIN_REPORT_DELAY = 100
 REPLY_TIMEOUT = 5_000
 MEMORY_INTERVAL = 10_000
 NONCE_BYTES = 6
@@ -227,7 +227,7 @@
                 self.log.trace("planner_link_failed", error, planner=planner)
                 connection.close()
                 pause = MAX_RETRY_DELAY
-            self.scheduler.sleep(max(started_at + pause, self.scheduler.now + MIN_REPORT_PAUSE))
+            self.scheduler.sleep(max(started_at + pause, self.scheduler.now + MIN_REPORT_DELAY))
 
     def send_report(self, connection: PeerConnection) -> None:
         """Sends one report and applies its reply, if that is binding.
@@ -252,8 +252,8 @@
     def build_report(self, now: int) -> MemberReport:
         """The next report, at a time of the monotonic clock."""
         self.sequence += 1
-        moment = self.scheduler.now
-        rates = self.recorder.rates.snapshot(moment)
+        scheduler_now = self.scheduler.now
+        rates = self.recorder.rates.snapshot(scheduler_now)
         controller_load = self.controller_load(rates.served)
         outcomes = self.recorder.outcome_counts
         return MemberReport(
@@ -281,7 +281,7 @@
             probes=self.prober.results(),
             metrics=outcomes.totals(self.counters.counts),
             latency_histograms={name: list(counts) for name, counts in outcomes.durations.items()},
-            resident_memory_kb=self.memory.resident_kb(moment),
+            resident_memory_kb=self.memory.resident_kb(scheduler_now),
         )
 
     def controller_load(self, served: float) -> ControllerLoad:
--- a/birchslip/cluster/planner_service.py
+++ b/birchslip/cluster/planner_service.py
@@ -141,7 +141,7 @@
         self.replicator.flush()
         if response.granted:
             self.counters.count("vote.granted")
-        response.heard_suspects = self.state.members_heard_here(request.suspects, now)
+        response.heard_suspects = self.state.members_reporting_here(request.suspects, now)
         return encode(response)
 
     def handle_replication_request(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -117,10 +117,10 @@
 
     def _rollout_controller(self) -> RolloutController:
         platform = self.fleet.platform
-        stale = span(platform.stale_ms) if platform is not None else 0
+        inventory_ttl = span(platform.stale_ms) if platform is not None else 0
         services = [service.name for service in self.fleet.services]
         return RolloutController(
-            self.fleet.rollout_scopes(), services, self.budget, stale, self.site_of_member
+            self.fleet.rollout_scopes(), services, self.budget, inventory_ttl, self.site_of_member
         )
 
     # ---- leadership ------------------------------------------------------------------------------------
@@ -237,12 +237,12 @@
 
     def report_interval(self) -> int:
         """Returns how often a member reports: less often in a fleet that would overload a planner."""
-        slowest = len(self.site_of_member) * SECOND // MAX_REPORTS_PER_SECOND
-        return max(span(self.fleet.report_ms), slowest)
+        min_interval = len(self.site_of_member) * SECOND // MAX_REPORTS_PER_SECOND
+        return max(span(self.fleet.report_ms), min_interval)
 
-    def members_heard_here(self, names: list[str], now: int) -> list[str]:
+    def members_reporting_here(self, names: list[str], now: int) -> list[str]:
         """Returns those of the leader's suspects whose reports come to this planner."""
-        return self.membership.recently_heard(names, self.report_interval(), now)
+        return self.membership.recently_reporting(names, self.report_interval(), now)
 
     # ---- time ------------------------------------------------------------------------------------------
 
--- a/birchslip/cluster/state_replicator.py
+++ b/birchslip/cluster/state_replicator.py
@@ -152,7 +152,7 @@
         """Counts a vote, and takes in which suspects the voter hears."""
         self.election.handle_vote_response(response, request.term, sent, now)
         if response.granted:
-            self.state.membership.mark_heard_by_peers(response.heard_suspects, now)
+            self.state.membership.mark_reported_by_peers(response.heard_suspects, now)
         self.flush()
 
     def handle_replication_response(self, request: ReplicationRequest, response: ReplicationResponse) -> None:
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -252,7 +252,7 @@
             RequestRefusedError: If the other side responds with an error.
             OSError: If there is no response in time, or none that can be read.
         """
-        connection = self.connected()
+        connection = self.ensure_connected()
         self.last_request_id += 1
         request_id = self.last_request_id
         self.responses.clear()
@@ -273,7 +273,7 @@
             raise OSError("an answer of no known form")
         return b"".join(part for part in values if isinstance(part, bytes))
 
-    def connected(self) -> Connection:
+    def ensure_connected(self) -> Connection:
         """The open connection; a new one if it was closed."""
         if self.connection is None or not self.connection.open:
             opened = connect(self.scheduler, self.address)
--- a/tests/test_election_store.py
+++ b/tests/test_election_store.py
@@ -64,10 +64,10 @@
 
 def test_a_file_of_a_later_version_is_set_aside(tmp_path):
     path = write_vote(tmp_path)
-    link = sqlite3.connect(path)
-    link.execute("pragma user_version = 9")
-    link.commit()
-    link.close()
+    connection = sqlite3.connect(path)
+    connection.execute("pragma user_version = 9")
+    connection.commit()
+    connection.close()
     store = ElectionStore(tmp_path, "p0")
     assert store.vote.is_blank
     assert "version 9" in store.damage
@@ -102,10 +102,10 @@
     election.durable.is_blank, election.term = False, 64
     state.leadership.term, state.leadership.version = 64, 1
 
-    def full(durable):
+    def fail_on_full_disk(durable):
         raise StoreWriteError(Path("p0.planner"), "no space left")
 
-    planner.store.save = full
+    planner.store.save = fail_on_full_disk
     planner.replicator.replicate(planner.scheduler.now)
     assert [method for method, _ in sent] == ["keep", "keep"]
     assert state.leadership.replicated_version == 0
@@ -118,14 +118,14 @@
     planner.store.close()
 
 
-def test_a_planner_that_can_not_store_its_vote_does_not_grant_it(tmp_path):
+def test_a_vote_that_cannot_be_stored_is_not_granted(tmp_path):
     planner = Planner(fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
     planner.election.needs_flush = True
 
-    def full(durable):
+    def fail_on_full_disk(durable):
         raise StoreWriteError(Path("p0.planner"), "no space left")
 
-    planner.store.save = full
+    planner.store.save = fail_on_full_disk
     with pytest.raises(StoreWriteError):
         planner.service.handle(None, "ask", encode(planner.election.vote_request(128)))
     planner.store.close()
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -34,7 +34,7 @@
     """Votes at once after a start, whatever it promised before."""
 
     @property
-    def silent_span(self):
+    def startup_delay(self):
         return 0
 
 
@@ -49,7 +49,7 @@
 class TrustingDisk(Election):
     """Trusts its disk whatever the others have seen."""
 
-    def has_lost_state(self, own):
+    def has_lost_state(self, own_observation):
         return False
 
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -10,7 +10,7 @@
 from .fleetdesk import SECOND
 
 
-def elected(now=3 * SECOND):
+def elected_leadership(now=3 * SECOND):
     """Returns a single planner that has just won its election."""
     election = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
     request = election.next_vote_request(now)
@@ -19,7 +19,7 @@
 
 
 def test_a_term_starts_when_the_election_is_won_and_ends_with_the_lease():
-    leadership = elected()
+    leadership = elected_leadership()
     assert not leadership.is_leading
     assert leadership.update(3 * SECOND) is LeadershipChange.ACQUIRED
     assert leadership.is_leading
@@ -31,7 +31,7 @@
 
 
 def test_a_leader_is_effective_once_its_first_version_is_replicated():
-    leadership, now = elected(), 3 * SECOND
+    leadership, now = elected_leadership(), 3 * SECOND
     leadership.update(now)
     assert not leadership.needs_replication()
     leadership.advance_version()
@@ -44,7 +44,7 @@
 
 
 def test_only_the_newest_version_counts_as_replicated_and_only_once():
-    leadership = elected()
+    leadership = elected_leadership()
     leadership.update(3 * SECOND)
     leadership.advance_version()
     leadership.advance_version()
@@ -54,8 +54,8 @@
     assert not leadership.mark_replicated(2)
 
 
-def test_a_higher_term_that_somebody_follows_ends_this_one():
-    leadership, now = elected(), 3 * SECOND
+def test_a_higher_observed_term_ends_this_one():
+    leadership, now = elected_leadership(), 3 * SECOND
     leadership.update(now)
     leadership.observe_term(leadership.term - 1)
     assert leadership.update(now) is LeadershipChange.UNCHANGED
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,11 +10,11 @@
 REPORT_INTERVAL = 2_000
 
 
-def membership_of(sites=("a", "b", "c"), each=2, until=SECOND):
+def membership_of(sites=("a", "b", "c"), members_per_site=2, until=SECOND):
     membership = Membership(sites, REPORT_INTERVAL)
     for now in range(0, until + 1, REPORT_INTERVAL):
         for site in sites:
-            for n in range(each):
+            for n in range(members_per_site):
                 membership.receive_report(report(f"{site}-{n}", number=now + 1, site=site), now)
     return membership
 
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fields", "is_news"),
+    ("fields", "is_accepted"),
     [
         ({"number": 10**6}, True),
         ({"number": 1}, False),
@@ -51,8 +51,10 @@
     ],
     ids=["next", "late", "doubled", "new incarnation", "unknown site"],
 )
-def test_only_a_new_report_is_taken(fields, is_news):
-    assert membership_of().receive_report(report("a-0", **{"site": "a", **fields}), SECOND + 10) is is_news
+def test_only_a_new_report_is_accepted(fields, is_accepted):
+    assert (
+        membership_of().receive_report(report("a-0", **{"site": "a", **fields}), SECOND + 10) is is_accepted
+    )
 
 
 def test_a_late_report_of_an_earlier_incarnation_changes_nothing():
@@ -66,11 +68,11 @@
     assert member.liveness(SECOND + 30, REPORT_INTERVAL) is MemberLiveness.ALIVE
 
 
-def silence_site(membership, site, until, but=()):
+def silence_site(membership, site, until, reporting=()):
     """The others go on reporting."""
     for now in range(SECOND + REPORT_INTERVAL, until + 1, REPORT_INTERVAL):
         for name, member in membership.members.items():
-            if member.site != site or name in but:
+            if member.site != site or name in reporting:
                 membership.receive_report(report(name, number=now + 1, site=member.site), now)
 
 
@@ -99,7 +101,7 @@
     assert membership.verdict("b", 3 * SECOND) is SiteVerdict.REACHABLE
 
 
-def test_probes_before_the_last_report_or_long_ago_are_no_evidence():
+def test_expired_probes_and_probes_before_the_last_report_are_no_evidence():
     membership = membership_of()
     for witness, target in PROBES:
         membership.record_probe(witness, target, "refused", SECOND - 1)
@@ -112,20 +114,20 @@
     assert membership.verdict("a", 5 * SECOND) is SiteVerdict.UNKNOWN
 
 
-def test_a_site_is_not_silent_while_any_planner_hears_a_member():
+def test_a_site_is_not_silent_while_a_member_reports_to_any_planner():
     membership = membership_of()
-    silence_site(membership, "a", 3 * SECOND, but=("a-1",))
+    silence_site(membership, "a", 3 * SECOND, reporting=("a-1",))
     assert membership.verdict("a", 3 * SECOND) is not SiteVerdict.UNKNOWN
     membership = membership_of()
     silence_site(membership, "a", 3 * SECOND)
-    membership.mark_heard_by_peers(["a-0"], 3 * SECOND)
+    membership.mark_reported_by_peers(["a-0"], 3 * SECOND)
     assert membership.verdict("a", 3 * SECOND) is not SiteVerdict.UNKNOWN
     assert membership.members["a-1"].liveness(3 * SECOND, REPORT_INTERVAL) is MemberLiveness.SUSPECTED
     assert membership.members["a-1"].liveness(13 * SECOND, REPORT_INTERVAL) is MemberLiveness.GONE
 
 
 def test_slow_and_restarting_sites_are_distinguished_from_lost_ones():
-    membership = membership_of(each=4)
+    membership = membership_of(members_per_site=4)
     for n in range(3):
         membership.receive_report(report(f"a-{n}", 10**6, slowdown=2.5), SECOND + 10)
     for n in range(3):
@@ -138,7 +140,7 @@
 
 
 def test_a_single_witness_is_enough_if_there_is_no_other():
-    membership = membership_of(sites=("a", "b"), each=1)
+    membership = membership_of(sites=("a", "b"), members_per_site=1)
     silence_site(membership, "a", 3 * SECOND)
     membership.record_probe("b-0", "a-0", "refused", 3 * SECOND)
     assert membership.verdict("a", 3 * SECOND) is SiteVerdict.LOST
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -27,7 +27,7 @@
 
 from .fleetdesk import SECOND, fleet, report
 
-AUTHOR = Incarnation(generation=1, nonce=7)
+LEADER_INCARNATION = Incarnation(generation=1, nonce=7)
 
 
 class LinkedServer:
@@ -41,16 +41,16 @@
         self.site = AdmissionSettings(
             [profile], [self.tenant], downstream=Downstream.SHARED, downstream_quota=4.0
         )
-        scheduler = Scheduler(lambda: None, lambda name, trouble: None, lambda: self.now)
+        scheduler = Scheduler(lambda: None, lambda name, error: None, lambda: self.now)
         self.link = planner_link.PlannerLink(
             scheduler, Counters(), Log(scheduler, "a-0"), fleet(folder), "a-0", self.site, ["blue"], ["order"]
         )
         self.link.driver = AdmissionDriver(self.site, 0, lambda tx, wish: None, lambda notice: None)
         self.controller = self.link.driver.controller
 
-    def hear(self, sent, now, **more):
+    def receive_reply(self, sent, now, **fields):
         self.now = self.link.scheduler.now = now
-        reply = ReportReply(term=64, planner=AUTHOR, is_leading=True, **more)
+        reply = ReportReply(term=64, planner=LEADER_INCARNATION, is_leading=True, **fields)
         if self.link.subscription.accept(reply, sent, now):
             self.link.apply_reply(reply, now)
         self.link.apply_lease()
@@ -61,8 +61,8 @@
     return LinkedServer(tmp_path, monkeypatch)
 
 
-def make_assignment(**more):
-    usual = {
+def make_assignment(**overrides):
+    defaults = {
         "term": 64,
         "number": 1,
         "validity_span": 4 * SECOND,
@@ -75,7 +75,7 @@
         "is_listed": True,
         "is_capacity_short": True,
     }
-    return PlanAssignment(**usual | more)
+    return PlanAssignment(**defaults | overrides)
 
 
 def test_without_a_lease_only_the_unleased_calls_are_allowed(linked):
@@ -83,8 +83,8 @@
     assert linked.controller.downstream.quota == 2.0  # half of an even share of 24 among six
 
 
-def test_a_lease_that_expired_in_a_pause_is_applied_before_the_next_batch(linked):
-    linked.hear(0, 100, call_limit=5.0, lease_span=3 * SECOND)
+def test_a_lease_that_expires_during_a_pause_binds_before_the_next_batch(linked):
+    linked.receive_reply(0, 100, call_limit=5.0, lease_span=3 * SECOND)
     assert linked.controller.downstream.quota == 5.0
     linked.now = 60 * SECOND  # stopped for a minute
     linked.link.apply_lease()
@@ -100,7 +100,7 @@
 
 
 def test_an_assignment_is_applied_without_unknown_tenants_and_tiers(linked):
-    linked.hear(0, 1_000, assignment=make_assignment())
+    linked.receive_reply(0, 1_000, assignment=make_assignment())
     plan = linked.controller.plan.plan
     assert (plan.term, plan.number, plan.expires_at) == (64, 1, 4 * SECOND)
     assert plan.quotas == {linked.tenant: 3.0}
@@ -112,10 +112,10 @@
 
 
 def test_an_expired_assignment_or_one_of_a_follower_is_not_applied(linked):
-    linked.hear(0, 5 * SECOND, assignment=make_assignment())
+    linked.receive_reply(0, 5 * SECOND, assignment=make_assignment())
     linked.now = 6 * SECOND
     reply = ReportReply(
-        term=65, planner=AUTHOR, is_leading=False, assignment=make_assignment(term=65, number=9)
+        term=65, planner=LEADER_INCARNATION, is_leading=False, assignment=make_assignment(term=65, number=9)
     )
     assert not linked.link.subscription.accept(reply, linked.now, linked.now)
     assert linked.controller.plan.plan.term == 0
@@ -131,30 +131,35 @@
         rates.record_arrival(SECOND, tenant, is_local, is_retry)
     rates.record_answers(SECOND, 3, 2)
     linked.link.scheduler.now = SECOND
-    told = decode(encode(linked.link.build_report(SECOND)), type(report()))
-    assert (told.local_load, told.evacuated_load, told.retries) == ({"blue": 2.0}, 0.5, 0.5)
-    assert (told.served, told.rejected, told.call_limit, told.capacity) == (1.5, 1.0, 2.0, 0.0)
+    decoded = decode(encode(linked.link.build_report(SECOND)), type(report()))
+    assert (decoded.local_load, decoded.evacuated_load, decoded.retries) == ({"blue": 2.0}, 0.5, 0.5)
+    assert (decoded.served, decoded.rejected, decoded.call_limit, decoded.capacity) == (1.5, 1.0, 2.0, 0.0)
 
 
 def test_outcomes_are_counted_by_request_class_and_late_ones_count_after_the_caller_left(linked):
-    figures = linked.link.recorder.outcome_counts
-    for what, late in [("honoured", False), ("honoured", True), ("shed", False), ("written_off", False),
+    outcome_counts = linked.link.recorder.outcome_counts
+    for outcome, is_late in [("honoured", False), ("honoured", True), ("shed", False), ("written_off", False),
                        ("gone", True), ("gone", False), ("erred", False)]:  # fmt: skip
-        figures.record_answer("order", what, 500, late)
-    told = figures.totals({"relay.called": 4, "relay.overdue": 1, "relay.severed": 1})
-    assert told == {"late:order": (2, 3), "shed:order": (1, 5), "written_off:order": (2, 4), "calls": (2, 4)}
-    figures.record_answer("order", "honoured", -1, False)  # a repeat
+        outcome_counts.record_answer("order", outcome, 500, is_late)
+    totals = outcome_counts.totals({"relay.called": 4, "relay.overdue": 1, "relay.severed": 1})
+    assert totals == {
+        "late:order": (2, 3),
+        "shed:order": (1, 5),
+        "written_off:order": (2, 4),
+        "calls": (2, 4),
+    }
+    outcome_counts.record_answer("order", "honoured", -1, False)  # a repeat
     report = linked.link.build_report(SECOND)
     assert report.resident_memory_kb > 1_000
     assert report.latency_histograms["order"][5] == 2
 
 
 def test_a_changed_listing_is_notified_at_once(linked):
-    said = []
-    linked.link.on_listing_changed = lambda: said.append(linked.now)
+    notified_at = []
+    linked.link.on_listing_changed = lambda: notified_at.append(linked.now)
     assert not linked.link.update_listing()
-    linked.hear(0, 10, assignment=make_assignment())
-    assert said == [10]
+    linked.receive_reply(0, 10, assignment=make_assignment())
+    assert notified_at == [10]
     assert linked.link.update_listing()
 
 
@@ -177,11 +182,11 @@
 
 def test_a_fault_of_the_planner_link_affects_no_request(tmp_path, monkeypatch):
     path = tmp_path / "config.json"
-    told = json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0", "name": "a-0"}
-    path.write_text(json.dumps(told))
+    configuration = json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0", "name": "a-0"}
+    path.write_text(json.dumps(configuration))
     program = Program(read_site({"PROXY_CONFIG": str(path)}))
     faults, taken, settled = [], [], []
-    program.scheduler.fault = lambda name, trouble: faults.append(name)
+    program.scheduler.fault = lambda name, error: faults.append(name)
     program.take_in.admit = taken.append
     program.admit.settle = lambda: settled.append(True)
 
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -17,22 +17,22 @@
 from .fleetdesk import SECOND, SimulatedPlanner, fleet, report
 
 
-def levels(planner, site):
+def serving_fractions(planner, site):
     plans = [reply.assignment for name, reply in planner.replies.items() if name.startswith(f"{site}-")]
     return {plan.serving_fraction for plan in plans if plan is not None}
 
 
-def test_with_every_site_serving_the_plan_changes_nothing(tmp_path):
+def test_while_every_site_serves_the_plan_restricts_nothing(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
-    told = planner.replies["a-0"].assignment
+    assignment = planner.replies["a-0"].assignment
     assert (
-        told.serving_fraction,
-        told.quotas,
-        told.shedding_order,
-        told.evacuated_callers,
-        told.is_capacity_short,
+        assignment.serving_fraction,
+        assignment.quotas,
+        assignment.shedding_order,
+        assignment.evacuated_callers,
+        assignment.is_capacity_short,
     ) == (1.0, {}, [], [], False)
-    assert told.is_listed
+    assert assignment.is_listed
     assert planner.replies["a-0"].is_leading
 
 
@@ -40,22 +40,22 @@
     planner = SimulatedPlanner(tmp_path).advance(4)
     planner.lose_site("a")
     planner.advance(1)
-    (at, lost), *more = planner.events_named("site_lost")
-    assert lost["site"] == "a"
+    (at, fields), *others = planner.events_named("site_lost")
+    assert fields["site"] == "a"
     assert at <= 5.0
-    assert not more
-    told = planner.replies["b-1"].assignment
-    assert told.evacuated_callers == [0]
-    assert told.shedding_order == ["beyond", "again", "visitor", "home"]
-    assert told.is_capacity_short is False
-    assert sum(told.quotas.values()) + told.evacuated_quota >= 100.0
-    assert told.evacuated_quota == pytest.approx(40.0)
+    assert not others
+    assignment = planner.replies["b-1"].assignment
+    assert assignment.evacuated_callers == [0]
+    assert assignment.shedding_order == ["beyond", "again", "visitor", "home"]
+    assert assignment.is_capacity_short is False
+    assert sum(assignment.quotas.values()) + assignment.evacuated_quota >= 100.0
+    assert assignment.evacuated_quota == pytest.approx(40.0)
     planner.restore_site("a", is_warm=False)
     planner.advance(0.5)
     assert planner.replies["a-0"].assignment.serving_fraction in (0.0, 0.5)
     planner.advance(2)
     ramp = planner.state.sites.ramps["a"]
-    assert levels(planner, "a") == {1.0}
+    assert serving_fractions(planner, "a") == {1.0}
     assert ramp.stage is RecoveryStage.STEP  # its members are cold: it does not serve yet
     planner.report_fields = {name: {} for name in planner.names}
     planner.advance(3)
@@ -69,11 +69,11 @@
     planner.lose_site("a")
     planner.advance(20)
     assert not planner.events_named("site_lost")
-    assert levels(planner, "b") == {1.0}
+    assert serving_fractions(planner, "b") == {1.0}
     assert planner.replies["b-0"].call_limit == 4.0  # its own, and nothing of those that go on calling
 
 
-def test_a_lost_quota_is_lent_only_after_its_lease_and_given_back(tmp_path):
+def test_the_quota_of_a_lost_site_is_lent_only_after_its_lease_and_returned(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(8)
     assert planner.replies["a-0"].call_limit == planner.replies["b-0"].call_limit == 4.0
     planner.lose_site("a")
@@ -93,10 +93,10 @@
     planner.lose_site("a")
     planner.lose_site("b")
     planner.advance(3)
-    assert {more["site"] for _, more in planner.events_named("site_lost")} == {"a", "b"}
-    told = planner.replies["c-0"].assignment
-    assert told.is_capacity_short
-    assert sorted(told.evacuated_callers) == [0, 1]
+    assert {fields["site"] for _, fields in planner.events_named("site_lost")} == {"a", "b"}
+    assignment = planner.replies["c-0"].assignment
+    assert assignment.is_capacity_short
+    assert sorted(assignment.evacuated_callers) == [0, 1]
     rejected = planner.state.plans.published.rejected_by_site
     assert rejected["c"] == 0.0 or rejected["c"] < rejected["a"]
 
@@ -112,14 +112,14 @@
     planner.advance(4)
     assert planner.state.leadership.term > before
     assert planner.state.sites.ramps["b"].evacuated_by_operator
-    assert levels(planner, "b") == {0.0}
-    assert levels(planner, "a") == {1.0}
+    assert serving_fractions(planner, "b") == {0.0}
+    assert serving_fractions(planner, "a") == {1.0}
     assert planner.state.return_site("b", "ann", planner.now)
     planner.advance(6)
-    assert levels(planner, "b") == {1.0}
+    assert serving_fractions(planner, "b") == {1.0}
 
 
-def test_a_higher_term_that_members_follow_ends_this_one_and_the_next_starts_above_it(tmp_path):
+def test_a_higher_term_in_a_report_ends_this_one_and_the_next_starts_above_it(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
     planner.report_fields["c-1"] = {"plan_term": 6400}
     planner.advance(4)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "invalid_report",
     [
         report("a-0", number=10**9, site="b"),
         report("nobody-7", site="a"),
@@ -136,25 +136,25 @@
     ],
     ids=["another site", "unknown member", "late"],
 )
-def test_an_invalid_report_changes_nothing(tmp_path, odd):
+def test_an_invalid_report_changes_nothing(tmp_path, invalid_report):
     planner = SimulatedPlanner(tmp_path).advance(4)
     before = planner.state.membership.members["a-0"].report
-    reply = planner.state.receive_report(odd, planner.now)
+    reply = planner.state.receive_report(invalid_report, planner.now)
     assert planner.state.membership.members["a-0"].report is before
     assert set(planner.state.membership.members) == set(planner.names)
-    assert reply.is_leading is (odd.name == "a-0" and odd.site == "a")
+    assert reply.is_leading is (invalid_report.name == "a-0" and invalid_report.site == "a")
 
 
-def test_the_forecast_of_a_loss_shows_where_load_would_go_and_what_would_be_short(tmp_path):
+def test_the_forecast_of_a_site_loss_shows_its_flows_and_the_missing_capacity(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(6)
-    told = site_loss_forecast(planner.state, "a")
-    assert told["load"] == pytest.approx(120.0, rel=0.01)
-    assert told["short_by"] == 0
-    assert sum(flow for *_, flow in told["flows"]) == pytest.approx(120.0, rel=0.01)
-    assert told["vault"]["may_be"] == 20.0  # what a's members have, less the part that is never lent
-    shown = fleet_status(planner.state, planner.now)
-    assert [site["verdict"] for site in shown["sites"]] == ["here"] * 3
-    assert len(shown["members"]) == 6
+    forecast = site_loss_forecast(planner.state, "a")
+    assert forecast["load"] == pytest.approx(120.0, rel=0.01)
+    assert forecast["short_by"] == 0
+    assert sum(flow for *_, flow in forecast["flows"]) == pytest.approx(120.0, rel=0.01)
+    assert forecast["vault"]["may_be"] == 20.0  # what a's members have, less the part that is never lent
+    status = fleet_status(planner.state, planner.now)
+    assert [site["verdict"] for site in status["sites"]] == ["here"] * 3
+    assert len(status["members"]) == 6
 
 
 GROUPS = [
@@ -163,9 +163,9 @@
 ]
 
 
-def request_eviction(planner, holder, what=EvictionOperation.REQUEST_PERMIT, **more):
+def request_eviction(planner, holder, operation=EvictionOperation.REQUEST_PERMIT, **fields):
     version, response = planner.state.handle_eviction(
-        EvictionRequest(operation=what, holder=holder, reason="a release", **more), planner.now
+        EvictionRequest(operation=operation, holder=holder, reason="a release", **fields), planner.now
     )
     planner.advance(0.2)
     assert version <= planner.state.leadership.replicated_version
@@ -184,11 +184,11 @@
     planner.incarnations["a-0"], planner.report_fields["a-0"] = 2, {"is_warm": False}
     planner.incarnations["b-0"], planner.report_fields["b-0"] = 2, {}
     planner.advance(1)
-    shown = fleet_status(planner.state, planner.now)
-    assert shown["out"] == {"a-0": "cold", "b-1": "permit"}  # b-0 is back, so the waiting one is granted
+    status = fleet_status(planner.state, planner.now)
+    assert status["out"] == {"a-0": "cold", "b-1": "permit"}  # b-0 is back, so the waiting one is granted
     planner.report_fields["a-0"] = {}
     planner.advance(1)
-    assert [one["holder"] for one in fleet_status(planner.state, planner.now)["permits"]] == ["b-1"]
+    assert [permit["holder"] for permit in fleet_status(planner.state, planner.now)["permits"]] == ["b-1"]
 
 
 def test_the_loss_of_a_site_exhausts_the_disruption_budget(tmp_path):
@@ -219,21 +219,21 @@
 
 
 def test_a_simulated_day_of_pauses_and_restarts_has_no_false_evacuation():
-    told = play_month(days=1, seed=4)
-    assert told["false_evacuations"] == 0
-    assert told["restarts"] > 20
-    assert told["pauses"] > 20
+    report_of_day = play_month(days=1, seed=4)
+    assert report_of_day["false_evacuations"] == 0
+    assert report_of_day["restarts"] > 20
+    assert report_of_day["pauses"] > 20
 
 
 @pytest.mark.parametrize("members", [1_000])
 def test_a_plan_for_a_thousand_members_is_fast(members):
-    rooms = [{f"s{site}-{n}": 50.0 for n in range(members // 9)} for site in range(9)]
+    member_capacities = [{f"s{site}-{n}": 50.0 for n in range(members // 9)} for site in range(9)]
     load = {f"t{n}": 500.0 for n in range(8)}
-    places = [SiteCapacity(f"s{n}", rooms[n], dict(load), is_lost=n == 0) for n in range(9)]
+    capacities = [SiteCapacity(f"s{n}", member_capacities[n], dict(load), is_lost=n == 0) for n in range(9)]
     times = []
     for _ in range(5):
         began = time.perf_counter()
-        plan_sites(places, {}, {})
+        plan_sites(capacities, {}, {})
         times.append(time.perf_counter() - began)
     assert min(times) < 0.05
 
--- a/tests/test_planner_transport.py
+++ b/tests/test_planner_transport.py
@@ -24,7 +24,7 @@
 
     def __init__(self):
         self.faults, self.served, self.closed = [], [], []
-        self.scheduler = Scheduler(lambda: None, lambda name, trouble: self.faults.append((name, trouble)))
+        self.scheduler = Scheduler(lambda: None, lambda name, error: self.faults.append((name, error)))
         self.endpoint = PlannerEndpoint(
             self.scheduler, 4, self.handle, lambda connection, reason: self.closed.append(reason)
         )
@@ -40,23 +40,23 @@
         return value.upper()
 
     def run(self, work):
-        found = []
+        outcomes = []
 
         def task():
             try:
-                found.append(work())
-            except Exception as trouble:
-                found.append(trouble)
+                outcomes.append(work())
+            except Exception as error:
+                outcomes.append(error)
             self.scheduler.stop()
 
         self.scheduler.at(self.scheduler.now + 10 * SECOND, self.scheduler.stop)
         self.scheduler.spawn("work", task)
         self.scheduler.run()
         self.scheduler.stopped = False
-        assert found, "no end in time"
-        if isinstance(found[0], Exception):
-            raise found[0]
-        return found[0]
+        assert outcomes, "no end in time"
+        if isinstance(outcomes[0], Exception):
+            raise outcomes[0]
+        return outcomes[0]
 
     def call(self, connection, method="echo", value=b"abc", wait=SECOND):
         return self.run(lambda: connection.call(method, value, self.scheduler.now + wait))
@@ -103,20 +103,20 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [None, pack([1, 1, None, b"no list"]), pack([1, 1]), b"\xc1\xc1", pack([1, 99, None, [b"late"]])],
     ids=["silence", "no list", "cut short", "noise", "to another question"],
 )
-def test_a_malformed_or_missing_response_fails_the_call_within_its_deadline(answer):
+def test_a_malformed_or_missing_response_fails_the_call_within_its_deadline(response):
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve():
-        link, _ = listener.accept()
-        link.recv(4096)
-        if answer is not None:
-            link.sendall(answer)
-        link.recv(4096)  # until the other side has had enough
-        link.close()
+        accepted, _ = listener.accept()
+        accepted.recv(4096)
+        if response is not None:
+            accepted.sendall(response)
+        accepted.recv(4096)  # until the other side has had enough
+        accepted.close()
 
     thread = threading.Thread(target=serve, daemon=True)
     thread.start()
@@ -131,7 +131,7 @@
     listener.close()
 
 
-def test_each_mode_of_a_wire_loses_what_it_says():
+def test_each_mode_of_a_wire_loses_requests_or_responses():
     loopback = Loopback()
     wire = Wire(loopback.scheduler, loopback.address)
     connection = PeerConnection(loopback.scheduler, ("127.0.0.1", wire.port))
@@ -140,14 +140,14 @@
     began = loopback.scheduler.clock()
     assert loopback.call(connection) == b"ABC"
     assert loopback.scheduler.clock() - began >= 1_000
-    for mode, heard in (("silent", 0), ("deaf", 1), ("mute", 0)):
+    for mode, received in (("silent", 0), ("deaf", 1), ("mute", 0)):
         wire.turn("pass")
         assert loopback.call(connection) == b"ABC"
         wire.turn(mode)
         loopback.served.clear()
         with pytest.raises(OSError, match="no answer in time"):
             loopback.call(connection, wait=2_000)
-        assert len(loopback.served) == heard, mode
+        assert len(loopback.served) == received, mode
     wire.turn("pass")
     assert loopback.call(connection) == b"ABC"
     wire.turn("cut")
@@ -156,9 +156,9 @@
 
 
 @pytest.mark.parametrize("value", [b"granted", ValueError("no longer the leader")], ids=["value", "error"])
-@pytest.mark.parametrize("first", ["done", "bind"])
+@pytest.mark.parametrize("first", ["complete", "deliver_to"])
 def test_a_deferred_reply_that_is_complete_before_it_can_be_sent_is_not_lost(value, first):
-    later, sent = DeferredReply(), []
-    for act in [first, "bind" if first == "done" else "done"]:
-        later.complete(value) if act == "done" else later.deliver_to(sent.append)
+    reply, sent = DeferredReply(), []
+    for action in [first, "deliver_to" if first == "complete" else "complete"]:
+        reply.complete(value) if action == "complete" else reply.deliver_to(sent.append)
     assert sent == [(None, [b"granted"]) if isinstance(value, bytes) else ("no longer the leader", None)]
--- a/tests/test_planner_wire_record.py
+++ b/tests/test_planner_wire_record.py
@@ -133,21 +133,21 @@
     assert messages.encode(messages.decode(recorded, message_type)) == recorded
 
 
-@pytest.mark.parametrize("what", ["permit", "past", "hand-back", "strike", "override"])
-def test_every_recorded_kind_of_eviction_request_is_kept(what):
+@pytest.mark.parametrize("operation", ["permit", "past", "hand-back", "strike", "override"])
+def test_every_recorded_eviction_operation_is_encoded_to_the_same_bytes(operation):
     recorded = b'{"what":"%b","holder":"","incarnation":null,"who":"","why":"","count":1,"span":0}'
-    raw = recorded % what.encode()
+    raw = recorded % operation.encode()
     assert messages.encode(messages.decode(raw, messages.EvictionRequest)) == raw
 
 
-@pytest.mark.parametrize("what", ["show", "what-if", "evacuate", "return"])
-def test_every_recorded_operator_command_is_kept(what):
-    raw = b'{"what":"%b","site":"","who":"","why":""}' % what.encode()
+@pytest.mark.parametrize("operation", ["show", "what-if", "evacuate", "return"])
+def test_every_recorded_operator_command_is_encoded_to_the_same_bytes(operation):
+    raw = b'{"what":"%b","site":"","who":"","why":""}' % operation.encode()
     assert messages.encode(messages.decode(raw, messages.OperatorCommand)) == raw
 
 
 @pytest.mark.parametrize("outcome", ["answered", "refused", "silent"])
-def test_every_recorded_outcome_of_a_probe_is_kept(outcome):
+def test_every_recorded_probe_outcome_is_encoded_to_the_same_bytes(outcome):
     raw = b'{"name":"a-1","met":"%b"}' % outcome.encode()
     assert messages.encode(messages.decode(raw, messages.ProbeResult)) == raw
 
--- a/tests/test_stored_planner_state.py
+++ b/tests/test_stored_planner_state.py
@@ -41,7 +41,7 @@
 
 
 def planner_state(folder):
-    told = {
+    fleet = {
         "planners": [{"name": "p0", "address": "127.0.0.1:100"}],
         "sites": [
             {"name": site, "members": [{"name": f"{site}-0", "address": f"127.0.0.1:{1000 + place}"}]}
@@ -49,7 +49,7 @@
         ],
     }
     path = folder / "fleet.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(fleet))
     election = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
     return PlannerState(read_fleet(path), election, 0)
 
@@ -58,7 +58,7 @@
     assert encode_state(decode_state(STORED_STATE)) == STORED_STATE
 
 
-def test_a_leader_that_takes_a_stored_state_over_replicates_the_same_bytes(tmp_path):
+def test_a_leader_that_restores_a_stored_state_replicates_the_same_bytes(tmp_path):
     state = planner_state(tmp_path)
     state.restore(STORED_STATE, 5)
     assert state.encoded_state() == STORED_STATE
@@ -69,7 +69,7 @@
     [("lost", 0.0), ("waiting", 0.0), ("step", 0.75), ("serving", 1.0), ("untouched", 1.0)],
     ids=SITES,
 )
-def test_each_stored_stage_has_the_level_it_had(tmp_path, site, level):
+def test_each_stored_stage_is_restored_with_its_level(tmp_path, site, level):
     state = planner_state(tmp_path)
     state.restore(STORED_STATE, 5)
     assert state.sites.ramps[site].level == level
@@ -80,7 +80,7 @@
     [b"{", b'{"sites": 7}', b'{"later": {}}'],
     ids=["truncated", "wrong type", "key of a later version"],
 )
-def test_an_unreadable_state_is_reported_and_nothing_of_it_is_taken_over(tmp_path, raw):
+def test_an_unreadable_state_is_reported_and_not_restored(tmp_path, raw):
     with pytest.raises(UnreadableStateError):
         decode_state(raw)
     state = planner_state(tmp_path)
