--- a/birchslip/cluster/durable_vote.py
+++ b/birchslip/cluster/durable_vote.py
@@ -1,6 +1,6 @@
-"""What a planner stores of the election: its promise, the replicated state and what it saw of the others.
+"""What a planner stores for the election: its promise, the replicated state and observations of peers.
 
-Owns the values only: `election.py` decides how they change and `election_store.py` writes them.
+Holds the values only: `election.py` decides how they change and `election_store.py` writes them.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
     @property
     def version(self) -> StateVersion:
-        """The version alone."""
+        """Version of the state."""
         return StateVersion(self.term, self.number)
 
 
@@ -39,19 +39,19 @@
 
 @dataclass(slots=True)
 class DurableVote:
-    """What has to survive a restart.
+    """The part of a planner's election state that must survive a restart.
 
     The order of the fields is that of the stored row and of its checksum.
 
     Attributes:
-        generation: Number of starts.
-        promised_term: Highest term that was promised.
-        promised_candidate: Name of the candidate it was promised to.
-        promised_nonce: That candidate's run.
+        generation: Number of starts of this planner.
+        promised_term: Highest promised term.
+        promised_candidate: Name of the candidate that the term was promised to.
+        promised_nonce: Nonce of that candidate's run.
         state_term: Term of the stored state.
-        state_number: Number of the stored state.
-        state: The stored state.
-        is_blank: Whether this may not be what the planner stored last.
+        state_number: Number of the stored state within its term.
+        state: The encoded state.
+        is_blank: Whether these values may be older than what the planner stored last.
         observations: Observations of the other planners, as JSON.
     """
 
@@ -76,21 +76,21 @@
         self.promised_candidate, self.promised_nonce = candidate
 
     def store(self, version: StateVersion, state: bytes) -> None:
-        """Replaces the state."""
+        """Replaces the stored state."""
         self.state_term, self.state_number = version
         self.state = state
 
     def is_promised_to(self, term: int, candidate: Candidate) -> bool:
-        """Whether exactly this term was promised to exactly this candidate."""
+        """Whether this term was promised to this run of the candidate."""
         promised = (self.promised_term, self.promised_candidate, self.promised_nonce)
         return promised == (term, *candidate)
 
     def load_observations(self) -> dict[str, PeerObservation]:
-        """Decodes the observations; empty if there are none."""
+        """Decodes the observations; returns an empty dict if there are none."""
         if not self.observations:
             return {}
         return msgspec.json.decode(self.observations, type=dict[str, PeerObservation])
 
     def save_observations(self, observations: dict[str, PeerObservation]) -> None:
-        """Encodes the observations."""
+        """Encodes and replaces the observations."""
         self.observations = msgspec.json.encode(observations).decode()
--- a/birchslip/cluster/election.py
+++ b/birchslip/cluster/election.py
@@ -1,19 +1,19 @@
-"""Leader election among the planners: a lease granted by a quorum, in numbered terms that fence old leaders.
+"""Leader election among the planners: a quorum grants a lease, and increasing terms fence earlier leaders.
 
-Decides who leads and which state survives; does no I/O and reads no clock. The alternatives are compared in
-`docs/fleet.md`. It guarantees:
+Decides which planner leads and which replicated state is adopted; does no I/O and reads no clock. The
+alternatives are compared in `docs/fleet.md`. The election guarantees:
 
 - *At most one leader at a time.* A planner votes for one candidate at a time, for `LEASE_SPAN` from when the
   request arrived. The leader counts the same lease from when it *sent* the request, less a margin for clock
-  drift. A planner that has just started votes for nobody for a whole lease: it may have voted before.
-- *A paused leader is fenced.* Terms rise and no two planners use the same one; members refuse replies of a
-  term below the highest that they have heard.
+  drift. A planner that has just started does not vote for a whole lease, as it may have voted before.
+- *A paused leader is fenced.* Terms increase and no two planners use the same one; members reject replies
+  whose term is below the highest that they have received.
 - *State stored by a quorum is not lost.* A new leader adopts the newest state among its voters. A planner
-  whose disk is empty or outdated does not vote until all others, or the leader, have sent their state. An
-  outdated disk shows by a generation or a state that the others have already seen.
+  whose disk is empty or outdated does not vote until all others, or the leader, have sent their state. A disk
+  is recognised as outdated if the others have already observed a later generation or state of this planner.
 
-Handling a request may change `durable`: the caller must store it before it sends the response, or the
-guarantees are void.
+Handling a request may change `durable`. The caller must store it before it sends the response, or the
+guarantees do not hold.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 from .quorum import CLOCK_DRIFT, LEASE_SPAN, QuorumLease, QuorumReplicas
 
 # All spans are in units of 0.1 ms.
-RENEWAL_INTERVAL = 2_500  # four requests in a lease: three may be lost
-CONFIRMATION_LEASES = 3  # leases that a starting planner waits for the others before it trusts its disk
-MAX_JITTER = 2_500  # candidates that start at the same time would split the votes
-TERM_STRIDE = 64  # a term's remainder by it is the place of the planner that may use it
+RENEWAL_INTERVAL = 2_500  # four requests per lease, so that three may be lost
+CONFIRMATION_LEASES = 3  # leases a starting planner waits for the others to confirm that its disk is current
+MAX_JITTER = 2_500  # without jitter, candidates that start at the same time would split the votes
+TERM_STRIDE = 64  # a term modulo the stride is the index of the planner that may use the term
 
 
 class ElectionRole(Enum):
-    """A planner's part in the election."""
+    """A planner's role in the election."""
 
-    RECOVERING = auto()  # its own state is missing or not yet confirmed by the others
+    RECOVERING = auto()  # its stored state is missing or not yet confirmed by the others
     FOLLOWER = auto()
     CANDIDATE = auto()
     LEADER = auto()
@@ -52,32 +52,32 @@
 
 @dataclass(slots=True)
 class Election:
-    """One planner's voter and candidate. All times are of its monotonic clock.
+    """One planner's voter and candidate. All times are of the planner's monotonic clock.
 
     Attributes:
         name: The planner's name.
         planners: Names of all planners, in the fleet file's order.
-        durable: What has to be stored before a response is sent.
-        nonce: Identifies this run.
+        durable: The values that must be stored before a response is sent.
+        nonce: Identifies this run of the planner.
         now: The latest time that was passed in.
         rng: Source of the jitter.
         needs_flush: Whether `durable` has changed since it was stored.
-        observations: The latest known of each other planner.
-        recovery_responses: Responses of the other planners while this one is blank.
-        granted_to: Who has this planner's vote.
+        observations: The latest observation of each other planner, by name.
+        recovery_responses: Responses of the other planners while this one is blank, by name.
+        granted_to: The candidate that has this planner's vote.
         granted_until: When that vote ends.
-        can_vote_from: Until when it does not vote after its start.
-        term: Term of its own candidacy or leadership; 0 if none.
+        can_vote_from: When this planner may vote for the first time after its start.
+        term: Term of this planner's candidacy or leadership; 0 if none.
         lease: Votes for `term` and the lease that they grant.
-        highest_term: Highest term heard of; the next candidacy is above it.
-        is_elected: Whether it has been elected in `term`.
+        highest_term: Highest term in any message so far; the next candidacy uses a higher one.
+        is_elected: Whether this planner has been elected in `term`.
         fencing_term: Highest term that a member is known to follow.
         next_request_at: When the next vote request is due.
         newest_state: Newest state among the voters.
         replicas: Which planners have stored the states of `term`.
-        unconfirmed_peers: Planners that have not yet sent what they know of this one.
-        confirmed_from: When it trusts its disk even without them.
-        lost_version: State that it is known to have lost, so that the loss is noticed once.
+        unconfirmed_peers: Planners that have not yet sent their observation of this one.
+        confirmed_from: When this planner trusts its disk even without `unconfirmed_peers`.
+        lost_version: Newest state that this disk is known to have lost, so that a loss is handled only once.
     """
 
     name: str
@@ -105,7 +105,7 @@
     lost_version: StateVersion = NO_STATE.version
 
     def __post_init__(self) -> None:
-        """Counts the start and begins the silent span."""
+        """Counts the start and begins the delay before the first vote."""
         self.durable.generation += 1
         self.observations = self.durable.load_observations()
         self.lease = QuorumLease(self.quorum)
@@ -120,12 +120,12 @@
 
     @property
     def startup_delay(self) -> int:
-        """Span after which a lease granted just before has ended by every clock."""
+        """Span after which a lease that was granted just before the start has ended by every clock."""
         return int(LEASE_SPAN * (1 + CLOCK_DRIFT))
 
     @property
     def incarnation(self) -> Incarnation:
-        """This run of the planner."""
+        """The incarnation of this run of the planner."""
         return Incarnation(generation=self.durable.generation, nonce=self.nonce)
 
     @property
@@ -134,11 +134,11 @@
         return len(self.planners) // 2 + 1
 
     def is_confirmed(self) -> bool:
-        """Whether the others had the time to say that this disk is outdated."""
+        """Whether the others have had the time to report that this disk is outdated."""
         return not self.unconfirmed_peers or self.now >= self.confirmed_from
 
     def role(self, now: int) -> ElectionRole:
-        """The planner's part at this moment."""
+        """The planner's role at this moment."""
         if self.durable.is_blank or not self.is_confirmed():
             return ElectionRole.RECOVERING
         if self.is_leading(now):
@@ -148,7 +148,7 @@
     # ---- voter -----------------------------------------------------------------------------------------
 
     def handle_vote_request(self, request: VoteRequest, now: int) -> VoteResponse:
-        """Grants or refuses a vote; `durable` has to be stored before the response is sent."""
+        """Grants or refuses a vote; the caller must store `durable` before it sends the response."""
         self.now = max(self.now, now)
         candidate = Candidate(request.candidate, request.incarnation.nonce)
         if candidate.name != self.name:
@@ -160,7 +160,7 @@
         return self.vote_response(granted)
 
     def may_grant(self, term: int, candidate: Candidate) -> bool:
-        """Whether the vote may be given without breaking an earlier one."""
+        """Whether a vote may be granted without breaking an earlier promise."""
         if term <= 0 or self.durable.is_blank or not self.is_confirmed():
             return False
         if self.now < self.can_vote_from:
@@ -170,7 +170,7 @@
         return term > self.durable.promised_term or self.durable.is_promised_to(term, candidate)
 
     def grant(self, term: int, candidate: Candidate) -> None:
-        """Gives the vote for one lease."""
+        """Grants the vote to a candidate for one lease."""
         if term != self.durable.promised_term:
             self.durable.promise(term, candidate)
             self.needs_flush = True
@@ -180,7 +180,7 @@
             self.next_request_at = self.granted_until + self.rng.randrange(MAX_JITTER)
 
     def vote_response(self, granted: bool) -> VoteResponse:
-        """A response with all that this planner has stored and knows."""
+        """Builds a response with the stored state and the observations of this planner."""
         durable = self.durable
         return VoteResponse(
             granted=granted,
@@ -196,9 +196,9 @@
         )
 
     def handle_replication_request(self, request: ReplicationRequest, now: int) -> ReplicationResponse:
-        """Stores the leader's state unless a later term was promised.
+        """Accepts the leader's state unless a later term was promised.
 
-        `durable` has to be stored before the response is sent.
+        The caller must store `durable` before it sends the response.
         """
         self.now = max(self.now, now)
         durable = self.durable
@@ -212,23 +212,23 @@
             durable.store(request.state_version, request.state)
             durable.is_blank = False
             self.observe_stored_state(request.leader, request.state_version)
-            # It is flushed anyway: observations that survive may show another planner that its disk is old.
+            # The flush is due anyway. Observations that survive a restart may show that a peer's disk is old.
             durable.save_observations(self.observations)
             self.needs_flush = True
         return self.replication_response(is_stored=True)
 
     def replication_response(self, is_stored: bool) -> ReplicationResponse:
-        """A response with the term that is promised now."""
+        """Builds a response with the currently promised term."""
         return ReplicationResponse(
             is_stored=is_stored, promised_term=self.durable.promised_term, replica=self.name
         )
 
-    # ---- what the planners know of each other ----------------------------------------------------------
+    # ---- observations of the other planners ------------------------------------------------------------
 
     def observe_peer(
         self, name: str, reported: PeerObservation, observations: dict[str, PeerObservation]
     ) -> None:
-        """Takes in what another planner shows of itself, and what it has observed of this one."""
+        """Records what another planner reports of itself, and checks what it has observed of this one."""
         self.unconfirmed_peers.discard(name)
         known = self.observations.get(name)
         if known is None or (known.nonce != reported.nonce and reported.generation >= known.generation):
@@ -242,7 +242,7 @@
     def observe_restart(
         self, name: str, reported: PeerObservation, known: PeerObservation | None
     ) -> PeerObservation:
-        """Records that a planner has restarted, so that an outdated disk of it is recognised."""
+        """Records a restart of another planner, so that an outdated disk of it can be recognised."""
         restarted = PeerObservation(generation=reported.generation, nonce=reported.nonce)
         if known is not None:
             restarted.promised_term = known.promised_term
@@ -253,7 +253,7 @@
         return restarted
 
     def has_lost_state(self, own_observation: PeerObservation) -> bool:
-        """Whether another planner has seen more of this one than its disk contains."""
+        """Whether another planner has observed a later run, promise or state than this disk has."""
         durable = self.durable
         return (
             (own_observation.generation >= durable.generation and own_observation.nonce != self.nonce)
@@ -262,7 +262,7 @@
         )
 
     def discard_state(self, own_observation: PeerObservation) -> None:
-        """Becomes blank: promises and state of an earlier run are not on this disk."""
+        """Marks this planner as blank, as this disk lacks promises or state of an earlier run."""
         self.durable.generation = max(self.durable.generation, own_observation.generation + 1)
         self.durable.promised_term = max(self.durable.promised_term, own_observation.promised_term)
         self.lost_version = max(self.lost_version, own_observation.state_version)
@@ -271,19 +271,19 @@
         self.needs_flush = True
 
     def observe_stored_state(self, name: str, version: StateVersion) -> None:
-        """Takes in that another planner has stored a state."""
+        """Records that another planner has stored a state."""
         known = self.observations.get(name)
         if known is not None:
             known.promised_term = max(known.promised_term, version.term)
             known.record_state(version)
 
     def observe_term(self, term: int) -> None:
-        """Takes in that a member follows a term: leadership of an earlier one is over."""
+        """Records that a member follows a term, which ends the leadership of any earlier term."""
         self.highest_term = max(self.highest_term, term)
         self.fencing_term = max(self.fencing_term, term)
 
     def recover_state(self, response: VoteResponse) -> None:
-        """While blank: adopts the newest state once all others have responded."""
+        """Adopts the newest state, while this planner is blank, once all others have responded."""
         if response.voter == self.name:
             return
         self.recovery_responses[response.voter] = response
@@ -303,14 +303,14 @@
     # ---- candidate and leader --------------------------------------------------------------------------
 
     def next_vote_request(self, now: int) -> VoteRequest | None:
-        """The request to send to all planners, this one included, if one is due."""
+        """Returns the request to send to all planners, including this one, if one is due."""
         self.now = max(self.now, now)
         if self.now < self.next_request_at:
             return None
         match self.role(now):
             case ElectionRole.RECOVERING:
                 self.next_request_at = self.now + RENEWAL_INTERVAL
-                return self.vote_request(0)  # requests only what the others know
+                return self.vote_request(0)  # term 0 requests only the observations and states of the others
             case ElectionRole.LEADER:
                 self.next_request_at = self.now + RENEWAL_INTERVAL
                 return self.vote_request(self.term)
@@ -321,9 +321,9 @@
                 return self.start_candidacy()
 
     def abandon_candidacy(self) -> None:
-        """Frees this planner's vote, as it will never lead in that term.
+        """Gives up the candidacy and frees this planner's vote for another candidate.
 
-        Candidates that all voted for themselves would never agree.
+        Without that, candidates that all voted for themselves would block each other for a whole lease.
         """
         self.term = 0
         if self.granted_to.name == self.name:
@@ -331,7 +331,7 @@
         self.next_request_at = self.now + self.rng.randrange(2 * MAX_JITTER)
 
     def start_candidacy(self) -> VoteRequest | None:
-        """Begins a new term, or waits until nobody else can have the lease."""
+        """Starts a new term, or waits until no other planner can hold the lease."""
         if self.now < self.granted_until and self.granted_to.name != self.name:
             self.next_request_at = self.granted_until + self.rng.randrange(MAX_JITTER)
             return None
@@ -347,25 +347,25 @@
         return self.vote_request(self.term)
 
     def vote_request(self, term: int) -> VoteRequest:
-        """A request for votes in a term."""
+        """Builds a request for votes in a term."""
         return VoteRequest(
             term=term, candidate=self.name, incarnation=self.incarnation, observations=self.observations
         )
 
     def next_term(self) -> int:
-        """A term above all heard of, which no other planner uses."""
+        """Returns a term above all known ones that no other planner uses."""
         index = self.planners.index(self.name)
         highest = max(self.highest_term, self.durable.promised_term)
         return (highest // TERM_STRIDE + 1) * TERM_STRIDE + index
 
     def handle_vote_response(self, response: VoteResponse, term: int, sent: int, now: int) -> None:
-        """Counts a vote.
+        """Counts a vote, or uses the response to recover while this planner is blank.
 
         Args:
-            response: The response.
-            term: Term of the request that it answers.
+            response: The response of a voter.
+            term: Term of the request that the response answers.
             sent: When that request was sent.
-            now: The present time.
+            now: The current time.
         """
         self.now = max(self.now, now)
         if response.voter != self.name:
@@ -380,11 +380,11 @@
         self.newest_state = max(self.newest_state, StoredState(*response.state_version, response.state))
 
     def is_leading(self, now: int) -> bool:
-        """Whether it has the lease at this moment; to be checked just before each reply."""
+        """Whether this planner holds the lease at this moment; to be checked just before each reply."""
         self.now = max(self.now, now)
         if self.term and (self.now >= self.lease.end() or self.term < self.fencing_term):
             if self.is_elected:
-                # A lapsed lease is never resumed: others may have led, and stored more, in the meantime.
+                # An expired lease is never resumed: another planner may have led and stored state since.
                 self.term = 0
                 self.is_elected = False
             return False
@@ -392,7 +392,7 @@
         return self.is_elected
 
     def handle_replication_response(self, response: ReplicationResponse, state_number: int) -> bool:
-        """Counts a replica; returns whether a quorum has stored that state."""
+        """Counts a replica and returns whether a quorum has stored that state."""
         self.highest_term = max(self.highest_term, response.promised_term)
         if response.is_stored:
             self.replicas.record(response.replica, state_number)
--- a/birchslip/cluster/election_messages.py
+++ b/birchslip/cluster/election_messages.py
@@ -13,7 +13,7 @@
 
 
 class StateVersion(NamedTuple):
-    """Orders replicated states: first by the leader's term, then by the number within it."""
+    """Version of a replicated state, ordered by the leader's term, then by the number within the term."""
 
     term: int
     number: int
@@ -29,7 +29,15 @@
         "state_number": "number",
     },
 ):
-    """The latest that a planner knows of another one: its run, its promise and its stored state."""
+    """The latest that one planner knows of another: its run, its promise and its stored state.
+
+    Attributes:
+        generation: The observed planner's number of starts.
+        nonce: Identifies the observed run.
+        promised_term: The highest term that the planner is known to have promised.
+        state_term: Term of the newest state that the planner is known to have stored.
+        state_number: Number of that state within its term.
+    """
 
     generation: Count
     nonce: Count
@@ -43,7 +51,7 @@
         return StateVersion(self.state_term, self.state_number)
 
     def record_state(self, version: StateVersion) -> None:
-        """Notes that the planner has stored a state, unless a newer one is known."""
+        """Records that the planner has stored a state, unless a newer one is known."""
         self.state_term, self.state_number = max(self.state_version, version)
 
 
@@ -51,14 +59,16 @@
     Message,
     rename={"term": "epoch", "candidate": "name", "observations": "seen", "suspects": "doubt"},
 ):
-    """A planner requests votes, or the extension of its lease; with term 0 only what the others know.
+    """A planner's request for votes, or for the renewal of its lease.
+
+    A request of term 0 asks only for the observations and states of the other planners.
 
     Attributes:
-        term: Term of the candidacy or leadership.
-        candidate: Name of the planner that requests them.
-        incarnation: Its run.
-        observations: What it knows of the other planners, which may show one that its disk is outdated.
-        suspects: Members that it does not hear.
+        term: Term of the candidacy or leadership, or 0.
+        candidate: Name of the planner that requests votes.
+        incarnation: Run of that planner.
+        observations: Its observations of the other planners, which may show one that its disk is old.
+        suspects: Members whose reports do not reach that planner.
     """
 
     term: Term
@@ -69,7 +79,7 @@
 
     @property
     def observation(self) -> PeerObservation:
-        """What the request shows of the planner that sent it."""
+        """Observation of the candidate that follows from this request."""
         return PeerObservation(generation=self.incarnation.generation, nonce=self.incarnation.nonce)
 
 
@@ -88,17 +98,17 @@
     """Reply to a `VoteRequest`.
 
     Attributes:
-        granted: Whether the vote is given.
+        granted: Whether the vote is granted.
         promised_term: The highest term that the voter has promised.
         voter: Name of the planner that replies.
-        incarnation: Its run.
-        is_blank: Whether it has lost, or never had, the state it should have stored.
-        lease_remaining: Time left of the lease that it has granted.
-        state_term: Term of the state that it has stored.
-        state_number: Number of that state.
-        state: The state itself.
-        heard_suspects: Those of the request's suspects that it hears.
-        observations: What it knows of the other planners.
+        incarnation: Run of the voter.
+        is_blank: Whether the voter has lost, or never had, the state it should have stored.
+        lease_remaining: Time left until the voter may vote for another candidate.
+        state_term: Term of the state that the voter has stored.
+        state_number: Number of that state within its term.
+        state: The encoded state.
+        heard_suspects: Those of the request's suspects that report to the voter.
+        observations: The voter's observations of the other planners.
     """
 
     granted: bool
@@ -115,7 +125,7 @@
 
     @property
     def observation(self) -> PeerObservation:
-        """What the response shows of the voter."""
+        """Observation of the voter that follows from this response."""
         return PeerObservation(
             generation=self.incarnation.generation,
             nonce=self.incarnation.nonce,
@@ -131,7 +141,15 @@
 
 
 class ReplicationRequest(Message, rename={"term": "epoch", "state_number": "number", "leader": "name"}):
-    """State that the leader has the other planners store before it acts on it."""
+    """The leader's request to store its state, which the leader acts on only once a quorum has stored it.
+
+    Attributes:
+        term: The leader's term.
+        state_number: Number of the state within the term.
+        leader: Name of the leader.
+        incarnation: Run of the leader.
+        state: The encoded state.
+    """
 
     term: Term
     state_number: Count
@@ -146,7 +164,13 @@
 
 
 class ReplicationResponse(Message, rename={"is_stored": "kept", "promised_term": "epoch", "replica": "name"}):
-    """Reply to a `ReplicationRequest`: whether the named planner has stored it."""
+    """Reply to a `ReplicationRequest`.
+
+    Attributes:
+        is_stored: Whether the replica has stored the state.
+        promised_term: The highest term that the replica has promised.
+        replica: Name of the planner that replies.
+    """
 
     is_stored: bool
     promised_term: Term
--- a/birchslip/cluster/election_store.py
+++ b/birchslip/cluster/election_store.py
@@ -1,8 +1,8 @@
-"""Storage of a planner's durable vote: an SQLite file with one row, flushed before anything is answered.
+"""Storage of a planner's durable vote: an SQLite file with one row, flushed before any response is sent.
 
-A file that is truncated, damaged or of a later version doesn't stop the planner from starting: it is renamed
-and the planner starts blank, until the others have sent it what it missed. The table's name, its columns and
-the checksum never change.
+A file that is truncated, damaged or of a later version does not stop the planner from starting: the file is
+renamed and the planner starts blank, until the other planners have sent the state that it lacks. The table's
+name, its columns and the checksum are a stored format and must not change.
 """
 
 from __future__ import annotations
@@ -38,32 +38,32 @@
 PLACEHOLDERS = ", ".join("?" * (len(COLUMNS) + 2))
 REPLACE_ROW = f"insert or replace into ballot values ({PLACEHOLDERS})"
 ROW_KEY = 1
-DATABASE_FILE_SUFFIXES = ("", "-wal", "-shm")  # of the database and its companions
+DATABASE_FILE_SUFFIXES = ("", "-wal", "-shm")  # database, write-ahead log, shared memory
 
 
 class DamagedStoreError(BirchslipError, ValueError):
-    """The file is readable but is not, or is no longer, a vote that this version wrote."""
+    """The file can be read but does not contain a valid vote of this version."""
 
 
 def checksum(vote: DurableVote) -> int:
-    """Checksum of a vote, as it is stored beside it."""
+    """Returns the checksum that is stored beside a vote."""
     return zlib.crc32(repr(astuple(vote)).encode())
 
 
 class ElectionStore:
-    """One planner's vote file, locked for as long as it is open.
+    """One planner's vote file, locked while it is open.
 
     Attributes:
-        path: The file.
-        vote: What was found in it.
-        damage: Why an earlier file was set aside; empty if none was.
+        path: Path of the file.
+        vote: The vote that was stored in the file; blank if there was none.
+        damage: Why an earlier file was renamed; empty if none was.
     """
 
     def __init__(self, folder: Path, name: str) -> None:
-        """Opens or creates the file.
+        """Opens or creates the file `NAME.planner` in `folder`.
 
         Raises:
-            StoreWriteError: If it can't be written, or another planner of this name holds it.
+            StoreWriteError: If the file can't be written, or another planner of this name has locked it.
         """
         self.path = folder / f"{name}.planner"
         self.damage = ""
@@ -80,7 +80,7 @@
             self.vote = DurableVote()
 
     def __enter__(self) -> ElectionStore:
-        """Returns itself, open."""
+        """Returns the open store."""
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -91,7 +91,7 @@
         """Opens the file with an exclusive lock and creates its table."""
         connection = sqlite3.connect(self.path, isolation_level=None, timeout=0)
         try:
-            # The lock lasts as long as the connection: a second planner of this name can't start.
+            # The lock lasts as long as the connection, so that a second planner of this name can't start.
             connection.execute("pragma locking_mode = exclusive")
             connection.execute("pragma journal_mode = wal")
             connection.execute("pragma synchronous = full")
@@ -108,7 +108,7 @@
         return connection
 
     def load(self) -> DurableVote:
-        """Reads the stored vote; a blank one if none is stored.
+        """Reads the stored vote; returns a blank one if none is stored.
 
         Raises:
             DamagedStoreError: If the row does not match its checksum.
@@ -126,10 +126,10 @@
         return vote
 
     def save(self, vote: DurableVote) -> None:
-        """Writes the vote; it is on the disk on return.
+        """Writes the vote, which is on the disk when this returns.
 
         Raises:
-            StoreWriteError: If that failed.
+            StoreWriteError: If the vote could not be written.
         """
         try:
             self.connection.execute(REPLACE_ROW, (ROW_KEY, checksum(vote), *astuple(vote)))
@@ -137,7 +137,7 @@
             raise StoreWriteError(self.path, str(error)) from None
 
     def set_aside(self) -> None:
-        """Renames the file and its companions, so that a new one can be made."""
+        """Renames the files of the database to `*.damaged*`, so that a new one can be created."""
         for suffix in DATABASE_FILE_SUFFIXES:
             path = Path(f"{self.path}{suffix}")
             if path.exists():
--- a/birchslip/cluster/leadership.py
+++ b/birchslip/cluster/leadership.py
@@ -1,7 +1,8 @@
 """Leadership: this planner's term and the versions of its state that a majority has stored.
 
-The election decides who leads; this module follows it. A leader is *effective* once a majority has stored the
-state that it took over: before that it must not instruct anybody.
+The election decides which planner leads; this module follows it. A leader is *effective* once a majority has
+stored the state that it restored. Until then it must not send instructions to members, operators or the
+platform.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class LeadershipChange(Enum):
-    """What an update has changed."""
+    """Change of leadership in an update."""
 
     UNCHANGED = auto()
     ACQUIRED = auto()
@@ -21,16 +22,16 @@
 
 
 class Leadership:
-    """The term of one planner.
+    """The leadership of one planner and the replication of its state.
 
     Attributes:
-        term: The term in which it leads, 0 while it does not.
-        version: The newest version of its state within the term.
+        term: The term in which this planner leads; 0 while it does not lead.
+        version: The newest version of the state within the term.
         replicated_version: The newest version that a majority has stored.
     """
 
     def __init__(self, election: Election) -> None:
-        """Starts as a follower."""
+        """Creates the leadership of a follower."""
         self.election = election
         self.term = 0
         self.version = 0
@@ -38,16 +39,16 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether it was leading at the last update."""
+        """Whether this planner was leading at the last update."""
         return self.term > 0
 
     def is_effective_leader(self, now: int) -> bool:
-        """Returns whether it has the lease at this moment and may instruct members."""
+        """Returns whether this planner holds the lease at this moment and may instruct members."""
         holds_lease = self.election.is_leading(now) and self.term == self.election.term
         return holds_lease and self.replicated_version > 0
 
     def update(self, now: int) -> LeadershipChange:
-        """Follows the election; a new term starts at version 0."""
+        """Follows the election and returns the change; a new term starts at version 0."""
         if not self.election.is_leading(now):
             was_leading = self.is_leading
             self.term = 0
@@ -60,26 +61,26 @@
         return LeadershipChange.ACQUIRED
 
     def observe_term(self, term: int) -> None:
-        """Ends the term if somebody follows a higher one; the next candidacy starts above it."""
+        """Ends this term if a member follows a higher one; the next candidacy uses a term above that one."""
         if term > self.election.highest_term:
             self.election.observe_term(term)
 
     def known_leader(self, now: int) -> str:
-        """Returns the name of the planner that this one has voted for, empty if its lease is over."""
+        """Returns the name of the planner that holds this one's vote, empty if the vote has expired."""
         return self.election.granted_to[0] if now < self.election.granted_until else ""
 
     # ---- replication -----------------------------------------------------------------------------------
 
     def advance_version(self) -> None:
-        """The state has changed, and a majority has to store it again."""
+        """Starts a new version after a change of the state; a majority has to store it."""
         self.version += 1
 
     def needs_replication(self) -> bool:
-        """Returns whether the newest version is not stored by a majority yet."""
+        """Returns whether a majority has not yet stored the newest version."""
         return self.is_leading and self.replicated_version < self.version
 
     def replication_request(self, state: bytes) -> ReplicationRequest:
-        """Returns the request to store the newest version."""
+        """Returns the request to store `state` as the newest version."""
         return ReplicationRequest(
             term=self.term,
             state_number=self.version,
@@ -89,7 +90,11 @@
         )
 
     def mark_replicated(self, version: int) -> bool:
-        """Records that a majority stores a version; returns whether that is the newest one, and new."""
+        """Records that a majority has stored a version.
+
+        Returns:
+            True if it is the newest version and was not recorded before.
+        """
         if version != self.version or version <= self.replicated_version:
             return False
         self.replicated_version = version
--- a/birchslip/cluster/member_observations.py
+++ b/birchslip/cluster/member_observations.py
@@ -1,4 +1,4 @@
-"""Observations: for each member of the fleet file, whether it counts as out of service, and why."""
+"""Observations for the disruption budget: whether each member of the fleet file is unavailable, and why."""
 
 from __future__ import annotations
 
@@ -15,7 +15,16 @@
 def observe_members(
     site_of_member: Mapping[str, str], sites: SiteSupervisor, report_interval: int, now: int
 ) -> dict[str, MemberObservation]:
-    """Returns an observation of each member; one that was never heard is out."""
+    """Returns an observation of each member.
+
+    A member that has never reported counts as unavailable.
+
+    Args:
+        site_of_member: Site of each member of the fleet file, by name.
+        sites: State of the sites and their members.
+        report_interval: Interval between a member's reports, in tenths of a millisecond.
+        now: The current time.
+    """
     observations = {}
     for name, site in site_of_member.items():
         member = sites.membership.members.get(name)
--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -1,19 +1,20 @@
-"""Membership: which members are alive, in which incarnation, and what that says about their sites.
+"""Membership: which members are alive, in which incarnation, and the verdict on each site that follows.
 
-Decides verdicts on members and sites; it never acts on them.
+Decides verdicts on members and sites; it never acts on them. A member is *reporting* if its reports reach any
+planner; a site is *silent* if none of its members is reporting, not counting draining ones.
 
 | verdict on a site | evidence |
 | --- | --- |
-| reachable | a planner hears most of its members |
-| slow | its members are heard, but most of them run at twice their usual time and more |
-| restarting | most members are missing, leaving or in a new incarnation; the others are heard |
-| partitioned | no planner hears it, and a probe by a member of another site was answered |
-| lost | no planner hears it, and probes by several members of other sites were refused or timed out |
-| unknown | no planner hears it, and there is no such evidence yet: nothing is done about it |
-
-Silence to one planner is no evidence: members that any planner hears count as heard, and a site is lost only
-on the probes of several members that are heard themselves. Indirect probes are those of SWIM (Das, Gupta and
-Motivala 2002).
+| reachable | most of its members are reporting |
+| slow | members are reporting, but run times of most are at least twice the usual ones |
+| restarting | most members are missing, draining or in a new incarnation; the others are reporting |
+| partitioned | the site is silent, and a probe by a member of another site was answered |
+| lost | the site is silent, and probes by several members of other sites were refused or timed out |
+| unknown | the site is silent, and there is no such evidence yet: no action is taken |
+
+Silence towards a single planner is no evidence: a member that reports to any planner counts as reporting, and
+a site counts as lost only on the probes of several members that are reporting themselves. Indirect probes are
+those of SWIM (Das, Gupta and Motivala 2002).
 """
 
 from __future__ import annotations
@@ -28,19 +29,19 @@
 from .phi_accrual import PhiAccrualDetector
 
 SUSPICION_THRESHOLD_PHI = 5.0
-GONE_TIMEOUT = 10 * SECOND
-MIN_WITNESSES = 2  # of a lost site, where there are so many
-MIN_UNREACHABLE_MEMBERS = 2  # of a lost site, where it has so many
-PROBE_VALIDITY = 2_000 * MS
-PEER_OBSERVATION_INTERVALS = 4  # report intervals for which another planner's word counts
-RECENT_REPORT_INTERVALS = 4  # report intervals for which this planner vouches for a member
-SLOW_MEMBER_SLOWDOWN = 2.0  # run times against the usual
-MAX_DEPARTED = 1_024
-MAX_PREVIOUS_INCARNATIONS = 16  # of one name, so that a late report of an earlier one is recognised
+GONE_TIMEOUT = 10 * SECOND  # of silence, after which a suspected member counts as gone
+MIN_WITNESSES = 2  # members that must have probed a lost site, or all possible witnesses if fewer
+MIN_UNREACHABLE_MEMBERS = 2  # failed probe targets of a lost site, or all its members if fewer
+PROBE_VALIDITY = 2_000 * MS  # age up to which a probe is evidence
+PEER_OBSERVATION_INTERVALS = 4  # report intervals for which another planner's observation is valid
+RECENT_REPORT_INTERVALS = 4  # report intervals for which a report proves a member reachable to a peer
+SLOW_MEMBER_SLOWDOWN = 2.0  # run times relative to the usual ones
+MAX_DEPARTED = 1_024  # members no longer in the fleet file that are remembered
+MAX_PREVIOUS_INCARNATIONS = 16  # per member, so that a late report of an earlier one is recognised
 
 
 class MemberLiveness(Enum):
-    """Whether a member is there, as far as all planners together know."""
+    """Liveness of a member, as far as all planners together know."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
@@ -50,7 +51,7 @@
 
 
 class SiteVerdict(Enum):
-    """What the evidence says about a site; see the table of this module."""
+    """Verdict on a site; see the table in this module's doc comment."""
 
     REACHABLE = "here"
     SLOW = "slow"
@@ -61,7 +62,7 @@
 
 
 class ProbeOutcome(StrEnum):
-    """What a member met that connected to the address of another one."""
+    """Outcome of a connection from one member to the address of another."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -69,7 +70,7 @@
 
 
 class ProbeEvidence(NamedTuple):
-    """The newest probe of a member by one witness."""
+    """The newest probe of a member by one witness: when it was reported, and its outcome."""
 
     at: int
     outcome: str
@@ -80,11 +81,18 @@
     """One member and the evidence about it. Times are in tenths of a millisecond.
 
     Attributes:
-        incarnation_since: When its present incarnation was first heard.
-        disconnected: Whether its connections to this planner ended and it has not been heard since.
-        last_reported_by_peers: When another planner last said that it hears this member, -1 for never.
+        name: The member's name in the fleet file.
+        site: Name of the member's site.
+        incarnation: The current run of the member's process.
+        detector: Failure detector, whose heartbeats are the member's reports.
+        report: The newest report.
+        incarnation_since: When the first report of the current incarnation arrived.
+        disconnected: Whether the member's last connection to this planner ended after its newest report.
+        last_reported_by_peers: When another planner last confirmed that it receives this member's reports; -1
+            for never.
+        previous_incarnations: Earlier incarnations, oldest first.
         probes: The newest probe by each witness.
-        restarts: Changes of incarnation that this planner has seen.
+        restarts: Changes of incarnation that this planner has observed.
     """
 
     name: str
@@ -100,7 +108,7 @@
     restarts: int = 0
 
     def is_reporting(self, now: int, report_interval: int) -> bool:
-        """Returns whether any planner hears it."""
+        """Returns whether its reports reach any planner."""
         peers_report_it = self.last_reported_by_peers >= 0
         if (
             peers_report_it
@@ -110,7 +118,7 @@
         return not self.disconnected and self.detector.phi(now) < SUSPICION_THRESHOLD_PHI
 
     def valid_probes(self, now: int) -> dict[str, ProbeEvidence]:
-        """Returns by witness the probes that are recent and newer than the last report."""
+        """Returns the probes that are recent and newer than the last report, by witness."""
         return {
             witness: probe
             for witness, probe in self.probes.items()
@@ -118,11 +126,11 @@
         }
 
     def answered_probe(self, now: int) -> bool:
-        """Returns whether a valid probe reached it."""
+        """Returns whether it has answered a valid probe."""
         return any(probe.outcome == ProbeOutcome.ANSWERED for probe in self.valid_probes(now).values())
 
     def liveness(self, now: int, report_interval: int) -> MemberLiveness:
-        """Returns the verdict on this member."""
+        """Returns the liveness of this member."""
         if self.report.is_draining:
             return MemberLiveness.LEFT
         if self.is_reporting(now, report_interval):
@@ -134,7 +142,7 @@
         return MemberLiveness.SUSPECTED
 
     def start_incarnation(self, incarnation: Incarnation, now: int, report_interval: int) -> None:
-        """Forgets the evidence about the incarnation before."""
+        """Replaces the incarnation and discards the evidence about the previous one."""
         latest = self.previous_incarnations[1 - MAX_PREVIOUS_INCARNATIONS :]
         self.previous_incarnations = [*latest, self.incarnation]
         self.incarnation = incarnation
@@ -148,14 +156,14 @@
     """All members that have reported.
 
     Attributes:
-        members: By name, those of the present fleet file.
-        departed: By name, those that have left the fleet file: their late reports are recognised.
-        sites: The members of each site of the fleet file, by name.
+        members: Members of the current fleet file, by name.
+        departed: Members removed from the fleet file, by name, so that their late reports are recognised.
+        sites: Members of each site of the fleet file, by name of the site and of the member.
         report_interval: How often a member reports, in tenths of a millisecond.
     """
 
     def __init__(self, sites: Iterable[str], report_interval: int) -> None:
-        """Starts with nobody in `sites`, the names of the sites in the fleet file."""
+        """Starts without members; `sites` are the names of the sites in the fleet file."""
         self.members: dict[str, Member] = {}
         self.departed: dict[str, Member] = {}
         self.sites: dict[str, dict[str, Member]] = {site: {} for site in sites}
@@ -164,7 +172,11 @@
     # ---- events ----------------------------------------------------------------------------------------
 
     def receive_report(self, report: MemberReport, now: int) -> bool:
-        """Takes a report; returns False for one of an old incarnation, an unknown site, doubled or late."""
+        """Processes a report.
+
+        Returns:
+            False if it is ignored: of an earlier incarnation or an unknown site, duplicate or late.
+        """
         if report.site not in self.sites:
             return False
         member = self.members.get(report.name) or self._restore(report.name)
@@ -186,7 +198,7 @@
         return True
 
     def remove(self, name: str) -> None:
-        """Takes a member out that the fleet file does not name any more."""
+        """Removes a member that the fleet file no longer names."""
         member = self.members.pop(name, None)
         if member is None:
             return
@@ -196,19 +208,19 @@
             del self.departed[oldest]
 
     def mark_disconnected(self, name: str, incarnation: Incarnation) -> None:
-        """Suspects a member at once whose last connection has ended, if it is still that incarnation."""
+        """Suspects a member whose last connection has ended, if it is still in that incarnation."""
         member = self.members.get(name)
         if member is not None and member.incarnation == incarnation:
             member.disconnected = True
 
     def mark_reported_by_peers(self, names: Iterable[str], now: int) -> None:
-        """Records that another planner hears these members."""
+        """Records that another planner receives reports of these members."""
         for name in names:
             if name in self.members:
                 self.members[name].last_reported_by_peers = now
 
     def record_probe(self, witness: str, name: str, outcome: str, now: int) -> None:
-        """Takes a probe as evidence, if the witness is of another site and heard itself."""
+        """Records a probe as evidence if the witness is of another site and is reporting itself."""
         member = self.members.get(name)
         prober = self.members.get(witness)
         if member is None or prober is None or prober.site == member.site:
@@ -223,7 +235,7 @@
         self.sites[report.site][report.name] = member
 
     def _restore(self, name: str) -> Member | None:
-        """Brings a departed member back, so that late reports of its old incarnations change nothing."""
+        """Restores a departed member, so that late reports of its earlier incarnations are ignored."""
         member = self.departed.pop(name, None)
         if member is not None:
             self.members[name] = member
@@ -244,7 +256,7 @@
     # ---- verdicts --------------------------------------------------------------------------------------
 
     def alive_members(self, site: str, now: int) -> list[Member]:
-        """Returns the members of a site that are heard and not leaving."""
+        """Returns the members of a site that are reporting and not draining."""
         interval = self.report_interval
         return [
             member
@@ -253,7 +265,7 @@
         ]
 
     def recently_reporting(self, names: Iterable[str], report_interval: int, now: int) -> list[str]:
-        """Returns those of `names` whose own reports have come to this planner lately."""
+        """Returns those of `names` whose reports have reached this planner recently."""
         members = (self.members.get(name) for name in names)
         max_silence = RECENT_REPORT_INTERVALS * report_interval
         return [
@@ -265,17 +277,17 @@
         ]
 
     def suspected_members(self, now: int) -> list[Member]:
-        """Returns the members that should be probed: those of sites that are silent as a whole."""
+        """Returns the members that should be probed: those of silent sites."""
         return [member for site in self.sites for member in self.silent_site_members(site, now)]
 
     def silent_site_members(self, site: str, now: int) -> list[Member]:
-        """Returns the members of a site none of which is heard; nobody if any is, or if it is empty."""
+        """Returns the non-draining members of a silent site; an empty list if the site is not silent."""
         expected = [member for member in self.sites[site].values() if not member.report.is_draining]
         silent = [member for member in expected if not member.is_reporting(now, self.report_interval)]
         return silent if len(silent) == len(expected) else []
 
     def verdict(self, site: str, now: int) -> SiteVerdict:
-        """Returns what the evidence says about a site."""
+        """Returns the verdict on a site; see the table in this module's doc comment."""
         silent = self.silent_site_members(site, now)
         if silent:
             return self._verdict_on_silent_site(site, silent, now)
--- a/birchslip/cluster/phi_accrual.py
+++ b/birchslip/cluster/phi_accrual.py
@@ -1,10 +1,10 @@
-"""Phi accrual failure detection: how suspicious the silence of one member is.
+"""Phi accrual failure detection: a measure of how suspicious the silence of one member is.
 
-Decides nothing: it returns phi, and callers compare it with their own threshold.
+Returns phi only; callers compare it with their own threshold.
 
-Source: Hayashibara, Defago, Yared and Katayama, "The phi accrual failure detector" (SRDS 2004): the intervals
-between heartbeats are taken as normally distributed, and phi is -log10 of the probability that a heartbeat is
-still to come.
+Source: Hayashibara, Defago, Yared and Katayama, "The phi accrual failure detector" (SRDS 2004). The intervals
+between heartbeats are assumed to be normally distributed, and phi is -log10 of the probability that a
+heartbeat is still to come.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from math import erfc, log10, sqrt
 
 WINDOW_SIZE = 64  # intervals
-MIN_DEVIATION_RATIO = 0.25  # of the mean: heartbeats sent by one clock come at intervals that are all alike
+MIN_DEVIATION_RATIO = 0.25  # of the mean, as heartbeats sent by one clock arrive at almost equal intervals
 MIN_DEVIATION = 1.0  # tenths of a millisecond
-MAX_PHI = 40.0  # past it the probability is zero to a float
+MAX_PHI = 40.0  # above it the probability is too small to compute as a float
 
 
 class PhiAccrualDetector:
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, now: int, expected_interval: int) -> None:
-        """Starts as if one heartbeat had arrived `now`, and one `expected_interval` before it."""
+        """Starts as if one heartbeat had arrived at `now`, and one `expected_interval` earlier."""
         self.last_heartbeat = now
         self._intervals: deque[int] = deque((expected_interval,), maxlen=WINDOW_SIZE)
         self._sum = expected_interval
@@ -45,11 +45,11 @@
         self.last_heartbeat = max(now, self.last_heartbeat)
 
     def phi(self, now: int) -> float:
-        """Returns the suspicion: phi 1 is a false alarm in 10 cases, phi 5 one in 100,000."""
+        """Returns the suspicion level; phi 1 means one false alarm in 10 cases, phi 5 one in 100,000."""
         count = len(self._intervals)
         mean = self._sum / count
         deviation = sqrt(max(0.0, self._sum_of_squares / count - mean * mean))
-        # A detector that has only seen even intervals would take the first uneven one for a failure.
+        # Without a minimum, the first longer interval after only equal ones would look like a failure.
         deviation = max(deviation, MIN_DEVIATION_RATIO * mean, MIN_DEVIATION)
         probability = erfc((now - self.last_heartbeat - mean) / (deviation * sqrt(2))) / 2
         return -log10(probability) if probability > 10**-MAX_PHI else MAX_PHI
--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -1,6 +1,6 @@
-"""Plan publication: the newest site plan, and the one that a majority has stored and members receive.
+"""Plan publication: the newest site plan, and the published one that members receive.
 
-No member receives a plan before `publish`, which the caller calls once a majority has stored its version.
+A plan reaches members only after `publish`, which the caller calls once a majority has stored its version.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
     Attributes:
         pending: The newest plan.
-        pending_since: When it was made, in tenths of a millisecond.
+        pending_since: When the newest plan was made, in tenths of a millisecond.
         published: The plan that members receive.
-        published_levels: The part of each site's cores that may be used, as of the published plan.
+        published_levels: Serving fraction of each site's cores when the plan was published, by site.
     """
 
     def __init__(self) -> None:
-        """Starts with empty plans."""
+        """Creates a publisher with empty plans."""
         self.pending = SitePlan()
         self.pending_since = 0
         self.published = SitePlan()
         self.published_levels: dict[str, float] = {}
 
     def replan(self, fleet: Fleet, capacities: list[SiteCapacity], now: int) -> None:
-        """Makes a new plan from what is measured."""
+        """Makes a new pending plan from the measured capacities and loads."""
         self.pending_since = now
         self.pending = plan_sites(capacities, fleet.tenant_shares, fleet.link_costs, fleet.shedding_order)
 
     def publish(self, levels: dict[str, float]) -> None:
-        """Makes the pending plan the one that members receive, with the sites' present levels."""
+        """Publishes the pending plan with the current serving fractions of the sites."""
         self.published = self.pending
         self.published_levels = levels
 
@@ -45,7 +45,14 @@
     ) -> PlanAssignment:
         """Returns one member's part of the published plan.
 
-        With every site serving it changes nothing, so that members drop what was in force before.
+        While every site serves, the assignment has no restrictions, so that members drop earlier ones.
+
+        Args:
+            fleet: The fleet file in force.
+            site_of_member: Site of each member, by name.
+            name: The member's name.
+            term: The leader's term.
+            number: Number of the plan within the term.
         """
         levels = self.published_levels
         plan = self.published
--- a/birchslip/cluster/plan_subscription.py
+++ b/birchslip/cluster/plan_subscription.py
@@ -1,9 +1,9 @@
 """A member's view of the plan: which planner's replies are binding, and until when.
 
-Decides only what is in force; `planner_link.py` carries it out. A reply is binding only if its term is the
-highest heard of and, within a term, if it comes from the one planner that used it first. Spans are counted
-from when the member sent the report that is replied to, on a monotonic clock: a reply that was long on its
-way, or was written by a leader that was paused in between, has expired when it arrives.
+Decides only what is in force; `planner_link.py` applies it. A reply is binding only if its term is the
+highest received so far and, within a term, if it comes from the first planner that used the term. Spans are
+counted from when the member sent the report that is replied to, on a monotonic clock, so that a reply that
+was delayed on the network or by a paused leader has expired when it arrives.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def plan_override(assignment: PlanAssignment, tenants: Mapping[str, Tenant], expires_at: int) -> PlanOverride:
-    """Translates an assignment for the admission controller; tenants and tiers unknown here are left out."""
+    """Converts an assignment for the admission controller, without tenants and tiers unknown here."""
     known_tiers = {tier.value: tier for tier in SheddingTier}
     return PlanOverride(
         term=assignment.term,
@@ -32,32 +32,32 @@
 
 
 class PlanSubscription:
-    """What one member has been assigned, and what of it is still in force.
+    """One member's latest assignment and quota lease, and whether they are still in force.
 
     All times are of the member's monotonic clock, in units of 0.1 ms.
 
     Attributes:
         unleased_calls: Downstream calls that may run without a lease.
-        listed_after: From when it is listed if no planner has replied.
-        term: Highest term that it has accepted a reply of.
-        leader: The run of the planner that used this term.
-        assignment: The assignment in force, expired or not.
-        assignment_expires_at: Until when it is in force at full strength.
-        plan_number: Number of its plan.
+        listed_after: When the member is listed if no planner has replied until then.
+        term: Highest term of the accepted replies.
+        leader: The run of the planner that first used this term.
+        assignment: The latest assignment, expired or not.
+        assignment_expires_at: When the assignment's effect begins to fade.
+        plan_number: Number of the assignment's plan.
         call_limit: Downstream calls that may run at once under the lease.
         lease_expires_at: When the lease ends.
-        assigned_listing: Whether routers may find the member, by the leader's last reply.
-        report_interval: Span between two reports, by the leader's last reply; 0 before.
-        rejected_replies: Number of replies of outdated leaders.
+        assigned_listing: Whether routers may find the member, by the leader's last reply; None before.
+        report_interval: Span between two reports by the leader's last reply; 0 before.
+        rejected_replies: Number of replies rejected as those of an outdated leader.
     """
 
     def __init__(self, unleased_calls: float, listing_delay: int, now: int) -> None:
-        """Begins without an assignment.
+        """Creates a subscription without an assignment.
 
         Args:
             unleased_calls: Downstream calls that may run without a lease.
             listing_delay: How long a starting member waits for a reply before it is listed.
-            now: The present time.
+            now: The current time.
         """
         self.unleased_calls = unleased_calls
         self.listed_after = now + listing_delay
@@ -73,7 +73,16 @@
         self.rejected_replies = 0
 
     def accept(self, reply: ReportReply, sent: int, now: int) -> bool:
-        """Takes in a reply to a report sent at a time; returns whether it is binding."""
+        """Processes a reply of a planner.
+
+        Args:
+            reply: The reply.
+            sent: When the report was sent that the reply answers.
+            now: The current time.
+
+        Returns:
+            Whether the reply is binding.
+        """
         if not reply.is_leading:
             return False
         if self.is_outdated(reply):
@@ -95,13 +104,13 @@
         return True
 
     def is_outdated(self, reply: ReportReply) -> bool:
-        """Whether a reply is of an earlier leader, or of a second one in the same term."""
+        """Whether a reply is from an earlier leader, or from a second one in the same term."""
         if reply.term == self.term:
             return reply.planner != self.leader
         return reply.term < self.term
 
     def accept_assignment(self, assignment: PlanAssignment, sent: int, now: int) -> None:
-        """Takes over an assignment, unless it has expired or is of an older plan than the one in force."""
+        """Puts an assignment in force unless it has expired or its plan is older than the one in force."""
         expires_at = sent + assignment.validity_span
         if assignment.term != self.term or assignment.number < self.plan_number or expires_at <= now:
             return
@@ -112,19 +121,19 @@
         self.assigned_listing = assignment.is_listed
 
     def allowed_calls(self, now: int) -> float:
-        """Downstream calls that may run at this moment."""
+        """Returns the number of downstream calls that may run at this moment."""
         return self.call_limit if now < self.lease_expires_at else self.unleased_calls
 
     def lease_remaining(self, now: int) -> int:
-        """Time left of the lease."""
+        """Returns the time left until the lease ends; 0 after that."""
         return max(0, self.lease_expires_at - now)
 
     def assignment_remaining(self, now: int) -> int:
-        """How long the assignment is still in force at full strength."""
+        """Returns the time left until the assignment's effect begins to fade; 0 after that."""
         return max(0, self.assignment_expires_at - now)
 
     def is_listed(self, now: int) -> bool:
-        """Whether routers may find the member: as assigned, and as without planners once that has faded."""
+        """Whether routers may find the member: as assigned, but always once the assignment has faded."""
         if self.assigned_listing is None:
             return now >= self.listed_after
         if self.assignment is not None and not self.assigned_listing:
--- a/birchslip/cluster/planner_events.py
+++ b/birchslip/cluster/planner_events.py
@@ -1,4 +1,4 @@
-"""Events of a planner's decisions, buffered until the process that carries them writes them to its log."""
+"""Events of a planner's decisions, buffered until the planner's process writes them to its log."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class EventBuffer:
-    """A bounded buffer of events; what does not fit is dropped."""
+    """A bounded buffer of events; events beyond the bound are dropped."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty buffer."""
         self._events: list[PlannerEvent] = []
 
     def record(self, name: str, **fields: object) -> None:
-        """Adds an event."""
+        """Adds an event, or drops it if the buffer is full."""
         if len(self._events) < MAX_BUFFERED_EVENTS:
             self._events.append(PlannerEvent(name, fields))
 
     def drain(self) -> Iterator[PlannerEvent]:
-        """Yields all buffered events, the oldest first, and empties the buffer."""
+        """Empties the buffer and yields its events, oldest first."""
         events = self._events
         self._events = []
         yield from events
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -1,20 +1,20 @@
-"""Planner state: what one planner knows and decides, composed of one module for each concern.
+"""Planner state: what one planner knows and decides, composed of one module per concern.
 
-Owns the order in which the others are called; the decisions are theirs:
+Owns the order in which the other modules are called; they make the decisions:
 
 | module | decides |
 | --- | --- |
-| `leadership` | whether this planner leads, and which version of its state a majority has stored |
-| `membership`, `probe_scheduler` | who is alive, which sites are lost, who probes whom |
+| `leadership` | whether this planner leads, and the version of its state that a majority has stored |
+| `membership`, `probe_scheduler` | which members are alive, which sites are lost, which members probe |
 | `site_supervisor` | evacuation and recovery of sites |
-| `plan_publisher`, `site_plan` | the plan, and what members receive of it |
+| `plan_publisher`, `site_plan` | the plan, and each member's part of it |
 | `quota_allocator` | leases of the vault's quota |
 | `eviction_handler`, `member_observations` | permits |
 | `rollout_supervisor` | rollouts |
 
-It does no I/O and reads no clock: `planner.py` runs it. Every planner hears the members, so that a new leader
-knows them; only the leader instructs anybody, and only as a majority has stored it. Times are in tenths of a
-millisecond.
+Does no I/O and reads no clock: `planner.py` runs it. Members report to every planner, so that a new leader
+knows them. Only the leader sends instructions, and only those that a majority has stored. Times are in tenths
+of a millisecond.
 """
 
 from __future__ import annotations
@@ -60,8 +60,8 @@
 from .site_supervisor import SiteSupervisor
 
 EVALUATION_INTERVAL = 100 * MS
-REPLAN_INTERVAL = 1 * SECOND  # while a site is not serving, as what is measured changes
-MAX_REPORTS_PER_SECOND = 1_200  # that one planner takes; members of larger fleets report less often
+REPLAN_INTERVAL = 1 * SECOND  # while a site is not serving, as measured loads and capacities change
+MAX_REPORTS_PER_SECOND = 1_200  # to one planner; members of larger fleets report less often
 
 
 class EvictionOutcome(NamedTuple):
@@ -83,19 +83,21 @@
 
     Attributes:
         fleet: The fleet file in force.
-        site_of_member: The site of each member of the fleet file, by name.
-        leadership: This planner's term.
-        membership: The members that have reported.
-        sites: The recovery ramp and load of each site.
-        probes: The members of silent sites, and who probes them.
+        site_of_member: Site of each member of the fleet file, by name.
+        election: This planner's voter and candidate.
+        events: Events to be logged.
+        leadership: This planner's term and the replication of its state.
+        membership: Members that have reported.
+        sites: Recovery ramp and load of each site.
+        probes: Members of silent sites, and the members that probe them.
         plans: The pending and the published plan.
-        quotas: The leases of the vault's quota.
-        budget: The disruption budgets and permits.
-        rollouts: The rollouts.
+        quotas: Leases of the vault's quota.
+        budget: Disruption budgets and permits.
+        rollouts: Supervision of the rollouts.
     """
 
     def __init__(self, fleet: Fleet, election: Election, now: int) -> None:
-        """Starts as a follower that has heard nobody."""
+        """Creates the state of a follower that has not received any report."""
         site_names = [site.name for site in fleet.sites]
         self.fleet = fleet
         self.election = election
@@ -126,11 +128,11 @@
     # ---- leadership ------------------------------------------------------------------------------------
 
     def is_effective_leader(self, now: int) -> bool:
-        """Returns whether it may instruct members, operators and the platform."""
+        """Returns whether this planner may instruct members and the platform, and answer operators."""
         return self.leadership.is_effective_leader(now)
 
     def leader_name(self, now: int) -> str:
-        """Returns the planner that is thought to lead, or an empty string."""
+        """Returns the name of the planner that is believed to lead, or an empty string."""
         return self.leadership.known_leader(now)
 
     def _update_leadership(self, now: int) -> bool:
@@ -148,7 +150,7 @@
     # ---- replication -----------------------------------------------------------------------------------
 
     def stored_state(self) -> ReplicatedState:
-        """Returns the state that this planner stores, its own or the leader's; empty if it is unreadable."""
+        """Returns the state stored by this planner, made by itself or the leader; empty if unreadable."""
         return self._decode(self.election.durable.state)
 
     def _decode(self, raw: bytes) -> ReplicatedState:
@@ -159,7 +161,7 @@
             return ReplicatedState()
 
     def restore(self, raw: bytes, now: int) -> None:
-        """Takes over the state that a previous leader had a majority store."""
+        """Restores the state of a previous leader that a majority has stored."""
         state = self._decode(raw)
         self.sites.restore(state.sites, now)
         self.budget.state = state.permits
@@ -167,33 +169,33 @@
         self.rollouts.orders_version = 1
 
     def encoded_state(self) -> bytes:
-        """Returns the bytes that a majority has to store."""
+        """Returns the current state as the bytes that a majority has to store."""
         sites = self.sites.stored_sites()
         rollouts = self.rollouts.controller.states
         return encode_state(ReplicatedState(sites=sites, permits=self.budget.state, rollouts=rollouts))
 
     def replication_request(self) -> ReplicationRequest | None:
-        """Returns what all planners are to store, or None if a majority has the newest version."""
+        """Returns the request to store the newest version, or None if a majority has stored it."""
         if not self.leadership.needs_replication():
             return None
         return self.leadership.replication_request(self.encoded_state())
 
     def mark_replicated(self, version: int) -> None:
-        """Publishes the plan of a version that a majority has stored."""
+        """Records that a majority has stored a version, and publishes its plan."""
         if not self.leadership.mark_replicated(version):
             return
         self.plans.publish(self.sites.levels())
         self.quotas.follow_plan(self.plans.published, self.plans.published_levels, self.site_of_member)
 
     def replan(self, now: int) -> None:
-        """Makes a new plan and version; members receive it once a majority has stored it."""
+        """Makes a new plan and version; members receive the plan once a majority has stored it."""
         self.leadership.advance_version()
         self.plans.replan(self.fleet, self.sites.capacities(), now)
 
     # ---- members ---------------------------------------------------------------------------------------
 
     def receive_report(self, report: MemberReport, now: int) -> ReportReply:
-        """Takes a member's report and returns the reply."""
+        """Processes a member's report and returns the reply."""
         if self.site_of_member.get(report.name) != report.site:
             self.events.record("report_from_unknown_member", member=report.name, site=report.site)
             return self._follower_reply(now)
@@ -220,7 +222,7 @@
         )
 
     def _follower_reply(self, now: int) -> ReportReply:
-        """Instructs nothing; only names the leader."""
+        """Returns a reply without instructions that names the leader."""
         return ReportReply(
             term=self.election.durable.promised_term,
             planner=self.election.incarnation,
@@ -236,12 +238,12 @@
         return self.plans.assignment(self.fleet, self.site_of_member, name, term, number)
 
     def report_interval(self) -> int:
-        """Returns how often a member reports: less often in a fleet that would overload a planner."""
+        """Returns the interval between a member's reports, longer in a fleet too large for a planner."""
         min_interval = len(self.site_of_member) * SECOND // MAX_REPORTS_PER_SECOND
         return max(span(self.fleet.report_ms), min_interval)
 
     def members_reporting_here(self, names: list[str], now: int) -> list[str]:
-        """Returns those of the leader's suspects whose reports come to this planner."""
+        """Returns those of the leader's suspects that report to this planner."""
         return self.membership.recently_reporting(names, self.report_interval(), now)
 
     # ---- time ------------------------------------------------------------------------------------------
@@ -261,7 +263,7 @@
         if state_changed or self._is_plan_outdated(now):
             self.replan(now)
         if self.rollouts.evaluated_at == now:
-            # Whichever step granted the permits that orders rest on, all of it is stored first.
+            # Orders depend on permits that any step above may have granted: a majority stores them all first.
             self.rollouts.orders_version = self.leadership.version
 
     def _is_plan_outdated(self, now: int) -> bool:
@@ -269,7 +271,7 @@
         return age >= REPLAN_INTERVAL and bool(self.sites.sites_not_serving())
 
     def _observe(self, now: int) -> None:
-        """Updates what followers know too."""
+        """Updates the measurements and suspects that followers maintain as well."""
         self.membership.report_interval = self.report_interval()
         if not self.sites.sites_not_serving() and not self.probes.suspected:
             self.sites.measure_load(now)
@@ -289,10 +291,10 @@
         return self.rollouts.evaluate(observations, reports, self.sites.sites_not_serving(), now)
 
     def observations(self, now: int) -> dict[str, MemberObservation]:
-        """Returns for each member, and for each service while it leads, whether it is out and why."""
+        """Returns whether each member is out and why; while this planner leads, also for each service."""
         members = observe_members(self.site_of_member, self.sites, self.report_interval(), now)
         if not self.leadership.is_leading:
-            return members  # the leader alone polls the platform
+            return members  # only the leader polls the platform, which knows the services
         return with_dependents(
             members | self.rollouts.controller.observe_services(now), self.budget.dependencies
         )
@@ -300,7 +302,11 @@
     # ---- requests of operators and the platform --------------------------------------------------------
 
     def handle_eviction(self, request: EvictionRequest, now: int) -> EvictionOutcome:
-        """Carries out a request for permits."""
+        """Executes a request to the disruption budget.
+
+        Returns:
+            The response, and the version that a majority has to store before the response may be sent.
+        """
         observations = self.observations(now)
         before = self.budget.encode()
         response = handle_eviction(self.budget, request, observations)
@@ -318,7 +324,11 @@
         return EvictionOutcome(self.leadership.version, response)
 
     def handle_rollout_command(self, command: RolloutCommand, now: int) -> CommandOutcome:
-        """Carries out an operator's command on rollouts."""
+        """Executes an operator's command on rollouts.
+
+        Returns:
+            The result, and the version that a majority has to store before the result may be sent.
+        """
         result = self.rollouts.execute(command, now)
         if result.accepted:
             self.replan(now)
@@ -327,7 +337,7 @@
         return CommandOutcome(self.leadership.version, result)
 
     def platform_orders(self, now: int) -> list[PlatformOrder]:
-        """Returns the orders that may go to the platform now: a majority has stored all they rest on."""
+        """Returns the platform orders for which a majority has stored the state that they depend on."""
         if not self.is_effective_leader(now):
             return []
         if self.leadership.replicated_version < self.rollouts.orders_version:
@@ -335,18 +345,18 @@
         return self.rollouts.controller.orders
 
     def receive_inventory(self, inventory: Inventory, sent: int) -> None:
-        """Takes what the platform has replied; `sent` is when it was polled."""
+        """Processes the platform's inventory; `sent` is when the platform was polled."""
         self.rollouts.controller.receive_inventory(inventory, sent)
 
     def evacuate_site(self, site: str, who: str, why: str, now: int) -> bool:
-        """Evacuates a site by hand; returns whether that is a change."""
+        """Evacuates a site on an operator's command; returns whether that changed anything."""
         changed = self.sites.evacuate(site, who, why, now)
         if changed:
             self.replan(now)
         return changed
 
     def return_site(self, site: str, who: str, now: int) -> bool:
-        """Lets a site recover that was evacuated by hand; returns whether that is a change."""
+        """Lets a site recover that an operator had evacuated; returns whether that changed anything."""
         changed = self.sites.end_evacuation(site, who, now)
         if changed:
             self.replan(now)
@@ -355,7 +365,11 @@
     # ---- fleet file and events -------------------------------------------------------------------------
 
     def apply_fleet(self, fleet: Fleet, now: int) -> list[str]:
-        """Applies a later fleet file; returns why it can't be, a line each, and then nothing of it is."""
+        """Applies a new fleet file, or nothing of it if any of its changes is not possible.
+
+        Returns:
+            The reasons why it can't be applied, one line each; empty if it was applied.
+        """
         blocked = list(blocked_changes(self.fleet, fleet))
         if blocked:
             return blocked
@@ -389,5 +403,5 @@
                 self.budget.revoke(holder, "the fleet file")
 
     def drain_events(self) -> Iterator[PlannerEvent]:
-        """Yields the events since the last call, to be logged."""
+        """Yields the events since the last call, for the log."""
         return self.events.drain()
--- a/birchslip/cluster/probe_scheduler.py
+++ b/birchslip/cluster/probe_scheduler.py
@@ -1,6 +1,7 @@
 """Probe scheduling: which members probe the addresses of members of silent sites.
 
-Requests few probes, and only by members of other sites that are alive; `membership.py` judges the results.
+Requests a bounded number of probes, and only from members of other sites that are alive; `membership.py`
+evaluates the results.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from .recovery_ramp import RecoveryRamp, RecoveryStage
 
 WITNESSES_PER_SITE = 3
-PROBES_PER_WITNESS = 3
+PROBES_PER_WITNESS = 3  # in one reply to a report
 
 
 class ProbeScheduler:
@@ -20,23 +21,28 @@
 
     Attributes:
         suspected: The members of silent sites.
-        witnesses: The members that may probe them; nobody while there are no suspects.
+        witnesses: The members that may probe them; empty while there are no suspects.
     """
 
     def __init__(self, membership: Membership) -> None:
-        """Starts without suspects."""
+        """Creates a scheduler without suspects."""
         self.membership = membership
         self.suspected: list[Member] = []
         self.witnesses: list[Member] = []
 
     def update(self, alive: Mapping[str, list[Member]], now: int) -> None:
-        """Finds the suspects anew; `alive` has the members of each site that are alive."""
+        """Recomputes suspects and witnesses; `alive` has the alive members of each site."""
         self.suspected = self.membership.suspected_members(now)
         self.witnesses = [member for members in alive.values() for member in members if self.suspected]
 
     def targets(self, report: MemberReport, ramps: Mapping[str, RecoveryRamp]) -> dict[str, str]:
-        """Returns the addresses, by member, that the sender of this report should probe."""
-        # Probes of a site that is known to be lost show nothing new: other silent sites come first.
+        """Returns the addresses that the sender of a report should probe, by member.
+
+        Args:
+            report: The report; its sender probes only members of other sites.
+            ramps: Recovery ramp of each site.
+        """
+        # Probes of a site that already counts as lost give no new evidence, so other silent sites get them.
         suspects = [
             member
             for member in self.suspected
--- a/birchslip/cluster/replicated_state.py
+++ b/birchslip/cluster/replicated_state.py
@@ -1,7 +1,7 @@
-"""The state that a majority of planners stores, as the leader replicates it before it acts on it.
+"""The state that the leader replicates to a majority of planners before it acts on it.
 
-Only the form is defined here. The keys are those of disks in the field: attributes may be renamed, keys may
-not.
+Defines only the format. The keys are those of states already stored by planners: attributes may be renamed,
+keys may not.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class UnreadableStateError(BirchslipError):
-    """A stored state that this version can't decode: it is of a later version or damaged.
+    """A stored state that this version can't decode, as it is of a later version or damaged.
 
     Attributes:
-        reason: What the decoder found.
+        reason: The decoder's error.
     """
 
     def __init__(self, reason: str) -> None:
-        """Takes what the decoder found."""
+        """Initializes the error with the decoder's message."""
         super().__init__(f"the replicated state can't be decoded: {reason}")
         self.reason = reason
 
@@ -39,10 +39,12 @@
         "min_step_duration": "hold",
     },
 ):
-    """A site that does not carry all of its load, or has flapped; see `RecoveryRamp` for the fields.
+    """Stored state of a site that does not serve all of its load, or has flapped.
+
+    The fields other than `load` are those of `RecoveryRamp`.
 
     Attributes:
-        load: The usual load of the site by tenant, in requests a second.
+        load: The usual load of the site by tenant, in requests per second.
     """
 
     stage: Name
@@ -55,7 +57,7 @@
 
     @classmethod
     def from_ramp(cls, ramp: RecoveryRamp, load: dict[str, float]) -> SiteState:
-        """Returns what is to be stored of a site."""
+        """Returns the state to store of a site's ramp and its usual load."""
         return cls(
             stage=ramp.stage.value,
             step=ramp.step,
@@ -67,7 +69,7 @@
         )
 
     def to_ramp(self, site: str, now: int) -> RecoveryRamp:
-        """Returns the stored ramp, its stage entered `now`: no time of another machine's clock is stored."""
+        """Returns the stored ramp with its stage entered at `now`, as clock times are not stored."""
         return RecoveryRamp(
             site=site,
             stage=RecoveryStage(self.stage),
@@ -81,7 +83,7 @@
 
 
 class ReplicatedState(Message, rename={"rollouts": "releases"}):
-    """All that the leader has a majority store."""
+    """The whole state that the leader replicates."""
 
     sites: dict[Name, SiteState] = msgspec.field(default_factory=dict)
     permits: BudgetState = msgspec.field(default_factory=BudgetState)
@@ -89,15 +91,15 @@
 
 
 def encode_state(state: ReplicatedState) -> bytes:
-    """Returns the bytes that planners store."""
+    """Encodes a state as the bytes that planners store."""
     return msgspec.json.encode(state)
 
 
 def decode_state(raw: bytes) -> ReplicatedState:
-    """Returns a stored state; an empty one if nothing was stored yet.
+    """Decodes a stored state; returns an empty one if nothing was stored yet.
 
     Raises:
-        UnreadableStateError: It is not of this version's form.
+        UnreadableStateError: If the bytes are not a state of this version.
     """
     if not raw:
         return ReplicatedState()
--- a/birchslip/cluster/state_replicator.py
+++ b/birchslip/cluster/state_replicator.py
@@ -1,8 +1,8 @@
-"""Carries out a planner's election and replication: stores, sends to the other planners, counts responses.
+"""The I/O of a planner's election and replication: stores votes, sends requests to peers, counts responses.
 
-Owns the order in which that happens: what a response or a reply rests on is on this planner's disk before it
-is sent, and stored by a quorum before a member or an operator learns of it. Who leads and what the state is
-are decided by `election.py` and `planner_state.py`.
+Owns the order of these steps. The state that a response depends on is on this planner's disk before the
+response is sent, and a quorum has stored it before a member or an operator receives it. `election.py` and
+`planner_state.py` decide which planner leads and what the state is.
 """
 
 from __future__ import annotations
@@ -28,13 +28,20 @@
 from .planner_state import PlannerState
 from .transport import DeferredReply, PeerConnection
 
-REPLICATION_RETRY_INTERVAL = 2_500  # 250 ms
+REPLICATION_RETRY_INTERVAL = 2_500  # 250 ms, after which an unconfirmed state is sent again
 MAX_SUSPECTS = 64  # members named in one vote request
 
 
 @dataclass(frozen=True, slots=True)
 class PendingReply:
-    """A reply that waits until a quorum has stored the state that it confirms."""
+    """A reply that waits until a quorum has stored the state that it confirms.
+
+    Attributes:
+        term: Term of that state.
+        state_number: Number of that state.
+        response: The encoded response.
+        reply: Sends the response.
+    """
 
     term: int
     state_number: int
@@ -56,15 +63,15 @@
         peers: Mapping[str, PeerConnection],
         on_replicated: Callable[[], None],
     ) -> None:
-        """Sets it up.
+        """Creates the channels to the other planners.
 
         Args:
-            scheduler: Runs the tasks and gives the time.
-            counters: What is counted for operators.
-            log: Where failures go.
-            store: Where the vote is stored.
+            scheduler: Runs the tasks and provides the time.
+            counters: Counters for operators.
+            log: Receives failures.
+            store: Stores the vote.
             election: Decides on votes.
-            state: Decides on plans.
+            state: Decides on plans and provides the state to replicate.
             peers: Connections to the other planners, by name.
             on_replicated: Called each time a quorum has stored the newest state.
         """
@@ -84,10 +91,10 @@
         self.pending_replies: list[PendingReply] = []
 
     def flush(self) -> None:
-        """Stores the vote if it has changed; to be called before anything is sent that rests on it.
+        """Stores the vote if it has changed; must be called before a message that depends on it is sent.
 
         Raises:
-            StoreWriteError: If it could not be stored: nothing may be sent.
+            StoreWriteError: If the vote could not be stored; no such message may be sent then.
         """
         if not self.election.needs_flush:
             return
@@ -103,7 +110,7 @@
     # ---- requests to the other planners ----------------------------------------------------------------
 
     def request_votes(self, now: int) -> None:
-        """Sends a vote request, if one is due."""
+        """Sends a vote request to all planners if one is due."""
         request = self.election.next_vote_request(now)
         if request is None:
             return
@@ -115,7 +122,7 @@
         self.send_to_all(PlannerMethod.VOTE, request)
 
     def replicate(self, now: int) -> None:
-        """Sends the newest state, if a quorum has not stored it yet and it is time to."""
+        """Sends the newest state to all planners unless a quorum has stored it or it was sent recently."""
         request = self.state.replication_request()
         if request is None:
             return
@@ -125,7 +132,7 @@
         self.next_retry_at = now + REPLICATION_RETRY_INTERVAL
         self.counters.count("keep.told")
         own_response = self.election.handle_replication_request(request, now)
-        # A leader that can't store its state is no replica of it; the others may still form a quorum.
+        # A leader that can't store its state does not count as a replica; the others may still form a quorum.
         with suppress(StoreWriteError):
             self.flush()
             if self.election.handle_replication_response(own_response, request.state_number):
@@ -138,10 +145,10 @@
         for channel in self.channels:
             channel.send(method, request)
 
-    # ---- their responses -------------------------------------------------------------------------------
+    # ---- responses of the other planners ---------------------------------------------------------------
 
     def handle_response(self, request: Message, raw: bytes, sent: int) -> None:
-        """Takes in another planner's response to a request that was sent at a time."""
+        """Handles another planner's response to a request; `sent` is when the request was sent."""
         now = self.scheduler.tell_time()
         if isinstance(request, VoteRequest):
             self.handle_vote_response(request, decode(raw, VoteResponse), sent, now)
@@ -149,14 +156,14 @@
             self.handle_replication_response(request, decode(raw, ReplicationResponse))
 
     def handle_vote_response(self, request: VoteRequest, response: VoteResponse, sent: int, now: int) -> None:
-        """Counts a vote, and takes in which suspects the voter hears."""
+        """Counts a vote and records which suspects report to the voter."""
         self.election.handle_vote_response(response, request.term, sent, now)
         if response.granted:
             self.state.membership.mark_reported_by_peers(response.heard_suspects, now)
         self.flush()
 
     def handle_replication_response(self, request: ReplicationRequest, response: ReplicationResponse) -> None:
-        """Counts a replica; once a quorum has stored the state, what waits for it is sent."""
+        """Counts a replica; once a quorum has stored the state, sends the replies that wait for it."""
         self.counters.count("keep.kept" if response.is_stored else "keep.refused")
         if request.term != self.state.leadership.term:
             return
@@ -165,10 +172,10 @@
             self.complete_replies()
             self.on_replicated()
 
-    # ---- replies that wait for a quorum ----------------------------------------------------------------
+    # ---- deferred replies ------------------------------------------------------------------------------
 
     def reply_when_replicated(self, state_number: int, response: bytes, now: int) -> bytes | DeferredReply:
-        """Returns the response once a quorum has stored that state, else a deferred one."""
+        """Returns the response if a quorum has stored that state, else a reply that is sent once it has."""
         if state_number <= self.state.leadership.replicated_version:
             return response
         reply = DeferredReply()
@@ -178,7 +185,7 @@
         return reply
 
     def complete_replies(self) -> None:
-        """Sends the replies whose state is stored by a quorum, and an error for those of an earlier term."""
+        """Sends the replies whose state a quorum has stored, and an error for those of an earlier term."""
         waiting = []
         for pending in self.pending_replies:
             if pending.term != self.state.leadership.term:
