--- a/birchslip/cluster/member_metrics.py
+++ b/birchslip/cluster/member_metrics.py
@@ -1,7 +1,7 @@
-"""What a member measures of itself for its reports: rates, capacity, and outcomes to be judged by.
+"""A member's measurements for its reports: rates, capacity and outcomes of requests.
 
-Counts in fixed windows and buckets, so that no work grows with callers or history; decides nothing. Moments
-and spans are tenths of a millisecond, rates are a second.
+Counts in fixed windows and buckets, so that the cost does not grow with the number of callers or the uptime.
+Times and spans are in tenths of a millisecond, rates are per second.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 WINDOW_SLICES = 8
 SLICE_SPAN = SECOND // 4
 WINDOW_SPAN = WINDOW_SLICES * SLICE_SPAN
-SINGLE_TENANT = "all"  # the name in reports, where no tenants are configured
+SINGLE_TENANT = "all"  # name in reports for the load of requests without a tenant
 
-# Upper bounds of the buckets of run times, from 10 ms on, two for each doubling.
+# Upper bounds of the run time buckets: 10 ms and upwards, two buckets per doubling.
 DURATION_BOUNDS = tuple(int(100 * 2 ** (step / 2)) for step in range(19))
 
-# How an answer ended, by the words of the counters.
+# Outcomes of answers, named as in the counters.
 SERVED = "honoured"
 REJECTED = "shed"
 FAILED = "written_off"
 CALLER_GONE = "gone"
-LATE = "late"  # served, or given up by the caller, past its deadline
+LATE = "late"  # metric: requests served, or abandoned by the caller, past their latency objective
 CALLS_TOTAL_COUNTER = "relay.called"
 FAILED_CALL_COUNTERS = (
     "relay.erred",
@@ -38,10 +38,15 @@
 
 
 def estimate_capacity(cores: int, typical_service_time: float, served_rate: float) -> float:
-    """Requests a second that a member can serve; 0 while nothing is known of it.
+    """Estimates the requests per second that a member can serve; 0 while no service time is known.
 
-    By its cores and the typical service time, or what it has just served if that is more. The limit of
-    running requests is no measure here: where it rises, more requests share the same cores.
+    The estimate is the cores divided by the typical service time, or the served rate if that is higher. The
+    concurrency limit is not used: when it rises, more requests share the same cores.
+
+    Args:
+        cores: Number of cores.
+        typical_service_time: In tenths of a millisecond.
+        served_rate: Requests served per second.
     """
     if typical_service_time <= 0:
         return 0.0
@@ -49,14 +54,14 @@
 
 
 class RateSnapshot(NamedTuple):
-    """Rates a second over the last two seconds.
+    """Rates per second over the last two seconds.
 
     Attributes:
-        load: First tries by tenant of the site's own callers.
-        evacuated_load: First tries of callers of other sites.
-        retries: Further tries.
-        served: Answers that were served.
-        rejected: Answers that were rejected with Retry-After.
+        load: First attempts of the site's own callers, by tenant.
+        evacuated_load: First attempts of callers of other sites.
+        retries: Retries of all callers.
+        served: Requests that were served.
+        rejected: Requests that were rejected with Retry-After.
     """
 
     load: dict[str, float]
@@ -67,10 +72,10 @@
 
 
 class RequestRates:
-    """Rates of arrivals and answers."""
+    """Windowed rates of arrivals and answers."""
 
     def __init__(self, tenants: Sequence[str]) -> None:
-        """Count by tenant; requests without one are counted under an empty name."""
+        """Creates empty rates by tenant; requests without a tenant are counted under an empty name."""
         self.load = {name: WindowedCounter(WINDOW_SLICES, SLICE_SPAN) for name in [*tenants, ""]}
         self.evacuated_load = WindowedCounter(WINDOW_SLICES, SLICE_SPAN)
         self.retries = WindowedCounter(WINDOW_SLICES, SLICE_SPAN)
@@ -80,7 +85,7 @@
         self._last_rejected = 0
 
     def record_arrival(self, now: int, tenant: str, is_local: bool, is_retry: bool) -> None:
-        """Count a request that has arrived."""
+        """Counts a request that has arrived."""
         if is_retry:
             self.retries.add(now, 1)
         elif not is_local:
@@ -89,14 +94,14 @@
             self.load[tenant].add(now, 1)
 
     def record_answers(self, now: int, served: int, rejected: int) -> None:
-        """Count answers, by the totals that the counters stand at."""
+        """Counts answers, given the current totals of the counters."""
         self.served.add(now, served - self._last_served)
         self.rejected.add(now, rejected - self._last_rejected)
         self._last_served = served
         self._last_rejected = rejected
 
     def snapshot(self, now: int) -> RateSnapshot:
-        """The rates at `now`."""
+        """Returns the rates at `now`."""
         load = {name: per_second(counter, now) for name, counter in self.load.items() if name}
         without_tenant = per_second(self.load[""], now)
         if without_tenant or not load:
@@ -111,21 +116,21 @@
 
 
 def per_second(counter: WindowedCounter, now: int) -> float:
-    """The rate of a counter over its window."""
+    """Returns the rate per second of a counter over its window."""
     return counter.total(now) * SECOND / WINDOW_SPAN
 
 
 class OutcomeCounts:
-    """Outcomes of requests since this incarnation began: by metric and request class, bad ones and all.
+    """Counts of bad and of all outcomes since the start of this incarnation, by metric and request class.
 
-    They only grow, so that whoever reads them may miss any number of reports and read the difference.
+    The counts never decrease, so that a reader that has missed reports can still compute differences.
 
     Attributes:
-        durations: By request class, served requests by bucket of their run time.
+        durations: Numbers of served requests per run time bucket, by request class.
     """
 
     def __init__(self, request_classes: Sequence[str]) -> None:
-        """Count for these classes."""
+        """Creates empty counts for these request classes."""
         buckets = len(DURATION_BOUNDS) + 1
         self.durations = {name: [0] * buckets for name in request_classes}
         self._counts = {
@@ -133,14 +138,14 @@
         }
 
     def record_answer(self, request_class: str, outcome: str, run_time: int, is_late: bool) -> None:
-        """Count the end of a request.
+        """Counts a request that has ended.
 
         Args:
-            request_class: Its class.
-            outcome: The word of the counters. A caller that has gone counts only if it was late by then.
-            run_time: From its launch on, as the time before depends more on the load; below 0 for a repeat,
-                which ran as another request.
-            is_late: Whether its deadline has passed.
+            request_class: The request's class.
+            outcome: Name of the outcome in the counters. A request whose caller is gone counts only if late.
+            run_time: Time since the launch, without the queueing time, as that depends more on the load;
+                negative for a repeated request, whose run belongs to the original request.
+            is_late: Whether the request's latency objective has passed.
         """
         if outcome == CALLER_GONE:
             if is_late:
@@ -160,7 +165,11 @@
         count[1] += 1
 
     def totals(self, counters: Mapping[str, int]) -> dict[str, tuple[int, int]]:
-        """Bad and all outcomes of metrics that have any, and of calls below by the program's counters."""
+        """Returns the number of bad and of all outcomes by metric, without empty metrics.
+
+        Args:
+            counters: The process's counters, from which the metric `calls` of downstream calls is computed.
+        """
         totals = {name: (bad, total) for name, (bad, total) in self._counts.items() if total}
         calls = counters.get(CALLS_TOTAL_COUNTER, 0)
         if calls:
--- a/birchslip/cluster/member_prober.py
+++ b/birchslip/cluster/member_prober.py
@@ -1,7 +1,7 @@
-"""Health checks of other members, made for the planners.
+"""Health checks of other members on behalf of the planners.
 
-Decides nothing from the results: they go to the planners with the next reports. A member is probed only if a
-planner requests it, and never more often than `PROBE_INTERVAL`.
+The planners receive the results with the next reports and evaluate them. A member is probed only if a planner
+requests it, and at most once per `PROBE_INTERVAL`.
 """
 
 from __future__ import annotations
@@ -18,37 +18,37 @@
 
 # All spans are in units of 0.1 ms.
 PROBE_TIMEOUT = 3_000
-PROBE_INTERVAL = 2_000  # between two probes of one member
-RESULT_LIFETIME = 10_000
-MAX_RESULTS = 8  # in one report
+PROBE_INTERVAL = 2_000  # minimum between two probes of one member
+RESULT_LIFETIME = 10_000  # how long a result is part of reports
+MAX_RESULTS = 8  # per report
 MAX_TRACKED_PROBES = 4 * MAX_RESULTS
 PING_METHOD = "ping"
 
 
 class TimedOutcome(NamedTuple):
-    """An outcome and when it was found."""
+    """The outcome of a probe and when it was found."""
 
     found_at: int
     outcome: ProbeOutcome
 
 
 def is_connection_refused(error: OSError) -> bool:
-    """Whether the address is reachable and nothing listens there."""
+    """Returns whether the host is reachable but no process listens at the address."""
     return isinstance(error, ConnectionRefusedError) or error.errno == errno.ECONNREFUSED
 
 
 class MemberProber:
-    """Probes members and stores the latest results."""
+    """Probes members and keeps the latest results."""
 
     def __init__(self, scheduler: Scheduler, counters: Counters) -> None:
-        """Begins without results."""
+        """Creates a prober without results."""
         self.scheduler = scheduler
         self.counters = counters
         self.outcomes: dict[str, TimedOutcome] = {}
         self.started_at: dict[str, int] = {}
 
     def start(self, member: str, address: str) -> None:
-        """Starts a probe of a member, unless it has just been probed."""
+        """Starts a probe of a member, unless one was started recently or too many are tracked."""
         now = self.scheduler.now
         last_started_at = self.started_at.get(member, -PROBE_INTERVAL)
         if now - last_started_at < PROBE_INTERVAL or len(self.started_at) > MAX_TRACKED_PROBES:
@@ -59,7 +59,7 @@
         self.scheduler.spawn(f"probe {member}", partial(self.probe, member, address))
 
     def probe(self, member: str, address: str) -> None:
-        """The task of one probe."""
+        """Task of one probe; a malformed address yields no result."""
         self.counters.count("fleet.knocks")
         try:
             connection = PeerConnection(self.scheduler, parse_address(address, "door"))
@@ -69,7 +69,7 @@
         self.outcomes[member] = TimedOutcome(self.scheduler.now, outcome)
 
     def ping(self, connection: PeerConnection) -> ProbeOutcome:
-        """Sends a ping and waits for the response."""
+        """Sends a ping, waits for the response and closes the connection."""
         deadline = self.scheduler.now + PROBE_TIMEOUT
         try:
             connection.call(PING_METHOD, b"", deadline, params=[{}])
@@ -80,7 +80,7 @@
         return ProbeOutcome.ANSWERED
 
     def results(self) -> list[ProbeResult]:
-        """The recent results, for a report."""
+        """Returns the recent results for a report."""
         oldest = self.scheduler.now - RESULT_LIFETIME
         self.outcomes = {name: timed for name, timed in self.outcomes.items() if timed.found_at >= oldest}
         results = [
--- a/birchslip/cluster/messages.py
+++ b/birchslip/cluster/messages.py
@@ -28,11 +28,11 @@
 LatencyHistograms = Annotated[dict[Name, HistogramBuckets], msgspec.Meta(max_length=64)]
 Text = Annotated[str, msgspec.Meta(max_length=400)]
 
-DEFAULT_REPORT_INTERVAL = 2_000
+DEFAULT_REPORT_INTERVAL = 2_000  # 200 ms
 
 
 class ProbeOutcome(StrEnum):
-    """How a member's address reacted to a probe."""
+    """Outcome of a probe of a member's address."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -40,7 +40,7 @@
 
 
 class EvictionOperation(StrEnum):
-    """What a requester requests of the disruption budget."""
+    """Operations on the disruption budget."""
 
     REQUEST_PERMIT = "permit"
     BYPASS_BUDGET = "past"
@@ -50,7 +50,7 @@
 
 
 class OperatorOperation(StrEnum):
-    """What an operator orders by hand."""
+    """Operations of an operator's command."""
 
     SHOW = "show"
     WHAT_IF = "what-if"
@@ -59,15 +59,18 @@
 
 
 class Message(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Base class of all messages; unknown keys are an error, so a later version is never half understood."""
+    """Base class of all messages.
+
+    Unknown keys are an error, so that a message of a later version is never decoded partially.
+    """
 
 
 class Incarnation(Message, rename={"generation": "life", "nonce": "mark"}):
     """Identifies one run of a process.
 
     Attributes:
-        generation: Number of starts, where the process stores it on disk; else 0.
-        nonce: Drawn at random at each start.
+        generation: Number of starts if the process stores it on disk, else 0.
+        nonce: Random number drawn at each start.
     """
 
     generation: Count = 0
@@ -75,7 +78,7 @@
 
 
 class ProbeResult(Message, rename={"member": "name", "outcome": "met"}):
-    """Result of a health check of one member by another."""
+    """Result of a probe of one member by another."""
 
     member: Name
     outcome: ProbeOutcome
@@ -114,28 +117,28 @@
         name: The member's name in the fleet file.
         site: The member's site.
         incarnation: The run of the process that reports.
-        sequence: Number of this report in its run; a repeated or late report is ignored.
+        sequence: Number of this report within its run; a duplicate or late report is ignored.
         address: HOST:PORT where routers find the member.
-        uptime: Span since it began to serve.
-        is_serving: Whether it accepts requests.
-        is_draining: Whether it is stopping.
-        is_warm: Whether its warm-up is over.
-        capacity: Requests per second that its cores could do.
-        slowdown: Run times relative to the usual ones; 1 is as usual.
-        local_load: First tries of local callers, by tenant.
-        evacuated_load: First tries of callers of other sites.
-        retries: Further tries of any caller.
+        uptime: Span since the member began to serve.
+        is_serving: Whether the member accepts requests.
+        is_draining: Whether the member is stopping.
+        is_warm: Whether the warm-up is over.
+        capacity: Requests per second that the member can serve with its cores.
+        slowdown: Run times relative to the usual ones; 1 means no slowdown.
+        local_load: First attempts of local callers, by tenant.
+        evacuated_load: First attempts of callers of other sites.
+        retries: Retries of all callers.
         served: Requests answered with a result.
         rejected: Requests rejected with Retry-After.
-        calls_in_flight: Downstream calls that are running.
+        calls_in_flight: Number of running downstream calls.
         call_limit: Downstream calls that may run at once.
         lease_remaining: Time left of the leased part of `call_limit`.
-        plan_term: Term of the plan that it follows.
-        plan_number: Number of the plan that it follows.
+        plan_term: Term of the plan in force at the member.
+        plan_number: Number of the plan in force at the member.
         probes: Results of the last probes of other members.
-        metrics: Bad and all requests since the start of this run, by metric and request class.
-        latency_histograms: Run times of served requests since the start of this run, by request class.
-        resident_memory_kb: Resident memory.
+        metrics: Numbers of bad and of all requests since the start of this run, by metric and request class.
+        latency_histograms: Run time histograms of the requests served in this run, by request class.
+        resident_memory_kb: Resident memory of the process.
     """
 
     name: Name
@@ -185,12 +188,12 @@
     Attributes:
         term: Term of the leader that made the plan.
         number: The plan's number within its term.
-        validity_span: How long it is valid, from when the report it answers was sent.
-        fade_span: Over how long it loses its effect once it is no longer valid.
+        validity_span: How long the assignment is valid, from when the report that it answers was sent.
+        fade_span: Over how long the assignment loses its effect after that.
         quotas: Requests per second by tenant.
         evacuated_callers: Routers whose own site is evacuated.
         evacuated_quota: Requests per second of all evacuated callers together.
-        shedding_order: Shedding tiers, first to be shed first.
+        shedding_order: Shedding tiers in the order in which they are shed.
         serving_fraction: Fraction of the member's cores that may be used.
         is_listed: Whether routers may find the member.
         is_capacity_short: Whether the fleet has too little capacity for its load.
@@ -227,13 +230,13 @@
     Attributes:
         term: The leader's term, or the highest that the planner has promised.
         planner: The run of the planner that replies.
-        is_leading: Whether it leads; all that follows but `report_interval` is empty if not.
+        is_leading: Whether that planner leads; if not, the reply contains no instructions.
         leader: Name of the planner that is believed to lead.
         report_interval: Span between two reports.
         assignment: The member's part of the plan in force.
-        call_limit: Downstream calls that may run at once during the lease, unleased part included.
+        call_limit: Downstream calls that may run at once during the lease, including the unleased ones.
         lease_span: Length of that lease, from when the report was sent.
-        probe_addresses: Members to probe, with their addresses.
+        probe_addresses: Addresses to probe, by member.
     """
 
     term: Term
@@ -252,10 +255,10 @@
 
     Attributes:
         operation: What is requested.
-        holder: The member concerned.
-        incarnation: Its run; the one that the planner sees by default.
-        operator: Who requests it.
-        reason: Why.
+        holder: The member or service that holds, or is to hold, the permit.
+        incarnation: Run of the holder; by default the one that the planner has observed.
+        operator: Name of the operator that sends the request.
+        reason: Reason given by the requester.
         count: Number of permits of an override.
         span: How long an override is valid.
     """
@@ -272,7 +275,14 @@
 class EvictionResponse(
     Message, rename={"permit_number": "number", "queue_position": "place", "reason": "why"}
 ):
-    """Reply to an `EvictionRequest`: the permit's number, or the place in the queue and the reason."""
+    """Reply to an `EvictionRequest`.
+
+    Attributes:
+        granted: Whether the request was granted.
+        permit_number: Number of the permit, if one was granted.
+        queue_position: Position in the queue of waiting requests, if it was not.
+        reason: Why the request was not granted.
+    """
 
     granted: bool
     permit_number: Count = 0
@@ -281,7 +291,14 @@
 
 
 class OperatorCommand(Message, rename={"operation": "what", "operator": "who", "reason": "why"}):
-    """An operator's command on the whole fleet or on one site."""
+    """An operator's command on the whole fleet or on one site.
+
+    Attributes:
+        operation: The operation.
+        site: Name of the site; empty for the whole fleet.
+        operator: Name of the operator.
+        reason: Reason given by the operator.
+    """
 
     operation: OperatorOperation
     site: str = ""
--- a/birchslip/cluster/monotonic_clock.py
+++ b/birchslip/cluster/monotonic_clock.py
@@ -1,4 +1,4 @@
-"""The clock of leases and timeouts: monotonic, and running on while the machine is suspended."""
+"""The clock of leases and timeouts: monotonic, and advancing while the machine is suspended."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def monotonic_now() -> int:
-    """Returns the tenths of a millisecond since an arbitrary start; only differences mean anything."""
+    """Returns the tenths of a millisecond since an arbitrary time; only differences are meaningful."""
     return time.clock_gettime_ns(CLOCK_ID) // NANOSECONDS_PER_TICK
--- a/birchslip/cluster/peer_channel.py
+++ b/birchslip/cluster/peer_channel.py
@@ -1,7 +1,6 @@
-"""Requests of one planner to another: only the newest of each method waits, and one is under way at a time.
+"""Requests from one planner to another: one at a time, with only the newest of each method pending.
 
-A slow or silent planner can delay nothing but the requests to itself. What a response means is decided by the
-caller.
+A slow or silent planner delays only the requests to itself. The caller decodes and handles the responses.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class PlannerMethod(StrEnum):
-    """The methods that a planner serves."""
+    """RPC methods that a planner serves."""
 
     REPORT = "report"
     VOTE = "ask"
@@ -33,7 +32,7 @@
 
 
 class PeerChannel:
-    """The requests to one other planner."""
+    """Sends requests to one other planner."""
 
     def __init__(
         self,
@@ -43,14 +42,14 @@
         log: Log,
         on_response: ResponseHandler,
     ) -> None:
-        """Sets it up without connecting yet.
+        """Creates a channel without connecting yet.
 
         Args:
             name: The other planner's name.
-            connection: The connection to it.
+            connection: The connection to that planner.
             scheduler: Runs the task that sends.
-            log: Where failures go.
-            on_response: Is given the request, the undecoded response and when the request was sent.
+            log: Receives failures.
+            on_response: Called with the request, the undecoded response and when the request was sent.
         """
         self.name = name
         self.connection = connection
@@ -61,14 +60,14 @@
         self.is_sending = False
 
     def send(self, method: PlannerMethod, request: Message) -> None:
-        """Sends a request, in place of one of the same method that has not been sent yet."""
+        """Queues a request, in place of a pending one of the same method, and starts sending."""
         self.pending[method] = request
         if not self.is_sending:
             self.is_sending = True
             self.scheduler.spawn(f"to {self.name}", self.send_pending)
 
     def send_pending(self) -> None:
-        """The task that sends until nothing is pending."""
+        """Task that sends requests until none is pending."""
         try:
             while self.pending:
                 method = next(iter(self.pending))
@@ -77,7 +76,7 @@
             self.is_sending = False
 
     def call(self, method: PlannerMethod, request: Message) -> None:
-        """Sends one request and passes its response on; a failure is logged."""
+        """Sends one request and passes the response to the handler; logs a failure."""
         sent = self.scheduler.tell_time()
         try:
             response = self.connection.call(method.value, encode(request), sent + RESPONSE_TIMEOUT)
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -1,7 +1,7 @@
-"""The process of one planner: its endpoint, its clock ticks, its signals and its log.
+"""The process of one planner: its endpoint, periodic evaluation, signals and log.
 
-Decides nothing: `election.py` decides who leads and `planner_state.py` what the plan is; `planner_service.py`
-and `state_replicator.py` carry that out. No request of a caller ever waits for a planner.
+`election.py` decides which planner leads and `planner_state.py` makes the plan; `planner_service.py` and
+`state_replicator.py` do the I/O. No request of a caller ever waits for a planner.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 
 TICK_INTERVAL = 250  # 25 ms
 MAX_DESCRIPTORS = 16_384
-RESERVED_DESCRIPTORS = 32  # for the disk, the log, the other planners and operators
+RESERVED_DESCRIPTORS = 32  # for the vote file, the log, the other planners and operators
 NONCE_BITS = 48
-MAX_SIGNALS_PER_READ = 64  # bytes read at once from the wakeup socket, a byte for each signal
+MAX_SIGNALS_PER_READ = 64  # the wakeup socket receives one byte per signal
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 COUNTER_NAMES = [
     "vote.asked",
@@ -65,7 +65,7 @@
 
 
 def raise_descriptor_limit() -> int:
-    """Raises the limit of open files as far as allowed, up to a bound; returns the limit in force."""
+    """Raises the limit of open files up to `MAX_DESCRIPTORS` if allowed; returns the limit in force."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     target = MAX_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, MAX_DESCRIPTORS)
     if soft < target:
@@ -75,7 +75,7 @@
 
 
 def find_planner(fleet: Fleet, name: str) -> fleet_file.Planner:
-    """The planner of that name.
+    """Returns the planner of that name in the fleet file.
 
     Raises:
         InvalidInputError: If the fleet has none.
@@ -88,17 +88,17 @@
 
 
 class Planner:
-    """One planner, from its start to its end."""
+    """One planner process."""
 
     def __init__(self, fleet: Fleet, name: str, folder: Path, listen: str = "", path: str = "") -> None:
-        """Opens the vote file and sets up everything else, without listening yet.
+        """Opens the vote file and creates all components, without listening yet.
 
         Args:
-            fleet: The fleet.
-            name: The planner's name in it.
-            folder: Where the vote file is.
-            listen: HOST:PORT to listen at; by default that of the fleet file.
-            path: The fleet file, to be read again on SIGHUP.
+            fleet: The fleet file's content.
+            name: The planner's name in the fleet file.
+            folder: Folder of the vote file.
+            listen: HOST:PORT to listen at; by default the address in the fleet file.
+            path: Path of the fleet file, which is read again on SIGHUP.
 
         Raises:
             InvalidInputError: If the fleet has no such planner, or an address is malformed.
@@ -128,14 +128,14 @@
         self.was_leading = False
 
     def make_election(self, fleet: Fleet, name: str) -> Election:
-        """The election, with what was stored of it."""
+        """Creates the election with the stored vote."""
         rng = random.Random(int.from_bytes(os.urandom(8)))
         planners = [planner.name for planner in fleet.planners]
         nonce = rng.getrandbits(NONCE_BITS)
         return Election(name, planners, self.store.vote, nonce, self.scheduler.now, rng)
 
     def make_platform_link(self, fleet: Fleet) -> PlatformLink | None:
-        """The link to the platform, if the fleet has one."""
+        """Creates the link to the platform if the fleet has one."""
         platform = fleet.platform
         if platform is None:
             return None
@@ -145,7 +145,7 @@
         )
 
     def make_replicator(self, fleet: Fleet, name: str) -> StateReplicator:
-        """The replicator, with connections to the other planners."""
+        """Creates the replicator with connections to the other planners."""
         peers = {
             planner.name: PeerConnection(self.scheduler, address(planner.address, "address"))
             for planner in fleet.planners
@@ -181,7 +181,7 @@
             self.log.sink.finish()
 
     def install_signal_handlers(self) -> None:
-        """Has signals written to a socket, from which a task reads them."""
+        """Has signals written to a socket, from which `handle_signals` reads them."""
         self.signals.setblocking(False)
         self.wakeup.setblocking(False)
         signal.set_wakeup_fd(self.wakeup.fileno(), warn_on_full_buffer=False)
@@ -190,7 +190,7 @@
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
     def listen(self) -> None:
-        """Opens the endpoint and logs its address."""
+        """Starts to listen and logs the address and the state of the vote file."""
         host, port = self.endpoint.listen(self.address)
         damage = {"put_aside": self.store.damage} if self.store.damage else {}
         self.log.info(
@@ -202,7 +202,7 @@
         )
 
     def handle_signals(self) -> None:
-        """The task that acts on signals; it never ends."""
+        """Task that handles signals; it never ends."""
         while True:
             self.scheduler.wait(self.signals.fileno(), READ)
             try:
@@ -217,7 +217,7 @@
                 self.scheduler.stop()
 
     def reload_fleet_file(self) -> None:
-        """Reads the fleet file again; one that can't be taken over leaves the old one in force."""
+        """Reads the fleet file again; if it can't be applied, the previous one stays in force."""
         try:
             violations = self.state.apply_fleet(read_fleet(self.path), self.scheduler.tell_time())
         except (InvalidInputError, OSError) as error:
@@ -233,14 +233,14 @@
         self.log.info("counters", part="process", memory_kb_most=memory("VmHWM"))
 
     def log_fault(self, task: str, error: Exception) -> None:
-        """Counts and logs an exception that no task or timer has handled."""
+        """Counts and logs an unhandled exception of a task or timer."""
         self.counters.count("planner.faults")
         self.log.trace("unhandled_exception", error, task=task)
 
     # ---- clock ticks -----------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Evaluates everything that depends on time, then again after an interval."""
+        """Sends due requests, evaluates the state, logs events and schedules the next tick."""
         now = self.scheduler.tell_time()
         self.scheduler.at(now + TICK_INTERVAL, self.tick)
         self.replicator.request_votes(now)
@@ -254,7 +254,7 @@
             self.log.info(event, **fields)
 
     def check_leadership(self, now: int) -> None:
-        """Handles at once that the leadership was won or lost."""
+        """Evaluates the state immediately if the leadership was acquired or lost."""
         is_leading = self.election.is_leading(now)
         if is_leading == self.was_leading:
             return
@@ -263,7 +263,7 @@
         self.state.tick(now)
 
     def wake_platform_link(self) -> None:
-        """Has the platform polled at once if there is an order for it."""
+        """Wakes the platform link immediately if there is an order to send."""
         if self.platform is not None and self.state.platform_orders(self.scheduler.now):
             self.platform.wake()
 
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -1,7 +1,7 @@
-"""An app server's link to its planners: it reports to all of them and applies the leader's plan.
+"""An app server's link to its planners: reports to all of them and applies the leader's plan.
 
-Decides nothing: what is binding is decided by `plan_subscription.py`. No request of a caller ever waits for a
-planner; one that is slow, silent or wrong costs only the task that talks to it.
+`plan_subscription.py` decides which replies are binding; this module carries them out. No request of a caller
+ever waits for a planner: a slow, silent or faulty planner affects only the task that reports to it.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 from .transport import PeerConnection, RequestRefusedError
 
 # All spans are in units of 0.1 ms.
-MIN_RETRY_DELAY = 1_000
+MIN_RETRY_DELAY = 1_000  # after a failed report; doubled for each further failure
 MAX_RETRY_DELAY = 20_000
-MIN_REPORT_DELAY = 100
+MIN_REPORT_DELAY = 100  # between a reply and the next report
 REPLY_TIMEOUT = 5_000
 MEMORY_INTERVAL = 10_000
 NONCE_BYTES = 6
 
 
 class ControllerLoad(NamedTuple):
-    """The part of a report that comes from the admission controller; see `MemberReport`."""
+    """The fields of a report that come from the admission controller; see `MemberReport`."""
 
     uptime: int
     is_warm: bool
@@ -54,15 +54,15 @@
 
 
 class MemorySampler:
-    """Reads the process's resident memory, at most once in `MEMORY_INTERVAL`."""
+    """Reads the process's resident memory at most once per `MEMORY_INTERVAL`."""
 
     def __init__(self) -> None:
-        """Begins with a reading due."""
+        """Creates a sampler whose first reading is due."""
         self.last_kb = 0
         self.due_at = 0
 
     def resident_kb(self, now: int) -> int:
-        """The last reading in KB, a new one if that is due."""
+        """Returns the resident memory in KB, read again if a reading is due."""
         if now >= self.due_at:
             self.last_kb = memory()
             self.due_at = now + MEMORY_INTERVAL
@@ -70,23 +70,23 @@
 
 
 class MemberStatus:
-    """What the app server states of itself; it goes into each report.
+    """Status of the app server, part of each report.
 
     Attributes:
-        address: HOST:PORT where routers find it.
-        is_serving: Whether it accepts requests.
-        is_draining: Whether it is stopping.
+        address: HOST:PORT where routers find the app server.
+        is_serving: Whether the app server accepts requests.
+        is_draining: Whether the app server is stopping.
     """
 
     def __init__(self) -> None:
-        """Begins as not yet serving."""
+        """Creates the status of an app server that is not yet serving."""
         self.address = ""
         self.is_serving = False
         self.is_draining = False
 
 
 def site_of_member(fleet: Fleet, name: str) -> Site:
-    """The site of a member.
+    """Returns the site of a member.
 
     Raises:
         InvalidInputError: If the fleet has no such member.
@@ -103,7 +103,7 @@
     Attributes:
         status: Set by the app server.
         driver: The admission controller's driver, once it runs; set by the app server.
-        on_listing_changed: Called when the member is to be listed, or no longer; set by the app server.
+        on_listing_changed: Called when the member is to be listed or unlisted; set by the app server.
     """
 
     def __init__(
@@ -117,7 +117,9 @@
         tenants: list[str],
         request_classes: list[str],
     ) -> None:
-        """Sets it up; `tenants` and `request_classes` are named in the order of `settings`.
+        """Creates the link without connecting.
+
+        `tenants` and `request_classes` are names in the order of `settings`.
 
         Raises:
             InvalidInputError: If the fleet has no such member.
@@ -147,13 +149,13 @@
         self.is_listed = False
 
     def make_subscription(self) -> PlanSubscription:
-        """The subscription, with the downstream calls that need no lease."""
+        """Creates the subscription with the number of downstream calls that need no lease."""
         vault = self.fleet.vault
         unleased_calls = vault.unleased_fraction * self.fleet.base_calls()[self.name] if vault else 0.0
         return PlanSubscription(unleased_calls, span(self.fleet.patience_ms), monotonic_now())
 
     def start(self) -> None:
-        """Starts a task for each planner, in an order of its own."""
+        """Starts a task for each planner, in random order, and the sampling of rates."""
         planners = list(self.fleet.planners)
         self.rng.shuffle(planners)
         for planner in planners:
@@ -176,8 +178,8 @@
     def apply_lease(self) -> None:
         """Sets the controller's downstream quota to the calls that are allowed at this moment.
 
-        Called before each batch of decisions, so that a lease that ended in a pause of this process or of the
-        machine binds before the next downstream call.
+        Called before each batch of decisions, so that a lease that expired during a pause of this process or
+        of the machine is not used for any later downstream call.
         """
         if self.driver is None or self.fleet.vault is None:
             return
@@ -191,7 +193,7 @@
         self.driver.set_downstream_quota(allowed_calls)
 
     def update_listing(self) -> bool:
-        """Whether routers may find this app server; logs a change."""
+        """Returns whether routers may find this app server, and logs a change."""
         is_listed = self.subscription.is_listed(monotonic_now())
         if is_listed != self.is_listed:
             self.is_listed = is_listed
@@ -202,7 +204,7 @@
     # ---- reports to planners ---------------------------------------------------------------------------
 
     def report_forever(self, planner: str, connection: PeerConnection) -> None:
-        """The task of one planner: a report, its reply, a pause, and so on."""
+        """Task that reports to one planner at intervals and never ends."""
         retry_delay = MIN_RETRY_DELAY
         while True:
             started_at = self.scheduler.tell_time()
@@ -222,7 +224,7 @@
                 pause = retry_delay + self.rng.randrange(retry_delay)
                 retry_delay = min(2 * retry_delay, MAX_RETRY_DELAY)
             except Exception as error:
-                # Whatever a planner sends must not end the task.
+                # No reply of a planner may end this task, whatever exception it causes.
                 self.counters.count("fleet.faults")
                 self.log.trace("planner_link_failed", error, planner=planner)
                 connection.close()
@@ -230,7 +232,7 @@
             self.scheduler.sleep(max(started_at + pause, self.scheduler.now + MIN_REPORT_DELAY))
 
     def send_report(self, connection: PeerConnection) -> None:
-        """Sends one report and applies its reply, if that is binding.
+        """Sends one report and applies the reply if it is binding.
 
         Raises:
             RequestRefusedError: If the planner refuses the report.
@@ -250,7 +252,7 @@
             self.log.fault("outdated_leader", epoch=reply.term, obeyed=self.subscription.term)
 
     def build_report(self, now: int) -> MemberReport:
-        """The next report, at a time of the monotonic clock."""
+        """Builds the next report; `now` is a time of the monotonic clock."""
         self.sequence += 1
         scheduler_now = self.scheduler.now
         rates = self.recorder.rates.snapshot(scheduler_now)
@@ -285,7 +287,7 @@
         )
 
     def controller_load(self, served: float) -> ControllerLoad:
-        """What the admission controller shows, given the rate of served requests."""
+        """Returns the load of the admission controller, given the rate of served requests."""
         if self.driver is None:
             return NO_LOAD
         metrics = self.driver.metrics()
@@ -299,7 +301,7 @@
         )
 
     def apply_reply(self, reply: ReportReply, now: int) -> None:
-        """Carries out a binding reply: probes, listing and the plan."""
+        """Applies a binding reply: starts probes and updates the listing and the plan."""
         for member, member_address in list(reply.probe_addresses.items())[:MAX_RESULTS]:
             self.prober.start(member, member_address)
         if self.is_listed != self.subscription.is_listed(now):
--- a/birchslip/cluster/planner_service.py
+++ b/birchslip/cluster/planner_service.py
@@ -1,7 +1,7 @@
-"""The requests that a planner serves: of members, of other planners and of operators.
+"""The requests that a planner serves: from members, other planners and operators.
 
-Decodes each request, has it decided and encodes the reply. Owns which connection belongs to which member, so
-that a member whose last connection breaks is suspected at once.
+Decodes each request, passes it to the planner's state and encodes the reply. Tracks the member of each
+connection, so that a member whose last connection breaks is suspected immediately.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 
 
 class NotLeaderError(InvalidInputError):
-    """Only the leader takes this request.
+    """The request was refused, as only the leader accepts it.
 
     Attributes:
         leader: The planner that is believed to lead; empty if none is known.
     """
 
     def __init__(self, leader: str) -> None:
-        """Names the leader, if it is known."""
+        """Initializes the error with the name of the leader, if that is known."""
         super().__init__(f"not the leader: ask {leader or 'again soon'}")
         self.leader = leader
 
@@ -69,7 +69,15 @@
         state: PlannerState,
         replicator: StateReplicator,
     ) -> None:
-        """Sets it up with what decides on the requests."""
+        """Creates the service.
+
+        Args:
+            scheduler: Provides the time.
+            counters: Counters for operators.
+            log: Receives failures.
+            state: Decides on reports and commands.
+            replicator: Stores votes and states, and defers replies until a quorum has stored them.
+        """
         self.scheduler = scheduler
         self.counters = counters
         self.log = log
@@ -90,7 +98,7 @@
         """Handles one request.
 
         Raises:
-            InvalidInputError: If it is malformed or refused; the text goes to the other side.
+            InvalidInputError: If the request is malformed or refused; the text is sent to the client.
             StoreWriteError: If the vote could not be stored.
         """
         handler = self.handlers.get(method)
@@ -101,7 +109,7 @@
     # ---- members ---------------------------------------------------------------------------------------
 
     def handle_report(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Handles a member's report and replies with its part of the plan."""
+        """Handles a member's report; the reply contains the member's part of the plan."""
         self.counters.count("members.reports")
         try:
             report = decode(value, MemberReport)
@@ -118,11 +126,11 @@
         return encode(reply)
 
     def handle_close(self, connection: IncomingConnection, reason: str) -> None:
-        """Handles the end of a connection."""
+        """Forgets the member of a closed connection."""
         self.forget_reporter(connection)
 
     def forget_reporter(self, connection: IncomingConnection) -> None:
-        """Drops a connection's member, which is suspected if it has no other connection."""
+        """Removes a connection's member, and suspects the member if it has no other connection."""
         run = self.reporters.pop(connection, None)
         if run is None:
             return
@@ -135,7 +143,7 @@
     # ---- other planners --------------------------------------------------------------------------------
 
     def handle_vote_request(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Votes, and lists which suspects this planner hears."""
+        """Handles a vote request; the response lists the suspects that report to this planner."""
         request = decode(value, VoteRequest)
         response = self.replicator.election.handle_vote_request(request, now)
         self.replicator.flush()
@@ -145,7 +153,7 @@
         return encode(response)
 
     def handle_replication_request(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Stores the leader's state."""
+        """Handles the leader's request to store its state."""
         request = decode(value, ReplicationRequest)
         response = self.replicator.election.handle_replication_request(request, now)
         self.replicator.flush()
@@ -154,7 +162,7 @@
     # ---- operators -------------------------------------------------------------------------------------
 
     def handle_operator_command(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Shows the fleet, or changes a site; only the leader does the latter."""
+        """Shows the fleet or changes a site; only the leader changes sites."""
         command = decode(value, OperatorCommand)
         if command.operation is OperatorOperation.SHOW:
             return msgspec.json.encode(fleet_status(self.state, now))
@@ -172,10 +180,10 @@
         return msgspec.json.encode({"done": done, "site": command.site, "what": command.operation})
 
     def handle_eviction_request(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Requests a permit of the disruption budget.
+        """Handles a request to the disruption budget.
 
-        The reply waits for a quorum; one that loses its leadership meanwhile says so, and the next leader
-        knows of a permit that was granted.
+        The reply is sent once a quorum has stored the state, so that the next leader knows every permit that
+        was confirmed. If this planner loses its leadership before that, the reply is an error.
         """
         request = decode(value, EvictionRequest)
         self.require_leadership(now, "wants")
@@ -184,7 +192,7 @@
         return self.replicator.reply_when_replicated(state_number, encode(response), now)
 
     def handle_rollout_command(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Shows rollouts, or changes one; only the leader does the latter."""
+        """Shows rollouts or changes one; only the leader changes rollouts."""
         command = decode(value, RolloutCommand)
         if command.action in READ_ACTIONS:
             shown = rollouts_status(self.state, now, command.number, command.action is RolloutAction.HISTORY)
@@ -195,10 +203,10 @@
         return self.replicator.reply_when_replicated(state_number, encode(result), now)
 
     def require_leadership(self, now: int, counter_group: str) -> None:
-        """Refuses a request that changes something unless this planner leads.
+        """Checks that this planner leads, as a request that changes the state requires.
 
         Raises:
-            NotLeaderError: If it does not.
+            NotLeaderError: If this planner does not lead; counted under `counter_group`.
         """
         if not self.state.is_effective_leader(now):
             self.counters.count(f"{counter_group}.refused")
--- a/birchslip/cluster/request_recorder.py
+++ b/birchslip/cluster/request_recorder.py
@@ -1,6 +1,6 @@
-"""Measurements of an app server's requests for the reports to planners.
+"""Measurements of an app server's requests for its reports to planners.
 
-Only counts: what the figures mean is decided by the planners.
+Only counts; the planners evaluate the numbers.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
     """Counts requests as they arrive and are answered.
 
     Attributes:
-        rates: Requests per second.
-        outcome_counts: Requests since the start, by request class and outcome.
+        rates: Rates of arrivals and answers per second.
+        outcome_counts: Outcomes of requests since the start, by metric and request class.
     """
 
     def __init__(
@@ -32,14 +32,14 @@
         request_classes: Sequence[str],
         local_callers: Collection[int],
     ) -> None:
-        """Begins without requests.
+        """Creates a recorder without requests.
 
         Args:
-            scheduler: Gives the time and runs the sampling.
-            counters: Where answers are counted.
+            scheduler: Provides the time and runs the sampling.
+            counters: Counters of answers, which `sample` reads.
             tenants: The tenants by name.
             request_classes: Names of the request classes.
-            local_callers: The site's own callers; if empty, all are.
+            local_callers: The site's own callers; if empty, all callers are local.
         """
         self.scheduler = scheduler
         self.counters = counters
@@ -56,7 +56,7 @@
         self.rates.record_arrival(self.scheduler.now, tenant, is_local, request.is_retry)
 
     def record_answer(self, passage: Passage, outcome: str) -> None:
-        """Counts a request that has been answered, with its run time."""
+        """Counts a request that has been answered, with its run time in tenths of a millisecond."""
         request = passage.transaction
         now = self.scheduler.now
         is_late = now - request.arrived_at > request.request_class.latency_objective
@@ -64,7 +64,7 @@
         self.outcome_counts.record_answer(passage.profile, outcome, run_time, is_late)
 
     def sample(self) -> None:
-        """Takes over the counters of answers, then again after an interval."""
+        """Updates the rates of answers from the counters, and schedules the next sample."""
         now = self.scheduler.now
         counts = self.counters.counts
         self.rates.record_answers(now, counts["book.honoured"], counts["book.shed"])
--- a/birchslip/cluster/tables.py
+++ b/birchslip/cluster/tables.py
@@ -1,6 +1,6 @@
-"""What the commands show on a terminal: the fleet, the loss of a site, rollouts.
+"""Terminal output of the commands: the fleet, the forecast of a site loss, and rollouts.
 
-Only formats what planners reply; the keys are those of the JSON reports, which operators' tools read too.
+Only formats the replies of planners; the keys are those of the JSON reports, which operators' tools read too.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def make_table(title: str, columns: Sequence[str], rows: Sequence[JsonObject]) -> Table:
-    """A plain table; a row's missing keys are empty cells."""
+    """Returns a plain table; keys that a row lacks become empty cells."""
     table = Table(title=title, title_justify="left", box=None, pad_edge=False)
     for column in columns:
         table.add_column(column)
@@ -66,7 +66,7 @@
 
 
 def show_permits(console: Console, report: JsonObject) -> None:
-    """Prints the disruption budgets, and who is out or waits by them."""
+    """Prints the disruption budgets, the permits and the holders that wait for one."""
     console.print(make_table("groups", BUDGET_COLUMNS, report["groups"]))
     for permit in report["permits"]:
         override = ", past the budgets" if permit["override"] else ""
@@ -75,10 +75,10 @@
 
 
 def show_loss(report: JsonObject) -> None:
-    """Prints what the loss of a site would mean."""
+    """Prints the forecast of the loss of a site."""
     console = Console()
     lost = report["lose"]
-    console.print(f"without {lost}: {report['load']:.1f} transactions a second look for another place")
+    console.print(f"without {lost}: {report['load']:.1f} requests per second to serve elsewhere")
     for _, site, rate in report["flows"]:
         console.print(f"  to {site}: {rate:.1f} (room {report['room'].get(site, 0.0):.1f})")
     for tier, rate in report["refused"].items():
@@ -91,7 +91,7 @@
 
 
 def render_rollouts(rollouts: Sequence[JsonObject]) -> Group:
-    """A table of rollouts, and below it each one's progress and metrics."""
+    """Returns a table of rollouts, followed by the progress and metrics of each."""
     rows = [
         {
             **rollout,
@@ -113,27 +113,27 @@
 
 
 def show_rollouts(rollouts: Sequence[JsonObject]) -> None:
-    """Prints rollouts."""
+    """Prints the rollouts and their metrics."""
     console = Console()
     console.print(render_rollouts(rollouts) if rollouts else "no release")
 
 
 def follow_rollouts(query: Callable[[], list[JsonObject]], as_json: bool) -> list[str]:
-    """Shows rollouts until none is active.
+    """Shows rollouts and their changes until none is active.
 
     Args:
-        query: Requests the rollouts from the planners.
-        as_json: Whether to print a line of JSON for each change of phases, in place of tables.
+        query: Returns the rollouts as reported by the planners.
+        as_json: Whether to print one line of JSON per change of phases instead of tables.
 
     Returns:
-        The phases that the rollouts ended in.
+        The final phases of the rollouts.
     """
     last_phases: list[str] | None = None
     with Live(console=Console(), auto_refresh=False, transient=False) as live:
         while True:
             try:
                 rollouts = query()
-            except Exception as error:  # a leader that has died is followed by another
+            except Exception as error:  # if the leader has failed, another one will respond
                 live.console.print(f"not answered: {error}", style="dim")
                 time.sleep(FOLLOW_INTERVAL_SECONDS)
                 continue
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -1,8 +1,8 @@
-"""MessagePack-RPC between members, planners and operators: an endpoint that replies, a peer that calls.
+"""MessagePack-RPC between members, planners and operators: the server's endpoint and the client's connection.
 
-A request is `[0, id, method, [value]]`, its response `[1, id, error, [value, ...]]`. A value is bytes that
-hold one encoded message; a response that is longer than one value may be is split into several. Knows nothing
-of what the messages mean.
+A request is `[0, id, method, [value]]`, its response `[1, id, error, [value, ...]]`. A value is one encoded
+message as bytes; a response longer than the maximum of one value is split into several. This module does not
+decode the messages.
 """
 
 from __future__ import annotations
@@ -20,33 +20,35 @@
 from ..net.messagepack import LONGEST, WIDEST, pack
 from ..net.scheduler import READ, Scheduler
 
-REQUEST = 0  # message types of MessagePack-RPC
+# Message types of MessagePack-RPC.
+REQUEST = 0
 RESPONSE = 1
-BUFFER_LIMIT = WIDEST * LONGEST + 65_536  # bytes unread or unsent on a connection: the longest response
+# Unread or unsent bytes of a connection, enough for the longest response.
+BUFFER_LIMIT = WIDEST * LONGEST + 65_536
 ACCEPT_BACKLOG = 1024
-ERROR_LIMIT = 400  # characters of an error's text
+ERROR_LIMIT = 400  # characters of an error text
 ACCEPT_RETRY_DELAY = 1_000  # 100 ms, after the system had no descriptors or memory left
 EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class RequestRefusedError(BirchslipError, OSError):
-    """The other side has responded with an error; the connection is still good."""
+    """The peer has responded with an error; the connection stays usable."""
 
 
 class RpcResult(NamedTuple):
-    """The last two items of a response: an error's text, or the values."""
+    """The last two items of a response: an error text or the values."""
 
     error: str | None
     values: list[bytes] | None
 
     @classmethod
     def failure(cls, error: Exception) -> RpcResult:
-        """The result of a request that was refused."""
+        """Returns the result of a request that was refused or has failed."""
         return cls(str(error)[:ERROR_LIMIT], None)
 
     @classmethod
     def success(cls, value: bytes) -> RpcResult:
-        """The result of a request that was carried out.
+        """Returns the result of a request that has succeeded.
 
         Raises:
             Unreadable: If the value is too long for a response.
@@ -55,7 +57,7 @@
 
 
 def split_value(value: bytes) -> list[bytes]:
-    """Splits a value into parts that may be sent; an empty one is one empty part.
+    """Splits a value into parts of the maximum length; an empty value yields one empty part.
 
     Raises:
         Unreadable: If it has too many parts for one response.
@@ -67,7 +69,7 @@
 
 
 def received_messages(buffer: Buffer) -> Iterator[Any]:
-    """Yields all whole messages that have been read.
+    """Yields all complete messages in the buffer.
 
     Raises:
         Unreadable: After them, if what follows is malformed.
@@ -79,18 +81,18 @@
 
 
 class DeferredReply:
-    """A reply that is still to come.
+    """A reply that is completed later.
 
-    `complete` is called once, before or after the endpoint has said with `deliver_to` where the reply goes.
+    `complete` is called once, before or after the endpoint has set the recipient with `deliver_to`.
     """
 
     def __init__(self) -> None:
-        """Begins without a result."""
+        """Creates a reply without a result or recipient."""
         self.send: Callable[[RpcResult], None] | None = None
         self.result: RpcResult | None = None
 
     def complete(self, value: bytes | Exception) -> None:
-        """Sets the value, or the error, to reply with."""
+        """Sets the value or error to reply with, and sends it if the recipient is set."""
         if isinstance(value, Exception):
             self.result = RpcResult.failure(value)
         else:
@@ -99,14 +101,14 @@
             self.send(self.result)
 
     def deliver_to(self, send: Callable[[RpcResult], None]) -> None:
-        """Sets what sends the reply."""
+        """Sets the function that sends the reply, and calls it if the result is set."""
         self.send = send
         if self.result is not None:
             send(self.result)
 
 
 class IncomingConnection:
-    """One accepted connection of an endpoint."""
+    """An accepted connection of an endpoint."""
 
     def __init__(self, endpoint: PlannerEndpoint, connection: Connection) -> None:
         """Wraps an open connection."""
@@ -114,7 +116,7 @@
         self.connection = connection
 
     def receive(self, buffer: Buffer) -> None:
-        """Handles all whole requests that have been read.
+        """Handles all complete requests in the buffer.
 
         Raises:
             Unreadable: If one is malformed; the connection is closed then.
@@ -127,7 +129,7 @@
                     raise Unreadable("a message of no known form")
 
     def reply(self, request_id: int, result: DeferredReply | RpcResult) -> None:
-        """Sends a result, now or once it is there."""
+        """Sends a result, at once or when a deferred reply is complete."""
         send = partial(self.send, request_id)
         if isinstance(result, DeferredReply):
             result.deliver_to(send)
@@ -153,14 +155,14 @@
         handler: RequestHandler,
         on_close: CloseHandler,
     ) -> None:
-        """Sets it up without listening yet.
+        """Creates an endpoint that is not listening yet.
 
         Args:
             scheduler: Runs the tasks.
-            max_connections: Connections above this number are closed at once.
-            handler: Is given the connection, the method and the value, and returns the value to reply with,
-                or a `DeferredReply`. The text of a ValueError or OSError goes to the other side.
-            on_close: Is given each closed connection and the reason.
+            max_connections: Further connections above this number are closed immediately.
+            handler: Called with the connection, the method and the value; returns the value to reply with, or
+                a `DeferredReply`. The text of a ValueError or OSError that it raises is sent to the client.
+            on_close: Called with each closed connection and the reason.
         """
         self.scheduler = scheduler
         self.max_connections = max_connections
@@ -170,7 +172,7 @@
         self.listener: socket.socket
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Binds to an address; returns the one in force, as the port may be 0."""
+        """Binds to an address; returns the bound address, as port 0 selects a free port."""
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
@@ -179,13 +181,13 @@
         return host, port
 
     def accept(self) -> None:
-        """The task that accepts connections; it never ends."""
+        """Task that accepts connections; it never ends."""
         while True:
             self.scheduler.wait(self.listener.fileno(), READ)
             self.accept_ready()
 
     def accept_ready(self) -> None:
-        """Accepts all connections that wait."""
+        """Accepts all pending connections."""
         while True:
             try:
                 accepted, _ = self.listener.accept()
@@ -198,7 +200,7 @@
             self.open_connection(accepted)
 
     def open_connection(self, accepted: socket.socket) -> None:
-        """Starts to serve an accepted connection, or closes it if there are too many."""
+        """Starts to serve an accepted connection, or closes it if there are too many connections."""
         if len(self.connections) >= self.max_connections:
             accepted.close()
             return
@@ -210,8 +212,8 @@
         self.scheduler.spawn("connection", partial(self.serve_connection, incoming))
 
     def serve_connection(self, incoming: IncomingConnection) -> None:
-        """The task of one connection, until it is closed."""
-        reason = "a fault"
+        """Task that serves one connection until it is closed."""
+        reason = "unhandled exception"
         try:
             reason = incoming.connection.serve(incoming.receive)
         finally:
@@ -220,7 +222,7 @@
             self.on_close(incoming, reason)
 
     def handle(self, incoming: IncomingConnection, method: str, value: bytes) -> DeferredReply | RpcResult:
-        """Has a request handled; errors become its result."""
+        """Passes a request to the handler and converts its errors to results."""
         try:
             reply = self.handler(incoming, method, value)
             return reply if isinstance(reply, DeferredReply) else RpcResult.success(reply)
@@ -229,10 +231,10 @@
 
 
 class PeerConnection:
-    """Calls one endpoint, one request at a time; connects when needed and stays connected."""
+    """Client of one endpoint for one request at a time; connects on demand and stays connected."""
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int]) -> None:
-        """Sets it up without connecting yet."""
+        """Creates a connection that is not connected yet."""
         self.scheduler = scheduler
         self.address = address
         self.connection: Connection | None = None
@@ -245,12 +247,15 @@
         Args:
             method: The method's name.
             value: The value, unless `params` is given.
-            deadline: How long to wait, as a time of the scheduler's clock.
-            params: Other parameters than one value.
+            deadline: Latest time of the response, by the scheduler's clock.
+            params: Parameters to send in place of the value.
+
+        Returns:
+            The value of the response, its parts joined.
 
         Raises:
-            RequestRefusedError: If the other side responds with an error.
-            OSError: If there is no response in time, or none that can be read.
+            RequestRefusedError: If the peer responds with an error.
+            OSError: If connecting fails, or no valid response arrives before the deadline.
         """
         connection = self.ensure_connected()
         self.last_request_id += 1
@@ -274,14 +279,14 @@
         return b"".join(part for part in values if isinstance(part, bytes))
 
     def ensure_connected(self) -> Connection:
-        """The open connection; a new one if it was closed."""
+        """Returns the open connection; connects if there is none."""
         if self.connection is None or not self.connection.open:
             opened = connect(self.scheduler, self.address)
             self.connection = Connection(self.scheduler, opened, BUFFER_LIMIT, BUFFER_LIMIT)
         return self.connection
 
     def receive(self, buffer: Buffer) -> None:
-        """Takes in all whole responses that have been read; notifications are ignored.
+        """Stores all complete responses in the buffer; notifications are ignored.
 
         Raises:
             Unreadable: If one is malformed; the connection is closed then.
@@ -296,7 +301,7 @@
                     raise Unreadable("an answer of no known form")
 
     def close(self) -> None:
-        """Closes the connection; the next call opens another."""
+        """Closes the connection; the next call connects again."""
         if self.connection is not None:
             self.connection.close("dropped")
             self.connection = None
--- a/tests/test_election_store.py
+++ b/tests/test_election_store.py
@@ -1,4 +1,4 @@
-"""The vote file of a planner: read back whole or not at all, and no vote is given before it is stored."""
+"""The vote file of a planner: read back whole or not at all, and written before a vote is granted."""
 
 import sqlite3
 from pathlib import Path
@@ -45,7 +45,7 @@
         assert store.vote in (SAVED_VOTE, DurableVote())
         assert store.vote.is_blank or not store.damage
         outcomes.add(bool(store.damage))
-        store.save(SAVED_VOTE)  # whatever it was, it serves again
+        store.save(SAVED_VOTE)  # the new file is usable in any case
         store.close()
     assert outcomes == {True, False}
 
@@ -111,7 +111,7 @@
     assert state.leadership.replicated_version == 0
     request = next(request for _, request in sent if isinstance(request, ReplicationRequest))
     for name, replicated_version in (("p1", 0), ("p2", 1)):
-        assert state.leadership.replicated_version == 0  # one of three is no quorum
+        assert state.leadership.replicated_version == 0  # one replica of three planners is no quorum
         response = ReplicationResponse(is_stored=True, promised_term=64, replica=name)
         planner.replicator.handle_response(request, encode(response), 0)
         assert state.leadership.replicated_version == replicated_version
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership: a term follows the election, and is effective once a majority has stored its first version."""
+"""Leadership follows the election, and is effective once a majority has stored the first version."""
 
 import random
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: phi adapts to intervals, incarnations are told apart, and a site is lost only on evidence."""
+"""Membership: phi adapts to intervals, late reports are ignored, and a site is lost only on evidence."""
 
 import pytest
 
@@ -64,12 +64,12 @@
     member = membership.members["a-0"]
     assert member.incarnation.nonce == 2
     assert member.restarts == 1
-    membership.mark_disconnected("a-0", report(mark=1).incarnation)  # the earlier incarnation's connection
+    membership.mark_disconnected("a-0", report(mark=1).incarnation)  # connection of the earlier one
     assert member.liveness(SECOND + 30, REPORT_INTERVAL) is MemberLiveness.ALIVE
 
 
 def silence_site(membership, site, until, reporting=()):
-    """The others go on reporting."""
+    """Lets all members report until `until`, except those of `site` that are not in `reporting`."""
     for now in range(SECOND + REPORT_INTERVAL, until + 1, REPORT_INTERVAL):
         for name, member in membership.members.items():
             if member.site != site or name in reporting:
--- a/tests/test_peer_channel.py
+++ b/tests/test_peer_channel.py
@@ -1,4 +1,4 @@
-"""Requests of one planner to another: the newest of each method is sent, and failures stay inside."""
+"""Requests from one planner to another: the newest of each method is sent, and failures are only logged."""
 
 from types import SimpleNamespace
 
@@ -13,7 +13,7 @@
 
 
 class RecordedConnection:
-    """Records what is called; `during_call` runs while the first call is under way."""
+    """Records calls; `during_call` runs during the first one."""
 
     def __init__(self):
         self.calls = []
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -1,4 +1,4 @@
-"""An app server's linked to its planners: what is told to the decisions, and what binds without a word."""
+"""An app server's link to its planners: what the controller receives, and what holds without a reply."""
 
 import json
 import time
@@ -41,7 +41,7 @@
         self.site = AdmissionSettings(
             [profile], [self.tenant], downstream=Downstream.SHARED, downstream_quota=4.0
         )
-        scheduler = Scheduler(lambda: None, lambda name, error: None, lambda: self.now)
+        scheduler = Scheduler(lambda: None, lambda name, trouble: None, lambda: self.now)
         self.link = planner_link.PlannerLink(
             scheduler, Counters(), Log(scheduler, "a-0"), fleet(folder), "a-0", self.site, ["blue"], ["order"]
         )
@@ -80,13 +80,13 @@
 
 def test_without_a_lease_only_the_unleased_calls_are_allowed(linked):
     linked.link.apply_lease()
-    assert linked.controller.downstream.quota == 2.0  # half of an even share of 24 among six
+    assert linked.controller.downstream.quota == 2.0  # half of an equal share of 24 calls among six members
 
 
 def test_a_lease_that_expires_during_a_pause_binds_before_the_next_batch(linked):
     linked.receive_reply(0, 100, call_limit=5.0, lease_span=3 * SECOND)
     assert linked.controller.downstream.quota == 5.0
-    linked.now = 60 * SECOND  # stopped for a minute
+    linked.now = 60 * SECOND  # the process was paused for a minute
     linked.link.apply_lease()
     assert linked.controller.downstream.quota == 2.0
     assert linked.link.counters.counts["fleet.leases_lapsed"] == 1
@@ -148,7 +148,7 @@
         "written_off:order": (2, 4),
         "calls": (2, 4),
     }
-    outcome_counts.record_answer("order", "honoured", -1, False)  # a repeat
+    outcome_counts.record_answer("order", "honoured", -1, False)  # a repeated request
     report = linked.link.build_report(SECOND)
     assert report.resident_memory_kb > 1_000
     assert report.latency_histograms["order"][5] == 2
@@ -186,7 +186,7 @@
     path.write_text(json.dumps(configuration))
     program = Program(read_site({"PROXY_CONFIG": str(path)}))
     faults, taken, settled = [], [], []
-    program.scheduler.fault = lambda name, error: faults.append(name)
+    program.scheduler.fault = lambda name, trouble: faults.append(name)
     program.take_in.admit = taken.append
     program.admit.settle = lambda: settled.append(True)
 
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -1,4 +1,4 @@
-"""Planner state: reports come in and instructions go out, in virtual time; and the cost at size."""
+"""Planner state: the instructions that result from reports, in virtual time, and the cost of a plan."""
 
 import random
 import time
@@ -56,7 +56,7 @@
     planner.advance(2)
     ramp = planner.state.sites.ramps["a"]
     assert serving_fractions(planner, "a") == {1.0}
-    assert ramp.stage is RecoveryStage.STEP  # its members are cold: it does not serve yet
+    assert ramp.stage is RecoveryStage.STEP  # its members are cold, so the site is not serving yet
     planner.report_fields = {name: {} for name in planner.names}
     planner.advance(3)
     assert ramp.stage is RecoveryStage.SERVING
@@ -70,7 +70,7 @@
     planner.advance(20)
     assert not planner.events_named("site_lost")
     assert serving_fractions(planner, "b") == {1.0}
-    assert planner.replies["b-0"].call_limit == 4.0  # its own, and nothing of those that go on calling
+    assert planner.replies["b-0"].call_limit == 4.0  # its own share only: members of a still call
 
 
 def test_the_quota_of_a_lost_site_is_lent_only_after_its_lease_and_returned(tmp_path):
@@ -80,10 +80,10 @@
     planner.advance(2)
     assert planner.replies["b-0"].call_limit == 4.0
     planner.advance(3)
-    assert planner.replies["b-0"].call_limit == 5.0  # 2 of each of two members, among four survivors
+    assert planner.replies["b-0"].call_limit == 5.0  # 2 from each lost member, shared by four
     planner.restore_site("a")
     planner.advance(0.4)
-    assert planner.replies["a-0"].call_limit == 2.0  # the reserved part: the rest is still leased
+    assert planner.replies["a-0"].call_limit == 2.0  # the reserved part, as the rest is still leased
     planner.advance(8)
     assert {reply.call_limit for reply in planner.replies.values()} == {4.0}
 
@@ -151,7 +151,7 @@
     assert forecast["load"] == pytest.approx(120.0, rel=0.01)
     assert forecast["short_by"] == 0
     assert sum(flow for *_, flow in forecast["flows"]) == pytest.approx(120.0, rel=0.01)
-    assert forecast["vault"]["may_be"] == 20.0  # what a's members have, less the part that is never lent
+    assert forecast["vault"]["may_be"] == 20.0  # the calls of a's members without the part never lent
     status = fleet_status(planner.state, planner.now)
     assert [site["verdict"] for site in status["sites"]] == ["here"] * 3
     assert len(status["members"]) == 6
@@ -185,7 +185,7 @@
     planner.incarnations["b-0"], planner.report_fields["b-0"] = 2, {}
     planner.advance(1)
     status = fleet_status(planner.state, planner.now)
-    assert status["out"] == {"a-0": "cold", "b-1": "permit"}  # b-0 is back, so the waiting one is granted
+    assert status["out"] == {"a-0": "cold", "b-1": "permit"}  # b-0 is back, so b-1 is granted
     planner.report_fields["a-0"] = {}
     planner.advance(1)
     assert [permit["holder"] for permit in fleet_status(planner.state, planner.now)["permits"]] == ["b-1"]
--- a/tests/test_planner_transport.py
+++ b/tests/test_planner_transport.py
@@ -1,4 +1,4 @@
-"""Endpoints and connections of planners: a malformed, silent or late peer harms nobody else."""
+"""Endpoints and connections of planners: a malformed, silent or late peer affects only its own connection."""
 
 import socket
 import threading
@@ -20,11 +20,11 @@
 
 
 class Loopback:
-    """An endpoint in a scheduler of its own; `run` runs a task until it ends."""
+    """An endpoint and clients in one scheduler; `run` runs a task until it ends."""
 
     def __init__(self):
         self.faults, self.served, self.closed = [], [], []
-        self.scheduler = Scheduler(lambda: None, lambda name, error: self.faults.append((name, error)))
+        self.scheduler = Scheduler(lambda: None, lambda name, trouble: self.faults.append((name, trouble)))
         self.endpoint = PlannerEndpoint(
             self.scheduler, 4, self.handle, lambda connection, reason: self.closed.append(reason)
         )
@@ -53,7 +53,7 @@
         self.scheduler.spawn("work", task)
         self.scheduler.run()
         self.scheduler.stopped = False
-        assert outcomes, "no end in time"
+        assert outcomes, "the task did not end in time"
         if isinstance(outcomes[0], Exception):
             raise outcomes[0]
         return outcomes[0]
@@ -83,7 +83,7 @@
         pack([0, 1, "echo", ["text"]]),
         b"GET / HTTP/1.1\r\n",
     ],
-    ids=["no message", "an answer", "no number", "no bytes", "another protocol"],
+    ids=["invalid byte", "response", "request id not a number", "value not bytes", "another protocol"],
 )
 def test_a_malformed_request_closes_only_its_own_connection(raw):
     loopback = Loopback()
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize(
     "response",
     [None, pack([1, 1, None, b"no list"]), pack([1, 1]), b"\xc1\xc1", pack([1, 99, None, [b"late"]])],
-    ids=["silence", "no list", "cut short", "noise", "to another question"],
+    ids=["no response", "values not a list", "too few items", "invalid bytes", "other request id"],
 )
 def test_a_malformed_or_missing_response_fails_the_call_within_its_deadline(response):
     listener = socket.create_server(("127.0.0.1", 0))
@@ -115,7 +115,7 @@
         accepted.recv(4096)
         if response is not None:
             accepted.sendall(response)
-        accepted.recv(4096)  # until the other side has had enough
+        accepted.recv(4096)  # until the client closes the connection
         accepted.close()
 
     thread = threading.Thread(target=serve, daemon=True)
@@ -131,7 +131,7 @@
     listener.close()
 
 
-def test_each_mode_of_a_wire_loses_requests_or_responses():
+def test_each_wire_mode_injects_its_fault():
     loopback = Loopback()
     wire = Wire(loopback.scheduler, loopback.address)
     connection = PeerConnection(loopback.scheduler, ("127.0.0.1", wire.port))
--- a/tests/test_planner_wire_record.py
+++ b/tests/test_planner_wire_record.py
@@ -1,6 +1,6 @@
-"""What planners and members of an earlier version send and store is read, and written, to the byte.
+"""Messages and vote files of an earlier version are decoded, and encoded again to the same bytes.
 
-The literals were written by birchslip as of 2026-12-03, before the messages' fields had their present names.
+The literals were recorded with birchslip as of 2026-12-03, before the fields had their present names.
 """
 
 import base64
@@ -107,7 +107,7 @@
     ),
 ]
 
-# A vote file as its SQLite database was closed: compressed, then base 85.
+# The SQLite file of a closed vote store, compressed with zlib and encoded as base 85.
 RECORDED_STORE = (
     b"c-rmQK}*9h6ae5P4isdlC)w>0JU9qKb&3=Or|cs0pzc1}`sT{gw6xh_jKb!>@K5MpG_{+G2akgAK9Z96@=|imd${Yz"
     b"7Gad;NnqiG?J^<QB>-bgtmYbbv+*P5?0144MZ8%R?s&`%LI@#*5JCtc<bPQ9`R0DB#h(isgc`#@>(tg?aed$G4tg-?"
--- a/tests/test_stored_planner_state.py
+++ b/tests/test_stored_planner_state.py
@@ -1,4 +1,4 @@
-"""A planner state as the version before the renaming stored it: read, taken over and written as it was."""
+"""A planner state stored by an earlier version is restored and encoded again to the same bytes."""
 
 import json
 import random
