--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -109,11 +109,8 @@
 
     def is_reporting(self, now: int, report_interval: int) -> bool:
         """Returns whether its reports reach any planner."""
-        peers_report_it = self.last_reported_by_peers >= 0
-        if (
-            peers_report_it
-            and now - self.last_reported_by_peers <= PEER_OBSERVATION_INTERVALS * report_interval
-        ):
+        was_reported = self.last_reported_by_peers >= 0
+        if was_reported and now - self.last_reported_by_peers <= PEER_OBSERVATION_INTERVALS * report_interval:
             return True
         return not self.disconnected and self.detector.phi(now) < SUSPICION_THRESHOLD_PHI
 
--- a/birchslip/cluster/messages.py
+++ b/birchslip/cluster/messages.py
@@ -254,7 +254,7 @@
     """A request to the disruption budget.
 
     Attributes:
-        operation: What is requested.
+        operation: The requested operation.
         holder: The member or service that holds, or is to hold, the permit.
         incarnation: Run of the holder; by default the one that the planner has observed.
         operator: Name of the operator that sends the request.
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -348,16 +348,16 @@
         """Processes the platform's inventory; `sent` is when the platform was polled."""
         self.rollouts.controller.receive_inventory(inventory, sent)
 
-    def evacuate_site(self, site: str, who: str, why: str, now: int) -> bool:
+    def evacuate_site(self, site: str, operator: str, reason: str, now: int) -> bool:
         """Evacuates a site on an operator's command; returns whether that changed anything."""
-        changed = self.sites.evacuate(site, who, why, now)
+        changed = self.sites.evacuate(site, operator, reason, now)
         if changed:
             self.replan(now)
         return changed
 
-    def return_site(self, site: str, who: str, now: int) -> bool:
+    def return_site(self, site: str, operator: str, now: int) -> bool:
         """Lets a site recover that an operator had evacuated; returns whether that changed anything."""
-        changed = self.sites.end_evacuation(site, who, now)
+        changed = self.sites.end_evacuation(site, operator, now)
         if changed:
             self.replan(now)
         return changed
