--- a/birchslip/cluster/canary_analysis.py
+++ b/birchslip/cluster/canary_analysis.py
@@ -199,9 +199,9 @@
         warm_canary = [self._with_slow_metric(sample) for sample in canary if sample.warm]
         warm_baseline = [self._with_slow_metric(sample) for sample in baseline if sample.warm]
         if previous_version is None:
-            self.settle_slow_bounds(warm_baseline)
+            self.update_slow_bounds(warm_baseline)
         else:
-            self.settle_slow_bounds([sample for sample in previous_version if sample.warm])
+            self.update_slow_bounds([sample for sample in previous_version if sample.warm])
         for name in sorted({name for sample in (*warm_canary, *warm_baseline) for name in sample.outcomes}):
             self.track_metric(metric_kind(name))
             self.track_metric(name)
@@ -224,7 +224,7 @@
             return sample
         return replace(sample, outcomes={**sample.outcomes, **slow})
 
-    def settle_slow_bounds(self, baseline: list[MemberSample]) -> None:
+    def update_slow_bounds(self, baseline: list[MemberSample]) -> None:
         """Add runs of the baseline, and settle the bounds of classes that have enough of them."""
         if SLOW_METRIC not in {metric_kind(name) for name in self.margins}:
             return
@@ -249,8 +249,8 @@
         largest = max((sample.memory_kb for sample in canary), default=0)
         is_excessive = False
         if baseline_memory and self.max_memory_ratio:
-            usual = median(baseline_memory)
-            bound = max(self.max_memory_ratio * usual, usual + MIN_MEMORY_EXCESS_KB)
+            baseline_median = median(baseline_memory)
+            bound = max(self.max_memory_ratio * baseline_median, baseline_median + MIN_MEMORY_EXCESS_KB)
             is_excessive = largest > bound
         self.excess_memory_count = self.excess_memory_count + 1 if is_excessive else 0
         if self.excess_memory_count >= MEMORY_LEAK_SAMPLES:
--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -99,7 +99,7 @@
         dependents = self.index.dependents
         for service in [name for name in dependents if name in found]:
             for name in dependents[service]:
-                found.setdefault(name, UnavailabilityReason.BELOW)
+                found.setdefault(name, UnavailabilityReason.DOWNSTREAM)
         return found
 
     def tally(
@@ -277,7 +277,7 @@
         """Count `elapsed` tenths of a millisecond against every override, and end those that run out."""
         for override in self.state.overrides:
             override.remaining = max(0, override.remaining - elapsed)
-        for override in [one for one in self.state.overrides if not one.remaining]:
+        for override in [override for override in self.state.overrides if not override.remaining]:
             self.state.overrides.remove(override)
             self.record_event(f"the override by {override.requester} has ended")
 
--- a/birchslip/cluster/disruption_tally.py
+++ b/birchslip/cluster/disruption_tally.py
@@ -64,7 +64,7 @@
 
     def newly_unavailable(self, name: str) -> list[str]:
         """Who would become unavailable with `name`, itself included, of those that are still available."""
-        return [one for one in self.index.with_dependents(name) if one not in self.unavailable]
+        return [member for member in self.index.with_dependents(name) if member not in self.unavailable]
 
     def add(self, name: str) -> None:
         """Count `name` and its dependents as unavailable."""
@@ -121,6 +121,6 @@
             continue
         if any(is_unavailable(service) for service in dependencies.get(name, ())):
             found[name] = MemberObservation(
-                observation.incarnation, observation.capacity, UnavailabilityReason.BELOW
+                observation.incarnation, observation.capacity, UnavailabilityReason.DOWNSTREAM
             )
     return found
--- a/birchslip/cluster/disruption_types.py
+++ b/birchslip/cluster/disruption_types.py
@@ -21,9 +21,9 @@
 
     PERMIT = "permit"
     SILENT = "silent"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     COLD = "cold"
-    BELOW = "below"
+    DOWNSTREAM = "below"
     LOST = "lost"
 
 
--- a/birchslip/cluster/fleet_file.py
+++ b/birchslip/cluster/fleet_file.py
@@ -17,7 +17,7 @@
 
 Address = Annotated[str, msgspec.Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$", description="HOST:PORT")]
 Milliseconds = Annotated[int, msgspec.Meta(ge=1, le=86_400_000)]
-Router = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
+RouterNumber = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 Cost = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
 
@@ -26,13 +26,13 @@
     """Base class of the file's parts; an unknown key is an error."""
 
 
-Word = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
+Identifier = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
 
 
 class Planner(FleetFilePart):
     """One planner: where members, other planners and operators find it."""
 
-    name: Word
+    name: Identifier
     address: Address
 
 
@@ -56,7 +56,7 @@
     """One downstream service as the platform names it: a replica of a kind."""
 
     name: Name
-    kind: Word
+    kind: Identifier
 
 
 class Platform(FleetFilePart):
@@ -78,7 +78,7 @@
 
     name: Name
     members: list[Member]
-    routers: list[Router] = []
+    routers: list[RouterNumber] = []
 
 
 class Link(FleetFilePart):
@@ -113,11 +113,11 @@
         min_capacity: Requests per second that those in service have to be able to do.
     """
 
-    name: Word
+    name: Identifier
     sites: list[Name] = []
     members: list[Name] = []
     services: list[Name] = []
-    service_kinds: list[Word] = []
+    service_kinds: list[Identifier] = []
     covers_all: bool = False
     max_out: Annotated[int, msgspec.Meta(ge=0, le=100_000)] | None = None
     max_out_fraction: Fraction | None = None
@@ -240,7 +240,7 @@
     def site_of(self, member: str) -> Site | None:
         """The site of a member, if there is one of that name."""
         for site in self.sites:
-            if any(one.name == member for one in site.members):
+            if any(candidate.name == member for candidate in site.members):
                 return site
         return None
 
--- a/birchslip/cluster/fleet_validation.py
+++ b/birchslip/cluster/fleet_validation.py
@@ -13,9 +13,9 @@
 
 MAX_PLANNERS = 9
 MAX_PORT = 65_535
-MIN_REPORTS_IN_PLAN = 4  # reports that may be lost before a plan expires
-MIN_POLLS_IN_LISTING = 2
-ROUNDING = 1e-9  # allowed in sums of shares
+MIN_REPORTS_PER_PLAN = 4  # reports that may be lost before a plan expires
+MIN_POLLS_BEFORE_STALE = 2
+ROUNDING_TOLERANCE = 1e-9  # allowed in sums of shares
 
 
 def violations(fleet: Fleet) -> Iterator[str]:
@@ -34,7 +34,7 @@
     )
 
 
-def duplicates(place: str, names: list[str], what: str) -> Iterator[str]:
+def check_unique(place: str, names: list[str], what: str) -> Iterator[str]:
     """Checks that no name is given twice."""
     seen: set[str] = set()
     for name in names:
@@ -43,14 +43,14 @@
         seen.add(name)
 
 
-def unknown_names(place: str, names: list[str], known: set[str], what: str) -> Iterator[str]:
+def check_known(place: str, names: list[str], known: set[str], what: str) -> Iterator[str]:
     """Checks that all names are known."""
     for name in names:
         if name not in known:
             yield f"{place}: no {what} {name!r}"
 
 
-def placed_members(fleet: Fleet) -> list[tuple[str, Member]]:
+def members_with_places(fleet: Fleet) -> list[tuple[str, Member]]:
     """All members, each with its place in the file."""
     return [
         (f"sites[{site_index}].members[{member_index}]", member)
@@ -61,21 +61,21 @@
 
 def check_counts(fleet: Fleet) -> Iterator[str]:
     """Checks the names and numbers of planners, sites and members."""
-    yield from duplicates("planners", [planner.name for planner in fleet.planners], "name")
-    yield from duplicates("sites", [site.name for site in fleet.sites], "name")
+    yield from check_unique("planners", [planner.name for planner in fleet.planners], "name")
+    yield from check_unique("sites", [site.name for site in fleet.sites], "name")
     if not fleet.planners:
         yield "planners: there is none"
     if len(fleet.planners) > MAX_PLANNERS:
         yield f"planners: {len(fleet.planners)}, and nine at most can agree in time"
     if not fleet.sites:
         yield "sites: there is none"
-    yield from duplicates("sites", [member.name for member in fleet.members], "member")
+    yield from check_unique("sites", [member.name for member in fleet.members], "member")
 
 
 def check_addresses(fleet: Fleet) -> Iterator[str]:
     """Checks that ports exist and no address is given twice."""
     addresses = [(f"planners[{index}]", planner.address) for index, planner in enumerate(fleet.planners)]
-    addresses += [(place, member.address) for place, member in placed_members(fleet)]
+    addresses += [(place, member.address) for place, member in members_with_places(fleet)]
     first_places: dict[str, str] = {}
     for place, address in addresses:
         port = int(address.rpartition(":")[2])
@@ -104,10 +104,10 @@
     site_names = {site.name for site in fleet.sites}
     for index, link in enumerate(fleet.links):
         ends = [link.source, link.target]
-        yield from unknown_names(f"links[{index}]", ends, site_names, "site is named")
+        yield from check_known(f"links[{index}]", ends, site_names, "site is named")
         if link.source == link.target:
             yield f"links[{index}]: from {link.source!r} to itself"
-    yield from duplicates("links", [f"{link.source} to {link.target}" for link in fleet.links], "link")
+    yield from check_unique("links", [f"{link.source} to {link.target}" for link in fleet.links], "link")
 
 
 def check_shedding_tiers(fleet: Fleet) -> Iterator[str]:
@@ -116,7 +116,7 @@
     for index, tier in enumerate(fleet.shedding_tiers):
         if tier not in known:
             yield f"refuse[{index}]: no such kind of refusal as {tier!r}; there are {', '.join(known)}"
-    yield from duplicates("refuse", list(fleet.shedding_tiers), "kind")
+    yield from check_unique("refuse", list(fleet.shedding_tiers), "kind")
     local = SheddingTier.LOCAL.value
     if local in fleet.shedding_tiers and fleet.shedding_tiers[-1] != local:
         yield "refuse: what stands behind 'home' can't be refused before it, as home is all that is left"
@@ -125,7 +125,7 @@
 def check_budgets(fleet: Fleet) -> Iterator[str]:
     """Checks that budgets cover something that exists and limit something."""
     budgets = fleet.disruption_budgets
-    yield from duplicates("groups", [budget.name for budget in budgets], "group")
+    yield from check_unique("groups", [budget.name for budget in budgets], "group")
     for index, budget in enumerate(budgets):
         yield from check_budget_names(fleet, index, budget)
         if not covers_anything(budget):
@@ -141,10 +141,10 @@
     member_names = {member.name for member in fleet.members}
     service_names = {service.name for service in fleet.services}
     service_kinds = {service.kind for service in fleet.services}
-    yield from unknown_names(f"{place}.sites", budget.sites, site_names, "site is named")
-    yield from unknown_names(f"{place}.members", budget.members, member_names, "member is named")
-    yield from unknown_names(f"{place}.services", budget.services, service_names, "service is named")
-    yield from unknown_names(f"{place}.kinds", budget.service_kinds, service_kinds, "service is of the kind")
+    yield from check_known(f"{place}.sites", budget.sites, site_names, "site is named")
+    yield from check_known(f"{place}.members", budget.members, member_names, "member is named")
+    yield from check_known(f"{place}.services", budget.services, service_names, "service is named")
+    yield from check_known(f"{place}.kinds", budget.service_kinds, service_kinds, "service is of the kind")
 
 
 def covers_anything(budget: Budget) -> bool:
@@ -156,7 +156,7 @@
     """Checks the names of services and what members require."""
     service_names = {service.name for service in fleet.services}
     member_names = {member.name for member in fleet.members}
-    yield from duplicates("services", [service.name for service in fleet.services], "service")
+    yield from check_unique("services", [service.name for service in fleet.services], "service")
     for service in fleet.services:
         if service.name in member_names:
             yield f"services: {service.name!r} is an app server too"
@@ -173,23 +173,23 @@
         if fleet.services:
             yield "services: without a platform nobody tells how they are"
         return
-    if platform.stale_ms < MIN_POLLS_IN_LISTING * platform.ask_ms:
+    if platform.stale_ms < MIN_POLLS_BEFORE_STALE * platform.ask_ms:
         yield f"platform.stale_ms: {platform.stale_ms} is under two askings of {platform.ask_ms} ms"
 
 
 def check_shares(fleet: Fleet) -> Iterator[str]:
     """Checks that shares of tenants and of the vault add up to no more than there is."""
     tenant_sum = sum(fleet.tenant_shares.values())
-    if tenant_sum > 1 + ROUNDING:
+    if tenant_sum > 1 + ROUNDING_TOLERANCE:
         yield f"tenants: the shares add up to {tenant_sum:.3f}, more than 1"
     if fleet.vault is None:
         return
     base_sum = sum(fleet.base_calls().values())
-    if base_sum > fleet.vault.total_calls + ROUNDING:
+    if base_sum > fleet.vault.total_calls + ROUNDING_TOLERANCE:
         yield f"vault.total: {fleet.vault.total_calls:g}, and the members' calls add up to {base_sum:g}"
 
 
 def check_spans(fleet: Fleet) -> Iterator[str]:
     """Checks that a plan outlives some lost reports."""
-    if fleet.plan_ms < MIN_REPORTS_IN_PLAN * fleet.report_ms:
+    if fleet.plan_ms < MIN_REPORTS_PER_PLAN * fleet.report_ms:
         yield f"plan_ms: {fleet.plan_ms} is under four reports of {fleet.report_ms} ms: plans would lapse"
--- a/birchslip/cluster/inventory.py
+++ b/birchslip/cluster/inventory.py
@@ -64,7 +64,7 @@
             case InstanceStatus.UP:
                 reason = None
             case InstanceStatus.DRAINING:
-                reason = UnavailabilityReason.LEAVING
+                reason = UnavailabilityReason.DRAINING
             case _:
                 reason = UnavailabilityReason.SILENT
         return MemberObservation(incarnation, SERVICE_CAPACITY, reason)
--- a/birchslip/cluster/member_observations.py
+++ b/birchslip/cluster/member_observations.py
@@ -33,7 +33,7 @@
 ) -> UnavailabilityReason | None:
     liveness = member.liveness(now, report_interval)
     if liveness is MemberLiveness.LEFT:
-        return UnavailabilityReason.LEAVING
+        return UnavailabilityReason.DRAINING
     if liveness is not MemberLiveness.ALIVE:
         return UnavailabilityReason.SILENT
     if not site_is_serving:
--- a/birchslip/cluster/operator_views.py
+++ b/birchslip/cluster/operator_views.py
@@ -18,7 +18,7 @@
 from .site_plan import plan_without_site
 from .site_supervisor import restore_ramps
 
-RECORD_LINES = 16  # the newest lines of the permits' record that are shown
+MAX_AUDIT_LINES_SHOWN = 16  # the newest lines of the permits' record that are shown
 
 Report = dict[str, object]
 
@@ -28,10 +28,10 @@
     is_leader = state.is_effective_leader(now)
     stored = state.stored_state()
     ramps = state.sites.ramps
-    permits = state.budget.state
+    budget_state = state.budget.state
     if not is_leader:
         ramps = restore_ramps(stored.sites, ramps, now)
-        permits = stored.permits
+        budget_state = stored.permits
     durable = state.election.durable
     published = state.plans.published
     interval = state.report_interval()
@@ -48,7 +48,7 @@
         "releases": rollouts_status(state, now),
         "sites": [site_row(state, site, ramp, now) for site, ramp in ramps.items()],
         "members": [member_row(member, interval, now) for member in members],
-        **permits_status(state, permits, now),
+        **permits_status(state, budget_state, now),
     }
 
 
@@ -90,15 +90,15 @@
     }
 
 
-def permits_status(state: PlannerState, book: BudgetState, now: int) -> Report:
+def permits_status(state: PlannerState, budget_state: BudgetState, now: int) -> Report:
     """Returns budgets, permits and who is out."""
-    budget = DisruptionBudget(state.budget.groups, book)
-    out = budget.unavailable_members(state.observations(now))
+    budget = DisruptionBudget(state.budget.groups, budget_state)
+    unavailable = budget.unavailable_members(state.observations(now))
     groups = [
         {
             "name": group.name,
             "allowed": group.disruptions_allowed,
-            "out": len(group.members.intersection(out)),
+            "out": len(group.members.intersection(unavailable)),
         }
         for group in budget.groups
     ]
@@ -109,14 +109,14 @@
             "why": permit.reason,
             "override": permit.override,
         }
-        for permit in book.permits
+        for permit in budget_state.permits
     ]
     return {
         "groups": groups,
-        "out": {name: reason.value for name, reason in sorted(out.items())} if groups else {},
+        "out": {name: reason.value for name, reason in sorted(unavailable.items())} if groups else {},
         "permits": permits,
-        "waiting": [waiter.holder for waiter in book.waiters],
-        "record": book.audit_log[-RECORD_LINES:],
+        "waiting": [waiter.holder for waiter in budget_state.waiters],
+        "record": budget_state.audit_log[-MAX_AUDIT_LINES_SHOWN:],
     }
 
 
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -60,11 +60,11 @@
     def run(self) -> None:
         """Run for as long as the planner lives; one that does not lead requests nothing."""
         while True:
-            began = self.scheduler.now
+            started_at = self.scheduler.now
             if self.state.is_effective_leader(self.scheduler.tell_time()):
                 self._exchange()
             earliest = self.scheduler.now + self.interval // MIN_PAUSE_DIVISOR
-            self.nap.sleep(max(began + self.interval, earliest))
+            self.nap.sleep(max(started_at + self.interval, earliest))
 
     def wake(self) -> None:
         """Request and order now, without waiting for the interval."""
@@ -73,7 +73,7 @@
     def _exchange(self) -> None:
         try:
             self.request_inventory()
-            self.give_orders()
+            self.send_orders()
         except (OSError, InvalidInputError, ValueError) as error:
             self.counters.count("platform.missed")
             self.log.fault("platform_unreachable", why=str(error))
@@ -96,22 +96,22 @@
         if self.state.leadership.term == term:
             self.state.receive_inventory(inventory, sent_at)
 
-    def give_orders(self) -> None:
+    def send_orders(self) -> None:
         """Give each order once. They are looked up anew each time: a halt meanwhile leaves none to give.
 
         Raises:
             OSError: If the platform does not answer.
         """
-        given: set[PlatformOrder] = set()
+        sent: set[PlatformOrder] = set()
         while True:
             orders = self.state.platform_orders(self.scheduler.tell_time())
-            order = next((order for order in orders if order not in given), None)
+            order = next((order for order in orders if order not in sent), None)
             if order is None:
                 return
-            given.add(order)
-            self._give_order(order)
+            sent.add(order)
+            self._send_order(order)
 
-    def _give_order(self, order: PlatformOrder) -> None:
+    def _send_order(self, order: PlatformOrder) -> None:
         body = {"epoch": self.state.leadership.term, "number": order.permit_number, "version": order.version}
         path = f"/fleet/members/{quote(order.member, safe='')}/{order.action.value}"
         response = self._request("POST", path, json.dumps(body).encode())
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -350,16 +350,16 @@
             known: All members of the fleet; others are removed from the rollout.
             joined: Members that have joined its sites; they become its last batch, unless it has ended.
         """
-        names = set(known)
-        taken = set(self.record.all_members())
-        left = sorted(taken - names)
+        known_members = set(known)
+        current_members = set(self.record.all_members())
+        removed = sorted(current_members - known_members)
         for batch in self.record.batches:
-            batch[:] = [name for name in batch if name in names]
-        self.record.excluded[:] = [name for name in self.record.excluded if name in names]
-        added = [name for name in joined if name not in taken]
+            batch[:] = [name for name in batch if name in known_members]
+        self.record.excluded[:] = [name for name in self.record.excluded if name in known_members]
+        added = [name for name in joined if name not in current_members]
         if added and self.phase not in ENDED_PHASES:
             self.record.batches.append(added)
-        if left or added:
-            left_names = ", ".join(left) or "nobody"
+        if removed or added:
+            removed_names = ", ".join(removed) or "nobody"
             added_names = ", ".join(added) or "nobody"
-            self.record_event(f"the fleet has changed: left {left_names}; joined {added_names}")
+            self.record_event(f"the fleet has changed: left {removed_names}; joined {added_names}")
--- a/birchslip/cluster/rollout_batches.py
+++ b/birchslip/cluster/rollout_batches.py
@@ -28,10 +28,10 @@
     names = spec.sites or spec.groups or list(parts)
     canaries = list(parts[names[0]][: spec.canaries])
     batches = [canaries]
-    taken = set(canaries)
+    assigned = set(canaries)
     for part in names:
-        members = [name for name in parts[part] if name not in taken]
-        taken.update(members)
+        members = [name for name in parts[part] if name not in assigned]
+        assigned.update(members)
         for start in range(0, len(members), spec.batch_size):
             batches.append(members[start : start + spec.batch_size])
     return batches
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -198,8 +198,8 @@
     def _halt(self, command: RolloutCommand) -> CommandResult:
         """Halt one rollout, or all where no number is given; their orders are dropped at once."""
         reason = f"by {command.operator}: {command.reason}"
-        chosen = [one for one in self.unfinished() if command.number in (0, one.record.number)]
-        halted = [rollout for rollout in chosen if rollout.halt(reason)]
+        selected = [rollout for rollout in self.unfinished() if command.number in (0, rollout.record.number)]
+        halted = [rollout for rollout in selected if rollout.halt(reason)]
         stopped = {name for rollout in halted for name in rollout.all_members()}
         self.orders = [order for order in self.orders if order.member not in stopped]
         if halted:
@@ -210,17 +210,17 @@
     def _apply_to_one(self, command: RolloutCommand, apply: Callable[[Rollout, str], str]) -> CommandResult:
         """Apply to the rollout with the command's number, or to the only one that is halted."""
         if command.number:
-            chosen = [one for one in self.rollouts if one.record.number == command.number]
+            selected = [rollout for rollout in self.rollouts if rollout.record.number == command.number]
         else:
-            chosen = [one for one in self.rollouts if one.phase is RolloutPhase.HALTED]
-        if not chosen:
+            selected = [rollout for rollout in self.rollouts if rollout.phase is RolloutPhase.HALTED]
+        if not selected:
             which = command.number or f"is {RolloutPhase.HALTED.value}"
             return CommandResult(accepted=False, reason=f"no release {which}")
-        if len(chosen) > 1:
-            numbers = ", ".join(str(one.record.number) for one in chosen)
+        if len(selected) > 1:
+            numbers = ", ".join(str(rollout.record.number) for rollout in selected)
             return CommandResult(accepted=False, reason=f"which of {numbers}?")
-        refusal = apply(chosen[0], command.operator)
-        return CommandResult(accepted=not refusal, number=chosen[0].record.number, reason=refusal)
+        refusal = apply(selected[0], command.operator)
+        return CommandResult(accepted=not refusal, number=selected[0].record.number, reason=refusal)
 
     def _resume(self, rollout: Rollout, operator: str) -> str:
         """Resume a rollout; returns why it is refused, or nothing."""
@@ -243,8 +243,8 @@
 
     def report(self, number: int = 0, history: bool = False) -> list[RolloutReport]:
         """Rollouts as operators see them, the newest first; all of them where `number` is 0."""
-        chosen = [one for one in self.rollouts if number in (0, one.record.number)]
-        return [self._report_of(rollout, history) for rollout in reversed(chosen)]
+        selected = [rollout for rollout in self.rollouts if number in (0, rollout.record.number)]
+        return [self._report_of(rollout, history) for rollout in reversed(selected)]
 
     def _report_of(self, rollout: Rollout, history: bool) -> RolloutReport:
         record = rollout.record
--- a/birchslip/cluster/rollout_watch.py
+++ b/birchslip/cluster/rollout_watch.py
@@ -115,7 +115,7 @@
     def _count_crashes(self, instances: Mapping[str, InstanceView]) -> int:
         """Crashes in the new version, by the platform's count: one that only an earlier leader saw counts."""
         members = [instances[name] for name in self.record.all_members() if name in instances]
-        return sum(one.crashes for one in members if one.version == self.record.spec.version)
+        return sum(instance.crashes for instance in members if instance.version == self.record.spec.version)
 
     def _compared_samples(self, view: FleetView) -> ComparedSamples:
         """Samples of both sides on sites that have both, as load differs by site; all where none has."""
--- a/birchslip/lab/rollouts.py
+++ b/birchslip/lab/rollouts.py
@@ -112,7 +112,7 @@
             why = None
             if not one.up or self.now < one.dead_until:
                 why = (
-                    UnavailabilityReason.LEAVING
+                    UnavailabilityReason.DRAINING
                     if one.state is InstanceStatus.DRAINING
                     else UnavailabilityReason.SILENT
                 )
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -11,53 +11,70 @@
 MARGINS = {"late": 0.05, "shed": 0.05}
 
 
-def watch(seed, worse=0.0, surge=False, grouped=False, looks=240, sides=(2, 10), usual=0.03):
-    """A watch of so many looks, half a second each; the verdict, and after how many looks it came."""
-    chance = random.Random(seed)
-    analysis = CanaryAnalysis(MARGINS, 10 * SECOND, looks * SECOND // 2, 0)
-    for look in range(1, looks + 1):
-        base = usual + (0.25 if surge and 40 <= look < 100 else 0.0)  # a surge meets both sides
-        if grouped and chance.random() < 0.1:
-            base = min(1.0, base + 0.3)
-
-        def shown(extra, base=base):
-            rate = chance.randrange(15, 25)
-            late = sum(chance.random() < min(1.0, base + extra) for _ in range(rate))
-            return MemberSample(True, {"late": (late, rate), "shed": (0, rate)})
-
-        released, others = (
-            [shown(extra) for _ in range(n)] for n, extra in zip(sides, (worse, 0.0), strict=True)
+def watch(
+    seed,
+    excess_rate=0.0,
+    surge=False,
+    correlated=False,
+    sample_count=240,
+    member_counts=(2, 10),
+    usual_bad_rate=0.03,
+):
+    """Watches `sample_count` samples, half a second apart; returns the first verdict and its sample."""
+    rng = random.Random(seed)
+    analysis = CanaryAnalysis(MARGINS, 10 * SECOND, sample_count * SECOND // 2, 0)
+    for sample_number in range(1, sample_count + 1):
+        bad_rate = usual_bad_rate + (
+            0.25 if surge and 40 <= sample_number < 100 else 0.0
+        )  # a surge affects both sides
+        if correlated and rng.random() < 0.1:
+            bad_rate = min(1.0, bad_rate + 0.3)
+
+        def draw_sample(excess, bad_rate=bad_rate):
+            count = rng.randrange(15, 25)
+            late = sum(rng.random() < min(1.0, bad_rate + excess) for _ in range(count))
+            return MemberSample(True, {"late": (late, count), "shed": (0, count)})
+
+        canary, baseline = (
+            [draw_sample(excess) for _ in range(n)]
+            for n, excess in zip(member_counts, (excess_rate, 0.0), strict=True)
         )
-        verdict = analysis.observe(released, others, look * SECOND // 2)
+        verdict = analysis.observe(canary, baseline, sample_number * SECOND // 2)
         if verdict is not CanaryVerdict.UNCLEAR:
-            return verdict, look
-    return CanaryVerdict.UNCLEAR, looks
+            return verdict, sample_number
+    return CanaryVerdict.UNCLEAR, sample_count
 
 
-@pytest.mark.parametrize("more", [{}, {"surge": True}, {"grouped": True}], ids=["calm", "surge", "crowds"])
-def test_good_versions_are_rarely_called_bad_however_often_they_are_tested(more):
-    found = [watch(seed, **more) for seed in range(150)]
-    assert sum(verdict is CanaryVerdict.BAD for verdict, _ in found) <= 1
-    assert sum(verdict is CanaryVerdict.GOOD for verdict, _ in found) >= 145
+@pytest.mark.parametrize(
+    "conditions", [{}, {"surge": True}, {"correlated": True}], ids=["calm", "surge", "correlated"]
+)
+def test_good_versions_are_rarely_called_bad_however_often_they_are_tested(conditions):
+    outcomes = [watch(seed, **conditions) for seed in range(150)]
+    assert sum(verdict is CanaryVerdict.BAD for verdict, _ in outcomes) <= 1
+    assert sum(verdict is CanaryVerdict.GOOD for verdict, _ in outcomes) >= 145
 
 
 @pytest.mark.parametrize(
-    ("worse", "looks"), [(0.5, 10), (0.3, 20), (0.15, 60)], ids=["much worse", "worse", "slightly worse"]
+    ("excess_rate", "sample_count"),
+    [(0.5, 10), (0.3, 20), (0.15, 60)],
+    ids=["much worse", "worse", "slightly worse"],
 )
-def test_worse_versions_are_found_sooner(worse, looks):
-    found = [watch(seed, worse) for seed in range(60)]
-    assert all(verdict is CanaryVerdict.BAD for verdict, _ in found)
-    assert sorted(look for _, look in found)[-2] <= looks
+def test_worse_versions_are_found_sooner(excess_rate, sample_count):
+    outcomes = [watch(seed, excess_rate) for seed in range(60)]
+    assert all(verdict is CanaryVerdict.BAD for verdict, _ in outcomes)
+    assert sorted(sample_number for _, sample_number in outcomes)[-2] <= sample_count
 
 
 def test_a_difference_at_the_margin_stays_unclear():
-    found = [watch(seed, 0.05)[0] for seed in range(60)]
-    assert found.count(CanaryVerdict.UNCLEAR) >= 57
+    verdicts = [watch(seed, 0.05)[0] for seed in range(60)]
+    assert verdicts.count(CanaryVerdict.UNCLEAR) >= 57
 
 
 def test_no_version_is_good_before_the_minimum_watch():
     assert all(
-        look >= 20 for verdict, look in (watch(seed) for seed in range(20)) if verdict is CanaryVerdict.GOOD
+        sample_number >= 20
+        for verdict, sample_number in (watch(seed) for seed in range(20))
+        if verdict is CanaryVerdict.GOOD
     )
 
 
@@ -86,9 +103,9 @@
     assert analysis.has_expired(SECOND)
 
 
-def observe_repeatedly(released, others, looks, memory=0.0):
-    analysis = CanaryAnalysis(MARGINS, 0, 100 * SECOND, 0, memory)
-    verdicts = [analysis.observe([released], [others], at) for at in range(1, looks + 1)]
+def observe_repeatedly(canary, baseline, sample_count, max_memory_ratio=0.0):
+    analysis = CanaryAnalysis(MARGINS, 0, 100 * SECOND, 0, max_memory_ratio)
+    verdicts = [analysis.observe([canary], [baseline], now) for now in range(1, sample_count + 1)]
     return analysis, verdicts
 
 
@@ -109,49 +126,51 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "looks", "verdict"),
+    ("memory_kb", "sample_count", "verdict"),
     [
         (90_000, 9, CanaryVerdict.GOOD),
         (90_000, 10, CanaryVerdict.BAD),
         (45_000, 20, CanaryVerdict.GOOD),
         (0, 20, CanaryVerdict.GOOD),
     ],
-    ids=["one look short", "leak", "within the bound", "not reported"],
+    ids=["one sample short", "leak", "within the bound", "not reported"],
 )
-def test_lasting_memory_far_above_the_baseline_is_a_leak(held, looks, verdict):
-    figures = {"late": (0, 500)}
+def test_lasting_memory_far_above_the_baseline_is_a_leak(memory_kb, sample_count, verdict):
+    outcomes = {"late": (0, 500)}
     analysis, verdicts = observe_repeatedly(
-        MemberSample(True, figures, held), MemberSample(True, figures, 30_000), looks, 2.0
+        MemberSample(True, outcomes, memory_kb), MemberSample(True, outcomes, 30_000), sample_count, 2.0
     )
     assert verdicts[-1] is verdict
     assert verdict is CanaryVerdict.GOOD or "90000 KB against 30000 KB" in analysis.reason
 
 
 @pytest.mark.parametrize(
-    ("released", "verdict"),
+    ("canary_durations", "verdict"),
     [
         ([5, 80, 15, 0], CanaryVerdict.GOOD),
         ([0, 20, 60, 20], CanaryVerdict.BAD),
         ([50, 50, 0, 0], CanaryVerdict.GOOD),
     ],
-    ids=["alike", "slower", "quicker"],
+    ids=["equal", "slower", "faster"],
 )
-def test_slow_is_defined_by_the_slowest_requests_of_the_baseline_at_the_start(released, verdict):
+def test_slow_is_defined_by_the_slowest_requests_of_the_baseline_at_the_start(canary_durations, verdict):
     analysis = CanaryAnalysis({"slow": 0.15}, 0, 100 * SECOND, 0)
-    others = MemberSample(True, {}, 0, {"order": [5, 80, 15, 0]})
-    first = analysis.observe([MemberSample(True, {}, 0, {"order": released})], [others] * 2, 1)
+    baseline = MemberSample(True, {}, 0, {"order": [5, 80, 15, 0]})
+    first = analysis.observe([MemberSample(True, {}, 0, {"order": canary_durations})], [baseline] * 2, 1)
     assert first is CanaryVerdict.UNCLEAR
     assert analysis.slow_bounds == {"order": 2}
-    for at in range(2, 12):
-        found = analysis.observe([MemberSample(True, {}, 0, {"order": released})], [others] * 2, at)
-    assert found is verdict
+    for now in range(2, 12):
+        latest = analysis.observe(
+            [MemberSample(True, {}, 0, {"order": canary_durations})], [baseline] * 2, now
+        )
+    assert latest is verdict
 
 
 def test_the_bound_of_slow_requests_does_not_move_once_it_is_set():
     analysis = CanaryAnalysis({"slow": 0.15}, 0, 100 * SECOND, 0)
     calm, surge = ([MemberSample(True, {}, 0, {"order": counts})] for counts in ([100, 100, 0], [0, 20, 180]))
     analysis.observe(calm, calm, 1)
-    for at in range(2, 12):
-        found = analysis.observe(surge, surge, at)
+    for now in range(2, 12):
+        latest = analysis.observe(surge, surge, now)
     assert analysis.slow_bounds == {"order": 2}
-    assert found is CanaryVerdict.GOOD
+    assert latest is CanaryVerdict.GOOD
--- a/tests/test_disruption_budget.py
+++ b/tests/test_disruption_budget.py
@@ -20,30 +20,30 @@
 NAMES = ["a-0", "a-1", "a-2", "b-0", "b-1", "b-2"]
 
 
-def incarnation(mark=1):
-    return Incarnation(nonce=mark)
+def incarnation(nonce=1):
+    return Incarnation(nonce=nonce)
 
 
-def waiter(name, mark=1):
-    return EvictionWaiter(holder=name, incarnation=incarnation(mark), reason="a release")
+def waiter(name, nonce=1):
+    return EvictionWaiter(holder=name, incarnation=incarnation(nonce), reason="a release")
 
 
-def budget_and_fleet(site=1, whole=2, **more):
+def budget_and_fleet(per_site=1, fleet=2, **fields):
     groups = [
-        BudgetGroup("a", frozenset(NAMES[:3]), max_unavailable=site),
-        BudgetGroup("b", frozenset(NAMES[3:]), max_unavailable=site),
-        BudgetGroup("fleet", frozenset(NAMES), max_unavailable=whole, **more),
+        BudgetGroup("a", frozenset(NAMES[:3]), max_unavailable=per_site),
+        BudgetGroup("b", frozenset(NAMES[3:]), max_unavailable=per_site),
+        BudgetGroup("fleet", frozenset(NAMES), max_unavailable=fleet, **fields),
     ]
     return DisruptionBudget(groups), {name: MemberObservation(incarnation(), 10.0) for name in NAMES}
 
 
 @pytest.mark.parametrize(
-    ("most", "share", "allowed"),
+    ("number", "share", "allowed"),
     [(None, None, 10), (3, None, 3), (None, 0.25, 2), (3, 0.2, 2), (1, 0.9, 1)],
     ids=["no bound", "number", "share", "lower share", "lower number"],
 )
-def test_the_lower_of_both_bounds_is_allowed_to_be_unavailable(most, share, allowed):
-    assert BudgetGroup("g", frozenset(map(str, range(10))), most, share).disruptions_allowed == allowed
+def test_the_lower_of_both_bounds_is_allowed_to_be_unavailable(number, share, allowed):
+    assert BudgetGroup("g", frozenset(map(str, range(10))), number, share).disruptions_allowed == allowed
 
 
 def test_requesting_twice_returns_the_same_permit_and_another_incarnation_gets_none():
@@ -52,9 +52,9 @@
     assert first is not None
     assert budget.acquire(waiter("a-0"), observations).permit is first
     observations["a-0"] = MemberObservation(incarnation(2), 10.0, UnavailabilityReason.COLD)
-    answer = budget.acquire(waiter("a-0", 2), observations)
-    assert answer.permit is None
-    assert "earlier incarnation" in answer.reason
+    decision = budget.acquire(waiter("a-0", 2), observations)
+    assert decision.permit is None
+    assert "earlier incarnation" in decision.reason
     assert not budget.reconcile(observations)  # back, but cold
     observations["a-0"] = MemberObservation(incarnation(2), 10.0)
     assert budget.reconcile(observations)
@@ -62,14 +62,14 @@
     assert budget.acquire(waiter("a-0", 2), observations).permit is not None
 
 
-@pytest.mark.parametrize("why", list(UnavailabilityReason)[1:], ids=lambda reason: reason.value)
-def test_unplanned_unavailability_counts_and_planned_eviction_waits(why):
+@pytest.mark.parametrize("reason", list(UnavailabilityReason)[1:], ids=lambda reason: reason.value)
+def test_unplanned_unavailability_counts_and_planned_eviction_waits(reason):
     budget, observations = budget_and_fleet()
-    observations["a-1"] = MemberObservation(incarnation(), 10.0, why)
-    answer = budget.acquire(waiter("a-0"), observations)
-    assert answer.permit is None
-    assert answer.position == 1
-    assert answer.reason == "a: 2 would be out, 1 may be"
+    observations["a-1"] = MemberObservation(incarnation(), 10.0, reason)
+    decision = budget.acquire(waiter("a-0"), observations)
+    assert decision.permit is None
+    assert decision.position == 1
+    assert decision.reason == "a: 2 would be out, 1 may be"
     observations["a-1"] = MemberObservation(incarnation(), 10.0)
     assert budget.reconcile(observations)
     assert budget.permit_of("a-0") is not None
@@ -94,12 +94,12 @@
 
 
 def test_a_later_waiter_is_granted_first_only_where_it_delays_no_earlier_one():
-    budget, observations = budget_and_fleet(site=1, whole=2)
+    budget, observations = budget_and_fleet(per_site=1, fleet=2)
     assert budget.acquire(waiter("a-0"), observations).permit
     assert budget.acquire(waiter("a-1"), observations).position == 1  # its site is full
-    answer = budget.acquire(waiter("b-0"), observations)
-    assert answer.permit is None
-    assert "fleet: 3 would be out" in answer.reason
+    decision = budget.acquire(waiter("b-0"), observations)
+    assert decision.permit is None
+    assert "fleet: 3 would be out" in decision.reason
     observations["a-0"] = MemberObservation(incarnation(2), 10.0)
     budget.reconcile(observations)
     assert budget.permit_of("a-1")
@@ -109,8 +109,8 @@
 def test_the_minimum_capacity_stays_and_a_lowered_budget_grants_nothing():
     budget, observations = budget_and_fleet(min_capacity=45.0)
     assert budget.acquire(waiter("a-0"), observations).permit
-    answer = budget.acquire(waiter("b-0"), observations)
-    assert answer.reason == "fleet: 40 would stay in, 45 has to"
+    decision = budget.acquire(waiter("b-0"), observations)
+    assert decision.reason == "fleet: 40 would stay in, 45 has to"
     budget.set_groups([*budget.groups[:2], BudgetGroup("fleet", frozenset(NAMES), max_unavailable=0)])
     budget.reconcile(observations)
     assert budget.permit_of("a-0")
@@ -121,7 +121,7 @@
 
 
 def test_an_override_is_bounded_and_written_to_the_audit_log():
-    budget, observations = budget_and_fleet(site=0, whole=0)
+    budget, observations = budget_and_fleet(per_site=0, fleet=0)
     assert budget.acquire_with_override(waiter("a-0"), observations).permit is None
     assert budget.add_override("", "fire", 1, 100)
     assert budget.add_override("ann", "fire", 9, 100)
@@ -138,17 +138,17 @@
 
 def test_members_whose_service_is_unavailable_count_as_unavailable():
     budget, observations = budget_and_fleet()
-    needs = {"a-1": ["vault-1"], "b-1": ["vault-2"]}
+    dependencies = {"a-1": ["vault-1"], "b-1": ["vault-2"]}
     observations |= {
         "vault-1": MemberObservation(incarnation(), 1.0, UnavailabilityReason.SILENT),
         "vault-2": MemberObservation(incarnation(), 1.0),
     }
-    shown = with_dependents(observations, needs)
-    assert shown["a-1"].unavailability is UnavailabilityReason.BELOW
-    assert shown["b-1"].unavailability is None
-    assert budget.acquire(waiter("a-0"), shown).permit is None
-    assert budget.acquire(waiter("b-0"), shown).permit is None
-    assert budget.acquire(waiter("b-0"), shown).reason == "fleet: 3 would be out, 2 may be"
+    effective = with_dependents(observations, dependencies)
+    assert effective["a-1"].unavailability is UnavailabilityReason.DOWNSTREAM
+    assert effective["b-1"].unavailability is None
+    assert budget.acquire(waiter("a-0"), effective).permit is None
+    assert budget.acquire(waiter("b-0"), effective).permit is None
+    assert budget.acquire(waiter("b-0"), effective).reason == "fleet: 3 would be out, 2 may be"
 
 
 def test_a_service_is_evicted_only_if_all_its_dependents_may_be_unavailable():
@@ -162,16 +162,16 @@
         groups, dependencies={"a-0": ["store-1"], "a-1": ["store-1"], "b-0": ["store-2"]}
     )
     assert budget.acquire(waiter("b-1"), observations).permit
-    answer = budget.acquire(waiter("store-1"), observations)
-    assert answer.permit is None
-    assert answer.reason == "fleet: 3 would be out, 2 may be"
+    decision = budget.acquire(waiter("store-1"), observations)
+    assert decision.permit is None
+    assert decision.reason == "fleet: 3 would be out, 2 may be"
     assert (
         budget.acquire(waiter("store-2"), observations).permit is None
     )  # the first one's room is kept for it
     observations["b-1"] = MemberObservation(incarnation(2), 10.0)
     budget.reconcile(observations)
     assert budget.permit_of("store-1")
-    assert budget.unavailable_members(observations)["a-1"] is UnavailabilityReason.BELOW
+    assert budget.unavailable_members(observations)["a-1"] is UnavailabilityReason.DOWNSTREAM
     assert (
         budget.acquire(waiter("a-2"), observations).reason == "fleet: 4 would be out, 2 may be"
     )  # store-2 waits for one
@@ -182,43 +182,53 @@
 
 
 def test_an_incremental_tally_agrees_with_a_full_count():
-    def plain(budget, holder, before, observations):
-        out = set(budget.unavailable_members(observations))
-        for name in (*before, holder):
-            out |= {name, *budget.index.dependents.get(name, ())}
-        about = {group.name for one in (holder, *budget.index.dependents.get(holder, ()))
-                 for group in budget.groups_of.get(one, ())}  # fmt: skip
+    def fits_by_full_count(budget, holder, ahead, observations):
+        unavailable = set(budget.unavailable_members(observations))
+        for name in (*ahead, holder):
+            unavailable |= {name, *budget.index.dependents.get(name, ())}
+        affected_groups = {
+            group.name
+            for member in (holder, *budget.index.dependents.get(holder, ()))
+            for group in budget.groups_of.get(member, ())
+        }
         for group in budget.groups:
-            gone = group.members & out
-            room = sum(observations[name].capacity for name in group.members - gone if name in observations)
-            if group.name in about and (len(gone) > group.disruptions_allowed or room < group.min_capacity):
+            unavailable_in_group = group.members & unavailable
+            remaining_capacity = sum(
+                observations[name].capacity
+                for name in group.members - unavailable_in_group
+                if name in observations
+            )
+            if group.name in affected_groups and (
+                len(unavailable_in_group) > group.disruptions_allowed
+                or remaining_capacity < group.min_capacity
+            ):
                 return False
         return True
 
-    chance = random.Random(4)
+    rng = random.Random(4)
     for _ in range(300):
         names = [f"m{n}" for n in range(12)] + ["s0", "s1"]
         groups = [
             BudgetGroup(
-                f"g{n}", frozenset(chance.sample(names, chance.randrange(1, 10))), chance.randrange(6),
-                min_capacity=chance.choice([0.0, 20.0, 40.0]),
+                f"g{n}", frozenset(rng.sample(names, rng.randrange(1, 10))), rng.randrange(6),
+                min_capacity=rng.choice([0.0, 20.0, 40.0]),
             )
             for n in range(4)
         ]  # fmt: skip
-        needs = {name: [chance.choice(["s0", "s1"])] for name in chance.sample(names[:12], 4)}
-        budget = DisruptionBudget(groups, dependencies=needs)
+        dependencies = {name: [rng.choice(["s0", "s1"])] for name in rng.sample(names[:12], 4)}
+        budget = DisruptionBudget(groups, dependencies=dependencies)
         observations = {
             name: MemberObservation(
                 incarnation(),
                 10.0,
-                chance.choice([None, None, None, UnavailabilityReason.SILENT, UnavailabilityReason.COLD]),
+                rng.choice([None, None, None, UnavailabilityReason.SILENT, UnavailabilityReason.COLD]),
             )
             for name in names
         }
-        some = chance.sample(names, 5)
-        for place, name in enumerate(some):
-            fits = not budget.tally(observations, some[:place]).blocking_reason(name)
-            assert fits == plain(budget, name, some[:place], observations)
+        holders = rng.sample(names, 5)
+        for position, name in enumerate(holders):
+            is_granted = not budget.tally(observations, holders[:position]).blocking_reason(name)
+            assert is_granted == fits_by_full_count(budget, name, holders[:position], observations)
 
 
 def test_the_next_leader_continues_with_the_stored_state():
@@ -226,12 +236,12 @@
     budget.acquire(waiter("a-0"), observations)
     budget.acquire(waiter("a-1"), observations)
     budget.add_override("ann", "fire", 1, 100)
-    later = DisruptionBudget(budget.groups)
-    later.restore(budget.encode())
-    assert later.state == budget.state
+    restored = DisruptionBudget(budget.groups)
+    restored.restore(budget.encode())
+    assert restored.state == budget.state
     observations["a-0"] = MemberObservation(incarnation(2), 10.0)
-    later.reconcile(observations)
-    assert later.permit_of("a-1").number == 2
+    restored.reconcile(observations)
+    assert restored.permit_of("a-1").number == 2
 
 
 def test_revoked_unknown_and_ungrouped_members_hold_no_permit():
@@ -250,71 +260,76 @@
 
     def __init__(self):
         super().__init__()
-        self.budget, self.observations = budget_and_fleet(site=2, whole=3, min_capacity=20.0)
-        self.marks = dict.fromkeys(NAMES, 1)
+        self.budget, self.observations = budget_and_fleet(per_site=2, fleet=3, min_capacity=20.0)
+        self.nonces = dict.fromkeys(NAMES, 1)
         self.asked = {}
         self.steps = 0
 
     names = some.sampled_from(NAMES)
 
     @rule(name=names)
-    def ask(self, name):
-        answer = self.budget.acquire(waiter(name, self.marks[name]), self.observations)
-        if answer.permit is not None:
-            assert answer.permit.incarnation.nonce == self.marks[name]
+    def acquire(self, name):
+        decision = self.budget.acquire(waiter(name, self.nonces[name]), self.observations)
+        if decision.permit is not None:
+            assert decision.permit.incarnation.nonce == self.nonces[name]
             assert (
-                self.budget.acquire(waiter(name, self.marks[name]), self.observations).permit == answer.permit
+                self.budget.acquire(waiter(name, self.nonces[name]), self.observations).permit
+                == decision.permit
             )
 
     @rule(name=names)
-    def ask_late(self, name):
-        """A doubled or late message of an earlier life."""
+    def acquire_for_earlier_incarnation(self, name):
+        """A duplicate or late request of an earlier incarnation changes nothing."""
         before = self.budget.encode()
         if self.budget.permit_of(name) is None:
-            answer = self.budget.acquire(waiter(name, 0), self.observations)
-            assert answer.permit is None
+            decision = self.budget.acquire(waiter(name, 0), self.observations)
+            assert decision.permit is None
             assert self.budget.encode() == before
 
-    @rule(name=names, why=some.sampled_from(list(UnavailabilityReason)[1:]))
-    def go_out(self, name, why):
-        self.observations[name] = MemberObservation(incarnation(self.marks[name]), 10.0, why)
+    @rule(name=names, reason=some.sampled_from(list(UnavailabilityReason)[1:]))
+    def become_unavailable(self, name, reason):
+        self.observations[name] = MemberObservation(incarnation(self.nonces[name]), 10.0, reason)
         self.budget.reconcile(self.observations)
 
     @rule(name=names)
-    def come_back(self, name):
-        self.marks[name] += 1
-        self.observations[name] = MemberObservation(incarnation(self.marks[name]), 10.0)
+    def return_to_service(self, name):
+        self.nonces[name] += 1
+        self.observations[name] = MemberObservation(incarnation(self.nonces[name]), 10.0)
         self.budget.reconcile(self.observations)
 
     @rule()
-    def new_leader(self):
+    def change_leader(self):
         raw = self.budget.encode()
         self.budget = DisruptionBudget(self.budget.groups)
         self.budget.restore(raw)
 
     @precondition(lambda self: self.budget.state.waiters)
     @rule()
-    def everybody_comes_back(self):
-        """Nobody waits for ever: with all back in service, the first of those who wait is served."""
+    def all_other_members_return(self):
+        """Guards against starvation: with all other members in service, the first waiter is granted."""
         first = self.budget.state.waiters[0].holder
         for name in NAMES:
             if name != first:
-                self.come_back(name)
-        still = self.budget.state.waiters
-        assert not still or still[0].holder != first or self.observations[first].unavailability is not None
+                self.return_to_service(name)
+        waiters = self.budget.state.waiters
+        assert (
+            not waiters or waiters[0].holder != first or self.observations[first].unavailability is not None
+        )
 
     @invariant()
-    def planned_alone_never_pass_a_budget(self):
-        """With or without what is out unplanned, a grant is made only where it fits."""
+    def permits_stay_within_every_budget(self):
+        """Permits alone never exceed a budget, whatever else is unavailable."""
         for group in self.budget.groups:
-            planned = [one.holder for one in self.budget.state.permits if one.holder in group.members]
+            planned = [
+                permit.holder for permit in self.budget.state.permits if permit.holder in group.members
+            ]
             assert len(planned) <= group.disruptions_allowed
 
     @invariant()
-    def one_permit_for_one_holder(self):
-        holders = [one.holder for one in self.budget.state.permits]
+    def each_holder_has_one_permit_or_waits(self):
+        holders = [permit.holder for permit in self.budget.state.permits]
         assert len(holders) == len(set(holders))
-        assert not {one.holder for one in self.budget.state.waiters} & set(holders)
+        assert not {waiting.holder for waiting in self.budget.state.waiters} & set(holders)
 
 
 DisruptionBudgetMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -15,82 +15,85 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def put(folder, told):
+def write_fleet_file(folder, document):
     path = folder / "fleet.json"
-    path.write_text(told if isinstance(told, str) else json.dumps(told))
+    path.write_text(document if isinstance(document, str) else json.dumps(document))
     return path
 
 
-def changed(**more):
-    return fleet_document(**more)
+def with_member(**fields):
+    document = fleet_document()
+    document["sites"][1]["members"][0] |= fields
+    return document
 
 
-def with_member(**more):
-    told = fleet_document()
-    told["sites"][1]["members"][0] |= more
-    return told
-
-
-WRONG = {
-    "an unknown key": (changed(colour="red"), "unknown field `colour`"),
+INVALID_DOCUMENTS = {
+    "an unknown key": (fleet_document(colour="red"), "unknown field `colour`"),
     "an unknown key deep down": (with_member(weight=1), "`$.sites[1].members[0]`"),
-    "a site without members": (changed(sites=("a", "b"), each=0), "sites[0].members: site 'a' has none"),
+    "a site without members": (
+        fleet_document(sites=("a", "b"), each=0),
+        "sites[0].members: site 'a' has none",
+    ),
     "an address twice": (with_member(address="127.0.0.1:1000"), "sites[1].members[0].address"),
     "a planner's address twice": (with_member(address="127.0.0.1:100"), "stands at planners[0] too"),
     "a name twice": (with_member(name="a-0"), "the member 'a-0' stands there twice"),
     "no such port": (with_member(address="127.0.0.1:70000"), "no such port"),
     "no address": (with_member(address="here"), "`$.sites[1].members[0].address`"),
     "an order that contradicts itself": (
-        changed(refuse=["home", "visitor"]),
+        fleet_document(refuse=["home", "visitor"]),
         "refuse: what stands behind 'home'",
     ),
     "a kind of refusal twice": (
-        changed(refuse=["again", "again", "home"]),
+        fleet_document(refuse=["again", "again", "home"]),
         "the kind 'again' stands there twice",
     ),
-    "no such kind": (changed(refuse=["guests"]), "refuse[0]: no such kind of refusal as 'guests'"),
-    "a share above 1": (changed(tenants={"blue": 1.5}), "`$.tenants[...]`"),
-    "shares that add up to more": (changed(tenants={"blue": 0.7, "green": 0.5}), "add up to 1.200"),
-    "a share that is kept above 1": (changed(vault={"total": 9, "kept": 2}), "`$.vault.kept`"),
+    "no such kind": (fleet_document(refuse=["guests"]), "refuse[0]: no such kind of refusal as 'guests'"),
+    "a share above 1": (fleet_document(tenants={"blue": 1.5}), "`$.tenants[...]`"),
+    "shares that add up to more": (fleet_document(tenants={"blue": 0.7, "green": 0.5}), "add up to 1.200"),
+    "a share that is kept above 1": (fleet_document(vault={"total": 9, "kept": 2}), "`$.vault.kept`"),
     "calls above the vault's": (with_member(calls=99.0), "vault.total: 24"),
     "a service that needs a platform": (
-        changed(services=[{"name": "store-1", "kind": "store"}]),
+        fleet_document(services=[{"name": "store-1", "kind": "store"}]),
         "services: without a platform",
     ),
     "a need that is no service": (with_member(needs=["store-1"]), "needs 'store-1'"),
     "a kind that no service is of": (
-        changed(groups=[{"name": "g", "kinds": ["store"], "most_out": 1}]),
+        fleet_document(groups=[{"name": "g", "kinds": ["store"], "most_out": 1}]),
         "groups[0].kinds: no service is of the kind 'store'",
     ),
     "a platform that is stale at once": (
-        changed(platform={"address": "127.0.0.1:9", "ask_ms": 500, "stale_ms": 600}),
+        fleet_document(platform={"address": "127.0.0.1:9", "ask_ms": 500, "stale_ms": 600}),
         "platform.stale_ms: 600",
     ),
     "a link to nowhere": (
-        changed(links=[{"from": "a", "to": "z", "cost": 1}]),
+        fleet_document(links=[{"from": "a", "to": "z", "cost": 1}]),
         "links[0]: no site is named 'z'",
     ),
-    "a plan shorter than its reports": (changed(plan_ms=500), "plan_ms: 500"),
-    "no planners": (changed(planners=0), "planners: there is none"),
+    "a plan shorter than its reports": (fleet_document(plan_ms=500), "plan_ms: 500"),
+    "no planners": (fleet_document(planners=0), "planners: there is none"),
     "a router at two homes": (
-        changed(sites=("a", "b")) | {"sites": [dict(s, routers=[1]) for s in fleet_document()["sites"]]},
+        fleet_document(sites=("a", "b"))
+        | {"sites": [dict(s, routers=[1]) for s in fleet_document()["sites"]]},
         "router 1 is at home in 'a' too",
     ),
     "a group twice": (
-        changed(groups=[{"name": "g", "all": True, "most_out": 1}] * 2),
+        fleet_document(groups=[{"name": "g", "all": True, "most_out": 1}] * 2),
         "the group 'g' stands there",
     ),
     "a group of nobody": (
-        changed(groups=[{"name": "g", "most_out": 1}]),
+        fleet_document(groups=[{"name": "g", "most_out": 1}]),
         "groups[0]: group 'g' has no members",
     ),
-    "a group that bounds nothing": (changed(groups=[{"name": "g", "all": True}]), "group 'g' bounds nothing"),
+    "a group that bounds nothing": (
+        fleet_document(groups=[{"name": "g", "all": True}]),
+        "group 'g' bounds nothing",
+    ),
     "a group of no such site": (
-        changed(groups=[{"name": "g", "sites": ["z"], "most_out": 1}]),
+        fleet_document(groups=[{"name": "g", "sites": ["z"], "most_out": 1}]),
         "groups[0].sites: no site is named 'z'",
     ),
     "a group of no such member": (
-        changed(groups=[{"name": "g", "members": ["z-1"], "share_out": 0.5}]),
+        fleet_document(groups=[{"name": "g", "members": ["z-1"], "share_out": 0.5}]),
         "groups[0].members: no member is named 'z-1'",
     ),
     "no JSON": ("{", "fleet.json"),
@@ -99,20 +102,20 @@
 }
 
 
-@pytest.mark.parametrize("what", WRONG)
-def test_a_violation_is_named_with_its_place(tmp_path, what):
-    told, words = WRONG[what]
-    with pytest.raises(InvalidInputError) as found:
-        read_fleet(put(tmp_path, told))
-    assert words in str(found.value)
-    assert all(line.startswith(str(tmp_path)) for line in str(found.value).splitlines())
+@pytest.mark.parametrize("case", INVALID_DOCUMENTS)
+def test_a_violation_is_named_with_its_place(tmp_path, case):
+    document, expected = INVALID_DOCUMENTS[case]
+    with pytest.raises(InvalidInputError) as error:
+        read_fleet(write_fleet_file(tmp_path, document))
+    assert expected in str(error.value)
+    assert all(line.startswith(str(tmp_path)) for line in str(error.value).splitlines())
 
 
 def test_all_violations_are_reported_at_once(tmp_path):
-    told = with_member(name="a-0", address="127.0.0.1:1000") | {"refuse": ["home", "again"]}
-    with pytest.raises(InvalidInputError) as found:
-        read_fleet(put(tmp_path, told))
-    assert len(str(found.value).splitlines()) == 3
+    document = with_member(name="a-0", address="127.0.0.1:1000") | {"refuse": ["home", "again"]}
+    with pytest.raises(InvalidInputError) as error:
+        read_fleet(write_fleet_file(tmp_path, document))
+    assert len(str(error.value).splitlines()) == 3
 
 
 def test_the_example_fleet_file_is_valid():
@@ -130,14 +133,14 @@
 
 
 def test_base_calls_are_even_except_for_members_with_their_own(tmp_path):
-    bases = read_fleet(put(tmp_path, with_member(calls=9.0))).base_calls()
+    bases = read_fleet(write_fleet_file(tmp_path, with_member(calls=9.0))).base_calls()
     assert bases["b-0"] == 9.0
     assert bases["a-0"] == 3.0
     assert sum(bases.values()) == 24.0
 
 
 @pytest.mark.parametrize(
-    ("told", "words"),
+    ("document", "expected"),
     [
         ("{", "truncated"),
         ('{"version": "2"}', "missing required field `before`"),
@@ -146,16 +149,16 @@
         ('{"version": "2", "before": "1", "canaries": 0}', "`$.canaries`"),
     ],
 )
-def test_a_violation_in_a_release_file_is_named(tmp_path, told, words):
+def test_a_violation_in_a_release_file_is_named(tmp_path, document, expected):
     path = tmp_path / "release.json"
-    path.write_text(told)
-    with pytest.raises(InvalidInputError, match=r"release\.json") as found:
+    path.write_text(document)
+    with pytest.raises(InvalidInputError, match=r"release\.json") as error:
         read_release(path)
-    assert words in str(found.value)
+    assert expected in str(error.value)
 
 
 @pytest.mark.parametrize(
-    ("words", "code", "part"),
+    ("arguments", "code", "expected"),
     [
         (["fleet", "check", "deploy/fleet.json"], 0, "good: 3 planners"),
         (["fleet", "check", "nowhere.json"], 2, "nowhere.json"),
@@ -178,20 +181,22 @@
         (["fleet", "dance"], 2, "No such command"),
     ],
 )
-def test_commands_exit_with_their_code_and_a_plain_line(words, code, part):
-    told = command(*words)
-    assert told[0] == code
-    assert part in told[1] + told[2]
-    assert "Traceback" not in told[2]
+def test_commands_exit_with_their_code_and_a_plain_line(arguments, code, expected):
+    result = command(*arguments)
+    assert result[0] == code
+    assert expected in result[1] + result[2]
+    assert "Traceback" not in result[2]
 
 
 def test_an_app_server_with_an_invalid_fleet_file_does_not_start(tmp_path):
     config = str(ROOT / "examples" / "app-server.json")
-    path = put(tmp_path, changed(colour="red"))
-    code, _, said = command(PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(path))
+    path = write_fleet_file(tmp_path, fleet_document(colour="red"))
+    code, _, output = command(PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(path))
     assert code == 2
-    assert "unknown field `colour`" in said
-    assert "Traceback" not in said
-    code, _, said = command(PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(put(tmp_path, fleet_document())))
+    assert "unknown field `colour`" in output
+    assert "Traceback" not in output
+    code, _, output = command(
+        PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(write_fleet_file(tmp_path, fleet_document()))
+    )
     assert code == 2
-    assert "no member is named 'toy-1'" in said
+    assert "no member is named 'toy-1'" in output
--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -45,19 +45,19 @@
     def run(self):
         while not self.stopped.is_set():
             try:
-                with socket.create_connection(self.address, 2) as link:
-                    self.talk(link)
+                with socket.create_connection(self.address, 2) as connection:
+                    self.talk(connection)
             except OSError:
                 self.stopped.wait(0.1)
 
-    def talk(self, link):
+    def talk(self, connection):
         buffer = Buffer(1 << 20)
         while not self.stopped.wait(0.1):
             self.number += 1
             raw = encode(report(self.member, self.number, self.mark))
-            link.sendall(pack([0, self.number, "report", [raw]]))
+            connection.sendall(pack([0, self.number, "report", [raw]]))
             while not messages(buffer)[0]:
-                if not buffer.fill(link):
+                if not buffer.fill(connection):
                     return
 
 
@@ -66,21 +66,21 @@
 
     def __init__(self, folder):
         self.folder = folder
-        told = fleet_document(sites=("a", "b"), planners=3)
-        for planner in told["planners"]:
+        document = fleet_document(sites=("a", "b"), planners=3)
+        for planner in document["planners"]:
             planner["address"] = f"127.0.0.1:{free_port()}"
-        told["groups"] = [{"name": "fleet", "all": True, "most_out": 1}]
+        document["groups"] = [{"name": "fleet", "all": True, "most_out": 1}]
         self.path = folder / "fleet.json"
-        self.path.write_text(json.dumps(told))
+        self.path.write_text(json.dumps(document))
         self.fleet = read_fleet(self.path)
         self.planners = {}
         for planner in self.fleet.planners:
             self.start(planner.name)
         self.members = [
-            Member(one.name, (planner.address.split(":")[0], int(planner.address.split(":")[1])))
+            Member(member.name, (planner.address.split(":")[0], int(planner.address.split(":")[1])))
             for planner in self.fleet.planners
             for site in self.fleet.sites
-            for one in site.members
+            for member in site.members
         ]
         for member in self.members:
             member.start()
@@ -91,10 +91,18 @@
             raise
 
     def start(self, name):
-        words = ["planner", "--fleet", str(self.path), "--name", name, "--folder", str(self.folder / name)]
-        with (self.folder / f"{name}.log").open("a") as out:
+        arguments = [
+            "planner",
+            "--fleet",
+            str(self.path),
+            "--name",
+            name,
+            "--folder",
+            str(self.folder / name),
+        ]
+        with (self.folder / f"{name}.log").open("a") as log:
             self.planners[name] = subprocess.Popen(
-                [sys.executable, "-m", "birchslip", *words], cwd=ROOT, stdout=out, stderr=out
+                [sys.executable, "-m", "birchslip", *arguments], cwd=ROOT, stdout=log, stderr=log
             )
 
     def kill(self, name):
@@ -106,31 +114,31 @@
 
     def leader(self):
         try:
-            told = self.show()
+            status = self.show()
         except Exception:
             return ""
-        return told["planner"] if told["leads"] else ""
+        return status["planner"] if status["leads"] else ""
 
-    def evict(self, holder, what="permit"):
+    def evict(self, holder, operation="permit"):
         """Sends an eviction request until a leader replies."""
-        found = []
-        request = EvictionRequest(operation=EvictionOperation(what), holder=holder, reason="a release")
+        responses = []
+        request = EvictionRequest(operation=EvictionOperation(operation), holder=holder, reason="a release")
 
-        def answered():
+        def is_answered():
             try:
-                found.append(ask_any(self.fleet, request))
+                responses.append(ask_any(self.fleet, request))
             except Exception:
                 return False
             return True
 
-        self.wait_until(answered)
-        return found[-1]
+        self.wait_until(is_answered)
+        return responses[-1]
 
     @staticmethod
-    def wait_until(holds):
-        end = time.monotonic() + TIMEOUT_SECONDS
-        while not holds():
-            assert time.monotonic() < end, "it did not come about in time"
+    def wait_until(condition):
+        deadline = time.monotonic() + TIMEOUT_SECONDS
+        while not condition():
+            assert time.monotonic() < deadline, "the condition did not hold in time"
             time.sleep(0.05)
 
     def restart_member(self, name):
@@ -171,7 +179,7 @@
     assert cluster.evict("a-0") == first
     cluster.restart_member("a-0")
     cluster.wait_until(lambda: cluster.evict("b-0")["granted"])
-    assert [one["holder"] for one in cluster.show()["permits"]] == ["b-0"]
+    assert [permit["holder"] for permit in cluster.show()["permits"]] == ["b-0"]
 
 
 def test_a_leader_without_a_quorum_grants_no_permit(cluster):
@@ -179,7 +187,7 @@
     others = [name for name in cluster.planners if name != leader]
     for name in others:
         os.kill(cluster.planners[name].pid, signal.SIGSTOP)
-    address = next(one.address for one in cluster.fleet.planners if one.name == leader)
+    address = next(planner.address for planner in cluster.fleet.planners if planner.name == leader)
     with pytest.raises((OSError, InvalidInputError)):
         ask(
             address,
--- a/tests/test_release_processes.py
+++ b/tests/test_release_processes.py
@@ -18,70 +18,74 @@
     ("profile", "split"): "back",
 }
 pytestmark = pytest.mark.xdist_group("processes")
-SMALL = ["--servers", "6", "--sites", "2", "--load", "0.6", "--alone"]
+SMALL_FLEET = ["--servers", "6", "--sites", "2", "--load", "0.6", "--alone"]
 TIMEOUT_SECONDS = 240
 
 
 def start(version, fault, folder):
-    words = ["lab", "play", "release", "--seed", "3", "--version", version, "--fault", fault]
+    arguments = ["lab", "play", "release", "--seed", "3", "--version", version, "--fault", fault]
     # What a good version's play is about is who dies and who halts: the judgement has tests of its own, and
     # a machine that others load too must not decide it.
-    words += ["--margins", "6"] if version == "good" else []
-    with (folder / f"{version}-{fault}.out").open("w") as out:
+    arguments += ["--margins", "6"] if version == "good" else []
+    with (folder / f"{version}-{fault}.out").open("w") as log:
         path = str(folder / f"{version}-{fault}.json")
         return subprocess.Popen(
-            [sys.executable, "-m", "birchslip", *words, *SMALL, "--json", path],
+            [sys.executable, "-m", "birchslip", *arguments, *SMALL_FLEET, "--json", path],
             cwd=ROOT,
-            stdout=out,
-            stderr=out,
+            stdout=log,
+            stderr=log,
         )
 
 
 @pytest.fixture(scope="module")
 def fault_runs(tmp_path_factory):
     folder = tmp_path_factory.mktemp("releases")
-    some = {name: start(*name, folder) for name in FAULT_RUNS}
-    codes = {name: one.wait(TIMEOUT_SECONDS) for name, one in some.items()}
-    said = {name: (folder / f"{'-'.join(name)}.out").read_text() for name in FAULT_RUNS}
+    processes = {name: start(*name, folder) for name in FAULT_RUNS}
+    codes = {name: process.wait(TIMEOUT_SECONDS) for name, process in processes.items()}
+    output = {name: (folder / f"{'-'.join(name)}.out").read_text() for name in FAULT_RUNS}
     paths = {name: folder / f"{'-'.join(name)}.json" for name in FAULT_RUNS}
-    return codes, {name: json.loads(path.read_text()) for name, path in paths.items() if path.exists()}, said
+    return (
+        codes,
+        {name: json.loads(path.read_text()) for name, path in paths.items() if path.exists()},
+        output,
+    )
 
 
 @pytest.mark.parametrize("name", FAULT_RUNS, ids="-".join)
 def test_no_guarantee_or_budget_is_violated_and_the_rollout_ends(fault_runs, name):
-    codes, reports, said = fault_runs
-    assert codes[name] == 0, said[name]
-    told = reports[name]
-    assert told["broken"] == [], told["why"]
-    assert (told["ended"], told["stuck"]) == (FAULT_RUNS[name], False), told["why"]
-    assert not any(told["rules"].values())
-    assert told["transactions"] > 500
-    assert not any(one["breaches"] for one in told["budgets"].values())
-    assert told["versions"] == {"2" if FAULT_RUNS[name] == "done" else "1": 6}
+    codes, reports, output = fault_runs
+    assert codes[name] == 0, output[name]
+    report = reports[name]
+    assert report["broken"] == [], report["why"]
+    assert (report["ended"], report["stuck"]) == (FAULT_RUNS[name], False), report["why"]
+    assert not any(report["rules"].values())
+    assert report["transactions"] > 500
+    assert not any(budget["breaches"] for budget in report["budgets"].values())
+    assert report["versions"] == {"2" if FAULT_RUNS[name] == "done" else "1": 6}
 
 
 @pytest.mark.parametrize("name", [name for name in FAULT_RUNS if name[0] != "good"], ids="-".join)
 def test_a_bad_version_reaches_the_canaries_and_one_batch_at_most(fault_runs, name):
-    told = fault_runs[1][name]
-    assert told["exposed"] <= 4
-    assert told["halt_s"] is not None
+    report = fault_runs[1][name]
+    assert report["exposed"] <= 4
+    assert report["halt_s"] is not None
 
 
 def test_a_leader_killed_after_a_grant_causes_no_second_drain(fault_runs):
-    told = fault_runs[1]["good", "killed-granted"]
-    assert told["exposed"] == 6
-    assert told["drained_twice"] == 0
+    report = fault_runs[1]["good", "killed-granted"]
+    assert report["exposed"] == 6
+    assert report["drained_twice"] == 0
 
 
 def test_a_halt_survives_a_restart_of_every_planner(fault_runs):
-    told = fault_runs[1]["good", "halt-restart"]
-    assert told["resumed_without_a_word"] == 0
-    assert "resume: done" in told["operators"]
+    report = fault_runs[1]["good", "halt-restart"]
+    assert report["resumed_without_a_word"] == 0
+    assert "resume: done" in report["operators"]
 
 
 def test_a_partitioned_minority_grants_no_permit(fault_runs):
-    told = fault_runs[1]["profile", "split"]
-    assert not any(line.startswith("alone: True") for line in told["operators"])
+    report = fault_runs[1]["profile", "split"]
+    assert not any(line.startswith("alone: True") for line in report["operators"])
 
 
 def test_every_fault_has_its_steps():
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -21,7 +21,7 @@
 
 SITES = {"a": ["a-0", "a-1", "a-2"], "b": ["b-0", "b-1"]}
 NAMES = [name for names in SITES.values() for name in names]
-PLAN = RolloutSpec(
+SPEC = RolloutSpec(
     version="new", previous_version="old", canaries=1, batch_size=2, min_watch_ms=1_000, max_watch_ms=5_000
 )
 
@@ -29,10 +29,12 @@
 class Harness:
     """A rollout whose platform and members are set by the test."""
 
-    def __init__(self, most=2, plan=PLAN, site_of=lambda name: ""):
-        self.budget = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), max_unavailable=most)])
+    def __init__(self, max_unavailable=2, spec=SPEC, site_of=lambda name: ""):
+        self.budget = DisruptionBudget(
+            [BudgetGroup("fleet", frozenset(NAMES), max_unavailable=max_unavailable)]
+        )
         self.rollout = Rollout(
-            RolloutRecord(spec=plan, batches=plan_batches(plan, SITES)), self.budget, site_of
+            RolloutRecord(spec=spec, batches=plan_batches(spec, SITES)), self.budget, site_of
         )
         self.instances = {name: InstanceView(InstanceStatus.UP, "old") for name in NAMES}
         self.observations = {name: MemberObservation(Incarnation(nonce=1), 10.0) for name in NAMES}
@@ -43,12 +45,12 @@
         self.budget.reconcile(self.observations)
         view = FleetView(self.instances, self.observations, samples or {}, list(lost_sites))
         orders = self.rollout.step(view, self.now)
-        return [(one.action.value, one.member, one.version) for one in orders]
+        return [(order.action.value, order.member, order.version) for order in orders]
 
-    def take_down(self, name, state, version="old", starts=0):
-        self.instances[name] = InstanceView(state, version, starts)
+    def take_down(self, name, status, version="old", failed_starts=0):
+        self.instances[name] = InstanceView(status, version, failed_starts)
         self.observations[name] = MemberObservation(
-            self.observations[name].incarnation, 10.0, UnavailabilityReason.LEAVING
+            self.observations[name].incarnation, 10.0, UnavailabilityReason.DRAINING
         )
 
     def come_up(self, name, version="new"):
@@ -66,7 +68,7 @@
 
 
 def test_canaries_come_first_and_no_batch_spans_two_sites():
-    assert plan_batches(PLAN, SITES) == [["a-0"], ["a-1", "a-2"], ["b-0", "b-1"]]
+    assert plan_batches(SPEC, SITES) == [["a-0"], ["a-1", "a-2"], ["b-0", "b-1"]]
     assert plan_batches(RolloutSpec(version="n", previous_version="o", sites=["b"], batch_size=1), SITES) == [
         ["b-0"],
         ["b-1"],
@@ -76,7 +78,7 @@
 def test_a_member_is_drained_once_started_and_watched_before_the_next_batch():
     harness = Harness()
     assert harness.step() == harness.step() == [("drain", "a-0", "new")]  # with the same permit's number
-    assert [one.number for one in harness.budget.state.permits] == [1]
+    assert [permit.number for permit in harness.budget.state.permits] == [1]
     harness.take_down("a-0", InstanceStatus.DRAINING)
     assert harness.step() == []
     harness.take_down("a-0", InstanceStatus.STOPPED)
@@ -94,7 +96,7 @@
     harness = Harness()
     harness.step()
     harness.take_down("a-0", InstanceStatus.STOPPED)
-    assert harness.rollout.halt("a word")
+    assert harness.rollout.halt("a reason")
     assert not harness.rollout.halt("again")
     assert harness.step() == [("start", "a-0", "new")]  # not found bad: it goes on in the new one
     harness.come_up("a-0")
@@ -106,7 +108,7 @@
 def test_a_member_with_an_unused_permit_is_not_drained_after_a_halt():
     harness = Harness()
     assert harness.step() == [("drain", "a-0", "new")]
-    harness.rollout.halt("a word")
+    harness.rollout.halt("a reason")
     assert harness.step() == []
 
 
@@ -150,11 +152,11 @@
 
 
 def test_a_rollback_takes_the_newest_batch_first_with_permits():
-    harness = Harness(most=1)
+    harness = Harness(max_unavailable=1)
     for name in ("a-0", "a-1"):
         harness.come_up(name)
     harness.rollout.record.batch_index = 1
-    harness.rollout.halt("a word")
+    harness.rollout.halt("a reason")
     harness.rollout.roll_back("ann")
     assert harness.step() == [("drain", "a-1", "old")]
     harness.take_down("a-1", InstanceStatus.STOPPED, "new")
@@ -170,13 +172,13 @@
 
 
 @pytest.mark.parametrize(
-    ("ends", "phase"),
+    ("crashes", "phase"),
     [(1, RolloutPhase.RUNNING), (2, RolloutPhase.HALTED)],
     ids=["within the bound", "past it"],
 )
-def test_crashes_count_without_statistics_and_whoever_observed_them(ends, phase):
-    harness = Harness(plan=msgspec.structs.replace(PLAN, max_crashes=1))
-    harness.instances["a-0"] = InstanceView(InstanceStatus.UP, "new", crashes=ends)
+def test_crashes_count_without_statistics_and_whoever_observed_them(crashes, phase):
+    harness = Harness(spec=msgspec.structs.replace(SPEC, max_crashes=1))
+    harness.instances["a-0"] = InstanceView(InstanceStatus.UP, "new", crashes=crashes)
     harness.instances["a-1"] = InstanceView(InstanceStatus.UP, "old", crashes=9)
     harness.step()
     assert harness.rollout.phase is phase
@@ -191,7 +193,7 @@
     harness = Harness(site_of=site_of_name)
     harness.come_up("a-0")
     harness.step()
-    assert harness.rollout.analysis.margins == PLAN.margins
+    assert harness.rollout.analysis.margins == SPEC.margins
     busy = {
         name: MemberSample(True, {"shed": (900, 1_000) if name[0] == "a" else (0, 1_000)}) for name in NAMES
     }
@@ -225,7 +227,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "words"),
+    ("fields", "expected"),
     [
         ({"before": "new"}, "the one before too"),
         ({"watch_most_ms": 10}, "watch_most_ms"),
@@ -235,21 +237,21 @@
     ],
     ids=["same version", "watch bounds", "repeated site", "no margins", "valid"],
 )
-def test_contradictions_in_a_release_file_are_found(more, words):
-    told = {"version": "new", "before": "old", "watch_ms": 1_000, "watch_most_ms": 2_000} | more
-    found = msgspec.convert(told, RolloutSpec).validation_error()
-    assert words in found
-    assert bool(found) is bool(words)
+def test_contradictions_in_a_release_file_are_found(fields, expected):
+    document = {"version": "new", "before": "old", "watch_ms": 1_000, "watch_most_ms": 2_000} | fields
+    error = msgspec.convert(document, RolloutSpec).validation_error()
+    assert expected in error
+    assert bool(error) is bool(expected)
 
 
 @pytest.mark.parametrize("version", VERSIONS)
 def test_whole_rollouts_in_virtual_time(version):
-    told = [RolloutScenario(seed, version).run(longest=400).told() for seed in range(25)]
-    assert not any(one["breaches"] or one["drained_twice"] or one["stuck"] for one in told)
-    assert {one["ended"] for one in told} == ({"done"} if version == "good" else {"back"})
+    reports = [RolloutScenario(seed, version).run(longest=400).told() for seed in range(25)]
+    assert not any(report["breaches"] or report["drained_twice"] or report["stuck"] for report in reports)
+    assert {report["ended"] for report in reports} == ({"done"} if version == "good" else {"back"})
     if version != "good":
-        assert max(one["exposed"] for one in told) <= 3  # the canary and one batch
-    halts = [one["halt_s"] for one in told if one["halt_s"] is not None]
+        assert max(report["exposed"] for report in reports) <= 3  # the canary and one batch
+    halts = [report["halt_s"] for report in reports if report["halt_s"] is not None]
     assert not halts or max(halts) <= (30 if version in ("slow", "profile") else 10)
 
 
@@ -259,7 +261,7 @@
 
 def test_the_next_leader_continues_the_watch_of_the_one_before():
     harness = Harness(
-        plan=RolloutSpec(
+        spec=RolloutSpec(
             version="new", previous_version="old", batch_size=2, min_watch_ms=60_000, max_watch_ms=90_000
         )
     )
@@ -267,36 +269,36 @@
     samples = {name: MemberSample(True, {"late": (1, 10)}, 0, {"lookup": [30, 10]}) for name in NAMES}
     for _ in range(8):
         harness.step(samples=samples)
-    kept, before = harness.rollout.record, harness.rollout.analysis
-    assert kept.evidence.batch_index == 0
-    assert kept.evidence.watched >= 20_000
+    record, earlier = harness.rollout.record, harness.rollout.analysis
+    assert record.evidence.batch_index == 0
+    assert record.evidence.watched >= 20_000
     harness.rollout = Rollout(
-        msgspec.json.decode(msgspec.json.encode(kept), type=RolloutRecord), harness.budget
+        msgspec.json.decode(msgspec.json.encode(record), type=RolloutRecord), harness.budget
     )
     harness.now += 500_000  # nobody led for a while: that time was not watched
     harness.step(samples=samples)
-    after = harness.rollout.analysis
-    assert (after.slow_bounds, after.duration_histograms) == (
-        before.slow_bounds,
-        before.duration_histograms,
+    later = harness.rollout.analysis
+    assert (later.slow_bounds, later.duration_histograms) == (
+        earlier.slow_bounds,
+        earlier.duration_histograms,
     )
-    assert after.slow_bounds
-    assert before.metrics["late"].canary.total - after.metrics["late"].canary.total <= 2 * 10
-    assert after.has_minimum_watch(harness.now) is False
-    assert not after.has_expired(harness.now)
-    harness.rollout.halt("a word")
+    assert later.slow_bounds
+    assert earlier.metrics["late"].canary.total - later.metrics["late"].canary.total <= 2 * 10
+    assert later.has_minimum_watch(harness.now) is False
+    assert not later.has_expired(harness.now)
+    harness.rollout.halt("a reason")
     assert harness.rollout.record.evidence is None  # who resumes watches it anew
 
 
 @pytest.mark.parametrize(("version", "ended"), [("good", "done"), ("slow", "back")])
 def test_frequent_changes_of_the_leader_delay_no_watch(version, ended):
     for seed in range(8):
-        told = RolloutScenario(seed, version, deaths=0.25).run().told()
-        assert told["ended"] == ended, told
-        assert told["conductors"] >= 4, told
-        assert not told["breaches"], told
-        assert not told["drained_twice"], told
-        assert version == "good" or told["halt_s"] < 10, told
+        report = RolloutScenario(seed, version, deaths=0.25).run().told()
+        assert report["ended"] == ended, report
+        assert report["conductors"] >= 4, report
+        assert not report["breaches"], report
+        assert not report["drained_twice"], report
+        assert version == "good" or report["halt_s"] < 10, report
 
 
 EVENTS = {
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -29,39 +29,45 @@
 MARGINS = {"late": 0.05}
 
 
-def spec(**more):
-    told = {"version": "2", "before": "1", "sites": ["a"], "watch_ms": 1_000, "watch_most_ms": 2_000}
-    return msgspec.convert(told | {"margins": MARGINS} | more, RolloutSpec)
+def spec(**fields):
+    document = {"version": "2", "before": "1", "sites": ["a"], "watch_ms": 1_000, "watch_most_ms": 2_000}
+    return msgspec.convert(document | {"margins": MARGINS} | fields, RolloutSpec)
 
 
 def inventory(services=(), **members):
-    told = {name: {"state": "up", "version": "1"} for name in NAMES}
-    told |= {name.replace("_", "-"): {"state": "up", "version": "1"} | more for name, more in members.items()}
-    below = {name: {"state": state, "life": 1} for name, state in services}
-    return read_inventory(json.dumps({"members": told, "services": below, "more": 1}).encode())
+    processes = {name: {"state": "up", "version": "1"} for name in NAMES}
+    processes |= {
+        name.replace("_", "-"): {"state": "up", "version": "1"} | fields for name, fields in members.items()
+    }
+    service_processes = {name: {"state": state, "life": 1} for name, state in services}
+    return read_inventory(
+        json.dumps({"members": processes, "services": service_processes, "more": 1}).encode()
+    )
 
 
 class Harness:
-    def __init__(self, most=2):
-        self.budget = DisruptionBudget([BudgetGroup("fleet", frozenset(NAMES), max_unavailable=most)])
+    def __init__(self, max_unavailable=2):
+        self.budget = DisruptionBudget(
+            [BudgetGroup("fleet", frozenset(NAMES), max_unavailable=max_unavailable)]
+        )
         self.controller = RolloutController(PARTS, ["store-1"], self.budget, 30_000)
         self.observations = {name: MemberObservation(Incarnation(nonce=1), 10.0) for name in NAMES}
         self.controller.receive_inventory(inventory(), 0)
 
-    def command(self, what, now=1, **more):
+    def command(self, action, now=1, **fields):
         return self.controller.execute(
-            RolloutCommand(action=RolloutAction(what), operator="ann", **more), now
+            RolloutCommand(action=RolloutAction(action), operator="ann", **fields), now
         )
 
-    def step(self, now=2, lost=()):
+    def step(self, now=2, lost_sites=()):
         reports = {name: report(name, now) for name in NAMES}
         self.budget.reconcile(self.observations)
-        self.controller.step(self.observations, reports, lost, now)
-        return [(one.action.value, one.member) for one in self.controller.orders]
+        self.controller.step(self.observations, reports, lost_sites, now)
+        return [(order.action.value, order.member) for order in self.controller.orders]
 
 
 @pytest.mark.parametrize(
-    ("more", "why"),
+    ("fields", "reason"),
     [
         ({"sites": ["z"]}, "'z' is no site and no group"),
         ({"before": "0", "version": "3"}, "a-0 runs 1: neither 0 nor 3"),
@@ -72,14 +78,14 @@
     ],
     ids=["unknown site", "other version", "unknown metric", "sites and groups", "valid", "valid for a class"],
 )
-def test_obstacles_are_found_before_the_first_drain(more, why):
-    said = Harness().command("start", spec=spec(**more))
-    assert said.accepted is not bool(why)
-    assert why in said.reason
+def test_obstacles_are_found_before_the_first_drain(fields, reason):
+    result = Harness().command("start", spec=spec(**fields))
+    assert result.accepted is not bool(reason)
+    assert reason in result.reason
 
 
 def test_no_rollout_starts_without_a_budget_or_without_a_fresh_inventory():
-    assert "group fleet lets nobody" in Harness(most=0).command("start", spec=spec()).reason
+    assert "group fleet lets nobody" in Harness(max_unavailable=0).command("start", spec=spec()).reason
     assert "not heard" in Harness().command("start", now=30_001, spec=spec()).reason
     harness = Harness()
     harness.budget.set_groups([])
@@ -106,7 +112,7 @@
     assert harness.command("resume").reason == "which of 1, 2?"
     assert harness.command("resume", number=2).accepted
     assert harness.command("back", number=1).accepted
-    assert [one.phase for one in harness.controller.report()] == ["running", "backing"]
+    assert [rollout.phase for rollout in harness.controller.report()] == ["running", "backing"]
 
 
 def test_a_halt_drops_pending_orders_at_once():
@@ -135,7 +141,7 @@
 
 def test_a_rollback_releases_permits_that_the_rollout_left_unused():
     """Granted in the moment of the halt: its holder is in the old version, and will never go."""
-    harness = Harness(most=1)
+    harness = Harness(max_unavailable=1)
     harness.command("start", spec=spec(canaries=1, batch=1))
     harness.controller.receive_inventory(inventory(a_0={"version": "2"}), 1)
     harness.controller.rollouts[0].record.batch_index = 1
@@ -163,10 +169,10 @@
     harness.command("start", spec=spec())
     harness.controller.receive_inventory(inventory(a_0={"version": "2", "ends": 1}), 3)
     harness.step(4)
-    told = harness.controller.report()[0]
-    assert told.phase == "halted"
-    assert told.version_is_bad
-    assert "ended by themselves" in told.reason
+    rollout_report = harness.controller.report()[0]
+    assert rollout_report.phase == "halted"
+    assert rollout_report.version_is_bad
+    assert "ended by themselves" in rollout_report.reason
     assert "only back is left" in harness.command("resume").reason
     harness.controller.rollouts[0].complete("played")
     assert harness.command("start", spec=spec(sites=["b"])).accepted
@@ -200,7 +206,7 @@
 
 
 def test_a_stalled_rollout_halts_and_reports_what_it_waited_for():
-    harness = Harness(most=1)
+    harness = Harness(max_unavailable=1)
     harness.observations["b-0"] = MemberObservation(Incarnation(nonce=1), 10.0, UnavailabilityReason.SILENT)
     harness.command("start", spec=spec(stall_ms=2_000))
     for now in (10, 10_000, 19_999):
@@ -208,8 +214,8 @@
         assert harness.step(now) == []
     harness.controller.receive_inventory(inventory(), 20_010)
     harness.step(20_010)
-    told = harness.controller.report()[0]
-    assert told.reason == "no step for 2 s: a-0 waits at place 1: fleet: 2 would be out, 1 may be"
+    rollout_report = harness.controller.report()[0]
+    assert rollout_report.reason == "no step for 2 s: a-0 waits at place 1: fleet: 2 would be out, 1 may be"
     assert not harness.budget.state.waiters  # who has halted asks for nothing
 
 
@@ -217,8 +223,8 @@
     harness = Harness()
     harness.command("start", spec=spec())
     harness.step()
-    kept = msgspec.json.decode(msgspec.json.encode(harness.controller.states), type=RolloutStates)
-    harness.controller.restore(kept, 100)
+    states = msgspec.json.decode(msgspec.json.encode(harness.controller.states), type=RolloutStates)
+    harness.controller.restore(states, 100)
     assert harness.step(101) == []
     harness.controller.receive_inventory(inventory(), 102)
     assert harness.step(103) == [("drain", "a-0")]
@@ -228,26 +234,30 @@
 def test_samples_are_differences_within_one_incarnation_and_survive_lost_reports():
     reader = SampleReader()
 
-    def shown(number, mark, bad, every):
-        told = report("a-0", number, mark, metrics={"late:order": (bad, every)}, resident_memory_kb=7)
-        return reader.read({"a-0": told})["a-0"]
+    def read_sample(number, nonce, bad, total):
+        member_report = report(
+            "a-0", number, nonce, metrics={"late:order": (bad, total)}, resident_memory_kb=7
+        )
+        return reader.read({"a-0": member_report})["a-0"]
 
-    assert shown(1, 1, 5, 100).outcomes == {"late:order": (0, 0)}  # it was counted before anybody looked
-    assert shown(9, 1, 7, 130).outcomes == {"late:order": (2, 30)}
-    assert shown(10, 2, 1, 4).outcomes == {"late:order": (0, 0)}  # another life
-    assert shown(11, 2, 1, 9).outcomes == {"late:order": (0, 5)}
-    assert shown(11, 2, 1, 9).memory_kb == 7
+    assert read_sample(1, 1, 5, 100).outcomes == {
+        "late:order": (0, 0)
+    }  # it was counted before anybody looked
+    assert read_sample(9, 1, 7, 130).outcomes == {"late:order": (2, 30)}
+    assert read_sample(10, 2, 1, 4).outcomes == {"late:order": (0, 0)}  # another life
+    assert read_sample(11, 2, 1, 9).outcomes == {"late:order": (0, 5)}
+    assert read_sample(11, 2, 1, 9).memory_kb == 7
 
 
 def test_services_are_observed_by_the_inventory_and_unavailable_without_one():
     controller = Harness().controller
-    for state, out in [
+    for state, unavailability in [
         ("up", None),
-        ("draining", UnavailabilityReason.LEAVING),
+        ("draining", UnavailabilityReason.DRAINING),
         ("stopped", UnavailabilityReason.SILENT),
     ]:
         controller.receive_inventory(inventory(services=[("store-1", state)]), 10)
-        assert controller.observe_services(11)["store-1"].unavailability is out
+        assert controller.observe_services(11)["store-1"].unavailability is unavailability
     assert controller.observe_services(40_000)["store-1"].unavailability is UnavailabilityReason.SILENT
     controller.receive_inventory(inventory(), 10)
     assert (
@@ -261,32 +271,32 @@
 PLATFORM = {"address": "127.0.0.1:9", "stale_ms": 600_000}
 
 
-def leader(folder, **more):
+def leader(folder, **fields):
     planner = SimulatedPlanner(
-        folder, sites=("a", "b"), **{"groups": GROUPS, "platform": PLATFORM} | more
+        folder, sites=("a", "b"), **{"groups": GROUPS, "platform": PLATFORM} | fields
     ).advance(3)
     planner.state.rollouts.controller.receive_inventory(inventory(), planner.now)
     return planner
 
 
-def begin(planner, **more):
-    number, said = planner.state.handle_rollout_command(
-        RolloutCommand(action=RolloutAction.START, operator="ann", spec=spec(**more)), planner.now
+def start_rollout(planner, **fields):
+    number, result = planner.state.handle_rollout_command(
+        RolloutCommand(action=RolloutAction.START, operator="ann", spec=spec(**fields)), planner.now
     )
-    assert said.accepted, said.reason
+    assert result.accepted, result.reason
     return number
 
 
 def test_nothing_is_ordered_before_a_majority_has_stored_it(tmp_path):
     planner = leader(tmp_path)
-    number = begin(planner)
+    number = start_rollout(planner)
     assert number > planner.state.leadership.replicated_version
     assert planner.state.platform_orders(planner.now) == []
     planner.state.tick(planner.now + 1)  # decides the drain; nobody has kept it yet
     assert planner.state.rollouts.controller.orders
     assert planner.state.platform_orders(planner.now + 1) == []
     planner.advance(0.3)
-    assert [one.member for one in planner.state.platform_orders(planner.now)] == ["a-0"]
+    assert [order.member for order in planner.state.platform_orders(planner.now)] == ["a-0"]
     # A permit that somebody asks for meanwhile must be kept as well.
     planner.state.replan(planner.now)
     planner.state.rollouts.orders_version = planner.state.leadership.version
@@ -295,12 +305,12 @@
 
 def test_a_permit_granted_by_a_request_is_stored_before_it_is_drained_on(tmp_path):
     planner = leader(tmp_path, groups=[{"name": "fleet", "all": True, "most_out": 2}])
-    begin(planner)
+    start_rollout(planner)
     planner.advance(0.3)
     state = planner.state
     state.budget.state.permits.clear()  # as if only a want's serving granted it, and nobody kept that yet
-    why = state.rollouts.controller.rollouts[0].permit_reason
-    state.budget.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(nonce=1), reason=why))
+    reason = state.rollouts.controller.rollouts[0].permit_reason
+    state.budget.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(nonce=1), reason=reason))
     state.replan(planner.now)
     state.tick(planner.now + 2_500)
     assert state.rollouts.controller.orders
@@ -309,13 +319,13 @@
 
 def test_a_lost_site_halts_a_rollout_and_its_return_does_not_resume_it(tmp_path):
     planner = leader(tmp_path)
-    begin(planner)
+    start_rollout(planner)
     planner.advance(0.5)
     planner.lose_site("b")
     planner.advance(6)
-    told = rollouts_status(planner.state, planner.now)[0]
-    assert told.phase == "halted"
-    assert "site lost: b" in told.reason
+    rollout_report = rollouts_status(planner.state, planner.now)[0]
+    assert rollout_report.phase == "halted"
+    assert "site lost: b" in rollout_report.reason
     planner.restore_site("b")
     planner.state.rollouts.controller.receive_inventory(inventory(), planner.now)
     planner.advance(20)
@@ -323,100 +333,102 @@
 
 
 def test_a_member_is_unavailable_with_the_service_it_depends_on(tmp_path):
-    told = fleet_document(sites=("a", "b"), planners=1)
-    told["sites"][0]["members"][0]["needs"] = ["store-1"]
+    document = fleet_document(sites=("a", "b"), planners=1)
+    document["sites"][0]["members"][0]["needs"] = ["store-1"]
     planner = leader(tmp_path)
     path = tmp_path / "later.json"
-    told |= {"groups": GROUPS, "platform": PLATFORM, "services": [{"name": "store-1", "kind": "store"}]}
-    path.write_text(json.dumps(told))
+    document |= {"groups": GROUPS, "platform": PLATFORM, "services": [{"name": "store-1", "kind": "store"}]}
+    path.write_text(json.dumps(document))
     assert planner.state.apply_fleet(read_fleet(path), planner.now) == []
-    assert planner.state.observations(planner.now)["a-0"].unavailability is UnavailabilityReason.BELOW
+    assert planner.state.observations(planner.now)["a-0"].unavailability is UnavailabilityReason.DOWNSTREAM
     planner.state.rollouts.controller.receive_inventory(inventory(services=[("store-1", "up")]), planner.now)
     assert planner.state.observations(planner.now)["a-0"].unavailability is None
 
 
-def amended(planner, folder, change):
-    told = fleet_document(sites=("a", "b"), planners=1) | deepcopy({"groups": GROUPS, "platform": PLATFORM})
-    for site in told["sites"]:
+def apply_changed_fleet(planner, folder, change):
+    document = fleet_document(sites=("a", "b"), planners=1) | deepcopy(
+        {"groups": GROUPS, "platform": PLATFORM}
+    )
+    for site in document["sites"]:
         for member in site["members"]:
             member["calls"] = 4.0
-    told["vault"]["total"] = 40
+    document["vault"]["total"] = 40
     path = folder / "later.json"
-    change(told)
-    path.write_text(json.dumps(told))
+    change(document)
+    path.write_text(json.dumps(document))
     return planner.state.apply_fleet(read_fleet(path), planner.now)
 
 
-def fixed(folder):
-    """A fleet whose members' calls are told, so that others may join."""
+def leader_with_fixed_calls(folder):
+    """A fleet whose members' calls are given, so that others may join."""
     planner = leader(folder)
-    told = json.loads((folder / "fleet.json").read_text())
-    for site in told["sites"]:
+    document = json.loads((folder / "fleet.json").read_text())
+    for site in document["sites"]:
         for member in site["members"]:
             member["calls"] = 4.0
-    told["vault"]["total"] = 40
-    planner.state.fleet = read_fleet_of(folder, told)
+    document["vault"]["total"] = 40
+    planner.state.fleet = read_fleet_from(folder, document)
     planner.state.quotas.base_quotas = planner.state.fleet.base_calls()
     return planner
 
 
-def read_fleet_of(folder, told):
+def read_fleet_from(folder, document):
     path = folder / "told.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(document))
     return read_fleet(path)
 
 
 def test_a_lowered_budget_grants_nothing_until_enough_members_are_back(tmp_path):
-    planner = fixed(tmp_path)
-    begin(planner)
+    planner = leader_with_fixed_calls(tmp_path)
+    start_rollout(planner)
     planner.advance(0.5)
     assert planner.state.budget.permit_of("a-0")
-    change = lambda told: told["groups"][0].update(most_out=0)  # noqa: E731
-    assert amended(planner, tmp_path, change) == []
+    change = lambda document: document["groups"][0].update(most_out=0)  # noqa: E731
+    assert apply_changed_fleet(planner, tmp_path, change) == []
     assert planner.state.budget.permit_of("a-0")
     assert planner.state.budget.groups[0].disruptions_allowed == 0
 
 
 def test_members_join_and_leave_during_a_rollout_and_a_name_returns(tmp_path):
-    planner = fixed(tmp_path)
-    begin(planner)
+    planner = leader_with_fixed_calls(tmp_path)
+    start_rollout(planner)
     planner.advance(0.5)
 
-    def without(told):
-        del told["sites"][0]["members"][0]
-        told["sites"][0]["members"].append({"name": "a-2", "address": "127.0.0.1:99", "calls": 4.0})
+    def replace_member(document):
+        del document["sites"][0]["members"][0]
+        document["sites"][0]["members"].append({"name": "a-2", "address": "127.0.0.1:99", "calls": 4.0})
 
-    assert amended(planner, tmp_path, without) == []
-    release = planner.state.rollouts.controller.rollouts[0]
-    assert release.all_members() == ["a-1", "a-2"]
+    assert apply_changed_fleet(planner, tmp_path, replace_member) == []
+    rollout = planner.state.rollouts.controller.rollouts[0]
+    assert rollout.all_members() == ["a-1", "a-2"]
     assert planner.state.budget.permit_of("a-0") is None
-    assert "left a-0; joined a-2" in release.record.history[-1]
+    assert "left a-0; joined a-2" in rollout.record.history[-1]
     planner.advance(0.5)
     assert "a-0" not in planner.state.membership.members
-    assert amended(planner, tmp_path, lambda told: None) == []
+    assert apply_changed_fleet(planner, tmp_path, lambda document: None) == []
     planner.incarnations["a-0"] = 2
     planner.advance(1)
-    late = report("a-0", 10**6, mark=1)  # of the life before it left
-    assert not planner.state.membership.receive_report(late, planner.now)
+    late_report = report("a-0", 10**6, mark=1)  # of the life before it left
+    assert not planner.state.membership.receive_report(late_report, planner.now)
     assert planner.state.observations(planner.now)["a-0"].incarnation.nonce == 2
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "violation"),
     [
-        (lambda told: told["planners"].append({"name": "p9", "address": "127.0.0.1:77"}), "planners"),
-        (lambda told: told["sites"][0].update(name="z"), "sites: their names"),
-        (lambda told: told["sites"][0]["members"][0].update(calls=5.0), "'a-0' would have 5 calls"),
-        (lambda told: told.update(plan_ms=5_000), "plan_ms"),
-        (lambda told: told.update(platform=None), "platform: comes and goes"),
-        (lambda told: told["platform"].update(address="127.0.0.1:10"), "platform.address"),
+        (lambda document: document["planners"].append({"name": "p9", "address": "127.0.0.1:77"}), "planners"),
+        (lambda document: document["sites"][0].update(name="z"), "sites: their names"),
+        (lambda document: document["sites"][0]["members"][0].update(calls=5.0), "'a-0' would have 5 calls"),
+        (lambda document: document.update(plan_ms=5_000), "plan_ms"),
+        (lambda document: document.update(platform=None), "platform: comes and goes"),
+        (lambda document: document["platform"].update(address="127.0.0.1:10"), "platform.address"),
     ],
     ids=["planners", "site names", "calls of a member", "plan span", "no platform", "platform address"],
 )
-def test_a_fleet_file_with_a_forbidden_change_is_refused_as_a_whole(tmp_path, change, why):
-    planner = fixed(tmp_path)
+def test_a_fleet_file_with_a_forbidden_change_is_refused_as_a_whole(tmp_path, change, violation):
+    planner = leader_with_fixed_calls(tmp_path)
     before = planner.state.fleet
-    troubles = amended(planner, tmp_path, change)
-    assert len(troubles) == 1
-    assert why in troubles[0]
+    violations = apply_changed_fleet(planner, tmp_path, change)
+    assert len(violations) == 1
+    assert violation in violations[0]
     assert planner.state.fleet is before
--- a/tests/test_stored_rollout.py
+++ b/tests/test_stored_rollout.py
@@ -1,8 +1,9 @@
-"""What earlier versions stored and reported of rollouts is read, and written again as the same bytes.
+"""Stored and reported rollouts of earlier versions are decoded, and encoded to the same bytes.
 
-The literals were written by the version before the modules were renamed: four rollouts (one completed, one
-rolled back with a member left out, one whose canaries are being watched, one that is rolling back), and the
-disruption budget beside them, with permits, waiters, an override and its record.
+Guards against a changed key or value in stored state, which a planner of the new version could not read.
+The literals were written by an earlier version: four rollouts (one completed, one rolled back with an
+excluded member, one whose canaries are watched, one that is rolling back), and a disruption budget with
+permits, waiters, an override and its audit log.
 """
 
 import json
@@ -116,37 +117,39 @@
 SITES = {"a": ["a-0", "a-1"], "b": ["b-0", "b-1"], "c": ["c-0", "c-1"], "d": ["d-0", "d-1"]}
 SITE_OF = {name: site for site, names in SITES.items() for name in names}
 ON_NEW_VERSION = ("a-0", "a-1", "c-0", "d-0")
-NOW = 195_001  # of the look that gave the reported status, in tenths of a millisecond
+NOW = 195_001  # time of the step that gave the reported status, in tenths of a millisecond
 
 
 def controller():
-    """The next leader, with nothing but what the earlier version stored."""
+    """A new leader's controller, restored from what the earlier version stored."""
     budget = DisruptionBudget([BudgetGroup("fleet", frozenset(SITE_OF), max_unavailable=3)])
     budget.state = msgspec.json.decode(STORED_BUDGET, type=BudgetState)
-    made = RolloutController(SITES, [], budget, 30_000, SITE_OF)
-    made.restore(msgspec.json.decode(STORED_ROLLOUTS, type=RolloutStates), NOW - 5_000)
-    return made
+    restored = RolloutController(SITES, [], budget, 30_000, SITE_OF)
+    restored.restore(msgspec.json.decode(STORED_ROLLOUTS, type=RolloutStates), NOW - 5_000)
+    return restored
 
 
 def inventory():
-    members = {
+    processes = {
         name: {"state": "up", "version": "2" if name in ON_NEW_VERSION else "1", "starts": 0}
         for name in SITE_OF
     }
-    members["b-0"] = {"state": "failed", "version": "1", "starts": 2}
-    return read_inventory(json.dumps({"members": members}).encode())
+    processes["b-0"] = {"state": "failed", "version": "1", "starts": 2}
+    return read_inventory(json.dumps({"members": processes}).encode())
 
 
 def observations():
-    def life(name):
+    def incarnation_number(name):
         return 2 if name in ON_NEW_VERSION else 1
 
-    seen = {
-        name: MemberObservation(Incarnation(generation=life(name), nonce=life(name)), 10.0)
+    by_name = {
+        name: MemberObservation(
+            Incarnation(generation=incarnation_number(name), nonce=incarnation_number(name)), 10.0
+        )
         for name in SITE_OF
     }
-    seen["b-0"] = MemberObservation(Incarnation(generation=1, nonce=1), 10.0, UnavailabilityReason.SILENT)
-    return seen
+    by_name["b-0"] = MemberObservation(Incarnation(generation=1, nonce=1), 10.0, UnavailabilityReason.SILENT)
+    return by_name
 
 
 @pytest.mark.parametrize(
@@ -193,17 +196,19 @@
 
 
 def test_the_next_leader_continues_and_reports_as_the_earlier_version_did():
-    made = controller()
-    made.receive_inventory(inventory(), NOW)
-    seen = observations()
-    made.budget.reconcile(seen)
+    restored = controller()
+    restored.receive_inventory(inventory(), NOW)
+    observed = observations()
+    restored.budget.reconcile(observed)
     reports = {
         name: report(
             name, NOW, metrics={"late:order": (39, 1_560)}, latency_histograms={"order": [1_560, 390]}
         )
         for name in SITE_OF
     }
-    made.step(seen, reports, (), NOW)
-    assert msgspec.json.encode(made.report()) == REPORTED_STATUS
-    orders = [(order.action.value, order.member, order.version, order.permit_number) for order in made.orders]
+    restored.step(observed, reports, (), NOW)
+    assert msgspec.json.encode(restored.report()) == REPORTED_STATUS
+    orders = [
+        (order.action.value, order.member, order.version, order.permit_number) for order in restored.orders
+    ]
     assert orders == [("drain", "d-0", "1", 4)]
