--- a/birchslip/cluster/canary_analysis.py
+++ b/birchslip/cluster/canary_analysis.py
@@ -1,13 +1,14 @@
-"""Canary analysis: is the new version worse than the previous one, by members that run at the same time?
+"""Canary analysis: compares the new version with the previous one, on members that run at the same time.
 
-Only members that are warm are compared, and only in samples in which both sides had some, so that a surge
-or a slow service below affects both. Each metric is a share of bad outcomes: answers that were late,
-rejected or failed, and calls below that did not come through. A metric is judged as a whole and, where it is
-reported as `KIND:CLASS`, for each request class too: the failure of one class may drown in all. Memory is
-no share: a member whose memory is several times that of the others in sample after sample leaks.
+Only warm members are compared, and only in samples in which both sides have outcomes, so that a surge or a
+slow downstream service affects both sides alike. Each metric is a share of bad outcomes: responses that were
+late, rejected or failed, and downstream calls that failed. A metric is evaluated as a whole and, if it is
+reported as `KIND:CLASS`, for each request class too, because the failure of one class may not show in the
+total. Memory has a rule of its own: a member leaks if its memory is several times that of the baseline in
+many samples in a row.
 
-Run times have no bound of their own that would fit every class. The metric `slow` counts runs in the slowest
-buckets, as many as the baseline had when the watch began.
+No fixed bound on run times would suit every request class. So the metric `slow` counts the runs in the
+slowest buckets, which held at most `MAX_SLOW_SHARE` of the baseline's runs when the watch began.
 
 | verdict | when |
 | --- | --- |
@@ -15,7 +16,7 @@
 | good | every whole metric is significantly within its margin, no class appears worse, minimum watch over |
 | unclear | neither yet; at the end of the watch the rollout halts |
 
-It never orders anything. Moments and spans are tenths of a millisecond.
+Times and durations are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -36,17 +37,17 @@
 )
 from .messages import Count, Message, Name, Span
 
-CROSS_SITE_MARGIN_FACTOR = 2.0  # where only members of different sites can be compared
-LOAD_DEPENDENT_METRICS = ("late", "shed")  # not compared then: they depend more on a site's load
+CROSS_SITE_MARGIN_FACTOR = 2.0  # if only members of different sites can be compared
+LOAD_DEPENDENT_METRICS = ("late", "shed")  # not compared across sites: a site's load affects them more
 SLOW_METRIC = "slow"
-MIN_BASELINE_RUNS = 200  # of a class, before it is settled which runs count as slow
-MAX_SLOW_SHARE = 0.15  # of the baseline's runs that count as slow
-MEMORY_LEAK_SAMPLES = 10  # samples in a row with too much memory: fewer are a burst
-MIN_MEMORY_EXCESS_KB = 16_384  # above the baseline, before any factor counts
+MIN_BASELINE_RUNS = 200  # of a request class, before its slow bound is set
+MAX_SLOW_SHARE = 0.15  # share of the baseline's runs that count as slow
+MEMORY_LEAK_SAMPLES = 10  # samples in a row with excessive memory: fewer may be a burst
+MIN_MEMORY_EXCESS_KB = 16_384  # above the baseline's median; less is never excessive
 
 
 class StoredComparison(NamedTuple):
-    """Counts of one metric, stored as an array."""
+    """Outcome counts of one metric on both sides, stored as an array."""
 
     canary_bad: float
     canary_total: float
@@ -64,18 +65,18 @@
         "excess_memory_count": "held",
     },
 ):
-    """What a watch has found, stored by a majority so that the next leader continues from there.
+    """The results of a watch, stored by a majority so that the next leader continues from them.
 
-    Guards against leaders that follow each other faster than a watch lasts: each would begin anew, and a bad
-    version would stay for as long.
+    Without stored evidence each new leader would restart the watch, and if leaders changed more often than a
+    watch lasts, a bad version would stay in service all that time.
 
     Attributes:
-        batch_index: The batch that was watched.
-        watched: For how long.
-        metrics: Counts by metric.
+        batch_index: Index of the watched batch.
+        watched: How long the batch was watched.
+        metrics: Outcome counts by metric.
         duration_histograms: By request class, runs of the baseline by bucket.
         slow_bounds: By request class, the first bucket that counts as slow.
-        excess_memory_count: Samples in a row with too much memory.
+        excess_memory_count: Number of samples in a row with excessive memory.
     """
 
     batch_index: Count = 0
@@ -88,13 +89,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSample:
-    """What one member served since the sample before.
+    """Outcomes, memory and run times of one member since its previous sample.
 
     Attributes:
-        warm: Whether it has warmed up.
-        outcomes: By metric, bad and all outcomes.
+        warm: Whether the member has warmed up.
+        outcomes: By metric, the numbers of bad and of all outcomes.
         memory_kb: Resident memory in KB; 0 where it is not reported.
-        durations: By request class, runs by bucket of their duration.
+        durations: By request class, a histogram of run times: number of runs by bucket.
     """
 
     warm: bool
@@ -104,14 +105,20 @@
 
 
 class CanaryAnalysis:
-    """The analysis of one batch under watch.
+    """Compares the members of one watched batch with the baseline.
 
     Attributes:
-        margins: By metric, the difference of shares past which the new version is bad.
-        metrics: The comparisons so far.
+        margins: By metric or kind of metric, the difference of bad shares above which the new version is bad.
+        min_watch: Time before which no verdict is good.
+        max_watch: Time after which the watch has expired.
+        started_at: When the watch began.
+        max_memory_ratio: Highest allowed ratio of a member's memory to the baseline's median; 0 sets no
+            bound.
+        excess_memory_count: Number of samples in a row with excessive memory.
+        metrics: The comparisons so far, by metric.
         slow_bounds: By request class, the first bucket that counts as slow.
-        duration_histograms: By request class, runs of the baseline until its bound is settled.
-        reason: Why the latest verdict is what it is.
+        duration_histograms: By request class, runs of the baseline by bucket, until the slow bound is set.
+        reason: The reason for the latest verdict.
         first_bad_at: When the verdict was bad for the first time.
     """
 
@@ -126,11 +133,12 @@
         """Begin a watch.
 
         Args:
-            margins: By metric or kind of metric.
-            min_watch: No verdict is good before.
-            max_watch: When the watch has expired.
-            started_at: When the watch began.
-            max_memory_ratio: Times the baseline's memory that is too much; 0 sets no bound.
+            margins: By metric or kind of metric, the allowed difference of bad shares.
+            min_watch: Time before which no verdict is good.
+            max_watch: Time after which the watch has expired.
+            started_at: When the watch begins.
+            max_memory_ratio: Highest allowed ratio of a member's memory to the baseline's median; 0 sets no
+                bound.
         """
         self.margins = margins
         self.min_watch = min_watch
@@ -147,7 +155,7 @@
     # ---- storing ---------------------------------------------------------------------------------------
 
     def evidence(self, batch_index: int, now: int) -> CanaryEvidence:
-        """What was found so far, for `resume`."""
+        """Return the results so far, to be stored and passed to `resume`."""
         metrics = {
             name: StoredComparison(
                 metric.canary.bad, metric.canary.total, metric.baseline.bad, metric.baseline.total
@@ -165,7 +173,7 @@
         )
 
     def resume(self, evidence: CanaryEvidence, now: int) -> None:
-        """Continue from stored evidence of the same batch; the time in between was not watched."""
+        """Continue from stored evidence of the same batch; the time since it was stored is not counted."""
         self.started_at = now - evidence.watched
         self.duration_histograms = {
             name: list(counts) for name, counts in evidence.duration_histograms.items()
@@ -188,13 +196,14 @@
         now: int,
         previous_version: list[MemberSample] | None = None,
     ) -> CanaryVerdict:
-        """Take one sample of both sides.
+        """Add one sample of each member, and return the verdict.
 
         Args:
-            canary: Members in the new version.
-            baseline: Members in the previous version that are compared with.
-            now: When this is.
-            previous_version: All members in it, which settle what counts as slow; as `baseline` where None.
+            canary: Samples of members in the new version.
+            baseline: Samples of the members in the previous version that the canary is compared with.
+            now: The current time.
+            previous_version: Samples of all members in the previous version, which set the slow bounds; None
+                means the same as `baseline`.
         """
         warm_canary = [self._with_slow_metric(sample) for sample in canary if sample.warm]
         warm_baseline = [self._with_slow_metric(sample) for sample in baseline if sample.warm]
@@ -214,7 +223,7 @@
         return verdict
 
     def _with_slow_metric(self, sample: MemberSample) -> MemberSample:
-        """Count slow runs by the bounds of earlier samples, so that they are not their own measure."""
+        """Add the metric `slow`, counted by bounds from earlier samples and not from the sample itself."""
         slow = {
             f"{SLOW_METRIC}:{name}": (sum(sample.durations[name][bound:]), sum(sample.durations[name]))
             for name, bound in self.slow_bounds.items()
@@ -225,7 +234,7 @@
         return replace(sample, outcomes={**sample.outcomes, **slow})
 
     def update_slow_bounds(self, baseline: list[MemberSample]) -> None:
-        """Add runs of the baseline, and settle the bounds of classes that have enough of them."""
+        """Add runs of the baseline, and set the slow bound of each class that has enough runs."""
         if SLOW_METRIC not in {metric_kind(name) for name in self.margins}:
             return
         for name in {name for sample in baseline for name in sample.durations}:
@@ -238,13 +247,13 @@
                 self.slow_bounds[name] = slow_bound(histogram)
 
     def track_metric(self, name: str) -> None:
-        """Compare a metric from now on, if it has a margin of its own or of its kind."""
+        """Start to compare a metric, if it or its kind has a margin."""
         margin = self.margins.get(name, self.margins.get(metric_kind(name)))
         if margin is not None and name not in self.metrics:
             self.metrics[name] = MetricComparison(name, margin)
 
     def check_memory(self, canary: list[MemberSample], baseline: list[MemberSample]) -> None:
-        """Count samples in a row in which a member of the canary uses too much, warm or not."""
+        """Count samples in a row in which a canary, warm or not, uses excessive memory."""
         baseline_memory = [sample.memory_kb for sample in baseline if sample.memory_kb]
         largest = max((sample.memory_kb for sample in canary), default=0)
         is_excessive = False
@@ -259,7 +268,7 @@
     # ---- verdict ---------------------------------------------------------------------------------------
 
     def verdict(self, now: int) -> CanaryVerdict:
-        """The verdict on all metrics together; sets `reason`."""
+        """Return the verdict on all metrics together, and set `reason`."""
         if self.excess_memory_count >= MEMORY_LEAK_SAMPLES:
             return CanaryVerdict.BAD
         error = FALSE_ALARM_RATE / max(1, len(self.metrics))
@@ -284,29 +293,29 @@
         return CanaryVerdict.UNCLEAR
 
     def _is_harmless_class(self, name: str) -> bool:
-        """Whether a metric is of one request class, and within its margin as it stands."""
+        """Return whether a metric is of one request class and within its margin, certain or not."""
         return metric_kind(name) != name and self.metrics[name].is_within_margin
 
     def has_minimum_watch(self, now: int) -> bool:
-        """Whether the batch was watched for long enough for a good verdict."""
+        """Return whether the batch was watched long enough for a good verdict."""
         return now - self.started_at >= self.min_watch
 
     def has_expired(self, now: int) -> bool:
-        """Whether the watch is over: what is unclear now stays so."""
+        """Return whether the maximum watch has passed: an unclear verdict is final then."""
         return now - self.started_at >= self.max_watch
 
     def report(self) -> list[MetricReport]:
-        """Every comparison as operators see it."""
+        """Return reports on all comparisons for operators."""
         return [metric.report() for metric in self.metrics.values()]
 
 
 def metric_kind(name: str) -> str:
-    """The kind of a metric: the part of `KIND:CLASS` before the colon, or all of it."""
+    """Return the kind of a metric: the part of `KIND:CLASS` before the colon, or the whole name."""
     return name.partition(":")[0]
 
 
 def margins_across_sites(margins: Mapping[str, float]) -> dict[str, float]:
-    """Margins for members of different sites: wider, and without metrics that depend on a site's load."""
+    """Return margins to compare members of different sites: wider, and without load-dependent metrics."""
     return {
         name: min(1.0, margin * CROSS_SITE_MARGIN_FACTOR)
         for name, margin in margins.items()
@@ -315,7 +324,7 @@
 
 
 def sum_outcomes(samples: list[MemberSample], name: str) -> tuple[float, float]:
-    """Bad and all outcomes of a metric; of all request classes together where it is a kind."""
+    """Return bad and all outcomes of a metric; of all request classes together if it is a kind."""
     found = [
         outcome
         for sample in samples
@@ -326,14 +335,14 @@
 
 
 def add_histogram(histogram: list[int], counts: list[int]) -> None:
-    """Add counts by bucket to `histogram`, in place; the longer of both gives its length."""
+    """Add counts by bucket to `histogram` in place, extending it if `counts` is longer."""
     histogram += [0] * (len(counts) - len(histogram))
     for bucket, count in enumerate(counts):
         histogram[bucket] += count
 
 
 def slow_bound(histogram: list[int]) -> int:
-    """The first bucket that counts as slow: from it on lie at most `MAX_SLOW_SHARE` of the runs."""
+    """Return the first slow bucket: it and the later ones hold at most `MAX_SLOW_SHARE` of the runs."""
     allowed = MAX_SLOW_SHARE * sum(histogram)
     bound = len(histogram)
     while bound and sum(histogram[bound - 1 :]) <= allowed:
--- a/birchslip/cluster/canary_metrics.py
+++ b/birchslip/cluster/canary_metrics.py
@@ -1,9 +1,9 @@
-"""Compares the share of bad outcomes of two sides, with a test that may be repeated at any time.
+"""Compares the share of bad outcomes of two sides with a sequential test, valid after every sample.
 
-A test that is repeated again and again finds something in the end if its error is that of one sample. So each
-comparison is judged by a mixture of sequential likelihood ratios (Robbins 1970; for continuous comparisons
-Johari, Pekelis and Walsh 2015): the chance to call two equal versions different stays under its error over
-all samples together, however many there are. A difference counts as bad only past its margin.
+A fixed-sample test that is repeated after every sample gives a false alarm sooner or later. So each
+comparison uses a mixture sequential probability ratio test (Robbins 1970; for continuous monitoring Johari,
+Pekelis and Walsh 2015): the probability of calling two equal versions different stays below its error over
+all samples together, however many there are. A difference is bad only above its margin.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 import msgspec
 
-# Chance that equal versions are called different, over all metrics and samples.
+# Probability that equal versions are called different, over all metrics and samples.
 FALSE_ALARM_RATE = 0.005
-# Chance that a metric past its margin is called good, over all samples.
+# Probability that a metric above its margin is called good, over all samples.
 MISS_RATE = 0.02
-# Standard deviation of the differences that the mixture expects: the test is sharpest about there.
+# Standard deviation of the mixture's differences; the test is most sensitive to differences of this size.
 MIXTURE_SPREAD = 0.05
-MIN_OUTCOMES = 25  # of each side, before a metric has a verdict
-# Outcomes are correlated, as a queue makes many late at once: they count as fewer independent ones.
+MIN_OUTCOMES = 25  # on each side, before a metric has a verdict
+# Outcomes are correlated, as one queue makes many responses late: they count as fewer independent ones.
 VARIANCE_INFLATION = 2.0
-MAX_LOG_RATIO = 700.0  # past it the ratio overflows a float
+MAX_LOG_RATIO = 700.0  # above it, the ratio overflows a float
 
 
 class CanaryVerdict(Enum):
-    """What is known of the new version."""
+    """The verdict on the new version."""
 
     GOOD = "good"
     BAD = "bad"
@@ -38,16 +38,16 @@
     msgspec.Struct,
     rename={"canary": "released", "baseline": "others", "outcomes": "of", "certainty": "surety"},
 ):
-    """A comparison as operators see it.
+    """A report on one comparison for operators.
 
     Attributes:
         name: Name of the metric.
-        canary: Share of bad outcomes in the new version.
-        baseline: The same of the previous version.
-        outcomes: Number of outcomes of both sides, the canary's first.
-        margin: The difference past which the new version is bad.
+        canary: Share of bad outcomes in the new version, 0 to 1.
+        baseline: Share of bad outcomes in the previous version, 0 to 1.
+        outcomes: Number of outcomes on both sides, the canary's first.
+        margin: The difference of shares above which the new version is bad.
         verdict: Value of the `CanaryVerdict`.
-        certainty: How sure the verdict is, 0 to 1.
+        certainty: Certainty of the verdict, 0 to 1.
     """
 
     name: str
@@ -61,25 +61,25 @@
 
 @dataclass(slots=True)
 class Proportion:
-    """Bad outcomes and all outcomes of one metric, on one side."""
+    """The numbers of bad and of all outcomes of one metric, on one side."""
 
     bad: float = 0.0
     total: float = 0.0
 
     @property
     def ratio(self) -> float:
-        """The share of bad outcomes; 0 while there are none."""
+        """The share of bad outcomes, 0 to 1; 0 while there are no outcomes."""
         return self.bad / self.total if self.total else 0.0
 
     def add(self, bad: float, total: float) -> None:
-        """Add outcomes, of which no more can be bad than there are."""
+        """Add outcomes; `bad` counts at most up to `total`."""
         self.bad += min(bad, total)
         self.total += total
 
 
 @dataclass(slots=True)
 class MetricComparison:
-    """One metric of both sides. `margin` is the difference of shares past which the new version is bad."""
+    """One metric on both sides; above a difference of `margin` in bad shares the new version is bad."""
 
     name: str
     margin: float
@@ -87,14 +87,14 @@
     baseline: Proportion = field(default_factory=Proportion)
 
     def add(self, canary: tuple[float, float], baseline: tuple[float, float]) -> None:
-        """Add bad and all outcomes of one sample; a sample in which a side has none is ignored."""
+        """Add one sample: bad and all outcomes of each side. It is ignored if a side has no outcomes."""
         if canary[1] > 0 and baseline[1] > 0:
             self.canary.add(*canary)
             self.baseline.add(*baseline)
 
     @property
     def difference(self) -> float:
-        """How much larger the share of bad outcomes is in the new version."""
+        """The canary's share of bad outcomes minus the baseline's."""
         return self.canary.ratio - self.baseline.ratio
 
     @property
@@ -108,25 +108,25 @@
         return min(self.canary.total, self.baseline.total) >= MIN_OUTCOMES
 
     def variance(self) -> float:
-        """Of the difference, if both sides were equal; never 0, as no share of 0 is certain."""
+        """Return the difference's variance if both sides were equal; never 0, even without bad outcomes."""
         canary = self.canary
         baseline = self.baseline
         pooled = (canary.bad + baseline.bad + 1) / (canary.total + baseline.total + 2)
         return VARIANCE_INFLATION * pooled * (1 - pooled) * (1 / canary.total + 1 / baseline.total)
 
     def log_likelihood_ratio(self, expected_difference: float) -> float:
-        """Logarithm of the mixture's likelihood against that of a true difference as expected."""
+        """Return the log likelihood ratio of the mixture to a true difference of `expected_difference`."""
         variance = self.variance()
         mixed = variance + MIXTURE_SPREAD * MIXTURE_SPREAD
         deviation = self.difference - expected_difference
         return (log(variance / mixed) + deviation * deviation * (1 / variance - 1 / mixed)) / 2
 
     def verdict(self, error: float = FALSE_ALARM_RATE) -> CanaryVerdict:
-        """The verdict on this metric.
+        """Return the verdict on this metric.
 
         Args:
-            error: This metric's part of the false alarms; a miss has no parts, as to go on all metrics have
-                to agree.
+            error: This metric's part of `FALSE_ALARM_RATE`. `MISS_RATE` is not divided between the metrics,
+                because a good verdict needs all of them.
         """
         if not self.has_enough_outcomes:
             return CanaryVerdict.UNCLEAR
@@ -137,14 +137,14 @@
         return CanaryVerdict.BAD if is_bad else CanaryVerdict.GOOD
 
     def certainty(self) -> float:
-        """How sure it is that the difference is not exactly the margin, 0 to 1."""
+        """Return the certainty that the true difference is not exactly the margin, 0 to 1."""
         if not self.has_enough_outcomes:
             return 0.0
         log_ratio = max(0.0, self.log_likelihood_ratio(self.margin))
         return 1 - exp(-min(MAX_LOG_RATIO, log_ratio))
 
     def report(self) -> MetricReport:
-        """The shares and what the verdict rests on."""
+        """Return the shares, the verdict and its certainty, for operators."""
         return MetricReport(
             name=self.name,
             canary=round(self.canary.ratio, 4),
--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -1,18 +1,18 @@
-"""The disruption budget: which members may be unavailable, as permits within budgets that nest.
+"""The disruption budget: grants eviction permits to members within nested or overlapping budgets.
 
 A group is a set of members (a site, the whole fleet) with a bound on how many may be unavailable and on the
-capacity that has to stay. Planned and unplanned unavailability count alike. The leader alone decides, and
-answers a grant only once a majority of planners has stored it: a minority grants nothing. The model is that
-of pod disruption budgets in Kubernetes, with permits that are held by an incarnation.
-
-- A permit ends when its holder is observed back in service in a later incarnation, when its holder releases
-  it, or when it is revoked; it never expires, since a member that has fallen silent is still unavailable.
-- Requesting twice returns the same permit. Another incarnation of a holder gets none until the old one's has
-  ended.
-- Waiters are served in the order of arrival. A later one is granted before an earlier one only where the
-  earlier one's place in every group stays free: nobody starves.
-- A budget lowered below what is already unavailable grants nothing until enough members are back.
-- An override names a requester, a reason, a number of members and a time, and is written to the audit log.
+capacity that has to stay. Planned and unplanned unavailability count alike. Only the leader decides, and it
+reports a grant only once a majority of planners has stored it, so a minority grants nothing. The model is
+that of pod disruption budgets in Kubernetes, with permits that are held by one incarnation of a member.
+
+- A permit ends when its holder is observed in service in a later incarnation, when its holder releases it, or
+  when it is revoked. It never expires, because a member that no longer reports is still unavailable.
+- A repeated request returns the same permit. Another incarnation of the holder gets no permit until the
+  earlier incarnation's permit has ended.
+- Waiters are served in the order of arrival. A later waiter is granted first only if that takes no place in
+  any group from an earlier one, so no waiter starves.
+- A budget that is lowered below what is already unavailable grants nothing until enough members are back.
+- An override has a requester, a reason, a number of members and a duration, and enters the audit log.
 """
 
 from __future__ import annotations
@@ -44,7 +44,11 @@
 class DisruptionBudget:
     """Grants, queues and ends permits.
 
-    `observations` of each method are what the membership shows of every member at that moment.
+    The argument `observations` of its methods has the current observation of every member and service.
+
+    Attributes:
+        state: The replicated permits, waiters, overrides and audit log.
+        index: The groups of each member, and the members that depend on each service.
     """
 
     def __init__(
@@ -53,7 +57,7 @@
         state: BudgetState | None = None,
         dependencies: Mapping[str, Iterable[str]] | None = None,
     ) -> None:
-        """Start with a stored `state`; `dependencies` are the services below of members that need any."""
+        """Start with a stored `state`; `dependencies` are the downstream services that members require."""
         self.state = state if state is not None else BudgetState()
         self.index = BudgetIndex(groups, dependencies or {})
 
@@ -69,26 +73,29 @@
 
     @property
     def dependencies(self) -> Mapping[str, Iterable[str]]:
-        """The services below of those members that need any."""
+        """The downstream services that each member requires, for members that require any."""
         return self.index.dependencies
 
     def set_groups(
         self, groups: list[BudgetGroup], dependencies: Mapping[str, Iterable[str]] | None = None
     ) -> None:
-        """Replace the groups; the dependencies too, where they are given. Permits stay."""
+        """Replace the groups, and the dependencies unless they are None. Permits stay."""
         effective = self.dependencies if dependencies is None else dependencies
         self.index = BudgetIndex(groups, effective)
 
     # ---- counting --------------------------------------------------------------------------------------
 
     def permit_of(self, name: str) -> Permit | None:
-        """The permit that a member holds, if any."""
+        """Return the permit that a member holds, if any."""
         return next((permit for permit in self.state.permits if permit.holder == name), None)
 
     def unavailable_members(
         self, observations: Mapping[str, MemberObservation]
     ) -> dict[str, UnavailabilityReason]:
-        """Every unavailable member and why. An unused permit counts: its holder may go at any moment."""
+        """Return every unavailable member and why.
+
+        The holder of an unused permit counts as unavailable, because it may drain at any moment.
+        """
         found = {
             name: observation.unavailability
             for name, observation in observations.items()
@@ -105,7 +112,7 @@
     def tally(
         self, observations: Mapping[str, MemberObservation], ahead: Iterable[str] = ()
     ) -> DisruptionTally:
-        """Counts of all unavailable members, with those waiting `ahead` counted as unavailable too."""
+        """Count all unavailable members, and the members in `ahead` as if they were unavailable too."""
         tally = DisruptionTally(self.index, observations, self.unavailable_members(observations))
         for name in ahead:
             tally.add(name)
@@ -116,7 +123,7 @@
     def acquire(
         self, requester: EvictionWaiter, observations: Mapping[str, MemberObservation]
     ) -> EvictionDecision:
-        """A permit, the one that the requester holds already, or a place among the waiters."""
+        """Return a new permit, the permit that the requester already holds, or its place in the queue."""
         holder = requester.holder
         if holder not in self.groups_of:
             return EvictionDecision(reason=f"{holder} is in no group")
@@ -137,7 +144,7 @@
         return self._waiting_decision(holder, observations)
 
     def _enqueue(self, requester: EvictionWaiter) -> bool:
-        """Add a waiter; a new incarnation of one that waits retains its place. False where too many wait."""
+        """Add a waiter; a new incarnation keeps its member's place. False if the queue is full."""
         place = self._waiting_index(requester.holder)
         if place is not None:
             self.state.waiters[place] = requester
@@ -160,7 +167,7 @@
         return EvictionDecision(position=place + 1, reason=reason)
 
     def cancel(self, holder: str) -> bool:
-        """Remove a waiter. A permit stays: its holder may be unavailable already."""
+        """Remove a waiter; False if there is none. A permit stays: its holder may be unavailable already."""
         before = len(self.state.waiters)
         self.state.waiters[:] = [waiter for waiter in self.state.waiters if waiter.holder != holder]
         return len(self.state.waiters) < before
@@ -174,7 +181,7 @@
         for waiter in list(self.state.waiters):
             observation = observations.get(waiter.holder)
             if observation is None or observation.incarnation != waiter.incarnation:
-                self.cancel(waiter.holder)  # that incarnation has ended; the next one may request anew
+                self.cancel(waiter.holder)  # that incarnation has ended; the next one may request a permit
                 continue
             if not tally.blocking_reason(waiter.holder):
                 granted.append(self.grant(waiter))
@@ -182,7 +189,7 @@
         return granted
 
     def grant(self, requester: EvictionWaiter, override: bool = False) -> Permit:
-        """Grant a permit without a check of the budgets."""
+        """Grant a permit without checking the budgets."""
         self.state.last_permit_number += 1
         permit = Permit(
             holder=requester.holder,
@@ -199,7 +206,7 @@
     # ---- ending ----------------------------------------------------------------------------------------
 
     def reconcile(self, observations: Mapping[str, MemberObservation]) -> bool:
-        """End permits of members that are back and serve waiters; whether anything has changed."""
+        """End permits of members that are back, and grant waiters; return whether anything has changed."""
         returned = [
             permit
             for permit in self.state.permits
@@ -213,7 +220,7 @@
 
     @staticmethod
     def has_returned(permit: Permit, observation: MemberObservation | None) -> bool:
-        """Whether the holder serves in a later incarnation. The same one may still go at any moment."""
+        """Return whether the holder serves in another incarnation; the same one may still drain."""
         if observation is None or observation.unavailability is not None:
             return False
         return observation.incarnation != permit.incarnation
@@ -221,7 +228,7 @@
     def release(
         self, holder: str, incarnation: Incarnation, observations: Mapping[str, MemberObservation]
     ) -> bool:
-        """End an unused permit. Only the incarnation that holds it may, and only while it is in service."""
+        """End an unused permit. False unless `incarnation` holds it and is in service."""
         permit = self.permit_of(holder)
         observation = observations.get(holder)
         if permit is None or permit.incarnation != incarnation:
@@ -241,10 +248,10 @@
     # ---- overriding ------------------------------------------------------------------------------------
 
     def add_override(self, requester: str, reason: str, count: int, span: int) -> str:
-        """Allow `count` members past the budgets for `span` tenths of a millisecond.
+        """Allow `count` permits beyond the budgets within `span` tenths of a millisecond.
 
         Returns:
-            Why the override is refused; empty where it was added.
+            Why the override is refused; empty if it was added.
         """
         if not requester or not reason:
             return "an override names who and why"
@@ -260,7 +267,7 @@
     def acquire_with_override(
         self, requester: EvictionWaiter, observations: Mapping[str, MemberObservation]
     ) -> EvictionDecision:
-        """As `acquire`; uses up one place of an override where the budgets forbid a permit."""
+        """Acquire a permit; use one of an override's permits if the budgets forbid it."""
         decision = self.acquire(requester, observations)
         if decision.permit is not None or not decision.position:
             return decision
@@ -274,7 +281,7 @@
         return EvictionDecision(self.grant(requester, override=True))
 
     def expire_overrides(self, elapsed: int) -> None:
-        """Count `elapsed` tenths of a millisecond against every override, and end those that run out."""
+        """Subtract `elapsed` tenths of a millisecond from every override, and end those with no time left."""
         for override in self.state.overrides:
             override.remaining = max(0, override.remaining - elapsed)
         for override in [override for override in self.state.overrides if not override.remaining]:
@@ -284,14 +291,14 @@
     # ---- storing ---------------------------------------------------------------------------------------
 
     def record_event(self, text: str) -> None:
-        """Append a line to the audit log, and drop the oldest lines past its bound."""
+        """Append a line to the audit log, and drop the oldest excess lines."""
         self.state.audit_log.append(text[:MAX_AUDIT_LINE_LENGTH])
         del self.state.audit_log[:-MAX_AUDIT_LINES]
 
     def encode(self) -> bytes:
-        """The state as it is replicated."""
+        """Return the state as it is replicated."""
         return msgspec.json.encode(self.state)
 
     def restore(self, raw: bytes) -> None:
-        """Continue with a replicated state; empty bytes are an empty state."""
+        """Replace the state with a replicated one; empty bytes mean an empty state."""
         self.state = msgspec.json.decode(raw, type=BudgetState) if raw else BudgetState()
--- a/birchslip/cluster/disruption_tally.py
+++ b/birchslip/cluster/disruption_tally.py
@@ -1,7 +1,7 @@
 """Counts of unavailable members in groups that nest or overlap.
 
-Decides whether one more member may go, and never changes a permit. A service that members depend on is a
-member of groups like any other: whoever depends on it becomes unavailable with it.
+Decides whether one more member may become unavailable; changes no permit. A downstream service belongs to
+groups as members do, and the members that depend on it become unavailable with it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     """The groups of each member, and the members that depend on each service."""
 
     def __init__(self, groups: list[BudgetGroup], dependencies: Mapping[str, Iterable[str]]) -> None:
-        """Index `groups`, and `dependencies`: the services below of those members that need any."""
+        """Index `groups` and `dependencies`, the downstream services that each member requires."""
         self.groups = groups
         self.dependencies = dependencies
         self.groups_of: dict[str, list[BudgetGroup]] = {}
@@ -33,15 +33,15 @@
                 self.dependents.setdefault(service, []).append(name)
 
     def with_dependents(self, name: str) -> tuple[str, ...]:
-        """The member, and all that become unavailable with it."""
+        """Return a member or service, followed by the members that become unavailable with it."""
         return (name, *self.dependents.get(name, ()))
 
 
 class DisruptionTally:
-    """How many of each group are unavailable, and the capacity that stays, updated as members are added.
+    """The unavailable members and the remaining capacity of each group, updated as members are added.
 
-    Adding a member touches the groups it is in and nothing else, so all waiters are checked in one pass,
-    whatever the fleet's size.
+    Adding a member updates only the groups that it belongs to, so all waiters are checked in one pass,
+    regardless of the fleet's size.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         observations: Mapping[str, MemberObservation],
         unavailable: Iterable[str] = (),
     ) -> None:
-        """Count `unavailable` members, out of the fleet in `observations`."""
+        """Count the `unavailable` members of the fleet in `observations`."""
         self.index = index
         self.observations = observations
         self.unavailable: set[str] = set()
@@ -63,7 +63,7 @@
             self.add(name)
 
     def newly_unavailable(self, name: str) -> list[str]:
-        """Who would become unavailable with `name`, itself included, of those that are still available."""
+        """Return the members that would become unavailable with `name`, itself included."""
         return [member for member in self.index.with_dependents(name) if member not in self.unavailable]
 
     def add(self, name: str) -> None:
@@ -76,7 +76,7 @@
                 self.capacities[group.name] -= capacity
 
     def blocking_reason(self, holder: str) -> str:
-        """Which budget forbids that `holder` becomes unavailable now; empty where none does."""
+        """Return which budget forbids that `holder` becomes unavailable now; empty if none does."""
         groups: dict[str, BudgetGroup] = {}
         added: dict[str, list[str]] = {}
         for member in self.index.with_dependents(holder):
@@ -92,7 +92,7 @@
         return ""
 
     def _exceeded_budget(self, group: BudgetGroup, added: list[str]) -> str:
-        """Which bound of one group is exceeded with the `added` members unavailable; empty where none is."""
+        """Return which bound of a group would be exceeded with `added` unavailable too; empty if none."""
         unavailable = self.unavailable_counts[group.name] + len(added)
         if unavailable > group.disruptions_allowed:
             return f"{group.name}: {unavailable} would be out, {group.disruptions_allowed} may be"
@@ -109,7 +109,7 @@
 def with_dependents(
     observations: Mapping[str, MemberObservation], dependencies: Mapping[str, Iterable[str]]
 ) -> dict[str, MemberObservation]:
-    """The observations, with members marked unavailable whose service below is, or is not known."""
+    """Return the observations, with members unavailable if a service they require is or is unknown."""
 
     def is_unavailable(service: str) -> bool:
         return service not in observations or observations[service].unavailability is not None
--- a/birchslip/cluster/disruption_types.py
+++ b/birchslip/cluster/disruption_types.py
@@ -1,7 +1,7 @@
-"""Types of the disruption budget: groups of members, observations, permits, and the state that is replicated.
+"""Types of the disruption budget: groups of members, observations, permits, and the replicated state.
 
-Owns no decision. The keys of the messages are stored by a majority of planners and never change; attributes
-that have another name are mapped in each class's `rename`. Times are spans in tenths of a millisecond.
+The keys of the messages are stored by a majority of planners and never change; a class's `rename` maps
+attributes with another name. Durations are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 class UnavailabilityReason(Enum):
-    """Why a member counts as unavailable."""
+    """Why a member counts as unavailable; the values are reported to operators."""
 
-    PERMIT = "permit"
-    SILENT = "silent"
+    PERMIT = "permit"  # it holds a permit and may drain at any moment
+    SILENT = "silent"  # it does not report
     DRAINING = "leaving"
-    COLD = "cold"
-    DOWNSTREAM = "below"
+    COLD = "cold"  # it has not warmed up yet
+    DOWNSTREAM = "below"  # a downstream service that it requires is unavailable
     LOST = "lost"
 
 
@@ -35,8 +35,8 @@
         name: Name of the group, unique within the fleet.
         members: Names of members and of services that members depend on.
         max_unavailable: Number of members that may be unavailable; None sets no bound.
-        max_unavailable_share: Part of the members that may be, 0 to 1; None sets no bound.
-        min_capacity: Capacity that has to stay available, in requests a second.
+        max_unavailable_share: Fraction of members that may be unavailable, 0 to 1; None sets no bound.
+        min_capacity: Capacity that has to stay available, in requests per second.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
     @property
     def disruptions_allowed(self) -> int:
-        """How many members may be unavailable: the lower of both bounds."""
+        """Number of members that may be unavailable: the lower of both bounds."""
         bounds = [len(self.members)]
         if self.max_unavailable is not None:
             bounds.append(self.max_unavailable)
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberObservation:
-    """One member as the membership shows it now.
+    """The latest observation of one member or service.
 
     Attributes:
-        incarnation: The life of the process that was observed.
-        capacity: Requests a second that it can serve.
-        unavailability: Why it is unavailable without a permit; None while it is in service.
+        incarnation: The incarnation of the process that was observed.
+        capacity: Requests per second that it can serve.
+        unavailability: Why it is unavailable, apart from a permit; None while it is in service.
     """
 
     incarnation: Incarnation
@@ -74,7 +74,7 @@
 class Permit(Message, rename={"reason": "why"}):
     """The right of one incarnation of a member to be unavailable.
 
-    `number` rises with each grant; `override` is set if it was granted past the budgets.
+    `number` increases with each grant; `override` is set if it was granted beyond the budgets.
     """
 
     holder: Name
@@ -85,7 +85,7 @@
 
 
 class EvictionWaiter(Message, rename={"reason": "why"}):
-    """A requester of a permit: who would hold it, in which incarnation, and why."""
+    """A request for a permit: the member that would hold it, its incarnation, and the reason."""
 
     holder: Name
     incarnation: Incarnation
@@ -93,9 +93,9 @@
 
 
 class BudgetOverride(Message, rename={"requester": "who", "reason": "why", "remaining": "left"}):
-    """An operator's leave to exceed the budgets.
+    """An operator's permission to exceed the budgets.
 
-    `count` is the number of permits left in it, `remaining` the time left by the leader's clock.
+    `count` is the number of permits left, `remaining` the time left by the leader's clock.
     """
 
     requester: Text
@@ -107,7 +107,7 @@
 class BudgetState(
     Message, rename={"waiters": "waiting", "audit_log": "record", "last_permit_number": "number"}
 ):
-    """What the leader replicates to a majority of planners; waiters are in the order of arrival."""
+    """The state that the leader replicates to a majority of planners; waiters are in order of arrival."""
 
     permits: list[Permit] = msgspec.field(default_factory=list)
     waiters: list[EvictionWaiter] = msgspec.field(default_factory=list)
@@ -121,8 +121,8 @@
     """The answer to one requester.
 
     Attributes:
-        permit: Its permit, if it was granted.
-        position: Its place among the waiters, from 1; 0 if it does not wait.
+        permit: The requester's permit, if it holds one.
+        position: Its place in the queue, from 1; 0 if it does not wait.
         reason: What it waits for, or why it was refused.
     """
 
--- a/birchslip/cluster/eviction_handler.py
+++ b/birchslip/cluster/eviction_handler.py
@@ -1,7 +1,7 @@
-"""Evictions: requests for permits, answered from the disruption budget.
+"""Handles eviction requests: requests, returns, revocations and overrides of permits.
 
-Decides nothing about budgets itself, and never whether an answer may be sent: that is for the planner, once a
-majority has stored it.
+The disruption budget decides on each request. The planner sends the response once a majority has stored the
+decision.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def has_unknown_holder(request: EvictionRequest, observations: Mapping[str, MemberObservation]) -> bool:
-    """Whether a request is for a holder that is neither a member nor a service of the fleet."""
+    """Returns whether a request is for a holder that is neither a member nor a service of the fleet."""
     if request.operation is EvictionOperation.GRANT_OVERRIDE:
         return False
     return request.holder not in observations
@@ -28,7 +28,7 @@
 def handle_eviction(
     budget: DisruptionBudget, request: EvictionRequest, observations: Mapping[str, MemberObservation]
 ) -> EvictionResponse:
-    """Carries a request out; `observations` has every member and service that may hold a permit."""
+    """Executes a request; `observations` has every member and service that may hold a permit."""
     if request.operation is EvictionOperation.GRANT_OVERRIDE:
         reason = budget.add_override(request.operator, request.reason, request.count, request.span)
         return EvictionResponse(granted=not reason, reason=reason)
--- a/birchslip/cluster/fleet_diff.py
+++ b/birchslip/cluster/fleet_diff.py
@@ -1,15 +1,15 @@
-"""Fleet file changes: what of a later file may be applied while planners run, and what needs a restart.
+"""Changes of the fleet file: which may be applied while planners run, and which need a restart.
 
 | part | may change while planners run |
 | --- | --- |
-| `groups`, `services`, `platform.stale_ms` | yes: a budget below what is out grants nothing for a while |
+| `groups`, `services`, `platform.stale_ms` | yes: an exceeded budget grants nothing until members return |
 | members, `needs`, `routers`, `links`, `tenants`, `refuse` | yes, if all members that stay keep their quota |
 | `planners` | no: planners would count different majorities |
-| sites by name, `vault` | no: plans and leases in force rest on them |
-| spans | no: leases and plans in force were granted by them |
+| names of sites, `vault` | no: plans and leases in force depend on them |
+| `report_ms`, `plan_ms`, `fade_ms`, `patience_ms` | no: leases and plans in force depend on them |
 
-A member's quota of the vault is an even share if `calls` is not given, so one member that joins would make
-all others' smaller, and each would go on using more until it read the file again. `calls` given for each
+Without `calls` a member's quota of the vault is an even share, so a member that joins would reduce the quota
+of all others, and each would exceed its new quota until it read the file again. Giving `calls` for each
 member avoids that.
 """
 
@@ -25,7 +25,7 @@
 
 
 class MemberChanges(NamedTuple):
-    """The names of members that leave and join, sorted; a member that changes its site does both."""
+    """Sorted names of members that leave and join; a member that changes its site is in both lists."""
 
     left: list[str]
     joined: list[str]
--- a/birchslip/cluster/fleet_file.py
+++ b/birchslip/cluster/fleet_file.py
@@ -1,7 +1,7 @@
-"""The operators' fleet file: its parts, and what follows from them.
+"""Types of the operators' fleet file, and values derived from them.
 
-Owns the types only: `fleet_reader.py` reads the file and `fleet_validation.py` checks what types can't say.
-The keys in the file and the names of the classes are part of the JSON Schema that operators use
+`fleet_reader.py` reads the file and `fleet_validation.py` checks what the types can't express. The keys in
+the file and the names of the classes are part of the JSON Schema that operators use
 (`deploy/fleet.schema.json`); an attribute's key is its own name unless the class's `rename` gives another.
 """
 
@@ -23,7 +23,7 @@
 
 
 class FleetFilePart(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Base class of the file's parts; an unknown key is an error."""
+    """Base class of the file's parts; unknown keys are errors."""
 
 
 Identifier = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
@@ -37,13 +37,13 @@
 
 
 class Member(FleetFilePart, rename={"downstream_calls": "calls", "required_services": "needs"}):
-    """One app server: where routers find it, and what it may and has to use.
+    """One app server: its address, its share of the vault, and the services that it requires.
 
     Attributes:
         name: Its name.
         address: Where routers find it.
-        downstream_calls: Its base share of the vault's calls; by default an even one.
-        required_services: Services without which it counts as out.
+        downstream_calls: Its base share of the vault's concurrent calls; by default an even share.
+        required_services: Services without which it counts as unavailable.
     """
 
     name: Name
@@ -53,18 +53,18 @@
 
 
 class Service(FleetFilePart):
-    """One downstream service as the platform names it: a replica of a kind."""
+    """One downstream service by its name on the platform: a replica of a kind of service."""
 
     name: Name
     kind: Identifier
 
 
 class Platform(FleetFilePart):
-    """What starts and stops the fleet's processes.
+    """The platform, which starts and stops the fleet's processes.
 
     Attributes:
-        address: Where it is found.
-        ask_ms: Interval between two polls.
+        address: Its address.
+        ask_ms: Interval between two polls of its inventory.
         stale_ms: How long the response to a poll is valid.
     """
 
@@ -74,7 +74,7 @@
 
 
 class Site(FleetFilePart):
-    """One site: its app servers and the numbers of its own routers."""
+    """One site: its app servers and the numbers of its local routers."""
 
     name: Name
     members: list[Member]
@@ -82,7 +82,7 @@
 
 
 class Link(FleetFilePart):
-    """The cost of sending one site's load to another; 1 for pairs that are not given."""
+    """The cost of sending one site's load to another; pairs without a link cost 1."""
 
     source: Name = msgspec.field(name="from")
     target: Name = msgspec.field(name="to")
@@ -99,7 +99,7 @@
         "min_capacity": "least_room",
     },
 ):
-    """How many app servers and services may be out at once.
+    """A disruption budget: how many app servers and services may be unavailable at once.
 
     Attributes:
         name: Its name.
@@ -108,9 +108,9 @@
         services: Services that it covers.
         service_kinds: Kinds of services that it covers.
         covers_all: Whether it covers all app servers.
-        max_out: How many of them may be out.
-        max_out_fraction: Which fraction of them may be out.
-        min_capacity: Requests per second that those in service have to be able to do.
+        max_out: Number of them that may be unavailable; None sets no bound.
+        max_out_fraction: Fraction of them that may be unavailable; None sets no bound.
+        min_capacity: Capacity in requests per second that has to stay in service.
     """
 
     name: Identifier
@@ -128,9 +128,9 @@
     """The shared vault.
 
     Attributes:
-        total_calls: Calls of all app servers together that may run at once.
+        total_calls: Concurrent calls allowed to all app servers together.
         unleased_fraction: Fraction of a base share that needs no lease.
-        lease_ms: Length of the leases on the rest.
+        lease_ms: Duration of the leases on the rest.
     """
 
     total_calls: Positive
@@ -149,14 +149,14 @@
         sites: Its sites with their app servers.
         links: Costs of sending load between sites.
         tenant_shares: Each tenant's share of an app server.
-        shedding_tiers: What is rejected when capacity is short, in that order.
+        shedding_tiers: Tiers of requests to reject when capacity is short, first to be shed first.
         vault: The shared vault, if there is one.
-        disruption_budgets: How many may be out at once.
+        disruption_budgets: How many members and services may be unavailable at once.
         services: Downstream services.
-        platform: What starts and stops processes, if there is such a thing.
+        platform: The platform that starts and stops processes, if there is one.
         report_ms: Interval between two reports of a member.
         plan_ms: How long a plan is valid without being renewed.
-        fade_ms: Over how long an expired plan loses its effect.
+        fade_ms: Time over which an expired plan gradually loses its effect.
         patience_ms: How long a starting member waits for a planner before it is listed.
     """
 
@@ -181,7 +181,7 @@
 
     @property
     def link_costs(self) -> dict[tuple[str, str], float]:
-        """Costs of sending load from one site to another, where the file gives them."""
+        """Costs of sending load, by source and target site, for the links in the file."""
         return {(link.source, link.target): link.cost for link in self.links}
 
     @property
@@ -190,7 +190,7 @@
         return [member for site in self.sites for member in site.members]
 
     def base_calls(self) -> dict[str, float]:
-        """Each member's base share of the vault, in downstream calls that run at once."""
+        """Return each member's base share of the vault, in concurrent downstream calls."""
         if self.vault is None:
             return {}
         fixed_calls = sum(
@@ -204,7 +204,7 @@
         }
 
     def budget_groups(self) -> list[BudgetGroup]:
-        """The disruption budgets, each with the names of its members and services."""
+        """Return the disruption budgets as groups with the names of their members and services."""
         return [
             BudgetGroup(
                 budget.name,
@@ -217,7 +217,7 @@
         ]
 
     def covered_names(self, budget: Budget) -> set[str]:
-        """Names of the members and services that a budget covers."""
+        """Return the names of the members and services that a budget covers."""
         names = {*budget.members, *budget.services}
         for site in self.sites:
             if budget.covers_all or site.name in budget.sites:
@@ -226,11 +226,11 @@
         return names
 
     def required_services(self) -> dict[str, list[str]]:
-        """The services that each member requires, for members that require any."""
+        """Return the services that each member requires, for members that require any."""
         return {member.name: member.required_services for member in self.members if member.required_services}
 
     def rollout_scopes(self) -> dict[str, list[str]]:
-        """App servers by site and by budget, in the file's order: what a rollout may be limited to."""
+        """Return app servers by site and by budget, in the file's order; a rollout may name them."""
         scopes = {site.name: [member.name for member in site.members] for site in self.sites}
         in_order = [name for names in scopes.values() for name in names]
         for group in self.budget_groups():
@@ -238,7 +238,7 @@
         return scopes
 
     def site_of(self, member: str) -> Site | None:
-        """The site of a member, if there is one of that name."""
+        """Return the site of the member with that name, if there is one."""
         for site in self.sites:
             if any(candidate.name == member for candidate in site.members):
                 return site
@@ -246,5 +246,5 @@
 
 
 def span(milliseconds: int) -> int:
-    """Converts milliseconds to a span in units of 0.1 ms."""
+    """Return the duration in tenths of a millisecond."""
     return milliseconds * MS
--- a/birchslip/cluster/fleet_reader.py
+++ b/birchslip/cluster/fleet_reader.py
@@ -1,4 +1,4 @@
-"""Reads the operators' fleet file, checked whole before anything starts, and gives its JSON Schema."""
+"""Reads and validates the operators' fleet file, and generates its JSON Schema."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .fleet_file import Fleet
 from .fleet_validation import violations
 
-# Descriptions in the schema that operators use, by class; they never change with the docstrings.
+# Descriptions by class in the published schema; independent of the classes' docstrings.
 SCHEMA_DESCRIPTIONS = {
     "Fleet": "A fleet: planners, sites, and what is agreed for the day a site is lost.",
     "Planner": "One planner: where members, other planners and operators find it.",
@@ -42,7 +42,7 @@
     """Reads and validates a fleet file.
 
     Raises:
-        ConfigurationError: If it is malformed; the message has one line for each violation, with its place.
+        ConfigurationError: If it is invalid; the message has one line for each violation, with its place.
         OSError: If it can't be read.
     """
     raw = Path(path).read_bytes()
@@ -57,7 +57,7 @@
 
 
 def fleet_schema() -> dict[str, Any]:
-    """The JSON Schema, as it is in `deploy/fleet.schema.json`."""
+    """Returns the JSON Schema of a fleet file, as in `deploy/fleet.schema.json`."""
     schema = msgspec.json.schema(Fleet)
     for name, description in SCHEMA_DESCRIPTIONS.items():
         schema["$defs"][name]["description"] = description
--- a/birchslip/cluster/fleet_validation.py
+++ b/birchslip/cluster/fleet_validation.py
@@ -1,6 +1,6 @@
 """Checks of a fleet file that its types can't express.
 
-Each check yields one plain line for each violation, with its place in the file; none stops at the first.
+Each check yields one line for each violation, with its place in the file, and continues after the first.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from ..admission.types import SheddingTier
 from .fleet_file import Budget, Fleet, Member
 
-MAX_PLANNERS = 9
+MAX_PLANNERS = 9  # more could not agree in time
 MAX_PORT = 65_535
-MIN_REPORTS_PER_PLAN = 4  # reports that may be lost before a plan expires
-MIN_POLLS_BEFORE_STALE = 2
-ROUNDING_TOLERANCE = 1e-9  # allowed in sums of shares
+MIN_REPORTS_PER_PLAN = 4  # report intervals in a plan's validity, as some reports are lost
+MIN_POLLS_BEFORE_STALE = 2  # poll intervals in an inventory's validity
+ROUNDING_TOLERANCE = 1e-9  # rounding errors in sums of shares
 
 
 def violations(fleet: Fleet) -> Iterator[str]:
-    """All violations of a fleet file."""
+    """Return all violations of a fleet file."""
     return chain(
         check_counts(fleet),
         check_addresses(fleet),
@@ -51,7 +51,7 @@
 
 
 def members_with_places(fleet: Fleet) -> list[tuple[str, Member]]:
-    """All members, each with its place in the file."""
+    """Return all members, each with its place in the file."""
     return [
         (f"sites[{site_index}].members[{member_index}]", member)
         for site_index, site in enumerate(fleet.sites)
@@ -148,7 +148,7 @@
 
 
 def covers_anything(budget: Budget) -> bool:
-    """Whether a budget names any site, member, service or kind."""
+    """Return whether a budget covers all members or names any site, member, service or kind."""
     return budget.covers_all or any((budget.sites, budget.members, budget.services, budget.service_kinds))
 
 
@@ -167,7 +167,7 @@
 
 
 def check_platform(fleet: Fleet) -> Iterator[str]:
-    """Checks that services have a platform, which is polled often enough."""
+    """Checks that services have a platform, and that it is polled often enough."""
     platform = fleet.platform
     if platform is None:
         if fleet.services:
@@ -178,7 +178,7 @@
 
 
 def check_shares(fleet: Fleet) -> Iterator[str]:
-    """Checks that shares of tenants and of the vault add up to no more than there is."""
+    """Checks that the tenants' shares add up to at most 1, and the members' calls to the vault's total."""
     tenant_sum = sum(fleet.tenant_shares.values())
     if tenant_sum > 1 + ROUNDING_TOLERANCE:
         yield f"tenants: the shares add up to {tenant_sum:.3f}, more than 1"
@@ -190,6 +190,6 @@
 
 
 def check_spans(fleet: Fleet) -> Iterator[str]:
-    """Checks that a plan outlives some lost reports."""
+    """Checks that a plan stays valid while some reports are lost."""
     if fleet.plan_ms < MIN_REPORTS_PER_PLAN * fleet.report_ms:
         yield f"plan_ms: {fleet.plan_ms} is under four reports of {fleet.report_ms} ms: plans would lapse"
--- a/birchslip/cluster/inventory.py
+++ b/birchslip/cluster/inventory.py
@@ -2,7 +2,7 @@
 
     {"members": {"a-1": {"state": "up", "version": "7", "starts": 0, "ends": 0}}, "services": {...}}
 
-Unlike our own messages it may have keys that are unknown here; they are ignored.
+Unlike in messages between planners and members, unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from .messages import Count, Incarnation, Name
 from .rollout_types import InstanceStatus, InstanceView, Version
 
-SERVICE_CAPACITY = 1.0  # services have no measured capacity: each counts as one
+SERVICE_CAPACITY = 1.0  # services report no capacity, so each counts as one
 
 
 class ProcessReport(
     msgspec.Struct, rename={"failed_starts": "starts", "crashes": "ends", "start_count": "life"}
 ):
-    """One process as the platform sees it.
+    """One process as the platform reports it.
 
     Attributes:
         state: A value of `InstanceStatus`.
-        version: The version that it runs or was last to run.
-        failed_starts: Starts in that version that did not come up.
-        crashes: How often it ended by itself in that version.
-        start_count: All its starts.
+        version: The version that it runs, or was last started in.
+        failed_starts: Number of failed starts in that version.
+        crashes: Number of crashes in that version.
+        start_count: Number of all starts, in any version.
     """
 
     state: Annotated[str, msgspec.Meta(pattern="^(up|draining|stopped|failed)$")]
@@ -40,13 +40,13 @@
 
 
 class Inventory(msgspec.Struct):
-    """All processes that the platform knows, by name: app servers and the services below them."""
+    """All processes that the platform knows, by name: app servers and downstream services."""
 
     members: dict[Name, ProcessReport]
     services: dict[Name, ProcessReport] = {}
 
     def instances(self) -> dict[str, InstanceView]:
-        """Returns the app servers as rollouts see them."""
+        """Returns the app servers' processes for rollouts, by name."""
         return {
             name: InstanceView(
                 InstanceStatus(process.state), process.version, process.failed_starts, process.crashes
@@ -55,7 +55,7 @@
         }
 
     def observe_service(self, name: str) -> MemberObservation:
-        """Returns whether a service is out; one that the platform does not know is."""
+        """Returns the observation of a service; an unknown service counts as unavailable."""
         process = self.services.get(name)
         if process is None:
             return MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
@@ -71,10 +71,10 @@
 
 
 def read_inventory(raw: bytes) -> Inventory:
-    """Decodes the platform's answer.
+    """Decodes the platform's response.
 
     Raises:
-        InvalidInputError: It is not an inventory.
+        InvalidInputError: If it is not an inventory.
     """
     try:
         return msgspec.json.decode(raw, type=Inventory)
--- a/birchslip/cluster/member_samples.py
+++ b/birchslip/cluster/member_samples.py
@@ -1,6 +1,7 @@
-"""Turns the growing sums of members' reports into samples: what each member served since the last one.
+"""Converts the cumulative counters in members' reports to samples of the time between two reads.
 
-Reports may be lost: sums lose nothing by it. Nothing is known of an incarnation before its first report here.
+Because the counters are cumulative, a lost report loses no outcomes. Outcomes that an incarnation counted
+before its first report to this planner are ignored.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 
 
 class SampleReader:
-    """Remembers the report of each member that was read last."""
+    """Computes samples as differences from the last report of each member."""
 
     def __init__(self) -> None:
-        """Start without reports: the first of each member gives a sample without outcomes."""
+        """Start without reports: the first report of each member gives a sample without outcomes."""
         self._last_reports: dict[str, MemberReport] = {}
 
     def read(self, reports: Mapping[str, MemberReport]) -> dict[str, MemberSample]:
-        """Samples since the read before, by member; members without a report are forgotten."""
+        """Return samples since the previous read, by member; members without a report are dropped."""
         samples = {name: self._sample(name, report) for name, report in reports.items()}
         self._last_reports = dict(reports)
         return samples
@@ -40,6 +41,6 @@
 
 
 def histogram_difference(counts: list[int], last_counts: list[int]) -> list[int]:
-    """What each bucket has gained; as many buckets as both have."""
+    """Return the increase of each bucket, for the buckets that both histograms have."""
     pairs = zip(counts, last_counts, strict=False)
     return [max(0, count - last_count) for count, last_count in pairs]
--- a/birchslip/cluster/operator_views.py
+++ b/birchslip/cluster/operator_views.py
@@ -1,6 +1,6 @@
-"""Operator views: the JSON reports of a planner on its fleet, by the keys that operators' tools read.
+"""Operator views: a planner's JSON reports on its fleet, with the keys that operators' tools read.
 
-Read only: nothing here changes the planner's state or takes part in its decisions.
+Read only: nothing here changes the planner's state.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from .site_plan import plan_without_site
 from .site_supervisor import restore_ramps
 
-MAX_AUDIT_LINES_SHOWN = 16  # the newest lines of the permits' record that are shown
+MAX_AUDIT_LINES_SHOWN = 16  # the newest lines of the disruption budget's audit log
 
 Report = dict[str, object]
 
 
 def fleet_status(state: PlannerState, now: int) -> Report:
-    """Returns all that `fleet show` prints; a follower reports what the leader had it store."""
+    """Returns the report of `fleet show`; a follower reports the replicated state that it has stored."""
     is_leader = state.is_effective_leader(now)
     stored = state.stored_state()
     ramps = state.sites.ramps
@@ -53,7 +53,7 @@
 
 
 def member_row(member: Member, report_interval: int, now: int) -> Report:
-    """Returns one member as it has reported."""
+    """Returns the row of one member, from its latest report."""
     report = member.report
     return {
         "name": member.name,
@@ -74,7 +74,7 @@
 
 
 def site_row(state: PlannerState, site: str, ramp: RecoveryRamp, now: int) -> Report:
-    """Returns one site with its verdict and stage."""
+    """Returns the row of one site, with its verdict and stage."""
     published = state.plans.published
     return {
         "name": site,
@@ -91,7 +91,7 @@
 
 
 def permits_status(state: PlannerState, budget_state: BudgetState, now: int) -> Report:
-    """Returns budgets, permits and who is out."""
+    """Returns budgets, permits, waiters and unavailable members."""
     budget = DisruptionBudget(state.budget.groups, budget_state)
     unavailable = budget.unavailable_members(state.observations(now))
     groups = [
@@ -123,13 +123,13 @@
 def rollouts_status(
     state: PlannerState, now: int, number: int = 0, with_history: bool = False
 ) -> list[RolloutReport]:
-    """Returns the rollouts, the newest first; a follower reports what the leader had it store.
+    """Returns the rollouts, the newest first; a follower reports the replicated state that it has stored.
 
     Args:
-        state: The planner.
-        now: The time.
-        number: Of the only rollout to return, 0 for all.
-        with_history: Whether each has the lines of its history.
+        state: The planner's state.
+        now: The current time.
+        number: Number of the only rollout to return, 0 for all.
+        with_history: Whether to include the lines of each history.
     """
     controller = state.rollouts.controller
     if state.is_effective_leader(now):
@@ -140,7 +140,7 @@
 
 
 def site_loss_forecast(state: PlannerState, lost_site: str) -> Report:
-    """Returns what the loss of a site would mean now: where its load would go, and what would be short."""
+    """Returns the effect of losing a site now: where its load would go, and the missing capacity."""
     fleet = state.fleet
     capacities = state.sites.capacities()
     plan = plan_without_site(
@@ -169,7 +169,7 @@
 
 
 def _vault_forecast(state: PlannerState, lost_site: str) -> Report:
-    """Concurrent calls that the vault gets now, and that the remaining members might make."""
+    """Returns the vault's concurrent calls now and the remaining members' quota; empty without leases."""
     leases = state.quotas.leases
     if leases is None:
         return {}
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -1,15 +1,16 @@
-"""The leader's link to the platform: it requests the inventory again and again, and gives orders one by one.
+"""The leader's link to the platform: polls the inventory and sends orders one by one.
 
     GET  /fleet/members?epoch=E            an inventory (`inventory.py`)
     POST /fleet/members/NAME/drain         {"epoch": E, "number": N, "version": V}
     POST /fleet/members/NAME/start         the same
 
-`number` is that of the permit that an order rests on, and `version` the one to run next. The platform ignores
-a drain whose number it has carried out before, or of a member that runs that version already, and a start of
-a member that is neither stopped nor failed. It refuses whatever has an epoch below the highest it has seen:
-a leader that was paused orders nothing when it wakes. 2xx: carried out or ignored, 409: of an older epoch.
+`epoch` is the leader's term, `number` that of the permit that allows the order, and `version` the version to
+run next. The platform ignores a drain whose number it has already executed or whose member already runs that
+version, and a start of a member that is neither stopped nor failed. It refuses every request with an epoch
+below the highest that it has seen, so that a leader that resumes after a pause can order nothing. It
+responds 2xx if the request was executed or ignored, and 409 if the epoch is older.
 
-Decides nothing: what to order is the `RolloutController`'s.
+The `RolloutController` decides which orders to send.
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
 RESPONSE_TIMEOUT = 5_000  # half a second, in tenths of a millisecond
 MAX_BUFFER_BYTES = 4 << 20
 MAX_RESPONSE_BYTES = 4 << 20
-MIN_PAUSE_DIVISOR = 4  # at least a quarter of the interval passes between two requests
+MIN_PAUSE_DIVISOR = 4  # at least a quarter of the interval passes between two exchanges
 
 
 class PlatformLink:
-    """Maintains a connection to the platform for as long as this planner leads."""
+    """Exchanges inventories and orders with the platform while this planner leads."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         self.nap = Nap(scheduler)
 
     def run(self) -> None:
-        """Run for as long as the planner lives; one that does not lead requests nothing."""
+        """Run until the planner ends; does nothing while this planner does not lead."""
         while True:
             started_at = self.scheduler.now
             if self.state.is_effective_leader(self.scheduler.tell_time()):
@@ -67,7 +68,7 @@
             self.nap.sleep(max(started_at + self.interval, earliest))
 
     def wake(self) -> None:
-        """Request and order now, without waiting for the interval."""
+        """Start the next exchange now, without waiting for the interval."""
         self.nap.end()
 
     def _exchange(self) -> None:
@@ -80,11 +81,11 @@
             self._disconnect()
 
     def request_inventory(self) -> None:
-        """Request the inventory and hand it to the controller, if the term has not ended meanwhile.
+        """Request the inventory, and pass it on unless the term has changed meanwhile.
 
         Raises:
-            OSError: If the platform does not answer, or refuses.
-            InvalidInputError: If its answer is malformed.
+            OSError: If the platform does not respond, or refuses.
+            InvalidInputError: If its response is malformed.
         """
         term = self.state.leadership.term
         sent_at = self.scheduler.tell_time()
@@ -97,10 +98,12 @@
             self.state.receive_inventory(inventory, sent_at)
 
     def send_orders(self) -> None:
-        """Give each order once. They are looked up anew each time: a halt meanwhile leaves none to give.
+        """Send each order once.
+
+        The orders are looked up again before each one, so that a halt in between stops the rest.
 
         Raises:
-            OSError: If the platform does not answer.
+            OSError: If the platform does not respond.
         """
         sent: set[PlatformOrder] = set()
         while True:
--- a/birchslip/cluster/release_file.py
+++ b/birchslip/cluster/release_file.py
@@ -1,6 +1,6 @@
 """The operators' release file: reading, checking, and its JSON Schema.
 
-Decides nothing about a rollout, and never reads the fleet file: the controller checks a release against it.
+Does not read the fleet file: the rollout controller checks a release against it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from .rollout_types import RolloutSpec
 
 SCHEMA_DIALECT = "https://json-schema.org/draft/2020-12/schema"
-# Published in deploy/release.schema.json, and so independent of the names in the code.
+# Published in deploy/release.schema.json, and therefore independent of names in the code.
 SCHEMA_NAME = "Plan"
 SCHEMA_DESCRIPTION = (
     "A release file. The first batch are the canaries; `sites` in the order in which they are released."
@@ -25,7 +25,7 @@
     """Read and check a release file.
 
     Raises:
-        InvalidInputError: With one line on what is wrong and where.
+        InvalidInputError: If it is malformed; the message is one line on what is wrong and where.
         OSError: If the file can't be read.
     """
     try:
@@ -39,7 +39,7 @@
 
 
 def release_schema() -> dict[str, Any]:
-    """The JSON Schema of a release file, as it stands in `deploy/release.schema.json`."""
+    """Return the JSON Schema of a release file, as in `deploy/release.schema.json`."""
     _, components = msgspec.json.schema_components((RolloutSpec,))
     definition = components[RolloutSpec.__name__]
     definition |= {"title": SCHEMA_NAME, "description": SCHEMA_DESCRIPTION}
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -1,4 +1,4 @@
-"""A rollout as a state machine: which member is next, what the platform is ordered, when it halts or reverts.
+"""The state machine of one rollout: which members are next, orders to the platform, halts and rollbacks.
 
     RUNNING      --halt-->            HALTED         a bad or unclear batch, a lost site, a stall, an operator
     HALTED       --resume-->          RUNNING        an operator, unless the new version is bad
@@ -7,12 +7,14 @@
     ROLLING_BACK --halt-->            HALTED
     ROLLING_BACK --finish rollback--> ROLLED_BACK    every member is in the previous version
 
-Any planner can continue it: the `RolloutRecord` has the target, while the state of members comes anew
-at each step from the platform and from the members' reports, so that nothing is lost with a leader.
+Any planner can continue a rollout: the replicated `RolloutRecord` has the target, and the state of the
+members is read at each step from the platform's inventory and the members' reports, so a change of leader
+loses nothing.
 
-A halt takes effect at once: no drain begins any more. A member that is stopped already is started again, in
-the new version or, where that was found bad, in the previous one; one that starts in neither is excluded, and
-the rollout halts. It never resumes by itself. Moments and spans are tenths of a millisecond.
+A halt takes effect at once: no further drain begins. A member that is already stopped is started again, in
+the new version, or in the previous version if the new one was found bad. A member that starts in neither
+version is excluded and halts the rollout. A halted rollout never resumes by itself. Times and durations are
+tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -40,13 +42,13 @@
 from .rollout_watch import BatchWatch, WatchResult
 from .stall_detector import StallDetector
 
-ORDER_LIFETIME = 5 * TICKS_PER_SECOND  # an order that was not carried out by then never will be
+ORDER_LIFETIME = 5 * TICKS_PER_SECOND  # an order that was not executed by then never takes effect
 MAX_HISTORY_LINES = 256
 MAX_TEXT_LENGTH = 400  # characters of a stored reason or line
 
 
 class RolloutEvent(Enum):
-    """What moves a rollout from one phase to another."""
+    """Events that move a rollout from one phase to another."""
 
     HALT = "halt"
     RESUME = "resume"
@@ -69,7 +71,7 @@
 
 
 class MemberState(NamedTuple):
-    """What changes of a member while a rollout makes progress."""
+    """The part of a member's state that changes while a rollout makes progress."""
 
     name: str
     status: InstanceStatus
@@ -80,11 +82,11 @@
 
 
 class Rollout:
-    """The decisions on one rollout.
+    """Decides the phase of one rollout and its orders to the platform.
 
     Attributes:
-        record: What is replicated of it.
-        progress: What it waits for, for operators.
+        record: The replicated state of the rollout.
+        progress: What the rollout waits for, as text for operators.
     """
 
     def __init__(
@@ -93,7 +95,7 @@
         budget: DisruptionBudget,
         site_of: Callable[[str], str] = lambda name: "",
     ) -> None:
-        """Continue `record` within the fleet's `budget`; `site_of` names the site of a member."""
+        """Continue the rollout in `record` within the fleet's `budget`; `site_of` returns a member's site."""
         self.record = record
         self.progress = ""
         self._budget = budget
@@ -102,16 +104,16 @@
         self._stall = StallDetector()
         self._phase_entered_at = -1  # the first step in this phase; -1 until then
         self._stepped_at: int | None = None
-        self._unrecorded_time = 0  # since the last line of the history
+        self._unrecorded_time = 0  # time since the last line of the history
 
     @property
     def spec(self) -> RolloutSpec:
-        """The release file that it was started with."""
+        """The release file that the rollout was started with."""
         return self.record.spec
 
     @property
     def phase(self) -> RolloutPhase:
-        """The state of the state machine."""
+        """The current phase of the rollout."""
         return RolloutPhase(self.record.phase)
 
     @property
@@ -121,12 +123,12 @@
 
     @property
     def analysis(self) -> CanaryAnalysis | None:
-        """The analysis of the batch that is watched, if one is."""
+        """The canary analysis of the watched batch; None while no batch is watched."""
         return self._watch.analysis
 
     @property
     def permit_reason(self) -> str:
-        """The reason that its permits carry."""
+        """The reason given in the permits of this rollout."""
         return self._steps.permit_reason
 
     def all_members(self) -> list[str]:
@@ -136,36 +138,39 @@
     # ---- events ----------------------------------------------------------------------------------------
 
     def start(self, operator: str) -> None:
-        """Enter the first phase."""
+        """Enter phase RUNNING, started by `operator`."""
         self._enter(RolloutPhase.RUNNING, f"started by {operator}")
 
     def halt(self, reason: str) -> bool:
-        """Halt at once; only an operator continues from here. False where it neither runs nor rolls back."""
+        """Halt at once; only an operator can continue. False if the rollout neither runs nor rolls back."""
         return self._fire(RolloutEvent.HALT, reason)
 
     def resume(self, operator: str) -> bool:
-        """Resume a halted rollout. False where the version is bad or a member starts in neither version."""
+        """Resume a halted rollout. False if the new version is bad or a member starts in neither version."""
         if self.record.version_is_bad or self.record.excluded:
             return False
         return self._fire(RolloutEvent.RESUME, f"resumed by {operator}")
 
     def roll_back(self, operator: str) -> bool:
-        """Begin to take every member back to the previous version; the new one counts as bad from now on."""
+        """Return all members to the previous version, and mark the new version as bad.
+
+        False if the current phase allows no rollback.
+        """
         if (self.phase, RolloutEvent.ROLL_BACK) not in TRANSITIONS:
             return False
         self.record.version_is_bad = True
         return self._fire(RolloutEvent.ROLL_BACK, f"back by {operator}")
 
     def complete(self, reason: str) -> bool:
-        """Every batch has passed."""
+        """Complete the rollout, once every batch has passed its watch. False if it does not run."""
         return self._fire(RolloutEvent.COMPLETE, reason)
 
     def finish_rollback(self, reason: str) -> bool:
-        """Every member is in the previous version."""
+        """End the rollback, once every member runs the previous version. False if none is under way."""
         return self._fire(RolloutEvent.FINISH_ROLLBACK, reason)
 
     def _fire(self, event: RolloutEvent, reason: str) -> bool:
-        """Take the transition of an event, if the phase has one."""
+        """Take the transition for `event`; False if the current phase has none."""
         phase = TRANSITIONS.get((self.phase, event))
         if phase is None:
             return False
@@ -183,7 +188,7 @@
             self._steps.cancel_waiting()
 
     def record_event(self, text: str) -> None:
-        """Append a line to the history, with the time since the start, and drop the oldest past its bound."""
+        """Append a line with the time since the start to the history, and drop the oldest excess lines."""
         self.record.age += self._unrecorded_time
         self._unrecorded_time = 0
         line = f"{self.record.age / TICKS_PER_SECOND:.1f} s: {text}"
@@ -193,7 +198,7 @@
     # ---- steps -----------------------------------------------------------------------------------------
 
     def step(self, view: FleetView, now: int) -> list[PlatformOrder]:
-        """Decide on the fleet as it is now; returns what the platform is to be ordered."""
+        """Evaluate the fleet as it is now, and return the orders to send to the platform."""
         self._pass_time(now)
         self.halt_on_lost_sites(view.lost_sites)
         self._readmit_excluded(view)
@@ -217,13 +222,17 @@
         self.progress = ""
 
     def halt_on_lost_sites(self, lost_sites: Iterable[str]) -> None:
-        """Halt a running rollout at the loss of a site; its return resumes none."""
+        """Halt a running rollout if a site is lost; the return of the site does not resume it."""
         names = sorted(lost_sites)
         if names and self.phase is RolloutPhase.RUNNING:
             self.halt(f"site lost: {', '.join(names)}; a person resumes")
 
     def _readmit_excluded(self, view: FleetView) -> None:
-        """Readmit members whose permit has ended: revoked, or started by hand and observed back."""
+        """Readmit excluded members whose permit has ended.
+
+        A permit ends when an operator revokes it, or when a member that was started by hand is observed in
+        service. A member that is not up is removed from the rollout.
+        """
         for name in [name for name in self.record.excluded if self._steps.own_permit(name) is None]:
             self.record.excluded.remove(name)
             instance = view.instances.get(name)
@@ -252,7 +261,7 @@
             self.complete("every batch is released")
 
     def _restart_stopped(self, view: FleetView) -> list[PlatformOrder]:
-        """Start stopped members in every phase: a halt leaves none down."""
+        """Start stopped members in every phase, so that a halt leaves no member down."""
         orders = []
         for instance, order in self._steps.stopped_members(view):
             if instance.status is InstanceStatus.FAILED:
@@ -262,7 +271,7 @@
         return orders
 
     def _restart_failed(self, instance: InstanceView, order: PlatformOrder) -> list[PlatformOrder]:
-        """Try a failed start again, then the previous version, and then exclude the member and halt."""
+        """Retry a failed start, then start the previous version, then exclude the member and halt."""
         name = order.member
         number = order.permit_number
         match decide_restart(self.record, instance):
@@ -279,7 +288,7 @@
         return []
 
     def _roll_forward(self, view: FleetView, now: int) -> list[PlatformOrder]:
-        """Evict what is left of the batch; watch it once all of it serves in the new version."""
+        """Evict the remaining members of the batch; watch it once all of them serve in the new version."""
         remaining = self._steps.remaining(self.record.current_batch(), self.spec.version, view)
         if remaining:
             orders, self.progress = self._steps.evict(remaining, self.spec.version, view)
@@ -301,10 +310,10 @@
         return []
 
     def _release_unused_permits(self, view: FleetView, now: int) -> None:
-        """Release what a halt has left unused, once no order to drain can be on its way any more.
+        """Release permits that a halt has left unused, once no pending drain order can take effect.
 
-        The lifetime of orders is counted from the first step after the halt; a halt decided within this step
-        releases at once.
+        The lifetime of orders counts from the first step after the halt; a halt that this step itself decided
+        releases the permits at once.
         """
         phase = self.phase
         if phase not in (RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK):
@@ -314,7 +323,7 @@
         self._steps.release_unused_permits(phase, view)
 
     def _halt_on_stall(self, view: FleetView, now: int) -> None:
-        """Halt where nothing has changed for too long. A batch that is watched does not stall."""
+        """Halt if no member has changed for `stall_timeout_ms`. A watched batch does not stall."""
         if self.phase not in (RolloutPhase.RUNNING, RolloutPhase.ROLLING_BACK):
             return
         if self._watch.analysis is not None:
@@ -344,11 +353,12 @@
     # ---- membership ------------------------------------------------------------------------------------
 
     def update_members(self, known: Iterable[str], joined: Iterable[str]) -> None:
-        """Follow a changed fleet file.
+        """Update the batches after a change of the fleet file.
 
         Args:
-            known: All members of the fleet; others are removed from the rollout.
-            joined: Members that have joined its sites; they become its last batch, unless it has ended.
+            known: All members of the fleet; other members are removed from the rollout.
+            joined: Members that have joined the rollout's sites or groups; they become its last batch, unless
+                the rollout has ended.
         """
         known_members = set(known)
         current_members = set(self.record.all_members())
--- a/birchslip/cluster/rollout_batches.py
+++ b/birchslip/cluster/rollout_batches.py
@@ -1,6 +1,6 @@
 """The order of a rollout: canaries first, then batches site by site.
 
-Decides who belongs to which batch when a rollout starts, and nothing after that.
+Assigns members to batches when a rollout starts.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def find_unknown_part(spec: RolloutSpec, parts: Mapping[str, list[str]]) -> str:
-    """Which named part is neither a site nor a group of the fleet; empty where all are known."""
+    """Return which part of the release file is neither a site nor a group of the fleet; empty if none."""
     for part in spec.sites or spec.groups:
         if part not in parts:
             return f"{part!r} is no site and no group; there are {', '.join(parts)}"
@@ -19,10 +19,12 @@
 
 
 def plan_batches(spec: RolloutSpec, parts: Mapping[str, list[str]]) -> list[list[str]]:
-    """Canaries of the first part, then batches part by part: none spans two parts, each member is in one.
+    """Return the batches: canaries of the first part (site or group), then batches part by part.
+
+    No batch spans two parts, and each member is in one batch.
 
     Args:
-        spec: Names the parts in their order, and the sizes of batches.
+        spec: The release file, with the order of the parts and the sizes of batches.
         parts: Members by site and by group.
     """
     names = spec.sites or spec.groups or list(parts)
--- a/birchslip/cluster/rollout_checks.py
+++ b/birchslip/cluster/rollout_checks.py
@@ -1,6 +1,6 @@
-"""Checks before a rollout starts: everything that would stop it later, found before the first drain.
+"""Checks before a rollout starts: finds conditions that would stop the rollout, before the first drain.
 
-Decides whether a release file can be carried out by the fleet as it is now, and never changes anything.
+Decides whether the fleet as it is now can carry out a release file; changes no state.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StartConditions:
-    """The fleet as it is when a rollout is to start.
+    """The state of the fleet when a rollout is to start.
 
     Attributes:
         parts: Members by site and by group.
         budget: The fleet's disruption budget.
         unfinished: Rollouts that have not ended.
-        instances: Processes as the platform reports them; None while its report is missing or too old.
+        instances: Processes as the platform reports them; None while there is no fresh inventory.
     """
 
     parts: Mapping[str, list[str]]
@@ -36,7 +36,7 @@
 
 
 def find_obstacle(spec: RolloutSpec, conditions: StartConditions) -> str:
-    """Why a rollout can't start; empty where it can."""
+    """Return why a rollout can't start; empty if it can."""
     obstacle = (
         spec.validation_error() or find_unknown_metric(spec) or find_unknown_part(spec, conditions.parts)
     )
@@ -53,7 +53,7 @@
 
 
 def find_unknown_metric(spec: RolloutSpec) -> str:
-    """Which margin is of a metric that members don't report; empty where all are known."""
+    """Return which margin is for a metric that members don't report; empty if all are known."""
     for name in spec.margins:
         if name.partition(":")[0] not in METRIC_KINDS:
             kinds = ", ".join(METRIC_KINDS)
@@ -62,7 +62,7 @@
 
 
 def find_shared_members(members: Iterable[str], rollout: Rollout) -> str:
-    """Which of `members` an unfinished rollout has; empty where it has none."""
+    """Return which of `members` belong to another unfinished rollout; empty if none do."""
     shared = sorted(set(members) & set(rollout.all_members()))
     if not shared:
         return ""
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -1,8 +1,8 @@
-"""All rollouts of a fleet, as the leader runs them: which may start, what a command does, what is ordered.
+"""Runs all rollouts of a fleet on the leader: which may start, operators' commands, orders to the platform.
 
-Free of I/O and of clocks, as `rollout.py`, which decides on each one. The platform's inventory is used only
-while it is fresh and of this term: a new leader orders nothing before it has seen the fleet for itself.
-Moments and spans are tenths of a millisecond.
+Performs no I/O and reads no clock; `rollout.py` decides on each rollout. The platform's inventory is used
+only while it is fresh and was received in this term: a new leader sends no order before its first inventory.
+Times and durations are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 )
 
 UNFINISHED_PHASES = (RolloutPhase.RUNNING, RolloutPhase.HALTED, RolloutPhase.ROLLING_BACK)
-MAX_ENDED_ROLLOUTS = 16  # that are stored, for their history and to be rolled back
-PLATFORM_TIMEOUT = 60 * TICKS_PER_SECOND  # without the platform, then rollouts halt
+MAX_ENDED_ROLLOUTS = 16  # ended rollouts that stay stored for their history and for a rollback
+PLATFORM_TIMEOUT = 60 * TICKS_PER_SECOND  # rollouts halt after this long without an inventory
 
 
 class RolloutController:
@@ -47,13 +47,16 @@
 
     Attributes:
         members_by_part: App servers by site and by group.
-        services: Names of the services below.
-        inventory_ttl: For how long an inventory of the platform is used.
+        services: Names of the downstream services.
+        budget: The fleet's disruption budget.
+        inventory_ttl: How long an inventory stays fresh after it was requested.
         sites: The site of each member.
-        states: What is replicated.
+        states: The replicated records of all rollouts.
         rollouts: The rollouts, the oldest first.
-        orders: What the platform is to be ordered now; what was ordered before a step is over.
-        instances: Processes by the latest inventory.
+        inventory: The latest inventory of this term; None before the first.
+        inventory_at: When the latest inventory was requested; the start of the term before the first.
+        orders: Orders to send to the platform now; each step replaces them.
+        instances: The app servers of the latest inventory, by name.
     """
 
     def __init__(
@@ -73,7 +76,7 @@
         self.restore(RolloutStates(), 0)
 
     def restore(self, states: RolloutStates, now: int) -> None:
-        """Begin a term with what was replicated; nothing else is known."""
+        """Begin a term at `now` with the replicated `states`; the state of the platform is unknown."""
         self.states = states
         self.rollouts = [Rollout(record, self.budget, self.site_of) for record in states.records]
         self.inventory: Inventory | None = None
@@ -83,13 +86,17 @@
         self._sample_reader = SampleReader()
 
     def site_of(self, name: str) -> str:
-        """The site of a member; empty where it is not known."""
+        """Return the site of a member; empty if it is unknown."""
         return self.sites.get(name, "")
 
     def update_fleet(
         self, parts: Mapping[str, list[str]], services: Iterable[str], sites: Mapping[str, str]
     ) -> None:
-        """Follow a changed fleet file; unfinished rollouts lose and gain members."""
+        """Apply a changed fleet file.
+
+        Members that left the fleet leave the unfinished rollouts; members that joined one of their sites or
+        groups join them.
+        """
         previous = {name for names in self.members_by_part.values() for name in names}
         self.members_by_part = parts
         self.services = list(services)
@@ -104,17 +111,17 @@
     # ---- the platform ----------------------------------------------------------------------------------
 
     def receive_inventory(self, inventory: Inventory, sent_at: int) -> None:
-        """Take an inventory; it may be as old as `sent_at`, when it was requested."""
+        """Use an inventory from now on; its age counts from `sent_at`, when it was requested."""
         self.inventory = inventory
         self.instances = inventory.instances()
         self.inventory_at = sent_at
 
     def is_inventory_fresh(self, now: int) -> bool:
-        """Whether the latest inventory may be used."""
+        """Return whether the latest inventory is recent enough to be used."""
         return self.inventory is not None and now - self.inventory_at <= self.inventory_ttl
 
     def observe_services(self, now: int) -> dict[str, MemberObservation]:
-        """The services below; without a fresh inventory they count as unavailable."""
+        """Return the downstream services by name; without a fresh inventory all count as unavailable."""
         if self.inventory is None or not self.is_inventory_fresh(now):
             silent = MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
             return dict.fromkeys(self.services, silent)
@@ -123,7 +130,7 @@
     # ---- steps -----------------------------------------------------------------------------------------
 
     def unfinished(self) -> list[Rollout]:
-        """Rollouts that have not ended."""
+        """Return the rollouts that have not ended."""
         return [rollout for rollout in self.rollouts if rollout.phase in UNFINISHED_PHASES]
 
     def step(
@@ -133,13 +140,13 @@
         lost_sites: Iterable[str],
         now: int,
     ) -> None:
-        """Decide on the fleet as it is now, and set `orders`.
+        """Evaluate every unfinished rollout, and set `orders`.
 
         Args:
-            observations: Members and services, as the membership and the platform show them.
-            reports: The latest report of each member that is heard.
+            observations: Members and services, as the membership and the platform report them.
+            reports: The latest report of each member that reports.
             lost_sites: Sites that are lost or evacuated.
-            now: When this is.
+            now: The current time.
         """
         self.orders = []
         samples = self._sample_reader.read(reports)
@@ -151,6 +158,7 @@
                 self._wait_for_platform(rollout, view, now)
 
     def _wait_for_platform(self, rollout: Rollout, view: FleetView, now: int) -> None:
+        """Halt a rollout if a site is lost, or if no inventory came for `PLATFORM_TIMEOUT`."""
         rollout.halt_on_lost_sites(view.lost_sites)
         rollout.progress = "the platform is not heard"
         if now - self.inventory_at >= PLATFORM_TIMEOUT:
@@ -159,7 +167,7 @@
     # ---- commands --------------------------------------------------------------------------------------
 
     def execute(self, command: RolloutCommand, now: int) -> CommandResult:
-        """Carry out a command of an operator that changes a rollout."""
+        """Execute an operator's command that changes a rollout."""
         match command.action:
             case RolloutAction.START if command.spec is not None:
                 return self.start(command.spec, command.operator, now)
@@ -172,7 +180,7 @@
         return CommandResult(accepted=False, reason=f"nothing is known of {command.action.value!r}")
 
     def start(self, spec: RolloutSpec, operator: str, now: int) -> CommandResult:
-        """Start a rollout, unless something stands in its way."""
+        """Start a rollout, unless `find_obstacle` returns a reason against it."""
         instances = self.instances if self.is_inventory_fresh(now) else None
         conditions = StartConditions(self.members_by_part, self.budget, self.unfinished(), instances)
         obstacle = find_obstacle(spec, conditions)
@@ -189,6 +197,7 @@
         return CommandResult(accepted=True, number=number)
 
     def _forget_old_rollouts(self) -> None:
+        """Delete the oldest ended rollouts beyond `MAX_ENDED_ROLLOUTS`."""
         ended = [rollout for rollout in self.rollouts if rollout.phase not in UNFINISHED_PHASES]
         excess = max(0, len(ended) - MAX_ENDED_ROLLOUTS)
         for rollout in ended[:excess]:
@@ -196,7 +205,7 @@
             self.states.records.remove(rollout.record)
 
     def _halt(self, command: RolloutCommand) -> CommandResult:
-        """Halt one rollout, or all where no number is given; their orders are dropped at once."""
+        """Halt one rollout, or all if the command has no number, and drop their pending orders."""
         reason = f"by {command.operator}: {command.reason}"
         selected = [rollout for rollout in self.unfinished() if command.number in (0, rollout.record.number)]
         halted = [rollout for rollout in selected if rollout.halt(reason)]
@@ -208,7 +217,10 @@
         return CommandResult(accepted=False, reason=f"{which} runs")
 
     def _apply_to_one(self, command: RolloutCommand, apply: Callable[[Rollout, str], str]) -> CommandResult:
-        """Apply to the rollout with the command's number, or to the only one that is halted."""
+        """Apply a change to the rollout with the command's number, or to the only halted rollout.
+
+        `apply` returns why it refuses, or an empty string.
+        """
         if command.number:
             selected = [rollout for rollout in self.rollouts if rollout.record.number == command.number]
         else:
@@ -223,7 +235,7 @@
         return CommandResult(accepted=not refusal, number=selected[0].record.number, reason=refusal)
 
     def _resume(self, rollout: Rollout, operator: str) -> str:
-        """Resume a rollout; returns why it is refused, or nothing."""
+        """Resume a rollout; return why this is refused, or an empty string."""
         if rollout.record.version_is_bad:
             return f"{rollout.spec.version} was found bad: only back is left"
         if rollout.record.excluded:
@@ -232,7 +244,7 @@
         return "" if rollout.resume(operator) else "it is not halted"
 
     def _roll_back(self, rollout: Rollout, operator: str) -> str:
-        """Roll a rollout back; returns why it is refused, or nothing."""
+        """Roll a rollout back; return why this is refused, or an empty string."""
         for other in self.unfinished():
             obstacle = find_shared_members(rollout.all_members(), other)
             if other is not rollout and obstacle:
@@ -242,7 +254,7 @@
     # ---- reports ---------------------------------------------------------------------------------------
 
     def report(self, number: int = 0, history: bool = False) -> list[RolloutReport]:
-        """Rollouts as operators see them, the newest first; all of them where `number` is 0."""
+        """Return reports for operators, the newest rollout first; of all rollouts if `number` is 0."""
         selected = [rollout for rollout in self.rollouts if number in (0, rollout.record.number)]
         return [self._report_of(rollout, history) for rollout in reversed(selected)]
 
--- a/birchslip/cluster/rollout_messages.py
+++ b/birchslip/cluster/rollout_messages.py
@@ -1,7 +1,7 @@
-"""Messages of rollouts: commands of operators, their results, reports, and the replicated states.
+"""Messages of rollouts: operators' commands, their results, reports, and the replicated states.
 
-Owns no decision. The keys are those of the wire, of the commands' JSON output and of stored states, and never
-change; attributes that have another name are mapped in each class's `rename`.
+The keys appear on the wire, in the commands' JSON output and in stored states, and never change; a class's
+`rename` maps attributes with another name.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RolloutAction(Enum):
-    """What an operator can command; the values are those of the wire."""
+    """Operators' commands on rollouts; the values are sent on the wire."""
 
     START = "start"
     STATUS = "status"
@@ -26,7 +26,7 @@
     HISTORY = "history"
 
 
-READ_ACTIONS = (RolloutAction.STATUS, RolloutAction.HISTORY)  # any planner answers them
+READ_ACTIONS = (RolloutAction.STATUS, RolloutAction.HISTORY)  # answered by any planner, not only the leader
 
 
 class RolloutCommand(Message, rename={"action": "what", "operator": "who", "reason": "why", "spec": "plan"}):
@@ -34,10 +34,11 @@
 
     Attributes:
         action: What to do.
-        number: Of the rollout; 0 means the only one it can be meant of, or all of them to halt.
-        operator: Who commands it.
-        reason: Why.
-        spec: The release file, to start one.
+        number: Number of the rollout; 0 selects all rollouts to halt or report, and the only halted one to
+            resume or roll back.
+        operator: Name of the operator.
+        reason: Why the operator gives the command.
+        spec: The release file of a rollout to start.
     """
 
     action: RolloutAction
@@ -48,7 +49,7 @@
 
 
 class CommandResult(Message, rename={"accepted": "done", "reason": "why"}):
-    """What came of a command: the number of the rollout, or why it was refused."""
+    """The result of a command: the number of the rollout, or why the command was refused."""
 
     accepted: bool
     number: Count = 0
@@ -56,7 +57,7 @@
 
 
 class RolloutStates(Message, rename={"last_number": "number", "records": "courses"}):
-    """All rollouts as the leader replicates them, the oldest first."""
+    """The state of all rollouts that the leader replicates, the oldest rollout first."""
 
     last_number: Count = 0
     records: list[RolloutRecord] = msgspec.field(default_factory=list)
@@ -73,7 +74,7 @@
         "metrics": "figures",
     },
 ):
-    """One rollout as operators see it.
+    """A report on one rollout for operators.
 
     Attributes:
         number: Number of the rollout.
@@ -82,15 +83,15 @@
         phase: Value of its `RolloutPhase`.
         reason: Why it is in that phase.
         version_is_bad: Whether the new version was found bad.
-        batch: The batch under way, from 1.
-        batches: How many there are.
-        members: How many members it has.
-        released: How many of them are in the new version.
-        progress: What it waits for.
+        batch: Number of the current batch, from 1.
+        batches: Number of batches.
+        members: Number of members.
+        released: Number of members in the new version.
+        progress: What the rollout waits for.
         excluded: Members that start in neither version.
         metrics: Comparisons of the batch that is watched.
-        verdict: The reason of their verdict.
-        history: One line for each event, if it was requested.
+        verdict: The reason for the verdict on the batch.
+        history: One line for each event, the oldest first; omitted unless it was requested.
     """
 
     number: int
--- a/birchslip/cluster/rollout_steps.py
+++ b/birchslip/cluster/rollout_steps.py
@@ -1,9 +1,9 @@
-"""Steps of single members in a rollout: evicted with a permit, drained, started again.
+"""Steps of single members in a rollout: eviction by a permit, drain, restart.
 
     in service (old version) -> permitted -> draining -> stopped -> started -> in service (new version)
 
-Decides the orders for members and never the phase of the rollout. An order carries the number of the permit
-it rests on, so that the platform drains nobody twice, whoever orders it and however often.
+Decides the orders for members, never the phase of the rollout. Each order carries the number of the permit
+that allows it, so that the platform drains a member once per permit even if several leaders repeat the order.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     RolloutRecord,
 )
 
-MAX_FAILED_STARTS = 2  # in one version before another is tried
+MAX_FAILED_STARTS = 2  # in one version before the member is started in another
 MAX_PROGRESS_LENGTH = 400  # characters
 
 
 class RestartDecision(Enum):
-    """What becomes of a member whose start did not come up."""
+    """What to do with a member whose start has failed."""
 
     RETRY = "retry"
     PREVIOUS_VERSION = "previous version"
@@ -37,14 +37,14 @@
 
 
 class EvictionStep(NamedTuple):
-    """One member's step towards another version: an order, if there is one now, and what it waits for."""
+    """One member's step towards another version: its progress as text, and an order if one is due."""
 
     progress: str
     order: PlatformOrder | None = None
 
 
 def decide_restart(record: RolloutRecord, instance: InstanceView) -> RestartDecision:
-    """The next try of a member whose last start failed."""
+    """Decide how to continue with a member whose last start failed."""
     if instance.failed_starts < MAX_FAILED_STARTS:
         return RestartDecision.RETRY
     if instance.version == record.spec.version:
@@ -56,32 +56,32 @@
     """Permits and orders of the members of one rollout."""
 
     def __init__(self, record: RolloutRecord, budget: DisruptionBudget) -> None:
-        """Act for `record`, within the fleet's `budget`."""
+        """Handle the members of the rollout in `record`, within the fleet's `budget`."""
         self.record = record
         self.budget = budget
 
     @property
     def permit_reason(self) -> str:
-        """The reason of its permits, which distinguishes them from those of other requesters."""
+        """The reason in the rollout's permits, which tells them from permits of other requesters."""
         return f"release {self.record.number} of {self.record.spec.version}"
 
     def own_permit(self, name: str) -> Permit | None:
-        """The permit that a member holds for this rollout, if any."""
+        """Return the permit that a member holds for this rollout, if any."""
         permit = self.budget.permit_of(name)
         return permit if permit is not None and permit.reason == self.permit_reason else None
 
     def cancel_waiting(self) -> None:
-        """Withdraw requests that were not granted; a later phase requests anew."""
+        """Cancel permit requests that were not granted; a later phase requests permits again."""
         for waiter in list(self.budget.state.waiters):
             if waiter.reason == self.permit_reason:
                 self.budget.cancel(waiter.holder)
 
     def has_reached(self, name: str, version: str, view: FleetView) -> bool:
-        """Whether a member serves in that version and its permit has ended."""
+        """Return whether a member serves in `version` and its permit has ended."""
         return view.is_serving(name, version) and self.budget.permit_of(name) is None
 
     def remaining(self, names: list[str], version: str, view: FleetView) -> list[str]:
-        """Those of `names` that are not excluded and have not reached `version`."""
+        """Return the members of `names` that are not excluded and have not reached `version`."""
         return [
             name
             for name in names
@@ -94,7 +94,7 @@
         """Request permits for members that are in service and drain those that hold one.
 
         Returns:
-            The orders, and for operators what each member waits for.
+            The orders, and a text for operators on what each member waits for.
         """
         steps = [self._evict_member(name, version, view) for name in names]
         orders = [step.order for step in steps if step.order is not None]
@@ -119,7 +119,7 @@
         return self._drain_by(decision.permit, requester, version)
 
     def _drain_by(self, permit: Permit, requester: EvictionWaiter, version: str) -> EvictionStep:
-        """Drain by a permit of this rollout, and of the incarnation that is in service."""
+        """Drain a member, if its permit is of this rollout and of the incarnation that is in service."""
         name = requester.holder
         if permit.reason != self.permit_reason:
             return EvictionStep(f"{name} waits: permit {permit.number} is another's: {permit.reason}")
@@ -129,9 +129,9 @@
         return EvictionStep(f"{name} is to drain by permit {permit.number}", order)
 
     def release_unused_permits(self, phase: RolloutPhase, view: FleetView) -> None:
-        """Release permits of members that are in service and not to be drained in this phase.
+        """Release the permits of members that are in service and are not to be drained in `phase`.
 
-        Call this only once no order to drain can be on its way any more.
+        Call this only once no pending order to drain can still take effect.
         """
         for name in self.record.all_members():
             instance = view.instances.get(name)
@@ -149,7 +149,7 @@
     # ---- restart ---------------------------------------------------------------------------------------
 
     def stopped_members(self, view: FleetView) -> Iterator[tuple[InstanceView, PlatformOrder]]:
-        """Members that are down on this rollout's account, each with the order that would start it."""
+        """Yield members that are stopped by a permit of this rollout, each with the order to start it."""
         for name in self.record.all_members():
             instance = view.instances.get(name)
             permit = self.own_permit(name)
@@ -161,7 +161,7 @@
 
 
 def describe_instance(name: str, instance: InstanceView, observation: MemberObservation) -> str:
-    """A member that is on its way: its status, its version and why it is unavailable."""
+    """Describe a member between two versions: its status, its version and why it is unavailable."""
     reason = ""
     if observation.unavailability is not None:
         reason = f", {observation.unavailability.value}"
@@ -169,6 +169,6 @@
 
 
 def describe_waiting(name: str, decision: EvictionDecision) -> str:
-    """A member that waits for a permit: its place, and which budget forbids it."""
+    """Describe a member that waits for a permit: its place in the queue and the blocking budget."""
     place = f" at place {decision.position}" if decision.position else ""
     return f"{name} waits{place}: {decision.reason}"
--- a/birchslip/cluster/rollout_supervisor.py
+++ b/birchslip/cluster/rollout_supervisor.py
@@ -1,7 +1,7 @@
-"""Rollout supervision: when rollouts are evaluated, and when their orders may go to the platform.
+"""Rollout supervision: when rollouts are evaluated, and when their orders may be sent to the platform.
 
-`rollout_controller.py` decides on rollouts; this module calls it at its interval, reports what has changed,
-and delays orders until a majority has stored all that they rest on.
+`rollout_controller.py` decides on rollouts; this module calls it at a fixed interval, records phase changes
+as events, and holds the version of the state that a majority has to store before orders may be sent.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
     Attributes:
         controller: The decisions on rollouts.
         evaluated_at: When they were last evaluated, in tenths of a millisecond.
-        orders_version: The version of the state that a majority has to store before orders may go out.
+        orders_version: The version of the state that a majority has to store before orders may be sent.
     """
 
     def __init__(
         self, controller: RolloutController, budget: DisruptionBudget, events: EventBuffer, now: int
     ) -> None:
-        """Starts without a rollout evaluated."""
+        """Starts at `now`; the first evaluation is due one interval later."""
         self.controller = controller
         self.budget = budget
         self.events = events
@@ -42,7 +42,7 @@
         self.orders_version = 0
 
     def is_due(self, now: int) -> bool:
-        """Returns whether there are rollouts to evaluate, and it is time."""
+        """Returns whether there are unfinished rollouts and the evaluation interval has passed."""
         return bool(self.controller.unfinished()) and now - self.evaluated_at >= EVALUATION_INTERVAL
 
     def evaluate(
@@ -73,7 +73,7 @@
         return result
 
     def evaluate_soon(self, now: int) -> None:
-        """Has the next tick evaluate, whenever the last evaluation was."""
+        """Makes an evaluation due at `now`, regardless of when the last one was."""
         self.evaluated_at = now - EVALUATION_INTERVAL
 
     def _stored_parts(self) -> tuple[bytes, bytes]:
--- a/birchslip/cluster/rollout_types.py
+++ b/birchslip/cluster/rollout_types.py
@@ -1,8 +1,8 @@
-"""Types of rollouts: the release file, the record that is replicated, and what the platform reports and does.
+"""Types of rollouts: the release file, the replicated record, and the platform's instances and orders.
 
-Owns no decision. The keys of the messages are the operators' and those stored by planners, and never change;
-attributes that have another name are mapped in each class's `rename`. Moments and spans that do not name
-their unit are clock ticks: tenths of a millisecond.
+The keys of the messages appear in operators' files and in the planners' stored state, and never change; a
+class's `rename` maps attributes with another name. Times and durations without a unit in their name are clock
+ticks of a tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class RolloutPhase(Enum):
-    """States of a rollout; the values are stored and reported."""
+    """Phases of a rollout; the values are stored and reported."""
 
     RUNNING = "running"
     HALTED = "halted"
@@ -42,11 +42,11 @@
     UP = "up"
     DRAINING = "draining"
     STOPPED = "stopped"
-    FAILED = "failed"  # its last start did not come up
+    FAILED = "failed"  # its last start failed
 
 
 class OrderAction(Enum):
-    """What the platform can be ordered to do; the values are parts of its URLs."""
+    """Orders that the platform executes; the values are parts of its URLs."""
 
     DRAIN = "drain"
     START = "start"
@@ -69,17 +69,18 @@
     Attributes:
         version: The version to release.
         previous_version: The version that members run before.
-        sites: Sites in the order of the rollout; all of the fleet file where neither these nor groups are
-            named.
-        groups: The same by groups of the fleet file.
-        canaries: Members of the first batch.
-        batch_size: Members of each later batch.
+        sites: Sites in the order of the rollout; all sites of the fleet file if neither sites nor groups are
+            given.
+        groups: Groups of the fleet file in the order of the rollout, instead of sites.
+        canaries: Number of members of the first batch.
+        batch_size: Number of members of each later batch.
         min_watch_ms: A batch is watched for at least this long.
-        max_watch_ms: A batch whose verdict is unclear after this long halts the rollout.
-        margins: By metric, the difference of shares past which the new version is bad.
-        max_crashes: Crashes in the new version that are borne.
-        max_memory_ratio: Times the memory of the other members that is too much; 0 sets no bound.
-        stall_timeout_ms: A rollout without a step for this long halts.
+        max_watch_ms: A batch whose verdict is still unclear after this long halts the rollout.
+        margins: By metric, the difference of bad shares (0 to 1) above which the new version is bad.
+        max_crashes: Number of crashes in the new version that do not make it bad.
+        max_memory_ratio: Highest allowed ratio of a member's memory to the median of the previous version; 0
+            sets no bound.
+        stall_timeout_ms: A rollout without progress for this long halts.
     """
 
     version: Version
@@ -98,7 +99,7 @@
     stall_timeout_ms: DurationMs = 600_000
 
     def validation_error(self) -> str:
-        """What is wrong between fields, by their keys in the file; empty where nothing is."""
+        """Return which fields contradict each other, by their keys in the file; empty if none do."""
         if self.version == self.previous_version:
             return f"version: {self.version!r} is the one before too"
         if self.max_watch_ms < self.min_watch_ms:
@@ -123,20 +124,20 @@
         "excluded": "left_out",
     },
 ):
-    """One rollout as the leader replicates it to a majority of planners.
+    """The state of one rollout that the leader replicates to a majority of planners.
 
     Attributes:
-        spec: The release file that it was started with.
+        spec: The release file that the rollout was started with.
         batches: Names of members, by batch.
         number: Number of the rollout.
-        age: Time since its start, as of the last line of its history.
-        batch_index: The batch under way, from 0.
+        age: Time from the start of the rollout to the last line of its history.
+        batch_index: Index of the current batch, from 0.
         phase: Value of its `RolloutPhase`.
         reason: Why it is in that phase.
-        version_is_bad: Whether the new version was found bad; it is never started again.
+        version_is_bad: Whether the new version was found bad; a bad version is never started again.
         excluded: Members that start in neither version.
         history: One line for each event, the oldest first.
-        evidence: Of the watch of this batch, at most `EVIDENCE_INTERVAL` old.
+        evidence: Results of the watch of the current batch, at most `EVIDENCE_INTERVAL` old.
     """
 
     spec: RolloutSpec
@@ -152,21 +153,21 @@
     evidence: CanaryEvidence | None = None
 
     def all_members(self) -> list[str]:
-        """Members of every batch, in the order of the rollout."""
+        """Return the members of all batches, in the order of the rollout."""
         return [name for batch in self.batches for name in batch]
 
     def current_batch(self) -> list[str]:
-        """Members of the batch under way that are not excluded; none after the last batch."""
+        """Return the members of the current batch that are not excluded; none after the last batch."""
         if self.batch_index >= len(self.batches):
             return []
         return [name for name in self.batches[self.batch_index] if name not in self.excluded]
 
     def restart_version(self) -> str:
-        """The version in which a stopped member is started: a bad one never again."""
+        """Return the version in which a stopped member is started; never a bad one."""
         return self.spec.previous_version if self.version_is_bad else self.spec.version
 
     def remove_member(self, name: str) -> None:
-        """Take a member out of its batch."""
+        """Remove a member from its batch."""
         for batch in self.batches:
             batch[:] = [other for other in batch if other != name]
 
@@ -176,10 +177,10 @@
     """One member's process as the platform reports it.
 
     Attributes:
-        status: Its status.
+        status: Status of the process.
         version: The version that it runs, or was last started in.
-        failed_starts: Starts in that version that did not come up.
-        crashes: How often it has ended by itself in that version.
+        failed_starts: Number of failed starts in that version.
+        crashes: Number of crashes in that version.
     """
 
     status: InstanceStatus
@@ -188,7 +189,7 @@
     crashes: int = 0
 
     def is_up_in(self, version: str) -> bool:
-        """Whether it is up, and in that version."""
+        """Return whether the process is up in that version."""
         return self.status is InstanceStatus.UP and self.version == version
 
 
@@ -197,10 +198,11 @@
     """An order to the platform.
 
     Attributes:
-        action: Drain stops a member in its own time; start starts it in `version`.
+        action: DRAIN stops a member gracefully; START starts it in `version`.
         member: Name of the member.
-        version: The version that is to run next.
-        permit_number: Of the permit that it rests on; the platform ignores a drain that it has carried out.
+        version: The version that the member runs next.
+        permit_number: Number of the permit that allows the order; the platform ignores a repeated drain with
+            the same number.
     """
 
     action: OrderAction
@@ -215,8 +217,8 @@
 
     Attributes:
         instances: Processes, as the platform reports them.
-        observations: Members, as the membership shows them.
-        samples: What members served since the last step.
+        observations: Members, as the membership observes them.
+        samples: Outcomes and memory of each member since the previous step.
         lost_sites: Sites that are lost or evacuated.
     """
 
@@ -226,7 +228,7 @@
     lost_sites: list[str]
 
     def is_serving(self, name: str, version: str) -> bool:
-        """Whether a member is up in that version, and observed in service."""
+        """Return whether a member is up in that version, and observed in service."""
         instance = self.instances.get(name)
         observation = self.observations.get(name)
         if instance is None or observation is None:
--- a/birchslip/cluster/rollout_watch.py
+++ b/birchslip/cluster/rollout_watch.py
@@ -1,7 +1,7 @@
-"""The watch of one batch: members in the new version against members that are still in the previous one.
+"""The watch of one batch: compares members in the new version with members in the previous version.
 
-Decides whom to compare and what a verdict means for the batch; `canary_analysis` decides the verdict. It
-never orders anything and never changes the phase of the rollout.
+Selects the members to compare and turns the verdict of `canary_analysis` into a result for the batch. It
+sends no orders and does not change the phase of the rollout.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
     RolloutRecord,
 )
 
-EVIDENCE_INTERVAL = TICKS_PER_SECOND  # how often evidence is stored
+EVIDENCE_INTERVAL = TICKS_PER_SECOND  # between two stores of evidence
 
 
 class WatchResult(Enum):
-    """What the watch of a batch has come to."""
+    """The result of the watch of a batch so far."""
 
     CONTINUES = "continues"
     PASSED = "passed"
@@ -33,14 +33,20 @@
 
 
 class WatchOutcome(NamedTuple):
-    """A result, and the reason for the history of the rollout."""
+    """A result, and its reason for the rollout's history."""
 
     result: WatchResult
     reason: str = ""
 
 
 class ComparedSamples(NamedTuple):
-    """Samples of both sides; `previous_version` are all of that version, `baseline` those compared with."""
+    """Samples of both sides.
+
+    Attributes:
+        canary: Members in the new version.
+        baseline: Members in the previous version that the canary is compared with.
+        previous_version: All members in the previous version.
+    """
 
     canary: list[MemberSample]
     baseline: list[MemberSample]
@@ -48,17 +54,17 @@
 
 
 class BatchWatch:
-    """Watches the batch under way of one rollout; `analysis` is None while no batch is watched."""
+    """Watches the current batch of one rollout; `analysis` is None while no batch is watched."""
 
     def __init__(self, record: RolloutRecord, site_of: Callable[[str], str]) -> None:
-        """Watch the batches of `record`; `site_of` names the site of a member."""
+        """Watch the batches of `record`; `site_of` returns the site of a member."""
         self.record = record
         self.site_of = site_of
         self.analysis: CanaryAnalysis | None = None
         self._evidence_stored_at = 0
 
     def begin(self, view: FleetView, now: int) -> None:
-        """Begin to watch the batch under way, from stored evidence where there is some of this batch."""
+        """Begin to watch the current batch, from stored evidence of the same batch if there is any."""
         spec = self.record.spec
         margins = dict(spec.margins)
         if not self._has_peers(view.instances):
@@ -77,7 +83,7 @@
         self.record.evidence = None
 
     def evaluate(self, view: FleetView, now: int) -> WatchOutcome:
-        """Crashes of members in the new version, and what the analysis of the latest samples says."""
+        """Evaluate crashes in the new version, and then the canary analysis of the latest samples."""
         crashes = self._count_crashes(view.instances)
         if crashes > self.record.spec.max_crashes:
             reason = f"bad: released members ended by themselves, {crashes} times"
@@ -104,7 +110,7 @@
         return WatchOutcome(WatchResult.CONTINUES)
 
     def _has_peers(self, instances: Mapping[str, InstanceView]) -> bool:
-        """Whether a member of the previous version serves on a site of this batch."""
+        """Return whether a site of the current batch has a member of the previous version."""
         previous_version = self.record.spec.previous_version
         sites = {self.site_of(name) for name in self.record.current_batch()}
         return any(
@@ -113,12 +119,12 @@
         )
 
     def _count_crashes(self, instances: Mapping[str, InstanceView]) -> int:
-        """Crashes in the new version, by the platform's count: one that only an earlier leader saw counts."""
+        """Count crashes in the new version; the platform's counts include those before a change of leader."""
         members = [instances[name] for name in self.record.all_members() if name in instances]
         return sum(instance.crashes for instance in members if instance.version == self.record.spec.version)
 
     def _compared_samples(self, view: FleetView) -> ComparedSamples:
-        """Samples of both sides on sites that have both, as load differs by site; all where none has."""
+        """Return samples of the sites that run both versions, as load differs by site; all if none does."""
         spec = self.record.spec
         instances = view.instances
         samples = view.samples
--- a/birchslip/cluster/stall_detector.py
+++ b/birchslip/cluster/stall_detector.py
@@ -1,10 +1,10 @@
-"""Detects that nothing changes: guards against a permit, a stop or a start that never comes."""
+"""Detects a lack of progress, as when a permit is never granted or a stop or start never completes."""
 
 from __future__ import annotations
 
 
 class StallDetector:
-    """How long a snapshot has stayed the same, by a clock that is an argument."""
+    """Measures how long a snapshot has stayed equal; the caller passes the time."""
 
     def __init__(self) -> None:
         """Start without a snapshot."""
@@ -12,11 +12,11 @@
         self._since: int | None = None
 
     def reset(self) -> None:
-        """Forget the snapshot: the next one counts as a change."""
+        """Discard the snapshot: the next one counts as a change."""
         self._since = None
 
     def unchanged_for(self, snapshot: object, now: int) -> int:
-        """Take a snapshot at `now`; returns for how long it has been equal, in the unit of `now`."""
+        """Compare `snapshot` with the last one; return for how long it is unchanged, in the unit of `now`."""
         if self._since is None or snapshot != self._snapshot:
             self._since = now
             self._snapshot = snapshot
