--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -59,7 +59,7 @@
     [(0.5, 10), (0.3, 20), (0.15, 60)],
     ids=["much worse", "worse", "slightly worse"],
 )
-def test_worse_versions_are_found_sooner(excess_rate, sample_count):
+def test_the_worse_a_version_the_sooner_it_is_found(excess_rate, sample_count):
     outcomes = [watch(seed, excess_rate) for seed in range(60)]
     assert all(verdict is CanaryVerdict.BAD for verdict, _ in outcomes)
     assert sorted(sample_number for _, sample_number in outcomes)[-2] <= sample_count
@@ -91,7 +91,7 @@
     assert "late: 1.000 against 0.000" in analysis.reason
 
 
-def test_it_reports_its_metrics_and_when_the_watch_has_expired():
+def test_reports_metrics_and_when_the_watch_has_expired():
     analysis = CanaryAnalysis(MARGINS, 0, SECOND, 0)
     analysis.observe(
         [MemberSample(True, {"late": (2, 500)})], [MemberSample(True, {"late": (2, 500), "shed": (0, 9)})], 1
@@ -111,8 +111,8 @@
 
 def test_a_failure_of_one_request_class_is_found_among_many_good_requests():
     broken = MemberSample(True, {"late:order": (10, 10), "late:lookup": (5, 490)})
-    whole = MemberSample(True, {"late:order": (0, 10), "late:lookup": (5, 490)})
-    analysis, verdicts = observe_repeatedly(broken, whole, 10)
+    healthy = MemberSample(True, {"late:order": (0, 10), "late:lookup": (5, 490)})
+    analysis, verdicts = observe_repeatedly(broken, healthy, 10)
     assert analysis.metrics["late"].is_within_margin
     assert verdicts[-1] is CanaryVerdict.BAD
     assert analysis.reason.startswith("late:order: 1.000 against 0.000")
--- a/tests/test_disruption_budget.py
+++ b/tests/test_disruption_budget.py
@@ -1,10 +1,9 @@
-"""The disruption budget: no grant exceeds a budget, one permit for one incarnation, nobody starves."""
+"""The disruption budget: no grant exceeds a budget, one permit per incarnation, no waiter starves."""
 
 import random
 
 import pytest
-from hypothesis import settings
-from hypothesis import strategies as some
+from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from birchslip.cluster.disruption_budget import DisruptionBudget
@@ -55,7 +54,7 @@
     decision = budget.acquire(waiter("a-0", 2), observations)
     assert decision.permit is None
     assert "earlier incarnation" in decision.reason
-    assert not budget.reconcile(observations)  # back, but cold
+    assert not budget.reconcile(observations)  # back, but still cold
     observations["a-0"] = MemberObservation(incarnation(2), 10.0)
     assert budget.reconcile(observations)
     assert not budget.state.permits
@@ -86,7 +85,7 @@
     assert not budget.release("a-0", incarnation(), observations)
     observations["a-0"] = MemberObservation(
         incarnation(), 10.0
-    )  # woken up in the life that still believes that it may drain
+    )  # the same incarnation responds again, and may still drain by its permit
     budget.reconcile(observations)
     assert budget.permit_of("a-0") is not None
     assert budget.release("a-0", incarnation(), observations)
@@ -96,7 +95,7 @@
 def test_a_later_waiter_is_granted_first_only_where_it_delays_no_earlier_one():
     budget, observations = budget_and_fleet(per_site=1, fleet=2)
     assert budget.acquire(waiter("a-0"), observations).permit
-    assert budget.acquire(waiter("a-1"), observations).position == 1  # its site is full
+    assert budget.acquire(waiter("a-1"), observations).position == 1  # its site's budget is used up
     decision = budget.acquire(waiter("b-0"), observations)
     assert decision.permit is None
     assert "fleet: 3 would be out" in decision.reason
@@ -167,17 +166,17 @@
     assert decision.reason == "fleet: 3 would be out, 2 may be"
     assert (
         budget.acquire(waiter("store-2"), observations).permit is None
-    )  # the first one's room is kept for it
+    )  # a place is reserved for store-1, which waits ahead
     observations["b-1"] = MemberObservation(incarnation(2), 10.0)
     budget.reconcile(observations)
     assert budget.permit_of("store-1")
     assert budget.unavailable_members(observations)["a-1"] is UnavailabilityReason.DOWNSTREAM
     assert (
         budget.acquire(waiter("a-2"), observations).reason == "fleet: 4 would be out, 2 may be"
-    )  # store-2 waits for one
+    )  # a place is reserved for the dependent of store-2
     for name in ("store-2", "a-2"):
         budget.cancel(name)
-    # One that is out with its service already takes nothing more.
+    # A member that is already unavailable with its service takes no further place.
     assert budget.acquire(waiter("a-0"), observations).permit
 
 
@@ -265,7 +264,7 @@
         self.asked = {}
         self.steps = 0
 
-    names = some.sampled_from(NAMES)
+    names = strategies.sampled_from(NAMES)
 
     @rule(name=names)
     def acquire(self, name):
@@ -286,7 +285,7 @@
             assert decision.permit is None
             assert self.budget.encode() == before
 
-    @rule(name=names, reason=some.sampled_from(list(UnavailabilityReason)[1:]))
+    @rule(name=names, reason=strategies.sampled_from(list(UnavailabilityReason)[1:]))
     def become_unavailable(self, name, reason):
         self.observations[name] = MemberObservation(incarnation(self.nonces[name]), 10.0, reason)
         self.budget.reconcile(self.observations)
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -1,4 +1,4 @@
-"""The fleet file is checked whole, each trouble one plain line with its place; and exit codes."""
+"""Fleet and release files: one line for each violation with its place; and exit codes of commands."""
 
 import json
 from pathlib import Path
@@ -29,7 +29,7 @@
 
 INVALID_DOCUMENTS = {
     "an unknown key": (fleet_document(colour="red"), "unknown field `colour`"),
-    "an unknown key deep down": (with_member(weight=1), "`$.sites[1].members[0]`"),
+    "an unknown nested key": (with_member(weight=1), "`$.sites[1].members[0]`"),
     "a site without members": (
         fleet_document(sites=("a", "b"), each=0),
         "sites[0].members: site 'a' has none",
@@ -50,13 +50,13 @@
     "no such kind": (fleet_document(refuse=["guests"]), "refuse[0]: no such kind of refusal as 'guests'"),
     "a share above 1": (fleet_document(tenants={"blue": 1.5}), "`$.tenants[...]`"),
     "shares that add up to more": (fleet_document(tenants={"blue": 0.7, "green": 0.5}), "add up to 1.200"),
-    "a share that is kept above 1": (fleet_document(vault={"total": 9, "kept": 2}), "`$.vault.kept`"),
+    "an unleased share above 1": (fleet_document(vault={"total": 9, "kept": 2}), "`$.vault.kept`"),
     "calls above the vault's": (with_member(calls=99.0), "vault.total: 24"),
     "a service that needs a platform": (
         fleet_document(services=[{"name": "store-1", "kind": "store"}]),
         "services: without a platform",
     ),
-    "a need that is no service": (with_member(needs=["store-1"]), "needs 'store-1'"),
+    "a required service that does not exist": (with_member(needs=["store-1"]), "needs 'store-1'"),
     "a kind that no service is of": (
         fleet_document(groups=[{"name": "g", "kinds": ["store"], "most_out": 1}]),
         "groups[0].kinds: no service is of the kind 'store'",
@@ -65,13 +65,13 @@
         fleet_document(platform={"address": "127.0.0.1:9", "ask_ms": 500, "stale_ms": 600}),
         "platform.stale_ms: 600",
     ),
-    "a link to nowhere": (
+    "a link to an unknown site": (
         fleet_document(links=[{"from": "a", "to": "z", "cost": 1}]),
         "links[0]: no site is named 'z'",
     ),
     "a plan shorter than its reports": (fleet_document(plan_ms=500), "plan_ms: 500"),
     "no planners": (fleet_document(planners=0), "planners: there is none"),
-    "a router at two homes": (
+    "a router at two sites": (
         fleet_document(sites=("a", "b"))
         | {"sites": [dict(s, routers=[1]) for s in fleet_document()["sites"]]},
         "router 1 is at home in 'a' too",
@@ -80,7 +80,7 @@
         fleet_document(groups=[{"name": "g", "all": True, "most_out": 1}] * 2),
         "the group 'g' stands there",
     ),
-    "a group of nobody": (
+    "a group without members": (
         fleet_document(groups=[{"name": "g", "most_out": 1}]),
         "groups[0]: group 'g' has no members",
     ),
@@ -127,7 +127,7 @@
     [("fleet", fleet_schema), ("release", release_schema)],
     ids=["fleet", "release"],
 )
-def test_the_schema_in_the_repository_is_the_one_in_force(name, schema):
+def test_the_published_schema_matches_the_code(name, schema):
     stored = json.loads((ROOT / "deploy" / f"{name}.schema.json").read_text())
     assert stored == json.loads(json.dumps(schema()))
 
@@ -181,7 +181,7 @@
         (["fleet", "dance"], 2, "No such command"),
     ],
 )
-def test_commands_exit_with_their_code_and_a_plain_line(arguments, code, expected):
+def test_commands_exit_with_their_code_and_a_message_without_traceback(arguments, code, expected):
     result = command(*arguments)
     assert result[0] == code
     assert expected in result[1] + result[2]
--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -35,26 +35,26 @@
 
 
 class Member(threading.Thread):
-    """Reports to one planner as a member would, until it is stopped."""
+    """Sends a member's reports to one planner until it is stopped."""
 
     def __init__(self, name, address):
         super().__init__(daemon=True)
         self.member, self.address, self.stopped = name, address, threading.Event()
-        self.mark, self.number = 1, 0
+        self.nonce, self.number = 1, 0
 
     def run(self):
         while not self.stopped.is_set():
             try:
                 with socket.create_connection(self.address, 2) as connection:
-                    self.talk(connection)
+                    self.send_reports(connection)
             except OSError:
                 self.stopped.wait(0.1)
 
-    def talk(self, connection):
+    def send_reports(self, connection):
         buffer = Buffer(1 << 20)
         while not self.stopped.wait(0.1):
             self.number += 1
-            raw = encode(report(self.member, self.number, self.mark))
+            raw = encode(report(self.member, self.number, self.nonce))
             connection.sendall(pack([0, self.number, "report", [raw]]))
             while not messages(buffer)[0]:
                 if not buffer.fill(connection):
@@ -87,7 +87,7 @@
         try:
             self.wait_until(lambda: self.leader() and len(self.show()["members"]) == 4)
         except BaseException:
-            self.stop()  # or they would live on: a fixture that fails is not torn down
+            self.stop()  # a fixture that fails is not torn down, and its processes would run on
             raise
 
     def start(self, name):
@@ -144,7 +144,7 @@
     def restart_member(self, name):
         for member in self.members:
             if member.member == name:
-                member.mark, member.number = 2, 0
+                member.nonce, member.number = 2, 0
 
     def stop(self):
         for member in self.members:
@@ -157,9 +157,9 @@
 
 @pytest.fixture
 def cluster(tmp_path):
-    made = PlannerCluster(tmp_path)
-    yield made
-    made.stop()
+    planner_cluster = PlannerCluster(tmp_path)
+    yield planner_cluster
+    planner_cluster.stop()
 
 
 def test_a_permit_survives_its_leader_and_a_restart_of_every_planner(cluster):
--- a/tests/test_release_processes.py
+++ b/tests/test_release_processes.py
@@ -1,4 +1,4 @@
-"""Rollouts through fleets of real processes among stand-ins: small runs with faults."""
+"""Rollouts in small fleets of real processes, with stand-ins for other systems and injected faults."""
 
 import json
 import subprocess
@@ -24,8 +24,8 @@
 
 def start(version, fault, folder):
     arguments = ["lab", "play", "release", "--seed", "3", "--version", version, "--fault", fault]
-    # What a good version's play is about is who dies and who halts: the judgement has tests of its own, and
-    # a machine that others load too must not decide it.
+    # Runs of a good version test killed processes and halts. Wide margins keep the load of other processes on
+    # this machine from deciding the verdict, which the tests of the canary analysis cover.
     arguments += ["--margins", "6"] if version == "good" else []
     with (folder / f"{version}-{fault}.out").open("w") as log:
         path = str(folder / f"{version}-{fault}.json")
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""A rollout: what the platform is ordered in each phase, and whole rollouts in virtual time."""
+"""Rollouts: orders to the platform in each phase, and whole simulated rollouts in virtual time."""
 
 import msgspec
 import pytest
@@ -77,7 +77,7 @@
 
 def test_a_member_is_drained_once_started_and_watched_before_the_next_batch():
     harness = Harness()
-    assert harness.step() == harness.step() == [("drain", "a-0", "new")]  # with the same permit's number
+    assert harness.step() == harness.step() == [("drain", "a-0", "new")]  # both by the same permit
     assert [permit.number for permit in harness.budget.state.permits] == [1]
     harness.take_down("a-0", InstanceStatus.DRAINING)
     assert harness.step() == []
@@ -98,7 +98,7 @@
     harness.take_down("a-0", InstanceStatus.STOPPED)
     assert harness.rollout.halt("a reason")
     assert not harness.rollout.halt("again")
-    assert harness.step() == [("start", "a-0", "new")]  # not found bad: it goes on in the new one
+    assert harness.step() == [("start", "a-0", "new")]  # the new version was not found bad
     harness.come_up("a-0")
     assert harness.step() == harness.step() == []
     assert harness.rollout.resume("ann")
@@ -121,19 +121,19 @@
     assert harness.rollout.phase is RolloutPhase.HALTED
 
 
-def test_a_permit_of_an_earlier_incarnation_drains_nobody():
+def test_a_permit_of_an_earlier_incarnation_drains_no_member():
     harness = Harness()
     harness.step()
     harness.observations["a-0"] = MemberObservation(
         Incarnation(nonce=2), 10.0, UnavailabilityReason.COLD
-    )  # it crashed and came back by itself
+    )  # it crashed and restarted
     assert harness.step() == []
     harness.observations["a-0"] = MemberObservation(Incarnation(nonce=2), 10.0)
     assert harness.step() == [("drain", "a-0", "new")]
     assert harness.budget.state.permits[0].number == 2
 
 
-def test_a_failed_start_falls_back_and_a_member_that_starts_in_neither_version_is_excluded():
+def test_a_failed_start_is_retried_then_uses_the_previous_version_and_then_excludes_the_member():
     harness = Harness()
     harness.step()
     harness.take_down("a-0", InstanceStatus.FAILED, "new", 1)
@@ -148,7 +148,7 @@
     assert harness.rollout.record.excluded == ["a-0"]
     assert harness.rollout.roll_back("ann")
     harness.step()
-    assert harness.rollout.phase is RolloutPhase.ROLLED_BACK  # the others never left
+    assert harness.rollout.phase is RolloutPhase.ROLLED_BACK  # the other members never left the old version
 
 
 def test_a_rollback_takes_the_newest_batch_first_with_permits():
@@ -176,7 +176,7 @@
     [(1, RolloutPhase.RUNNING), (2, RolloutPhase.HALTED)],
     ids=["within the bound", "past it"],
 )
-def test_crashes_count_without_statistics_and_whoever_observed_them(crashes, phase):
+def test_crashes_above_the_bound_halt_without_statistics(crashes, phase):
     harness = Harness(spec=msgspec.structs.replace(SPEC, max_crashes=1))
     harness.instances["a-0"] = InstanceView(InstanceStatus.UP, "new", crashes=crashes)
     harness.instances["a-1"] = InstanceView(InstanceStatus.UP, "old", crashes=9)
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize("version", VERSIONS)
-def test_whole_rollouts_in_virtual_time(version):
+def test_simulated_rollouts_complete_or_roll_back_by_their_version(version):
     reports = [RolloutScenario(seed, version).run(longest=400).told() for seed in range(25)]
     assert not any(report["breaches"] or report["drained_twice"] or report["stuck"] for report in reports)
     assert {report["ended"] for report in reports} == ({"done"} if version == "good" else {"back"})
@@ -259,7 +259,7 @@
     assert RolloutScenario(5, "slow").run().told() == RolloutScenario(5, "slow").run().told()
 
 
-def test_the_next_leader_continues_the_watch_of_the_one_before():
+def test_a_new_leader_continues_the_watch_from_stored_evidence():
     harness = Harness(
         spec=RolloutSpec(
             version="new", previous_version="old", batch_size=2, min_watch_ms=60_000, max_watch_ms=90_000
@@ -275,7 +275,7 @@
     harness.rollout = Rollout(
         msgspec.json.decode(msgspec.json.encode(record), type=RolloutRecord), harness.budget
     )
-    harness.now += 500_000  # nobody led for a while: that time was not watched
+    harness.now += 500_000  # time without a leader does not count as watched
     harness.step(samples=samples)
     later = harness.rollout.analysis
     assert (later.slow_bounds, later.duration_histograms) == (
@@ -287,7 +287,7 @@
     assert later.has_minimum_watch(harness.now) is False
     assert not later.has_expired(harness.now)
     harness.rollout.halt("a reason")
-    assert harness.rollout.record.evidence is None  # who resumes watches it anew
+    assert harness.rollout.record.evidence is None  # a resumed rollout watches the batch again
 
 
 @pytest.mark.parametrize(("version", "ended"), [("good", "done"), ("slow", "back")])
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -1,4 +1,4 @@
-"""Rollouts as the leader runs them: commands, what is stored first, new leaders, a fleet that changes."""
+"""The rollout controller: commands, storing before ordering, new leaders, and changes of the fleet."""
 
 import json
 from copy import deepcopy
@@ -46,6 +46,8 @@
 
 
 class Harness:
+    """A controller whose inventory and observations are set by the test."""
+
     def __init__(self, max_unavailable=2):
         self.budget = DisruptionBudget(
             [BudgetGroup("fleet", frozenset(NAMES), max_unavailable=max_unavailable)]
@@ -140,7 +142,7 @@
 
 
 def test_a_rollback_releases_permits_that_the_rollout_left_unused():
-    """Granted in the moment of the halt: its holder is in the old version, and will never go."""
+    """Guards against a leak of a permit granted just before a halt, whose holder will not drain."""
     harness = Harness(max_unavailable=1)
     harness.command("start", spec=spec(canaries=1, batch=1))
     harness.controller.receive_inventory(inventory(a_0={"version": "2"}), 1)
@@ -148,7 +150,7 @@
     assert harness.step() == [("drain", "a-1")]
     harness.command("halt")
     harness.command("back")
-    assert harness.step(3) == []  # an order to drain a-1 may still be on its way
+    assert harness.step(3) == []  # an order to drain a-1 may still be pending
     harness.controller.receive_inventory(inventory(a_0={"version": "2"}), 50_003)
     harness.step(50_003)
     assert harness.step(50_004) == [("drain", "a-0")]
@@ -196,7 +198,7 @@
     assert harness.controller.rollouts[0].all_members() == ["a-1"]
 
 
-def test_a_silent_platform_gets_no_orders_and_halts_the_rollout_in_the_end():
+def test_an_unreachable_platform_gets_no_orders_and_halts_the_rollout_after_a_timeout():
     harness = Harness()
     harness.command("start", spec=spec())
     assert harness.step(30_001) == []
@@ -216,7 +218,7 @@
     harness.step(20_010)
     rollout_report = harness.controller.report()[0]
     assert rollout_report.reason == "no step for 2 s: a-0 waits at place 1: fleet: 2 would be out, 1 may be"
-    assert not harness.budget.state.waiters  # who has halted asks for nothing
+    assert not harness.budget.state.waiters  # a halted rollout requests no permits
 
 
 def test_a_new_leader_continues_and_orders_nothing_before_its_first_inventory():
@@ -240,11 +242,9 @@
         )
         return reader.read({"a-0": member_report})["a-0"]
 
-    assert read_sample(1, 1, 5, 100).outcomes == {
-        "late:order": (0, 0)
-    }  # it was counted before anybody looked
+    assert read_sample(1, 1, 5, 100).outcomes == {"late:order": (0, 0)}  # counted before the first report
     assert read_sample(9, 1, 7, 130).outcomes == {"late:order": (2, 30)}
-    assert read_sample(10, 2, 1, 4).outcomes == {"late:order": (0, 0)}  # another life
+    assert read_sample(10, 2, 1, 4).outcomes == {"late:order": (0, 0)}  # another incarnation
     assert read_sample(11, 2, 1, 9).outcomes == {"late:order": (0, 5)}
     assert read_sample(11, 2, 1, 9).memory_kb == 7
 
@@ -292,12 +292,12 @@
     number = start_rollout(planner)
     assert number > planner.state.leadership.replicated_version
     assert planner.state.platform_orders(planner.now) == []
-    planner.state.tick(planner.now + 1)  # decides the drain; nobody has kept it yet
+    planner.state.tick(planner.now + 1)  # decides the drain, which no majority has stored yet
     assert planner.state.rollouts.controller.orders
     assert planner.state.platform_orders(planner.now + 1) == []
     planner.advance(0.3)
     assert [order.member for order in planner.state.platform_orders(planner.now)] == ["a-0"]
-    # A permit that somebody asks for meanwhile must be kept as well.
+    # A permit that is requested in the meantime must be stored first as well.
     planner.state.replan(planner.now)
     planner.state.rollouts.orders_version = planner.state.leadership.version
     assert planner.state.platform_orders(planner.now) == []
@@ -308,7 +308,7 @@
     start_rollout(planner)
     planner.advance(0.3)
     state = planner.state
-    state.budget.state.permits.clear()  # as if only a want's serving granted it, and nobody kept that yet
+    state.budget.state.permits.clear()  # as if a request had granted it, not yet stored
     reason = state.rollouts.controller.rollouts[0].permit_reason
     state.budget.grant(EvictionWaiter(holder="a-0", incarnation=Incarnation(nonce=1), reason=reason))
     state.replan(planner.now)
@@ -360,7 +360,7 @@
 
 
 def leader_with_fixed_calls(folder):
-    """A fleet whose members' calls are given, so that others may join."""
+    """A leading planner whose members have fixed `calls`, so that other members may join."""
     planner = leader(folder)
     document = json.loads((folder / "fleet.json").read_text())
     for site in document["sites"]:
@@ -373,7 +373,7 @@
 
 
 def read_fleet_from(folder, document):
-    path = folder / "told.json"
+    path = folder / "changed.json"
     path.write_text(json.dumps(document))
     return read_fleet(path)
 
@@ -389,7 +389,7 @@
     assert planner.state.budget.groups[0].disruptions_allowed == 0
 
 
-def test_members_join_and_leave_during_a_rollout_and_a_name_returns(tmp_path):
+def test_members_join_and_leave_during_a_rollout_and_a_removed_member_returns(tmp_path):
     planner = leader_with_fixed_calls(tmp_path)
     start_rollout(planner)
     planner.advance(0.5)
@@ -408,7 +408,7 @@
     assert apply_changed_fleet(planner, tmp_path, lambda document: None) == []
     planner.incarnations["a-0"] = 2
     planner.advance(1)
-    late_report = report("a-0", 10**6, mark=1)  # of the life before it left
+    late_report = report("a-0", 10**6, mark=1)  # of the incarnation before it left
     assert not planner.state.membership.receive_report(late_report, planner.now)
     assert planner.state.observations(planner.now)["a-0"].incarnation.nonce == 2
 
--- a/tests/test_stored_rollout.py
+++ b/tests/test_stored_rollout.py
@@ -164,7 +164,7 @@
         pytest.param(COMMAND_RESULT, CommandResult, id="command result"),
     ],
 )
-def test_bytes_of_the_earlier_version_are_written_again_unchanged(stored, kind):
+def test_bytes_of_an_earlier_version_are_encoded_unchanged(stored, kind):
     assert msgspec.json.encode(msgspec.json.decode(stored, type=kind)) == stored
 
 
