--- a/birchslip/cluster/canary_analysis.py
+++ b/birchslip/cluster/canary_analysis.py
@@ -325,13 +325,13 @@
 
 def sum_outcomes(samples: list[MemberSample], name: str) -> tuple[float, float]:
     """Return bad and all outcomes of a metric; of all request classes together if it is a kind."""
-    found = [
+    outcomes = [
         outcome
         for sample in samples
         for metric, outcome in sample.outcomes.items()
         if metric == name or metric_kind(metric) == name
     ]
-    return sum(bad for bad, _ in found), sum(total for _, total in found)
+    return sum(bad for bad, _ in outcomes), sum(total for _, total in outcomes)
 
 
 def add_histogram(histogram: list[int], counts: list[int]) -> None:
--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -96,18 +96,18 @@
 
         The holder of an unused permit counts as unavailable, because it may drain at any moment.
         """
-        found = {
+        unavailable = {
             name: observation.unavailability
             for name, observation in observations.items()
             if observation.unavailability is not None
         }
         for permit in self.state.permits:
-            found.setdefault(permit.holder, UnavailabilityReason.PERMIT)
+            unavailable.setdefault(permit.holder, UnavailabilityReason.PERMIT)
         dependents = self.index.dependents
-        for service in [name for name in dependents if name in found]:
+        for service in [name for name in dependents if name in unavailable]:
             for name in dependents[service]:
-                found.setdefault(name, UnavailabilityReason.DOWNSTREAM)
-        return found
+                unavailable.setdefault(name, UnavailabilityReason.DOWNSTREAM)
+        return unavailable
 
     def tally(
         self, observations: Mapping[str, MemberObservation], ahead: Iterable[str] = ()
@@ -145,9 +145,9 @@
 
     def _enqueue(self, requester: EvictionWaiter) -> bool:
         """Add a waiter; a new incarnation keeps its member's place. False if the queue is full."""
-        place = self._waiting_index(requester.holder)
-        if place is not None:
-            self.state.waiters[place] = requester
+        index = self._waiting_index(requester.holder)
+        if index is not None:
+            self.state.waiters[index] = requester
             return True
         if len(self.state.waiters) >= MAX_WAITERS:
             return False
@@ -161,10 +161,10 @@
     def _waiting_decision(
         self, holder: str, observations: Mapping[str, MemberObservation]
     ) -> EvictionDecision:
-        place = self._waiting_index(holder) or 0
-        ahead = [waiter.holder for waiter in self.state.waiters[:place]]
+        index = self._waiting_index(holder) or 0
+        ahead = [waiter.holder for waiter in self.state.waiters[:index]]
         reason = self.tally(observations, ahead).blocking_reason(holder)
-        return EvictionDecision(position=place + 1, reason=reason)
+        return EvictionDecision(position=index + 1, reason=reason)
 
     def cancel(self, holder: str) -> bool:
         """Remove a waiter; False if there is none. A permit stays: its holder may be unavailable already."""
--- a/birchslip/cluster/disruption_tally.py
+++ b/birchslip/cluster/disruption_tally.py
@@ -114,13 +114,13 @@
     def is_unavailable(service: str) -> bool:
         return service not in observations or observations[service].unavailability is not None
 
-    found: dict[str, MemberObservation] = {}
+    effective: dict[str, MemberObservation] = {}
     for name, observation in observations.items():
-        found[name] = observation
+        effective[name] = observation
         if observation.unavailability is not None:
             continue
         if any(is_unavailable(service) for service in dependencies.get(name, ())):
-            found[name] = MemberObservation(
+            effective[name] = MemberObservation(
                 observation.incarnation, observation.capacity, UnavailabilityReason.DOWNSTREAM
             )
-    return found
+    return effective
--- a/birchslip/cluster/disruption_types.py
+++ b/birchslip/cluster/disruption_types.py
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True)
 class EvictionDecision:
-    """The answer to one requester.
+    """The decision on one request for a permit.
 
     Attributes:
         permit: The requester's permit, if it holds one.
--- a/birchslip/cluster/fleet_reader.py
+++ b/birchslip/cluster/fleet_reader.py
@@ -50,9 +50,9 @@
         fleet: Fleet = msgspec.json.decode(raw, type=Fleet)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ConfigurationError(f"{path}: {error}") from None
-    found = list(violations(fleet))
-    if found:
-        raise ConfigurationError("\n".join(f"{path}: {line}" for line in found))
+    problems = list(violations(fleet))
+    if problems:
+        raise ConfigurationError("\n".join(f"{path}: {line}" for line in problems))
     return fleet
 
 
--- a/birchslip/cluster/fleet_validation.py
+++ b/birchslip/cluster/fleet_validation.py
@@ -34,20 +34,20 @@
     )
 
 
-def check_unique(place: str, names: list[str], what: str) -> Iterator[str]:
+def check_unique(place: str, names: list[str], kind: str) -> Iterator[str]:
     """Checks that no name is given twice."""
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            yield f"{place}: the {what} {name!r} stands there twice"
+            yield f"{place}: the {kind} {name!r} stands there twice"
         seen.add(name)
 
 
-def check_known(place: str, names: list[str], known: set[str], what: str) -> Iterator[str]:
+def check_known(place: str, names: list[str], known: set[str], description: str) -> Iterator[str]:
     """Checks that all names are known."""
     for name in names:
         if name not in known:
-            yield f"{place}: no {what} {name!r}"
+            yield f"{place}: no {description} {name!r}"
 
 
 def members_with_places(fleet: Fleet) -> list[tuple[str, Member]]:
--- a/birchslip/cluster/inventory.py
+++ b/birchslip/cluster/inventory.py
@@ -79,4 +79,4 @@
     try:
         return msgspec.json.decode(raw, type=Inventory)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise InvalidInputError(f"a listing of the platform: {error}") from None
+        raise InvalidInputError(f"the platform's inventory is malformed: {error}") from None
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -91,7 +91,7 @@
         sent_at = self.scheduler.tell_time()
         response = self._request("GET", f"/fleet/members?epoch={term}", b"")
         if response.status != HTTPStatus.OK:
-            raise OSError(f"answered {response.status}")
+            raise OSError(f"the platform responded with status {response.status}")
         inventory = read_inventory(response.body)
         self.counters.count("platform.listings")
         if self.state.leadership.term == term:
--- a/birchslip/cluster/rollout_checks.py
+++ b/birchslip/cluster/rollout_checks.py
@@ -73,8 +73,8 @@
 def _find_competing_rollout(members: list[str], unfinished: list[Rollout]) -> str:
     if len(unfinished) >= MAX_UNFINISHED_ROLLOUTS:
         return f"{MAX_UNFINISHED_ROLLOUTS} releases are not finished"
-    found = (find_shared_members(members, rollout) for rollout in unfinished)
-    return next((obstacle for obstacle in found if obstacle), "")
+    obstacles = (find_shared_members(members, rollout) for rollout in unfinished)
+    return next((obstacle for obstacle in obstacles if obstacle), "")
 
 
 def _find_missing_budget(members: list[str], budget: DisruptionBudget) -> str:
