--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -155,6 +155,7 @@
         return True
 
     def _waiting_index(self, holder: str) -> int | None:
+        """Return the index of a holder among the waiters; None if it does not wait."""
         waiters = enumerate(self.state.waiters)
         return next((index for index, waiter in waiters if waiter.holder == holder), None)
 
--- a/birchslip/cluster/disruption_types.py
+++ b/birchslip/cluster/disruption_types.py
@@ -20,11 +20,11 @@
     """Why a member counts as unavailable; the values are reported to operators."""
 
     PERMIT = "permit"  # it holds a permit and may drain at any moment
-    SILENT = "silent"  # it does not report
+    SILENT = "silent"  # a member does not report, or a service is not up
     DRAINING = "leaving"
-    COLD = "cold"  # it has not warmed up yet
+    COLD = "cold"  # it reports, but does not serve or is not warm yet
     DOWNSTREAM = "below"  # a downstream service that it requires is unavailable
-    LOST = "lost"
+    LOST = "lost"  # its site is not in service
 
 
 @dataclass(frozen=True, slots=True)
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -72,6 +72,7 @@
         self.nap.end()
 
     def _exchange(self) -> None:
+        """Request the inventory and send orders; a failure is logged and closes the connection."""
         try:
             self.request_inventory()
             self.send_orders()
@@ -128,6 +129,7 @@
             self.log.fault("platform_order_refused", member=order.member, status=response.status)
 
     def _request(self, method: str, path: str, body: bytes) -> http.Answer:
+        """Send one request over the connection, which is opened if needed, and return the response."""
         deadline = self.scheduler.now + RESPONSE_TIMEOUT
         if self.connection is None or not self.connection.open:
             socket = connect(self.scheduler, self.address)
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -178,6 +178,7 @@
         return True
 
     def _enter(self, phase: RolloutPhase, reason: str) -> None:
+        """Record the phase, end the watch and, unless the phase is RUNNING, cancel permit requests."""
         self.record.phase = phase.value
         self.record.reason = reason[:MAX_TEXT_LENGTH]
         self.record_event(f"{phase.value}: {reason}")
@@ -214,6 +215,7 @@
         return orders
 
     def _pass_time(self, now: int) -> None:
+        """Count the time since the previous step, and begin a step without progress text."""
         if self._stepped_at is not None:
             self._unrecorded_time += now - self._stepped_at
         self._stepped_at = now
@@ -241,6 +243,7 @@
             self.record_event(f"{name} is left out no more")
 
     def _evaluate_watch(self, view: FleetView, now: int) -> None:
+        """Begin the next batch or halt, if the watch of the current batch has a result."""
         outcome = self._watch.evaluate(view, now)
         match outcome.result:
             case WatchResult.BAD:
@@ -254,6 +257,7 @@
                 pass
 
     def _begin_next_batch(self, reason: str) -> None:
+        """Continue with the next batch, or complete the rollout after the last one."""
         self._watch.end()
         self.record.batch_index += 1
         self.record_event(f"batch {self.record.batch_index}: {reason}")
@@ -333,6 +337,7 @@
             self.halt(f"no step for {self.spec.stall_timeout_ms / 1000:g} s: {self.progress}")
 
     def _member_states(self, view: FleetView) -> list[MemberState]:
+        """Return a snapshot of the members that the platform knows, for the stall detector."""
         states = []
         for name in self.record.all_members():
             instance = view.instances.get(name)
--- a/birchslip/cluster/rollout_steps.py
+++ b/birchslip/cluster/rollout_steps.py
@@ -102,6 +102,7 @@
         return orders, progress[:MAX_PROGRESS_LENGTH]
 
     def _evict_member(self, name: str, version: str, view: FleetView) -> EvictionStep:
+        """Request a permit for a member that is up in another version, and drain it once granted."""
         instance = view.instances.get(name)
         observation = view.observations.get(name)
         if instance is None:
--- a/birchslip/cluster/rollout_supervisor.py
+++ b/birchslip/cluster/rollout_supervisor.py
@@ -77,9 +77,11 @@
         self.evaluated_at = now - EVALUATION_INTERVAL
 
     def _stored_parts(self) -> tuple[bytes, bytes]:
+        """Returns the encoded states of rollouts and permits, to detect changes."""
         return msgspec.json.encode(self.controller.states), self.budget.encode()
 
     def _record_phase_changes(self, phases_before: Mapping[int, RolloutPhase]) -> None:
+        """Records an event for each rollout whose phase differs from `phases_before`."""
         for rollout in self.controller.rollouts:
             record = rollout.record
             before = phases_before.get(record.number)
--- a/birchslip/cluster/rollout_watch.py
+++ b/birchslip/cluster/rollout_watch.py
@@ -99,6 +99,7 @@
         return self._evaluate_unclear(self.analysis, bool(samples.baseline), now)
 
     def _evaluate_unclear(self, analysis: CanaryAnalysis, has_baseline: bool, now: int) -> WatchOutcome:
+        """Pass without a baseline, end an expired watch, or store evidence and continue."""
         if not has_baseline and analysis.has_minimum_watch(now):
             return WatchOutcome(WatchResult.PASSED, "nobody is left to compare with")
         if analysis.has_expired(now):
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -24,9 +24,8 @@
     rng = random.Random(seed)
     analysis = CanaryAnalysis(MARGINS, 10 * SECOND, sample_count * SECOND // 2, 0)
     for sample_number in range(1, sample_count + 1):
-        bad_rate = usual_bad_rate + (
-            0.25 if surge and 40 <= sample_number < 100 else 0.0
-        )  # a surge affects both sides
+        # A surge affects both sides.
+        bad_rate = usual_bad_rate + (0.25 if surge and 40 <= sample_number < 100 else 0.0)
         if correlated and rng.random() < 0.1:
             bad_rate = min(1.0, bad_rate + 0.3)
 
@@ -55,14 +54,14 @@
 
 
 @pytest.mark.parametrize(
-    ("excess_rate", "sample_count"),
+    ("excess_rate", "max_samples"),
     [(0.5, 10), (0.3, 20), (0.15, 60)],
     ids=["much worse", "worse", "slightly worse"],
 )
-def test_the_worse_a_version_the_sooner_it_is_found(excess_rate, sample_count):
+def test_the_worse_a_version_the_sooner_it_is_found(excess_rate, max_samples):
     outcomes = [watch(seed, excess_rate) for seed in range(60)]
     assert all(verdict is CanaryVerdict.BAD for verdict, _ in outcomes)
-    assert sorted(sample_number for _, sample_number in outcomes)[-2] <= sample_count
+    assert sorted(sample_number for _, sample_number in outcomes)[-2] <= max_samples
 
 
 def test_a_difference_at_the_margin_stays_unclear():
--- a/tests/test_disruption_budget.py
+++ b/tests/test_disruption_budget.py
@@ -83,9 +83,8 @@
     assert budget.permit_of("a-0") is not None
     assert not budget.release("a-0", incarnation(2), observations)
     assert not budget.release("a-0", incarnation(), observations)
-    observations["a-0"] = MemberObservation(
-        incarnation(), 10.0
-    )  # the same incarnation responds again, and may still drain by its permit
+    # The same incarnation responds again, and may still drain by its permit.
+    observations["a-0"] = MemberObservation(incarnation(), 10.0)
     budget.reconcile(observations)
     assert budget.permit_of("a-0") is not None
     assert budget.release("a-0", incarnation(), observations)
@@ -164,16 +163,14 @@
     decision = budget.acquire(waiter("store-1"), observations)
     assert decision.permit is None
     assert decision.reason == "fleet: 3 would be out, 2 may be"
-    assert (
-        budget.acquire(waiter("store-2"), observations).permit is None
-    )  # a place is reserved for store-1, which waits ahead
+    # A place is reserved for store-1, which waits ahead.
+    assert budget.acquire(waiter("store-2"), observations).permit is None
     observations["b-1"] = MemberObservation(incarnation(2), 10.0)
     budget.reconcile(observations)
     assert budget.permit_of("store-1")
     assert budget.unavailable_members(observations)["a-1"] is UnavailabilityReason.DOWNSTREAM
-    assert (
-        budget.acquire(waiter("a-2"), observations).reason == "fleet: 4 would be out, 2 may be"
-    )  # a place is reserved for the dependent of store-2
+    # A place is reserved for the dependent of store-2.
+    assert budget.acquire(waiter("a-2"), observations).reason == "fleet: 4 would be out, 2 may be"
     for name in ("store-2", "a-2"):
         budget.cancel(name)
     # A member that is already unavailable with its service takes no further place.
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -124,9 +124,8 @@
 def test_a_permit_of_an_earlier_incarnation_drains_no_member():
     harness = Harness()
     harness.step()
-    harness.observations["a-0"] = MemberObservation(
-        Incarnation(nonce=2), 10.0, UnavailabilityReason.COLD
-    )  # it crashed and restarted
+    # It crashed and restarted.
+    harness.observations["a-0"] = MemberObservation(Incarnation(nonce=2), 10.0, UnavailabilityReason.COLD)
     assert harness.step() == []
     harness.observations["a-0"] = MemberObservation(Incarnation(nonce=2), 10.0)
     assert harness.step() == [("drain", "a-0", "new")]
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -260,9 +260,8 @@
         assert controller.observe_services(11)["store-1"].unavailability is unavailability
     assert controller.observe_services(40_000)["store-1"].unavailability is UnavailabilityReason.SILENT
     controller.receive_inventory(inventory(), 10)
-    assert (
-        controller.observe_services(11)["store-1"].unavailability is UnavailabilityReason.SILENT
-    )  # the platform does not know it
+    # The platform does not know it.
+    assert controller.observe_services(11)["store-1"].unavailability is UnavailabilityReason.SILENT
 
 
 # ---- in the state of a leading planner ----------------------------------------------------------------
