--- a/birchslip/net/idempotency_table.py
+++ b/birchslip/net/idempotency_table.py
@@ -1,8 +1,8 @@
-"""The table of labels: which try has the entry, which one ran, and what it made.
+"""The idempotency table: for each key, which attempt stored it, which one runs, and the result of the run.
 
-A label's run is claimed here and nowhere else, so a second launch within its window cannot happen, whatever
-the timing: the claim names the try that runs, and stands until the window is over, also when that try was
-written off.
+Keys are claimed in `IdempotencyTable.claim` and nowhere else, so a key can't be launched twice within its
+retention, whatever the timing. A claim names the attempt that runs and lasts until the retention is over,
+also if that attempt was answered with an error in the meantime.
 """
 
 from __future__ import annotations
@@ -13,41 +13,66 @@
 from ..admission.types import MS, Outcome
 from .request_context import IdempotencyEntry, RequestContext, RunResult
 
-RETENTION_SLACK = 50 * MS  # by which the protocol's limits of time are longer on sockets
+RETENTION_SLACK = 50 * MS  # on sockets, the protocol's time limits are this much longer
 
 
 class IdempotencyTable:
+    """The entries of all idempotency keys that are in use on this app server.
+
+    Attributes:
+        max_deadline: The longest deadline of all request classes.
+        entries: The entries by key.
+        expiry_heap: When each entry may be removed, a serial number that breaks ties, and the entry.
+        last_serial: The last serial number in `expiry_heap`.
+        find_earlier: Finds the entry of a key whose run was started by an earlier incarnation; finds nothing
+            without a result store.
+    """
+
     def __init__(self, max_deadline: int) -> None:
-        # An entry is found by arrival, however late the repeat is read: it is kept for that much longer.
+        """Begin without entries.
+
+        Args:
+            max_deadline: The longest deadline of all request classes. Repeats are matched by their time of
+                receipt, however late they are processed, so entries are kept for this much longer.
+        """
         self.max_deadline = max_deadline
         self.entries: dict[str, IdempotencyEntry] = {}
         self.expiry_heap: list[tuple[int, int, IdempotencyEntry]] = []
         self.last_serial = 0
-        # what a try repeats that ran in an earlier life, where that is kept
         self.find_earlier: Callable[[RequestContext], IdempotencyEntry | None] = lambda context: None
 
     def find(self, key: str, received_at: int) -> IdempotencyEntry | None:
-        """The entry that one which arrived then repeats."""
+        """Return the entry that a request received at this time repeats, if any."""
         entry = self.entries.get(key)
         return entry if entry is not None and received_at <= entry.valid_until else None
 
-    def store(self, context: RequestContext, valid_until: int, now: int) -> None:
+    def store(self, context: RequestContext, retained_until: int, now: int) -> None:
+        """Store the key of a request, or extend the retention of its entry; removes expired entries."""
         self.remove_expired(now)
         entry = self.find(context.idempotency_key, context.received_at)
         if entry is None:
             entry = self.entries[context.idempotency_key] = IdempotencyEntry(
-                context.idempotency_key, context, valid_until + RETENTION_SLACK
+                context.idempotency_key, context, retained_until + RETENTION_SLACK
             )
-        entry.stored_by, entry.valid_until = context, max(valid_until + RETENTION_SLACK, entry.valid_until)
+        entry.stored_by, entry.valid_until = context, max(retained_until + RETENTION_SLACK, entry.valid_until)
         context.entry = entry
         self.schedule_expiry(entry)
 
     def schedule_expiry(self, entry: IdempotencyEntry) -> None:
+        """Schedule the removal of an entry; called again whenever its `valid_until` moves."""
         self.last_serial += 1
         heapq.heappush(self.expiry_heap, (entry.valid_until + self.max_deadline, self.last_serial, entry))
 
     def release(self, context: RequestContext, was_claimed: bool = False) -> list[RequestContext]:
-        """Drop the entry of one that never ran, even if it was `claimed`; those that waited are returned."""
+        """Remove the entry of a request that never ran.
+
+        Args:
+            context: The attempt whose entry is removed; does nothing if the entry belongs to another attempt.
+            was_claimed: Whether this attempt had claimed the key.
+
+        Returns:
+            The repeats that were waiting for it.
+        """
         entry = context.entry
         claimant = context if was_claimed else None
         if (
@@ -63,20 +88,28 @@
         return waiters
 
     def claim(self, context: RequestContext) -> bool:
-        """Whether this try may run: only one may, for as long as the entry stands."""
+        """Claim the key of an attempt that is about to run.
+
+        Returns:
+            Whether the attempt may run: only one may, for as long as the entry is valid.
+        """
         entry = context.entry
         if entry is None or (entry.claimed_by is not None and entry.claimed_by is not context):
             return False
         entry.claimed_by = context
         valid_until = context.retention_start + context.request.request_class.key_retention + RETENTION_SLACK
         if valid_until > entry.valid_until:
-            # Its clock lies ahead of ours: it is kept for longer than was thought when it was remembered.
+            # The router's clock is ahead of ours, so the retention ends later than `store` assumed.
             entry.valid_until = valid_until
             self.schedule_expiry(entry)
         return True
 
     def attach(self, context: RequestContext) -> RunResult | None:
-        """What its label has come to, or None: then this one waits for it."""
+        """Let a repeat share the result of the original.
+
+        Returns:
+            The result, or None if the run is not over: the repeat is then among the entry's waiters.
+        """
         entry = context.entry
         if entry is None:
             return RunResult(Outcome.FAILED)
@@ -85,7 +118,11 @@
         return entry.result
 
     def complete(self, context: RequestContext, run_result: RunResult) -> list[RequestContext]:
-        """The claimed run is over; those that waited for it are returned."""
+        """Store the result of a run; does nothing if the attempt does not hold the claim.
+
+        Returns:
+            The repeats that were waiting for it.
+        """
         entry = context.entry
         if entry is None or entry.claimed_by is not context:
             return []
@@ -95,7 +132,9 @@
         return waiters
 
     def remove_expired(self, now: int) -> None:
+        """Remove the entries that no request can repeat any more."""
         while self.expiry_heap and self.expiry_heap[0][0] < now:
             entry = heapq.heappop(self.expiry_heap)[2]
+            # An entry whose retention was extended is in the heap more than once: the latest time counts.
             if entry.valid_until + self.max_deadline < now and self.entries.get(entry.key) is entry:
                 del self.entries[entry.key]
--- a/birchslip/net/stages/action_dispatcher.py
+++ b/birchslip/net/stages/action_dispatcher.py
@@ -1,4 +1,4 @@
-"""Route: each wish of the decisions goes to the stage that carries it out."""
+"""The action dispatcher: passes each action of the admission decisions to the stage that performs it."""
 
 from __future__ import annotations
 
@@ -24,6 +24,8 @@
 
 
 class ActionDispatcher:
+    """Performs the actions that the admission decisions yield for a request."""
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -32,6 +34,7 @@
         downstream_caller: DownstreamCaller,
         response_recorder: ResponseRecorder,
     ) -> None:
+        """Dispatch to these stages."""
         self.scheduler, self.idempotency_table = scheduler, idempotency_table
         self.run_dispatcher, self.downstream_caller, self.response_recorder = (
             run_dispatcher,
@@ -40,6 +43,7 @@
         )
 
     def perform(self, request: Request, action: Action) -> None:
+        """Perform one action for a request."""
         context: RequestContext = request.context
         match action:
             case StartRun():
--- a/birchslip/net/stages/admission_stage.py
+++ b/birchslip/net/stages/admission_stage.py
@@ -1,4 +1,7 @@
-"""Admit: what was read and what has happened goes to the decisions, in order, at the end of each pass."""
+"""The admission stage: passes requests and events to the admission decisions, in one batch per pass.
+
+Its counters are named `admit.*`.
+"""
 
 from __future__ import annotations
 
@@ -21,14 +24,27 @@
 
 
 class AdmissionStage:
-    """`unready` hears of what comes while nothing may run, `fault` of what went wrong with one."""
+    """Queues requests and events until the end of a scheduler pass, then runs the admission driver on them.
+
+    Attributes:
+        driver: The admission driver; None until `start`.
+        pending_events: What the next batch processes; a request without an event is a new one.
+        gauges: The gauges of a tick that the next batch processes.
+        rejects_new_requests: Whether requests that repeat no earlier one are answered as not ready.
+        perform: Performs an action for one request.
+        announce: Performs an action for the app server as a whole.
+        on_not_ready: Called with each request that arrives while none may start.
+        on_key_mismatch: Called with a request whose idempotency key was used with another class or body.
+        on_fault: Called with a request and the exception that its processing raised.
+    """
 
     def __init__(self, scheduler: Scheduler, counters: Counters, idempotency_table: IdempotencyTable) -> None:
+        """Begin without a driver; the callbacks are set by the program."""
         self.scheduler, self.counters, self.idempotency_table = scheduler, counters, idempotency_table
         self.driver: AdmissionDriver | None = None
         self.pending_events: deque[tuple[RequestContext, Event | None]] = deque()
         self.gauges: Gauges | None = None
-        self.rejects_new_requests = False  # nothing that is read from now on may run
+        self.rejects_new_requests = False
         self.perform: Callable[[Request, Action], None]
         self.announce: Callable[[ServerAction], None]
         self.on_not_ready: Callable[[RequestContext], None]
@@ -36,26 +52,35 @@
         self.on_fault: Callable[[RequestContext, Exception], None]
 
     def start(self, settings: AdmissionSettings, started_at: int) -> None:
+        """Start admitting requests, with quota windows and the warm-up counted from `started_at`."""
         self.driver = AdmissionDriver(settings, started_at, self.perform, self.announce, self.handle_fault)
 
     def submit(self, context: RequestContext) -> None:
+        """Queue a request that was decoded."""
         self.pending_events.append((context, None))
 
     def add_event(self, context: RequestContext, event: Event) -> None:
+        """Queue an event of a request."""
         self.pending_events.append((context, event))
 
     def tick(self, gauges: Gauges) -> None:
+        """Let the next batch process a tick with these gauges."""
         self.gauges = gauges
 
     def start_drain(self, deadline: int) -> None:
+        """Tell the decisions that the app server drains until the deadline."""
         if self.driver is not None:
             self.driver.advance_clock(self.scheduler.now)
             self.driver.drain(deadline)
 
     def process_pending(self) -> None:
-        """One batch: what has come, then a tick, then who goes on. What that brings is the next batch's."""
+        """Process one batch: pending requests and events, a tick if one is due, then waiting requests.
+
+        Events that this batch causes are left for the next one.
+        """
         if self.driver is None:
-            # Also of what repeats a label of an earlier life: nothing has run in this one, it may come again.
+            # Also rejects repeats of keys of an earlier incarnation: this one has run nothing, so a retry is
+            # safe.
             while self.pending_events:
                 self.on_not_ready(self.pending_events.popleft()[0])
             return
@@ -74,6 +99,7 @@
             self.scheduler.soon()
 
     def process(self, driver: AdmissionDriver, context: RequestContext, event: Event | None) -> None:
+        """Pass one event, or one new request, to the driver."""
         request = context.request
         if event is not None:
             driver.deliver(request, event)
@@ -95,9 +121,11 @@
         driver.admit(request)
 
     def look_up_entry(self, context: RequestContext) -> None:
+        """Set the entry of a request's key, of this incarnation or an earlier one, if there is one."""
         if context.idempotency_key and context.entry is None:
             entry = self.idempotency_table.find(context.idempotency_key, context.received_at)
             context.entry = entry or self.idempotency_table.find_earlier(context)
 
     def handle_fault(self, request: Request, error: Exception) -> None:
+        """Report an exception that the driver raised for a request."""
         self.on_fault(request.context, error)
--- a/birchslip/net/stages/downstream_caller.py
+++ b/birchslip/net/stages/downstream_caller.py
@@ -1,4 +1,7 @@
-"""Relay: a run's call goes to the vault when its turn has come, and the reply goes back to the run."""
+"""The downstream caller: makes the calls of runs to the vault, and returns the replies.
+
+Its counters are named `relay.*`.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +17,12 @@
 
 
 class DownstreamCaller:
+    """Makes the downstream calls of runs; a run has at most one call in progress.
+
+    Attributes:
+        guarded_on_timeout: `on_timeout`, or a wrapper of it that confines exceptions to the request.
+    """
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -22,17 +31,20 @@
         vault: Vault,
         admission_stage: AdmissionStage,
     ) -> None:
+        """Begin without calls."""
         self.scheduler, self.counters = scheduler, counters
         self.agent, self.vault, self.admission_stage = agent, vault, admission_stage
         self.guarded_on_timeout: Callable[[RequestContext], None] = self.on_timeout
 
     def on_call_needed(self, context: RequestContext, notice_number: int, body: bytes) -> None:
+        """Queue a call that the agent's notice requested for a run."""
         self.counters.count("relay.wanted")
-        self.cancel_call(context)  # one that is out is none that the run waits for any more
+        self.cancel_call(context)  # the run no longer waits for a call that is still in progress
         context.call_notice_number, context.call_body = notice_number, body
         self.admission_stage.add_event(context, CallNeeded())
 
     def start_call(self, context: RequestContext, timeout: int) -> None:
+        """Start the call of a run, with a timeout."""
         self.counters.count("relay.called")
         now = self.scheduler.now
         context.call_started_at = now
@@ -40,14 +52,17 @@
         self.vault.ask(context, max(1, timeout // MS), context.call_body)
 
     def skip_call(self, context: RequestContext) -> None:
+        """Let the run continue without its call."""
         self.counters.count("relay.skipped")
         self.agent.forgo(context)
 
     def on_timeout(self, context: RequestContext) -> None:
+        """End a call that has reached its timeout."""
         self.vault.unask(context)
         self.on_call_ended(context, Outcome.TIMED_OUT, b"")
 
     def on_call_ended(self, context: RequestContext, outcome: Outcome, reply: bytes) -> None:
+        """Report the end of a call to the decisions, and pass the reply of a served call to the run."""
         self.counters.count(f"relay.{outcome.value}")
         self.stop_timer(context)
         if outcome is Outcome.SERVED:
@@ -57,7 +72,7 @@
         )
 
     def cancel_call(self, context: RequestContext) -> None:
-        """Its transaction or its run is over: no call is left behind."""
+        """Cancel the call that is in progress, if any: its request or its run is over."""
         if context.call_timer is not None:
             self.counters.count("relay.dropped")
             self.stop_timer(context)
@@ -65,6 +80,7 @@
 
     @staticmethod
     def stop_timer(context: RequestContext) -> None:
+        """Cancel the timeout of a call; afterwards no call counts as in progress."""
         if context.call_timer is not None:
             context.call_timer.cancel()
             context.call_timer = None
--- a/birchslip/net/stages/request_decoder.py
+++ b/birchslip/net/stages/request_decoder.py
@@ -1,4 +1,7 @@
-"""Take in: what a peer told of a transaction becomes a passage, or an error that names what is wrong."""
+"""The request decoder: validates requests from routers, and answers malformed ones with an error.
+
+Its counters are named `take_in.*`.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +15,20 @@
 from ..request_context import DecodedRequest, RequestContext
 from ..scheduler import Scheduler
 
-MAX_CLOCK_SKEW = 60 * SECOND  # told times lie within a minute of ours: one machine has one clock
+MAX_CLOCK_SKEW = 60 * SECOND  # the router runs on the same machine, so on the same clock
 
 
 class RequestDecoder:
+    """Builds the context of each request and submits it for admission.
+
+    Attributes:
+        request_classes: The request classes by name.
+        tenants: The tenants by name; empty if tenants are not configured.
+        submit: Passes a request to the admission stage.
+        is_id_in_use: Whether a request or run with this id is open.
+        register: Records that a request is open.
+    """
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -25,6 +38,16 @@
         class_names: list[str],
         tenant_names: list[str],
     ) -> None:
+        """Set up the lookup of request classes and tenants; the callbacks are set by the program.
+
+        Args:
+            scheduler: Gives the present time.
+            counters: Where requests are counted.
+            log: Where malformed requests are logged.
+            settings: The request classes and tenants.
+            class_names: The names of the request classes, in the order of the settings.
+            tenant_names: The names of the tenants, in the order of the settings.
+        """
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.request_classes = dict(zip(class_names, settings.request_classes, strict=True))
         self.tenants = dict(zip(tenant_names, settings.tenants, strict=True))
@@ -33,17 +56,23 @@
         self.register: Callable[[RequestContext], None]
 
     def __call__(self, channel: Client, message_id: int, decode: Callable[[], DecodedRequest]) -> None:
-        """`decode` reads the message, and may find it malformed."""
+        """Decode, register and submit one request; a malformed one is answered with an error.
+
+        Args:
+            channel: The connection that it arrived on.
+            message_id: The id of its message.
+            decode: Decodes the message; raises `InvalidInputError` if it is malformed.
+        """
         try:
             context = self.build_context(channel, message_id, decode())
         except InvalidInputError as error:
             self.counters.count("take_in.malformed")
-            self.log.fault("a transaction that can't be taken in", why=str(error))
+            self.log.fault("malformed_request", why=str(error))
             channel.send_error(message_id, str(error))
             return
         except Exception as error:
             self.counters.count("book.faults")
-            self.log.trace("a fault in taking in", error)
+            self.log.trace("request_decoding_failed", error)
             channel.send_error(message_id)
             return
         self.counters.count("take_in.taken")
@@ -51,6 +80,11 @@
         self.submit(context)
 
     def build_context(self, channel: Client, message_id: int, decoded: DecodedRequest) -> RequestContext:
+        """Validate a request and build its context.
+
+        Raises:
+            InvalidInputError: The request is invalid; the message is sent to the router.
+        """
         if decoded.class_name not in self.request_classes:
             raise InvalidInputError(f"no such profile: {decoded.class_name[:40]!r}")
         request_class = self.request_classes[decoded.class_name]
@@ -63,8 +97,9 @@
             raise InvalidInputError("a labelled transaction that names what it reads")
         if self.is_id_in_use(decoded.request_id):
             raise InvalidInputError("the id of one that is open")
-        # Never in the future; and for the decisions never longer ago than a client waits, or one absurd time
-        # would look like a backlog. What a label repeats is found by the time told, however late it is read.
+        # The time of receipt is never in the future. For the decisions it is also never longer ago than the
+        # deadline of the class, or a single wrong timestamp would look like a backlog. Repeats of a key are
+        # found by the uncapped time, however late they are processed.
         now = self.scheduler.now
         if abs(decoded.router_timestamp - now) > MAX_CLOCK_SKEW:
             raise InvalidInputError("it came at a time that can't be")
@@ -94,6 +129,11 @@
         return context
 
     def find_tenant(self, name: str) -> Tenant | None:
+        """Return the tenant of this name, or None if tenants are not configured.
+
+        Raises:
+            InvalidInputError: There is no tenant of this name.
+        """
         if not self.tenants:
             return None
         if name not in self.tenants:
--- a/birchslip/net/stages/response_recorder.py
+++ b/birchslip/net/stages/response_recorder.py
@@ -1,9 +1,11 @@
-"""Book: each transaction gets its one final answer here, and what came of it is counted."""
+"""The response recorder: sends the one final answer of each request and counts its outcome.
+
+Its counters are named `book.*`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 from ...admission.types import CallerGone, Outcome, RunEnded
 from ..counters import Counters
@@ -14,6 +16,13 @@
 
 
 class ResponseRecorder:
+    """Answers requests, each of them once.
+
+    Attributes:
+        open_request_ids: The ids of the requests that are not answered yet.
+        on_answered: Called with each answered request and its outcome, if set.
+    """
+
     def __init__(
         self,
         counters: Counters,
@@ -21,6 +30,7 @@
         idempotency_table: IdempotencyTable,
         admission_stage: AdmissionStage,
     ) -> None:
+        """Begin without open requests."""
         self.counters, self.log, self.idempotency_table, self.admission_stage = (
             counters,
             log,
@@ -28,16 +38,23 @@
             admission_stage,
         )
         self.open_request_ids: set[str] = set()
-        # hears of each final answer, where a fleet's side wants to
         self.on_answered: Callable[[RequestContext, str], None] | None = None
 
     def open(self, context: RequestContext) -> None:
-        """From now on it is owed its answer."""
+        """Record that a request is open: it is to be answered."""
         context.channel.open_requests[context.message_id] = context
         self.open_request_ids.add(context.request_id)
 
     def close(self, context: RequestContext, outcome: str) -> bool:
-        """Whether this is the final answer: there is one, and none once the caller has gone."""
+        """Record the final answer of a request, or that its caller is gone.
+
+        Args:
+            context: The request.
+            outcome: The outcome that is counted.
+
+        Returns:
+            Whether the answer is to be sent: False if the request is already answered or its caller is gone.
+        """
         if context.is_answered:
             return False
         context.is_answered = True
@@ -49,32 +66,38 @@
         return True
 
     def send_result(self, context: RequestContext, body: bytes) -> None:
+        """Answer with the result of a run."""
         if self.close(context, "honoured"):
             context.channel.send_result(context.message_id, body)
 
     def send_error(self, context: RequestContext, outcome: str = "written_off") -> None:
+        """Answer that the request failed."""
         if self.close(context, outcome):
             context.channel.send_error(context.message_id)
 
     def send_rejection(
         self, context: RequestContext, retry_after: int = 0, stop_retrying: bool = False
     ) -> None:
-        """Only ever said of what never ran: were it asked for one that has, it would be written off."""
+        """Answer that the request was rejected, which states that it never ran.
+
+        A request that was launched is answered with an error instead.
+        """
         if context.is_launched:
-            self.log.fault("a shed of what has run was asked for and not said", id=context.request_id)
+            self.log.fault("rejection_after_launch_prevented", id=context.request_id)
             self.send_error(context)
         elif self.close(context, "shed"):
             context.channel.send_rejection(context.message_id, retry_after, stop_retrying)
 
     def on_caller_gone(self, context: RequestContext) -> None:
-        """Its caller waits no longer, or its connection has ended."""
+        """Close a request whose caller waits no longer, or whose connection has ended."""
         if self.close(context, "gone"):
             self.admission_stage.add_event(context, CallerGone())
 
     def abandon(self, context: RequestContext) -> None:
-        """No later answer can reach its caller: it is answered now, and the decisions hear that nobody waits.
+        """Answer a request now, as no later answer can reach its caller, and withdraw it from admission.
 
-        Shed where neither it nor any try of its label has run, for that may be tried again elsewhere.
+        It is rejected if neither it nor another attempt with its key has run, as it may then be retried on
+        another app server.
         """
         entry = context.entry
         ran = entry is not None and (entry.claimed_by is not None or entry.matches_earlier_run is not None)
@@ -83,42 +106,49 @@
             self.admission_stage.add_event(context, CallerGone())
 
     def complete(self, context: RequestContext, run_result: RunResult) -> None:
-        """Its run is over: the result, or that there is none, unless it was answered before."""
+        """Answer with the result of a run, or that it failed, unless the request was answered before."""
         if run_result.outcome is Outcome.SERVED:
             self.send_result(context, run_result.body)
         else:
             self.send_error(context, "erred")
 
-    # ---- labels --------------------------------------------------------------------------------------------
+    # ---- idempotency keys ----------------------------------------------------------------------------------
 
     def attach(self, context: RequestContext) -> None:
-        """It shares what the try that it repeats comes to, or has come to."""
+        """Let a repeat share the result of its original, now or once the run is over."""
         run_result = self.idempotency_table.attach(context)
         if run_result is not None:
             self.share_result(context, run_result)
 
     def share_result(self, context: RequestContext, run_result: RunResult) -> None:
+        """Answer a repeat with the result of its original, and report the end to the decisions."""
         outcome = Outcome.SERVED if run_result.outcome is Outcome.SERVED else Outcome.FAILED
         self.complete(context, run_result)
         self.admission_stage.add_event(context, RunEnded(outcome))
 
     def resolve_entry(self, entry: IdempotencyEntry, run_result: RunResult) -> None:
-        """What a try of an earlier life has come to: those that wait for it hear so."""
+        """Set the result of a run of an earlier incarnation, and answer the repeats that wait for it."""
         entry.result = run_result
         waiters, entry.waiters = entry.waiters, []
         for repeat in waiters:
             self.share_result(repeat, run_result if entry.matches(repeat) else RunResult(Outcome.FAILED))
 
     def release_key(self, context: RequestContext, was_claimed: bool = False) -> None:
+        """Release the key of a request that never ran; the repeats that wait for it fail.
+
+        Args:
+            context: The request.
+            was_claimed: Whether it had claimed the key.
+        """
         for repeat in self.idempotency_table.release(context, was_claimed):
             self.share_result(repeat, RunResult(Outcome.FAILED))
 
-    # ---- trouble -------------------------------------------------------------------------------------------
+    # ---- exceptions ----------------------------------------------------------------------------------------
 
     def guard(self, stage: Callable[..., None]) -> Callable[..., None]:
-        """The stage, with a fault in it kept to its transaction, which is the first argument."""
+        """Wrap a stage so that an exception affects only its request, which is the first argument."""
 
-        def run(context: RequestContext, *args: Any) -> None:
+        def run(context: RequestContext, *args: object) -> None:
             try:
                 stage(context, *args)
             except Exception as error:
@@ -127,7 +157,7 @@
         return run
 
     def handle_fault(self, context: RequestContext, error: Exception) -> None:
-        """An exception in its stages: it alone is written off, and the program goes on."""
+        """Answer a request with an error because one of its stages raised an exception."""
         self.counters.count("book.faults")
-        self.log.trace("a fault in a transaction's stages", error, id=context.request_id)
+        self.log.trace("request_stage_failed", error, id=context.request_id)
         self.send_error(context)
--- a/birchslip/net/stages/run_dispatcher.py
+++ b/birchslip/net/stages/run_dispatcher.py
@@ -1,4 +1,7 @@
-"""Send: runs are started and stopped at the agent, and their ends come back."""
+"""The run dispatcher: starts and stops runs at the agent, and processes their results.
+
+Its counters are named `send.*`.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +21,30 @@
 
 
 class ResultKeeper(Protocol):
-    """Where a folder survives: `listener` hears once that it is kept, or could not be."""
+    """A durable store of starts and results of requests with an idempotency key.
+
+    Each listener is notified once whether the record was stored.
+    """
+
+    def record_start(self, context: RequestContext, listener: Callable[[bool], None]) -> None:
+        """Record that a request is about to run."""
+
+    def record_never_ran(self, context: RequestContext) -> None:
+        """Record that a request whose start was recorded will not run."""
 
-    def record_start(self, context: RequestContext, listener: Callable[[bool], None]) -> None: ...
-    def record_never_ran(self, context: RequestContext) -> None: ...
     def record_completion(
         self, context: RequestContext, run_result: RunResult, listener: Callable[[bool], None]
-    ) -> None: ...
+    ) -> None:
+        """Record the result of a run."""
 
 
 class RunDispatcher:
+    """Starts, stops and completes runs.
+
+    Attributes:
+        result_keeper: Stores the results of requests with an idempotency key; None if results are not stored.
+    """
+
     def __init__(
         self,
         counters: Counters,
@@ -38,6 +55,7 @@
         downstream_caller: DownstreamCaller,
         response_recorder: ResponseRecorder,
     ) -> None:
+        """Begin without runs and without a result keeper."""
         self.counters, self.log, self.agent, self.idempotency_table = counters, log, agent, idempotency_table
         self.admission_stage, self.downstream_caller, self.response_recorder = (
             admission_stage,
@@ -47,10 +65,10 @@
         self.result_keeper: ResultKeeper | None = None
 
     def start(self, context: RequestContext) -> None:
+        """Start the run of a request; if its key is claimed by another attempt, share that one's result."""
         if context.idempotency_key and not self.idempotency_table.claim(context):
-            # Another try of the same label holds the claim: this one shares what that one comes to.
             self.counters.count("send.unclaimed")
-            self.log.fault("a second run of a label was asked for and not made", id=context.request_id)
+            self.log.fault("duplicate_run_prevented", id=context.request_id)
             self.response_recorder.attach(context)
             return
         if context.idempotency_key and self.result_keeper is not None:
@@ -59,40 +77,53 @@
             self.launch(context)
 
     def launch(self, context: RequestContext) -> None:
+        """Order the run at the agent."""
         context.is_launched, context.launched_at = True, self.admission_stage.scheduler.now
         self.counters.count("send.launched")
         self.counters.peak("send.running", len(self.agent.runs) + 1)
         self.agent.launch(context)
 
     def on_start_recorded(self, context: RequestContext, is_recorded: bool) -> None:
-        """That it begins is kept, or can't be: then it never ran, nor does one written off meanwhile."""
+        """Launch a run whose start was recorded.
+
+        If the start could not be recorded, or the request was answered in the meantime, it never runs.
+        """
         if is_recorded and not context.is_answered:
             self.launch(context)
             return
         if is_recorded and self.result_keeper is not None:
             self.result_keeper.record_never_ran(context)
-        # None of its repeats ran either: all may come again.
+        # Its repeats never ran either: all of them are rejected, so they may be retried.
         for waiter in (context, *self.idempotency_table.release(context, was_claimed=True)):
             self.response_recorder.send_rejection(waiter)
             self.admission_stage.add_event(waiter, RunEnded(Outcome.SUPERSEDED))
 
     def stop(self, context: RequestContext) -> None:
+        """Stop the run of a request, if it runs."""
         if self.agent.runs.get(context.request_id) is context:
             self.counters.count("send.stopped")
             self.agent.freeze(context)
 
     def mark_outcome_unknown(self, context: RequestContext) -> None:
-        """How its run ended can't be known any more."""
-        self.log.fault("how a run ended can't be known", id=context.request_id)
+        """End a run whose outcome can't be determined any more; it counts as cancelled."""
+        self.log.fault("run_outcome_unknown", id=context.request_id)
         self.on_run_ended(context, Outcome.CANCELLED, b"", 0)
 
     def on_launch_refused(self, context: RequestContext) -> None:
-        """The agent does not know it: it has never run, and a further try of its label finds nothing."""
+        """End a run that the agent refused to launch: it never ran, so its key is free again."""
         self.counters.count("send.refused")
         self.response_recorder.release_key(context, was_claimed=True)
         self.on_run_ended(context, Outcome.SUPERSEDED, b"", 0)
 
     def on_run_ended(self, context: RequestContext, outcome: Outcome, body: bytes, elapsed: int) -> None:
+        """Complete a run that ended, once its result is recorded or can't be recorded in time.
+
+        Args:
+            context: The request whose run ended.
+            outcome: How the run ended.
+            body: The response body that it produced.
+            elapsed: The time since its start.
+        """
         self.counters.count(f"send.{outcome.value}")
         self.downstream_caller.cancel_call(context)
         run_result = RunResult(outcome, body)
@@ -104,6 +135,7 @@
             self.complete(context, run_result, elapsed)
 
     def complete(self, context: RequestContext, run_result: RunResult, elapsed: int) -> None:
+        """Answer a request whose run is over, and the repeats that were waiting for it."""
         waiters = self.idempotency_table.complete(context, run_result)
         self.response_recorder.complete(context, run_result)
         self.admission_stage.add_event(context, RunEnded(run_result.outcome, elapsed))
