--- a/birchslip/net/stages/response_recorder.py
+++ b/birchslip/net/stages/response_recorder.py
@@ -100,9 +100,11 @@
         another app server.
         """
         entry = context.entry
-        ran = entry is not None and (entry.claimed_by is not None or entry.matches_earlier_run is not None)
+        has_run = entry is not None and (
+            entry.claimed_by is not None or entry.matches_earlier_run is not None
+        )
         if not context.is_answered:
-            self.send_error(context) if context.is_launched or ran else self.send_rejection(context)
+            self.send_error(context) if context.is_launched or has_run else self.send_rejection(context)
             self.admission_stage.add_event(context, CallerGone())
 
     def complete(self, context: RequestContext, run_result: RunResult) -> None:
--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -1,5 +1,6 @@
-"""The agent's link as it must not be: half a line and then nothing, figures that are none, a call asked for
-twice. The agent is scripted, on a real address; time is the test's.
+"""Faults of the agent's link: silence after a partial line, malformed messages, a repeated call notice.
+
+The agent is a script behind a real socket, and the test sets the time.
 """
 
 import json
@@ -24,17 +25,17 @@
     return json.dumps(parts).encode() + b"\n"
 
 
-class Linked(Clocked):
-    """An `Agent` on a link that has been greeted and has told what was missed."""
+class LinkedAgent(Clocked):
+    """An `Agent` whose link is established: it was greeted, and missed notices were delivered."""
 
     def __init__(self):
         super().__init__()
-        self.place, self.began = self.there(), self.time - 1000 * MS
+        self.place, self.agent_started_at = self.there(), self.time - 1000 * MS
         self.agent = Agent(*self.parts, self.place.address, ["core_use"], 1 << 20)
         self.ends = []
         self.agent.greeted = lambda cold, began: None
         self.agent.wanted = lambda context, number, body: None
-        self.agent.ended = lambda context, outcome, made, took: self.ends.append(
+        self.agent.ended = lambda context, outcome, body, elapsed: self.ends.append(
             (context.request_id, outcome)
         )
         self.agent.doubt = lambda context: self.ends.append((context.request_id, "doubt"))
@@ -43,18 +44,18 @@
         self.greet()
 
     def greet(self):
-        """The newest link is greeted, and its fence answered."""
+        """Send the greeting on the newest link, and answer the agent client's fence."""
         links = len(self.place.links)
         self.until(lambda: self.place.said() and len(self.place.links) > links, 3000)
         assert len(self.place.links) > links, "no new link"
-        self.say(line(op="greeting", end="seasoned", ms=(self.time - self.began) // MS))
+        self.send_line(line(op="greeting", end="seasoned", ms=(self.time - self.agent_started_at) // MS))
         fence = f"fence-{self.agent.fences + 1}"
         assert self.hears(self.place, fence.encode())
-        self.say(line(op="sampled", tag=fence, values=[0.5]))
+        self.send_line(line(op="sampled", tag=fence, values=[0.5]))
         self.passes()
         assert self.agent.settled
 
-    def say(self, raw):
+    def send_line(self, raw):
         link, _ = self.place.links[-1]
         link.sendall(raw)
         arrived(link)
@@ -66,12 +67,12 @@
         self.passes()
         return context
 
-    def ticks(self, count, answered=False):
+    def sample_repeatedly(self, count, answered=False):
         for _ in range(count):
             self.agent.sample()
             self.passes(ms=TICK_MS)
             if answered:
-                self.say(line(op="sampled", tag="tick", values=[0.5]))
+                self.send_line(line(op="sampled", tag="tick", values=[0.5]))
 
     def count(self, name):
         return self.parts[1].counts[name]
@@ -79,31 +80,31 @@
 
 @pytest.fixture
 def linked():
-    one = Linked()
-    yield one
-    one.close()
+    linked_agent = LinkedAgent()
+    yield linked_agent
+    linked_agent.close()
 
 
-@pytest.mark.parametrize("half", [b"", b'{"op":"outcome","seq":1,"id":"a'])
-def test_a_link_that_stands_and_says_nothing_is_opened_anew(linked, half):
-    """Guards against a link that stops half way: all that is launched would be written off for ever."""
+@pytest.mark.parametrize("partial_line", [b"", b'{"op":"outcome","seq":1,"id":"a'])
+def test_reopens_silent_link_and_resends_orders(linked, partial_line):
+    """Guards against a link that stops within a message: all launched requests would fail from then on."""
     linked.launch("a1")
-    if half:
-        linked.say(half)
-    linked.ticks(SILENT + 1)
+    if partial_line:
+        linked.send_line(partial_line)
+    linked.sample_repeatedly(SILENT + 1)
     linked.greet()
     assert linked.count("agent.links") == 2
     assert linked.count("agent.silent") == 1
-    assert linked.hears(linked.place, b'"launch","id":"a1"')  # it is told again
-    linked.say(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
+    assert linked.hears(linked.place, b'"launch","id":"a1"')  # the launch is ordered again
+    linked.send_line(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
     linked.passes()
     assert linked.ends == [("a1", Outcome.SERVED)]
 
 
-def test_a_link_that_is_heard_is_kept_and_so_is_one_after_a_pause(linked):
-    linked.ticks(3 * SILENT, answered=True)
-    linked.ticks(SILENT)  # and then the answer lies unread, after a pause of any length
-    linked.say(line(op="sampled", tag="tick", values=[0.5]))
+def test_keeps_link_that_answers_and_link_after_process_pause(linked):
+    linked.sample_repeatedly(3 * SILENT, answered=True)
+    linked.sample_repeatedly(SILENT)  # the answer lies unread while the process is paused
+    linked.send_line(line(op="sampled", tag="tick", values=[0.5]))
     linked.time += 600_000 * MS
     linked.agent.sample()
     linked.passes()
@@ -123,22 +124,22 @@
         b'{"op":"outcome","seq":1,"id":"a1"' + b" " * 70_000,
     ],
 )
-def test_figures_that_are_none_end_the_link_and_touch_no_run(linked, raw):
+def test_malformed_message_closes_link_and_affects_no_run(linked, raw):
     linked.launch("a1")
-    linked.say(raw)
+    linked.send_line(raw)
     linked.passes(count=20)
     assert linked.count("agent.malformed") == 1
     assert linked.ends == []
     linked.greet()
-    linked.say(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
+    linked.send_line(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
     linked.passes()
     assert linked.ends == [("a1", Outcome.SERVED)]
     assert linked.agent.last == 1
 
 
-def test_a_call_that_is_asked_for_again_gives_up_the_one_that_is_out(linked):
-    below = linked.there()
-    vault = Vault(*linked.parts, below.address, 8)
+def test_second_call_notice_cancels_call_in_progress(linked):
+    vault_server = linked.there()
+    vault = Vault(*linked.parts, vault_server.address, 8)
     admission_stage = AdmissionStage(linked.scheduler, linked.parts[1], IdempotencyTable(1000))
     caller = DownstreamCaller(linked.scheduler, linked.parts[1], linked.agent, vault, admission_stage)
     vault.ended, caller.guarded_on_timeout = caller.on_call_ended, caller.on_timeout
@@ -146,11 +147,11 @@
     for number in (1, 2):
         caller.on_call_needed(context, number, b"ask")
         caller.start_call(context, 2000 * MS if number == 2 else 300 * MS)
-        assert linked.hears(below, b"ask a1 " + (b"2000" if number == 2 else b"300"))
-    linked.passes(ms=400)  # the first one's limit is over
+        assert linked.hears(vault_server, b"ask a1 " + (b"2000" if number == 2 else b"300"))
+    linked.passes(ms=400)  # past the timeout of the first call
     assert linked.count("relay.overdue") == 0
     assert list(vault.calls) == ["a1"]
-    first = below.links[0][0]
+    first = vault_server.links[0][0]
     first.setblocking(True)
     first.settimeout(5)
-    assert first.recv(10) == b""  # its connection is closed, which gives it up
+    assert first.recv(10) == b""  # its connection is closed, which cancels the call
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,4 +1,4 @@
-"""Labels, the stages between the decisions and the peers, and the phases, without a socket."""
+"""The idempotency table, the stages of the request pipeline, and the program's phases, without sockets."""
 
 import gc
 import weakref
@@ -46,23 +46,23 @@
 
 
 class RecordingPeer:
-    """Stands for the agent, the vault, a router's connection and the log: keeps what it is told."""
+    """Replaces the agent, the vault, a router's connection or the log: records the calls of its methods."""
 
     def __init__(self):
-        self.said, self.runs, self.open_requests = [], {}, {}
+        self.calls, self.runs, self.open_requests = [], {}, {}
 
     def __getattr__(self, name):
-        return lambda *parts, **_: self.said.append(
+        return lambda *parts, **_: self.calls.append(
             (name, *(p for p in parts if not isinstance(p, RequestContext)))
         )
 
     def launch(self, context):
         self.runs[context.request_id] = context
-        self.said.append(("launch", context.request_id))
+        self.calls.append(("launch", context.request_id))
 
 
-class Clock:
-    """Stands for the scheduler: time is set, timers are kept."""
+class FakeScheduler:
+    """Replaces the scheduler: tests set the time, and timers are recorded."""
 
     def __init__(self):
         self.now, self.timers = 100 * SECOND, []
@@ -73,16 +73,16 @@
     def soon(self):
         pass
 
-    def at(self, due, action):
-        self.timers.append((due, action))
+    def at(self, due_at, action):
+        self.timers.append((due_at, action))
         return RecordingPeer()
 
 
 class Pipeline:
-    """The stages, with what the decisions hear kept in place of the decisions."""
+    """All stages of the pipeline; events for admission stay pending, for tests to take."""
 
     def __init__(self):
-        self.clock, self.counters = Clock(), Counters()
+        self.clock, self.counters = FakeScheduler(), Counters()
         self.agent, self.vault, self.log = RecordingPeer(), RecordingPeer(), RecordingPeer()
         self.idempotency_table = IdempotencyTable(4 * SECOND)
         self.admission_stage = AdmissionStage(self.clock, self.counters, self.idempotency_table)
@@ -132,9 +132,9 @@
         return self
 
     def take_events(self):
-        heard = [(context.request_id, event) for context, event in self.admission_stage.pending_events]
+        events = [(context.request_id, event) for context, event in self.admission_stage.pending_events]
         self.admission_stage.pending_events.clear()
-        return heard
+        return events
 
 
 @pytest.fixture
@@ -150,11 +150,11 @@
         (Fail(), ("send_error", 7)),
     ],
 )
-def test_final_answers_are_given_once(pipeline, action, answer):
+def test_answers_each_request_once(pipeline, action, answer):
     context = pipeline.make_context()
     pipeline.perform(context, action, action, Reject(), Fail())
     pipeline.response_recorder.on_caller_gone(context)
-    assert context.channel.said == [answer]
+    assert context.channel.calls == [answer]
     assert pipeline.take_events() == []
 
 
@@ -167,18 +167,18 @@
         ("stale", ("send_error", 7)),
     ],
 )
-def test_the_end_of_a_run_answers_and_is_heard(pipeline, end, answer):
+def test_run_end_answers_request_and_notifies_admission(pipeline, end, answer):
     context = pipeline.make_context()
     pipeline.perform(context, StartRun())
     pipeline.run_dispatcher.on_run_ended(context, RUN_OUTCOMES[end], b"made", 40)
-    assert context.channel.said == [answer]
+    assert context.channel.calls == [answer]
     assert pipeline.take_events() == [("a", RunEnded(RUN_OUTCOMES[end], 40))]
 
 
-def test_a_stop_goes_only_to_what_runs(pipeline):
+def test_stop_is_sent_only_for_launched_run(pipeline):
     context = pipeline.make_context()
     pipeline.perform(context, StopRun(), StartRun(), StopRun())
-    assert pipeline.agent.said == [("launch", "a"), ("freeze",)]
+    assert pipeline.agent.calls == [("launch", "a"), ("freeze",)]
 
 
 @pytest.mark.parametrize(
@@ -191,123 +191,125 @@
         (b"pointless", Outcome.SUPERSEDED),
     ],
 )
-def test_the_vaults_words(pipeline, word, outcome):
+def test_maps_each_vault_reply_to_an_outcome(pipeline, word, outcome):
     context = pipeline.make_context()
     pipeline.perform(context, StartRun())
     pipeline.downstream_caller.on_call_needed(context, 3, b"question")
     pipeline.perform(context, CallDownstream(2500))
     pipeline.clock.now += 30
     pipeline.downstream_caller.on_call_ended(context, CALL_OUTCOMES[word], b"reply")
-    assert pipeline.vault.said == [("ask", 250, b"question")]
+    assert pipeline.vault.calls == [("ask", 250, b"question")]
     assert pipeline.take_events() == [("a", CallNeeded()), ("a", CallEnded(outcome, 30))]
-    assert (("deliver", b"reply") in pipeline.agent.said) == (outcome is Outcome.SERVED)
+    assert (("deliver", b"reply") in pipeline.agent.calls) == (outcome is Outcome.SERVED)
 
 
-def test_a_call_past_its_limit_is_given_up(pipeline):
+def test_call_is_cancelled_at_its_timeout(pipeline):
     context = pipeline.make_context()
     pipeline.perform(context, StartRun(), CallDownstream(2500))
-    due, action = pipeline.clock.timers[0]
-    assert due == pipeline.clock.now + 2500
+    due_at, action = pipeline.clock.timers[0]
+    assert due_at == pipeline.clock.now + 2500
     action()
-    assert pipeline.vault.said[-1] == ("unask",)
+    assert pipeline.vault.calls[-1] == ("unask",)
     assert pipeline.take_events() == [("a", CallEnded(Outcome.TIMED_OUT, 0))]
 
 
-@pytest.mark.parametrize("over", ["written off", "run ended"])
-def test_no_call_is_left_behind_by_what_is_over(pipeline, over):
+@pytest.mark.parametrize("ending", ["written off", "run ended"])
+def test_call_is_cancelled_once_when_request_or_run_ends(pipeline, ending):
     context = pipeline.make_context()
     pipeline.perform(context, StartRun(), CallDownstream(2500))
-    if over == "written off":
+    if ending == "written off":
         pipeline.perform(context, Fail(), Fail())
     else:
         pipeline.run_dispatcher.on_run_ended(context, Outcome.CANCELLED, b"", 0)
-    assert pipeline.vault.said[1:] == [("unask",)]
+    assert pipeline.vault.calls[1:] == [("unask",)]
 
 
-def test_a_skipped_call_names_its_notice(pipeline):
+def test_skipped_call_refers_to_its_notice(pipeline):
     context = pipeline.make_context()
     pipeline.downstream_caller.on_call_needed(context, 3, b"question")
     pipeline.perform(context, SkipCall())
-    assert pipeline.agent.said == [("forgo",)]
+    assert pipeline.agent.calls == [("forgo",)]
     assert context.call_notice_number == 3
 
 
 @pytest.mark.parametrize(
-    ("stamp", "wait", "arrived", "due"),
+    ("timestamp", "timeout", "arrived_at", "deadline"),
     [
         (-100, 4800, -100, 4700),
         (-100, 900_000, -100, 39_900),
-        (-5000, 3000, -5000, 0),  # due before it was read: due now
-        (600_000, 4800, 0, 4800),  # told from the future: it came now
-        (-600_000, 4800, -40_000, 0),  # absurd: as old as a client waits, and no older
+        (-5000, 3000, -5000, 0),  # the deadline passed before it was read: due now
+        (600_000, 4800, 0, 4800),  # ahead of our clock: received now
+        (-600_000, 4800, -40_000, 0),  # wrong: received no longer ago than the deadline of the class
     ],
 )
-def test_told_times_are_bounded(pipeline, stamp, wait, arrived, due):
+def test_bounds_arrival_and_deadline_derived_from_router_timestamp(
+    pipeline, timestamp, timeout, arrived_at, deadline
+):
     now = pipeline.clock.now
     decoder = RequestDecoder(
         pipeline.clock, pipeline.counters, pipeline.log, site().deployment, ["lookup"], []
     )
     decoder.is_id_in_use = lambda name: False
-    told = DecodedRequest("a" * 16, "lookup", b"", now + stamp, wait, 1, "", 100, False, "")
-    context = decoder.build_context(RecordingPeer(), 7, told)
+    decoded = DecodedRequest("a" * 16, "lookup", b"", now + timestamp, timeout, 1, "", 100, False, "")
+    context = decoder.build_context(RecordingPeer(), 7, decoded)
     request = context.request
     assert (request.arrived_at - now, request.deadline - now, context.received_at) == (
-        arrived,
-        due,
-        now + min(stamp, 0),
+        arrived_at,
+        deadline,
+        now + min(timestamp, 0),
     )
 
 
-# ---- labels ------------------------------------------------------------------------------------------------
+# ---- idempotency keys --------------------------------------------------------------------------------------
 
 START = 100 * SECOND
 
 
 @pytest.mark.parametrize(
-    ("fate", "arrived", "found"),
+    ("case", "received_at", "found"),
     [
         ("held", START + 1, "a"),
         ("held", START + 5 * SECOND, "a"),
-        ("held", START + 5 * SECOND + RETENTION_SLACK, "a"),  # limits of time are 50 ms longer on sockets
+        ("held", START + 5 * SECOND + RETENTION_SLACK, "a"),  # time limits are 50 ms longer on sockets
         ("held", START + 5 * SECOND + RETENTION_SLACK + 1, None),
         ("forgotten", START + 1, None),
         ("ran", START + 5 * SECOND + RETENTION_SLACK, "a"),
         ("ran", START + 5 * SECOND + RETENTION_SLACK + 1, None),
-        ("ran and forgotten", START + 1, "a"),  # what has run is not forgotten before its window is over
+        ("ran and forgotten", START + 1, "a"),  # a key that ran is retained
         ("moved", START + 1, "b"),
-        ("ran, then moved", START + 1, "a"),  # the one that ran comes before the one with the entry
+        ("ran, then moved", START + 1, "a"),  # the attempt that ran, not the last one stored
     ],
 )
-def test_who_is_repeated(pipeline, fate, arrived, found):
+def test_finds_original_of_repeat_by_time_of_receipt(pipeline, case, received_at, found):
     first, second = (pipeline.make_context(name, KEYED, "key") for name in "ab")
     pipeline.perform(first, StoreKey(KEYED.key_retention))
-    if fate.startswith("ran"):
+    if case.startswith("ran"):
         pipeline.perform(first, StartRun())
-    if "moved" in fate:
+    if "moved" in case:
         pipeline.perform(second, StoreKey(KEYED.key_retention))
-    if "forgotten" in fate:
+    if "forgotten" in case:
         pipeline.perform(first, ReleaseKey())
-    entry = pipeline.idempotency_table.find("key", arrived)
+    entry = pipeline.idempotency_table.find("key", received_at)
     assert (entry and entry.original.request_id) == found
 
 
 @pytest.mark.parametrize("end", [None, Outcome.SERVED, Outcome.CANCELLED])
-def test_one_label_is_launched_once_whatever_is_wished(pipeline, end):
+def test_launches_each_key_once_despite_second_start_action(pipeline, end):
     first, second = (pipeline.make_context(name, KEYED, "key") for name in "ab")
     pipeline.perform(first, StoreKey(KEYED.key_retention), StartRun(), Fail())
     if end:
         pipeline.run_dispatcher.on_run_ended(first, end, b"made", 0)
     pipeline.clock.now += 5 * SECOND - 1
     pipeline.perform(second, StoreKey(KEYED.key_retention), StartRun())
-    assert [said for said in pipeline.agent.said if said[0] == "launch"] == [("launch", "a")]
+    assert [call for call in pipeline.agent.calls if call[0] == "launch"] == [("launch", "a")]
     if not end:
         pipeline.run_dispatcher.on_run_ended(first, Outcome.SERVED, b"made", 0)
-    assert second.channel.said[0][0] == ("send_error" if end is Outcome.CANCELLED else "send_result")
+    assert second.channel.calls[0][0] == ("send_error" if end is Outcome.CANCELLED else "send_result")
 
 
 @pytest.mark.parametrize("ahead", [-3 * SECOND, 0, 2 * SECOND])
-def test_a_window_is_counted_by_the_later_of_two_clocks(pipeline, ahead):
-    """Guards against a second run where the stamp of the one that ran lies ahead of our clock."""
+def test_retention_starts_at_later_of_router_and_server_clock(pipeline, ahead):
+    """Guards against a second run of a key if the router's timestamp of the first is ahead of our clock."""
     first = pipeline.make_context("a", KEYED, "key")
     first.router_timestamp = pipeline.clock.now + ahead
     pipeline.perform(first, StoreKey(KEYED.key_retention), StartRun())
@@ -321,22 +323,21 @@
     assert pipeline.idempotency_table.find("key", pipeline.clock.now + RETENTION_SLACK + 1) is None
 
 
-def test_a_label_runs_again_after_its_window(pipeline):
+def test_key_may_run_again_after_its_retention(pipeline):
     first = pipeline.make_context("a", KEYED, "key")
     pipeline.perform(first, StoreKey(KEYED.key_retention), StartRun())
     pipeline.clock.now += 5 * SECOND + RETENTION_SLACK + 1
     second = pipeline.make_context("b", KEYED, "key")
     pipeline.perform(second, StoreKey(KEYED.key_retention), StartRun())
-    assert [said[1] for said in pipeline.agent.said] == ["a", "b"]
-    pipeline.run_dispatcher.on_run_ended(
-        first, Outcome.SERVED, b"old", 0
-    )  # the old run ends late: it is not the new one's
-    assert first.channel.said == [("send_result", 7, b"old")]
-    assert second.channel.said == []
+    assert [call[1] for call in pipeline.agent.calls] == ["a", "b"]
+    # The first run ends late: its result must not answer the second request.
+    pipeline.run_dispatcher.on_run_ended(first, Outcome.SERVED, b"old", 0)
+    assert first.channel.calls == [("send_result", 7, b"old")]
+    assert second.channel.calls == []
 
 
 @pytest.mark.parametrize(
-    ("fate", "answer", "outcome"),
+    ("case", "answer", "outcome"),
     [
         ("ended before", ("send_result", 7, b"made"), Outcome.SERVED),
         ("ends later", ("send_result", 7, b"made"), Outcome.SERVED),
@@ -344,43 +345,43 @@
         ("is dropped", ("send_error", 7), Outcome.FAILED),
     ],
 )
-def test_a_repeat_shares_the_outcome(pipeline, fate, answer, outcome):
+def test_repeat_is_answered_with_result_of_original(pipeline, case, answer, outcome):
     first = pipeline.make_context("a", KEYED, "key")
     pipeline.perform(first, StoreKey(KEYED.key_retention))
-    if fate != "is dropped":
+    if case != "is dropped":
         pipeline.perform(first, StartRun())
-    if fate == "ended before":
+    if case == "ended before":
         pipeline.run_dispatcher.on_run_ended(first, Outcome.SERVED, b"made", 0)
     repeat = pipeline.make_context("b", KEYED, "key", first)
     pipeline.perform(repeat, AttachToOriginal())
-    if fate == "is dropped":
+    if case == "is dropped":
         pipeline.perform(first, ReleaseKey(), Reject())
-    elif fate != "ended before":
+    elif case != "ended before":
         pipeline.run_dispatcher.on_run_ended(
-            first, Outcome.FAILED if fate == "crashes" else Outcome.SERVED, b"made", 0
+            first, Outcome.FAILED if case == "crashes" else Outcome.SERVED, b"made", 0
         )
-    assert repeat.channel.said == [answer]
+    assert repeat.channel.calls == [answer]
     assert ("b", RunEnded(outcome)) in pipeline.take_events()
 
 
-def test_a_shed_is_never_said_of_what_has_run(pipeline):
+def test_launched_request_gets_error_instead_of_rejection(pipeline):
     context = pipeline.make_context()
     pipeline.perform(context, StartRun(), Reject(100, True))
-    assert context.channel.said == [("send_error", 7)]
+    assert context.channel.calls == [("send_error", 7)]
 
 
-def test_a_repeat_that_was_answered_is_not_answered_again(pipeline):
+def test_repeat_answered_before_run_ends_is_not_answered_twice(pipeline):
     first = pipeline.make_context("a", KEYED, "key")
     pipeline.perform(first, StoreKey(KEYED.key_retention), StartRun())
     repeat = pipeline.make_context("b", KEYED, "key", first)
     pipeline.perform(repeat, AttachToOriginal(), Fail())
     pipeline.run_dispatcher.on_run_ended(first, Outcome.SERVED, b"made", 0)
-    assert repeat.channel.said == [("send_error", 7)]
+    assert repeat.channel.calls == [("send_error", 7)]
 
 
-def test_entries_and_results_are_dropped_after_their_time(pipeline):
-    for place in range(100):
-        context = pipeline.make_context(str(place), KEYED, f"key{place}")
+def test_removes_expired_entries(pipeline):
+    for number in range(100):
+        context = pipeline.make_context(str(number), KEYED, f"key{number}")
         pipeline.perform(context, StoreKey(KEYED.key_retention), StartRun())
         pipeline.idempotency_table.complete(context, RunResult(Outcome.SERVED, b"x" * 4096))
         pipeline.clock.now += SECOND
@@ -388,8 +389,8 @@
     assert len(pipeline.idempotency_table.expiry_heap) <= 11
 
 
-@pytest.mark.parametrize("fate", ["honoured", "shed", "given up", "gone", "repeated", "refused"])
-def test_what_is_over_is_freed_without_a_collection(pipeline, fate):
+@pytest.mark.parametrize("case", ["honoured", "shed", "given up", "gone", "repeated", "refused"])
+def test_finished_request_is_freed_without_garbage_collection(pipeline, case):
     pipeline.agent = pipeline.run_dispatcher.agent = RecordingPeer()
     pipeline.admission_stage.perform, pipeline.admission_stage.announce = (
         pipeline.action_dispatcher.perform,
@@ -402,25 +403,24 @@
     try:
         first = pipeline.make_context("a", KEYED, "key")
         pipeline.admission_stage.submit(first)
-        if fate == "shed":
+        if case == "shed":
             first.request.deadline = first.request.arrived_at
         pipeline.admission_stage.process_pending()
         watched = [weakref.ref(first.request)]
-        if fate == "repeated":
+        if case == "repeated":
             second = pipeline.make_context("b", KEYED, "key")
             watched.append(weakref.ref(second.request))
             pipeline.admission_stage.submit(second)
             pipeline.admission_stage.process_pending()
             del second
-        if fate in ("given up", "gone"):
+        if case in ("given up", "gone"):
             pipeline.downstream_caller.cancel_call(first)
-            pipeline.response_recorder.on_caller_gone(
-                first
-            ) if fate == "gone" else pipeline.response_recorder.send_error(first)
+            recorder = pipeline.response_recorder
+            recorder.on_caller_gone(first) if case == "gone" else recorder.send_error(first)
             pipeline.admission_stage.process_pending()
-        if fate == "refused":
+        if case == "refused":
             pipeline.run_dispatcher.on_launch_refused(first)
-        elif fate != "shed":
+        elif case != "shed":
             pipeline.run_dispatcher.on_run_ended(first, Outcome.SERVED, b"made", 0)
         pipeline.admission_stage.process_pending()
         del first
@@ -434,29 +434,29 @@
         gc.enable()
 
 
-# ---- faults and phases -------------------------------------------------------------------------------------
+# ---- exceptions and phases ---------------------------------------------------------------------------------
 
 
-def test_a_fault_writes_its_transaction_off_and_no_other(pipeline):
+def test_exception_in_stage_fails_only_its_request(pipeline):
     bad, good = pipeline.make_context("a"), pipeline.make_context("b")
     stage = pipeline.response_recorder.guard(lambda context: 1 // (context is good))
     stage(bad)
     stage(good)
-    assert bad.channel.said == [("send_error", 7)]
-    assert good.channel.said == []
+    assert bad.channel.calls == [("send_error", 7)]
+    assert good.channel.calls == []
     assert pipeline.counters.counts["book.faults"] == 1
 
 
-def test_a_fault_in_the_decisions_ends_one_path(pipeline):
+def test_exception_in_admission_fails_only_its_request(pipeline):
     contexts = [pipeline.make_context("a"), pipeline.make_context("b")]
 
-    def perform(request, action):
+    def perform_or_raise(request, action):
         if request.context.request_id == "a" and isinstance(action, StartRun):
             raise KeyError("made up")
         pipeline.action_dispatcher.perform(request, action)
 
     pipeline.admission_stage.perform, pipeline.admission_stage.announce, pipeline.admission_stage.on_fault = (
-        perform,
+        perform_or_raise,
         lambda notice: None,
         pipeline.response_recorder.handle_fault,
     )
@@ -464,8 +464,8 @@
     for context in contexts:
         pipeline.admission_stage.submit(context)
     pipeline.admission_stage.process_pending()
-    assert contexts[0].channel.said == [("send_error", 7)]
-    assert pipeline.agent.said == [("launch", "b")]
+    assert contexts[0].channel.calls == [("send_error", 7)]
+    assert pipeline.agent.calls == [("launch", "b")]
 
 
 def site():
@@ -475,7 +475,7 @@
 
 
 @pytest.mark.parametrize("phase", Phase)
-def test_only_the_named_moves_are_made(phase):
+def test_program_rejects_phase_changes_that_are_not_listed(phase):
     program = Program(site())
     for target in Phase:
         program.phase = phase
@@ -487,26 +487,26 @@
                 program.move(target)
 
 
-def test_every_phase_leads_to_the_end():
+def test_every_phase_leads_to_ended():
     for phase in Phase:
         while phase is not Phase.ENDED:
             assert MOVES[phase]
             phase = MOVES[phase][-1]
 
 
-def test_before_the_agent_greets_a_transaction_is_shed_and_checks_are_good():
+def test_before_agent_greeting_rejects_requests_and_passes_health_checks():
     program, pipeline = Program(site()), Pipeline()
     context = pipeline.make_context()
     program.admission_stage.submit(context)
     program.settle()
-    assert context.channel.said == [("send_rejection", 7, 0, False)]
+    assert context.channel.calls == [("send_rejection", 7, 0, False)]
     assert program.passing()
     assert program.phase is Phase.STARTING
 
 
 @pytest.mark.parametrize(("cold", "counted"), [(True, 20 * SECOND), (False, 0)])
-def test_the_agents_age_counts_while_it_warms_up(cold, counted):
-    """Guards against a quota that binds on a warm agent before the windows have been filled once."""
+def test_age_of_agent_counts_only_for_warm_up(cold, counted):
+    """Guards against a quota that applies to a warm agent before its quota windows were filled once."""
     program = Program(site())
     program.greeted(cold, program.scheduler.now - 20 * SECOND)
     controller = program.admission_stage.driver.controller
@@ -514,81 +514,80 @@
     assert controller.started_at == program.scheduler.now - counted
 
 
-# ---- kept results ------------------------------------------------------------------------------------------
+# ---- stored results ----------------------------------------------------------------------------------------
 
 
 class FakeResultKeeper:
-    """Stands for the result store: what waits for a flush is let go by hand."""
+    """Replaces the result store: tests call the listeners that wait for a flush."""
 
     def __init__(self):
-        self.waiting, self.voided = [], []
+        self.listeners, self.never_ran = [], []
 
-    def record_start(self, request, listener):
-        self.waiting.append(listener)
+    def record_start(self, context, listener):
+        self.listeners.append(listener)
 
-    def record_completion(self, request, run_result, listener):
-        self.waiting.append(listener)
+    def record_completion(self, context, run_result, listener):
+        self.listeners.append(listener)
 
-    def record_never_ran(self, request):
-        self.voided.append(request.request_id)
+    def record_never_ran(self, context):
+        self.never_ran.append(context.request_id)
 
 
 @pytest.fixture
-def kept(pipeline):
+def storing_pipeline(pipeline):
     pipeline.run_dispatcher.result_keeper = FakeResultKeeper()
     return pipeline
 
 
-def begun(pipeline):
+def start_keyed_run(pipeline):
     context = pipeline.make_context("a", KEYED, "key")
     pipeline.perform(context, StoreKey(KEYED.key_retention), StartRun())
     return context
 
 
-def attached(pipeline, first):
+def attach_repeat(pipeline, first):
     repeat = pipeline.make_context("b", KEYED, "key", original=first)
     repeat.entry = first.entry
     pipeline.perform(repeat, AttachToOriginal())
     return repeat
 
 
-def test_a_launch_waits_for_its_flush_and_an_answer_for_its_own(kept):
-    context = begun(kept)
+def test_launch_and_answer_each_wait_for_their_record(storing_pipeline):
+    context = start_keyed_run(storing_pipeline)
     assert not context.is_launched
-    assert kept.agent.said == []
-    kept.run_dispatcher.result_keeper.waiting.pop()(True)
+    assert storing_pipeline.agent.calls == []
+    storing_pipeline.run_dispatcher.result_keeper.listeners.pop()(True)
     assert context.is_launched
-    kept.run_dispatcher.on_run_ended(context, Outcome.SERVED, b"made", 5)
-    assert context.channel.said == []
-    assert kept.take_events() == []
-    kept.run_dispatcher.result_keeper.waiting.pop()(
-        False
-    )  # the disk would keep it too long: it is answered all the same
-    assert context.channel.said == [("send_result", 7, b"made")]
-    assert [event.outcome for _, event in kept.take_events()] == [Outcome.SERVED]
-
-
-def test_what_could_not_be_kept_and_all_its_repeats_are_shed_and_may_run_another_time(kept):
-    context = begun(kept)
-    repeat = attached(kept, context)
-    kept.run_dispatcher.result_keeper.waiting.pop()(False)
-    assert context.channel.said == repeat.channel.said == [("send_rejection", 7, 0, False)]
-    assert [(name, event.outcome) for name, event in kept.take_events()] == [
+    storing_pipeline.run_dispatcher.on_run_ended(context, Outcome.SERVED, b"made", 5)
+    assert context.channel.calls == []
+    assert storing_pipeline.take_events() == []
+    # The disk takes too long: the request is answered nevertheless.
+    storing_pipeline.run_dispatcher.result_keeper.listeners.pop()(False)
+    assert context.channel.calls == [("send_result", 7, b"made")]
+    assert [event.outcome for _, event in storing_pipeline.take_events()] == [Outcome.SERVED]
+
+
+def test_unrecorded_start_rejects_request_and_repeats_and_frees_key(storing_pipeline):
+    context = start_keyed_run(storing_pipeline)
+    repeat = attach_repeat(storing_pipeline, context)
+    storing_pipeline.run_dispatcher.result_keeper.listeners.pop()(False)
+    assert context.channel.calls == repeat.channel.calls == [("send_rejection", 7, 0, False)]
+    assert [(name, event.outcome) for name, event in storing_pipeline.take_events()] == [
         ("a", Outcome.SUPERSEDED),
         ("b", Outcome.SUPERSEDED),
     ]
-    assert kept.idempotency_table.find("key", kept.clock.now) is None
-    assert kept.agent.said == []
-    again = begun(kept)
-    kept.run_dispatcher.result_keeper.waiting.pop()(True)
-    assert again.is_launched
+    assert storing_pipeline.idempotency_table.find("key", storing_pipeline.clock.now) is None
+    assert storing_pipeline.agent.calls == []
+    retry = start_keyed_run(storing_pipeline)
+    storing_pipeline.run_dispatcher.result_keeper.listeners.pop()(True)
+    assert retry.is_launched
 
 
-def test_one_that_was_written_off_while_it_waited_is_never_launched(kept):
-    context = begun(kept)
-    kept.response_recorder.send_error(context)
-    kept.run_dispatcher.result_keeper.waiting.pop()(True)
+def test_request_failed_while_start_is_recorded_is_never_launched(storing_pipeline):
+    context = start_keyed_run(storing_pipeline)
+    storing_pipeline.response_recorder.send_error(context)
+    storing_pipeline.run_dispatcher.result_keeper.listeners.pop()(True)
     assert not context.is_launched
-    assert kept.agent.said == []
-    assert kept.run_dispatcher.result_keeper.voided == ["a"]
-    assert context.channel.said == [("send_error", 7)]
+    assert storing_pipeline.agent.calls == []
+    assert storing_pipeline.run_dispatcher.result_keeper.never_ran == ["a"]
+    assert context.channel.calls == [("send_error", 7)]
