--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -121,7 +121,7 @@
         scheduler.sleep(scheduler.now + chance.randrange(5_000))
         while True:
             number += 1
-            began = scheduler.tell_time()
+            began = scheduler.update_clock()
             try:
                 raw = line.call("report", head + str(number).encode() + tail, began + SECOND)
                 if every == 5_000:
@@ -167,7 +167,7 @@
             scheduler.sleep(max(scheduler.now, began + n * SECOND // asks))
             name = chance.choice(list(homes))
             scheduler.spawn("ask", lambda name=name: ask(name))  # type: ignore[misc]
-        usage["share"] = (cpu() - usage["cpu"]) / ((scheduler.tell_time() - began) / SECOND)
+        usage["share"] = (cpu() - usage["cpu"]) / ((scheduler.update_clock() - began) / SECOND)
         status = Path(f"/proc/{planner.pid}/status").read_text()
         usage["kb"] = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
         scheduler.stop()
--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -27,7 +27,7 @@
         site.tenants,
         site.profiles,
     )
-    program.accompany(bond)
+    program.attach_fleet_member(bond)
 
 
 def keep(program: Program, path: str) -> None:
@@ -38,7 +38,7 @@
     settings = read_store_settings(path)
     site = program.site
     request_classes = site.deployment.request_classes
-    program.keep_results(
+    program.attach_result_store(
         ResultStore(program.scheduler, program.counters, program.log, settings, site.name, request_classes)
     )
 
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -33,7 +33,7 @@
 from .cluster.rollout_types import RolloutSpec
 from .errors import InvalidInputError
 from .net.buffer import Buffer
-from .net.clients import messages
+from .net.clients import read_messages
 from .net.messagepack import pack
 
 PATIENCE = 2.0  # seconds for one planner
@@ -71,7 +71,7 @@
         while time.monotonic() < until:
             if not buffer.fill(link):
                 raise OSError("ended by the planner")
-            read, trouble = messages(buffer)
+            read, trouble = read_messages(buffer)
             if trouble:
                 raise OSError(trouble)
             for message in read:
--- a/birchslip/cluster/peer_channel.py
+++ b/birchslip/cluster/peer_channel.py
@@ -78,7 +78,7 @@
 
     def call(self, method: PlannerMethod, request: Message) -> None:
         """Sends one request and passes its response on; a failure is logged."""
-        sent = self.scheduler.tell_time()
+        sent = self.scheduler.update_clock()
         try:
             response = self.connection.call(method.value, encode(request), sent + RESPONSE_TIMEOUT)
             self.on_response(request, response, sent)
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -17,7 +17,7 @@
 from ..errors import InvalidInputError
 from ..net.counters import Counters
 from ..net.log import Log
-from ..net.program import memory
+from ..net.program import read_memory_kb
 from ..net.scheduler import READ, Scheduler
 from ..net.site import address
 from . import fleet_file
@@ -178,7 +178,7 @@
         finally:
             self.log_counters()
             self.store.close()
-            self.log.sink.finish()
+            self.log.writer.flush()
 
     def install_signal_handlers(self) -> None:
         """Has signals written to a socket, from which a task reads them."""
@@ -219,7 +219,7 @@
     def reload_fleet_file(self) -> None:
         """Reads the fleet file again; one that can't be taken over leaves the old one in force."""
         try:
-            violations = self.state.apply_fleet(read_fleet(self.path), self.scheduler.tell_time())
+            violations = self.state.apply_fleet(read_fleet(self.path), self.scheduler.update_clock())
         except (InvalidInputError, OSError) as error:
             violations = str(error).splitlines()
         self.counters.count("fleet.not_taken_over" if violations else "fleet.taken_over")
@@ -230,7 +230,7 @@
         """Logs all counters."""
         for part, counts in self.counters.report().items():
             self.log.info("counters", part=part, **counts)
-        self.log.info("counters", part="process", memory_kb_most=memory("VmHWM"))
+        self.log.info("counters", part="process", memory_kb_most=read_memory_kb("VmHWM"))
 
     def log_fault(self, task: str, error: Exception) -> None:
         """Counts and logs an exception that no task or timer has handled."""
@@ -241,7 +241,7 @@
 
     def tick(self) -> None:
         """Evaluates everything that depends on time, then again after an interval."""
-        now = self.scheduler.tell_time()
+        now = self.scheduler.update_clock()
         self.scheduler.at(now + TICK_INTERVAL, self.tick)
         self.replicator.request_votes(now)
         if now >= self.next_evaluation_at:
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -17,7 +17,7 @@
 from ..errors import InvalidInputError
 from ..net.counters import Counters
 from ..net.log import Log
-from ..net.program import memory
+from ..net.program import read_memory_kb
 from ..net.request_context import RequestContext
 from ..net.scheduler import Scheduler
 from ..net.site import address
@@ -64,7 +64,7 @@
     def resident_kb(self, now: int) -> int:
         """The last reading in KB, a new one if that is due."""
         if now >= self.due_at:
-            self.last_kb = memory()
+            self.last_kb = read_memory_kb()
             self.due_at = now + MEMORY_INTERVAL
         return self.last_kb
 
@@ -205,7 +205,7 @@
         """The task of one planner: a report, its reply, a pause, and so on."""
         retry_delay = MIN_RETRY_DELAY
         while True:
-            started_at = self.scheduler.tell_time()
+            started_at = self.scheduler.update_clock()
             pause = span(self.fleet.report_ms)
             try:
                 self.send_report(connection)
--- a/birchslip/cluster/planner_service.py
+++ b/birchslip/cluster/planner_service.py
@@ -96,7 +96,7 @@
         handler = self.handlers.get(method)
         if handler is None:
             raise InvalidInputError(f"no such method: {method[:METHOD_LIMIT]!r}")
-        return handler(connection, value, self.scheduler.tell_time())
+        return handler(connection, value, self.scheduler.update_clock())
 
     # ---- members ---------------------------------------------------------------------------------------
 
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -23,7 +23,7 @@
 from ..net.connection import Connection, connect
 from ..net.counters import Counters
 from ..net.log import Log
-from ..net.scheduler import Nap, Scheduler
+from ..net.scheduler import InterruptibleSleep, Scheduler
 from .inventory import read_inventory
 from .planner_state import PlannerState
 from .rollout_types import PlatformOrder
@@ -55,20 +55,20 @@
         self.state = state
         self.interval = interval
         self.connection: Connection | None = None
-        self.nap = Nap(scheduler)
+        self.nap = InterruptibleSleep(scheduler)
 
     def run(self) -> None:
         """Run for as long as the planner lives; one that does not lead requests nothing."""
         while True:
             began = self.scheduler.now
-            if self.state.is_effective_leader(self.scheduler.tell_time()):
+            if self.state.is_effective_leader(self.scheduler.update_clock()):
                 self._exchange()
             earliest = self.scheduler.now + self.interval // MIN_PAUSE_DIVISOR
             self.nap.sleep(max(began + self.interval, earliest))
 
     def wake(self) -> None:
         """Request and order now, without waiting for the interval."""
-        self.nap.end()
+        self.nap.wake()
 
     def _exchange(self) -> None:
         try:
@@ -87,7 +87,7 @@
             InvalidInputError: If its answer is malformed.
         """
         term = self.state.leadership.term
-        sent_at = self.scheduler.tell_time()
+        sent_at = self.scheduler.update_clock()
         response = self._request("GET", f"/fleet/members?epoch={term}", b"")
         if response.status != HTTPStatus.OK:
             raise OSError(f"answered {response.status}")
@@ -104,7 +104,7 @@
         """
         given: set[PlatformOrder] = set()
         while True:
-            orders = self.state.platform_orders(self.scheduler.tell_time())
+            orders = self.state.platform_orders(self.scheduler.update_clock())
             order = next((order for order in orders if order not in given), None)
             if order is None:
                 return
--- a/birchslip/cluster/state_replicator.py
+++ b/birchslip/cluster/state_replicator.py
@@ -142,7 +142,7 @@
 
     def handle_response(self, request: Message, raw: bytes, sent: int) -> None:
         """Takes in another planner's response to a request that was sent at a time."""
-        now = self.scheduler.tell_time()
+        now = self.scheduler.update_clock()
         if isinstance(request, VoteRequest):
             self.handle_vote_response(request, decode(raw, VoteResponse), sent, now)
         elif isinstance(request, ReplicationRequest):
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -14,8 +14,8 @@
 from typing import Any, NamedTuple
 
 from ..errors import BirchslipError
-from ..net.buffer import Buffer, Unreadable
-from ..net.clients import messages
+from ..net.buffer import Buffer, MalformedMessageError
+from ..net.clients import read_messages
 from ..net.connection import Connection, connect
 from ..net.messagepack import LONGEST, WIDEST, pack
 from ..net.scheduler import READ, Scheduler
@@ -49,7 +49,7 @@
         """The result of a request that was carried out.
 
         Raises:
-            Unreadable: If the value is too long for a response.
+            MalformedMessageError: If the value is too long for a response.
         """
         return cls(None, split_value(value))
 
@@ -58,11 +58,11 @@
     """Splits a value into parts that may be sent; an empty one is one empty part.
 
     Raises:
-        Unreadable: If it has too many parts for one response.
+        MalformedMessageError: If it has too many parts for one response.
     """
     parts = [value[start : start + LONGEST] for start in range(0, len(value), LONGEST)] or [b""]
     if len(parts) > WIDEST:
-        raise Unreadable(f"{len(value)} bytes in one answer")
+        raise MalformedMessageError(f"{len(value)} bytes in one answer")
     return parts
 
 
@@ -70,12 +70,12 @@
     """Yields all whole messages that have been read.
 
     Raises:
-        Unreadable: After them, if what follows is malformed.
+        MalformedMessageError: After them, if what follows is malformed.
     """
-    received, trouble = messages(buffer)
+    received, trouble = read_messages(buffer)
     yield from received
     if trouble:
-        raise Unreadable(trouble)
+        raise MalformedMessageError(trouble)
 
 
 class DeferredReply:
@@ -117,14 +117,14 @@
         """Handles all whole requests that have been read.
 
         Raises:
-            Unreadable: If one is malformed; the connection is closed then.
+            MalformedMessageError: If one is malformed; the connection is closed then.
         """
         for request in received_messages(buffer):
             match request:
                 case [0, int(request_id), str(method), [bytes(value)]]:
                     self.reply(request_id, self.endpoint.handle(self, method, value))
                 case _:
-                    raise Unreadable("a message of no known form")
+                    raise MalformedMessageError("a message of no known form")
 
     def reply(self, request_id: int, result: DeferredReply | RpcResult) -> None:
         """Sends a result, now or once it is there."""
@@ -260,7 +260,7 @@
         while request_id not in self.responses:
             events = connection.step(self.receive, deadline)
             if not connection.open:
-                raise OSError(connection.why)
+                raise OSError(connection.close_reason)
             is_late = not events or self.scheduler.now >= deadline
             if request_id not in self.responses and is_late:
                 connection.close("no answer in time")
@@ -284,7 +284,7 @@
         """Takes in all whole responses that have been read; notifications are ignored.
 
         Raises:
-            Unreadable: If one is malformed; the connection is closed then.
+            MalformedMessageError: If one is malformed; the connection is closed then.
         """
         for response in received_messages(buffer):
             match response:
@@ -293,7 +293,7 @@
                 case [2, *_]:
                     pass
                 case _:
-                    raise Unreadable("an answer of no known form")
+                    raise MalformedMessageError("an answer of no known form")
 
     def close(self) -> None:
         """Closes the connection; the next call opens another."""
--- a/birchslip/idempotency/flush_queue.py
+++ b/birchslip/idempotency/flush_queue.py
@@ -91,7 +91,7 @@
             self.append(ResultRecord(RecordKind.VOID, bytes(KEY_BYTES), now, 0))
 
     def _append_done(self, on_done: Callable[[AppendTask], None] | None, task: AppendTask) -> None:
-        now = self._scheduler.tell_time()
+        now = self._scheduler.update_clock()
         self._unflushed -= 1
         self._account(now - task.submitted_at, bool(task.error))
         if task.error:
--- a/birchslip/lab/clients.py
+++ b/birchslip/lab/clients.py
@@ -13,8 +13,8 @@
 from functools import partial
 from typing import Any
 
-from ..net.buffer import Buffer, Unreadable
-from ..net.clients import messages
+from ..net.buffer import Buffer, MalformedMessageError
+from ..net.clients import read_messages
 from ..net.connection import Connection, connect
 from ..net.messagepack import pack
 from ..net.scheduler import Scheduler
@@ -64,7 +64,7 @@
         self.closing = False
 
     def take(self, buffer: Buffer) -> None:
-        read, trouble = messages(buffer)
+        read, trouble = read_messages(buffer)
         for message in read:
             match message:
                 case [1, int(number), error, result]:
@@ -72,9 +72,9 @@
                 case [2, "closing", []]:
                     self.closing = True
                 case _:
-                    raise Unreadable("no message of an app server's")
+                    raise MalformedMessageError("no message of an app server's")
         if trouble:
-            raise Unreadable(trouble)
+            raise MalformedMessageError(trouble)
 
     def serve(self) -> None:
         why = self.connection.serve(self.take)
@@ -365,7 +365,7 @@
             link.write(pack([0, 1, "ping", [{}]]))
             limit = self.scheduler.now + PING_LIMIT
             while link.open and not heard and self.scheduler.now < limit:
-                link.step(lambda buffer: heard.extend(messages(buffer)[0]), limit)
+                link.step(lambda buffer: heard.extend(read_messages(buffer)[0]), limit)
         finally:
             link.close("asked")
         return bool(heard) and heard[0][0] == 1 and heard[0][2] is None and heard[0][3][0] is True
--- a/birchslip/lab/kept_play.py
+++ b/birchslip/lab/kept_play.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 from typing import Any
 
-from ..net.buffer import Buffer, Unreadable
-from ..net.clients import messages
+from ..net.buffer import Buffer, MalformedMessageError
+from ..net.clients import read_messages
 from ..net.connection import Connection, connect
 from ..net.messagepack import pack
 from .clients import Profile, Server
@@ -203,7 +203,7 @@
                 self.later(one.asked, self.chance.randint(0, 2_000))
 
     def take(self, buffer: Buffer) -> None:
-        read, trouble = messages(buffer)
+        read, trouble = read_messages(buffer)
         for message in read:
             match message:
                 case [1, int(number), error, result]:
@@ -211,9 +211,9 @@
                 case [2, "closing", []]:
                     pass
                 case _:
-                    raise Unreadable("no message of an app server's")
+                    raise MalformedMessageError("no message of an app server's")
         if trouble:
-            raise Unreadable(trouble)
+            raise MalformedMessageError(trouble)
 
     def arrive(self) -> None:
         if self.finished or len(self.asked) >= self.told.labels:
--- a/birchslip/lab/peers.py
+++ b/birchslip/lab/peers.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Any
 
-from ..net.buffer import Buffer, Unreadable
+from ..net.buffer import Buffer, MalformedMessageError
 from ..net.connection import Connection
 from ..net.scheduler import Scheduler
 from .cores import Cores
@@ -139,7 +139,7 @@
 
     def begin(self, link: Connection) -> Callable[[Buffer], None]:
         def take(buffer: Buffer) -> None:
-            while (line := buffer.line(LINE)) is not None:
+            while (line := buffer.read_line(LINE)) is not None:
                 order = json.loads(line)
                 self.when_awake(partial(self.obey, link, order))
 
@@ -246,7 +246,7 @@
                         return
                     buffer.skip(size)
                     self.ask(link, head.pop()[1])
-                line = buffer.line(LINE)
+                line = buffer.read_line(LINE)
                 if line is None:
                     return
                 words = line.split()
@@ -255,7 +255,7 @@
                 elif words[:1] == [b"unask"] and len(words) == 2:
                     self.over(link, words[1])
                 else:
-                    raise Unreadable("no message of a caller's")
+                    raise MalformedMessageError("no message of a caller's")
 
         return take
 
@@ -291,7 +291,7 @@
         def take(buffer: Buffer) -> None:
             while True:
                 if not head or head[-1]:
-                    line = buffer.line(LINE)
+                    line = buffer.read_line(LINE)
                     if line is None:
                         return
                     head.append(line)
--- a/birchslip/lab/wires.py
+++ b/birchslip/lab/wires.py
@@ -116,7 +116,7 @@
         self, pair: tuple[Connection, Connection], a: Connection, b: Connection, lost: tuple[str, ...]
     ) -> None:
         a.serve(lambda buffer: self.pass_on(pair, buffer, b, lost))
-        self.end(pair, a.why)
+        self.end(pair, a.close_reason)
 
     def pass_on(
         self, pair: tuple[Connection, Connection], buffer: Buffer, to: Connection, lost: tuple[str, ...]
--- a/birchslip/net/bounds.py
+++ b/birchslip/net/bounds.py
@@ -8,14 +8,14 @@
 
 from dataclasses import dataclass
 
-PEERS_KEEP = 16  # descriptors kept for the agent, the catalog, the log and the signals
-CALLS_LEAST = 4
-SOCKETS_LEAST = PEERS_KEEP + CALLS_LEAST + 1  # with fewer no router could be let in
-CALLS_SHARE = 8  # of the descriptors, one in so many is for calls
-CONNECTION = 12_288  # bytes that a connection takes with all that belongs to it
-UNREAD_LEAST, UNREAD_MOST = 8_192, 32_768  # a whole message of a router fits twice into the least
-CALL = 81_920  # bytes of a call: the largest reply, unread, and its task
-ROOM_LEAST = 4 << 20  # of less the program can't serve: it says so by what it turns away
+RESERVED_DESCRIPTORS = 16  # descriptors kept for the agent, the catalog, the log and the signals
+MIN_CALLS = 4
+MIN_SOCKETS = RESERVED_DESCRIPTORS + MIN_CALLS + 1  # with fewer no router could be let in
+DESCRIPTORS_PER_CALL = 8  # of the descriptors, one in so many is for calls
+CONNECTION_BYTES = 12_288  # bytes that a connection takes with all that belongs to it
+MIN_UNREAD_BYTES, MAX_UNREAD_BYTES = 8_192, 32_768  # a whole message of a router fits twice into the least
+CALL_BYTES = 81_920  # bytes of a call: the largest reply, unread, and its task
+MIN_AVAILABLE_BYTES = 4 << 20  # of less the program can't serve: it says so by what it turns away
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,11 +29,13 @@
     orders: int
 
 
-def bounds(memory: int, taken: int, descriptors: int) -> Bounds:
+def compute_bounds(memory_limit: int, own_memory: int, descriptors: int) -> Bounds:
     """`taken` is what the program takes by itself, before any peer has come."""
-    room = max(ROOM_LEAST, memory - taken)
-    calls = max(CALLS_LEAST, min(descriptors // CALLS_SHARE, room // 4 // CALL))
-    share = room * 3 // 8
-    connections = max(1, min(descriptors - calls - PEERS_KEEP, share // (CONNECTION + UNREAD_LEAST)))
-    unread = max(UNREAD_LEAST, min(UNREAD_MOST, share // connections - CONNECTION))
-    return Bounds(connections, calls, unread, unsent=room // 8, orders=room // 8)
+    available = max(MIN_AVAILABLE_BYTES, memory_limit - own_memory)
+    calls = max(MIN_CALLS, min(descriptors // DESCRIPTORS_PER_CALL, available // 4 // CALL_BYTES))
+    share = available * 3 // 8
+    connections = max(
+        1, min(descriptors - calls - RESERVED_DESCRIPTORS, share // (CONNECTION_BYTES + MIN_UNREAD_BYTES))
+    )
+    unread = max(MIN_UNREAD_BYTES, min(MAX_UNREAD_BYTES, share // connections - CONNECTION_BYTES))
+    return Bounds(connections, calls, unread, unsent=available // 8, orders=available // 8)
--- a/birchslip/net/buffer.py
+++ b/birchslip/net/buffer.py
@@ -4,22 +4,22 @@
 
 import socket
 
-FIRST = 2048
-ROOM = 1024  # a read finds at least so much room
+INITIAL_BYTES = 2048
+MIN_READ_BYTES = 1024  # a read finds at least so much room
 
 
-class Unreadable(ValueError):
+class MalformedMessageError(ValueError):
     """What a peer has sent can't be read, or not within this program's limits: its connection is closed."""
 
 
 class Buffer:
     """What has been read and not yet taken is `data[start:end]`."""
 
-    def __init__(self, bound: int) -> None:
-        self.bound = bound
-        self.data = bytearray(min(FIRST, bound))
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.data = bytearray(min(INITIAL_BYTES, max_bytes))
         self.start = self.end = 0
-        self.looked = 0  # bytes from `start` that hold no end of a line
+        self.scanned = 0  # bytes from `start` that hold no end of a line
 
     def __len__(self) -> int:
         return self.end - self.start
@@ -32,50 +32,50 @@
         self.end += count
         return count
 
-    def feed(self, piece: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         """As if it had been read."""
-        while self.end + len(piece) > len(self.data):
-            self.make_room(len(piece))
-        self.data[self.end : self.end + len(piece)] = piece
-        self.end += len(piece)
+        while self.end + len(data) > len(self.data):
+            self.make_room(len(data))
+        self.data[self.end : self.end + len(data)] = data
+        self.end += len(data)
 
-    def make_room(self, room: int = ROOM) -> None:
-        held = self.end - self.start
-        if held == 0:
+    def make_room(self, min_free: int = MIN_READ_BYTES) -> None:
+        unread = self.end - self.start
+        if unread == 0:
             self.start = self.end = 0
-            if len(self.data) > 16 * FIRST:
-                del self.data[FIRST:]
-        if len(self.data) - self.end >= room:
+            if len(self.data) > 16 * INITIAL_BYTES:
+                del self.data[INITIAL_BYTES:]
+        if len(self.data) - self.end >= min_free:
             return
         if self.start:
-            self.data[:held] = self.data[self.start : self.end]
-            self.start, self.end = 0, held
-        if len(self.data) - self.end < room and len(self.data) < self.bound:
-            self.data.extend(bytes(min(max(len(self.data), room), self.bound - len(self.data))))
+            self.data[:unread] = self.data[self.start : self.end]
+            self.start, self.end = 0, unread
+        if len(self.data) - self.end < min_free and len(self.data) < self.max_bytes:
+            self.data.extend(bytes(min(max(len(self.data), min_free), self.max_bytes - len(self.data))))
         if len(self.data) == self.end:
-            raise Unreadable(f"{held} bytes read and not a whole message")
+            raise MalformedMessageError(f"{unread} bytes read and not a whole message")
 
     def skip(self, count: int) -> None:
         self.start += count
-        self.looked = 0
+        self.scanned = 0
 
     def take(self, count: int) -> bytes:
         """The next bytes, copied out once."""
         with memoryview(self.data) as view:
-            piece = bytes(view[self.start : self.start + count])
+            data = bytes(view[self.start : self.start + count])
         self.skip(count)
-        return piece
+        return data
 
-    def line(self, longest: int) -> bytes | None:
+    def read_line(self, max_length: int) -> bytes | None:
         """The next line without its end (LF, or CR LF); None while it is not whole."""
-        place = self.data.find(b"\n", self.start + self.looked, self.end)
-        if place < 0:
-            self.looked = self.end - self.start
-            if self.looked > longest:
-                raise Unreadable(f"a line of more than {longest} bytes")
+        newline = self.data.find(b"\n", self.start + self.scanned, self.end)
+        if newline < 0:
+            self.scanned = self.end - self.start
+            if self.scanned > max_length:
+                raise MalformedMessageError(f"a line of more than {max_length} bytes")
             return None
-        if place - self.start > longest + 1:
-            raise Unreadable(f"a line of more than {longest} bytes")
-        line = self.take(place - self.start)
+        if newline - self.start > max_length + 1:
+            raise MalformedMessageError(f"a line of more than {max_length} bytes")
+        line = self.take(newline - self.start)
         self.skip(1)
         return line.removesuffix(b"\r")
--- a/birchslip/net/catalog.py
+++ b/birchslip/net/catalog.py
@@ -10,10 +10,10 @@
 from zlib import crc32
 
 from . import http
-from .connection import Connection, Dial
+from .connection import Connection, Connector
 from .counters import Counters
 from .log import Log
-from .scheduler import Nap, Scheduler
+from .scheduler import InterruptibleSleep, Scheduler
 
 EVERY = 10_000  # a report a second; the entry lapses three seconds after the last one
 # How long a connection may take to open, and an answer to come: first short, since what hangs is tried again
@@ -40,10 +40,10 @@
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.good = good
         self.path = f"/catalog/register/{quote(name, safe='')}"
-        self.dial: Dial | None = None  # while a connection is being opened
+        self.dial: Connector | None = None  # while a connection is being opened
         self.link: Connection | None = None
         self.missed = 0  # since the last report that was answered
-        self.nap = Nap(scheduler)
+        self.nap = InterruptibleSleep(scheduler)
         self.hurried = False
         self.move(address)
 
@@ -52,7 +52,7 @@
         self.address, self.host = address, f"{address[0]}:{address[1]}"
         self.drop()
         if self.dial is not None:
-            self.dial.give_up()
+            self.dial.cancel()
 
     def keep_reporting(self) -> None:
         while True:
@@ -79,7 +79,7 @@
     def hurry(self) -> None:
         """What is reported has changed: routers need not learn of it a second later."""
         self.hurried = True
-        self.nap.end()
+        self.nap.wake()
 
     def report(self) -> None:
         """One report and its answer; OSError says why it was missed."""
@@ -98,7 +98,7 @@
             self.drop()
 
     def opened(self) -> Connection:
-        dial = self.dial = Dial(self.scheduler, self.address)
+        dial = self.dial = Connector(self.scheduler, self.address)
         try:
             sock = dial.open(patient(DIALS, self.missed))
         finally:
--- a/birchslip/net/counters.py
+++ b/birchslip/net/counters.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 # Shown even while they are nought, so that a report always tells the same story.
-STORY = (
+COUNTER_NAMES = (
     "clients.opened clients.closed clients.turned_away clients.pings clients.malformed clients.too_many "
     "clients.silent clients.made_room "
     "take_in.taken take_in.malformed admit.repeats admit.mislabelled "
@@ -21,12 +21,12 @@
 
 
 class Counters:
-    def __init__(self, story: list[str] = STORY) -> None:
-        self.counts: Counter[str] = Counter(dict.fromkeys(story, 0))
+    def __init__(self, names: list[str] = COUNTER_NAMES) -> None:
+        self.counts: Counter[str] = Counter(dict.fromkeys(names, 0))
         self.peaks: dict[str, int] = {}
 
-    def count(self, name: str, more: int = 1) -> None:
-        self.counts[name] += more
+    def count(self, name: str, amount: int = 1) -> None:
+        self.counts[name] += amount
 
     def peak(self, name: str, value: int) -> None:
         if value > self.peaks.get(name, 0):
@@ -34,8 +34,8 @@
 
     def report(self) -> dict[str, dict[str, int]]:
         """All of them, by part and name; peaks are marked as such."""
-        parts: dict[str, dict[str, int]] = {}
+        report: dict[str, dict[str, int]] = {}
         for name, value in [*self.counts.items(), *((f"{name}_most", n) for name, n in self.peaks.items())]:
-            part, _, what = name.partition(".")
-            parts.setdefault(part, {})[what] = value
-        return parts
+            group, _, what = name.partition(".")
+            report.setdefault(group, {})[what] = value
+        return report
--- a/birchslip/net/http.py
+++ b/birchslip/net/http.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .buffer import Buffer, Unreadable
+from .buffer import Buffer, MalformedMessageError
 from .connection import Connection
 
 LONGEST = 4096  # of a line
@@ -33,7 +33,7 @@
 
     def read(self, buffer: Buffer) -> bool:
         while self.left is None:
-            line = buffer.line(LONGEST)
+            line = buffer.read_line(LONGEST)
             if line is None:
                 return False
             if not line and 100 <= self.status < 200:
@@ -41,7 +41,7 @@
                 continue
             self.lines += 1
             if self.lines > MOST:
-                raise Unreadable(f"a head of more than {MOST} lines")
+                raise MalformedMessageError(f"a head of more than {MOST} lines")
             if not self.status:
                 self.status_line(line)
             elif line:
@@ -60,22 +60,22 @@
         version, _, rest = line.partition(b" ")
         code = rest[:3]
         if version not in (b"HTTP/1.1", b"HTTP/1.0") or len(code) != 3 or not code.isdigit():
-            raise Unreadable(f"not a status line: {line[:40]!r}")
+            raise MalformedMessageError(f"not a status line: {line[:40]!r}")
         self.status, self.keeps = int(code), version == b"HTTP/1.1"
         if self.status < 100:
-            raise Unreadable(f"no such status: {self.status}")
+            raise MalformedMessageError(f"no such status: {self.status}")
 
     def header(self, line: bytes) -> None:
         name, colon, value = line.partition(b":")
         if not colon or not name or name != name.strip():
-            raise Unreadable(f"not a header: {line[:40]!r}")
+            raise MalformedMessageError(f"not a header: {line[:40]!r}")
         name, value = name.lower(), value.strip()
         if name == b"content-length":
             if not value.isdigit() or len(value) > 9 or int(value) > (self.keep or LARGEST):
-                raise Unreadable(f"a length of {value[:40]!r}")
+                raise MalformedMessageError(f"a length of {value[:40]!r}")
             self.length = int(value)
         elif name == b"transfer-encoding":
-            raise Unreadable("a body in chunks")
+            raise MalformedMessageError("a body in chunks")
         elif name == b"connection" and value.lower() == b"close":
             self.keeps = False
 
@@ -92,6 +92,6 @@
     while not whole:
         events = link.step(take, limit)
         if not link.open and not whole:
-            raise OSError(link.why)
+            raise OSError(link.close_reason)
         if not events and link.scheduler.now >= limit:
             raise OSError("no answer in time")
--- a/birchslip/net/log.py
+++ b/birchslip/net/log.py
@@ -14,35 +14,35 @@
 
 # structlog's console writer, not used here, loads rich wherever it is installed: two fifths of all imports
 # of a start. It goes without where it finds none.
-HIDDEN = "rich" not in sys.modules
-if HIDDEN:
+RICH_HIDDEN = "rich" not in sys.modules
+if RICH_HIDDEN:
     sys.modules["rich"] = None  # type: ignore[assignment]
 structlog = import_module("structlog")
-if HIDDEN:
+if RICH_HIDDEN:
     del sys.modules["rich"]
 
-LINE = 2048  # well under what a pipe takes whole
-KEPT = 256  # lines; more are dropped and counted
-TRACE = 1500  # characters of a trace
-RATE = 10_000  # a kind of fault is logged at most once a second
+MAX_LINE_BYTES = 2048  # well under what a pipe takes whole
+MAX_QUEUED_LINES = 256  # lines; more are dropped and counted
+MAX_TRACE_CHARS = 1500  # characters of a trace
+FAULT_INTERVAL = 10_000  # a kind of fault is logged at most once a second
 
 
-class Sink:
+class LogWriter:
     """What structlog writes to; `drain` is the task that passes the lines on."""
 
     def __init__(self, scheduler: Scheduler, descriptor: int = 2) -> None:
         self.scheduler, self.descriptor = scheduler, descriptor
         self.lines: deque[bytes] = deque()
         self.dropped = 0
-        self.busy = False
+        self.drain_running = False
 
-    def msg(self, text: str) -> None:
-        if len(self.lines) >= KEPT:
+    def write(self, text: str) -> None:
+        if len(self.lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
-        self.lines.append(text.replace("\n", "\\n").encode()[: LINE - 1] + b"\n")
-        if not self.busy:
-            self.busy = True
+        self.lines.append(text.replace("\n", "\\n").encode()[: MAX_LINE_BYTES - 1] + b"\n")
+        if not self.drain_running:
+            self.drain_running = True
             self.scheduler.spawn("log", self.drain)
 
     def drain(self) -> None:
@@ -51,22 +51,22 @@
             if not self.scheduler.wait(self.descriptor, WRITE) & WRITE:
                 self.lines.clear()
                 break
-            self.write_one()
-        self.scheduler.forget(self.descriptor)
-        self.busy = False
+            self.write_next_line()
+        self.scheduler.unregister(self.descriptor)
+        self.drain_running = False
 
-    def write_one(self) -> None:
+    def write_next_line(self) -> None:
         try:
             os.write(self.descriptor, self.lines.popleft())
         except OSError:
             self.lines.clear()
 
-    def finish(self, milliseconds: int = 100) -> None:
+    def flush(self, milliseconds: int = 100) -> None:
         """At exit: what the descriptor takes within a moment."""
         poll = select.poll()
         poll.register(self.descriptor, WRITE)
         while self.lines and any(events & WRITE for _, events in poll.poll(milliseconds)):
-            self.write_one()
+            self.write_next_line()
 
 
 class Log:
@@ -74,40 +74,40 @@
 
     def __init__(self, scheduler: Scheduler, name: str) -> None:
         self.scheduler = scheduler
-        self.sink = Sink(scheduler)
+        self.writer = LogWriter(scheduler)
         structlog.configure(
             processors=[
                 structlog.processors.add_log_level,
                 structlog.processors.TimeStamper(fmt="iso", utc=True),
                 structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
             ],
-            logger_factory=lambda *_: Plain(self.sink),
+            logger_factory=lambda *_: WriterLogger(self.writer),
             cache_logger_on_first_use=True,
         )
         self.logger = structlog.get_logger().bind(server=name)
-        self.last: dict[str, int] = {}
-        self.passed: dict[str, int] = {}
+        self.last_logged_at: dict[str, int] = {}
+        self.suppressed: dict[str, int] = {}
 
-    def info(self, event: str, **more: Any) -> None:
-        self.logger.info(event, **more)
+    def info(self, event: str, **fields: Any) -> None:
+        self.logger.info(event, **fields)
 
-    def fault(self, event: str, **more: Any) -> None:
+    def fault(self, event: str, **fields: Any) -> None:
         """At most one line a second of each kind, with the number of those passed over."""
         now = self.scheduler.now
-        if now - self.last.get(event, -RATE) < RATE:
-            self.passed[event] = self.passed.get(event, 0) + 1
+        if now - self.last_logged_at.get(event, -FAULT_INTERVAL) < FAULT_INTERVAL:
+            self.suppressed[event] = self.suppressed.get(event, 0) + 1
             return
-        self.last[event] = now
-        passed = self.passed.pop(event, 0)
-        self.logger.warning(event, **more, **({"passed_over": passed} if passed else {}))
+        self.last_logged_at[event] = now
+        suppressed = self.suppressed.pop(event, 0)
+        self.logger.warning(event, **fields, **({"passed_over": suppressed} if suppressed else {}))
 
-    def trace(self, event: str, trouble: Exception, **more: Any) -> None:
+    def trace(self, event: str, error: Exception, **fields: Any) -> None:
         """A fault with the end of its trace, which says what and where."""
-        self.fault(event, **more, trace="".join(traceback.format_exception(trouble))[-TRACE:])
+        self.fault(event, **fields, trace="".join(traceback.format_exception(error))[-MAX_TRACE_CHARS:])
 
 
-class Plain:
+class WriterLogger:
     """The logger that structlog wraps."""
 
-    def __init__(self, sink: Sink) -> None:
-        self.msg = self.info = self.warning = self.error = sink.msg
+    def __init__(self, writer: LogWriter) -> None:
+        self.msg = self.info = self.warning = self.error = writer.write
--- a/birchslip/net/messagepack.py
+++ b/birchslip/net/messagepack.py
@@ -5,7 +5,7 @@
 import struct
 from typing import Any
 
-from .buffer import Unreadable
+from .buffer import MalformedMessageError
 
 DEEPEST = 8
 LONGEST = 16_384  # of a string or of bytes
@@ -49,7 +49,7 @@
     if at >= end:
         raise Incomplete
     if depth > DEEPEST:
-        raise Unreadable("nested too deeply")
+        raise MalformedMessageError("nested too deeply")
     first = view[at]
     at += 1
     if first <= 0x7F:
@@ -70,7 +70,7 @@
             raise Incomplete
         return form.unpack_from(view, at)[0], at + form.size
     if first not in SIZED:
-        raise Unreadable(f"type byte {first:#04x} is not taken here")
+        raise MalformedMessageError(f"type byte {first:#04x} is not taken here")
     what, width = SIZED[first]
     if at + width > end:
         raise Incomplete
@@ -88,7 +88,7 @@
 
 def check_length(at: int, end: int, size: int) -> None:
     if size > LONGEST:
-        raise Unreadable(f"{size} bytes in one value, {LONGEST} at most")
+        raise MalformedMessageError(f"{size} bytes in one value, {LONGEST} at most")
     if at + size > end:
         raise Incomplete
 
@@ -98,12 +98,12 @@
     try:
         return str(view[at : at + size], "utf-8"), at + size
     except UnicodeDecodeError:
-        raise Unreadable("a string that is not UTF-8") from None
+        raise MalformedMessageError("a string that is not UTF-8") from None
 
 
 def unpack_array(view: memoryview, at: int, end: int, count: int, depth: int) -> tuple[list[Any], int]:
     if count > WIDEST:
-        raise Unreadable(f"{count} items in one array, {WIDEST} at most")
+        raise MalformedMessageError(f"{count} items in one array, {WIDEST} at most")
     items = []
     for _ in range(count):
         item, at = unpack(view, at, end, depth + 1)
@@ -113,12 +113,12 @@
 
 def unpack_map(view: memoryview, at: int, end: int, count: int, depth: int) -> tuple[dict[Any, Any], int]:
     if count > WIDEST:
-        raise Unreadable(f"{count} pairs in one map, {WIDEST} at most")
+        raise MalformedMessageError(f"{count} pairs in one map, {WIDEST} at most")
     pairs: dict[Any, Any] = {}
     for _ in range(count):
         name, at = unpack(view, at, end, depth + 1)
         if isinstance(name, list | dict):
-            raise Unreadable("a list or a map as the name in a map")
+            raise MalformedMessageError("a list or a map as the name in a map")
         pairs[name], at = unpack(view, at, end, depth + 1)
     return pairs, at
 
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -23,7 +23,7 @@
     SetTimer,
 )
 from ..errors import InvalidInputError
-from .bounds import bounds
+from .bounds import compute_bounds
 from .catalog import Catalog
 from .clients import Clients
 from .counters import Counters
@@ -41,12 +41,12 @@
 from .stages.run_dispatcher import ResultKeeper, RunDispatcher
 from .vault import Vault
 
-SAMPLE_AHEAD = 50  # gauges are asked for 5 ms before the tick that reads them
-END_AHEAD = 800  # all that is open is answered 80 ms before the process would be killed
-LAST = 250  # and closed 25 ms before, whoever has not read it
-LAST_WAIT = 10_000  # routers are waited for a second, where there is the time
-SHUT_AHEAD = 3_000  # and routers hear it 300 ms before, however long the grace
-AGAIN = 1_000  # a task that had a fault begins again after 100 ms
+GAUGES_LEAD = 50  # gauges are asked for 5 ms before the tick that reads them
+CLOSE_LEAD = 800  # all that is open is answered 80 ms before the process would be killed
+EXIT_LEAD = 250  # and closed 25 ms before, whoever has not read it
+MAX_CLOSING_TIME = 10_000  # routers are waited for a second, where there is the time
+SHUT_LEAD = 3_000  # and routers hear it 300 ms before, however long the grace
+TASK_RESTART_DELAY = 1_000  # a task that had a fault begins again after 100 ms
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
 
@@ -59,7 +59,7 @@
     ENDED = "ended"
 
 
-MOVES = {
+PHASE_TRANSITIONS = {
     Phase.STARTING: (Phase.SERVING, Phase.CLOSING),
     Phase.SERVING: (Phase.DRAINING,),
     Phase.DRAINING: (Phase.SHUT, Phase.CLOSING),
@@ -69,7 +69,7 @@
 }
 
 
-class Companion(Protocol):
+class FleetMember(Protocol):
     """What stands beside one app server for its fleet; without one nothing here is any different."""
 
     driver: AdmissionDriver | None
@@ -83,7 +83,7 @@
     def update_listing(self) -> bool: ...
 
 
-class Keep(ResultKeeper, Protocol):
+class DurableResultStore(ResultKeeper, Protocol):
     """Kept results, as the program has them beside it; off without a file of the operators'."""
 
     def set_resolution_listener(self, listener: Callable[[IdempotencyEntry, RunResult], None]) -> None: ...
@@ -95,28 +95,28 @@
     def complete_earlier_run(self, run_id: str, outcome: Outcome, result: bytes) -> None: ...
 
 
-def memory(what: str = "VmRSS") -> int:
+def read_memory_kb(field: str = "VmRSS") -> int:
     """Resident memory in KB, or its peak (`VmHWM`); the usage record would count the parent too."""
     with open("/proc/self/status", encoding="ascii") as status:
-        return next((int(line.split()[1]) for line in status if line.startswith(f"{what}:")), 0)
+        return next((int(line.split()[1]) for line in status if line.startswith(f"{field}:")), 0)
 
 
 class Program:
     def __init__(self, site: Site) -> None:
         self.site = site
         self.phase = Phase.STARTING
-        self.stops_at = self.last_moment = 0
-        self.scheduler = Scheduler(self.settle, self.fault)
+        self.stop_deadline = self.exit_deadline = 0
+        self.scheduler = Scheduler(self.finish_pass, self.on_task_error)
         self.log = Log(self.scheduler, site.name)
         self.counters = Counters()
         scheduler, counters, log = self.scheduler, self.counters, self.log
         descriptors = min(site.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        self.bounds = bounds(site.memory, memory() << 10, descriptors)
+        self.bounds = compute_bounds(site.memory, read_memory_kb() << 10, descriptors)
         # peers
         self.clients = Clients(scheduler, counters, log, self.bounds)
         self.agent = Agent(scheduler, counters, log, site.agent, site.gauges, self.bounds.orders)
         self.vault = Vault(scheduler, counters, log, site.vault, self.bounds.calls)
-        self.catalog = Catalog(scheduler, counters, log, site.catalog, site.name, self.passing)
+        self.catalog = Catalog(scheduler, counters, log, site.catalog, site.name, self.is_passing)
         # stages
         self.idempotency_table = IdempotencyTable(
             max(profile.deadline for profile in site.deployment.request_classes)
@@ -146,16 +146,16 @@
             self.response_recorder,
         )
         # who hears whom
-        self.clients.on_request, self.clients.gone = self.request_decoder, self.gone
-        self.clients.given_up = self.given_up
+        self.clients.on_request, self.clients.on_disconnected = self.request_decoder, self.on_disconnected
+        self.clients.on_abandoned = self.on_abandoned
         self.request_decoder.submit, self.request_decoder.register = (
             self.admission_stage.submit,
             self.response_recorder.open,
         )
-        self.request_decoder.is_id_in_use = self.in_use
+        self.request_decoder.is_id_in_use = self.is_id_in_use
         self.admission_stage.perform, self.admission_stage.announce = (
             self.action_dispatcher.perform,
-            self.tell,
+            self.apply_server_action,
         )
         self.admission_stage.on_not_ready, self.admission_stage.on_fault = (
             self.response_recorder.send_rejection,
@@ -163,7 +163,10 @@
         )
         self.admission_stage.on_key_mismatch = self.response_recorder.send_error
         guard = self.response_recorder.guard
-        self.agent.greeted, self.agent.wanted = self.greeted, guard(self.downstream_caller.on_call_needed)
+        self.agent.greeted, self.agent.wanted = (
+            self.on_agent_greeting,
+            guard(self.downstream_caller.on_call_needed),
+        )
         self.agent.ended, self.agent.doubt = (
             guard(self.run_dispatcher.on_run_ended),
             guard(self.run_dispatcher.mark_outcome_unknown),
@@ -172,156 +175,159 @@
         self.vault.ended = guard(self.downstream_caller.on_call_ended)
         self.downstream_caller.guarded_on_timeout = guard(self.downstream_caller.on_timeout)
         self.signals, self.wakeup = socket.socketpair()
-        self.companion: Companion | None = None
-        self.keeper: Keep | None = None
+        self.fleet_member: FleetMember | None = None
+        self.result_store: DurableResultStore | None = None
 
-    def accompany(self, companion: Companion) -> None:
+    def attach_fleet_member(self, fleet_member: FleetMember) -> None:
         """Before `run`: the fleet's side of it."""
-        self.companion = companion
-        companion.on_listing_changed = self.catalog.hurry
-        taken = self.request_decoder.submit
+        self.fleet_member = fleet_member
+        fleet_member.on_listing_changed = self.catalog.hurry
+        submit = self.request_decoder.submit
 
-        def seen(context: RequestContext) -> None:
-            taken(context)
-            self.scheduler.guard(lambda: companion.record_arrival(context), "companion")
+        def submit_and_record(context: RequestContext) -> None:
+            submit(context)
+            self.scheduler.guard(lambda: fleet_member.record_arrival(context), "companion")
 
-        def answered(context: RequestContext, what: str) -> None:
-            self.scheduler.guard(lambda: companion.record_answer(context, what), "companion")
+        def record_answer(context: RequestContext, what: str) -> None:
+            self.scheduler.guard(lambda: fleet_member.record_answer(context, what), "companion")
 
-        self.request_decoder.submit, self.response_recorder.on_answered = seen, answered
+        self.request_decoder.submit, self.response_recorder.on_answered = submit_and_record, record_answer
 
-    def keep_results(self, keeper: Keep) -> None:
+    def attach_result_store(self, result_store: DurableResultStore) -> None:
         """Before `run`: what labelled transactions come to survives this process."""
-        self.keeper = self.run_dispatcher.result_keeper = keeper
-        keeper.set_resolution_listener(self.response_recorder.resolve_entry)
-        self.idempotency_table.find_earlier = keeper.find_earlier_result
-        self.agent.stranger = keeper.complete_earlier_run
-        self.clients.health = keeper.health
+        self.result_store = self.run_dispatcher.result_keeper = result_store
+        result_store.set_resolution_listener(self.response_recorder.resolve_entry)
+        self.idempotency_table.find_earlier = result_store.find_earlier_result
+        self.agent.stranger = result_store.complete_earlier_run
+        self.clients.health_details = result_store.health
 
     # ---- phases --------------------------------------------------------------------------------------------
 
-    def move(self, phase: Phase) -> None:
-        if phase not in MOVES[self.phase]:
+    def enter_phase(self, phase: Phase) -> None:
+        if phase not in PHASE_TRANSITIONS[self.phase]:
             raise RuntimeError(f"no way from {self.phase.value} to {phase.value}")
         self.log.info("phase", left=self.phase.value, now=phase.value)
         self.phase = phase
-        if self.companion is not None:
-            self.companion.status.is_serving = phase is Phase.SERVING
-            self.companion.status.is_draining = phase not in (Phase.STARTING, Phase.SERVING)
+        if self.fleet_member is not None:
+            self.fleet_member.status.is_serving = phase is Phase.SERVING
+            self.fleet_member.status.is_draining = phase not in (Phase.STARTING, Phase.SERVING)
 
     def run(self) -> None:
-        self.hear_signals()
+        self.install_signal_handlers()
         host, port = self.clients.listen(self.site.listen)
         self.log.info("listening", address=f"{host}:{port}")
         self.log.info("bounds", **asdict(self.bounds))
-        self.keep("signals", self.take_signals)
-        self.keep("agent", self.agent.keep_link)
-        self.keep("catalog", self.catalog.keep_reporting)
-        self.keep("listener", self.clients.accept)
-        if self.keeper is not None:
-            self.keeper.start()
-        if self.companion is not None:
-            self.companion.status.address = f"{host}:{port}"
-            self.companion.start()
+        self.spawn_supervised("signals", self.handle_signals)
+        self.spawn_supervised("agent", self.agent.keep_link)
+        self.spawn_supervised("catalog", self.catalog.keep_reporting)
+        self.spawn_supervised("listener", self.clients.accept)
+        if self.result_store is not None:
+            self.result_store.start()
+        if self.fleet_member is not None:
+            self.fleet_member.status.address = f"{host}:{port}"
+            self.fleet_member.start()
         try:
             self.scheduler.run()
         finally:
             for number in SIGNALS:  # their defaults would end what is ending already, with a code above 0
                 signal.signal(number, signal.SIG_IGN)
-            if self.keeper is not None:
-                self.keeper.close()
-            self.report()
-            self.log.sink.finish()
+            if self.result_store is not None:
+                self.result_store.close()
+            self.log_counters()
+            self.log.writer.flush()
 
-    def keep(self, name: str, work: Callable[[], None]) -> None:
+    def spawn_supervised(self, name: str, function: Callable[[], None]) -> None:
         """A task that the program can't do without: a fault in it is logged, and it begins again."""
 
-        def kept() -> None:
+        def run_supervised() -> None:
             while True:
                 try:
-                    work()
+                    function()
                     return
-                except Exception as trouble:
-                    self.fault(name, trouble)
-                self.scheduler.sleep(self.scheduler.now + AGAIN)
+                except Exception as error:
+                    self.on_task_error(name, error)
+                self.scheduler.sleep(self.scheduler.now + TASK_RESTART_DELAY)
 
-        self.scheduler.spawn(name, kept)
+        self.scheduler.spawn(name, run_supervised)
 
-    def greeted(self, cold: bool, began: int) -> None:
+    def on_agent_greeting(self, is_cold: bool, started_at: int) -> None:
         """The agent is up: the decisions begin, empty. Its age counts for its warmth alone.
 
         Begun with the age of a warm one, the quota would bind before its windows had been filled once.
         """
         if self.phase is Phase.STARTING:
-            self.move(Phase.SERVING)
+            self.enter_phase(Phase.SERVING)
             self.admission_stage.start(
-                replace(self.site.deployment, starts_cold=cold), began if cold else self.scheduler.now
+                replace(self.site.deployment, starts_cold=is_cold),
+                started_at if is_cold else self.scheduler.now,
             )
-            if self.companion is not None:
-                self.companion.driver = self.admission_stage.driver
+            if self.fleet_member is not None:
+                self.fleet_member.driver = self.admission_stage.driver
 
-    def leave(self) -> None:
+    def begin_drain(self) -> None:
         """The notice to leave; a second one means now: what is open is answered, and the program ends."""
         if self.phase in (Phase.CLOSING, Phase.ENDED):
             return
         if self.phase in (Phase.DRAINING, Phase.SHUT):
-            self.close()
+            self.begin_close()
             return
-        self.stops_at = end = self.scheduler.now + self.site.stop
+        self.stop_deadline = deadline = self.scheduler.now + self.site.stop
         if self.phase is Phase.STARTING:
-            self.close()
+            self.begin_close()
             return
-        self.move(Phase.DRAINING)
-        self.admission_stage.start_drain(end)
+        self.enter_phase(Phase.DRAINING)
+        self.admission_stage.start_drain(deadline)
         # Routers learn late that this one leaves. Turned away meanwhile, they would crowd those that stay.
         grace_over = self.scheduler.now + self.site.deployment.drain_grace
-        self.scheduler.at(min(grace_over, end - SHUT_AHEAD), self.shut)
-        self.scheduler.at(end - END_AHEAD, self.close)
+        self.scheduler.at(min(grace_over, deadline - SHUT_LEAD), self.stop_accepting)
+        self.scheduler.at(deadline - CLOSE_LEAD, self.begin_close)
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         if self.phase is Phase.DRAINING:
-            self.move(Phase.SHUT)
+            self.enter_phase(Phase.SHUT)
             self.admission_stage.rejects_new_requests = True
-            self.clients.leave()
+            self.clients.start_draining()
 
-    def close(self) -> None:
+    def begin_close(self) -> None:
         """Nothing more is owed, or the time is up: what has no answer yet gets one, and nothing runs."""
         if self.phase in (Phase.STARTING, Phase.DRAINING, Phase.SHUT):
-            self.move(Phase.CLOSING)
+            self.enter_phase(Phase.CLOSING)
             self.admission_stage.rejects_new_requests = True
-            self.clients.leave()
-            self.clients.end("the program ends")
+            self.clients.start_draining()
+            self.clients.close_all_gracefully("the program ends")
             now = self.scheduler.now
-            self.last_moment = min(now + LAST_WAIT, max(now + LAST, self.stops_at - LAST))
-            self.scheduler.at(now, self.end)
+            self.exit_deadline = min(
+                now + MAX_CLOSING_TIME, max(now + EXIT_LEAD, self.stop_deadline - EXIT_LEAD)
+            )
+            self.scheduler.at(now, self.finish_close)
 
-    def end(self) -> None:
+    def finish_close(self) -> None:
         """Once all has gone out and the routers have ended their side too, or at the last moment."""
-        for client in list(self.clients.all):
-            self.clients.finish(client, "the program ends")  # taken from the system's queue meanwhile
-        if self.clients.remain() and self.scheduler.now < self.last_moment:
-            self.scheduler.at(self.scheduler.now + 10, self.end)
+        for client in list(self.clients.active):
+            self.clients.close_if_idle(client, "the program ends")  # taken from the system's queue meanwhile
+        if self.clients.has_open_sockets() and self.scheduler.now < self.exit_deadline:
+            self.scheduler.at(self.scheduler.now + 10, self.finish_close)
             return
         self.clients.close_all()
-        self.move(Phase.ENDED)
+        self.enter_phase(Phase.ENDED)
         self.scheduler.stop()
 
-    def settle(self) -> None:
+    def finish_pass(self) -> None:
         """Once a pass."""
-        if self.companion is not None:
+        if self.fleet_member is not None:
             # Whatever is wrong with the fleet's side, the batch goes on.
-            self.scheduler.guard(self.companion.apply_lease, "companion")
+            self.scheduler.guard(self.fleet_member.apply_lease, "companion")
         self.admission_stage.process_pending()
         if (
             self.phase in (Phase.DRAINING, Phase.SHUT)
-            and not self.clients.all
+            and not self.clients.active
             and not self.admission_stage.pending_events
         ):
-            self.close()
+            self.begin_close()
 
     # ---- signals -------------------------------------------------------------------------------------------
 
-    def hear_signals(self) -> None:
+    def install_signal_handlers(self) -> None:
         self.signals.setblocking(False)
         self.wakeup.setblocking(False)
         signal.set_wakeup_fd(self.wakeup.fileno(), warn_on_full_buffer=False)
@@ -329,7 +335,7 @@
             signal.signal(number, lambda *_: None)
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
-    def take_signals(self) -> None:
+    def handle_signals(self) -> None:
         while True:
             self.scheduler.wait(self.signals.fileno(), READ)
             try:
@@ -340,23 +346,23 @@
                 self.reload()
             for number in numbers:
                 if number == signal.SIGUSR1:
-                    self.report()
+                    self.log_counters()
                 elif number in (signal.SIGTERM, signal.SIGINT):
-                    self.leave()
+                    self.begin_drain()
 
     def reload(self) -> None:
         """The configuration is read again; one that can't be read leaves the old one in force."""
         try:
             later = read_site(os.environ)
-        except (InvalidInputError, OSError) as trouble:
+        except (InvalidInputError, OSError) as error:
             self.counters.count("program.not_reloaded")
-            self.log.info("the configuration is left as it was", why=str(trouble))
+            self.log.info("the configuration is left as it was", why=str(error))
             return
-        fixed = self.site.fixed(later)
-        if fixed:
-            self.log.info("not taken over while running", parts=",".join(fixed))
-        taken = {part: getattr(later, part) for part in MOVING}
-        self.site = replace(self.site, **taken)
+        fixed_parts = self.site.fixed(later)
+        if fixed_parts:
+            self.log.info("not taken over while running", parts=",".join(fixed_parts))
+        new_values = {part: getattr(later, part) for part in MOVING}
+        self.site = replace(self.site, **new_values)
         self.agent.move(later.agent)
         self.vault.move(later.vault)
         self.catalog.move(later.catalog)
@@ -365,57 +371,57 @@
         named = {what: f"{where[0]}:{where[1]}" for what, where in peers.items() if where is not None}
         self.log.info("configuration taken over", **named)
 
-    def report(self) -> None:
+    def log_counters(self) -> None:
         """The counters, on request and at exit: a line for each peer and stage."""
         for part, counts in self.counters.report().items():
             self.log.info("counters", part=part, **counts)
-        cpu_ms, dropped = time.process_time_ns() // 1_000_000, self.log.sink.dropped
+        cpu_ms, dropped = time.process_time_ns() // 1_000_000, self.log.writer.dropped
         self.log.info(
             "counters",
             part="process",
-            memory_kb_most=memory("VmHWM"),
+            memory_kb_most=read_memory_kb("VmHWM"),
             cpu_ms=cpu_ms,
             log_lines_dropped=dropped,
         )
 
     # ---- what concerns the whole app server ----------------------------------------------------------------
 
-    def tell(self, notice: ServerAction) -> None:
-        match notice:
+    def apply_server_action(self, server_action: ServerAction) -> None:
+        match server_action:
             case SetTimer(at):
-                self.scheduler.at(at - SAMPLE_AHEAD, self.agent.sample)
+                self.scheduler.at(at - GAUGES_LEAD, self.agent.sample)
                 self.scheduler.at(at, self.tick)
-            case SetHealth(good):
-                self.clients.good = good
+            case SetHealth(healthy):
+                self.clients.healthy = healthy
             case SetIdleTimeout(span):
-                self.clients.set_idle(span)
+                self.clients.set_idle_timeout(span)
             case QuotasBind() | HealthChanged() | PlanApplied() | PlanExpired() | DrainStarted():
-                self.log.info(notice.name, **asdict(notice))
+                self.log.info(server_action.name, **asdict(server_action))
 
     def tick(self) -> None:
-        if self.keeper is not None and self.admission_stage.driver is not None:
-            self.admission_stage.driver.limit_new_keys(*self.keeper.capacity())
+        if self.result_store is not None and self.admission_stage.driver is not None:
+            self.admission_stage.driver.limit_new_keys(*self.result_store.capacity())
         self.admission_stage.tick(Gauges(self.agent.cores_used()))
 
-    def passing(self) -> bool:
-        if self.companion is not None and not self.companion.update_listing():
+    def is_passing(self) -> bool:
+        if self.fleet_member is not None and not self.fleet_member.update_listing():
             return False
-        return self.clients.good and self.phase in (Phase.STARTING, Phase.SERVING)
+        return self.clients.healthy and self.phase in (Phase.STARTING, Phase.SERVING)
 
-    def in_use(self, name: str) -> bool:
+    def is_id_in_use(self, name: str) -> bool:
         return name in self.response_recorder.open_request_ids or name in self.agent.runs
 
-    def gone(self, context: RequestContext) -> None:
+    def on_disconnected(self, context: RequestContext) -> None:
         self.downstream_caller.cancel_call(context)
         self.response_recorder.on_caller_gone(context)
 
-    def given_up(self, context: RequestContext) -> None:
+    def on_abandoned(self, context: RequestContext) -> None:
         if self.admission_stage.driver is not None:
             self.admission_stage.look_up_entry(context)  # it may have been read just now
         self.downstream_caller.cancel_call(context)
         self.response_recorder.abandon(context)
 
-    def fault(self, name: str, trouble: Exception) -> None:
+    def on_task_error(self, name: str, error: Exception) -> None:
         """What a task or a timer raised: it ends that alone."""
         self.counters.count("program.faults")
-        self.log.trace("a fault", trouble, task=name)
+        self.log.trace("a fault", error, task=name)
--- a/birchslip/net/servers.py
+++ b/birchslip/net/servers.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from ..admission.types import MS, Outcome
-from .buffer import Buffer, Unreadable
-from .connection import Connection, Dial
+from .buffer import Buffer, MalformedMessageError
+from .connection import Connection, Connector
 from .counters import Counters
 from .log import Log
 from .request_context import RequestContext
@@ -83,7 +83,7 @@
     ) -> None:
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.address, self.gauges, self.bound_out = address, gauges, bound_out
-        self.dial: Dial | None = None  # while a link is being opened
+        self.dial: Connector | None = None  # while a link is being opened
         self.link: Connection | None = None
         self.last = 0  # the number of the last notice read
         self.fences = 0
@@ -159,7 +159,7 @@
         wait = WAIT_FIRST
         while True:
             address = self.address
-            self.dial = Dial(self.scheduler, address)
+            self.dial = Connector(self.scheduler, address)
             try:
                 link = Connection(self.scheduler, self.dial.open(), 2 * LINE, self.bound_out)
             except OSError as trouble:
@@ -191,7 +191,7 @@
             if self.link is not None:
                 self.link.close("moved")
             if self.dial is not None:
-                self.dial.give_up()
+                self.dial.cancel()
 
     def serve(self, link: Connection) -> str:
         self.link, self.settled, self.unheard = link, False, 0
@@ -203,12 +203,12 @@
             link.close("a fault")
 
     def take(self, link: Connection, buffer: Buffer) -> None:
-        while link.open and (line := buffer.line(LINE)) is not None:
+        while link.open and (line := buffer.read_line(LINE)) is not None:
             self.unheard = 0
             try:
                 act = self.read(line)
             except (ValueError, TypeError, KeyError, OverflowError, RecursionError) as trouble:
-                raise Unreadable(f"{type(trouble).__name__}: {trouble}") from None
+                raise MalformedMessageError(f"{type(trouble).__name__}: {trouble}") from None
             act()
 
     def read(self, line: bytes) -> Callable[[], None]:
--- a/birchslip/net/site.py
+++ b/birchslip/net/site.py
@@ -11,7 +11,7 @@
 from ..admission.settings import SettingsReader, flatten, read_admission_settings
 from ..admission.types import MS, AdmissionSettings
 from ..errors import InvalidInputError
-from .bounds import SOCKETS_LEAST
+from .bounds import MIN_SOCKETS
 
 Address = tuple[str, int]
 MOVING = ("agent", "catalog", "vault", "stop")  # what a running program takes over
@@ -70,8 +70,8 @@
     for what, value in (("limits.sockets", sockets), ("limits.memory_mb", memory), ("stop_ms", stop)):
         if isinstance(value, bool) or not isinstance(value, int | float) or not 1 <= value < 1e9:
             raise InvalidInputError(f"{what} is not a number above 0: {value!r}")
-    if sockets < SOCKETS_LEAST:
-        raise InvalidInputError(f"limits.sockets is under {SOCKETS_LEAST}: {sockets!r}")
+    if sockets < MIN_SOCKETS:
+        raise InvalidInputError(f"limits.sockets is under {MIN_SOCKETS}: {sockets!r}")
     site = Site(
         name=environment.get("PROXY_NAME") or text(told, "name"),
         listen=address(environment.get("PROXY_LISTEN") or text(told, "listen"), "listen", lowest=0),
--- a/birchslip/net/stages/admission_stage.py
+++ b/birchslip/net/stages/admission_stage.py
@@ -59,7 +59,7 @@
             while self.pending_events:
                 self.on_not_ready(self.pending_events.popleft()[0])
             return
-        self.driver.advance_clock(self.scheduler.tell_time())
+        self.driver.advance_clock(self.scheduler.update_clock())
         for _ in range(len(self.pending_events)):
             context, event = self.pending_events.popleft()
             try:
@@ -71,7 +71,7 @@
             self.driver.tick(gauges)
         self.driver.settle()
         if self.pending_events:
-            self.scheduler.soon()
+            self.scheduler.request_pass()
 
     def process(self, driver: AdmissionDriver, context: RequestContext, event: Event | None) -> None:
         request = context.request
--- a/birchslip/net/vault.py
+++ b/birchslip/net/vault.py
@@ -14,8 +14,8 @@
 from functools import partial
 
 from ..admission.types import Outcome
-from .buffer import Buffer, Unreadable
-from .connection import Connection, Dial
+from .buffer import Buffer, MalformedMessageError
+from .connection import Connection, Connector
 from .counters import Counters
 from .log import Log
 from .request_context import RequestContext
@@ -45,9 +45,9 @@
         case [name, word] if word in OUTCOMES and word != b"yes":
             size = 0
         case _:
-            raise Unreadable(f"not a reply: {line[:80]!r}")
+            raise MalformedMessageError(f"not a reply: {line[:80]!r}")
     if not name.isalnum() or not name.isascii():
-        raise Unreadable(f"not an id: {name[:40]!r}")
+        raise MalformedMessageError(f"not an id: {name[:40]!r}")
     return name.decode(), word, size
 
 
@@ -56,7 +56,7 @@
 
     def __init__(self, context: RequestContext, message: bytes) -> None:
         self.context, self.message = context, message
-        self.dial: Dial | None = None  # while its connection is being opened
+        self.dial: Connector | None = None  # while its connection is being opened
         self.link: Connection | None = None
         self.head: tuple[str, bytes, int] | None = None  # of the reply whose body comes next
         self.strays = 0
@@ -67,7 +67,7 @@
         """Its reply, once it is whole; one to another call, as told again, is passed over."""
         while self.outcome is None:
             if self.head is None:
-                line = buffer.line(LINE)
+                line = buffer.read_line(LINE)
                 if line is None:
                     return
                 self.head = reply_line(line)
@@ -77,7 +77,7 @@
                     return
                 body = buffer.take(length)
                 if buffer.take(2) != b"\r\n":
-                    raise Unreadable("a reply longer than it said")
+                    raise MalformedMessageError("a reply longer than it said")
             else:
                 body = b""
             self.head = None
@@ -86,7 +86,7 @@
                 return
             self.strays += 1
             if self.strays > STRAYS:
-                raise Unreadable(f"{self.strays} replies to other calls")
+                raise MalformedMessageError(f"{self.strays} replies to other calls")
 
 
 class Vault:
@@ -122,7 +122,7 @@
         """Give the call up: that its connection is closed says so."""
         asked = self.calls.pop(context.request_id, None)
         if asked is not None and asked.dial is not None:
-            asked.dial.give_up()
+            asked.dial.cancel()
         if asked is not None and asked.link is not None:
             asked.link.close("given up")
 
@@ -132,7 +132,7 @@
             self.address, self.wait, self.not_before = address, WAIT_FIRST, 0
             for asked in self.calls.values():
                 if asked.dial is not None:
-                    asked.dial.give_up()  # it has not been sent: it may go to the new address
+                    asked.dial.cancel()  # it has not been sent: it may go to the new address
             while self.spare:
                 self.spare.pop()[1].close("moved")
 
@@ -193,7 +193,7 @@
         try:
             if address is None:
                 raise OSError("no address for it")
-            asked.dial = Dial(self.scheduler, address)
+            asked.dial = Connector(self.scheduler, address)
             sock = asked.dial.open()
         except OSError as trouble:
             self.counters.count("vault.unreached")
@@ -224,7 +224,7 @@
         if link.malformed:
             self.counters.count("vault.malformed")
         if asked.outcome is None:
-            self.lost(asked, Outcome.CONNECTION_LOST, link.why)
+            self.lost(asked, Outcome.CONNECTION_LOST, link.close_reason)
         else:
             self.over(asked, asked.outcome)
 
--- a/tests/hall.py
+++ b/tests/hall.py
@@ -58,12 +58,12 @@
         program.agent.order = lambda **parts: self.orders.append(parts) or b""
         self.clients = program.clients
         if most is not None:
-            self.clients.most = most
+            self.clients.max_connections = most
         host, port = self.clients.listen(program.site.listen)
         self.address = f"{host}:{port}"
-        program.keep("listener", self.clients.accept)
+        program.spawn_supervised("listener", self.clients.accept)
         if greets:
-            program.greeted(False, 0)
+            program.on_agent_greeting(False, 0)
         self.peers = []
         self.passes()
 
@@ -75,8 +75,8 @@
                 arrived(peer.link)
         for _ in range(count):
             if not self.scheduler.stopped:
-                self.scheduler.again = True  # look, and don't wait
-                self.scheduler.one_pass()
+                self.scheduler.poll_at_once = True  # look, and don't wait
+                self.scheduler.run_pass()
         return self
 
     def router(self):
@@ -164,8 +164,8 @@
     def passes(self, ms=0, count=4):
         self.time += ms * MS
         for _ in range(count):
-            self.scheduler.again = True
-            self.scheduler.one_pass()
+            self.scheduler.poll_at_once = True
+            self.scheduler.run_pass()
 
     def hears(self, place, part):
         """Whether that is said there, at this very time."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -8,7 +8,13 @@
 import pytest
 
 from birchslip.admission.types import Outcome
-from birchslip.net.clients import LAST_LOOK, SPARE, WORD, WORD_EVERY, YOUNG
+from birchslip.net.clients import (
+    CLOSING_TIMEOUT,
+    FINAL_ACCEPT_DELAY,
+    MESSAGE_CHECK_INTERVAL,
+    MESSAGE_TIMEOUT,
+    MIN_EVICTION_AGE,
+)
 from birchslip.net.messagepack import pack
 from birchslip.net.program import Phase
 from birchslip.net.request_context import IdempotencyEntry
@@ -16,7 +22,7 @@
 from .hall import Hall
 
 KEY = "1" * 32
-TOLD_MS = SPARE // 10 + 1
+TOLD_MS = CLOSING_TIMEOUT // 10 + 1
 
 
 @pytest.fixture
@@ -47,8 +53,8 @@
     ping = router.ping()
     hall.passes()
     assert router.answer(ping)[0] is None
-    for client in hall.clients.all:
-        client.say_closing()
+    for client in hall.clients.active:
+        client.send_closing()
     hall.passes()
     return router
 
@@ -84,8 +90,8 @@
     assert at_the_end(router) == [[2, "closing", []]]
     assert hall.launched() == []
     hall.hang_up(router)
-    assert not hall.clients.all
-    assert not hall.clients.ending
+    assert not hall.clients.active
+    assert not hall.clients.lingering
 
 
 @pytest.mark.parametrize("rubbish", [b"\xc1", pack([0, 1, "ping", [{}]])])
@@ -123,11 +129,11 @@
     hall.passes()
     router.link.sendall(pack([0, 2, "ping", [{}]])[:3])
     hall.passes()
-    hall.passes(ms=(WORD + WORD_EVERY) // 10)
+    hall.passes(ms=(MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL) // 10)
     hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
-    hall.passes(ms=WORD_EVERY // 10)  # then the half message is one too late
+    hall.passes(ms=MESSAGE_CHECK_INTERVAL // 10)  # then the half message is one too late
     assert at_the_end(router) == []
     assert hall.clients.counters.counts["clients.silent"] == 1
 
@@ -140,13 +146,13 @@
     crowd = [hall.router() for _ in range(20)]
     hall.passes()
     for _ in range(10):
-        hall.passes(ms=YOUNG // 10)
+        hall.passes(ms=MIN_EVICTION_AGE // 10)
     hall.passes(ms=100)
     hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
     assert len(crowd) == 20
-    assert len(hall.clients.all) <= 3
+    assert len(hall.clients.active) <= 3
 
 
 def test_who_is_to_make_room_is_read_before(begin):
@@ -167,7 +173,7 @@
 def test_answers_are_not_cut_off_in_the_pass_that_ends_their_connection(begin):
     """Each of a full table has just said something when as many new ones come in one pass."""
     hall = begin(most=12)
-    hall.clients.lingering = 4
+    hall.clients.max_lingering = 4
     old = [hall.router() for _ in range(12)]
     for router in old:
         ping = router.ping()
@@ -178,7 +184,7 @@
     new = [hall.router() for _ in range(12)]
     for _ in range(100):
         hall.passes(ms=10)
-        assert len(hall.clients.all) + len(hall.clients.ending) <= 16
+        assert len(hall.clients.active) + len(hall.clients.lingering) <= 16
     for router, ping in zip(old, pings, strict=True):
         assert router.answer(ping) == (None, [True, {}])
     assert len(new) == 12
@@ -188,12 +194,12 @@
 def test_one_that_reads_nothing_does_not_keep_others_out_for_long(begin):
     """At the bound, with no more connections to end than the one that was ended first."""
     hall = begin(most=1)
-    hall.clients.lingering = 1
+    hall.clients.max_lingering = 1
     first = hall.router()
     ping = first.ping()
     hall.passes()
     assert first.answer(ping)[0] is None
-    (client,) = hall.clients.all
+    (client,) = hall.clients.active
     client.connection.flush = lambda: None  # the system takes nothing more for it
     first.ping()
     hall.passes()
@@ -202,7 +208,7 @@
     second.ping()
     for _ in range(30):
         hall.passes(ms=10)
-    assert len(hall.clients.all) + len(hall.clients.ending) <= 2
+    assert len(hall.clients.active) + len(hall.clients.lingering) <= 2
     assert third.answer(call) == (None, [True, {}])
 
 
@@ -212,7 +218,7 @@
     call = router.call("lookup", b"1")
     hall.passes()
     leave(hall)
-    hall.passes(ms=LAST_LOOK // 10)  # no room to look whether someone waits
+    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)  # no room to look whether someone waits
     assert hall.clients.listener is not None
     hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
@@ -234,10 +240,10 @@
         ping = router.ping()
         hall.passes()
         assert router.answer(ping)[0] is None
-        (client,) = hall.clients.all
+        (client,) = hall.clients.active
         watched = [weakref.ref(client), weakref.ref(client.connection), weakref.ref(client.connection.buffer)]
         if how == "told closing":
-            client.say_closing()
+            client.send_closing()
         elif how == "rubbish":
             router.link.sendall(b"\xc1")
         elif how == "the program's close":
@@ -253,7 +259,7 @@
 
 
 def leave(hall):
-    hall.program.leave()
+    hall.program.begin_drain()
     hall.passes(ms=hall.program.site.deployment.drain_grace // 10 + 1)
     assert hall.program.phase in (Phase.SHUT, Phase.CLOSING, Phase.ENDED)
 
@@ -306,10 +312,10 @@
     hall = begin()
     listener = LateListener(hall.clients.listener, hall.address, pack([0, 1, "ping", [{}]]))
     hall.clients.listener = listener
-    hall.program.leave()
+    hall.program.begin_drain()
     hall.passes(count=1, ms=hall.program.site.deployment.drain_grace // 10 + 1)
-    hall.passes(ms=LAST_LOOK // 10)
-    hall.passes(ms=LAST_LOOK // 10)
+    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
+    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
     assert hall.clients.listener is None
     assert len(listener.late) > 1
     for link in listener.late:
@@ -326,8 +332,8 @@
     hall.passes()
     assert router.answer(ping)[0] is None
     call = router.call("lookup", b"1")
-    hall.program.leave()
-    hall.program.close()
+    hall.program.begin_drain()
+    hall.program.begin_close()
     late = router.call("lookup", b"1")  # the end is on its way
     hall.passes()
     said = at_the_end(router)
@@ -335,7 +341,7 @@
     assert late > call
     assert not hall.launched()
     hall.hang_up(router)
-    hall.passes(ms=LAST_LOOK // 10)
+    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
     hall.passes(ms=1)
     assert hall.program.phase is Phase.ENDED
 
@@ -377,8 +383,8 @@
     first = router.call("order", b"1", opkey=KEY)
     hall.passes()
     again = other.call("order", b"1", opkey=KEY)
-    hall.program.leave()
-    hall.program.leave()  # a second notice: now
+    hall.program.begin_drain()
+    hall.program.begin_drain()  # a second notice: now
     hall.passes()
     assert router.answer(first)[0][0] == other.answer(again)[0][0] == "Failed"
     assert len(hall.launched()) == 1
@@ -391,8 +397,8 @@
     hall.passes()
     started = len(hall.launched())
     assert 0 < started < 6
-    hall.program.leave()
-    hall.program.close()
+    hall.program.begin_drain()
+    hall.program.begin_close()
     for name in hall.launched():
         hall.end(name, Outcome.CANCELLED)  # its room would be free for the next
     hall.passes()
@@ -406,9 +412,9 @@
     router = hall.router()
     call = router.call("lookup", b"1")
     hall.passes()
-    hall.program.leave()
+    hall.program.begin_drain()
     hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.program.leave()  # and at once the second
+    hall.program.begin_drain()  # and at once the second
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
 
@@ -419,7 +425,7 @@
     running = router.call("order", b"1", opkey=KEY)
     hall.passes()
     held = router.call("lookup", b"1", need="900")
-    hall.program.leave()
+    hall.program.begin_drain()
     hall.passes(ms=150)
     within = router.call("lookup", b"1", need="900")
     for _ in range(50):
@@ -429,4 +435,4 @@
     assert words[0] == "Failed"
     assert set(words[1:]) <= {"Overloaded", "Failed"}
     assert hall.program.phase is Phase.ENDED
-    assert hall.time - hall.program.stops_at < 0
+    assert hall.time - hall.program.stop_deadline < 0
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -7,8 +7,8 @@
 from birchslip.admission.types import Idempotency
 from birchslip.errors import InvalidInputError
 from birchslip.net import http
-from birchslip.net.buffer import FIRST, Buffer, Unreadable
-from birchslip.net.clients import messages
+from birchslip.net.buffer import INITIAL_BYTES, Buffer, MalformedMessageError
+from birchslip.net.clients import read_messages
 from birchslip.net.messagepack import DEEPEST, LONGEST, WIDEST, pack
 from birchslip.net.vault import reply_line
 
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("value", VALUES, ids=lambda value: repr(value)[:30])
 def test_messagepack_agrees_with_the_library_both_ways(value):
     assert msgpack.unpackb(pack(value), strict_map_key=False) == value
-    assert messages(buffer_of(msgpack.packb(value))) == ([value], "")
+    assert read_messages(buffer_of(msgpack.packb(value))) == ([value], "")
 
 
 def test_messages_cut_at_each_byte_come_out_whole_and_once():
@@ -53,9 +53,9 @@
     raw = b"".join(pack(message) for message in sent)
     for cut in range(len(raw) + 1):
         buffer = buffer_of(raw[:cut])
-        first, trouble = messages(buffer)
+        first, trouble = read_messages(buffer)
         buffer.feed(raw[cut:])
-        second, trouble_then = messages(buffer)
+        second, trouble_then = read_messages(buffer)
         assert first + second == sent
         assert not trouble
         assert not trouble_then
@@ -79,7 +79,7 @@
 )
 def test_messagepack_past_its_limits_is_named(raw, named):
     good = pack([2, "abort", [1]])
-    taken, trouble = messages(buffer_of(good + raw))
+    taken, trouble = read_messages(buffer_of(good + raw))
     assert taken == [[2, "abort", [1]]]
     assert named in trouble
 
@@ -91,16 +91,16 @@
 
 
 def test_a_buffer_grows_to_its_bound_and_is_compacted_in_place():
-    buffer = Buffer(4 * FIRST)
-    buffer.feed(b"a" * FIRST)
-    assert buffer.take(FIRST - 10) == b"a" * (FIRST - 10)
+    buffer = Buffer(4 * INITIAL_BYTES)
+    buffer.feed(b"a" * INITIAL_BYTES)
+    assert buffer.take(INITIAL_BYTES - 10) == b"a" * (INITIAL_BYTES - 10)
     buffer.feed(b"b" * 100)  # fits once what was taken has made way
-    assert len(buffer.data) == FIRST
+    assert len(buffer.data) == INITIAL_BYTES
     assert buffer.take(110) == b"a" * 10 + b"b" * 100
-    buffer.feed(b"c" * 4 * FIRST)
-    assert len(buffer.data) == 4 * FIRST
-    assert len(buffer) == 4 * FIRST
-    with pytest.raises(Unreadable, match="not a whole message"):
+    buffer.feed(b"c" * 4 * INITIAL_BYTES)
+    assert len(buffer.data) == 4 * INITIAL_BYTES
+    assert len(buffer) == 4 * INITIAL_BYTES
+    with pytest.raises(MalformedMessageError, match="not a whole message"):
         buffer.make_room()
 
 
@@ -116,15 +116,15 @@
     buffer, read = Buffer(1 << 16), []
     for piece in pieces:
         buffer.feed(piece)
-        while (line := buffer.line(100)) is not None:
+        while (line := buffer.read_line(100)) is not None:
             read.append(line)
     assert read == lines
 
 
 @pytest.mark.parametrize("raw", [b"x" * 102, b"x" * 102 + b"\n"])
 def test_a_line_too_long_is_refused_whole_or_not(raw):
-    with pytest.raises(Unreadable, match="more than 100"):
-        buffer_of(raw).line(100)
+    with pytest.raises(MalformedMessageError, match="more than 100"):
+        buffer_of(raw).read_line(100)
 
 
 ANSWERS = [
@@ -164,7 +164,7 @@
     ],
 )
 def test_http_that_is_not_read_here(raw):
-    with pytest.raises(Unreadable):
+    with pytest.raises(MalformedMessageError):
         http.Answer().read(buffer_of(raw))
 
 
@@ -186,7 +186,7 @@
 )
 def test_the_vaults_lines(line, said):
     if said is None:
-        with pytest.raises(Unreadable):
+        with pytest.raises(MalformedMessageError):
             reply_line(line)
     else:
         name, word, length = reply_line(line)
--- a/tests/test_peer_channel.py
+++ b/tests/test_peer_channel.py
@@ -32,7 +32,7 @@
 @pytest.fixture
 def channel():
     connection, faults, responses = RecordedConnection(), [], []
-    scheduler = SimpleNamespace(tell_time=lambda: NOW, tasks=[])
+    scheduler = SimpleNamespace(update_clock=lambda: NOW, tasks=[])
     scheduler.spawn = lambda name, task: scheduler.tasks.append(task)
     log = SimpleNamespace(fault=lambda event, **fields: faults.append((event, fields["planner"])))
     made = PeerChannel("p1", connection, scheduler, log, lambda *response: responses.append(response))
--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -24,7 +24,7 @@
 from birchslip.errors import InvalidInputError
 from birchslip.lab.wires import free_port
 from birchslip.net.buffer import Buffer
-from birchslip.net.clients import messages
+from birchslip.net.clients import read_messages
 from birchslip.net.messagepack import pack
 
 from .fleetdesk import fleet_document, report
@@ -56,7 +56,7 @@
             self.number += 1
             raw = encode(report(self.member, self.number, self.mark))
             link.sendall(pack([0, self.number, "report", [raw]]))
-            while not messages(buffer)[0]:
+            while not read_messages(buffer)[0]:
                 if not buffer.fill(link):
                     return
 
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -181,16 +181,16 @@
     path.write_text(json.dumps(told))
     program = Program(read_site({"PROXY_CONFIG": str(path)}))
     faults, taken, settled = [], [], []
-    program.scheduler.fault = lambda name, trouble: faults.append(name)
+    program.scheduler.on_error = lambda name, trouble: faults.append(name)
     program.request_decoder.submit = taken.append
     program.admission_stage.process_pending = lambda: settled.append(True)
 
     class Faulty:
         record_arrival = apply_lease = record_answer = lambda *_: 1 / 0
 
-    program.accompany(Faulty())
+    program.attach_fleet_member(Faulty())
     program.request_decoder.submit("a passage")
-    program.settle()
+    program.finish_pass()
     program.response_recorder.on_answered("a passage", "honoured")
     assert taken == ["a passage"]
     assert settled
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -55,7 +55,7 @@
     def start(self, n):
         request = self.request(n)
         self.store.record_start(request, lambda ok: self.flushed.append((n, "started", ok)))
-        self.scheduler.run_due()
+        self.scheduler.run_due_timers()
         return request
 
     def complete(self, request, run_result=SERVED):
@@ -71,7 +71,7 @@
 
     def advance(self, seconds):
         self.now += int(seconds * SECOND)
-        self.scheduler.tell_time()
+        self.scheduler.update_clock()
         self.store.time_passed()
         return self
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -9,16 +9,16 @@
 import pytest
 
 from birchslip.admission.types import Outcome
-from birchslip.net.bounds import CALL, CONNECTION, bounds
-from birchslip.net.clients import FRESH, WORD, WORD_EVERY, Clients
-from birchslip.net.connection import Connection, Pool, connect
+from birchslip.net.bounds import CALL_BYTES, CONNECTION_BYTES, compute_bounds
+from birchslip.net.clients import MESSAGE_CHECK_INTERVAL, MESSAGE_TIMEOUT, SILENT_EVICTION_AGE, Clients
+from birchslip.net.connection import Connection, SendBufferPool, connect
 from birchslip.net.counters import Counters
 from birchslip.net.log import Log
 from birchslip.net.messagepack import pack
-from birchslip.net.scheduler import READ, SLICE, SWEEP, Scheduler
+from birchslip.net.scheduler import MIN_CANCELLED_TO_SWEEP, READ, TASK_TIME_SLICE, Scheduler
 from birchslip.net.vault import KEPT, STALL, Vault
 
-BOUNDS = bounds(192 << 20, 0, 1024)
+BOUNDS = compute_bounds(192 << 20, 0, 1024)
 
 
 class World:
@@ -36,8 +36,8 @@
     def pass_at(self, time):
         self.time = time
         self.said.clear()
-        self.scheduler.again = True  # look, and don't wait
-        self.scheduler.one_pass()
+        self.scheduler.poll_at_once = True  # look, and don't wait
+        self.scheduler.run_pass()
         return [word for word in self.said if word != "settle"]
 
 
@@ -69,17 +69,17 @@
 
 
 def test_cancelled_timers_do_not_pile_up(world):
-    timers = [world.scheduler.at(9_000_000, lambda: None) for _ in range(SWEEP * 4)]
-    for timer in timers[: SWEEP * 3]:
+    timers = [world.scheduler.at(9_000_000, lambda: None) for _ in range(MIN_CANCELLED_TO_SWEEP * 4)]
+    for timer in timers[: MIN_CANCELLED_TO_SWEEP * 3]:
         timer.cancel()
-    assert len(world.scheduler.timers) <= SWEEP * 2
+    assert len(world.scheduler.timers) <= MIN_CANCELLED_TO_SWEEP * 2
 
 
 @pytest.mark.parametrize(("due", "milliseconds"), [(1000, 0), (1001, 1), (1010, 1), (1011, 2), (500, 0)])
 def test_patience_is_rounded_up_to_the_next_timer(world, due, milliseconds):
-    assert world.scheduler.patience() is None
+    assert world.scheduler.poll_timeout_ms() is None
     world.scheduler.at(due, lambda: None)
-    assert world.scheduler.patience() == milliseconds
+    assert world.scheduler.poll_timeout_ms() == milliseconds
 
 
 def test_the_clock_never_goes_back(world):
@@ -99,7 +99,7 @@
     os.write(pipe[1], b"x")
     assert world.pass_at(1060) == [READ]
     assert world.pass_at(1070) == []
-    assert pipe[0] not in world.scheduler.masks
+    assert pipe[0] not in world.scheduler.event_masks
 
 
 def test_a_pass_with_tasks_that_are_ready_takes_what_came_meanwhile_too(world, pipe):
@@ -127,11 +127,11 @@
 
     def reader(word):
         world.said.append(word)
-        world.time += SLICE
+        world.time += TASK_TIME_SLICE
 
     for word in ("first", "second", "third"):
         world.scheduler.spawn(word, lambda word=word: reader(word))
-    world.scheduler.at(1000 + SLICE, lambda: world.said.append("due"))
+    world.scheduler.at(1000 + TASK_TIME_SLICE, lambda: world.said.append("due"))
     assert world.pass_at(1000) == ["first"]
     assert world.pass_at(world.time) == ["due", "second"]
     assert world.pass_at(world.time) == ["third"]
@@ -140,16 +140,16 @@
 def test_forgetting_a_descriptor_wakes_who_waits_for_it(world, pipe):
     world.scheduler.spawn("reader", lambda: world.said.append(world.scheduler.wait(pipe[0], READ)))
     world.pass_at(1000)
-    world.scheduler.forget(pipe[0])
+    world.scheduler.unregister(pipe[0])
     assert world.pass_at(1001) == [0]
-    assert not world.scheduler.masks
+    assert not world.scheduler.event_masks
 
 
 def pair(world, bound=1 << 20, pool=1 << 20):
     here, there = socket.socketpair()
     here.setblocking(False)
     there.setblocking(False)
-    return Connection(world.scheduler, here, 4096, bound, Pool(pool)), there
+    return Connection(world.scheduler, here, 4096, bound, SendBufferPool(pool)), there
 
 
 def test_writes_go_out_once_at_the_end_of_a_pass_and_the_rest_when_there_is_room(world):
@@ -166,8 +166,8 @@
         world.pass_at(1001)
         got += there.recv(1 << 20)
     assert got == b"".join(sent)
-    assert connection.size == 0
-    assert connection.pool.size == 0
+    assert connection.unsent_bytes == 0
+    assert connection.pool.unsent_bytes == 0
 
 
 @pytest.mark.parametrize(("bound", "pool"), [(1000, 1 << 30), (1 << 30, 1000)])
@@ -179,7 +179,7 @@
         connection.write(b"x" * 100_000)
     world.pass_at(1001)
     assert world.pass_at(1002) == ["reads too slowly"]
-    assert connection.pool.size == 0
+    assert connection.pool.unsent_bytes == 0
     there.close()
 
 
@@ -210,9 +210,9 @@
 @pytest.mark.parametrize("megabytes", [32, 64, 192])
 def test_all_that_peers_can_fill_fits_into_the_memory_told(megabytes, descriptors):
     """Guards against crowds on small machines: with all at its bound, an eighth is left for the rest."""
-    told = bounds(megabytes << 20, 18 << 20, descriptors)
-    connections = told.connections * (CONNECTION + told.unread)
-    filled = connections + told.calls * CALL + told.unsent + told.orders
+    told = compute_bounds(megabytes << 20, 18 << 20, descriptors)
+    connections = told.connections * (CONNECTION_BYTES + told.unread)
+    filled = connections + told.calls * CALL_BYTES + told.unsent + told.orders
     assert filled <= (megabytes - 18 << 20) * 7 // 8
     assert told.connections + told.calls < descriptors
     assert told.connections >= 256
@@ -227,7 +227,7 @@
         here, there = socket.socketpair()
         here.setblocking(False)
         there.settimeout(1)
-        some.begin(here)
+        some.add_connection(here)
         theirs.append(there)
         return there
 
@@ -264,16 +264,21 @@
     for time in range(1000, 1004):
         world.pass_at(time)
     router.send(later)
-    world.scheduler.poll = type("Deaf", (), {"poll": lambda *_: [], "register": print, "unregister": print})()
-    world.pass_at(1000 + WORD + WORD_EVERY)
-    world.pass_at(1001 + WORD + WORD_EVERY)
-    assert (len(some.all) == 0) is ended
+    world.scheduler.poller = type(
+        "Deaf", (), {"poll": lambda *_: [], "register": print, "unregister": print}
+    )()
+    world.pass_at(1000 + MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL)
+    world.pass_at(1001 + MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL)
+    assert (len(some.active) == 0) is ended
     assert some.counters.counts["clients.silent"] == ended
 
 
 @pytest.mark.parametrize(
     ("mute_since", "gone"),
-    [(1000, ["mute"]), (1000 + FRESH, ["old"])],  # a new connection has a moment to say something
+    [
+        (1000, ["mute"]),
+        (1000 + SILENT_EVICTION_AGE, ["old"]),
+    ],  # a new connection has a moment to say something
 )
 def test_who_makes_room_at_the_bound(world, mute_since, gone):
     some, join = clients(world, 3)
@@ -287,10 +292,10 @@
         if name != "mute":
             peers[name].send(PING)
             world.pass_at(time)
-    world.pass_at(1001 + FRESH)
+    world.pass_at(1001 + SILENT_EVICTION_AGE)
     join()
-    world.pass_at(1002 + FRESH)
-    assert len(some.all) == 3
+    world.pass_at(1002 + SILENT_EVICTION_AGE)
+    assert len(some.active) == 3
     for peer in peers.values():
         peer.setblocking(False)
     assert [name for name, peer in peers.items() if closed(peer)] == gone
@@ -411,4 +416,4 @@
     world.scheduler.spawn("peer", task)
     said = [word for time in range(1000, 1010) for word in world.pass_at(time)]
     assert said == ["refused"]
-    assert not world.scheduler.masks
+    assert not world.scheduler.event_masks
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,8 +8,8 @@
 from birchslip.admission.settings import SettingsReader, flatten, read_admission_settings
 from birchslip.admission.types import SECOND, Downstream, Idempotency, Preemption
 from birchslip.errors import InvalidInputError
-from birchslip.net.bounds import SOCKETS_LEAST
-from birchslip.net.clients import FIELD, LONGEST_WAIT, decode_request
+from birchslip.net.bounds import MIN_SOCKETS
+from birchslip.net.clients import MAX_FIELD_CHARS, MAX_TIMEOUT_MS, decode_request
 from birchslip.net.site import site_of
 from examples.toy import CONFIGURATION
 
@@ -62,7 +62,7 @@
         ("settings", "none", "settings is not an object"),
         ("limits", 7, "limits is not an object"),
         ("limits.sockets", True, "limits.sockets"),
-        ("limits.sockets", SOCKETS_LEAST - 1, "limits.sockets is under"),
+        ("limits.sockets", MIN_SOCKETS - 1, "limits.sockets is under"),
         ("limits.memory_mb", "much", "limits.memory_mb"),
         ("stop_ms", 0, "stop_ms"),
         ("stop_ms", None, "stop_ms"),
@@ -186,6 +186,6 @@
     assert told.tenant == "o" * 100
     assert told.timeout == 50
     del FIELDS["timeout"]
-    assert decode_request("lookup", [FIELDS, b""]).timeout == LONGEST_WAIT * 10
+    assert decode_request("lookup", [FIELDS, b""]).timeout == MAX_TIMEOUT_MS * 10
     with pytest.raises(InvalidInputError):
-        decode_request("lookup", [FIELDS | {"owner": "o" * (FIELD + 1)}, b""])
+        decode_request("lookup", [FIELDS | {"owner": "o" * (MAX_FIELD_CHARS + 1)}, b""])
--- a/tests/test_socket_wire_record.py
+++ b/tests/test_socket_wire_record.py
@@ -42,14 +42,14 @@
     """What a router's connection asks of the listener."""
 
     def __init__(self):
-        self.good = True
+        self.healthy = True
         self.counters = SimpleNamespace(count=lambda name: None)
         self.scheduler = SimpleNamespace(now=0, at=lambda due, action: None)
 
-    def health(self):
+    def health_details(self):
         return {"store": "full"}
 
-    def rest(self, client):
+    def update_idle(self, client):
         pass
 
 
@@ -90,8 +90,8 @@
     "rejected": lambda: to_router(lambda client: client.send_rejection(9, 0, False)),
     "failed": lambda: to_router(lambda client: client.send_error(10)),
     "failed with a reason": lambda: to_router(lambda client: client.send_error(11, "need is 0")),
-    "health check": lambda: to_router(lambda client: client.message([0, 12, "ping", [{}]])),
-    "closing": lambda: to_router(lambda client: client.say_closing()),
+    "health check": lambda: to_router(lambda client: client.handle_message([0, 12, "ping", [{}]])),
+    "closing": lambda: to_router(lambda client: client.send_closing()),
     "launch": lambda: to_agent(lambda agent, run: agent.launch(run)),
     "freeze": lambda: to_agent(lambda agent, run: agent.freeze(run)),
     "deliver": lambda: to_agent(lambda agent, run: agent.deliver(run, b"reply")),
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -27,7 +27,7 @@
 )
 from birchslip.net.counters import Counters
 from birchslip.net.idempotency_table import RETENTION_SLACK, IdempotencyTable
-from birchslip.net.program import MOVES, Phase, Program
+from birchslip.net.program import PHASE_TRANSITIONS, Phase, Program
 from birchslip.net.request_context import DecodedRequest, RequestContext, RunResult
 from birchslip.net.servers import OUTCOMES as RUN_OUTCOMES
 from birchslip.net.site import Site
@@ -67,10 +67,10 @@
     def __init__(self):
         self.now, self.timers = 100 * SECOND, []
 
-    def tell_time(self):
+    def update_clock(self):
         return self.now
 
-    def soon(self):
+    def request_pass(self):
         pass
 
     def at(self, due, action):
@@ -479,28 +479,28 @@
     program = Program(site())
     for target in Phase:
         program.phase = phase
-        if target in MOVES[phase]:
-            program.move(target)
+        if target in PHASE_TRANSITIONS[phase]:
+            program.enter_phase(target)
             assert program.phase is target
         else:
             with pytest.raises(RuntimeError, match=target.value):
-                program.move(target)
+                program.enter_phase(target)
 
 
 def test_every_phase_leads_to_the_end():
     for phase in Phase:
         while phase is not Phase.ENDED:
-            assert MOVES[phase]
-            phase = MOVES[phase][-1]
+            assert PHASE_TRANSITIONS[phase]
+            phase = PHASE_TRANSITIONS[phase][-1]
 
 
 def test_before_the_agent_greets_a_transaction_is_shed_and_checks_are_good():
     program, pipeline = Program(site()), Pipeline()
     context = pipeline.make_context()
     program.admission_stage.submit(context)
-    program.settle()
+    program.finish_pass()
     assert context.channel.said == [("send_rejection", 7, 0, False)]
-    assert program.passing()
+    assert program.is_passing()
     assert program.phase is Phase.STARTING
 
 
@@ -508,7 +508,7 @@
 def test_the_agents_age_counts_while_it_warms_up(cold, counted):
     """Guards against a quota that binds on a warm agent before the windows have been filled once."""
     program = Program(site())
-    program.greeted(cold, program.scheduler.now - 20 * SECOND)
+    program.on_agent_greeting(cold, program.scheduler.now - 20 * SECOND)
     controller = program.admission_stage.driver.controller
     assert (program.phase, controller.settings.starts_cold) == (Phase.SERVING, cold)
     assert controller.started_at == program.scheduler.now - counted
