--- a/birchslip/cluster/peer_channel.py
+++ b/birchslip/cluster/peer_channel.py
@@ -77,7 +77,7 @@
 
     def call(self, method: PlannerMethod, request: Message) -> None:
         """Sends one request and passes the response to the handler; logs a failure."""
-        sent = self.scheduler.tell_time()
+        sent = self.scheduler.update_clock()
         try:
             response = self.connection.call(method.value, encode(request), sent + RESPONSE_TIMEOUT)
             self.on_response(request, response, sent)
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -24,7 +24,7 @@
 from ..net.connection import Connection, connect
 from ..net.counters import Counters
 from ..net.log import Log
-from ..net.scheduler import Nap, Scheduler
+from ..net.scheduler import InterruptibleSleep, Scheduler
 from .inventory import read_inventory
 from .planner_state import PlannerState
 from .rollout_types import PlatformOrder
@@ -56,20 +56,20 @@
         self.state = state
         self.interval = interval
         self.connection: Connection | None = None
-        self.nap = Nap(scheduler)
+        self.nap = InterruptibleSleep(scheduler)
 
     def run(self) -> None:
         """Run until the planner ends; does nothing while this planner does not lead."""
         while True:
             started_at = self.scheduler.now
-            if self.state.is_effective_leader(self.scheduler.tell_time()):
+            if self.state.is_effective_leader(self.scheduler.update_clock()):
                 self._exchange()
             earliest = self.scheduler.now + self.interval // MIN_PAUSE_DIVISOR
             self.nap.sleep(max(started_at + self.interval, earliest))
 
     def wake(self) -> None:
         """Start the next exchange now, without waiting for the interval."""
-        self.nap.end()
+        self.nap.wake()
 
     def _exchange(self) -> None:
         """Request the inventory and send orders; a failure is logged and closes the connection."""
@@ -89,7 +89,7 @@
             InvalidInputError: If its response is malformed.
         """
         term = self.state.leadership.term
-        sent_at = self.scheduler.tell_time()
+        sent_at = self.scheduler.update_clock()
         response = self._request("GET", f"/fleet/members?epoch={term}", b"")
         if response.status != HTTPStatus.OK:
             raise OSError(f"the platform responded with status {response.status}")
@@ -108,7 +108,7 @@
         """
         sent: set[PlatformOrder] = set()
         while True:
-            orders = self.state.platform_orders(self.scheduler.tell_time())
+            orders = self.state.platform_orders(self.scheduler.update_clock())
             order = next((order for order in orders if order not in sent), None)
             if order is None:
                 return
