--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -27,7 +27,7 @@
         site.tenants,
         site.profiles,
     )
-    program.accompany(planner_link)
+    program.attach_fleet_member(planner_link)
 
 
 def attach_result_store(program: Program, path: str) -> None:
@@ -38,7 +38,7 @@
     settings = read_store_settings(path)
     site = program.site
     request_classes = site.deployment.request_classes
-    program.keep_results(
+    program.attach_result_store(
         ResultStore(program.scheduler, program.counters, program.log, settings, site.name, request_classes)
     )
 
--- a/birchslip/idempotency/flush_queue.py
+++ b/birchslip/idempotency/flush_queue.py
@@ -103,7 +103,7 @@
             self.append(ResultRecord(RecordKind.VOID, bytes(KEY_BYTES), now, 0))
 
     def _on_append_done(self, on_done: Callable[[AppendTask], None] | None, task: AppendTask) -> None:
-        now = self._scheduler.tell_time()
+        now = self._scheduler.update_clock()
         self._unflushed -= 1
         self._record_latency(now - task.submitted_at, bool(task.error))
         if task.error:
