--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -184,7 +184,7 @@
         """Records that a majority has stored a version, and publishes its plan."""
         if not self.leadership.mark_replicated(version):
             return
-        self.plans.publish(self.sites.levels())
+        self.plans.publish(self.sites.serving_fractions())
         self.quotas.follow_plan(self.plans.published, self.plans.published_levels, self.site_of_member)
 
     def replan(self, now: int) -> None:
--- a/birchslip/idempotency/flush_queue.py
+++ b/birchslip/idempotency/flush_queue.py
@@ -1,8 +1,8 @@
-"""Appends records to the store, notifies who waits for a flush, and accounts for flushes and disk health.
+"""Appends records to the store, notifies listeners of flushes, and tracks flush latency and disk health.
 
-Nobody waits longer than a stall: once the disk is not healthy, all who wait are notified that their record is
-not flushed, and are not notified again if it is flushed after all. This module decides which segment a record
-goes to, and does no I/O itself.
+No listener waits longer than the stall limit: once the disk is not healthy, all waiting listeners are
+notified that their record is not flushed, and are not notified again if it is flushed later. This module
+decides which segment a record is appended to, and does no I/O itself.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 PERCENTILES = 100
 KEY_BYTES = 16
 
-FlushListener = Callable[[bool], None]  # notified whether its record was flushed
+FlushListener = Callable[[bool], None]  # its argument states whether the record was flushed
 
 
 class FlushQueue:
-    """The records that are on their way to the disk."""
+    """Records that are submitted to the writer and not flushed yet."""
 
     def __init__(
         self,
@@ -40,26 +40,35 @@
         budget: RetentionBudget,
         disk: DiskHealth,
     ) -> None:
-        """Start with nothing on its way."""
+        """Start empty.
+
+        Args:
+            scheduler: Source of the current time.
+            counters: Where flushes and changes of the disk state are counted, as `keep.*`.
+            log: Where flush latencies and changes of the disk state are logged.
+            writer: Executes the appends in its thread.
+            budget: Accounts for the segments and their records.
+            disk: Health of the disk, updated on each flush.
+        """
         self._scheduler = scheduler
         self._counters = counters
         self._log = log
         self._writer = writer
         self._budget = budget
         self._disk = disk
-        self._listeners: dict[int, FlushListener] = {}  # by the number of the append
-        self._last_append = 0
+        self._listeners: dict[int, FlushListener] = {}  # by append number
+        self._last_append_number = 0
         self._unflushed = 0
         self._segment_has_failed = False
-        self._latencies_ms: list[float] = []  # as those saw it who waited; until the next event
+        self._latencies_ms: list[float] = []  # from submission to notification, since the last event
 
     def append(self, record: ResultRecord, on_done: Callable[[AppendTask], None] | None = None) -> None:
-        """Append a record; `on_done` is called once it is flushed, or has failed."""
+        """Append a record; `on_done` is called once the record is flushed or has failed."""
         raw = encode(record)
         starts_segment = self._segment_has_failed or self._budget.needs_new_segment(len(raw))
         if starts_segment:
-            # After an error the old segment is not written to: what the system reports of it later can't be
-            # relied on.
+            # After an error the old segment is not written to again: a later flush of it may report success
+            # although data was lost.
             self._segment_has_failed = False
             self._budget.add_segment(self._budget.segments[-1].serial + 1, SEGMENT_HEADER.size)
         self._budget.add_record(len(raw), record.expires_at)
@@ -70,30 +79,33 @@
             serial=self._budget.segments[-1].serial,
             starts_segment=starts_segment,
             submitted_at=self._scheduler.now,
-            on_done=partial(self._append_done, on_done),
+            on_done=partial(self._on_append_done, on_done),
         )
         self._writer.submit(task)
 
     def append_and_wait(self, record: ResultRecord, listener: FlushListener) -> None:
-        """Append a record; the listener is notified once whether it was flushed, at a stall at the latest."""
-        self._last_append += 1
-        number = self._last_append
+        """Append a record and notify the listener once whether it was flushed.
+
+        The listener is notified at the latest when the disk counts as stalled.
+        """
+        self._last_append_number += 1
+        number = self._last_append_number
         self._listeners[number] = listener
         self.append(record, lambda task: self._notify_listener(number, not task.error))
 
-    def time_passed(self) -> None:
-        """Detect a stall, and probe a disk that has failed."""
+    def check_disk(self) -> None:
+        """Detect a stalled disk and probe a failed one; called periodically."""
         now = self._scheduler.now
-        if self._disk.time_passed(now):
+        if self._disk.detect_stall(now):
             self._report_disk_state()
-            self._abandon_listeners()
+            self._notify_all_not_flushed()
         if self._disk.needs_probe(now):
             self.append(ResultRecord(RecordKind.VOID, bytes(KEY_BYTES), now, 0))
 
-    def _append_done(self, on_done: Callable[[AppendTask], None] | None, task: AppendTask) -> None:
+    def _on_append_done(self, on_done: Callable[[AppendTask], None] | None, task: AppendTask) -> None:
         now = self._scheduler.update_clock()
         self._unflushed -= 1
-        self._account(now - task.submitted_at, bool(task.error))
+        self._record_latency(now - task.submitted_at, bool(task.error))
         if task.error:
             self._segment_has_failed = True
             has_changed = self._disk.flush_failed(now, task.error)
@@ -104,19 +116,19 @@
         if on_done is not None:
             on_done(task)
         if task.error:
-            self._abandon_listeners()
+            self._notify_all_not_flushed()
 
     def _notify_listener(self, number: int, is_flushed: bool) -> None:
         listener = self._listeners.pop(number, None)
-        if listener is not None:  # else it was notified before, at a stall or an error
+        if listener is not None:  # None if it was notified at a stall or an error
             listener(is_flushed)
 
-    def _abandon_listeners(self) -> None:
+    def _notify_all_not_flushed(self) -> None:
         listeners, self._listeners = self._listeners, {}
         for listener in listeners.values():
             listener(False)
 
-    def _account(self, latency: int, has_failed: bool) -> None:
+    def _record_latency(self, latency: int, has_failed: bool) -> None:
         self._counters.count("keep.unflushed" if has_failed else "keep.flushed")
         self._counters.peak("keep.flush_ms", latency // MS)
         self._latencies_ms.append(latency / MS)
@@ -125,12 +137,12 @@
 
     def _report_latencies(self) -> None:
         latencies_ms, self._latencies_ms = self._latencies_ms, []
-        cuts = quantiles(latencies_ms, n=PERCENTILES, method="inclusive")
+        percentiles = quantiles(latencies_ms, n=PERCENTILES, method="inclusive")
         self._log.info(
             "store_flush_latency",
             flushes=len(latencies_ms),
-            p50_ms=round(cuts[49], 2),
-            p99_ms=round(cuts[98], 2),
+            p50_ms=round(percentiles[49], 2),
+            p99_ms=round(percentiles[98], 2),
         )
 
     def _report_disk_state(self) -> None:
