--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -32,7 +32,7 @@
 began = time.perf_counter()
 import birchslip.__main__ as main
 imports = time.perf_counter()
-site = main.read_site(os.environ)
+site = main.read_config(os.environ)
 read = time.perf_counter()
 program = main.Program(site)
 made = time.perf_counter()
--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -8,7 +8,7 @@
 
 from .errors import InvalidInputError
 from .net.program import Program
-from .net.site import read_site
+from .net.site import read_config
 
 
 def attach_planner_link(program: Program, path: str) -> None:
@@ -23,9 +23,9 @@
         program.log,
         read_fleet(path),
         site.name,
-        site.deployment,
-        site.tenants,
-        site.profiles,
+        site.settings,
+        site.tenant_names,
+        site.class_names,
     )
     program.accompany(planner_link)
 
@@ -37,7 +37,7 @@
 
     settings = read_store_settings(path)
     site = program.site
-    request_classes = site.deployment.request_classes
+    request_classes = site.settings.request_classes
     program.keep_results(
         ResultStore(program.scheduler, program.counters, program.log, settings, site.name, request_classes)
     )
@@ -53,7 +53,7 @@
     for signal_number in (signal.SIGHUP, signal.SIGUSR1):
         signal.signal(signal_number, signal.SIG_IGN)
     try:
-        site = read_site(os.environ)
+        site = read_config(os.environ)
         program = Program(site)
         if os.environ.get("BIRCHSLIP_FLEET"):
             attach_planner_link(program, os.environ["BIRCHSLIP_FLEET"])
--- a/birchslip/cluster/member_prober.py
+++ b/birchslip/cluster/member_prober.py
@@ -12,7 +12,7 @@
 
 from ..net.counters import Counters
 from ..net.scheduler import Scheduler
-from ..net.site import address as parse_address
+from ..net.site import parse_address
 from .messages import ProbeOutcome, ProbeResult
 from .transport import PeerConnection
 
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -19,7 +19,7 @@
 from ..net.log import Log
 from ..net.program import memory
 from ..net.scheduler import READ, Scheduler
-from ..net.site import address
+from ..net.site import parse_address
 from . import fleet_file
 from .election import Election
 from .election_store import ElectionStore
@@ -106,7 +106,7 @@
         """
         own_entry = find_planner(fleet, name)
         self.path = path
-        self.address = address(listen or own_entry.address, "address")
+        self.address = parse_address(listen or own_entry.address, "address")
         self.scheduler = Scheduler(lambda: None, self.log_fault, monotonic_now)
         self.log = Log(self.scheduler, name)
         self.counters = Counters(COUNTER_NAMES)
@@ -139,7 +139,7 @@
         platform = fleet.platform
         if platform is None:
             return None
-        platform_address = address(platform.address, "platform.address")
+        platform_address = parse_address(platform.address, "platform.address")
         return PlatformLink(
             self.scheduler, self.counters, self.log, platform_address, self.state, span(platform.ask_ms)
         )
@@ -147,7 +147,7 @@
     def make_replicator(self, fleet: Fleet, name: str) -> StateReplicator:
         """Creates the replicator with connections to the other planners."""
         peers = {
-            planner.name: PeerConnection(self.scheduler, address(planner.address, "address"))
+            planner.name: PeerConnection(self.scheduler, parse_address(planner.address, "address"))
             for planner in fleet.planners
             if planner.name != name
         }
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -20,7 +20,7 @@
 from ..net.program import memory
 from ..net.request_context import RequestContext
 from ..net.scheduler import Scheduler
-from ..net.site import address
+from ..net.site import parse_address
 from .fleet_file import Fleet, Site, span
 from .member_metrics import estimate_capacity
 from .member_prober import MAX_RESULTS, MemberProber
@@ -159,7 +159,7 @@
         planners = list(self.fleet.planners)
         self.rng.shuffle(planners)
         for planner in planners:
-            connection = PeerConnection(self.scheduler, address(planner.address, "address"))
+            connection = PeerConnection(self.scheduler, parse_address(planner.address, "address"))
             task = partial(self.report_forever, planner.name, connection)
             self.scheduler.spawn(f"planner {planner.name}", task)
         self.log.info("joined_fleet", site=self.site, planners=len(planners), mark=self.incarnation.nonce)
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -124,14 +124,14 @@
             self.counters.count("platform.refused")
             self.log.fault("platform_order_refused", member=order.member, status=response.status)
 
-    def _request(self, method: str, path: str, body: bytes) -> http.Answer:
+    def _request(self, method: str, path: str, body: bytes) -> http.Response:
         deadline = self.scheduler.now + RESPONSE_TIMEOUT
         if self.connection is None or not self.connection.open:
             socket = connect(self.scheduler, self.address)
             self.connection = Connection(self.scheduler, socket, MAX_BUFFER_BYTES, MAX_BUFFER_BYTES)
-        response = http.Answer(MAX_RESPONSE_BYTES)
-        http.exchange(self.connection, http.call(method, path, self.host, body), response, deadline)
-        if not response.keeps:
+        response = http.Response(MAX_RESPONSE_BYTES)
+        http.exchange(self.connection, http.encode_request(method, path, self.host, body), response, deadline)
+        if not response.keeps_alive:
             self._disconnect()
         return response
 
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -17,14 +17,14 @@
 from ..net.buffer import Buffer, Unreadable
 from ..net.clients import messages
 from ..net.connection import Connection, connect
-from ..net.messagepack import LONGEST, WIDEST, pack
+from ..net.messagepack import MAX_ITEMS, MAX_VALUE_BYTES, pack
 from ..net.scheduler import READ, Scheduler
 
 # Message types of MessagePack-RPC.
 REQUEST = 0
 RESPONSE = 1
 # Unread or unsent bytes of a connection, enough for the longest response.
-BUFFER_LIMIT = WIDEST * LONGEST + 65_536
+BUFFER_LIMIT = MAX_ITEMS * MAX_VALUE_BYTES + 65_536
 ACCEPT_BACKLOG = 1024
 ERROR_LIMIT = 400  # characters of an error text
 ACCEPT_RETRY_DELAY = 1_000  # 100 ms, after the system had no descriptors or memory left
@@ -62,8 +62,10 @@
     Raises:
         Unreadable: If it has too many parts for one response.
     """
-    parts = [value[start : start + LONGEST] for start in range(0, len(value), LONGEST)] or [b""]
-    if len(parts) > WIDEST:
+    parts = [value[start : start + MAX_VALUE_BYTES] for start in range(0, len(value), MAX_VALUE_BYTES)] or [
+        b""
+    ]
+    if len(parts) > MAX_ITEMS:
         raise Unreadable(f"{len(value)} bytes in one answer")
     return parts
 
--- a/birchslip/expect/consistency.py
+++ b/birchslip/expect/consistency.py
@@ -79,7 +79,7 @@
 
 
 def leaving(look: Look) -> Iterator[Conflict]:
-    if look.setting.deployment.drain_grace > look.sources.site.stop:
+    if look.setting.deployment.drain_grace > look.sources.site.stop_timeout:
         places = (look.config("contract.drain_grace_s"), f"{look.sources.names[0]}: stop_ms")
         yield Conflict(places, "it is stopped before its grace is over")
 
--- a/birchslip/expect/sources.py
+++ b/birchslip/expect/sources.py
@@ -19,7 +19,7 @@
 from ..errors import InvalidInputError
 from ..lab.model.layout import Layout
 from ..lab.model.world import Setting
-from ..net.site import Site, site_of
+from ..net.site import ServerConfig, parse_config
 
 KEYS = ("name", "from", "number")  # what an entry of a list is called by, where it has one
 FILES = ("config", "fleet", "world")
@@ -38,9 +38,9 @@
     names: tuple[str, str, str] = ("configuration", "fleet file", "world file")
 
     @cached_property
-    def site(self) -> Site:
+    def site(self) -> ServerConfig:
         try:
-            return site_of(self.config, {})
+            return parse_config(self.config, {})
         except InvalidInputError as trouble:
             raise InvalidInputError(f"{self.names[0]}: {trouble}") from None
 
@@ -62,9 +62,9 @@
     def setting(self) -> Setting:
         site = self.site
         made = Setting(
-            site.deployment, site.profiles, site.tenants, self.layout, self.read_fleet, name=site.name
+            site.settings, site.class_names, site.tenant_names, self.layout, self.read_fleet, name=site.name
         )
-        troubles = self.layout.trouble(site.profiles, site.tenants, list(made.sites()))
+        troubles = self.layout.trouble(site.class_names, site.tenant_names, list(made.sites()))
         if troubles:
             raise InvalidInputError(f"{self.names[2]}: {troubles[0]}")
         return made
--- a/birchslip/lab/toy.py
+++ b/birchslip/lab/toy.py
@@ -16,7 +16,7 @@
 from contextlib import suppress
 from typing import Any
 
-from ..net.messagepack import Incomplete, pack, unpack
+from ..net.messagepack import IncompleteMessageError, pack, unpack
 
 
 class Peer:
@@ -270,7 +270,7 @@
                 message, end = unpack(memoryview(self.read), 0, len(self.read))
                 self.read = self.read[end:]
                 return message
-            except Incomplete:
+            except IncompleteMessageError:
                 more = self.link.recv(65536)
                 if not more:
                     raise EOFError from None
--- a/birchslip/net/catalog.py
+++ b/birchslip/net/catalog.py
@@ -15,16 +15,19 @@
 from .log import Log
 from .scheduler import Nap, Scheduler
 
-EVERY = 10_000  # a report a second; the entry lapses three seconds after the last one
+REPORT_INTERVAL = 10_000  # a report a second; the entry lapses three seconds after the last one
 # How long a connection may take to open, and an answer to come: first short, since what hangs is tried again
 # at once, then long, for a catalog that is slow. Two hanging ones and a slow one fit before the entry lapses.
-DIALS = (3_000, 3_000, 10_000)
-ANSWERS = (5_000, 15_000)
-AGAIN, AGAIN_MOST = 1_000, 5_000  # before the next try after a missed one: 100 ms, later half a second
+CONNECT_TIMEOUTS = (3_000, 3_000, 10_000)
+RESPONSE_TIMEOUTS = (5_000, 15_000)
+MIN_RETRY_DELAY, MAX_RETRY_DELAY = (
+    1_000,
+    5_000,
+)  # before the next try after a missed one: 100 ms, later half a second
 
 
-def patient(limits: tuple[int, ...], missed: int) -> int:
-    return limits[min(missed, len(limits) - 1)]
+def timeout_after(timeouts: tuple[int, ...], missed_reports: int) -> int:
+    return timeouts[min(missed_reports, len(timeouts) - 1)]
 
 
 class Catalog:
@@ -35,85 +38,85 @@
         log: Log,
         address: tuple[str, int],
         name: str,
-        good: Callable[[], bool],
+        is_passing: Callable[[], bool],
     ) -> None:
         self.scheduler, self.counters, self.log = scheduler, counters, log
-        self.good = good
+        self.is_passing = is_passing
         self.path = f"/catalog/register/{quote(name, safe='')}"
-        self.dial: Dial | None = None  # while a connection is being opened
+        self.connection_attempt: Dial | None = None  # while a connection is being opened
         self.link: Connection | None = None
-        self.missed = 0  # since the last report that was answered
-        self.nap = Nap(scheduler)
-        self.hurried = False
-        self.move(address)
+        self.missed_reports = 0  # since the last report that was answered
+        self.report_wait = Nap(scheduler)
+        self.is_report_requested = False
+        self.change_address(address)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Reports go there from the next one on."""
         self.address, self.host = address, f"{address[0]}:{address[1]}"
-        self.drop()
-        if self.dial is not None:
-            self.dial.give_up()
+        self.close_connection()
+        if self.connection_attempt is not None:
+            self.connection_attempt.give_up()
 
     def keep_reporting(self) -> None:
         while True:
-            began = self.scheduler.now
+            started_at = self.scheduler.now
             try:
-                self.report()
+                self.send_report()
                 self.counters.count("catalog.reports")
-                self.missed, wait = 0, EVERY
-            except OSError as trouble:
+                self.missed_reports, delay = 0, REPORT_INTERVAL
+            except OSError as error:
                 self.counters.count("catalog.missed")
                 self.counters.count("catalog.malformed", self.link is not None and self.link.malformed)
-                self.log.fault("report to the catalog missed", why=str(trouble))
-                self.drop()
-                self.missed, wait = self.missed + 1, self.pause()
-            if not self.hurried:
-                self.nap.sleep(max(self.scheduler.now + AGAIN, began + wait))
-            self.hurried = False
-
-    def pause(self) -> int:
+                self.log.fault("report to the catalog missed", why=str(error))
+                self.close_connection()
+                self.missed_reports, delay = self.missed_reports + 1, self.retry_delay()
+            if not self.is_report_requested:
+                self.report_wait.sleep(max(self.scheduler.now + MIN_RETRY_DELAY, started_at + delay))
+            self.is_report_requested = False
+
+    def retry_delay(self) -> int:
         """Growing, and not the same for all: guards against a crowd at a catalog that comes back."""
-        usual = min(AGAIN_MOST, AGAIN * max(1, self.missed - 1))
-        return usual + crc32(f"{self.path} {self.missed}".encode()) % (usual // 2)
+        base_delay = min(MAX_RETRY_DELAY, MIN_RETRY_DELAY * max(1, self.missed_reports - 1))
+        return base_delay + crc32(f"{self.path} {self.missed_reports}".encode()) % (base_delay // 2)
 
-    def hurry(self) -> None:
+    def report_now(self) -> None:
         """What is reported has changed: routers need not learn of it a second later."""
-        self.hurried = True
-        self.nap.end()
+        self.is_report_requested = True
+        self.report_wait.end()
 
-    def report(self) -> None:
+    def send_report(self) -> None:
         """One report and its answer; OSError says why it was missed."""
-        if self.link is not None and self.hung_up(self.link):
-            self.drop()
+        if self.link is not None and self.is_unusable(self.link):
+            self.close_connection()
         if self.link is None:
-            self.link = self.opened()
+            self.link = self.open_connection()
         link = self.link
-        state = b'{"status":"passing"}' if self.good() else b'{"status":"critical"}'
-        answer = http.Answer()
-        limit = self.scheduler.now + patient(ANSWERS, self.missed)
-        http.exchange(link, http.call("PUT", self.path, self.host, state), answer, limit)
-        if answer.status != 204:
-            raise OSError(f"answered {answer.status}")
-        if not answer.keeps:
-            self.drop()
-
-    def opened(self) -> Connection:
-        dial = self.dial = Dial(self.scheduler, self.address)
+        body = b'{"status":"passing"}' if self.is_passing() else b'{"status":"critical"}'
+        response = http.Response()
+        deadline = self.scheduler.now + timeout_after(RESPONSE_TIMEOUTS, self.missed_reports)
+        http.exchange(link, http.encode_request("PUT", self.path, self.host, body), response, deadline)
+        if response.status != 204:
+            raise OSError(f"answered {response.status}")
+        if not response.keeps_alive:
+            self.close_connection()
+
+    def open_connection(self) -> Connection:
+        attempt = self.connection_attempt = Dial(self.scheduler, self.address)
         try:
-            sock = dial.open(patient(DIALS, self.missed))
+            sock = attempt.open(timeout_after(CONNECT_TIMEOUTS, self.missed_reports))
         finally:
-            self.dial = None
-        if dial.address != self.address:
+            self.connection_attempt = None
+        if attempt.address != self.address:
             sock.close()
             raise OSError("moved")
         return Connection(self.scheduler, sock, 131_072, 16_384)
 
-    def hung_up(self, link: Connection) -> bool:
+    def is_unusable(self, link: Connection) -> bool:
         """Whether the catalog has closed it between two reports, or has said what was not asked for."""
         link.read(lambda _: None)
         return not link.open or len(link.buffer) > 0
 
-    def drop(self) -> None:
+    def close_connection(self) -> None:
         if self.link is not None:
             self.link.close("dropped")
             self.link = None
--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -23,7 +23,7 @@
 from .connection import Connection, Pool
 from .counters import Counters
 from .log import Log
-from .messagepack import Incomplete, pack, unpack
+from .messagepack import IncompleteMessageError, pack, unpack
 from .request_context import DecodedRequest, RequestContext
 from .scheduler import READ, Scheduler
 
@@ -72,7 +72,7 @@
             while at < buffer.end:
                 message, at = unpack(view, at, buffer.end)
                 read.append(message)
-        except Incomplete:
+        except IncompleteMessageError:
             pass
         except Unreadable as why:
             trouble = str(why)
--- a/birchslip/net/http.py
+++ b/birchslip/net/http.py
@@ -5,93 +5,97 @@
 from .buffer import Buffer, Unreadable
 from .connection import Connection
 
-LONGEST = 4096  # of a line
-MOST = 64  # lines of a head
-LARGEST = 65_536  # of an answer's body that is passed over
+MAX_LINE_BYTES = 4096  # of a line
+MAX_HEAD_LINES = 64  # lines of a head
+MAX_SKIPPED_BODY_BYTES = 65_536  # of an answer's body that is passed over
 
 
-def call(verb: str, path: str, host: str, body: bytes) -> bytes:
-    head = f"{verb} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n"
+def encode_request(method: str, path: str, host: str, body: bytes) -> bytes:
+    head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-class Answer:
+class Response:
     """One answer as it comes in: `read` returns true once it is whole. Its body is passed over, or kept up to
-    `keep` bytes.
+    `max_body_bytes` bytes.
     """
 
-    def __init__(self, keep: int = 0) -> None:
-        self.keep, self.body = keep, b""
-        self.begin()
+    def __init__(self, max_body_bytes: int = 0) -> None:
+        self.max_body_bytes, self.body = max_body_bytes, b""
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         self.status = 0
-        self.keeps = True
-        self.lines = 0
-        self.left: int | None = None  # bytes of the body still to come, once the head is whole
-        self.length = 0
+        self.keeps_alive = True
+        self.head_lines = 0
+        self.remaining_bytes: int | None = None  # bytes of the body still to come, once the head is whole
+        self.content_length = 0
 
     def read(self, buffer: Buffer) -> bool:
-        while self.left is None:
-            line = buffer.line(LONGEST)
+        while self.remaining_bytes is None:
+            line = buffer.line(MAX_LINE_BYTES)
             if line is None:
                 return False
             if not line and 100 <= self.status < 200:
-                self.begin()  # the final answer is still to come
+                self.reset()  # the final answer is still to come
                 continue
-            self.lines += 1
-            if self.lines > MOST:
-                raise Unreadable(f"a head of more than {MOST} lines")
+            self.head_lines += 1
+            if self.head_lines > MAX_HEAD_LINES:
+                raise Unreadable(f"a head of more than {MAX_HEAD_LINES} lines")
             if not self.status:
-                self.status_line(line)
+                self.parse_status_line(line)
             elif line:
-                self.header(line)
+                self.parse_header(line)
             else:
-                self.left = 0 if self.status in (204, 304) else self.length
-        passed = min(self.left, len(buffer))
-        if self.keep:
-            self.body += buffer.take(passed)
+                self.remaining_bytes = 0 if self.status in (204, 304) else self.content_length
+        available = min(self.remaining_bytes, len(buffer))
+        if self.max_body_bytes:
+            self.body += buffer.take(available)
         else:
-            buffer.skip(passed)
-        self.left -= passed
-        return self.left == 0
+            buffer.skip(available)
+        self.remaining_bytes -= available
+        return self.remaining_bytes == 0
 
-    def status_line(self, line: bytes) -> None:
+    def parse_status_line(self, line: bytes) -> None:
         version, _, rest = line.partition(b" ")
         code = rest[:3]
         if version not in (b"HTTP/1.1", b"HTTP/1.0") or len(code) != 3 or not code.isdigit():
             raise Unreadable(f"not a status line: {line[:40]!r}")
-        self.status, self.keeps = int(code), version == b"HTTP/1.1"
+        self.status, self.keeps_alive = int(code), version == b"HTTP/1.1"
         if self.status < 100:
             raise Unreadable(f"no such status: {self.status}")
 
-    def header(self, line: bytes) -> None:
+    def parse_header(self, line: bytes) -> None:
         name, colon, value = line.partition(b":")
         if not colon or not name or name != name.strip():
             raise Unreadable(f"not a header: {line[:40]!r}")
         name, value = name.lower(), value.strip()
         if name == b"content-length":
-            if not value.isdigit() or len(value) > 9 or int(value) > (self.keep or LARGEST):
+            if (
+                not value.isdigit()
+                or len(value) > 9
+                or int(value) > (self.max_body_bytes or MAX_SKIPPED_BODY_BYTES)
+            ):
                 raise Unreadable(f"a length of {value[:40]!r}")
-            self.length = int(value)
+            self.content_length = int(value)
         elif name == b"transfer-encoding":
             raise Unreadable("a body in chunks")
         elif name == b"connection" and value.lower() == b"close":
-            self.keeps = False
+            self.keeps_alive = False
 
 
-def exchange(link: Connection, call: bytes, answer: Answer, limit: int) -> None:
+def exchange(link: Connection, request: bytes, response: Response, deadline: int) -> None:
     """One call and its answer on an open connection; OSError says why there was none by `limit`."""
-    link.write(call)
-    whole = False
+    link.write(request)
+    is_complete = False
 
-    def take(buffer: Buffer) -> None:
-        nonlocal whole
-        whole = answer.read(buffer)
+    def read_response(buffer: Buffer) -> None:
+        nonlocal is_complete
+        is_complete = response.read(buffer)
 
-    while not whole:
-        events = link.step(take, limit)
-        if not link.open and not whole:
+    while not is_complete:
+        events = link.step(read_response, deadline)
+        if not link.open and not is_complete:
             raise OSError(link.why)
-        if not events and link.scheduler.now >= limit:
+        if not events and link.scheduler.now >= deadline:
             raise OSError("no answer in time")
--- a/birchslip/net/messagepack.py
+++ b/birchslip/net/messagepack.py
@@ -7,17 +7,17 @@
 
 from .buffer import Unreadable
 
-DEEPEST = 8
-LONGEST = 16_384  # of a string or of bytes
-WIDEST = 64  # items of an array or a map
+MAX_DEPTH = 8
+MAX_VALUE_BYTES = 16_384  # of a string or of bytes
+MAX_ITEMS = 64  # items of an array or a map
 
 
-class Incomplete(Exception):
+class IncompleteMessageError(Exception):
     """The value goes on past what has been read."""
 
 
-ALONE = {0xC0: None, 0xC2: False, 0xC3: True}
-FIXED = {
+SINGLE_BYTE_VALUES = {0xC0: None, 0xC2: False, 0xC3: True}
+NUMBER_FORMATS = {
     0xCA: struct.Struct(">f"),
     0xCB: struct.Struct(">d"),
     0xCC: struct.Struct(">B"),
@@ -30,7 +30,7 @@
     0xD3: struct.Struct(">q"),
 }
 # type byte: (what follows the length, bytes of the length)
-SIZED = {
+SIZED_TYPES = {
     0xC4: ("bin", 1),
     0xC5: ("bin", 2),
     0xC6: ("bin", 4),
@@ -44,83 +44,83 @@
 }
 
 
-def unpack(view: memoryview, at: int, end: int, depth: int = 0) -> tuple[Any, int]:
-    """The value that begins at `at` and the place after it."""
-    if at >= end:
-        raise Incomplete
-    if depth > DEEPEST:
+def unpack(view: memoryview, offset: int, end: int, depth: int = 0) -> tuple[Any, int]:
+    """The value that begins at `offset` and the place after it."""
+    if offset >= end:
+        raise IncompleteMessageError
+    if depth > MAX_DEPTH:
         raise Unreadable("nested too deeply")
-    first = view[at]
-    at += 1
-    if first <= 0x7F:
-        return first, at
-    if first >= 0xE0:
-        return first - 256, at
-    if first <= 0x8F:
-        return unpack_map(view, at, end, first & 0x0F, depth)
-    if first <= 0x9F:
-        return unpack_array(view, at, end, first & 0x0F, depth)
-    if first <= 0xBF:
-        return unpack_text(view, at, end, first & 0x1F)
-    if first in ALONE:
-        return ALONE[first], at
-    if first in FIXED:
-        form = FIXED[first]
-        if at + form.size > end:
-            raise Incomplete
-        return form.unpack_from(view, at)[0], at + form.size
-    if first not in SIZED:
-        raise Unreadable(f"type byte {first:#04x} is not taken here")
-    what, width = SIZED[first]
-    if at + width > end:
-        raise Incomplete
-    size = int.from_bytes(view[at : at + width], "big")
-    at += width
-    if what == "array":
-        return unpack_array(view, at, end, size, depth)
-    if what == "map":
-        return unpack_map(view, at, end, size, depth)
-    if what == "str":
-        return unpack_text(view, at, end, size)
-    check_length(at, end, size)
-    return bytes(view[at : at + size]), at + size
-
-
-def check_length(at: int, end: int, size: int) -> None:
-    if size > LONGEST:
-        raise Unreadable(f"{size} bytes in one value, {LONGEST} at most")
-    if at + size > end:
-        raise Incomplete
-
-
-def unpack_text(view: memoryview, at: int, end: int, size: int) -> tuple[str, int]:
-    check_length(at, end, size)
+    type_byte = view[offset]
+    offset += 1
+    if type_byte <= 0x7F:
+        return type_byte, offset
+    if type_byte >= 0xE0:
+        return type_byte - 256, offset
+    if type_byte <= 0x8F:
+        return unpack_map(view, offset, end, type_byte & 0x0F, depth)
+    if type_byte <= 0x9F:
+        return unpack_array(view, offset, end, type_byte & 0x0F, depth)
+    if type_byte <= 0xBF:
+        return unpack_string(view, offset, end, type_byte & 0x1F)
+    if type_byte in SINGLE_BYTE_VALUES:
+        return SINGLE_BYTE_VALUES[type_byte], offset
+    if type_byte in NUMBER_FORMATS:
+        number_format = NUMBER_FORMATS[type_byte]
+        if offset + number_format.size > end:
+            raise IncompleteMessageError
+        return number_format.unpack_from(view, offset)[0], offset + number_format.size
+    if type_byte not in SIZED_TYPES:
+        raise Unreadable(f"type byte {type_byte:#04x} is not taken here")
+    kind, length_size = SIZED_TYPES[type_byte]
+    if offset + length_size > end:
+        raise IncompleteMessageError
+    size = int.from_bytes(view[offset : offset + length_size], "big")
+    offset += length_size
+    if kind == "array":
+        return unpack_array(view, offset, end, size, depth)
+    if kind == "map":
+        return unpack_map(view, offset, end, size, depth)
+    if kind == "str":
+        return unpack_string(view, offset, end, size)
+    check_length(offset, end, size)
+    return bytes(view[offset : offset + size]), offset + size
+
+
+def check_length(offset: int, end: int, size: int) -> None:
+    if size > MAX_VALUE_BYTES:
+        raise Unreadable(f"{size} bytes in one value, {MAX_VALUE_BYTES} at most")
+    if offset + size > end:
+        raise IncompleteMessageError
+
+
+def unpack_string(view: memoryview, offset: int, end: int, size: int) -> tuple[str, int]:
+    check_length(offset, end, size)
     try:
-        return str(view[at : at + size], "utf-8"), at + size
+        return str(view[offset : offset + size], "utf-8"), offset + size
     except UnicodeDecodeError:
         raise Unreadable("a string that is not UTF-8") from None
 
 
-def unpack_array(view: memoryview, at: int, end: int, count: int, depth: int) -> tuple[list[Any], int]:
-    if count > WIDEST:
-        raise Unreadable(f"{count} items in one array, {WIDEST} at most")
+def unpack_array(view: memoryview, offset: int, end: int, count: int, depth: int) -> tuple[list[Any], int]:
+    if count > MAX_ITEMS:
+        raise Unreadable(f"{count} items in one array, {MAX_ITEMS} at most")
     items = []
     for _ in range(count):
-        item, at = unpack(view, at, end, depth + 1)
+        item, offset = unpack(view, offset, end, depth + 1)
         items.append(item)
-    return items, at
+    return items, offset
 
 
-def unpack_map(view: memoryview, at: int, end: int, count: int, depth: int) -> tuple[dict[Any, Any], int]:
-    if count > WIDEST:
-        raise Unreadable(f"{count} pairs in one map, {WIDEST} at most")
+def unpack_map(view: memoryview, offset: int, end: int, count: int, depth: int) -> tuple[dict[Any, Any], int]:
+    if count > MAX_ITEMS:
+        raise Unreadable(f"{count} pairs in one map, {MAX_ITEMS} at most")
     pairs: dict[Any, Any] = {}
     for _ in range(count):
-        name, at = unpack(view, at, end, depth + 1)
-        if isinstance(name, list | dict):
+        key, offset = unpack(view, offset, end, depth + 1)
+        if isinstance(key, list | dict):
             raise Unreadable("a list or a map as the name in a map")
-        pairs[name], at = unpack(view, at, end, depth + 1)
-    return pairs, at
+        pairs[key], offset = unpack(view, offset, end, depth + 1)
+    return pairs, offset
 
 
 def pack(value: Any) -> bytes:
@@ -135,41 +135,41 @@
     elif isinstance(value, bool):
         pieces.append(b"\xc3" if value else b"\xc2")
     elif isinstance(value, int):
-        pieces.append(pack_whole(value))
+        pieces.append(pack_integer(value))
     elif isinstance(value, float):
         pieces.append(struct.pack(">Bd", 0xCB, value))
     elif isinstance(value, bytes):
-        pieces += (pack_head(len(value), None, (0xC4, 0xC5, 0xC6)), value)
+        pieces += (pack_header(len(value), None, (0xC4, 0xC5, 0xC6)), value)
     elif isinstance(value, str):
-        text = value.encode()
-        pieces += (pack_head(len(text), (0xA0, 32), (0xD9, 0xDA, 0xDB)), text)
+        encoded = value.encode()
+        pieces += (pack_header(len(encoded), (0xA0, 32), (0xD9, 0xDA, 0xDB)), encoded)
     elif isinstance(value, list | tuple):
-        pieces.append(pack_head(len(value), (0x90, 16), (None, 0xDC, 0xDD)))
+        pieces.append(pack_header(len(value), (0x90, 16), (None, 0xDC, 0xDD)))
         for item in value:
             pack_into(pieces, item)
     elif isinstance(value, dict):
-        pieces.append(pack_head(len(value), (0x80, 16), (None, 0xDE, 0xDF)))
-        for name, item in value.items():
-            pack_into(pieces, name)
+        pieces.append(pack_header(len(value), (0x80, 16), (None, 0xDE, 0xDF)))
+        for key, item in value.items():
+            pack_into(pieces, key)
             pack_into(pieces, item)
     else:
         raise TypeError(f"{type(value).__name__} has no form here")
 
 
-def pack_whole(value: int) -> bytes:
+def pack_integer(value: int) -> bytes:
     if -32 <= value <= 127:
         return (value & 0xFF).to_bytes(1, "big")
-    for first in (0xCC, 0xCD, 0xCE, 0xCF) if value > 0 else (0xD0, 0xD1, 0xD2, 0xD3):
-        form = FIXED[first]
-        if ((~value).bit_length() + 1 if value < 0 else value.bit_length()) <= form.size * 8:
-            return bytes((first,)) + form.pack(value)
+    for type_byte in (0xCC, 0xCD, 0xCE, 0xCF) if value > 0 else (0xD0, 0xD1, 0xD2, 0xD3):
+        number_format = NUMBER_FORMATS[type_byte]
+        if ((~value).bit_length() + 1 if value < 0 else value.bit_length()) <= number_format.size * 8:
+            return bytes((type_byte,)) + number_format.pack(value)
     raise OverflowError(f"{value} has no form here")
 
 
-def pack_head(size: int, short: tuple[int, int] | None, long: tuple[int | None, int, int]) -> bytes:
+def pack_header(size: int, short: tuple[int, int] | None, long: tuple[int | None, int, int]) -> bytes:
     if short is not None and size < short[1]:
         return bytes((short[0] | size,))
-    for first, width in zip(long, (1, 2, 4), strict=True):
-        if first is not None and size < 1 << (8 * width):
-            return bytes((first,)) + size.to_bytes(width, "big")
+    for type_byte, length_size in zip(long, (1, 2, 4), strict=True):
+        if type_byte is not None and size < 1 << (8 * length_size):
+            return bytes((type_byte,)) + size.to_bytes(length_size, "big")
     raise OverflowError(f"{size} items or bytes have no form here")
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -32,7 +32,7 @@
 from .request_context import IdempotencyEntry, RequestContext, RunResult
 from .scheduler import READ, Scheduler
 from .servers import Agent
-from .site import MOVING, Site, read_site
+from .site import RELOADABLE_FIELDS, ServerConfig, read_config
 from .stages.action_dispatcher import ActionDispatcher
 from .stages.admission_stage import AdmissionStage
 from .stages.downstream_caller import DownstreamCaller
@@ -102,7 +102,7 @@
 
 
 class Program:
-    def __init__(self, site: Site) -> None:
+    def __init__(self, site: ServerConfig) -> None:
         self.site = site
         self.phase = Phase.STARTING
         self.stops_at = self.last_moment = 0
@@ -111,18 +111,18 @@
         self.counters = Counters()
         scheduler, counters, log = self.scheduler, self.counters, self.log
         descriptors = min(site.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        self.bounds = bounds(site.memory, memory() << 10, descriptors)
+        self.bounds = bounds(site.memory_bytes, memory() << 10, descriptors)
         # peers
         self.clients = Clients(scheduler, counters, log, self.bounds)
-        self.agent = Agent(scheduler, counters, log, site.agent, site.gauges, self.bounds.orders)
+        self.agent = Agent(scheduler, counters, log, site.agent, site.gauge_names, self.bounds.orders)
         self.vault = Vault(scheduler, counters, log, site.vault, self.bounds.calls)
         self.catalog = Catalog(scheduler, counters, log, site.catalog, site.name, self.passing)
         # stages
         self.idempotency_table = IdempotencyTable(
-            max(profile.deadline for profile in site.deployment.request_classes)
+            max(profile.deadline for profile in site.settings.request_classes)
         )
         self.request_decoder = RequestDecoder(
-            scheduler, counters, log, site.deployment, site.profiles, site.tenants
+            scheduler, counters, log, site.settings, site.class_names, site.tenant_names
         )
         self.admission_stage = AdmissionStage(scheduler, counters, self.idempotency_table)
         self.response_recorder = ResponseRecorder(counters, log, self.idempotency_table, self.admission_stage)
@@ -163,13 +163,16 @@
         )
         self.admission_stage.on_key_mismatch = self.response_recorder.send_error
         guard = self.response_recorder.guard
-        self.agent.greeted, self.agent.wanted = self.greeted, guard(self.downstream_caller.on_call_needed)
-        self.agent.ended, self.agent.doubt = (
+        self.agent.on_handshake, self.agent.on_call_needed = (
+            self.greeted,
+            guard(self.downstream_caller.on_call_needed),
+        )
+        self.agent.on_run_ended, self.agent.on_outcome_unknown = (
             guard(self.run_dispatcher.on_run_ended),
             guard(self.run_dispatcher.mark_outcome_unknown),
         )
-        self.agent.refused = guard(self.run_dispatcher.on_launch_refused)
-        self.vault.ended = guard(self.downstream_caller.on_call_ended)
+        self.agent.on_launch_refused = guard(self.run_dispatcher.on_launch_refused)
+        self.vault.on_call_ended = guard(self.downstream_caller.on_call_ended)
         self.downstream_caller.guarded_on_timeout = guard(self.downstream_caller.on_timeout)
         self.signals, self.wakeup = socket.socketpair()
         self.companion: Companion | None = None
@@ -178,7 +181,7 @@
     def accompany(self, companion: Companion) -> None:
         """Before `run`: the fleet's side of it."""
         self.companion = companion
-        companion.on_listing_changed = self.catalog.hurry
+        companion.on_listing_changed = self.catalog.report_now
         taken = self.request_decoder.submit
 
         def seen(context: RequestContext) -> None:
@@ -195,7 +198,7 @@
         self.keeper = self.run_dispatcher.result_keeper = keeper
         keeper.set_resolution_listener(self.response_recorder.resolve_entry)
         self.idempotency_table.find_earlier = keeper.find_earlier_result
-        self.agent.stranger = keeper.complete_earlier_run
+        self.agent.on_unknown_run_ended = keeper.complete_earlier_run
         self.clients.health = keeper.health
 
     # ---- phases --------------------------------------------------------------------------------------------
@@ -215,7 +218,7 @@
         self.log.info("listening", address=f"{host}:{port}")
         self.log.info("bounds", **asdict(self.bounds))
         self.keep("signals", self.take_signals)
-        self.keep("agent", self.agent.keep_link)
+        self.keep("agent", self.agent.maintain_link)
         self.keep("catalog", self.catalog.keep_reporting)
         self.keep("listener", self.clients.accept)
         if self.keeper is not None:
@@ -255,7 +258,7 @@
         if self.phase is Phase.STARTING:
             self.move(Phase.SERVING)
             self.admission_stage.start(
-                replace(self.site.deployment, starts_cold=cold), began if cold else self.scheduler.now
+                replace(self.site.settings, starts_cold=cold), began if cold else self.scheduler.now
             )
             if self.companion is not None:
                 self.companion.driver = self.admission_stage.driver
@@ -267,14 +270,14 @@
         if self.phase in (Phase.DRAINING, Phase.SHUT):
             self.close()
             return
-        self.stops_at = end = self.scheduler.now + self.site.stop
+        self.stops_at = end = self.scheduler.now + self.site.stop_timeout
         if self.phase is Phase.STARTING:
             self.close()
             return
         self.move(Phase.DRAINING)
         self.admission_stage.start_drain(end)
         # Routers learn late that this one leaves. Turned away meanwhile, they would crowd those that stay.
-        grace_over = self.scheduler.now + self.site.deployment.drain_grace
+        grace_over = self.scheduler.now + self.site.settings.drain_grace
         self.scheduler.at(min(grace_over, end - SHUT_AHEAD), self.shut)
         self.scheduler.at(end - END_AHEAD, self.close)
 
@@ -347,19 +350,19 @@
     def reload(self) -> None:
         """The configuration is read again; one that can't be read leaves the old one in force."""
         try:
-            later = read_site(os.environ)
+            later = read_config(os.environ)
         except (InvalidInputError, OSError) as trouble:
             self.counters.count("program.not_reloaded")
             self.log.info("the configuration is left as it was", why=str(trouble))
             return
-        fixed = self.site.fixed(later)
+        fixed = self.site.changes_needing_restart(later)
         if fixed:
             self.log.info("not taken over while running", parts=",".join(fixed))
-        taken = {part: getattr(later, part) for part in MOVING}
+        taken = {part: getattr(later, part) for part in RELOADABLE_FIELDS}
         self.site = replace(self.site, **taken)
-        self.agent.move(later.agent)
-        self.vault.move(later.vault)
-        self.catalog.move(later.catalog)
+        self.agent.change_address(later.agent)
+        self.vault.change_address(later.vault)
+        self.catalog.change_address(later.catalog)
         self.counters.count("program.reloads")
         peers = {"agent": later.agent, "catalog": later.catalog, "vault": later.vault}
         named = {what: f"{where[0]}:{where[1]}" for what, where in peers.items() if where is not None}
@@ -383,7 +386,7 @@
     def tell(self, notice: ServerAction) -> None:
         match notice:
             case SetTimer(at):
-                self.scheduler.at(at - SAMPLE_AHEAD, self.agent.sample)
+                self.scheduler.at(at - SAMPLE_AHEAD, self.agent.request_gauges)
                 self.scheduler.at(at, self.tick)
             case SetHealth(good):
                 self.clients.good = good
--- a/birchslip/net/site.py
+++ b/birchslip/net/site.py
@@ -14,11 +14,11 @@
 from .bounds import SOCKETS_LEAST
 
 Address = tuple[str, int]
-MOVING = ("agent", "catalog", "vault", "stop")  # what a running program takes over
+RELOADABLE_FIELDS = ("agent", "catalog", "vault", "stop_timeout")  # what a running program takes over
 
 
 @dataclass(slots=True)
-class Site:
+class ServerConfig:
     """The program's own; the settings become a `AdmissionSettings`, and their names stay at the door."""
 
     name: str
@@ -26,97 +26,103 @@
     agent: Address
     catalog: Address
     vault: Address | None
-    stop: int
+    stop_timeout: int
     sockets: int
-    memory: int  # bytes
-    deployment: AdmissionSettings
-    profiles: list[str]
-    tenants: list[str]
-    gauges: list[str]
+    memory_bytes: int  # bytes
+    settings: AdmissionSettings
+    class_names: list[str]
+    tenant_names: list[str]
+    gauge_names: list[str]
 
-    def fixed(self, later: Site) -> list[str]:
+    def changes_needing_restart(self, later: ServerConfig) -> list[str]:
         """The parts in which a later reading differs and that stand as long as the program runs."""
-        now, then = asdict(self), asdict(later)
-        return [part for part in now if part not in MOVING and now[part] != then[part]]
+        running, reloaded = asdict(self), asdict(later)
+        return [part for part in running if part not in RELOADABLE_FIELDS and running[part] != reloaded[part]]
 
 
-def read_site(environment: Mapping[str, str]) -> Site:
+def read_config(environment: Mapping[str, str]) -> ServerConfig:
     """Malformed or OSError says what is wrong, in one line."""
     path = environment.get("PROXY_CONFIG", "")
     if not path:
         raise InvalidInputError("PROXY_CONFIG names no file")
     with open(path, encoding="utf-8") as file:
         try:
-            told = json.load(file)
-        except (ValueError, RecursionError) as trouble:
-            raise InvalidInputError(f"{path} is not JSON: {trouble}") from None
-    if not isinstance(told, dict):
+            configuration = json.load(file)
+        except (ValueError, RecursionError) as error:
+            raise InvalidInputError(f"{path} is not JSON: {error}") from None
+    if not isinstance(configuration, dict):
         raise InvalidInputError(f"{path} holds no object")
-    return site_of(told, environment)
+    return parse_config(configuration, environment)
 
 
-def site_of(told: dict[str, Any], environment: Mapping[str, str]) -> Site:
+def parse_config(configuration: dict[str, Any], environment: Mapping[str, str]) -> ServerConfig:
     """What a configuration says, once it is read."""
     for part in ("settings", "limits"):
-        if not isinstance(told.get(part, {}), dict):
+        if not isinstance(configuration.get(part, {}), dict):
             raise InvalidInputError(f"{part} is not an object")
     try:
-        setup = SettingsReader(flatten(told.get("settings", {})))
+        reader = SettingsReader(flatten(configuration.get("settings", {})))
     except RecursionError:
         raise InvalidInputError("settings are nested too deeply") from None
-    limits = told.get("limits", {})
-    sockets, memory = limits.get("sockets", 1024), limits.get("memory_mb", 192)
-    stop = told.get("stop_ms", 3000)
-    for what, value in (("limits.sockets", sockets), ("limits.memory_mb", memory), ("stop_ms", stop)):
+    limits = configuration.get("limits", {})
+    sockets, memory_mb = limits.get("sockets", 1024), limits.get("memory_mb", 192)
+    stop_ms = configuration.get("stop_ms", 3000)
+    for setting, value in (
+        ("limits.sockets", sockets),
+        ("limits.memory_mb", memory_mb),
+        ("stop_ms", stop_ms),
+    ):
         if isinstance(value, bool) or not isinstance(value, int | float) or not 1 <= value < 1e9:
-            raise InvalidInputError(f"{what} is not a number above 0: {value!r}")
+            raise InvalidInputError(f"{setting} is not a number above 0: {value!r}")
     if sockets < SOCKETS_LEAST:
         raise InvalidInputError(f"limits.sockets is under {SOCKETS_LEAST}: {sockets!r}")
-    site = Site(
-        name=environment.get("PROXY_NAME") or text(told, "name"),
-        listen=address(environment.get("PROXY_LISTEN") or text(told, "listen"), "listen", lowest=0),
-        agent=address(text(told, "agent"), "agent"),
-        catalog=address(text(told, "directory"), "directory"),
-        vault=address(text(told, "vault"), "vault") if "vault" in told else None,
-        stop=int(stop * MS),
+    config = ServerConfig(
+        name=environment.get("PROXY_NAME") or read_text(configuration, "name"),
+        listen=parse_address(
+            environment.get("PROXY_LISTEN") or read_text(configuration, "listen"), "listen", min_port=0
+        ),
+        agent=parse_address(read_text(configuration, "agent"), "agent"),
+        catalog=parse_address(read_text(configuration, "directory"), "directory"),
+        vault=parse_address(read_text(configuration, "vault"), "vault") if "vault" in configuration else None,
+        stop_timeout=int(stop_ms * MS),
         sockets=int(sockets),
-        memory=int(memory * (1 << 20)),
-        deployment=read_admission_settings(seed(told), setup),
-        profiles=setup.names("classes"),
-        tenants=setup.names("tenants"),
-        gauges=setup.text("family_info.gauges", "").split(","),
+        memory_bytes=int(memory_mb * (1 << 20)),
+        settings=read_admission_settings(parse_seed(configuration), reader),
+        class_names=reader.names("classes"),
+        tenant_names=reader.names("tenants"),
+        gauge_names=reader.text("family_info.gauges", "").split(","),
     )
-    if not all(site.profiles) or not site.profiles:
+    if not all(config.class_names) or not config.class_names:
         raise InvalidInputError("settings.classes has no names")
-    for what, names in (("classes", site.profiles), ("tenants", site.tenants)):
-        twice = next((name for place, name in enumerate(names) if name in names[:place]), None)
-        if twice is not None:
-            raise InvalidInputError(f"settings.{what} names one twice: {twice[:40]!r}")
-    return site
+    for setting, names in (("classes", config.class_names), ("tenants", config.tenant_names)):
+        duplicate = next((name for place, name in enumerate(names) if name in names[:place]), None)
+        if duplicate is not None:
+            raise InvalidInputError(f"settings.{setting} names one twice: {duplicate[:40]!r}")
+    return config
 
 
-def text(told: dict[str, Any], name: str) -> str:
-    value = told.get(name)
+def read_text(configuration: dict[str, Any], name: str) -> str:
+    value = configuration.get(name)
     if not isinstance(value, str) or not value:
         raise InvalidInputError(f"{name} is absent or not a text")
     return value
 
 
-def seed(told: dict[str, Any]) -> int:
+def parse_seed(configuration: dict[str, Any]) -> int:
     try:
-        return int(str(told.get("seed", "1")), 16)
+        return int(str(configuration.get("seed", "1")), 16)
     except ValueError:
-        raise InvalidInputError(f"seed is not hexadecimal: {told.get('seed')!r}") from None
+        raise InvalidInputError(f"seed is not hexadecimal: {configuration.get('seed')!r}") from None
 
 
-def address(value: str, what: str, lowest: int = 1) -> Address:
+def parse_address(value: str, setting: str, min_port: int = 1) -> Address:
     """HOST:PORT; where port 0 is allowed, it takes any free one."""
     host, colon, port = value.rpartition(":")
-    if not colon or not host or not port.isdecimal() or not lowest <= int(port) < 65536:
-        raise InvalidInputError(f"{what} is not HOST:PORT: {value[:60]!r}")
+    if not colon or not host or not port.isdecimal() or not min_port <= int(port) < 65536:
+        raise InvalidInputError(f"{setting} is not HOST:PORT: {value[:60]!r}")
     try:
         # A name would be looked up each time it is dialled, and all else would wait for that.
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError):
-        raise InvalidInputError(f"{what} is not an IPv4 address and a port: {value[:60]!r}") from None
+        raise InvalidInputError(f"{setting} is not an IPv4 address and a port: {value[:60]!r}") from None
     return host, int(port)
--- a/birchslip/net/stages/downstream_caller.py
+++ b/birchslip/net/stages/downstream_caller.py
@@ -37,14 +37,14 @@
         now = self.scheduler.now
         context.call_started_at = now
         context.call_timer = self.scheduler.at(now + timeout, lambda: self.guarded_on_timeout(context))
-        self.vault.ask(context, max(1, timeout // MS), context.call_body)
+        self.vault.call(context, max(1, timeout // MS), context.call_body)
 
     def skip_call(self, context: RequestContext) -> None:
         self.counters.count("relay.skipped")
-        self.agent.forgo(context)
+        self.agent.skip_call(context)
 
     def on_timeout(self, context: RequestContext) -> None:
-        self.vault.unask(context)
+        self.vault.cancel_call(context)
         self.on_call_ended(context, Outcome.TIMED_OUT, b"")
 
     def on_call_ended(self, context: RequestContext, outcome: Outcome, reply: bytes) -> None:
@@ -61,7 +61,7 @@
         if context.call_timer is not None:
             self.counters.count("relay.dropped")
             self.stop_timer(context)
-            self.vault.unask(context)
+            self.vault.cancel_call(context)
 
     @staticmethod
     def stop_timer(context: RequestContext) -> None:
--- a/birchslip/net/stages/run_dispatcher.py
+++ b/birchslip/net/stages/run_dispatcher.py
@@ -79,7 +79,7 @@
     def stop(self, context: RequestContext) -> None:
         if self.agent.runs.get(context.request_id) is context:
             self.counters.count("send.stopped")
-            self.agent.freeze(context)
+            self.agent.stop_run(context)
 
     def mark_outcome_unknown(self, context: RequestContext) -> None:
         """How its run ended can't be known any more."""
--- a/tests/hall.py
+++ b/tests/hall.py
@@ -16,7 +16,7 @@
 from birchslip.net.log import Log
 from birchslip.net.program import Program
 from birchslip.net.scheduler import Scheduler
-from birchslip.net.site import site_of
+from birchslip.net.site import parse_config
 from examples.toy import CONFIGURATION
 
 PATIENCE = 5.0
@@ -50,12 +50,12 @@
 
     def __init__(self, greets=True, most=None, **more):
         told = json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0", **more}
-        self.program = program = Program(site_of(told, {}))
+        self.program = program = Program(parse_config(told, {}))
         self.scheduler = program.scheduler
         self.time = self.scheduler.now
         self.scheduler.clock = lambda: self.time
         self.orders = []
-        program.agent.order = lambda **parts: self.orders.append(parts) or b""
+        program.agent.send_order = lambda **parts: self.orders.append(parts) or b""
         self.clients = program.clients
         if most is not None:
             self.clients.most = most
@@ -97,7 +97,7 @@
     def end(self, name, outcome, result=b"made"):
         """The agent tells how a run ended."""
         context = self.program.agent.runs.pop(name)
-        self.program.agent.ended(context, outcome, result, 10)
+        self.program.agent.on_run_ended(context, outcome, result, 10)
 
     def stop(self):
         self.clients.close_all()
--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -9,7 +9,7 @@
 from birchslip.admission.types import MS, Outcome, Request
 from birchslip.net.idempotency_table import IdempotencyTable
 from birchslip.net.request_context import RequestContext
-from birchslip.net.servers import SILENT, Agent
+from birchslip.net.servers import MAX_UNANSWERED_SAMPLES, Agent
 from birchslip.net.stages.admission_stage import AdmissionStage
 from birchslip.net.stages.downstream_caller import DownstreamCaller
 from birchslip.net.vault import Vault
@@ -32,14 +32,14 @@
         self.place, self.began = self.there(), self.time - 1000 * MS
         self.agent = Agent(*self.parts, self.place.address, ["core_use"], 1 << 20)
         self.ends = []
-        self.agent.greeted = lambda cold, began: None
-        self.agent.wanted = lambda context, number, body: None
-        self.agent.ended = lambda context, outcome, made, took: self.ends.append(
+        self.agent.on_handshake = lambda cold, began: None
+        self.agent.on_call_needed = lambda context, number, body: None
+        self.agent.on_run_ended = lambda context, outcome, made, took: self.ends.append(
             (context.request_id, outcome)
         )
-        self.agent.doubt = lambda context: self.ends.append((context.request_id, "doubt"))
-        self.agent.refused = lambda context: self.ends.append((context.request_id, "refused"))
-        self.scheduler.spawn("agent", self.agent.keep_link)
+        self.agent.on_outcome_unknown = lambda context: self.ends.append((context.request_id, "doubt"))
+        self.agent.on_launch_refused = lambda context: self.ends.append((context.request_id, "refused"))
+        self.scheduler.spawn("agent", self.agent.maintain_link)
         self.greet()
 
     def greet(self):
@@ -48,11 +48,11 @@
         self.until(lambda: self.place.said() and len(self.place.links) > links, 3000)
         assert len(self.place.links) > links, "no new link"
         self.say(line(op="greeting", end="seasoned", ms=(self.time - self.began) // MS))
-        fence = f"fence-{self.agent.fences + 1}"
+        fence = f"fence-{self.agent.fence_number + 1}"
         assert self.hears(self.place, fence.encode())
         self.say(line(op="sampled", tag=fence, values=[0.5]))
         self.passes()
-        assert self.agent.settled
+        assert self.agent.is_synchronized
 
     def say(self, raw):
         link, _ = self.place.links[-1]
@@ -68,7 +68,7 @@
 
     def ticks(self, count, answered=False):
         for _ in range(count):
-            self.agent.sample()
+            self.agent.request_gauges()
             self.passes(ms=TICK_MS)
             if answered:
                 self.say(line(op="sampled", tag="tick", values=[0.5]))
@@ -90,7 +90,7 @@
     linked.launch("a1")
     if half:
         linked.say(half)
-    linked.ticks(SILENT + 1)
+    linked.ticks(MAX_UNANSWERED_SAMPLES + 1)
     linked.greet()
     assert linked.count("agent.links") == 2
     assert linked.count("agent.silent") == 1
@@ -101,11 +101,11 @@
 
 
 def test_a_link_that_is_heard_is_kept_and_so_is_one_after_a_pause(linked):
-    linked.ticks(3 * SILENT, answered=True)
-    linked.ticks(SILENT)  # and then the answer lies unread, after a pause of any length
+    linked.ticks(3 * MAX_UNANSWERED_SAMPLES, answered=True)
+    linked.ticks(MAX_UNANSWERED_SAMPLES)  # and then the answer lies unread, after a pause of any length
     linked.say(line(op="sampled", tag="tick", values=[0.5]))
     linked.time += 600_000 * MS
-    linked.agent.sample()
+    linked.agent.request_gauges()
     linked.passes()
     assert linked.count("agent.links") == 1
     assert linked.count("agent.silent") == 0
@@ -133,7 +133,7 @@
     linked.say(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
     linked.passes()
     assert linked.ends == [("a1", Outcome.SERVED)]
-    assert linked.agent.last == 1
+    assert linked.agent.last_notice == 1
 
 
 def test_a_call_that_is_asked_for_again_gives_up_the_one_that_is_out(linked):
@@ -141,7 +141,7 @@
     vault = Vault(*linked.parts, below.address, 8)
     admission_stage = AdmissionStage(linked.scheduler, linked.parts[1], IdempotencyTable(1000))
     caller = DownstreamCaller(linked.scheduler, linked.parts[1], linked.agent, vault, admission_stage)
-    vault.ended, caller.guarded_on_timeout = caller.on_call_ended, caller.on_timeout
+    vault.on_call_ended, caller.guarded_on_timeout = caller.on_call_ended, caller.on_timeout
     context = linked.launch("a1")
     for number in (1, 2):
         caller.on_call_needed(context, number, b"ask")
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -254,7 +254,7 @@
 
 def leave(hall):
     hall.program.leave()
-    hall.passes(ms=hall.program.site.deployment.drain_grace // 10 + 1)
+    hall.passes(ms=hall.program.site.settings.drain_grace // 10 + 1)
     assert hall.program.phase in (Phase.SHUT, Phase.CLOSING, Phase.ENDED)
 
 
@@ -307,7 +307,7 @@
     listener = LateListener(hall.clients.listener, hall.address, pack([0, 1, "ping", [{}]]))
     hall.clients.listener = listener
     hall.program.leave()
-    hall.passes(count=1, ms=hall.program.site.deployment.drain_grace // 10 + 1)
+    hall.passes(count=1, ms=hall.program.site.settings.drain_grace // 10 + 1)
     hall.passes(ms=LAST_LOOK // 10)
     hall.passes(ms=LAST_LOOK // 10)
     assert hall.clients.listener is None
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -46,7 +46,7 @@
 
 def vault(clocked, place):
     one = Vault(*clocked.parts, place.address, 64)
-    one.ended = lambda context, outcome, reply: ends.append((context.request_id, outcome))
+    one.on_call_ended = lambda context, outcome, reply: ends.append((context.request_id, outcome))
     ends = one.ends = []
     return one
 
@@ -57,10 +57,10 @@
     before = opened()  # the deaf place's own
     for number in range(200):
         context = Asking(f"a{number}")
-        below.ask(context, 80, b"")
+        below.call(context, 80, b"")
         clocked.passes(count=2)
         assert opened() <= before + 1
-        below.unask(context)
+        below.cancel_call(context)
         clocked.passes(count=2)
     assert opened() == before
     assert below.ends == []
@@ -68,9 +68,9 @@
 
 def test_a_call_that_was_being_opened_is_free_at_once_when_the_vault_moves(clocked):
     below = vault(clocked, clocked.there(deaf=True))
-    below.ask(Asking("a1"), 2000, b"")
+    below.call(Asking("a1"), 2000, b"")
     clocked.passes()
-    below.move(clocked.there().address)
+    below.change_address(clocked.there().address)
     clocked.passes()
     assert below.ends == [("a1", Outcome.UNREACHABLE)]  # it never ran, and no second was lost
 
@@ -78,9 +78,9 @@
 def test_the_link_to_an_agent_that_moves_does_not_wait_for_the_old_address(clocked):
     old, new = clocked.there(deaf=True), clocked.there()
     agent = Agent(*clocked.parts, old.address, [], 1 << 20)
-    clocked.scheduler.spawn("agent", agent.keep_link)
+    clocked.scheduler.spawn("agent", agent.maintain_link)
     clocked.passes()
-    agent.move(new.address)
+    agent.change_address(new.address)
     assert clocked.hears(new, b"subscribe")
 
 
@@ -132,7 +132,7 @@
     one = Catalog(*clocked.parts, old.address, "n1", lambda: True)
     clocked.scheduler.spawn("catalog", one.keep_reporting)
     clocked.passes(count=1)
-    one.move(new.address)
+    one.change_address(new.address)
     clocked.until(lambda: b"PUT" in new.said(), 5000)
     assert b"PUT" not in old.said()
     assert b"PUT" in new.said()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -9,8 +9,8 @@
 from birchslip.net import http
 from birchslip.net.buffer import FIRST, Buffer, Unreadable
 from birchslip.net.clients import messages
-from birchslip.net.messagepack import DEEPEST, LONGEST, WIDEST, pack
-from birchslip.net.vault import reply_line
+from birchslip.net.messagepack import MAX_DEPTH, MAX_ITEMS, MAX_VALUE_BYTES, pack
+from birchslip.net.vault import parse_reply_line
 
 VALUES = [
     None,
@@ -23,11 +23,11 @@
     "a" * 31,
     "a" * 32,
     "ção" * 100,
-    "a" * LONGEST,
+    "a" * MAX_VALUE_BYTES,
     b"",
     b"x" * 255,
     b"x" * 256,
-    b"x" * LONGEST,
+    b"x" * MAX_VALUE_BYTES,
     [1, [2, [3]]],
     list(range(16)),
     {"req": "9b1f", "ts": "1"},
@@ -68,11 +68,11 @@
         (b"\xc1", "type byte 0xc1"),
         (b"\xd4\x01\x00", "type byte 0xd4"),
         (b"\xdb\x7f\xff\xff\xff", "bytes in one value"),
-        (b"\xc5" + (LONGEST + 1).to_bytes(2, "big"), "bytes in one value"),
+        (b"\xc5" + (MAX_VALUE_BYTES + 1).to_bytes(2, "big"), "bytes in one value"),
         (b"\xdd\x7f\xff\xff\xff", "items in one array"),
-        (b"\xdc" + (WIDEST + 1).to_bytes(2, "big"), "items in one array"),
+        (b"\xdc" + (MAX_ITEMS + 1).to_bytes(2, "big"), "items in one array"),
         (b"\xdf\x7f\xff\xff\xff", "pairs in one map"),
-        (b"\x91" * (DEEPEST + 2), "nested too deeply"),
+        (b"\x91" * (MAX_DEPTH + 2), "nested too deeply"),
         (b"\x81\x90\x01", "as the name in a map"),
         (b"\xa2\xff\xfe", "not UTF-8"),
     ],
@@ -139,11 +139,11 @@
 @pytest.mark.parametrize(("raw", "status", "keeps"), ANSWERS)
 def test_http_answers_cut_at_each_byte(raw, status, keeps):
     for cut in range(len(raw)):
-        buffer, answer = buffer_of(raw[:cut]), http.Answer()
+        buffer, answer = buffer_of(raw[:cut]), http.Response()
         assert not answer.read(buffer)
         buffer.feed(raw[cut:])
         assert answer.read(buffer)
-        assert (answer.status, answer.keeps) == (status, keeps)
+        assert (answer.status, answer.keeps_alive) == (status, keeps)
         assert not len(buffer)
 
 
@@ -165,7 +165,7 @@
 )
 def test_http_that_is_not_read_here(raw):
     with pytest.raises(Unreadable):
-        http.Answer().read(buffer_of(raw))
+        http.Response().read(buffer_of(raw))
 
 
 @pytest.mark.parametrize(
@@ -187,9 +187,9 @@
 def test_the_vaults_lines(line, said):
     if said is None:
         with pytest.raises(Unreadable):
-            reply_line(line)
+            parse_reply_line(line)
     else:
-        name, word, length = reply_line(line)
+        name, word, length = parse_reply_line(line)
         assert (name, word.decode(), length) == said
 
 
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -22,7 +22,7 @@
 from birchslip.net.log import Log
 from birchslip.net.program import Program
 from birchslip.net.scheduler import Scheduler
-from birchslip.net.site import read_site
+from birchslip.net.site import read_config
 from examples.toy import CONFIGURATION
 
 from .fleetdesk import SECOND, fleet, report
@@ -184,7 +184,7 @@
     path = tmp_path / "config.json"
     configuration = json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0", "name": "a-0"}
     path.write_text(json.dumps(configuration))
-    program = Program(read_site({"PROXY_CONFIG": str(path)}))
+    program = Program(read_config({"PROXY_CONFIG": str(path)}))
     faults, taken, settled = [], [], []
     program.scheduler.fault = lambda name, trouble: faults.append(name)
     program.request_decoder.submit = taken.append
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -16,7 +16,7 @@
 from birchslip.net.log import Log
 from birchslip.net.messagepack import pack
 from birchslip.net.scheduler import READ, SLICE, SWEEP, Scheduler
-from birchslip.net.vault import KEPT, STALL, Vault
+from birchslip.net.vault import MAX_IDLE_TIME, REPLY_STALL_TIMEOUT, Vault
 
 BOUNDS = bounds(192 << 20, 0, 1024)
 
@@ -309,7 +309,7 @@
         self.vault = Vault(
             world.scheduler, Counters(), Log(world.scheduler, "t"), self.listener.getsockname(), 8
         )
-        self.vault.ended = lambda context, outcome, body: self.ended.append(
+        self.vault.on_call_ended = lambda context, outcome, body: self.ended.append(
             (context.request_id, outcome, body)
         )
 
@@ -322,7 +322,7 @@
 
     def ask(self, name, link=None):
         """The call, read from its connection: a new one, or this."""
-        self.vault.ask(SimpleNamespace(request_id=name), 500, b"body")
+        self.vault.call(SimpleNamespace(request_id=name), 500, b"body")
         counts, before = self.vault.counters.counts, self.vault.counters.counts["vault.links"]
         if link is None:
             self.until(lambda: counts["vault.links"] > before)
@@ -371,16 +371,16 @@
     below = Below(world)
     below.ask(A).sendall(part)
     asked = below.vault.calls[A]
-    below.until(lambda: asked.head or len(asked.link.buffer))
-    below.until(lambda: below.ended, world.time + STALL)
+    below.until(lambda: asked.reply_head or len(asked.link.buffer))
+    below.until(lambda: below.ended, world.time + REPLY_STALL_TIMEOUT)
     assert below.ended == [(A, Outcome.CONNECTION_LOST, b"")]
 
 
 @pytest.mark.parametrize(
     ("reply", "wait", "again"),
     [
-        (yes(A, b"paid"), KEPT - 1, True),
-        (yes(A, b"paid"), KEPT, False),  # it may have been forgotten there
+        (yes(A, b"paid"), MAX_IDLE_TIME - 1, True),
+        (yes(A, b"paid"), MAX_IDLE_TIME, False),  # it may have been forgotten there
         (yes(A, b"paid") + yes(A, b"paid"), 0, False),  # it brought more than its reply
         (yes(A, b"paid") + b"x", 0, False),
     ],
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from birchslip.errors import InvalidInputError
 from birchslip.net.bounds import SOCKETS_LEAST
 from birchslip.net.clients import FIELD, LONGEST_WAIT, decode_request
-from birchslip.net.site import site_of
+from birchslip.net.site import parse_config
 from examples.toy import CONFIGURATION
 
 EXAMPLE = json.loads(CONFIGURATION.read_text())
@@ -78,7 +78,7 @@
 )
 def test_unsafe_value_is_rejected_with_its_name(path, value, message):
     with pytest.raises(InvalidInputError) as raised:
-        site_of(changed(path, value), {})
+        parse_config(changed(path, value), {})
     assert message in str(raised.value)
     assert "\n" not in str(raised.value)
 
@@ -165,7 +165,7 @@
     ],
 )
 def test_absent_or_harmless_value_gets_safe_default(path, value, read):
-    assert read(site_of(changed(path, value), {}).deployment)
+    assert read(parse_config(changed(path, value), {}).settings)
 
 
 def test_unsafe_value_on_simulator_wire_is_rejected():
--- a/tests/test_socket_wire_record.py
+++ b/tests/test_socket_wire_record.py
@@ -9,7 +9,7 @@
 from birchslip.net.clients import Client, decode_request
 from birchslip.net.messagepack import pack, unpack
 from birchslip.net.program import Program
-from birchslip.net.site import site_of
+from birchslip.net.site import parse_config
 from examples.toy import CONFIGURATION
 
 NAME = "0123456789abcdef"
@@ -62,7 +62,7 @@
 def program():
     told = json.loads(CONFIGURATION.read_text())
     told |= {"name": "n 3", "listen": "127.0.0.1:0", "agent": "127.0.0.1:1", "vault": "127.0.0.1:2"}
-    return Program(site_of(told | {"directory": "127.0.0.1:3"}, {}))
+    return Program(parse_config(told | {"directory": "127.0.0.1:3"}, {}))
 
 
 def to_agent(write):
@@ -75,13 +75,13 @@
 
 def to_vault():
     vault = program().vault
-    vault.ask(SimpleNamespace(request_id=NAME), 250, b"question")
+    vault.call(SimpleNamespace(request_id=NAME), 250, b"question")
     return vault.calls[NAME].message
 
 
 def to_catalog(state):
     catalog = program().catalog
-    return http.call("PUT", catalog.path, catalog.host, state)
+    return http.encode_request("PUT", catalog.path, catalog.host, state)
 
 
 MESSAGES = {
@@ -93,9 +93,9 @@
     "health check": lambda: to_router(lambda client: client.message([0, 12, "ping", [{}]])),
     "closing": lambda: to_router(lambda client: client.say_closing()),
     "launch": lambda: to_agent(lambda agent, run: agent.launch(run)),
-    "freeze": lambda: to_agent(lambda agent, run: agent.freeze(run)),
+    "freeze": lambda: to_agent(lambda agent, run: agent.stop_run(run)),
     "deliver": lambda: to_agent(lambda agent, run: agent.deliver(run, b"reply")),
-    "forgo": lambda: to_agent(lambda agent, run: agent.forgo(run)),
+    "forgo": lambda: to_agent(lambda agent, run: agent.skip_call(run)),
     "call": to_vault,
     "report": lambda: to_catalog(b'{"status":"passing"}'),
     "request": lambda: pack(REQUEST),
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -29,15 +29,15 @@
 from birchslip.net.idempotency_table import RETENTION_SLACK, IdempotencyTable
 from birchslip.net.program import MOVES, Phase, Program
 from birchslip.net.request_context import DecodedRequest, RequestContext, RunResult
-from birchslip.net.servers import OUTCOMES as RUN_OUTCOMES
-from birchslip.net.site import Site
+from birchslip.net.servers import RUN_OUTCOMES
+from birchslip.net.site import ServerConfig
 from birchslip.net.stages.action_dispatcher import ActionDispatcher
 from birchslip.net.stages.admission_stage import AdmissionStage
 from birchslip.net.stages.downstream_caller import DownstreamCaller
 from birchslip.net.stages.request_decoder import RequestDecoder
 from birchslip.net.stages.response_recorder import ResponseRecorder
 from birchslip.net.stages.run_dispatcher import RunDispatcher
-from birchslip.net.vault import OUTCOMES as CALL_OUTCOMES
+from birchslip.net.vault import CALL_OUTCOMES
 
 from .desk import profile
 
@@ -178,7 +178,7 @@
 def test_a_stop_goes_only_to_what_runs(pipeline):
     context = pipeline.make_context()
     pipeline.perform(context, StopRun(), StartRun(), StopRun())
-    assert pipeline.agent.said == [("launch", "a"), ("freeze",)]
+    assert pipeline.agent.said == [("launch", "a"), ("stop_run",)]
 
 
 @pytest.mark.parametrize(
@@ -198,7 +198,7 @@
     pipeline.perform(context, CallDownstream(2500))
     pipeline.clock.now += 30
     pipeline.downstream_caller.on_call_ended(context, CALL_OUTCOMES[word], b"reply")
-    assert pipeline.vault.said == [("ask", 250, b"question")]
+    assert pipeline.vault.said == [("call", 250, b"question")]
     assert pipeline.take_events() == [("a", CallNeeded()), ("a", CallEnded(outcome, 30))]
     assert (("deliver", b"reply") in pipeline.agent.said) == (outcome is Outcome.SERVED)
 
@@ -209,7 +209,7 @@
     due, action = pipeline.clock.timers[0]
     assert due == pipeline.clock.now + 2500
     action()
-    assert pipeline.vault.said[-1] == ("unask",)
+    assert pipeline.vault.said[-1] == ("cancel_call",)
     assert pipeline.take_events() == [("a", CallEnded(Outcome.TIMED_OUT, 0))]
 
 
@@ -221,14 +221,14 @@
         pipeline.perform(context, Fail(), Fail())
     else:
         pipeline.run_dispatcher.on_run_ended(context, Outcome.CANCELLED, b"", 0)
-    assert pipeline.vault.said[1:] == [("unask",)]
+    assert pipeline.vault.said[1:] == [("cancel_call",)]
 
 
 def test_a_skipped_call_names_its_notice(pipeline):
     context = pipeline.make_context()
     pipeline.downstream_caller.on_call_needed(context, 3, b"question")
     pipeline.perform(context, SkipCall())
-    assert pipeline.agent.said == [("forgo",)]
+    assert pipeline.agent.said == [("skip_call",)]
     assert context.call_notice_number == 3
 
 
@@ -244,9 +244,7 @@
 )
 def test_told_times_are_bounded(pipeline, stamp, wait, arrived, due):
     now = pipeline.clock.now
-    decoder = RequestDecoder(
-        pipeline.clock, pipeline.counters, pipeline.log, site().deployment, ["lookup"], []
-    )
+    decoder = RequestDecoder(pipeline.clock, pipeline.counters, pipeline.log, site().settings, ["lookup"], [])
     decoder.is_id_in_use = lambda name: False
     told = DecodedRequest("a" * 16, "lookup", b"", now + stamp, wait, 1, "", 100, False, "")
     context = decoder.build_context(RecordingPeer(), 7, told)
@@ -460,7 +458,7 @@
         lambda notice: None,
         pipeline.response_recorder.handle_fault,
     )
-    pipeline.admission_stage.start(site().deployment, pipeline.clock.now)
+    pipeline.admission_stage.start(site().settings, pipeline.clock.now)
     for context in contexts:
         pipeline.admission_stage.submit(context)
     pipeline.admission_stage.process_pending()
@@ -471,7 +469,9 @@
 def site():
     here = ("127.0.0.1", 1)
     deployment = AdmissionSettings([IDEMPOTENT], cores=2)
-    return Site("t", here, here, here, None, 3 * SECOND, 64, 192 << 20, deployment, ["lookup"], [], [])
+    return ServerConfig(
+        "t", here, here, here, None, 3 * SECOND, 64, 192 << 20, deployment, ["lookup"], [], []
+    )
 
 
 @pytest.mark.parametrize("phase", Phase)
