--- a/birchslip/net/stages/run_dispatcher.py
+++ b/birchslip/net/stages/run_dispatcher.py
@@ -102,7 +102,7 @@
         """Stop the run of a request, if it runs."""
         if self.agent.runs.get(context.request_id) is context:
             self.counters.count("send.stopped")
-            self.agent.freeze(context)
+            self.agent.stop_run(context)
 
     def mark_outcome_unknown(self, context: RequestContext) -> None:
         """End a run whose outcome can't be determined any more; it counts as cancelled."""
--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -10,7 +10,7 @@
 from birchslip.admission.types import MS, Outcome, Request
 from birchslip.net.idempotency_table import IdempotencyTable
 from birchslip.net.request_context import RequestContext
-from birchslip.net.servers import SILENT, Agent
+from birchslip.net.servers import MAX_UNANSWERED_SAMPLES, Agent
 from birchslip.net.stages.admission_stage import AdmissionStage
 from birchslip.net.stages.downstream_caller import DownstreamCaller
 from birchslip.net.vault import Vault
@@ -33,14 +33,14 @@
         self.place, self.agent_started_at = self.there(), self.time - 1000 * MS
         self.agent = Agent(*self.parts, self.place.address, ["core_use"], 1 << 20)
         self.ends = []
-        self.agent.greeted = lambda cold, began: None
-        self.agent.wanted = lambda context, number, body: None
-        self.agent.ended = lambda context, outcome, body, elapsed: self.ends.append(
+        self.agent.on_handshake = lambda cold, began: None
+        self.agent.on_call_needed = lambda context, number, body: None
+        self.agent.on_run_ended = lambda context, outcome, body, elapsed: self.ends.append(
             (context.request_id, outcome)
         )
-        self.agent.doubt = lambda context: self.ends.append((context.request_id, "doubt"))
-        self.agent.refused = lambda context: self.ends.append((context.request_id, "refused"))
-        self.scheduler.spawn("agent", self.agent.keep_link)
+        self.agent.on_outcome_unknown = lambda context: self.ends.append((context.request_id, "doubt"))
+        self.agent.on_launch_refused = lambda context: self.ends.append((context.request_id, "refused"))
+        self.scheduler.spawn("agent", self.agent.maintain_link)
         self.greet()
 
     def greet(self):
@@ -49,11 +49,11 @@
         self.until(lambda: self.place.said() and len(self.place.links) > links, 3000)
         assert len(self.place.links) > links, "no new link"
         self.send_line(line(op="greeting", end="seasoned", ms=(self.time - self.agent_started_at) // MS))
-        fence = f"fence-{self.agent.fences + 1}"
+        fence = f"fence-{self.agent.fence_number + 1}"
         assert self.hears(self.place, fence.encode())
         self.send_line(line(op="sampled", tag=fence, values=[0.5]))
         self.passes()
-        assert self.agent.settled
+        assert self.agent.is_synchronized
 
     def send_line(self, raw):
         link, _ = self.place.links[-1]
@@ -69,7 +69,7 @@
 
     def sample_repeatedly(self, count, answered=False):
         for _ in range(count):
-            self.agent.sample()
+            self.agent.request_gauges()
             self.passes(ms=TICK_MS)
             if answered:
                 self.send_line(line(op="sampled", tag="tick", values=[0.5]))
@@ -91,7 +91,7 @@
     linked.launch("a1")
     if partial_line:
         linked.send_line(partial_line)
-    linked.sample_repeatedly(SILENT + 1)
+    linked.sample_repeatedly(MAX_UNANSWERED_SAMPLES + 1)
     linked.greet()
     assert linked.count("agent.links") == 2
     assert linked.count("agent.silent") == 1
@@ -102,11 +102,11 @@
 
 
 def test_keeps_link_that_answers_and_link_after_process_pause(linked):
-    linked.sample_repeatedly(3 * SILENT, answered=True)
-    linked.sample_repeatedly(SILENT)  # the answer lies unread while the process is paused
+    linked.sample_repeatedly(3 * MAX_UNANSWERED_SAMPLES, answered=True)
+    linked.sample_repeatedly(MAX_UNANSWERED_SAMPLES)  # the answer lies unread while the process is paused
     linked.send_line(line(op="sampled", tag="tick", values=[0.5]))
     linked.time += 600_000 * MS
-    linked.agent.sample()
+    linked.agent.request_gauges()
     linked.passes()
     assert linked.count("agent.links") == 1
     assert linked.count("agent.silent") == 0
@@ -134,7 +134,7 @@
     linked.send_line(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
     linked.passes()
     assert linked.ends == [("a1", Outcome.SERVED)]
-    assert linked.agent.last == 1
+    assert linked.agent.last_notice == 1
 
 
 def test_second_call_notice_cancels_call_in_progress(linked):
@@ -142,7 +142,7 @@
     vault = Vault(*linked.parts, vault_server.address, 8)
     admission_stage = AdmissionStage(linked.scheduler, linked.parts[1], IdempotencyTable(1000))
     caller = DownstreamCaller(linked.scheduler, linked.parts[1], linked.agent, vault, admission_stage)
-    vault.ended, caller.guarded_on_timeout = caller.on_call_ended, caller.on_timeout
+    vault.on_call_ended, caller.guarded_on_timeout = caller.on_call_ended, caller.on_timeout
     context = linked.launch("a1")
     for number in (1, 2):
         caller.on_call_needed(context, number, b"ask")
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -29,15 +29,15 @@
 from birchslip.net.idempotency_table import RETENTION_SLACK, IdempotencyTable
 from birchslip.net.program import PHASE_TRANSITIONS, Phase, Program
 from birchslip.net.request_context import DecodedRequest, RequestContext, RunResult
-from birchslip.net.servers import OUTCOMES as RUN_OUTCOMES
-from birchslip.net.site import Site
+from birchslip.net.servers import RUN_OUTCOMES
+from birchslip.net.site import ServerConfig
 from birchslip.net.stages.action_dispatcher import ActionDispatcher
 from birchslip.net.stages.admission_stage import AdmissionStage
 from birchslip.net.stages.downstream_caller import DownstreamCaller
 from birchslip.net.stages.request_decoder import RequestDecoder
 from birchslip.net.stages.response_recorder import ResponseRecorder
 from birchslip.net.stages.run_dispatcher import RunDispatcher
-from birchslip.net.vault import OUTCOMES as CALL_OUTCOMES
+from birchslip.net.vault import CALL_OUTCOMES
 
 from .desk import profile
 
@@ -178,7 +178,7 @@
 def test_stop_is_sent_only_for_launched_run(pipeline):
     context = pipeline.make_context()
     pipeline.perform(context, StopRun(), StartRun(), StopRun())
-    assert pipeline.agent.calls == [("launch", "a"), ("freeze",)]
+    assert pipeline.agent.calls == [("launch", "a"), ("stop_run",)]
 
 
 @pytest.mark.parametrize(
@@ -198,7 +198,7 @@
     pipeline.perform(context, CallDownstream(2500))
     pipeline.clock.now += 30
     pipeline.downstream_caller.on_call_ended(context, CALL_OUTCOMES[word], b"reply")
-    assert pipeline.vault.calls == [("ask", 250, b"question")]
+    assert pipeline.vault.calls == [("call", 250, b"question")]
     assert pipeline.take_events() == [("a", CallNeeded()), ("a", CallEnded(outcome, 30))]
     assert (("deliver", b"reply") in pipeline.agent.calls) == (outcome is Outcome.SERVED)
 
@@ -209,7 +209,7 @@
     due_at, action = pipeline.clock.timers[0]
     assert due_at == pipeline.clock.now + 2500
     action()
-    assert pipeline.vault.calls[-1] == ("unask",)
+    assert pipeline.vault.calls[-1] == ("cancel_call",)
     assert pipeline.take_events() == [("a", CallEnded(Outcome.TIMED_OUT, 0))]
 
 
@@ -221,14 +221,14 @@
         pipeline.perform(context, Fail(), Fail())
     else:
         pipeline.run_dispatcher.on_run_ended(context, Outcome.CANCELLED, b"", 0)
-    assert pipeline.vault.calls[1:] == [("unask",)]
+    assert pipeline.vault.calls[1:] == [("cancel_call",)]
 
 
 def test_skipped_call_refers_to_its_notice(pipeline):
     context = pipeline.make_context()
     pipeline.downstream_caller.on_call_needed(context, 3, b"question")
     pipeline.perform(context, SkipCall())
-    assert pipeline.agent.calls == [("forgo",)]
+    assert pipeline.agent.calls == [("skip_call",)]
     assert context.call_notice_number == 3
 
 
@@ -246,9 +246,7 @@
     pipeline, timestamp, timeout, arrived_at, deadline
 ):
     now = pipeline.clock.now
-    decoder = RequestDecoder(
-        pipeline.clock, pipeline.counters, pipeline.log, site().deployment, ["lookup"], []
-    )
+    decoder = RequestDecoder(pipeline.clock, pipeline.counters, pipeline.log, site().settings, ["lookup"], [])
     decoder.is_id_in_use = lambda name: False
     decoded = DecodedRequest("a" * 16, "lookup", b"", now + timestamp, timeout, 1, "", 100, False, "")
     context = decoder.build_context(RecordingPeer(), 7, decoded)
@@ -460,7 +458,7 @@
         lambda notice: None,
         pipeline.response_recorder.handle_fault,
     )
-    pipeline.admission_stage.start(site().deployment, pipeline.clock.now)
+    pipeline.admission_stage.start(site().settings, pipeline.clock.now)
     for context in contexts:
         pipeline.admission_stage.submit(context)
     pipeline.admission_stage.process_pending()
@@ -471,7 +469,9 @@
 def site():
     here = ("127.0.0.1", 1)
     deployment = AdmissionSettings([IDEMPOTENT], cores=2)
-    return Site("t", here, here, here, None, 3 * SECOND, 64, 192 << 20, deployment, ["lookup"], [], [])
+    return ServerConfig(
+        "t", here, here, here, None, 3 * SECOND, 64, 192 << 20, deployment, ["lookup"], [], []
+    )
 
 
 @pytest.mark.parametrize("phase", Phase)
