--- a/birchslip/admission/concurrency_limit.py
+++ b/birchslip/admission/concurrency_limit.py
@@ -60,7 +60,8 @@
         """Return whether one more request may start.
 
         All started requests, including those in calls downstream, may need a core at the same time. Their
-        number is therefore bounded by the overload threshold, and more tightly while the cores are busy.
+        number is therefore bounded by the overload threshold. A tighter bound applies only while the cores
+        are busy: while they have room, the calls are the bottleneck.
         """
         if self.is_reached:
             return False
@@ -78,7 +79,10 @@
         return (1 + (settings.overload_multiple - 1) * speed) * settings.cores
 
     def throughput(self) -> float:
-        """Return the runs per second at the limit and the mean service time; 0 while that is unknown."""
+        """Return how many runs per second the limit allows.
+
+        It assumes that each run takes the mean service time; the result is 0 while the mean is unknown.
+        """
         mean = self.times.overall.mean
         return self.limit * SECOND / mean if mean else 0.0
 
--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -133,7 +133,10 @@
         request.latency_deadline = min(request.deadline, due_at)
 
     def _attach(self, request: Request) -> Steps:
-        """Answer a repeat with the outcome of its original, so that the effect happens only once."""
+        """Answer a repeat with the outcome of its original, which is queued, running or has run.
+
+        The effect of the request thus happens only once.
+        """
         if not self.memory.has_room_attached(request):
             yield Fail()
             return
@@ -263,7 +266,11 @@
         return is_idempotent and self.settings.preemption is not Preemption.OFF
 
     def _record_run(self, request: Request, ended: RunEnded) -> None:
-        """Record an ended run; a stopped run counts as completed only for the core time that it used."""
+        """Record the core time of an ended run, without its calls downstream.
+
+        A run that was stopped or lost counts as completed only for the core time that it used,
+        and for no more than the typical one.
+        """
         typical = self.times.typical(request)
         if ended.outcome not in (Outcome.SERVED, Outcome.FAILED):
             self.health.record_completed(min(request.core_time_used, ceil(typical)))
@@ -301,7 +308,7 @@
         self._adjust_criticality()
 
     def _log_saturation(self) -> None:
-        """Log that quotas bind, at most once per quota window."""
+        """Log that quotas bind because the queue is saturated, at most once per quota window."""
         if self.now - self.saturation_logged_at >= WINDOW_SPAN:
             self.saturation_logged_at = self.now
             self._log(QuotasBind(len(self.queue.entries), len(self.limit.running)))
@@ -374,7 +381,10 @@
         )
 
     def settle(self) -> Iterator[WakeUp]:
-        """Yield the requests to resume after a batch: overdue requests first, then calls, then starts."""
+        """Yield the requests to resume after a batch.
+
+        Overdue requests come first, then those that are dropped from the queue, then calls, then starts.
+        """
         now = self.now
         yield from self._overdue()
         is_sweep_due = self.queue.is_sweep_due(now)
--- a/birchslip/admission/deadlines.py
+++ b/birchslip/admission/deadlines.py
@@ -35,7 +35,7 @@
         self.ends_at: int | None = None
 
     def begin_drain(self, now: int, grace: int, ends_at: int) -> None:
-        """Stop admission after `grace`, and make all requests overdue shortly before `ends_at`."""
+        """Admit only requests that arrive within `grace`, and make all overdue shortly before `ends_at`."""
         self.admits_until = now + grace
         self.ends_at = ends_at
 
--- a/birchslip/admission/downstream.py
+++ b/birchslip/admission/downstream.py
@@ -1,7 +1,7 @@
 """Pacing, limits and retries of calls to the downstream service.
 
 This module owns the queue of requests that wait for a call, the count of calls in flight and the measured
-call times. An abandoned call occupies the downstream quota until its linger time is over.
+call times. An abandoned call counts against the limit of calls in flight until its linger time is over.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 CALL_WINDOW_COUNT = 10
 CALL_WINDOW = 200 * MS
 MIN_QUOTA = 0.01
-MIN_QUOTA_SHARE = 0.33  # kept however slow calls are, as their number need not be the cause
+MIN_QUOTA_SHARE = 0.33  # kept however slow calls are, by themselves or because of their number
 CALL_TIMES_TO_FIT = 2.0  # recent call times that must fit for a skippable call, as call times vary
 REJECTED_CALL_TIMES = 2  # minimum duration recorded for a failed call, in recent call times
 MIN_TIMEOUT = 1 * MS
@@ -79,7 +79,7 @@
         self.recent_sum = WindowedCounter(CALL_WINDOW_COUNT, CALL_WINDOW)
         self.recent_count = WindowedCounter(CALL_WINDOW_COUNT, CALL_WINDOW)
         self.recent_time = 0.0
-        self.expected_limit = 1.0  # concurrency at the last timer
+        self.expected_limit = 1.0  # result of `concurrency` at the last timer
 
     def enqueue(self, request: Request) -> CallEntry:
         """Queue a request for its call; returns the entry to pass to `remove`."""
@@ -111,7 +111,7 @@
             heapq.heappush(self.lingering, now + linger)
             duration += linger
         elif event.outcome is not Outcome.SERVED:
-            # A rejected or lost call indicates an overloaded service, however quickly it ended.
+            # A rejected or lost call indicates a failing or overloaded service, however quickly it ended.
             duration = max(duration, ceil(REJECTED_CALL_TIMES * self.recent_time))
         self.call_times.add(now, duration)
         self.recent_sum.add(now, duration)
@@ -148,8 +148,9 @@
     def next_calls(self, now: int) -> Iterator[WakeUp]:
         """Yield the requests that may call, paced by the recent call time, and those whose wait expires.
 
-        A wait expires if a skippable call can't be completed in time, or if the latency deadline has passed
-        and a late answer has no value.
+        A wait expires if a skippable call can't be completed in time: the run then continues without it, and
+        its answer keeps a part of its value. It also expires if the latency deadline has passed and a late
+        answer has no value.
         """
         while self.lingering and self.lingering[0] <= now:
             heapq.heappop(self.lingering)
--- a/birchslip/admission/driver.py
+++ b/birchslip/admission/driver.py
@@ -115,7 +115,10 @@
         return self.controller.metrics()
 
     def settle(self) -> None:
-        """Resume the requests that the controller selects after a batch, one at a time."""
+        """End a batch: resume the requests that the controller selects, then perform its server actions.
+
+        Requests are resumed one at a time, because each may change which one the controller selects next.
+        """
         for request, event in self.controller.settle():
             self.deliver(request, event)
         self._perform_server_actions()
--- a/birchslip/admission/health.py
+++ b/birchslip/admission/health.py
@@ -1,7 +1,7 @@
 """The slowdown of runs and the health of the app server.
 
-This module owns the windows of core time spent and completed. They advance with core time and not with the
-clock, so that a slow period is not forgotten while few requests run.
+This module owns the windows of core time spent and completed. They advance with the core time spent as well
+as with the clock, so that a slow period is forgotten only slowly while few requests run.
 """
 
 from __future__ import annotations
@@ -15,7 +15,9 @@
 
 CORE_TIME_WINDOW_COUNT = 10
 CORE_TIME_WINDOW_PER_CORE = 200 * MS
-HEALTH_PRIOR_RUNS = 2  # typical runs assumed before there are measurements
+# Mean runs that are added to both the core time spent and the core time completed, so that a few measurements
+# do not decide alone.
+HEALTH_PRIOR_RUNS = 2
 SLOWDOWN_PRIOR_RUNS = 6
 MIN_RUNS_PER_CORE = 3
 UNHEALTHY_STALL_RATIO = 4.0
--- a/birchslip/admission/idle_connections.py
+++ b/birchslip/admission/idle_connections.py
@@ -73,7 +73,7 @@
 
 
 class IdleConnections:
-    """Chooses the idle timeout."""
+    """Chooses when idle connections are closed, and detects the overload in which they stay open."""
 
     def __init__(
         self, settings: AdmissionSettings, limit: ConcurrencyLimit, stats: RejectionStats, now: int
--- a/birchslip/admission/memory_budget.py
+++ b/birchslip/admission/memory_budget.py
@@ -13,7 +13,7 @@
 from .quota import Quotas
 from .types import AdmissionSettings, Idempotency, Request
 
-MEMORY_SHARE = 0.9  # of the memory limit
+MEMORY_SHARE = 0.9  # of the memory limit, beyond which the app server does not survive
 
 
 class KeyEntry(NamedTuple):
--- a/birchslip/admission/plan_override.py
+++ b/birchslip/admission/plan_override.py
@@ -1,6 +1,7 @@
 """The fleet plan that applies to this app server, and how it fades once it is no longer renewed.
 
-This module owns the current plan and its weight. The modules that own quotas and limits read them from here.
+This module owns the current plan and its weight. It changes no quota and no limit itself: the modules that
+own quotas and limits read the plan and its weight from here.
 """
 
 from __future__ import annotations
--- a/birchslip/admission/quota.py
+++ b/birchslip/admission/quota.py
@@ -62,7 +62,7 @@
         return self.delay(meter, now) if is_saturated and is_known else 0
 
     def uncount(self, request: Request, now: int) -> None:
-        """Uncount a request that never ran.
+        """Subtract a request that never ran from the admitted amount of its meter.
 
         Otherwise a caller that keeps sending would use up its quota with rejected requests alone.
         """
@@ -80,11 +80,12 @@
         return meter.delay(now, self.quota(meter, now))
 
     def quota(self, meter: QuotaMeter, now: int) -> float:
-        """Return the quota of a meter per second: the configured one, or twice an even share of served bytes.
+        """Return the quota of a meter: requests per second if it is configured, otherwise bytes per second.
 
-        It is at least an even share of what the concurrency limit can serve, and an even share is at least
-        one request. A derived quota is 0, which means none, if nothing was served: then the cores are stuck,
-        and no caller is the cause.
+        A derived quota is twice an even share of the served bytes, and such a share is at least one request.
+        Derived and configured quotas are at least an even share of what the concurrency limit can serve,
+        unless a plan sets the quota. A derived quota is 0, which means none, if nothing was served: then the
+        cores are stuck, and no caller is the cause. The quota of evacuated callers rises as the plan fades.
         """
         throughput = self.limit.throughput()
         if meter is self.evacuated:
@@ -98,7 +99,12 @@
         return max(derived, throughput / served_count) * served / max(1, callers)
 
     def _configured_quota(self, meter: QuotaMeter, throughput: float, now: int) -> float:
-        """Return a tenant's quota per second; it moves to the planned quota with the weight of the plan."""
+        """Return a tenant's quota in requests per second.
+
+        Usually it is the configured quota, but at least an even share of the throughput among active tenants.
+        If the plan sets a quota, the result lies between the usual and the planned quota, and moves to the
+        planned one with the weight of the plan.
+        """
         active = max(1, sum(1 for other in self.tenants.values() if other.admitted.total(now) > 0))
         usual = max(meter.configured_quota, throughput / active)
         if not meter.planned_quota:
--- a/birchslip/admission/rejection.py
+++ b/birchslip/admission/rejection.py
@@ -17,7 +17,8 @@
 from .rejection_stats import RejectionStats
 from .types import AdmissionSettings, Reject, Request
 
-RETRY_ELSEWHERE_SLOWDOWN = 2.0  # from this slowdown on, a retry on another app server is allowed
+# From this slowdown on, a retry on another app server is allowed even if the conditions against it are met.
+RETRY_ELSEWHERE_SLOWDOWN = 2.0
 MIN_JITTER = 0.75  # factor on Retry-After; the highest is 1.25
 RANDOM_FACTOR = 6364136223846793005  # Knuth's MMIX linear congruential generator
 RANDOM_INCREMENT = 1442695040888963407
--- a/birchslip/admission/settings.py
+++ b/birchslip/admission/settings.py
@@ -130,7 +130,11 @@
 
 
 def flatten(settings: object, path: str = "") -> Iterable[tuple[str, str]]:
-    """Yield nested JSON as pairs: paths are dotted, lists of objects get a count, plain lists are joined."""
+    """Yield nested JSON as pairs of a dotted path and a text.
+
+    A list of objects becomes its length at `PATH.count` and its items at `PATH.0`, `PATH.1` and so on. The
+    items of any other list are joined by commas.
+    """
     if isinstance(settings, dict):
         for name, value in settings.items():
             yield from flatten(value, f"{path}.{name}" if path else str(name))
@@ -187,7 +191,7 @@
 
 
 def _with_callers(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
-    """Read the settings about callers: their number and the signals that they react to."""
+    """Return a copy of the settings with those about callers: their number, and what is sent to them."""
     max_retry_after = reader.number("ceilings.max_retry_after_s", 0.0)
     keepalive = reader.number("family_info.keepalive_max_s", settings.keepalive_timeout / SECOND)
     return replace(
@@ -201,7 +205,7 @@
 
 
 def _with_downstream(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
-    """Read the settings of the downstream service; only a shared service has a quota."""
+    """Return a copy of the settings with those of the downstream service; only a shared one has a quota."""
     downstream = reader.choice("family_info.downstream", DOWNSTREAM_BY_NAME, "off")
     quota = settings.downstream_quota
     window = settings.downstream_quota_window / SECOND
@@ -220,7 +224,7 @@
 
 
 def _with_resources(reader: SettingsReader, settings: AdmissionSettings) -> AdmissionSettings:
-    """Read the settings about resources, overload, start and drain of the app server."""
+    """Return a copy of the settings with those about cores, memory, runs, fleet size, start and drain."""
     memory = reader.bounded("family_info.mem_limit_kb", settings.memory_limit / BYTES_PER_KB)
     # With an unknown way to stop runs, no run is stopped.
     preemption = PREEMPTION_BY_HALT.get(reader.text("family_info.halt", "off"), Preemption.OFF)
--- a/birchslip/admission/types.py
+++ b/birchslip/admission/types.py
@@ -18,7 +18,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may run more than once: always, once per idempotency key, or never."""
+    """How often a request may run: any number of times, once per idempotency key, or at most once."""
 
     IDEMPOTENT = "idempotent"
     KEYED = "keyed"
@@ -67,7 +67,13 @@
 
 @dataclass(eq=False, slots=True)
 class AdmissionSettings:
-    """Settings of an app server at its start; the defaults apply to absent settings."""
+    """Settings of an app server at its start; the defaults apply to absent settings.
+
+    The app server survives `overload_multiple` running requests per core. After a cold start it survives
+    fewer: of those beyond one per core, the share `cold_start_speed`, which rises to 1 over `warm_up_span`.
+    An abandoned call counts as in flight for `abandoned_call_linger`. A `caller_count` of 0 means that the
+    number of callers is unknown.
+    """
 
     request_classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
@@ -117,6 +123,10 @@
 class Request:
     """One request as it was read; the fields from `state` on are set by the decisions.
 
+    `arrived_at` is when the request was received, which may be long before it was read. On sockets this is
+    the router's timestamp, bounded: it is never longer ago than the deadline of the class, or a single wrong
+    timestamp would look like a backlog. `RequestContext.received_at` is the time without that bound.
+
     `context` holds the server's own data of the request; it is dropped together with `steps` once the request
     is over.
     """
@@ -204,7 +214,7 @@
 
 @dataclass(slots=True)
 class WaitExpired:
-    """The request can't be answered in time, or its deadline has passed."""
+    """The request can't be answered in time any more, or has to be answered now."""
 
 
 Event = RunEnded | CallNeeded | CallEnded | CallerGone | TurnGranted | WaitExpired
@@ -365,6 +375,6 @@
 
 @dataclass(slots=True)
 class Gauges:
-    """Gauges of the app server; None for a gauge that it does not have."""
+    """Gauges of the app server, from 0 to 1; None for a gauge that it does not have."""
 
     core_utilization: float | None = None
--- a/birchslip/simulator/codec.py
+++ b/birchslip/simulator/codec.py
@@ -172,14 +172,14 @@
 
 
 def decode_outcome(text: str) -> Outcome:
-    """Read how a run or a call ended."""
+    """Read how a run or a call ended; raises `InvalidInputError` for an unknown outcome."""
     if text not in OUTCOMES:
         raise InvalidInputError(f"unknown outcome: {text[:40]!r}")
     return OUTCOMES[text]
 
 
 def decode_gauges(text: str) -> Gauges:
-    """Read the gauges of a tick."""
+    """Read the gauges of a `wakeup` line: pairs `NAME:NUMBER`, separated by commas."""
     values: dict[str, float] = {}
     if not is_absent(text):
         for pair in text.split(","):
@@ -189,7 +189,7 @@
 
 
 def encode_seconds(time: int) -> str:
-    """Encode a time or span in seconds."""
+    """Encode a time or span in seconds; four decimals keep it exact."""
     return f"{time / SECOND:.4f}"
 
 
--- a/birchslip/simulator/host.py
+++ b/birchslip/simulator/host.py
@@ -23,7 +23,7 @@
 
 END_OF_BATCH = "go"
 END_OF_REPLY = "ack"
-START_HEADER_PARTS = 2
+START_HEADER_PARTS = 2  # parts of a `hello` line before its settings
 GAUGES_INDEX = 2
 
 
@@ -174,6 +174,7 @@
             self.servers[server_id].driver.advance_clock(self.now)
 
     def _settle(self, server_id: int) -> list[str]:
+        """End the batch of one app server; returns its reply lines, then the `crash` lines of its errors."""
         errors = self.replies[server_id]
         if server_id not in self.servers:
             return errors
