--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -28,7 +28,7 @@
     assert desk.action_names(later) == []
 
 
-# measured for a whole window; too early; too early, but configured; cores not busy
+# cases: measured for a whole window; not yet measured; not yet measured, but configured; cores not busy
 @pytest.mark.parametrize(
     ("now_ms", "cpu", "quota", "binds"),
     [(12_000, 1, 0, True), (3_000, 1, 0, False), (3_000, 1, 1.0, True), (12_000, 0.5, 1.0, False)],
@@ -373,7 +373,10 @@
 
 
 def run_with_hints(desk, error):
-    """Run requests whose cost hints are off by a factor of up to `error`; returns the time in ms."""
+    """Run requests whose cost hints are off by a factor of up to `error` in either direction.
+
+    Returns the time in ms at the end.
+    """
     now_ms = 0
     for run in range(60):
         run_time = 200 * 4 ** (run % 2)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -186,9 +186,9 @@
 
 
 def test_reads_long_tenant_name_and_absent_timeout():
-    told = decode_request("lookup", [FIELDS, b""])
-    assert told.tenant == "o" * 100
-    assert told.timeout == 50
+    decoded = decode_request("lookup", [FIELDS, b""])
+    assert decoded.tenant == "o" * 100
+    assert decoded.timeout == 50
     del FIELDS["timeout"]
     assert decode_request("lookup", [FIELDS, b""]).timeout == MAX_TIMEOUT_MS * 10
     with pytest.raises(InvalidInputError):
