--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -20,7 +20,8 @@
         pending: The newest plan.
         pending_since: When the newest plan was made, in tenths of a millisecond.
         published: The plan that members receive.
-        published_levels: Serving fraction of each site's cores when the plan was published, by site.
+        published_serving_fractions: Fraction of each site's cores that members may use under the published
+            plan, by site; as of its publication.
     """
 
     def __init__(self) -> None:
@@ -28,17 +29,17 @@
         self.pending = SitePlan()
         self.pending_since = 0
         self.published = SitePlan()
-        self.published_levels: dict[str, float] = {}
+        self.published_serving_fractions: dict[str, float] = {}
 
     def replan(self, fleet: Fleet, capacities: list[SiteCapacity], now: int) -> None:
         """Makes a new pending plan from the measured capacities and loads."""
         self.pending_since = now
         self.pending = plan_sites(capacities, fleet.tenant_shares, fleet.link_costs, fleet.shedding_order)
 
-    def publish(self, levels: dict[str, float]) -> None:
-        """Publishes the pending plan with the current serving fractions of the sites."""
+    def publish(self, serving_fractions: dict[str, float]) -> None:
+        """Publishes the pending plan with the current serving fraction of each site."""
         self.published = self.pending
-        self.published_levels = levels
+        self.published_serving_fractions = serving_fractions
 
     def assignment(
         self, fleet: Fleet, site_of_member: Mapping[str, str], name: str, term: int, number: int
@@ -54,17 +55,17 @@
             term: The leader's term.
             number: Number of the plan within the term.
         """
-        levels = self.published_levels
+        serving_fractions = self.published_serving_fractions
         plan = self.published
-        level = levels[site_of_member[name]]
-        recovering = [site for site, part in levels.items() if part < 1]
+        serving_fraction = serving_fractions[site_of_member[name]]
+        recovering = [site for site, fraction in serving_fractions.items() if fraction < 1]
         quotas: dict[str, float] = {}
         shedding_order: list[str] = []
         if recovering:
             quotas = plan.member_tenant_quotas(name)
             shedding_order = list(fleet.shedding_tiers)
         evacuated_callers: list[int] = []
-        if level == 1:
+        if serving_fraction == 1:
             evacuated = [site for site in fleet.sites if site.name in recovering]
             evacuated_callers = [router for site in evacuated for router in site.routers]
         return PlanAssignment(
@@ -76,7 +77,7 @@
             evacuated_callers=evacuated_callers,
             evacuated_quota=plan.member_evacuated_quota(name),
             shedding_order=shedding_order,
-            serving_fraction=level,
-            is_listed=level > 0,
+            serving_fraction=serving_fraction,
+            is_listed=serving_fraction > 0,
             is_capacity_short=plan.is_short and bool(recovering),
         )
--- a/birchslip/cluster/planner_service.py
+++ b/birchslip/cluster/planner_service.py
@@ -175,7 +175,7 @@
         if command.operation is OperatorOperation.EVACUATE:
             done = self.state.evacuate_site(command.site, command.operator, command.reason, now)
         else:
-            done = self.state.return_site(command.site, command.operator, now)
+            done = self.state.end_site_evacuation(command.site, command.operator, now)
         self.counters.count("wishes.taken")
         return msgspec.json.encode({"done": done, "site": command.site, "what": command.operation})
 
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -185,7 +185,9 @@
         if not self.leadership.mark_replicated(version):
             return
         self.plans.publish(self.sites.serving_fractions())
-        self.quotas.follow_plan(self.plans.published, self.plans.published_levels, self.site_of_member)
+        self.quotas.follow_plan(
+            self.plans.published, self.plans.published_serving_fractions, self.site_of_member
+        )
 
     def replan(self, now: int) -> None:
         """Makes a new plan and version; members receive the plan once a majority has stored it."""
@@ -355,7 +357,7 @@
             self.replan(now)
         return changed
 
-    def return_site(self, site: str, operator: str, now: int) -> bool:
+    def end_site_evacuation(self, site: str, operator: str, now: int) -> bool:
         """Lets a site recover that an operator had evacuated; returns whether that changed anything."""
         changed = self.sites.end_evacuation(site, operator, now)
         if changed:
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -76,10 +76,10 @@
     Raises:
         MalformedMessageError: After them, if what follows is malformed.
     """
-    received, trouble = read_messages(buffer)
+    received, malformed_reason = read_messages(buffer)
     yield from received
-    if trouble:
-        raise MalformedMessageError(trouble)
+    if malformed_reason:
+        raise MalformedMessageError(malformed_reason)
 
 
 class DeferredReply:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -49,7 +49,7 @@
         ({"number": 1, "mark": 2}, True),
         ({"number": 10**6, "site": "nowhere"}, False),
     ],
-    ids=["next", "late", "doubled", "new incarnation", "unknown site"],
+    ids=["next", "late", "duplicate", "new incarnation", "unknown site"],
 )
 def test_only_a_new_report_is_accepted(fields, is_accepted):
     assert (
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -37,15 +37,24 @@
         self.now = 0
         monkeypatch.setattr(planner_link, "monotonic_now", lambda: self.now)
         self.tenant = Tenant(10.0)
-        profile = RequestClass(Idempotency.IDEMPOTENT, SECOND, 4 * SECOND)
-        self.site = AdmissionSettings(
-            [profile], [self.tenant], downstream=Downstream.SHARED, downstream_quota=4.0
+        request_class = RequestClass(Idempotency.IDEMPOTENT, SECOND, 4 * SECOND)
+        self.settings = AdmissionSettings(
+            [request_class], [self.tenant], downstream=Downstream.SHARED, downstream_quota=4.0
         )
-        scheduler = Scheduler(lambda: None, lambda name, trouble: None, lambda: self.now)
+        scheduler = Scheduler(lambda: None, lambda name, error: None, lambda: self.now)
         self.link = planner_link.PlannerLink(
-            scheduler, Counters(), Log(scheduler, "a-0"), fleet(folder), "a-0", self.site, ["blue"], ["order"]
+            scheduler,
+            Counters(),
+            Log(scheduler, "a-0"),
+            fleet(folder),
+            "a-0",
+            self.settings,
+            ["blue"],
+            ["order"],
+        )
+        self.link.driver = AdmissionDriver(
+            self.settings, 0, lambda request, action: None, lambda action: None
         )
-        self.link.driver = AdmissionDriver(self.site, 0, lambda tx, wish: None, lambda notice: None)
         self.controller = self.link.driver.controller
 
     def receive_reply(self, sent, now, **fields):
@@ -186,7 +195,7 @@
     path.write_text(json.dumps(configuration))
     program = Program(read_config({"PROXY_CONFIG": str(path)}))
     faults, taken, settled = [], [], []
-    program.scheduler.on_error = lambda name, trouble: faults.append(name)
+    program.scheduler.on_error = lambda name, error: faults.append(name)
     program.request_decoder.submit = taken.append
     program.admission_stage.process_pending = lambda: settled.append(True)
 
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -88,7 +88,7 @@
     assert {reply.call_limit for reply in planner.replies.values()} == {4.0}
 
 
-def test_two_lost_sites_are_both_found_and_home_load_is_rejected_last(tmp_path):
+def test_two_lost_sites_are_both_found_and_local_load_is_rejected_last(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
     planner.lose_site("a")
     planner.lose_site("b")
@@ -114,7 +114,7 @@
     assert planner.state.sites.ramps["b"].evacuated_by_operator
     assert serving_fractions(planner, "b") == {0.0}
     assert serving_fractions(planner, "a") == {1.0}
-    assert planner.state.return_site("b", "ann", planner.now)
+    assert planner.state.end_site_evacuation("b", "ann", planner.now)
     planner.advance(6)
     assert serving_fractions(planner, "b") == {1.0}
 
@@ -172,7 +172,7 @@
     return response
 
 
-def test_permits_count_lost_leaving_and_cold_members_and_end_when_these_are_back(tmp_path):
+def test_permits_count_draining_and_cold_members_and_end_when_their_holders_are_back(tmp_path):
     planner = SimulatedPlanner(tmp_path, groups=GROUPS).advance(4)
     assert request_eviction(planner, "a-0").granted
     assert request_eviction(planner, "a-0").permit_number == 1
--- a/tests/test_planner_transport.py
+++ b/tests/test_planner_transport.py
@@ -24,7 +24,7 @@
 
     def __init__(self):
         self.faults, self.served, self.closed = [], [], []
-        self.scheduler = Scheduler(lambda: None, lambda name, trouble: self.faults.append((name, trouble)))
+        self.scheduler = Scheduler(lambda: None, lambda name, error: self.faults.append((name, error)))
         self.endpoint = PlannerEndpoint(
             self.scheduler, 4, self.handle, lambda connection, reason: self.closed.append(reason)
         )
--- a/tests/test_stored_planner_state.py
+++ b/tests/test_stored_planner_state.py
@@ -65,14 +65,14 @@
 
 
 @pytest.mark.parametrize(
-    ("site", "level"),
+    ("site", "serving_fraction"),
     [("lost", 0.0), ("waiting", 0.0), ("step", 0.75), ("serving", 1.0), ("untouched", 1.0)],
     ids=SITES,
 )
-def test_each_stored_stage_is_restored_with_its_level(tmp_path, site, level):
+def test_each_stored_stage_is_restored_with_its_serving_fraction(tmp_path, site, serving_fraction):
     state = planner_state(tmp_path)
     state.restore(STORED_STATE, 5)
-    assert state.sites.ramps[site].serving_fraction == level
+    assert state.sites.ramps[site].serving_fraction == serving_fraction
 
 
 @pytest.mark.parametrize(
