--- a/birchslip/cluster/election.py
+++ b/birchslip/cluster/election.py
@@ -323,7 +323,8 @@
     def abandon_candidacy(self) -> None:
         """Gives up the candidacy and frees this planner's vote for another candidate.
 
-        Without that, candidates that all voted for themselves would block each other for a whole lease.
+        Without that, candidates that all voted for themselves would renew their own votes in each attempt,
+        and none would ever get a quorum.
         """
         self.term = 0
         if self.granted_to.name == self.name:
@@ -347,7 +348,11 @@
         return self.vote_request(self.term)
 
     def vote_request(self, term: int) -> VoteRequest:
-        """Builds a request for votes in a term."""
+        """Builds this planner's request for votes in `term`, with what it has observed of the other planners.
+
+        The request of a leader renews its lease. With term 0 no votes are requested, only the observations
+        and states of the other planners.
+        """
         return VoteRequest(
             term=term, candidate=self.name, incarnation=self.incarnation, observations=self.observations
         )
--- a/birchslip/cluster/fair_share.py
+++ b/birchslip/cluster/fair_share.py
@@ -1,7 +1,6 @@
 """Max-min fair division of capacity among tenants.
 
-A tenant never gets less than its share, or than its demand if that is lower, so that another one can exceed
-its own share.
+No tenant gets more than its share while another one gets less than both its share and its demand.
 """
 
 from __future__ import annotations
--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -108,7 +108,7 @@
     restarts: int = 0
 
     def is_reporting(self, now: int, report_interval: int) -> bool:
-        """Returns whether its reports reach any planner."""
+        """Returns whether the member's reports reach this planner or, as reported recently, another one."""
         was_reported = self.last_reported_by_peers >= 0
         if was_reported and now - self.last_reported_by_peers <= PEER_OBSERVATION_INTERVALS * report_interval:
             return True
@@ -123,7 +123,7 @@
         }
 
     def answered_probe(self, now: int) -> bool:
-        """Returns whether it has answered a valid probe."""
+        """Returns whether the member has answered a valid probe."""
         return any(probe.outcome == ProbeOutcome.ANSWERED for probe in self.valid_probes(now).values())
 
     def liveness(self, now: int, report_interval: int) -> MemberLiveness:
@@ -139,7 +139,7 @@
         return MemberLiveness.SUSPECTED
 
     def start_incarnation(self, incarnation: Incarnation, now: int, report_interval: int) -> None:
-        """Replaces the incarnation and discards the evidence about the previous one."""
+        """Starts a new incarnation: remembers the previous one, and discards its heartbeats and probes."""
         latest = self.previous_incarnations[1 - MAX_PREVIOUS_INCARNATIONS :]
         self.previous_incarnations = [*latest, self.incarnation]
         self.incarnation = incarnation
@@ -172,7 +172,8 @@
         """Processes a report.
 
         Returns:
-            False if it is ignored: of an earlier incarnation or an unknown site, duplicate or late.
+            False if the report is ignored, as it is a duplicate, late, of an earlier incarnation or from a
+            site that the fleet file does not name.
         """
         if report.site not in self.sites:
             return False
--- a/birchslip/cluster/phi_accrual.py
+++ b/birchslip/cluster/phi_accrual.py
@@ -15,7 +15,7 @@
 WINDOW_SIZE = 64  # intervals
 MIN_DEVIATION_RATIO = 0.25  # of the mean, as heartbeats sent by one clock arrive at almost equal intervals
 MIN_DEVIATION = 1.0  # tenths of a millisecond
-MAX_PHI = 40.0  # above it the probability is too small to compute as a float
+MAX_PHI = 40.0  # upper bound, as the probability of a long silence is zero to a float
 
 
 class PhiAccrualDetector:
--- a/birchslip/cluster/plan_subscription.py
+++ b/birchslip/cluster/plan_subscription.py
@@ -133,7 +133,10 @@
         return max(0, self.assignment_expires_at - now)
 
     def is_listed(self, now: int) -> bool:
-        """Whether routers may find the member: as assigned, but always once the assignment has faded."""
+        """Whether routers may find the member.
+
+        As assigned, but always once the assignment has faded; before the first reply, from `listed_after` on.
+        """
         if self.assigned_listing is None:
             return now >= self.listed_after
         if self.assignment is not None and not self.assigned_listing:
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -145,7 +145,10 @@
         )
 
     def make_replicator(self, fleet: Fleet, name: str) -> StateReplicator:
-        """Creates the replicator with connections to the other planners."""
+        """Creates the replicator with connections to the other planners.
+
+        The replicator wakes the platform link each time a quorum has stored the newest state.
+        """
         peers = {
             planner.name: PeerConnection(self.scheduler, parse_address(planner.address, "address"))
             for planner in fleet.planners
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -145,7 +145,7 @@
         self.on_listing_changed: Callable[[], None] = lambda: None
         self.sequence = 0
         self.memory = MemorySampler()
-        self.allowed_calls = -1.0
+        self.allowed_calls = -1.0  # the controller has no quota from this link yet
         self.is_listed = False
 
     def make_subscription(self) -> PlanSubscription:
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -293,7 +293,11 @@
         return self.rollouts.evaluate(observations, reports, self.sites.sites_not_serving(), now)
 
     def observations(self, now: int) -> dict[str, MemberObservation]:
-        """Returns whether each member is out and why; while this planner leads, also for each service."""
+        """Returns for each member, by name, its incarnation, capacity and why it is unavailable, if it is.
+
+        While this planner leads, the services are included, and a member whose required service is
+        unavailable counts as unavailable too.
+        """
         members = observe_members(self.site_of_member, self.sites, self.report_interval(), now)
         if not self.leadership.is_leading:
             return members  # only the leader polls the platform, which knows the services
@@ -358,7 +362,7 @@
         return changed
 
     def end_site_evacuation(self, site: str, operator: str, now: int) -> bool:
-        """Lets a site recover that an operator had evacuated; returns whether that changed anything."""
+        """Ends an operator's evacuation of a site, which then recovers; returns whether that is a change."""
         changed = self.sites.end_evacuation(site, operator, now)
         if changed:
             self.replan(now)
--- a/birchslip/cluster/probe_scheduler.py
+++ b/birchslip/cluster/probe_scheduler.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, membership: Membership) -> None:
-        """Creates a scheduler without suspects."""
+        """Creates a scheduler without suspects; `update` finds them in `membership`."""
         self.membership = membership
         self.suspected: list[Member] = []
         self.witnesses: list[Member] = []
--- a/birchslip/cluster/quorum.py
+++ b/birchslip/cluster/quorum.py
@@ -9,7 +9,7 @@
 # All spans are in units of 0.1 ms.
 LEASE_SPAN = 10_000
 CLOCK_DRIFT = 0.02  # largest relative drift between two clocks that is allowed for
-LEADER_LEASE_SPAN = int(LEASE_SPAN * (1 - CLOCK_DRIFT))
+LEADER_LEASE_SPAN = int(LEASE_SPAN * (1 - CLOCK_DRIFT))  # by the leader's clock
 TRACKED_STATES = 8  # latest state numbers whose replicas are counted
 
 
@@ -26,7 +26,11 @@
         self.sent_times[voter] = max(sent, self.sent_times.get(voter, 0))
 
     def end(self) -> int:
-        """Returns when the lease ends; 0 without a quorum."""
+        """Returns when the lease ends; 0 without a quorum.
+
+        A vote expires one `LEADER_LEASE_SPAN` after its request was sent. The lease ends when fewer than a
+        quorum of votes are left, so the oldest of the `quorum` newest votes decides.
+        """
         newest_first = sorted(self.sent_times.values(), reverse=True)
         if len(newest_first) < self.quorum:
             return 0
--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -7,8 +7,8 @@
 2. *Place*: keeps local load at its site and sends the rest over the cheapest links to sites with spare
    capacity.
 3. *Quotas*: sets a quota for all evacuated callers at each site, and divides the rest of the site's capacity
-   among tenants by water-filling (max-min fairness): a tenant never gets less than its share, or than its
-   demand if that is lower, so that another one can exceed its own share.
+   among tenants by water-filling (max-min fairness): no tenant gets more than its share while another one
+   gets less than both its share and its demand.
 
 Rates are in requests per second. Plans are compared for exact equality, so the order in which floating-point
 values are summed must not change.
--- a/birchslip/cluster/state_replicator.py
+++ b/birchslip/cluster/state_replicator.py
@@ -156,7 +156,7 @@
             self.handle_replication_response(request, decode(raw, ReplicationResponse))
 
     def handle_vote_response(self, request: VoteRequest, response: VoteResponse, sent: int, now: int) -> None:
-        """Counts a vote and records which suspects report to the voter."""
+        """Handles a vote response; if the vote is granted, records which suspects report to the voter."""
         self.election.handle_vote_response(response, request.term, sent, now)
         if response.granted:
             self.state.membership.mark_reported_by_peers(response.heard_suspects, now)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,7 +27,7 @@
     at = 99 * interval
     assert detector.phi(at + interval) < 1
     assert detector.phi(at + 4 * interval) > 8
-    assert detector.phi(at + 100 * interval) == 40.0  # the probability is zero to a float
+    assert detector.phi(at + 100 * interval) == 40.0  # `MAX_PHI`: the probability is zero to a float
 
 
 def test_uneven_intervals_lower_phi():
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -185,7 +185,7 @@
     planner.incarnations["b-0"], planner.report_fields["b-0"] = 2, {}
     planner.advance(1)
     status = fleet_status(planner.state, planner.now)
-    assert status["out"] == {"a-0": "cold", "b-1": "permit"}  # b-0 is back, so b-1 is granted
+    assert status["out"] == {"a-0": "cold", "b-1": "permit"}  # b-0 is back, so the waiting b-1 is granted
     planner.report_fields["a-0"] = {}
     planner.advance(1)
     assert [permit["holder"] for permit in fleet_status(planner.state, planner.now)["permits"]] == ["b-1"]
