--- a/birchslip/cluster/quorum.py
+++ b/birchslip/cluster/quorum.py
@@ -9,7 +9,7 @@
 # All spans are in units of 0.1 ms.
 LEASE_SPAN = 10_000
 CLOCK_DRIFT = 0.02  # largest relative drift between two clocks that is allowed for
-LEADER_LEASE_SPAN = int(LEASE_SPAN * (1 - CLOCK_DRIFT))  # by the leader's clock
+LEADER_LEASE_SPAN = int(LEASE_SPAN * (1 - CLOCK_DRIFT))  # the same lease as counted by the leader
 TRACKED_STATES = 8  # latest state numbers whose replicas are counted
 
 
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -74,7 +74,7 @@
     """Yields all complete messages in the buffer.
 
     Raises:
-        MalformedMessageError: After them, if what follows is malformed.
+        MalformedMessageError: After the last complete message, if the bytes that follow are malformed.
     """
     received, malformed_reason = read_messages(buffer)
     yield from received
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -131,7 +131,7 @@
     assert not linked.controller.plan.weight
 
 
-def test_reports_count_local_and_evacuated_first_tries_and_retries_apart(linked):
+def test_reports_count_local_and_evacuated_first_attempts_and_retries_apart(linked):
     rates = linked.link.recorder.rates
     for tenant, is_local, is_retry in [("blue", True, False)] * 4 + [
         ("blue", False, False),
