--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -74,12 +74,12 @@
     """Yields all complete messages in the buffer.
 
     Raises:
-        MalformedMessageError: After them, if what follows is malformed.
+        MalformedMessageError: After the last complete message, if the bytes that follow are malformed.
     """
-    received, trouble = read_messages(buffer)
+    received, malformed_reason = read_messages(buffer)
     yield from received
-    if trouble:
-        raise MalformedMessageError(trouble)
+    if malformed_reason:
+        raise MalformedMessageError(malformed_reason)
 
 
 class DeferredReply:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,7 +27,7 @@
     at = 99 * interval
     assert detector.phi(at + interval) < 1
     assert detector.phi(at + 4 * interval) > 8
-    assert detector.phi(at + 100 * interval) == 40.0  # the probability is zero to a float
+    assert detector.phi(at + 100 * interval) == 40.0  # `MAX_PHI`: the probability is zero to a float
 
 
 def test_uneven_intervals_lower_phi():
@@ -49,7 +49,7 @@
         ({"number": 1, "mark": 2}, True),
         ({"number": 10**6, "site": "nowhere"}, False),
     ],
-    ids=["next", "late", "doubled", "new incarnation", "unknown site"],
+    ids=["next", "late", "duplicate", "new incarnation", "unknown site"],
 )
 def test_only_a_new_report_is_accepted(fields, is_accepted):
     assert (
