--- a/birchslip/cluster/canary_analysis.py
+++ b/birchslip/cluster/canary_analysis.py
@@ -16,7 +16,7 @@
 | good | every whole metric is significantly within its margin, no class appears worse, minimum watch over |
 | unclear | neither yet; at the end of the watch the rollout halts |
 
-Times and durations are tenths of a millisecond.
+The analysis gives verdicts and never orders anything. Times and durations are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 from .messages import Count, Message, Name, Span
 
 CROSS_SITE_MARGIN_FACTOR = 2.0  # if only members of different sites can be compared
-LOAD_DEPENDENT_METRICS = ("late", "shed")  # not compared across sites: a site's load affects them more
+LOAD_DEPENDENT_METRICS = ("late", "shed")  # not compared across sites: they depend more on a site's load
 SLOW_METRIC = "slow"
 MIN_BASELINE_RUNS = 200  # of a request class, before its slow bound is set
 MAX_SLOW_SHARE = 0.15  # share of the baseline's runs that count as slow
--- a/birchslip/cluster/canary_metrics.py
+++ b/birchslip/cluster/canary_metrics.py
@@ -108,7 +108,10 @@
         return min(self.canary.total, self.baseline.total) >= MIN_OUTCOMES
 
     def variance(self) -> float:
-        """Return the difference's variance if both sides were equal; never 0, even without bad outcomes."""
+        """Return the difference's variance if both sides were equal.
+
+        It is never 0: a sample without bad outcomes does not prove that the true share is 0.
+        """
         canary = self.canary
         baseline = self.baseline
         pooled = (canary.bad + baseline.bad + 1) / (canary.total + baseline.total + 2)
--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -229,7 +229,11 @@
     def release(
         self, holder: str, incarnation: Incarnation, observations: Mapping[str, MemberObservation]
     ) -> bool:
-        """End an unused permit. False unless `incarnation` holds it and is in service."""
+        """End the unused permit of a holder that is in service; return whether the permit was ended.
+
+        False if the holder has no permit, if another incarnation holds the permit, or if the holder is
+        unavailable, because it may then be using the permit.
+        """
         permit = self.permit_of(holder)
         observation = observations.get(holder)
         if permit is None or permit.incarnation != incarnation:
@@ -241,7 +245,7 @@
         return True
 
     def revoke(self, holder: str, operator: str) -> None:
-        """End the permit and the waiting of a member that an operator has removed from the fleet."""
+        """End the permit and the queued request of a member that an operator has removed from the fleet."""
         self.state.permits[:] = [permit for permit in self.state.permits if permit.holder != holder]
         self.cancel(holder)
         self.record_event(f"{holder} is struck from the fleet by {operator}")
--- a/birchslip/cluster/disruption_tally.py
+++ b/birchslip/cluster/disruption_tally.py
@@ -109,7 +109,7 @@
 def with_dependents(
     observations: Mapping[str, MemberObservation], dependencies: Mapping[str, Iterable[str]]
 ) -> dict[str, MemberObservation]:
-    """Return the observations, with members unavailable if a service they require is or is unknown."""
+    """Return observations in which members that require an unavailable or unknown service are unavailable."""
 
     def is_unavailable(service: str) -> bool:
         return service not in observations or observations[service].unavailability is not None
--- a/birchslip/cluster/eviction_handler.py
+++ b/birchslip/cluster/eviction_handler.py
@@ -1,4 +1,4 @@
-"""Handles eviction requests: requests, returns, revocations and overrides of permits.
+"""Handles operations on eviction permits: requests, returns, revocations and overrides.
 
 The disruption budget decides on each request. The planner sends the response once a majority has stored the
 decision.
--- a/birchslip/cluster/fleet_reader.py
+++ b/birchslip/cluster/fleet_reader.py
@@ -1,4 +1,7 @@
-"""Reads and validates the operators' fleet file, and generates its JSON Schema."""
+"""Reads the operators' fleet file, and generates its JSON Schema.
+
+The whole file is validated before anything starts.
+"""
 
 from __future__ import annotations
 
--- a/birchslip/cluster/fleet_validation.py
+++ b/birchslip/cluster/fleet_validation.py
@@ -13,8 +13,8 @@
 
 MAX_PLANNERS = 9  # more could not agree in time
 MAX_PORT = 65_535
-MIN_REPORTS_PER_PLAN = 4  # report intervals in a plan's validity, as some reports are lost
-MIN_POLLS_BEFORE_STALE = 2  # poll intervals in an inventory's validity
+MIN_REPORTS_PER_PLAN = 4  # report intervals in a plan's validity: a plan outlasts some lost reports
+MIN_POLLS_BEFORE_STALE = 2  # poll intervals for which an inventory has to be valid
 ROUNDING_TOLERANCE = 1e-9  # rounding errors in sums of shares
 
 
@@ -35,7 +35,7 @@
 
 
 def check_unique(place: str, names: list[str], kind: str) -> Iterator[str]:
-    """Checks that no name is given twice."""
+    """Checks that `names` has no duplicate; `kind` states in the lines what is named."""
     seen: set[str] = set()
     for name in names:
         if name in seen:
@@ -44,7 +44,7 @@
 
 
 def check_known(place: str, names: list[str], known: set[str], description: str) -> Iterator[str]:
-    """Checks that all names are known."""
+    """Checks that all `names` are in `known`; the lines read `PLACE: no DESCRIPTION NAME`."""
     for name in names:
         if name not in known:
             yield f"{place}: no {description} {name!r}"
@@ -60,7 +60,7 @@
 
 
 def check_counts(fleet: Fleet) -> Iterator[str]:
-    """Checks the names and numbers of planners, sites and members."""
+    """Checks that there are sites and 1 to `MAX_PLANNERS` planners, and that names are unique."""
     yield from check_unique("planners", [planner.name for planner in fleet.planners], "name")
     yield from check_unique("sites", [site.name for site in fleet.sites], "name")
     if not fleet.planners:
@@ -87,7 +87,7 @@
 
 
 def check_routers(fleet: Fleet) -> Iterator[str]:
-    """Checks that each site has members and each router one site."""
+    """Checks that each site has members, and that no router number is given twice."""
     sites_by_router: dict[int, str] = {}
     for index, site in enumerate(fleet.sites):
         if not site.members:
@@ -153,7 +153,7 @@
 
 
 def check_services(fleet: Fleet) -> Iterator[str]:
-    """Checks the names of services and what members require."""
+    """Checks that service names are unique and differ from members', and that required services exist."""
     service_names = {service.name for service in fleet.services}
     member_names = {member.name for member in fleet.members}
     yield from check_unique("services", [service.name for service in fleet.services], "service")
--- a/birchslip/cluster/operator_views.py
+++ b/birchslip/cluster/operator_views.py
@@ -1,6 +1,6 @@
 """Operator views: a planner's JSON reports on its fleet, with the keys that operators' tools read.
 
-Read only: nothing here changes the planner's state.
+Read only: nothing here changes the planner's state or takes part in its decisions.
 """
 
 from __future__ import annotations
--- a/birchslip/cluster/rollout_batches.py
+++ b/birchslip/cluster/rollout_batches.py
@@ -1,6 +1,6 @@
 """The order of a rollout: canaries first, then batches site by site.
 
-Assigns members to batches when a rollout starts.
+Assigns members to batches when a rollout starts; `Rollout.update_members` changes the batches later.
 """
 
 from __future__ import annotations
--- a/birchslip/cluster/rollout_checks.py
+++ b/birchslip/cluster/rollout_checks.py
@@ -1,4 +1,4 @@
-"""Checks before a rollout starts: finds conditions that would stop the rollout, before the first drain.
+"""Checks before a rollout starts: whatever would stop the rollout later is found before the first drain.
 
 Decides whether the fleet as it is now can carry out a release file; changes no state.
 """
@@ -53,7 +53,7 @@
 
 
 def find_unknown_metric(spec: RolloutSpec) -> str:
-    """Return which margin is for a metric that members don't report; empty if all are known."""
+    """Return an error text on a margin whose kind of metric members don't report; empty if there is none."""
     for name in spec.margins:
         if name.partition(":")[0] not in METRIC_KINDS:
             kinds = ", ".join(METRIC_KINDS)
@@ -62,7 +62,7 @@
 
 
 def find_shared_members(members: Iterable[str], rollout: Rollout) -> str:
-    """Return which of `members` belong to another unfinished rollout; empty if none do."""
+    """Return an error text on those of `members` that the unfinished `rollout` has; empty if none."""
     shared = sorted(set(members) & set(rollout.all_members()))
     if not shared:
         return ""
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -158,7 +158,7 @@
                 self._wait_for_platform(rollout, view, now)
 
     def _wait_for_platform(self, rollout: Rollout, view: FleetView, now: int) -> None:
-        """Halt a rollout if a site is lost, or if no inventory came for `PLATFORM_TIMEOUT`."""
+        """Set the progress of a rollout without a fresh inventory; halt it on a lost site or a timeout."""
         rollout.halt_on_lost_sites(view.lost_sites)
         rollout.progress = "the platform is not heard"
         if now - self.inventory_at >= PLATFORM_TIMEOUT:
--- a/birchslip/idempotency/maintenance.py
+++ b/birchslip/idempotency/maintenance.py
@@ -31,7 +31,9 @@
 
 UNBOUNDED_ENTRIES = 1 << 30
 UNBOUNDED_BYTES = 1 << 40
-MAX_RETENTION = 1 << 30  # ticks, about a day; in place of the request classes' retentions, unknown here
+# In ticks, about a day. The request classes and their retentions are unknown here, so that the expiries in
+# records are trusted up to this bound.
+MAX_RETENTION = 1 << 30
 MAX_SHOWN_RUNS = 20
 
 
--- a/birchslip/idempotency/record_format.py
+++ b/birchslip/idempotency/record_format.py
@@ -67,7 +67,7 @@
     """How much of a record can be read; the values are shown to operators."""
 
     INTACT = "good"
-    TRUNCATED = "torn"  # the segment ends within it: it was never flushed, so no run or answer depends on it
+    TRUNCATED = "torn"  # the segment ends within it: never flushed whole, so no run or answer depends on it
     CORRUPT = "spoilt"  # header intact, body damaged: the key was started, its result is unknown
     LOST = "lost"  # header damaged: records of unknown keys may have been here
 
@@ -222,7 +222,7 @@
     compute_checksum = xxhash.xxh32_intdigest
     checked_size = header_size - CHECKSUM.size  # the header's checksum covers all but itself
     intact = RecordState.INTACT
-    new_fragment = partial(tuple.__new__, RecordFragment)  # faster than the constructor
+    new_fragment = partial(tuple.__new__, RecordFragment)  # skips the constructor, which is Python code
     while offset < end:
         kind = None
         if end - offset >= header_size:
--- a/birchslip/idempotency/result_store.py
+++ b/birchslip/idempotency/result_store.py
@@ -38,7 +38,7 @@
 
     Attributes:
         remaining: Number of keys that may still be started.
-        scarce_below: Number of remaining keys below which they are scarce.
+        scarce_below: Keys are scarce from this number of remaining keys down.
         time_until_room: Ticks until a key may be started; 0 if one may be started now.
     """
 
@@ -149,7 +149,7 @@
     # ---- capacity --------------------------------------------------------------------------------------
 
     def capacity(self) -> KeyCapacity:
-        """Return how many new keys the store can take now."""
+        """Return how many new keys the store takes now, the bound of scarcity, and the time until room."""
         scarce_below = int(SCARCE_SHARE * self.budget.max_entries)
         return KeyCapacity(self._remaining_keys(), scarce_below, self._time_until_room())
 
@@ -164,12 +164,14 @@
         return {}
 
     def _remaining_keys(self) -> int:
+        """Return how many keys may be started; 0 while the disk is unhealthy or the store in doubt."""
         now = self.scheduler.now
         if not self.disk.is_healthy or now < self._in_doubt_until:
             return 0
         return self.budget.remaining_entries(now)
 
     def _time_until_room(self) -> int:
+        """Return the ticks until a key may be started; 0 if one may be started now."""
         now = self.scheduler.now
         if now < self._in_doubt_until:
             return self._in_doubt_until - now
--- a/birchslip/idempotency/segment_files.py
+++ b/birchslip/idempotency/segment_files.py
@@ -181,7 +181,7 @@
             self.system.flush(self._descriptor)
 
     def delete_segment(self, serial: int) -> None:
-        """Delete a segment."""
+        """Delete the file of the segment `serial`; the directory is not flushed."""
         self.system.unlink(self.path_of(serial))
 
     def close(self) -> None:
--- a/birchslip/idempotency/writer.py
+++ b/birchslip/idempotency/writer.py
@@ -148,7 +148,7 @@
         self._scheduler.spawn(TASK_NAME, self._notify_forever)
 
     def submit(self, task: WriterTask) -> None:
-        """Submit a task to the thread."""
+        """Queue a task and wake the thread; `task.notify` runs in the scheduler once the task is done."""
         with self._condition:
             self._submitted.append(task)
             self._condition.notify()
@@ -183,6 +183,7 @@
         return batch
 
     def _run(self) -> None:
+        """Execute batches of submitted tasks, waking the scheduler after each, until the writer closes."""
         while self._wait_for_tasks():
             if self._gather_s and not self._is_closing:
                 threading.Event().wait(self._gather_s)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -127,7 +127,10 @@
 
 
 class Incarnation:
-    """One incarnation of a store on a simulated disk, which the test flushes explicitly."""
+    """One incarnation of a store on a simulated disk.
+
+    The test flushes the disk explicitly; only a flushed record allows a run or an answer.
+    """
 
     def __init__(self, system, now):
         self.budget = RetentionBudget(MAX_ENTRIES, MIN_SEGMENTS * 8 * COMPLETION_RESERVE_BYTES, SECOND)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -176,6 +176,7 @@
     ids=["within the bound", "past it"],
 )
 def test_crashes_above_the_bound_halt_without_statistics(crashes, phase):
+    """The platform counts crashes, so those that only an earlier leader observed count too."""
     harness = Harness(spec=msgspec.structs.replace(SPEC, max_crashes=1))
     harness.instances["a-0"] = InstanceView(InstanceStatus.UP, "new", crashes=crashes)
     harness.instances["a-1"] = InstanceView(InstanceStatus.UP, "old", crashes=9)
