--- a/birchslip/cluster/fleet_file.py
+++ b/birchslip/cluster/fleet_file.py
@@ -142,14 +142,14 @@
     FleetFilePart,
     rename={"tenant_shares": "tenants", "shedding_tiers": "refuse", "disruption_budgets": "groups"},
 ):
-    """A whole fleet.
+    """The contents of a fleet file.
 
     Attributes:
         planners: Its planners.
         sites: Its sites with their app servers.
         links: Costs of sending load between sites.
-        tenant_shares: Each tenant's share of an app server.
-        shedding_tiers: Tiers of requests to reject when capacity is short, first to be shed first.
+        tenant_shares: Each tenant's share of an app server, 0 to 1.
+        shedding_tiers: Tiers of requests to reject when capacity is short, in the order of rejection.
         vault: The shared vault, if there is one.
         disruption_budgets: How many members and services may be unavailable at once.
         services: Downstream services.
@@ -176,7 +176,7 @@
 
     @property
     def shedding_order(self) -> tuple[SheddingTier, ...]:
-        """The shedding tiers, first to be shed first."""
+        """The shedding tiers, in the order of rejection."""
         return tuple(SheddingTier(tier) for tier in self.shedding_tiers)
 
     @property
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -102,7 +102,7 @@
         self._steps = MemberSteps(record, budget)
         self._watch = BatchWatch(record, site_of)
         self._stall = StallDetector()
-        self._phase_entered_at = -1  # the first step in this phase; -1 until then
+        self._phase_entered_at = -1  # time of the first step in this phase; -1 before it
         self._stepped_at: int | None = None
         self._unrecorded_time = 0  # time since the last line of the history
 
--- a/birchslip/cluster/rollout_batches.py
+++ b/birchslip/cluster/rollout_batches.py
@@ -1,4 +1,4 @@
-"""The order of a rollout: canaries first, then batches site by site.
+"""The order of a rollout: canaries first, then batches site by site or group by group.
 
 Assigns members to batches when a rollout starts; `Rollout.update_members` changes the batches later.
 """
--- a/birchslip/cluster/rollout_supervisor.py
+++ b/birchslip/cluster/rollout_supervisor.py
@@ -26,8 +26,8 @@
     """The rollouts of a fleet within one planner.
 
     Attributes:
-        controller: The decisions on rollouts.
-        evaluated_at: When they were last evaluated, in tenths of a millisecond.
+        controller: Decides on the rollouts.
+        evaluated_at: When the rollouts were last evaluated, in tenths of a millisecond.
         orders_version: The version of the state that a majority has to store before orders may be sent.
     """
 
@@ -61,7 +61,7 @@
         return before != self._stored_parts()
 
     def execute(self, command: RolloutCommand, now: int) -> CommandResult:
-        """Carries out an operator's command on rollouts."""
+        """Executes an operator's command on rollouts, and records it as an event."""
         result = self.controller.execute(command, now)
         self.events.record(
             "rollout_command",
--- a/birchslip/cluster/rollout_types.py
+++ b/birchslip/cluster/rollout_types.py
@@ -213,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """The fleet at one moment, by name of the member.
+    """The state of the fleet at one moment, by name of the member.
 
     Attributes:
         instances: Processes, as the platform reports them.
--- a/birchslip/idempotency/disk_health.py
+++ b/birchslip/idempotency/disk_health.py
@@ -21,7 +21,7 @@
 
 MIN_PROBE_INTERVAL = SECOND // 2
 MAX_PROBE_INTERVAL = 10 * SECOND
-NO_FLUSH = -1  # time that stands for no pending flush
+NO_FLUSH = -1  # in place of a time: no flush is pending
 
 
 class DiskState(Enum):
