--- a/birchslip/net/messagepack.py
+++ b/birchslip/net/messagepack.py
@@ -1,4 +1,8 @@
-"""MessagePack of the project's own: one value from a buffer cut at any byte, and back."""
+"""MessagePack codec: encodes values, and decodes values from data that may end in the middle of one.
+
+Supports nil, booleans, integers, floats, strings, binary data, arrays and maps. Extension types are rejected,
+and so are values past the limits below, since the data comes from peers.
+"""
 
 from __future__ import annotations
 
@@ -7,16 +11,18 @@
 
 from .buffer import Unreadable
 
-MAX_DEPTH = 8
-MAX_VALUE_BYTES = 16_384  # of a string or of bytes
-MAX_ITEMS = 64  # items of an array or a map
+MAX_DEPTH = 8  # levels of nested arrays and maps
+MAX_VALUE_BYTES = 16_384  # of one string or binary value
+MAX_ITEMS = 64  # of one array, or pairs of one map
 
 
 class IncompleteMessageError(Exception):
-    """The value goes on past what has been read."""
+    """The value is not complete yet: it continues past the data received so far."""
 
 
+# Values that consist of their type byte alone.
 SINGLE_BYTE_VALUES = {0xC0: None, 0xC2: False, 0xC3: True}
+# Type byte: layout of the number that follows it.
 NUMBER_FORMATS = {
     0xCA: struct.Struct(">f"),
     0xCB: struct.Struct(">d"),
@@ -29,7 +35,7 @@
     0xD2: struct.Struct(">i"),
     0xD3: struct.Struct(">q"),
 }
-# type byte: (what follows the length, bytes of the length)
+# Type byte: (kind of the value, bytes of the length that follows the type byte).
 SIZED_TYPES = {
     0xC4: ("bin", 1),
     0xC5: ("bin", 2),
@@ -45,7 +51,21 @@
 
 
 def unpack(view: memoryview, offset: int, end: int, depth: int = 0) -> tuple[Any, int]:
-    """The value that begins at `offset` and the place after it."""
+    """Decodes the value that begins at `offset`.
+
+    Args:
+        view: Data received so far.
+        offset: Index of the type byte of the value.
+        end: Index after the last byte received.
+        depth: Number of arrays and maps that contain the value.
+
+    Returns:
+        The value and the index of the first byte after it.
+
+    Raises:
+        IncompleteMessageError: If the value continues past `end`.
+        Unreadable: If the data is not valid, or exceeds a limit of this module.
+    """
     if offset >= end:
         raise IncompleteMessageError
     if depth > MAX_DEPTH:
@@ -70,7 +90,7 @@
             raise IncompleteMessageError
         return number_format.unpack_from(view, offset)[0], offset + number_format.size
     if type_byte not in SIZED_TYPES:
-        raise Unreadable(f"type byte {type_byte:#04x} is not taken here")
+        raise Unreadable(f"type byte {type_byte:#04x} is not supported")
     kind, length_size = SIZED_TYPES[type_byte]
     if offset + length_size > end:
         raise IncompleteMessageError
@@ -87,6 +107,12 @@
 
 
 def check_length(offset: int, end: int, size: int) -> None:
+    """Checks that a string or binary value of `size` bytes is within the limit and was received whole.
+
+    Raises:
+        IncompleteMessageError: If the value continues past `end`.
+        Unreadable: If it is longer than `MAX_VALUE_BYTES`.
+    """
     if size > MAX_VALUE_BYTES:
         raise Unreadable(f"{size} bytes in one value, {MAX_VALUE_BYTES} at most")
     if offset + size > end:
@@ -94,6 +120,12 @@
 
 
 def unpack_string(view: memoryview, offset: int, end: int, size: int) -> tuple[str, int]:
+    """Decodes a string of `size` bytes; returns it and the index after it.
+
+    Raises:
+        IncompleteMessageError: If the string continues past `end`.
+        Unreadable: If it is too long or not UTF-8.
+    """
     check_length(offset, end, size)
     try:
         return str(view[offset : offset + size], "utf-8"), offset + size
@@ -102,6 +134,12 @@
 
 
 def unpack_array(view: memoryview, offset: int, end: int, count: int, depth: int) -> tuple[list[Any], int]:
+    """Decodes an array of `count` items; returns it and the index after it.
+
+    Raises:
+        IncompleteMessageError: If an item continues past `end`.
+        Unreadable: If there are too many items, or one of them is not valid.
+    """
     if count > MAX_ITEMS:
         raise Unreadable(f"{count} items in one array, {MAX_ITEMS} at most")
     items = []
@@ -112,6 +150,12 @@
 
 
 def unpack_map(view: memoryview, offset: int, end: int, count: int, depth: int) -> tuple[dict[Any, Any], int]:
+    """Decodes a map of `count` pairs; returns it and the index after it.
+
+    Raises:
+        IncompleteMessageError: If a key or value continues past `end`.
+        Unreadable: If there are too many pairs, a key is an array or a map, or a key or value is not valid.
+    """
     if count > MAX_ITEMS:
         raise Unreadable(f"{count} pairs in one map, {MAX_ITEMS} at most")
     pairs: dict[Any, Any] = {}
@@ -123,13 +167,20 @@
     return pairs, offset
 
 
-def pack(value: Any) -> bytes:
+def pack(value: object) -> bytes:
+    """Encodes a value.
+
+    Raises:
+        TypeError: If a value has a type that this codec does not support.
+        OverflowError: If an integer does not fit into 64 bits, or a length into 32 bits.
+    """
     pieces: list[bytes] = []
     pack_into(pieces, value)
     return b"".join(pieces)
 
 
-def pack_into(pieces: list[bytes], value: Any) -> None:
+def pack_into(pieces: list[bytes], value: object) -> None:
+    """Appends the encoding of a value to `pieces`; raises the same errors as `pack`."""
     if value is None:
         pieces.append(b"\xc0")
     elif isinstance(value, bool):
@@ -153,23 +204,39 @@
             pack_into(pieces, key)
             pack_into(pieces, item)
     else:
-        raise TypeError(f"{type(value).__name__} has no form here")
+        raise TypeError(f"type {type(value).__name__} cannot be encoded")
 
 
 def pack_integer(value: int) -> bytes:
+    """Encodes an integer in its shortest form.
+
+    Raises:
+        OverflowError: If it does not fit into 64 bits.
+    """
     if -32 <= value <= 127:
         return (value & 0xFF).to_bytes(1, "big")
     for type_byte in (0xCC, 0xCD, 0xCE, 0xCF) if value > 0 else (0xD0, 0xD1, 0xD2, 0xD3):
         number_format = NUMBER_FORMATS[type_byte]
         if ((~value).bit_length() + 1 if value < 0 else value.bit_length()) <= number_format.size * 8:
             return bytes((type_byte,)) + number_format.pack(value)
-    raise OverflowError(f"{value} has no form here")
+    raise OverflowError(f"integer {value} does not fit into 64 bits")
 
 
 def pack_header(size: int, short: tuple[int, int] | None, long: tuple[int | None, int, int]) -> bytes:
+    """Encodes the type byte and length of a string, binary value, array or map in the shortest form.
+
+    Args:
+        size: Length in bytes, or number of items or pairs.
+        short: Base type byte of the form that holds the length itself, and the first length that does not fit
+            into it; None if the type has no such form.
+        long: Type bytes for lengths of 1, 2 and 4 bytes; None where the type has no such form.
+
+    Raises:
+        OverflowError: If the length does not fit into 4 bytes.
+    """
     if short is not None and size < short[1]:
         return bytes((short[0] | size,))
     for type_byte, length_size in zip(long, (1, 2, 4), strict=True):
         if type_byte is not None and size < 1 << (8 * length_size):
             return bytes((type_byte,)) + size.to_bytes(length_size, "big")
-    raise OverflowError(f"{size} items or bytes have no form here")
+    raise OverflowError(f"a length of {size} does not fit into 32 bits")
--- a/birchslip/net/site.py
+++ b/birchslip/net/site.py
@@ -1,4 +1,7 @@
-"""Where this app server stands: the JSON that `PROXY_CONFIG` names, read at the start and on SIGHUP."""
+"""Configuration of this app server: the JSON file named by `PROXY_CONFIG`, read at start and on SIGHUP.
+
+Invalid values are rejected with an `InvalidInputError` whose text is one line and names the setting.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +17,30 @@
 from .bounds import SOCKETS_LEAST
 
 Address = tuple[str, int]
-RELOADABLE_FIELDS = ("agent", "catalog", "vault", "stop_timeout")  # what a running program takes over
+# Fields of `ServerConfig` that a running app server adopts from a changed file; all others need a restart.
+RELOADABLE_FIELDS = ("agent", "catalog", "vault", "stop_timeout")
 
 
 @dataclass(slots=True)
 class ServerConfig:
-    """The program's own; the settings become a `AdmissionSettings`, and their names stay at the door."""
+    """Validated configuration of this app server.
+
+    The admission decisions know request classes and tenants by position only; their names are kept here.
+
+    Attributes:
+        name: Name of this app server in the catalog and the fleet file.
+        listen: Address to listen on for routers; port 0 is any free port.
+        agent: Address of the agent.
+        catalog: Address of the catalog.
+        vault: Address of the vault, or None if no run calls it.
+        stop_timeout: Time from the request to stop until the process is killed, in tenths of a millisecond.
+        sockets: Limit of open sockets.
+        memory_bytes: Limit of resident memory.
+        settings: Settings of the admission decisions.
+        class_names: Names of the request classes, in the order of `settings.request_classes`.
+        tenant_names: Names of the tenants, in the order of `settings.tenants`.
+        gauge_names: Names of the gauges that the agent samples, in the order of its values.
+    """
 
     name: str
     listen: Address
@@ -28,20 +49,25 @@
     vault: Address | None
     stop_timeout: int
     sockets: int
-    memory_bytes: int  # bytes
+    memory_bytes: int
     settings: AdmissionSettings
     class_names: list[str]
     tenant_names: list[str]
     gauge_names: list[str]
 
     def changes_needing_restart(self, later: ServerConfig) -> list[str]:
-        """The parts in which a later reading differs and that stand as long as the program runs."""
+        """Returns the names of the fields that differ in `later` and that need a restart to take effect."""
         running, reloaded = asdict(self), asdict(later)
         return [part for part in running if part not in RELOADABLE_FIELDS and running[part] != reloaded[part]]
 
 
 def read_config(environment: Mapping[str, str]) -> ServerConfig:
-    """Malformed or OSError says what is wrong, in one line."""
+    """Reads and validates the configuration file named by `PROXY_CONFIG`.
+
+    Raises:
+        InvalidInputError: If no file is named, or the file is not valid.
+        OSError: If the file cannot be read.
+    """
     path = environment.get("PROXY_CONFIG", "")
     if not path:
         raise InvalidInputError("PROXY_CONFIG names no file")
@@ -56,7 +82,11 @@
 
 
 def parse_config(configuration: dict[str, Any], environment: Mapping[str, str]) -> ServerConfig:
-    """What a configuration says, once it is read."""
+    """Validates a configuration; `PROXY_NAME` and `PROXY_LISTEN` of the environment take precedence.
+
+    Raises:
+        InvalidInputError: If a value is absent or not valid.
+    """
     for part in ("settings", "limits"):
         if not isinstance(configuration.get(part, {}), dict):
             raise InvalidInputError(f"{part} is not an object")
@@ -102,6 +132,11 @@
 
 
 def read_text(configuration: dict[str, Any], name: str) -> str:
+    """Returns the text under `name`.
+
+    Raises:
+        InvalidInputError: If it is absent, empty or not a text.
+    """
     value = configuration.get(name)
     if not isinstance(value, str) or not value:
         raise InvalidInputError(f"{name} is absent or not a text")
@@ -109,6 +144,11 @@
 
 
 def parse_seed(configuration: dict[str, Any]) -> int:
+    """Returns the seed of the random decisions, given in hexadecimal; 1 if there is none.
+
+    Raises:
+        InvalidInputError: If it is not hexadecimal.
+    """
     try:
         return int(str(configuration.get("seed", "1")), 16)
     except ValueError:
@@ -116,12 +156,21 @@
 
 
 def parse_address(value: str, setting: str, min_port: int = 1) -> Address:
-    """HOST:PORT; where port 0 is allowed, it takes any free one."""
+    """Parses an address of the form HOST:PORT, where HOST is an IPv4 address.
+
+    Args:
+        value: Text to parse.
+        setting: Name of the setting, for error messages.
+        min_port: 0 if the port may be 0, which stands for any free port.
+
+    Raises:
+        InvalidInputError: If the text has another form.
+    """
     host, colon, port = value.rpartition(":")
     if not colon or not host or not port.isdecimal() or not min_port <= int(port) < 65536:
         raise InvalidInputError(f"{setting} is not HOST:PORT: {value[:60]!r}")
     try:
-        # A name would be looked up each time it is dialled, and all else would wait for that.
+        # A host name would be resolved at each connect, which blocks all tasks of the process.
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError):
         raise InvalidInputError(f"{setting} is not an IPv4 address and a port: {value[:60]!r}") from None
--- a/tests/test_planner_transport.py
+++ b/tests/test_planner_transport.py
@@ -123,7 +123,7 @@
     loopback = Loopback()
     connection = PeerConnection(loopback.scheduler, listener.getsockname())
     began = loopback.scheduler.clock()
-    with pytest.raises(OSError, match="an answer of no known form|0xc1 is not taken here|no answer in time"):
+    with pytest.raises(OSError, match="an answer of no known form|0xc1 is not supported|no answer in time"):
         loopback.call(connection, wait=3_000)
     assert loopback.scheduler.clock() - began < SECOND
     assert connection.connection is not None
