--- a/birchslip/cluster/state_replicator.py
+++ b/birchslip/cluster/state_replicator.py
@@ -149,7 +149,7 @@
 
     def handle_response(self, request: Message, raw: bytes, sent: int) -> None:
         """Handles another planner's response to a request; `sent` is when the request was sent."""
-        now = self.scheduler.tell_time()
+        now = self.scheduler.update_clock()
         if isinstance(request, VoteRequest):
             self.handle_vote_response(request, decode(raw, VoteResponse), sent, now)
         elif isinstance(request, ReplicationRequest):
--- a/birchslip/net/catalog.py
+++ b/birchslip/net/catalog.py
@@ -10,10 +10,10 @@
 from zlib import crc32
 
 from . import http
-from .connection import Connection, Dial
+from .connection import Connection, Connector
 from .counters import Counters
 from .log import Log
-from .scheduler import Nap, Scheduler
+from .scheduler import InterruptibleSleep, Scheduler
 
 REPORT_INTERVAL = 10_000  # a report a second; the entry lapses three seconds after the last one
 # How long a connection may take to open, and an answer to come: first short, since what hangs is tried again
@@ -43,10 +43,10 @@
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.is_passing = is_passing
         self.path = f"/catalog/register/{quote(name, safe='')}"
-        self.connection_attempt: Dial | None = None  # while a connection is being opened
+        self.connection_attempt: Connector | None = None  # while a connection is being opened
         self.link: Connection | None = None
         self.missed_reports = 0  # since the last report that was answered
-        self.report_wait = Nap(scheduler)
+        self.report_wait = InterruptibleSleep(scheduler)
         self.is_report_requested = False
         self.change_address(address)
 
@@ -55,7 +55,7 @@
         self.address, self.host = address, f"{address[0]}:{address[1]}"
         self.close_connection()
         if self.connection_attempt is not None:
-            self.connection_attempt.give_up()
+            self.connection_attempt.cancel()
 
     def keep_reporting(self) -> None:
         while True:
@@ -82,7 +82,7 @@
     def report_now(self) -> None:
         """What is reported has changed: routers need not learn of it a second later."""
         self.is_report_requested = True
-        self.report_wait.end()
+        self.report_wait.wake()
 
     def send_report(self) -> None:
         """One report and its answer; OSError says why it was missed."""
@@ -101,7 +101,7 @@
             self.close_connection()
 
     def open_connection(self) -> Connection:
-        attempt = self.connection_attempt = Dial(self.scheduler, self.address)
+        attempt = self.connection_attempt = Connector(self.scheduler, self.address)
         try:
             sock = attempt.open(timeout_after(CONNECT_TIMEOUTS, self.missed_reports))
         finally:
--- a/birchslip/net/http.py
+++ b/birchslip/net/http.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from .buffer import Buffer, Unreadable
+from .buffer import Buffer, MalformedMessageError
 from .connection import Connection
 
 MAX_LINE_BYTES = 4096  # of the status line or of a header
@@ -49,10 +49,10 @@
         """Takes what has arrived from the buffer; returns whether the response is complete.
 
         Raises:
-            Unreadable: If the response is malformed, too long or chunked.
+            MalformedMessageError: If the response is malformed, too long or chunked.
         """
         while self.remaining_bytes is None:
-            line = buffer.line(MAX_LINE_BYTES)
+            line = buffer.read_line(MAX_LINE_BYTES)
             if line is None:
                 return False
             if not line and 100 <= self.status < 200:
@@ -60,7 +60,7 @@
                 continue
             self.head_lines += 1
             if self.head_lines > MAX_HEAD_LINES:
-                raise Unreadable(f"response head of more than {MAX_HEAD_LINES} lines")
+                raise MalformedMessageError(f"response head of more than {MAX_HEAD_LINES} lines")
             if not self.status:
                 self.parse_status_line(line)
             elif line:
@@ -79,25 +79,25 @@
         """Reads the status code; an HTTP/1.0 connection is not kept alive.
 
         Raises:
-            Unreadable: If the line or its status code is not valid.
+            MalformedMessageError: If the line or its status code is not valid.
         """
         version, _, rest = line.partition(b" ")
         code = rest[:3]
         if version not in (b"HTTP/1.1", b"HTTP/1.0") or len(code) != 3 or not code.isdigit():
-            raise Unreadable(f"invalid status line: {line[:40]!r}")
+            raise MalformedMessageError(f"invalid status line: {line[:40]!r}")
         self.status, self.keeps_alive = int(code), version == b"HTTP/1.1"
         if self.status < 100:
-            raise Unreadable(f"invalid status code: {self.status}")
+            raise MalformedMessageError(f"invalid status code: {self.status}")
 
     def parse_header(self, line: bytes) -> None:
         """Reads a header line; only the length and the connection headers matter.
 
         Raises:
-            Unreadable: If the line is malformed, the body is too long, or its transfer encoding is not plain.
+            MalformedMessageError: If the line is invalid, the body too long, or a transfer encoding is used.
         """
         name, colon, value = line.partition(b":")
         if not colon or not name or name != name.strip():
-            raise Unreadable(f"invalid header: {line[:40]!r}")
+            raise MalformedMessageError(f"invalid header: {line[:40]!r}")
         name, value = name.lower(), value.strip()
         if name == b"content-length":
             if (
@@ -105,10 +105,10 @@
                 or len(value) > 9
                 or int(value) > (self.max_body_bytes or MAX_SKIPPED_BODY_BYTES)
             ):
-                raise Unreadable(f"invalid or excessive content length: {value[:40]!r}")
+                raise MalformedMessageError(f"invalid or excessive content length: {value[:40]!r}")
             self.content_length = int(value)
         elif name == b"transfer-encoding":
-            raise Unreadable("transfer encodings are not supported")
+            raise MalformedMessageError("transfer encodings are not supported")
         elif name == b"connection" and value.lower() == b"close":
             self.keeps_alive = False
 
@@ -135,6 +135,6 @@
     while not is_complete:
         events = link.step(read_response, deadline)
         if not link.open and not is_complete:
-            raise OSError(link.why)
+            raise OSError(link.close_reason)
         if not events and link.scheduler.now >= deadline:
             raise OSError("no response before the deadline")
--- a/birchslip/net/messagepack.py
+++ b/birchslip/net/messagepack.py
@@ -9,7 +9,7 @@
 import struct
 from typing import Any
 
-from .buffer import Unreadable
+from .buffer import MalformedMessageError
 
 MAX_DEPTH = 8  # levels of nested arrays and maps
 MAX_VALUE_BYTES = 16_384  # of one string or binary value
@@ -64,12 +64,12 @@
 
     Raises:
         IncompleteMessageError: If the value continues past `end`.
-        Unreadable: If the data is not valid, or exceeds a limit of this module.
+        MalformedMessageError: If the data is not valid, or exceeds a limit of this module.
     """
     if offset >= end:
         raise IncompleteMessageError
     if depth > MAX_DEPTH:
-        raise Unreadable("nested too deeply")
+        raise MalformedMessageError("nested too deeply")
     type_byte = view[offset]
     offset += 1
     if type_byte <= 0x7F:
@@ -90,7 +90,7 @@
             raise IncompleteMessageError
         return number_format.unpack_from(view, offset)[0], offset + number_format.size
     if type_byte not in SIZED_TYPES:
-        raise Unreadable(f"type byte {type_byte:#04x} is not supported")
+        raise MalformedMessageError(f"type byte {type_byte:#04x} is not supported")
     kind, length_size = SIZED_TYPES[type_byte]
     if offset + length_size > end:
         raise IncompleteMessageError
@@ -111,10 +111,10 @@
 
     Raises:
         IncompleteMessageError: If the value continues past `end`.
-        Unreadable: If it is longer than `MAX_VALUE_BYTES`.
+        MalformedMessageError: If it is longer than `MAX_VALUE_BYTES`.
     """
     if size > MAX_VALUE_BYTES:
-        raise Unreadable(f"{size} bytes in one value, {MAX_VALUE_BYTES} at most")
+        raise MalformedMessageError(f"{size} bytes in one value, {MAX_VALUE_BYTES} at most")
     if offset + size > end:
         raise IncompleteMessageError
 
@@ -124,13 +124,13 @@
 
     Raises:
         IncompleteMessageError: If the string continues past `end`.
-        Unreadable: If it is too long or not UTF-8.
+        MalformedMessageError: If it is too long or not UTF-8.
     """
     check_length(offset, end, size)
     try:
         return str(view[offset : offset + size], "utf-8"), offset + size
     except UnicodeDecodeError:
-        raise Unreadable("a string that is not UTF-8") from None
+        raise MalformedMessageError("a string that is not UTF-8") from None
 
 
 def unpack_array(view: memoryview, offset: int, end: int, count: int, depth: int) -> tuple[list[Any], int]:
@@ -138,10 +138,10 @@
 
     Raises:
         IncompleteMessageError: If an item continues past `end`.
-        Unreadable: If there are too many items, or one of them is not valid.
+        MalformedMessageError: If there are too many items, or one of them is not valid.
     """
     if count > MAX_ITEMS:
-        raise Unreadable(f"{count} items in one array, {MAX_ITEMS} at most")
+        raise MalformedMessageError(f"{count} items in one array, {MAX_ITEMS} at most")
     items = []
     for _ in range(count):
         item, offset = unpack(view, offset, end, depth + 1)
@@ -154,15 +154,15 @@
 
     Raises:
         IncompleteMessageError: If a key or value continues past `end`.
-        Unreadable: If there are too many pairs, a key is an array or a map, or a key or value is not valid.
+        MalformedMessageError: If there are too many pairs, a key is an array or a map, or an item is invalid.
     """
     if count > MAX_ITEMS:
-        raise Unreadable(f"{count} pairs in one map, {MAX_ITEMS} at most")
+        raise MalformedMessageError(f"{count} pairs in one map, {MAX_ITEMS} at most")
     pairs: dict[Any, Any] = {}
     for _ in range(count):
         key, offset = unpack(view, offset, end, depth + 1)
         if isinstance(key, list | dict):
-            raise Unreadable("a list or a map as the name in a map")
+            raise MalformedMessageError("a list or a map as the name in a map")
         pairs[key], offset = unpack(view, offset, end, depth + 1)
     return pairs, offset
 
--- a/birchslip/net/servers.py
+++ b/birchslip/net/servers.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from ..admission.types import MS, Outcome
-from .buffer import Buffer, Unreadable
-from .connection import Connection, Dial
+from .buffer import Buffer, MalformedMessageError
+from .connection import Connection, Connector
 from .counters import Counters
 from .log import Log
 from .request_context import RequestContext
@@ -89,7 +89,7 @@
     ) -> None:
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.address, self.gauge_names, self.max_unsent_bytes = address, gauge_names, max_unsent_bytes
-        self.connection_attempt: Dial | None = None  # while a link is being opened
+        self.connection_attempt: Connector | None = None  # while a link is being opened
         self.link: Connection | None = None
         self.last_notice = 0  # the number of the last notice read
         self.fence_number = 0
@@ -169,7 +169,7 @@
         delay = INITIAL_RECONNECT_DELAY
         while True:
             address = self.address
-            self.connection_attempt = Dial(self.scheduler, address)
+            self.connection_attempt = Connector(self.scheduler, address)
             try:
                 link = Connection(
                     self.scheduler, self.connection_attempt.open(), 2 * MAX_LINE_BYTES, self.max_unsent_bytes
@@ -207,7 +207,7 @@
             if self.link is not None:
                 self.link.close("moved")
             if self.connection_attempt is not None:
-                self.connection_attempt.give_up()
+                self.connection_attempt.cancel()
 
     def serve_link(self, link: Connection) -> str:
         self.link, self.is_synchronized, self.unanswered_samples = link, False, 0
@@ -219,12 +219,12 @@
             link.close("a fault")
 
     def read_messages(self, link: Connection, buffer: Buffer) -> None:
-        while link.open and (line := buffer.line(MAX_LINE_BYTES)) is not None:
+        while link.open and (line := buffer.read_line(MAX_LINE_BYTES)) is not None:
             self.unanswered_samples = 0
             try:
                 action = self.parse_message(line)
             except (ValueError, TypeError, KeyError, OverflowError, RecursionError) as error:
-                raise Unreadable(f"{type(error).__name__}: {error}") from None
+                raise MalformedMessageError(f"{type(error).__name__}: {error}") from None
             action()
 
     def parse_message(self, line: bytes) -> Callable[[], None]:
--- a/birchslip/net/site.py
+++ b/birchslip/net/site.py
@@ -14,7 +14,7 @@
 from ..admission.settings import SettingsReader, flatten, read_admission_settings
 from ..admission.types import MS, AdmissionSettings
 from ..errors import InvalidInputError
-from .bounds import SOCKETS_LEAST
+from .bounds import MIN_SOCKETS
 
 Address = tuple[str, int]
 # Fields of `ServerConfig` that a running app server adopts from a changed file; all others need a restart.
@@ -104,8 +104,8 @@
     ):
         if isinstance(value, bool) or not isinstance(value, int | float) or not 1 <= value < 1e9:
             raise InvalidInputError(f"{setting} is not a number above 0: {value!r}")
-    if sockets < SOCKETS_LEAST:
-        raise InvalidInputError(f"limits.sockets is under {SOCKETS_LEAST}: {sockets!r}")
+    if sockets < MIN_SOCKETS:
+        raise InvalidInputError(f"limits.sockets is under {MIN_SOCKETS}: {sockets!r}")
     config = ServerConfig(
         name=environment.get("PROXY_NAME") or read_text(configuration, "name"),
         listen=parse_address(
--- a/birchslip/net/vault.py
+++ b/birchslip/net/vault.py
@@ -14,8 +14,8 @@
 from functools import partial
 
 from ..admission.types import Outcome
-from .buffer import Buffer, Unreadable
-from .connection import Connection, Dial
+from .buffer import Buffer, MalformedMessageError
+from .connection import Connection, Connector
 from .counters import Counters
 from .log import Log
 from .request_context import RequestContext
@@ -52,9 +52,9 @@
         case [request_id, word] if word in CALL_OUTCOMES and word != b"yes":
             size = 0
         case _:
-            raise Unreadable(f"not a reply: {line[:80]!r}")
+            raise MalformedMessageError(f"not a reply: {line[:80]!r}")
     if not request_id.isalnum() or not request_id.isascii():
-        raise Unreadable(f"not an id: {request_id[:40]!r}")
+        raise MalformedMessageError(f"not an id: {request_id[:40]!r}")
     return request_id.decode(), word, size
 
 
@@ -63,7 +63,7 @@
 
     def __init__(self, context: RequestContext, message: bytes) -> None:
         self.context, self.message = context, message
-        self.connection_attempt: Dial | None = None  # while its connection is being opened
+        self.connection_attempt: Connector | None = None  # while its connection is being opened
         self.link: Connection | None = None
         self.reply_head: tuple[str, bytes, int] | None = None  # of the reply whose body comes next
         self.unrelated_replies = 0
@@ -74,7 +74,7 @@
         """Its reply, once it is whole; one to another call, as told again, is passed over."""
         while self.outcome is None:
             if self.reply_head is None:
-                line = buffer.line(MAX_LINE_BYTES)
+                line = buffer.read_line(MAX_LINE_BYTES)
                 if line is None:
                     return
                 self.reply_head = parse_reply_line(line)
@@ -84,7 +84,7 @@
                     return
                 body = buffer.take(length)
                 if buffer.take(2) != b"\r\n":
-                    raise Unreadable("a reply longer than it said")
+                    raise MalformedMessageError("a reply longer than it said")
             else:
                 body = b""
             self.reply_head = None
@@ -93,7 +93,7 @@
                 return
             self.unrelated_replies += 1
             if self.unrelated_replies > MAX_UNRELATED_REPLIES:
-                raise Unreadable(f"{self.unrelated_replies} replies to other calls")
+                raise MalformedMessageError(f"{self.unrelated_replies} replies to other calls")
 
 
 class Vault:
@@ -129,7 +129,7 @@
         """Give the call up: that its connection is closed says so."""
         pending_call = self.calls.pop(context.request_id, None)
         if pending_call is not None and pending_call.connection_attempt is not None:
-            pending_call.connection_attempt.give_up()
+            pending_call.connection_attempt.cancel()
         if pending_call is not None and pending_call.link is not None:
             pending_call.link.close("given up")
 
@@ -140,7 +140,7 @@
             for pending_call in self.calls.values():
                 if pending_call.connection_attempt is not None:
                     # it has not been sent: it may go to the new address
-                    pending_call.connection_attempt.give_up()
+                    pending_call.connection_attempt.cancel()
             while self.idle_connections:
                 self.idle_connections.pop()[1].close("moved")
 
@@ -207,7 +207,7 @@
         try:
             if address is None:
                 raise OSError("no address for it")
-            pending_call.connection_attempt = Dial(self.scheduler, address)
+            pending_call.connection_attempt = Connector(self.scheduler, address)
             sock = pending_call.connection_attempt.open()
         except OSError as error:
             self.counters.count("vault.unreached")
@@ -240,7 +240,7 @@
         if link.malformed:
             self.counters.count("vault.malformed")
         if pending_call.outcome is None:
-            self.fail(pending_call, Outcome.CONNECTION_LOST, link.why)
+            self.fail(pending_call, Outcome.CONNECTION_LOST, link.close_reason)
         else:
             self.finish(pending_call, pending_call.outcome)
 
