--- a/birchslip/net/catalog.py
+++ b/birchslip/net/catalog.py
@@ -43,7 +43,7 @@
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.is_passing = is_passing
         self.path = f"/catalog/register/{quote(name, safe='')}"
-        self.connection_attempt: Connector | None = None  # while a connection is being opened
+        self.connector: Connector | None = None  # while a connection is being opened
         self.link: Connection | None = None
         self.missed_reports = 0  # since the last report that was answered
         self.report_wait = InterruptibleSleep(scheduler)
@@ -54,8 +54,8 @@
         """Reports go there from the next one on."""
         self.address, self.host = address, f"{address[0]}:{address[1]}"
         self.close_connection()
-        if self.connection_attempt is not None:
-            self.connection_attempt.cancel()
+        if self.connector is not None:
+            self.connector.cancel()
 
     def keep_reporting(self) -> None:
         while True:
@@ -101,12 +101,12 @@
             self.close_connection()
 
     def open_connection(self) -> Connection:
-        attempt = self.connection_attempt = Connector(self.scheduler, self.address)
+        connector = self.connector = Connector(self.scheduler, self.address)
         try:
-            sock = attempt.open(timeout_after(CONNECT_TIMEOUTS, self.missed_reports))
+            sock = connector.open(timeout_after(CONNECT_TIMEOUTS, self.missed_reports))
         finally:
-            self.connection_attempt = None
-        if attempt.address != self.address:
+            self.connector = None
+        if connector.address != self.address:
             sock.close()
             raise OSError("moved")
         return Connection(self.scheduler, sock, 131_072, 16_384)
--- a/birchslip/net/servers.py
+++ b/birchslip/net/servers.py
@@ -89,7 +89,7 @@
     ) -> None:
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.address, self.gauge_names, self.max_unsent_bytes = address, gauge_names, max_unsent_bytes
-        self.connection_attempt: Connector | None = None  # while a link is being opened
+        self.connector: Connector | None = None  # while a link is being opened
         self.link: Connection | None = None
         self.last_notice = 0  # the number of the last notice read
         self.fence_number = 0
@@ -169,10 +169,10 @@
         delay = INITIAL_RECONNECT_DELAY
         while True:
             address = self.address
-            self.connection_attempt = Connector(self.scheduler, address)
+            self.connector = Connector(self.scheduler, address)
             try:
                 link = Connection(
-                    self.scheduler, self.connection_attempt.open(), 2 * MAX_LINE_BYTES, self.max_unsent_bytes
+                    self.scheduler, self.connector.open(), 2 * MAX_LINE_BYTES, self.max_unsent_bytes
                 )
             except OSError as error:
                 self.log.fault("the agent can't be reached", why=str(error))
@@ -206,8 +206,8 @@
             self.log.info("the agent has moved", last=self.last_notice, runs=len(self.runs))
             if self.link is not None:
                 self.link.close("moved")
-            if self.connection_attempt is not None:
-                self.connection_attempt.cancel()
+            if self.connector is not None:
+                self.connector.cancel()
 
     def serve_link(self, link: Connection) -> str:
         self.link, self.is_synchronized, self.unanswered_samples = link, False, 0
--- a/birchslip/net/site.py
+++ b/birchslip/net/site.py
@@ -19,6 +19,15 @@
 Address = tuple[str, int]
 # Fields of `ServerConfig` that a running app server adopts from a changed file; all others need a restart.
 RELOADABLE_FIELDS = ("agent", "catalog", "vault", "stop_timeout")
+# Names under which changed fields of `ServerConfig` are logged, where they differ from the field names.
+LOGGED_FIELD_NAMES = {
+    "stop_timeout": "stop",
+    "memory_bytes": "memory",
+    "settings": "deployment",
+    "class_names": "profiles",
+    "tenant_names": "tenants",
+    "gauge_names": "gauges",
+}
 
 
 @dataclass(slots=True)
@@ -56,9 +65,13 @@
     gauge_names: list[str]
 
     def changes_needing_restart(self, later: ServerConfig) -> list[str]:
-        """Returns the names of the fields that differ in `later` and that need a restart to take effect."""
+        """Returns the logged names of the fields that differ in `later` and need a restart to take effect."""
         running, reloaded = asdict(self), asdict(later)
-        return [part for part in running if part not in RELOADABLE_FIELDS and running[part] != reloaded[part]]
+        return [
+            LOGGED_FIELD_NAMES.get(field, field)
+            for field in running
+            if field not in RELOADABLE_FIELDS and running[field] != reloaded[field]
+        ]
 
 
 def read_config(environment: Mapping[str, str]) -> ServerConfig:
--- a/birchslip/net/vault.py
+++ b/birchslip/net/vault.py
@@ -63,7 +63,7 @@
 
     def __init__(self, context: RequestContext, message: bytes) -> None:
         self.context, self.message = context, message
-        self.connection_attempt: Connector | None = None  # while its connection is being opened
+        self.connector: Connector | None = None  # while its connection is being opened
         self.link: Connection | None = None
         self.reply_head: tuple[str, bytes, int] | None = None  # of the reply whose body comes next
         self.unrelated_replies = 0
@@ -128,8 +128,8 @@
     def cancel_call(self, context: RequestContext) -> None:
         """Give the call up: that its connection is closed says so."""
         pending_call = self.calls.pop(context.request_id, None)
-        if pending_call is not None and pending_call.connection_attempt is not None:
-            pending_call.connection_attempt.cancel()
+        if pending_call is not None and pending_call.connector is not None:
+            pending_call.connector.cancel()
         if pending_call is not None and pending_call.link is not None:
             pending_call.link.close("given up")
 
@@ -138,9 +138,9 @@
         if address != self.address:
             self.address, self.reconnect_delay, self.next_attempt_at = address, INITIAL_RECONNECT_DELAY, 0
             for pending_call in self.calls.values():
-                if pending_call.connection_attempt is not None:
+                if pending_call.connector is not None:
                     # it has not been sent: it may go to the new address
-                    pending_call.connection_attempt.cancel()
+                    pending_call.connector.cancel()
             while self.idle_connections:
                 self.idle_connections.pop()[1].close("moved")
 
@@ -207,8 +207,8 @@
         try:
             if address is None:
                 raise OSError("no address for it")
-            pending_call.connection_attempt = Connector(self.scheduler, address)
-            sock = pending_call.connection_attempt.open()
+            pending_call.connector = Connector(self.scheduler, address)
+            sock = pending_call.connector.open()
         except OSError as error:
             self.counters.count("vault.unreached")
             if address == self.address and self.next_attempt_at <= self.scheduler.now:
@@ -217,7 +217,7 @@
             self.fail(pending_call, Outcome.UNREACHABLE, str(error))
             return None
         finally:
-            pending_call.connection_attempt = None
+            pending_call.connector = None
         self.reconnect_delay = INITIAL_RECONNECT_DELAY
         self.counters.count("vault.links")
         return Connection(self.scheduler, sock, MAX_LINE_BYTES + MAX_REPLY_BYTES + 4096, MAX_UNSENT_BYTES)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -317,7 +317,7 @@
         ("{", {}, "is not JSON", "program.not_reloaded"),
         ("", {}, "is not JSON", "program.not_reloaded"),
         ('{"name": "toy-1"}', {}, "listen is absent", "program.not_reloaded"),
-        (None, {"settings": {"classes": [{"name": "lookup"}]}}, "settings,class_names", "program.reloads"),
+        (None, {"settings": {"classes": [{"name": "lookup"}]}}, "deployment,profiles", "program.reloads"),
         (None, {"limits": {"sockets": 99}}, "parts=sockets", "program.reloads"),
         (None, {}, "configuration taken over", "program.reloads"),
     ],
