--- a/birchslip/net/catalog.py
+++ b/birchslip/net/catalog.py
@@ -1,6 +1,9 @@
-"""The catalog that routers learn of app servers from: a report a second on a kept connection.
+"""Reports this app server to the catalog, from which routers learn of app servers.
 
-A catalog that is down, slow or answers otherwise costs a report, and never touches a transaction.
+One report is sent per second, on a connection that is kept open. A catalog that is down, slow or answers with
+an error costs a report and never affects a request.
+
+All times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -15,22 +18,35 @@
 from .log import Log
 from .scheduler import InterruptibleSleep, Scheduler
 
-REPORT_INTERVAL = 10_000  # a report a second; the entry lapses three seconds after the last one
-# How long a connection may take to open, and an answer to come: first short, since what hangs is tried again
-# at once, then long, for a catalog that is slow. Two hanging ones and a slow one fit before the entry lapses.
+REPORT_INTERVAL = 10_000  # 1 s; the catalog removes an entry 3 s after its last report
+# Timeouts by the number of reports missed in a row; the last one applies to all further reports. First short,
+# since an attempt that hangs is repeated at once; then long, for a catalog that is slow. Two attempts that
+# hang and a slow one fit before the catalog removes the entry.
 CONNECT_TIMEOUTS = (3_000, 3_000, 10_000)
 RESPONSE_TIMEOUTS = (5_000, 15_000)
-MIN_RETRY_DELAY, MAX_RETRY_DELAY = (
-    1_000,
-    5_000,
-)  # before the next try after a missed one: 100 ms, later half a second
+MIN_RETRY_DELAY, MAX_RETRY_DELAY = 1_000, 5_000  # after a missed report: 100 ms, later 500 ms
 
 
 def timeout_after(timeouts: tuple[int, ...], missed_reports: int) -> int:
+    """Returns the timeout that applies after a number of reports missed in a row."""
     return timeouts[min(missed_reports, len(timeouts) - 1)]
 
 
 class Catalog:
+    """Sends reports to the catalog at an interval, and at once when the reported state changes.
+
+    Attributes:
+        is_passing: Returns whether routers may send requests to this app server.
+        path: Path of this app server's entry.
+        address: Address of the catalog.
+        host: The same address as text, for the `Host` header.
+        connector: Set while a connection is being opened.
+        link: Connection to the catalog, or None.
+        missed_reports: Number of reports missed since the last one that was answered.
+        report_wait: Wait between two reports.
+        is_report_requested: Whether the next report is due without a wait.
+    """
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -40,24 +56,26 @@
         name: str,
         is_passing: Callable[[], bool],
     ) -> None:
+        """Creates a reporter for the app server `name`; `keep_reporting` sends the reports."""
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.is_passing = is_passing
         self.path = f"/catalog/register/{quote(name, safe='')}"
-        self.connector: Connector | None = None  # while a connection is being opened
+        self.connector: Connector | None = None
         self.link: Connection | None = None
-        self.missed_reports = 0  # since the last report that was answered
+        self.missed_reports = 0
         self.report_wait = InterruptibleSleep(scheduler)
         self.is_report_requested = False
         self.change_address(address)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Reports go there from the next one on."""
+        """Sends reports to another address from the next one on."""
         self.address, self.host = address, f"{address[0]}:{address[1]}"
         self.close_connection()
         if self.connector is not None:
             self.connector.cancel()
 
     def keep_reporting(self) -> None:
+        """Sends reports forever; a missed report is logged and repeated after a delay."""
         while True:
             started_at = self.scheduler.now
             try:
@@ -67,7 +85,7 @@
             except OSError as error:
                 self.counters.count("catalog.missed")
                 self.counters.count("catalog.malformed", self.link is not None and self.link.malformed)
-                self.log.fault("report to the catalog missed", why=str(error))
+                self.log.fault("catalog_report_failed", why=str(error))
                 self.close_connection()
                 self.missed_reports, delay = self.missed_reports + 1, self.retry_delay()
             if not self.is_report_requested:
@@ -75,17 +93,25 @@
             self.is_report_requested = False
 
     def retry_delay(self) -> int:
-        """Growing, and not the same for all: guards against a crowd at a catalog that comes back."""
+        """Returns the delay after a missed report.
+
+        It grows and differs between app servers, so that they don't all connect at once to a catalog that
+        becomes reachable again.
+        """
         base_delay = min(MAX_RETRY_DELAY, MIN_RETRY_DELAY * max(1, self.missed_reports - 1))
         return base_delay + crc32(f"{self.path} {self.missed_reports}".encode()) % (base_delay // 2)
 
     def report_now(self) -> None:
-        """What is reported has changed: routers need not learn of it a second later."""
+        """Sends a report without delay, since the reported state has changed."""
         self.is_report_requested = True
         self.report_wait.wake()
 
     def send_report(self) -> None:
-        """One report and its answer; OSError says why it was missed."""
+        """Sends one report and waits for its response.
+
+        Raises:
+            OSError: If the report was not accepted.
+        """
         if self.link is not None and self.is_unusable(self.link):
             self.close_connection()
         if self.link is None:
@@ -96,11 +122,16 @@
         deadline = self.scheduler.now + timeout_after(RESPONSE_TIMEOUTS, self.missed_reports)
         http.exchange(link, http.encode_request("PUT", self.path, self.host, body), response, deadline)
         if response.status != 204:
-            raise OSError(f"answered {response.status}")
+            raise OSError(f"catalog answered with status {response.status}")
         if not response.keeps_alive:
             self.close_connection()
 
     def open_connection(self) -> Connection:
+        """Opens a connection to the catalog.
+
+        Raises:
+            OSError: If the catalog is unreachable, or its address changed meanwhile.
+        """
         connector = self.connector = Connector(self.scheduler, self.address)
         try:
             sock = connector.open(timeout_after(CONNECT_TIMEOUTS, self.missed_reports))
@@ -108,15 +139,16 @@
             self.connector = None
         if connector.address != self.address:
             sock.close()
-            raise OSError("moved")
+            raise OSError("address of the catalog changed")
         return Connection(self.scheduler, sock, 131_072, 16_384)
 
     def is_unusable(self, link: Connection) -> bool:
-        """Whether the catalog has closed it between two reports, or has said what was not asked for."""
+        """Returns whether the catalog closed a connection between two reports, or sent unrequested data."""
         link.read(lambda _: None)
         return not link.open or len(link.buffer) > 0
 
     def close_connection(self) -> None:
+        """Closes the connection, if there is one."""
         if self.link is not None:
-            self.link.close("dropped")
+            self.link.close("connection to the catalog closed")
             self.link = None
--- a/birchslip/net/servers.py
+++ b/birchslip/net/servers.py
@@ -1,8 +1,12 @@
-"""The agent that owns the cores: JSON lines on one link, opened again whenever it is lost.
+"""Link to the agent, which owns the cores and executes the runs: JSON messages, one per line.
 
-Numbered notices are taken once each. On a new link the agent first tells what was missed; a gauge asked for
-at its beginning marks where that ends, and only then are orders given again that no notice has answered. To
-launch what runs already changes nothing, and what has ended has been told by then: nothing is run twice.
+The connection is opened again whenever it is lost. The agent numbers its notices, and each is processed once.
+On a new connection the agent first repeats the notices that were missed. A gauge sample that is requested at
+the beginning, with a fence as its tag, marks where they end: only after its answer are orders sent again that
+no notice has answered. No run is started twice by this: the agent ignores the launch of a run that is active
+already, and the outcome of a run that has ended is among the repeated notices.
+
+All times are in tenths of a millisecond unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -24,16 +28,13 @@
 from .scheduler import Scheduler
 
 MAX_LINE_BYTES = 65_536
-INITIAL_RECONNECT_DELAY, MAX_RECONNECT_DELAY = (
-    200,
-    10_000,
-)  # before the next try at the link: 20 ms at first, a second at most
-MAX_UNANSWERED_SAMPLES = (
-    40  # gauges asked for, each on a tick, and nothing heard at all: the link is dead, whatever it looks like
-)
-MAX_GAUGE_AGE = 5_000  # gauges older than half a second say nothing
-START_TIME_TOLERANCE = 20_000  # an agent that began two seconds later than it had said has been started anew
-IS_COLD_BY_START_KIND = {"fresh": True, "seasoned": False}  # whether it is cold
+INITIAL_RECONNECT_DELAY, MAX_RECONNECT_DELAY = 200, 10_000  # 20 ms, doubled after each failure up to 1 s
+# Samples requested, one per tick, without any message from the agent: more than this means that the link is
+# dead, even if its connection is still open.
+MAX_UNANSWERED_SAMPLES = 40
+MAX_GAUGE_AGE = 5_000  # 500 ms; older gauge values are not used
+START_TIME_TOLERANCE = 20_000  # 2 s; an agent that reports a start time later by more than this has restarted
+IS_COLD_BY_START_KIND = {"fresh": True, "seasoned": False}
 RUN_OUTCOMES = {
     "done": Outcome.SERVED,
     "crashed": Outcome.FAILED,
@@ -42,41 +43,81 @@
 }
 
 
-encode_json = json.JSONEncoder(
-    separators=(",", ":")
-).encode  # made once: `dumps` would make one for each order
+encode_json = json.JSONEncoder(separators=(",", ":")).encode  # `json.dumps` would create an encoder per order
 
 
 def encode_line(**parts: object) -> bytes:
+    """Encodes a message to the agent as a line of JSON."""
     return encode_json(parts).encode() + b"\n"
 
 
-def parse_number(value: Any) -> float:
+def parse_number(value: float | str) -> float:
+    """Converts a number in a message.
+
+    Raises:
+        ValueError: If it is not a finite number.
+        TypeError: If it is neither a number nor a text.
+    """
     number = float(value)
     if not isfinite(number):
-        raise ValueError(f"a figure of {number}")
+        raise ValueError(f"number is not finite: {number}")
     return number
 
 
-def parse_duration(milliseconds: Any) -> int:
+def parse_duration(milliseconds: float | str) -> int:
+    """Converts milliseconds in a message to tenths of a millisecond; raises the errors of `parse_number`."""
     return int(parse_number(milliseconds) * MS)
 
 
 def parse_notice_number(message: dict[str, Any]) -> int:
+    """Returns the number of a notice.
+
+    Raises:
+        KeyError: If it is absent.
+        ValueError: If it is not a whole number of at least 1.
+    """
     notice_number = message["seq"]
     if not isinstance(notice_number, int) or notice_number < 1:
-        raise ValueError(f"a notice numbered {str(notice_number)[:40]!r}")
+        raise ValueError(f"invalid notice number: {str(notice_number)[:40]!r}")
     return notice_number
 
 
 def parse_body(message: dict[str, Any]) -> bytes:
+    """Decodes the base64 body of a message; an absent body is empty.
+
+    Raises:
+        ValueError: If it is not valid base64.
+    """
     return a2b_base64(message.get("body") or "", strict_mode=True)
 
 
 class Agent:
-    """`on_handshake` hears of its start, `on_call_needed` of calls, `on_run_ended` of outcomes,
-    `on_launch_refused` of runs that it would not begin, `on_outcome_unknown` of those whose end can't be
-    known."""
+    """Maintains the link to the agent: sends orders and dispatches the agent's messages to callbacks.
+
+    Attributes:
+        address: Address of the agent.
+        gauge_names: Names of the sampled gauges, in the order of the values of a sample.
+        max_unsent_bytes: Unsent bytes of orders past which the connection is closed.
+        connector: Set while a connection is being opened.
+        link: Current connection, or None.
+        last_notice: Number of the last notice processed.
+        fence_number: Number of the newest fence; one fence is sent after each greeting.
+        unanswered_samples: Samples requested since the last message of any kind.
+        is_synchronized: Whether the agent has repeated all missed notices on this connection.
+        has_notice_gap: Whether notices were lost that the agent can no longer repeat.
+        agent_started_at: Scheduler time at which the agent started; None before its first greeting.
+        gauge_values: Values of the last sample, by gauge name.
+        gauges_received_at: Scheduler time of the last sample.
+        runs: Runs ordered and not ended, by request id.
+        on_handshake: Called at the first greeting with whether the agent is cold, and its start time.
+        on_call_needed: Called when a run needs a downstream call, with the number of the notice and the body
+            of the call.
+        on_run_ended: Called with the outcome of a run, its result and its duration.
+        on_launch_refused: Called for a run that the agent refused to start.
+        on_outcome_unknown: Called for a run whose outcome can no longer be known.
+        on_unknown_run_ended: Called with the id, outcome and result of a run that is not among `runs`, as of
+            an earlier incarnation of this app server.
+    """
 
     def __init__(
         self,
@@ -87,14 +128,15 @@
         gauge_names: list[str],
         max_unsent_bytes: int,
     ) -> None:
+        """Creates an unconnected link; `maintain_link` opens it, and the callbacks must be set before."""
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.address, self.gauge_names, self.max_unsent_bytes = address, gauge_names, max_unsent_bytes
-        self.connector: Connector | None = None  # while a link is being opened
+        self.connector: Connector | None = None
         self.link: Connection | None = None
-        self.last_notice = 0  # the number of the last notice read
+        self.last_notice = 0
         self.fence_number = 0
-        self.unanswered_samples = 0  # gauges asked for since anything was heard
-        self.is_synchronized = False  # whether what was missed has been told on this link
+        self.unanswered_samples = 0
+        self.is_synchronized = False
         self.has_notice_gap = False
         self.agent_started_at: int | None = None
         self.gauge_values: dict[str, float] = {}
@@ -105,7 +147,6 @@
         self.on_run_ended: Callable[[RequestContext, Outcome, bytes, int], None]
         self.on_launch_refused: Callable[[RequestContext], None]
         self.on_outcome_unknown: Callable[[RequestContext], None]
-        # hears of the end of runs that are not this life's
         self.on_unknown_run_ended: Callable[[str, Outcome, bytes], None] = (
             lambda request_id, outcome, result: None
         )
@@ -113,13 +154,19 @@
     # ---- orders --------------------------------------------------------------------------------------------
 
     def send_order(self, **parts: object) -> bytes:
-        """Sent at once on a link that is settled; kept by the caller, it is given again on the next one."""
+        """Encodes an order, and sends it if the link is synchronized.
+
+        Returns:
+            The encoded order. The caller keeps it among the pending orders of the run, which are sent again
+            on the next connection.
+        """
         line = encode_line(**parts)
         if self.link is not None and self.is_synchronized:
             self.link.write(line)
         return line
 
     def launch(self, context: RequestContext) -> None:
+        """Orders the agent to start the run of a request."""
         self.runs[context.request_id] = context
         encoded_body = b64encode(context.body).decode()
         context.pending_orders = self.send_order(
@@ -127,45 +174,53 @@
         )
 
     def stop_run(self, context: RequestContext) -> None:
-        # Behind a launch that may not have reached the agent: both are given again then.
+        """Orders the agent to stop a run."""
+        # Appended, since the launch may not have reached the agent: both are sent again in that case.
         context.pending_orders += self.send_order(op="freeze", id=context.request_id)
 
     def deliver(self, context: RequestContext, reply: bytes) -> None:
+        """Orders the agent to pass the reply of a downstream call to the run that waits for it."""
         context.pending_orders = self.send_order(
             op="deliver", id=context.request_id, body=b64encode(reply).decode()
         )
 
     def skip_call(self, context: RequestContext) -> None:
+        """Orders the agent to let a run continue without the downstream call that it waits for."""
         context.pending_orders = self.send_order(
             op="forgo", id=context.request_id, seq=context.call_notice_number
         )
 
     def request_gauges(self) -> None:
-        """Ask for the gauges; a link on which nothing at all is heard is opened anew.
+        """Requests a sample of the gauges; closes a link on which no message has arrived for too long.
 
-        Guards against one that stands and is dead: half a line and then nothing, a peer that has gone without
-        a word. Counted by what was asked and not by the clock, which runs on while this process is paused.
+        This detects a connection that is open but dead, as after half a message or when the agent's host
+        vanished without closing it. Silence is counted in requested samples and not in time, since the clock
+        advances while this process is paused.
         """
         link = self.link
         if link is None or self.agent_started_at is None:
             return
         self.unanswered_samples += 1
         if self.unanswered_samples > MAX_UNANSWERED_SAMPLES:
-            link.read(lambda buffer: self.read_messages(link, buffer))  # it may lie unread
+            link.read(lambda buffer: self.read_messages(link, buffer))  # an answer may wait unread
         if self.unanswered_samples > MAX_UNANSWERED_SAMPLES and link.open:
             self.counters.count("agent.silent")
-            link.close("nothing is heard on it")
+            link.close("no message from the agent")
         self.send_order(op="sample", tag="tick")
 
     def cores_used(self) -> float | None:
-        """The gauge, if it was read lately."""
+        """Returns the gauge of the cores in use, or None if there is no recent sample of it."""
         is_fresh = self.scheduler.now - self.gauges_received_at <= MAX_GAUGE_AGE
         return self.gauge_values.get("core_use") if is_fresh else None
 
     # ---- the link ------------------------------------------------------------------------------------------
 
     def maintain_link(self) -> None:
-        """The task that opens the link, reads it to its end and opens it again."""
+        """Opens the link, processes messages until it is lost, and opens it again; never returns.
+
+        The delay before the next attempt grows while attempts fail, and starts again after a connection that
+        brought a notice or was synchronized. After a change of address there is no delay.
+        """
         delay = INITIAL_RECONNECT_DELAY
         while True:
             address = self.address
@@ -175,13 +230,13 @@
                     self.scheduler, self.connector.open(), 2 * MAX_LINE_BYTES, self.max_unsent_bytes
                 )
             except OSError as error:
-                self.log.fault("the agent can't be reached", why=str(error))
+                self.log.fault("agent_unreachable", why=str(error))
                 if address == self.address:
                     self.scheduler.sleep(self.scheduler.now + delay)
                     delay = min(2 * delay, MAX_RECONNECT_DELAY)
                 continue
             if address != self.address:
-                link.close("moved")
+                link.close("address of the agent changed")
                 continue
             last_notice_before = self.last_notice
             why = self.serve_link(link)
@@ -189,7 +244,7 @@
                 self.counters.count("agent.malformed")
             if address == self.address:
                 self.counters.count("agent.lost")
-                self.log.fault("link to the agent lost", why=why, last=self.last_notice, runs=len(self.runs))
+                self.log.fault("agent_link_lost", why=why, last=self.last_notice, runs=len(self.runs))
                 delay = (
                     INITIAL_RECONNECT_DELAY
                     if self.last_notice > last_notice_before or self.is_synchronized
@@ -200,25 +255,35 @@
                 self.scheduler.sleep(self.scheduler.now + delay)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """The agent is now reached there: the next link goes on where this one stood."""
+        """Closes the link and opens it to another address, where the same sequence of notices continues."""
         if address != self.address:
             self.address = address
-            self.log.info("the agent has moved", last=self.last_notice, runs=len(self.runs))
+            self.log.info("agent_address_changed", last=self.last_notice, runs=len(self.runs))
             if self.link is not None:
-                self.link.close("moved")
+                self.link.close("address of the agent changed")
             if self.connector is not None:
                 self.connector.cancel()
 
     def serve_link(self, link: Connection) -> str:
+        """Subscribes to the notices after the last one and processes messages until the link is closed.
+
+        Returns:
+            The reason of the close.
+        """
         self.link, self.is_synchronized, self.unanswered_samples = link, False, 0
         self.counters.count("agent.links")
         link.write(encode_line(op="subscribe", seq=self.last_notice))
         try:
             return link.serve(lambda buffer: self.read_messages(link, buffer))
         finally:
-            link.close("a fault")
+            link.close("unhandled exception")
 
     def read_messages(self, link: Connection, buffer: Buffer) -> None:
+        """Processes the complete messages in the buffer.
+
+        Raises:
+            MalformedMessageError: If a message is not valid; the messages before it have been processed.
+        """
         while link.open and (line := buffer.read_line(MAX_LINE_BYTES)) is not None:
             self.unanswered_samples = 0
             try:
@@ -228,7 +293,13 @@
             action()
 
     def parse_message(self, line: bytes) -> Callable[[], None]:
-        """What a line asks for, its parts checked; nothing has been done when it turns out malformed."""
+        """Validates a message and returns the action that processes it.
+
+        All parts are checked before the action is called, so that a malformed message has no effect.
+
+        Raises:
+            ValueError, TypeError, KeyError, OverflowError, RecursionError: If the message is not valid.
+        """
         message = json.loads(str(line, "utf-8"))
         match message["op"]:
             case "greeting":
@@ -266,12 +337,16 @@
                     partial(self.on_unknown_run_ended, request_id, outcome, result),
                 )
             case unknown:
-                raise ValueError(f"op {str(unknown)[:40]!r}")
+                raise ValueError(f"unknown op: {str(unknown)[:40]!r}")
 
     def handle_refusal(self, order: str, request_id: str) -> None:
-        """A launch that is refused never runs; a run that the agent does not know any more has gone."""
+        """Handles an order that the agent did not carry out.
+
+        A refused launch means that the run never starts; a refusal of another order means that the agent no
+        longer knows the run.
+        """
         self.counters.count("agent.declined")
-        self.log.fault("the agent did not carry out an order", order=order, id=request_id)
+        self.log.fault("agent_order_refused", order=order, id=request_id)
         context = self.runs.get(request_id)
         if context is not None and order in ("launch", "deliver", "forgo"):
             del self.runs[request_id]
@@ -279,11 +354,15 @@
             (self.on_launch_refused if order == "launch" else self.on_outcome_unknown)(context)
 
     def handle_greeting(self, cold: bool, age: int) -> None:
+        """Handles the first message of a connection and sends the fence behind the repeated notices.
+
+        An agent that started later than the one before has lost its runs, and numbers its notices from 1.
+        """
         started_at = self.scheduler.now - max(0, age)
         if self.agent_started_at is None:
             self.on_handshake(cold, started_at)
         elif started_at > self.agent_started_at + START_TIME_TOLERANCE:
-            self.log.fault("the agent was started anew: its runs are gone")
+            self.log.fault("agent_restarted")
             self.has_notice_gap, self.last_notice = True, 0
         self.agent_started_at = started_at
         self.fence_number += 1
@@ -297,16 +376,23 @@
         action: Callable[[], None],
         unknown_run_action: Callable[[], None] = lambda: None,
     ) -> None:
-        """Each notice is taken once, in its turn."""
+        """Processes a notice, unless its number shows that it was processed before or that one is missing.
+
+        Args:
+            notice_number: Number of the notice.
+            request_id: Request whose run the notice is about; None if it is about no run.
+            action: Processes the notice.
+            unknown_run_action: Processes the notice if the run is unknown.
+        """
         if notice_number <= self.last_notice:
             return
         if notice_number > self.last_notice + 1:
             self.counters.count("agent.gaps")
             if self.is_synchronized and self.link is not None:
-                # The agent still has what is missing: it tells it again on a new link.
-                self.link.close(f"notice {notice_number} after {self.last_notice}")
+                # The agent still has the missing notices, and repeats them on a new connection.
+                self.link.close(f"received notice {notice_number} after {self.last_notice}")
                 return
-            self.log.fault("notices are missing", last=self.last_notice, next=notice_number)
+            self.log.fault("agent_notices_missing", last=self.last_notice, next=notice_number)
             self.has_notice_gap = True
         self.last_notice = notice_number
         if request_id is None or request_id in self.runs:
@@ -316,20 +402,24 @@
             unknown_run_action()
 
     def handle_remark(self, text: str) -> None:
+        """Logs a remark of the agent."""
         self.counters.count("agent.asides")
-        self.log.fault("remark of the agent", text=text)
+        self.log.fault("agent_remark", text=text)
 
     def handle_call_request(self, request_id: str, notice_number: int, body: bytes) -> None:
+        """Handles the notice that a run needs a downstream call; it answers the pending orders of the run."""
         context = self.runs[request_id]
         context.pending_orders = b""
         self.on_call_needed(context, notice_number, body)
 
     def handle_outcome(self, request_id: str, outcome: Outcome, result: bytes, elapsed: int) -> None:
+        """Handles the notice that a run has ended; it answers the pending orders of the run."""
         context = self.runs.pop(request_id)
         context.pending_orders = b""
         self.on_run_ended(context, outcome, result, elapsed)
 
     def handle_sample(self, tag: str, values: list[float]) -> None:
+        """Stores the gauges of a sample; one with the newest fence as its tag completes synchronization."""
         if tag == f"fence-{self.fence_number}":
             self.finish_synchronization()
         self.counters.count("agent.samples")
@@ -337,15 +427,18 @@
         self.gauges_received_at = self.scheduler.now
 
     def finish_synchronization(self) -> None:
-        """All that was missed has been told: give again the orders that no notice has answered."""
+        """Sends pending orders again, once the agent has repeated all notices that were missed.
+
+        After a gap in the notices, the outcome of every run may be among the lost ones: all are given up.
+        """
         self.is_synchronized = True
         if self.link is None:
             return
         if self.fence_number > 1:
-            self.log.info("link to the agent found again", last=self.last_notice, runs=len(self.runs))
+            self.log.info("agent_link_restored", last=self.last_notice, runs=len(self.runs))
         for context in list(self.runs.values()):
             if self.has_notice_gap:
-                # Its outcome may be among those that are gone for good.
+                # The outcome of the run may be among the notices that are lost for good.
                 del self.runs[context.request_id]
                 self.on_outcome_unknown(context)
             elif context.pending_orders:
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -1,4 +1,4 @@
-"""Connections that the program opens: to an address that takes no notice, or moved meanwhile."""
+"""Outgoing connections: to an address that accepts no connection, or that changes during the attempt."""
 
 import socket
 from contextlib import suppress
@@ -13,7 +13,7 @@
 
 from .hall import Clocked, arrived
 
-LAPSE = 3_000  # ms after its last report an entry of the catalog lapses
+ENTRY_LIFETIME_MS = 3_000  # time after its last report at which the catalog removes an entry
 
 
 @pytest.fixture
@@ -23,59 +23,64 @@
     one.close()
 
 
-class Asking:
-    """What the vault wants of a request's context."""
+class RunContext:
+    """The part of a request context that the vault uses."""
 
     def __init__(self, name):
         self.request_id = name
 
 
 @pytest.fixture
-def opened(monkeypatch):
-    """How many sockets are open of those that the program opens."""
-    made = []
+def open_socket_count(monkeypatch):
+    """A function that counts the open sockets among those created since the start of the test."""
+    sockets = []
 
-    class Kept(socket.socket):
+    class CountedSocket(socket.socket):
         def __init__(self, *parts, **more):
             super().__init__(*parts, **more)
-            made.append(self)
+            sockets.append(self)
 
-    monkeypatch.setattr(connection.socket, "socket", Kept)
-    return lambda: sum(one.fileno() >= 0 for one in made)
+    monkeypatch.setattr(connection.socket, "socket", CountedSocket)
+    return lambda: sum(sock.fileno() >= 0 for sock in sockets)
 
 
-def vault(clocked, place):
-    one = Vault(*clocked.parts, place.address, 64)
-    one.on_call_ended = lambda context, outcome, reply: ends.append((context.request_id, outcome))
-    ends = one.ends = []
-    return one
+def make_vault(clocked, place):
+    vault = Vault(*clocked.parts, place.address, 64)
+    vault.on_call_ended = lambda context, outcome, reply: ends.append((context.request_id, outcome))
+    ends = vault.ends = []
+    return vault
 
 
-def test_calls_given_up_at_a_vault_that_takes_no_notice_hold_no_descriptor(clocked, opened):
-    """Guards against calls of 80 ms that each leave a try of a second behind, until no descriptor is left."""
-    below = vault(clocked, clocked.there(deaf=True))
-    before = opened()  # the deaf place's own
+def test_cancelled_calls_to_vault_that_accepts_no_connection_free_their_descriptors(
+    clocked, open_socket_count
+):
+    """Guards against running out of descriptors.
+
+    Each call of 80 ms would otherwise leave behind an attempt to connect that lasts a second.
+    """
+    vault = make_vault(clocked, clocked.there(deaf=True))
+    before = open_socket_count()  # sockets of the listener itself
     for number in range(200):
-        context = Asking(f"a{number}")
-        below.call(context, 80, b"")
+        context = RunContext(f"a{number}")
+        vault.call(context, 80, b"")
         clocked.passes(count=2)
-        assert opened() <= before + 1
-        below.cancel_call(context)
+        assert open_socket_count() <= before + 1
+        vault.cancel_call(context)
         clocked.passes(count=2)
-    assert opened() == before
-    assert below.ends == []
+    assert open_socket_count() == before
+    assert vault.ends == []
 
 
-def test_a_call_that_was_being_opened_is_free_at_once_when_the_vault_moves(clocked):
-    below = vault(clocked, clocked.there(deaf=True))
-    below.call(Asking("a1"), 2000, b"")
+def test_call_still_connecting_ends_at_once_when_vault_address_changes(clocked):
+    vault = make_vault(clocked, clocked.there(deaf=True))
+    vault.call(RunContext("a1"), 2000, b"")
     clocked.passes()
-    below.change_address(clocked.there().address)
+    vault.change_address(clocked.there().address)
     clocked.passes()
-    assert below.ends == [("a1", Outcome.UNREACHABLE)]  # it never ran, and no second was lost
+    assert vault.ends == [("a1", Outcome.UNREACHABLE)]  # not executed, and without a wait of a second
 
 
-def test_the_link_to_an_agent_that_moves_does_not_wait_for_the_old_address(clocked):
+def test_agent_link_connects_to_new_address_without_waiting_for_old_one(clocked):
     old, new = clocked.there(deaf=True), clocked.there()
     agent = Agent(*clocked.parts, old.address, [], 1 << 20)
     clocked.scheduler.spawn("agent", agent.maintain_link)
@@ -84,55 +89,55 @@
     assert clocked.hears(new, b"subscribe")
 
 
-def catalog(clocked, place):
-    one = Catalog(*clocked.parts, place.address, "n1", lambda: True)
-    clocked.scheduler.spawn("catalog", one.keep_reporting)
+def start_catalog(clocked, place):
+    catalog = Catalog(*clocked.parts, place.address, "n1", lambda: True)
+    clocked.scheduler.spawn("catalog", catalog.keep_reporting)
     clocked.passes()
-    return one
+    return catalog
 
 
-def test_openings_that_hang_do_not_let_the_entry_lapse_while_another_would_succeed(clocked):
+def test_entry_is_renewed_in_time_after_two_connection_attempts_that_hang(clocked):
     place = clocked.there()
-    one = catalog(clocked, place)
+    reporter = start_catalog(clocked, place)
     assert clocked.hears(place, b"passing")
     place.say(b"HTTP/1.1 204 So\r\nConnection: close\r\n\r\n")
     clocked.passes()
     deaf, free = clocked.there(deaf=True), clocked.there()
-    one.address = deaf.address  # the next two openings hang, the third is heard
-    missed = clocked.parts[1].counts
-    gone = clocked.until(lambda: missed["catalog.missed"] == 2, 5000)
-    one.address = free.address
-    gone += clocked.until(lambda: b"PUT" in free.said(), 5000)
-    assert gone < LAPSE
+    reporter.address = deaf.address  # the next two attempts to connect hang, the third succeeds
+    counts = clocked.parts[1].counts
+    elapsed_ms = clocked.until(lambda: counts["catalog.missed"] == 2, 5000)
+    reporter.address = free.address
+    elapsed_ms += clocked.until(lambda: b"PUT" in free.said(), 5000)
+    assert elapsed_ms < ENTRY_LIFETIME_MS
 
 
-def test_a_catalog_that_is_slow_to_answer_keeps_the_entry(clocked):
-    """Its answers take longer than the first patience, each of them."""
+def test_entry_is_renewed_in_time_by_catalog_that_answers_slowly(clocked):
+    """Every response takes longer than the first response timeout."""
     place = clocked.there()
-    catalog(clocked, place)
-    answers, told, reports = {}, 0, clocked.parts[1].counts
+    start_catalog(clocked, place)
+    answer_times, last_reports, counts = {}, 0, clocked.parts[1].counts
     for ms in range(0, 9000, 10):
         place.said()
         for link, said in place.links:
             number = said.count(b"PUT")
-            answers.setdefault((link, number), ms + 700)
-            if number and answers[(link, number)] == ms:
+            answer_times.setdefault((link, number), ms + 700)
+            if number and answer_times[(link, number)] == ms:
                 with suppress(OSError):
                     link.sendall(b"HTTP/1.1 204 So\r\n\r\n")
                     arrived(link)
         clocked.passes(ms=10)
-        if ms % LAPSE == LAPSE - 10:
-            assert reports["catalog.reports"] > told
-            told = reports["catalog.reports"]
+        if ms % ENTRY_LIFETIME_MS == ENTRY_LIFETIME_MS - 10:
+            assert counts["catalog.reports"] > last_reports
+            last_reports = counts["catalog.reports"]
 
 
-def test_a_report_that_was_being_opened_does_not_go_to_the_address_of_before(clocked):
-    """The opening has succeeded when the move comes, and the program has not looked yet."""
+def test_report_still_connecting_is_not_sent_to_old_address(clocked):
+    """The connection is established when the address changes, but the program has not noticed it yet."""
     old, new = clocked.there(), clocked.there()
-    one = Catalog(*clocked.parts, old.address, "n1", lambda: True)
-    clocked.scheduler.spawn("catalog", one.keep_reporting)
+    catalog = Catalog(*clocked.parts, old.address, "n1", lambda: True)
+    clocked.scheduler.spawn("catalog", catalog.keep_reporting)
     clocked.passes(count=1)
-    one.change_address(new.address)
+    catalog.change_address(new.address)
     clocked.until(lambda: b"PUT" in new.said(), 5000)
     assert b"PUT" not in old.said()
     assert b"PUT" in new.said()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -355,7 +355,7 @@
 def test_a_catalog_that_is_down_costs_reports_alone(start):
     place = start()
     place.catalog.stop()
-    place.line("report to the catalog missed")
+    place.line("catalog_report_failed")
     router = place.router()
     assert router.answer(router.call("lookup", b"1"))[0] is None
     assert place.counters()["catalog.missed"] >= 1
@@ -513,7 +513,7 @@
     place.vault.seen.get(timeout=PATIENCE)
     place.vault.say(b"what is this\r\n")
     assert router.answer(waiting)[0][0] == "Failed"
-    place.line("report to the catalog missed")
+    place.line("catalog_report_failed")
     place.vault.word, place.catalog.status = "yes", 204
     assert router.answer(router.call("order", b"1 call", opkey=KEY2))[0] is None
     seen = place.counters()
@@ -575,7 +575,7 @@
     if down == "later":
         place.catalog.seen.get(timeout=PATIENCE)
         place.catalog.stop()
-    place.line("report to the catalog missed")
+    place.line("catalog_report_failed")
     crowd = [socket.create_connection(place.router_address(), PATIENCE) for _ in range(3 * most)]
     held, names = [], os.listdir(f"/proc/{place.process.pid}/fd")
     assert len(names) <= most
--- a/tests/test_socket_wire_record.py
+++ b/tests/test_socket_wire_record.py
@@ -1,4 +1,4 @@
-"""Messages to routers, agent, vault and catalog, byte for byte as the version before wrote them."""
+"""Messages to routers, agent, vault and catalog are byte for byte those that an earlier version wrote."""
 
 import json
 from types import SimpleNamespace
@@ -28,7 +28,7 @@
 
 
 class RecordedConnection:
-    """A connection that keeps what is written to it."""
+    """A connection that records what is written to it."""
 
     def __init__(self):
         self.open = True
@@ -39,7 +39,7 @@
 
 
 class Listener:
-    """What a router's connection asks of the listener."""
+    """The part of the listener that the connection of a router uses."""
 
     def __init__(self):
         self.healthy = True
@@ -60,9 +60,9 @@
 
 
 def program():
-    told = json.loads(CONFIGURATION.read_text())
-    told |= {"name": "n 3", "listen": "127.0.0.1:0", "agent": "127.0.0.1:1", "vault": "127.0.0.1:2"}
-    return Program(parse_config(told | {"directory": "127.0.0.1:3"}, {}))
+    configuration = json.loads(CONFIGURATION.read_text())
+    configuration |= {"name": "n 3", "listen": "127.0.0.1:0", "agent": "127.0.0.1:1", "vault": "127.0.0.1:2"}
+    return Program(parse_config(configuration | {"directory": "127.0.0.1:3"}, {}))
 
 
 def to_agent(write):
@@ -124,15 +124,15 @@
 
 
 @pytest.mark.parametrize("name", RECORDED)
-def test_a_message_is_written_as_before(name):
+def test_message_is_encoded_as_recorded(name):
     assert MESSAGES[name]() == RECORDED[name]
 
 
-def test_every_recorded_message_is_made_here():
+def test_every_recorded_message_has_an_encoder():
     assert sorted(MESSAGES) == sorted(RECORDED)
 
 
-def test_a_recorded_request_is_read_as_before():
+def test_recorded_request_is_decoded():
     raw = RECORDED["request"]
     message, end = unpack(memoryview(raw), 0, len(raw))
     assert end == len(raw)
