--- a/birchslip/net/servers.py
+++ b/birchslip/net/servers.py
@@ -98,21 +98,21 @@
         address: Address of the agent.
         gauge_names: Names of the sampled gauges, in the order of the values of a sample.
         max_unsent_bytes: Unsent bytes of orders past which the connection is closed.
-        connector: Set while a connection is being opened.
+        connector: Latest attempt to connect; None before the first.
         link: Current connection, or None.
         last_notice: Number of the last notice processed.
         fence_number: Number of the newest fence; one fence is sent after each greeting.
         unanswered_samples: Samples requested since the last message of any kind.
         is_synchronized: Whether the agent has repeated all missed notices on this connection.
         has_notice_gap: Whether notices were lost that the agent can no longer repeat.
-        agent_started_at: Scheduler time at which the agent started; None before its first greeting.
+        agent_started_at: Scheduler time of the agent's start, by its last greeting; None before the first.
         gauge_values: Values of the last sample, by gauge name.
         gauges_received_at: Scheduler time of the last sample.
         runs: Runs ordered and not ended, by request id.
         on_handshake: Called at the first greeting with whether the agent is cold, and its start time.
         on_call_needed: Called when a run needs a downstream call, with the number of the notice and the body
             of the call.
-        on_run_ended: Called with the outcome of a run, its result and its duration.
+        on_run_ended: Called when a run has ended, with its outcome, result and duration.
         on_launch_refused: Called for a run that the agent refused to start.
         on_outcome_unknown: Called for a run whose outcome can no longer be known.
         on_unknown_run_ended: Called with the id, outcome and result of a run that is not among `runs`, as of
@@ -344,6 +344,10 @@
 
         A refused launch means that the run never starts; a refusal of another order means that the agent no
         longer knows the run.
+
+        Args:
+            order: The `op` of the order.
+            request_id: Request whose run the order was about.
         """
         self.counters.count("agent.declined")
         self.log.fault("agent_order_refused", order=order, id=request_id)
@@ -353,14 +357,18 @@
             context.pending_orders = b""
             (self.on_launch_refused if order == "launch" else self.on_outcome_unknown)(context)
 
-    def handle_greeting(self, cold: bool, age: int) -> None:
+    def handle_greeting(self, is_cold: bool, age: int) -> None:
         """Handles the first message of a connection and sends the fence behind the repeated notices.
 
         An agent that started later than the one before has lost its runs, and numbers its notices from 1.
+
+        Args:
+            is_cold: Whether the agent was cold when it started.
+            age: Time since its start.
         """
         started_at = self.scheduler.now - max(0, age)
         if self.agent_started_at is None:
-            self.on_handshake(cold, started_at)
+            self.on_handshake(is_cold, started_at)
         elif started_at > self.agent_started_at + START_TIME_TOLERANCE:
             self.log.fault("agent_restarted")
             self.has_notice_gap, self.last_notice = True, 0
--- a/birchslip/net/site.py
+++ b/birchslip/net/site.py
@@ -16,7 +16,7 @@
 from ..errors import InvalidInputError
 from .bounds import MIN_SOCKETS
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # IPv4 address and port
 # Fields of `ServerConfig` that a running app server adopts from a changed file; all others need a restart.
 RELOADABLE_FIELDS = ("agent", "catalog", "vault", "stop_timeout")
 # Names under which changed fields of `ServerConfig` are logged, where they differ from the field names.
--- a/birchslip/net/vault.py
+++ b/birchslip/net/vault.py
@@ -50,9 +50,9 @@
         MalformedMessageError: If the line has another form.
     """
     match line.split(b" "):
-        case [request_id, b"yes" as word, length] if length.isdigit() and len(length) <= 6 and int(
-            length
-        ) <= MAX_REPLY_BYTES:
+        case [request_id, b"yes" as word, length] if (
+            length.isdigit() and len(length) <= 6 and int(length) <= MAX_REPLY_BYTES
+        ):
             size = int(length)
         case [request_id, word] if word in CALL_OUTCOMES and word != b"yes":
             size = 0
@@ -147,9 +147,7 @@
         self.reconnect_delay = INITIAL_RECONNECT_DELAY
         self.next_attempt_at = 0
         self.calls: dict[str, PendingCall] = {}
-        self.idle_connections: deque[tuple[int, Connection]] = (
-            deque()
-        )  # when each has brought a reply, the last at the end
+        self.idle_connections: deque[tuple[int, Connection]] = deque()
         self.is_expiry_scheduled = False
         self.on_call_ended: Callable[[RequestContext, Outcome, bytes], None]
 
