--- a/birchslip/net/catalog.py
+++ b/birchslip/net/catalog.py
@@ -102,7 +102,10 @@
         return base_delay + crc32(f"{self.path} {self.missed_reports}".encode()) % (base_delay // 2)
 
     def report_now(self) -> None:
-        """Sends a report without delay, since the reported state has changed."""
+        """Sends a report without delay after the reported state has changed.
+
+        Routers would otherwise learn of the change up to a second later.
+        """
         self.is_report_requested = True
         self.report_wait.wake()
 
