--- a/benchmarks/expect_broken.py
+++ b/benchmarks/expect_broken.py
@@ -9,16 +9,16 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from tests.broken import BROKEN
-from tests.expectdesk import sources
-from tests.test_expect_check import changed, judged
+from tests.expectation_harness import sources
+from tests.test_expect_check import check_result, with_setting
 
 
 def main():
     found, worst = 0, 0.0
     for name, which, path, value, expected, words in BROKEN:
-        whole = judged(sources(), expected)[0] if expected and name != "a contradiction" else 0
+        whole = check_result(sources(), expected)[0] if expected and name != "a contradiction" else 0
         began = time.monotonic()
-        code, reason = judged(changed(which, path, value), expected)
+        code, reason = check_result(with_setting(which, path, value), expected)
         took = time.monotonic() - began
         good = code != 0 and words in reason
         found, worst = found + good, max(worst, took)
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -540,20 +540,20 @@
 ) -> None:
     """Whether all that is expected holds; exit code 1 where something fails, 2 where it can't be told."""
     from .expect.check import Check
-    from .expect.report import dump, lines
     from .expect.report import junit as as_junit
+    from .expect.report import report_lines, to_json_text
 
     sources, statements, empty = read_expectations(paths, config, fleet, world)
     checking = Check(sources, statements, seed, seeds, search=not no_search, jobs=jobs)
     checking.report.empty = empty
     report = checking.run()
-    for line in lines(report):
+    for line in report_lines(report):
         click.echo(line)
     if junit is not None:
         junit.write_bytes(as_junit(report))
     if out is not None:
-        out.write_text(dump(report) + "\n")
-    raise SystemExit(report.code)
+        out.write_text(to_json_text(report) + "\n")
+    raise SystemExit(report.exit_code)
 
 
 @expect.command("list")
@@ -563,7 +563,7 @@
     """Every statement with its place, as it was understood."""
     _, statements, empty = read_expectations(paths, config, fleet, world)
     for one in statements:
-        click.echo(f"{one.name:28} {one.spot.told()}: {one.told()}")
+        click.echo(f"{one.name:28} {one.location.describe()}: {one.describe()}")
     for name in empty:
         click.echo(f"{name}: nothing is expected there")
 
@@ -578,7 +578,7 @@
 ) -> None:
     """How the verdict on one is come by: what it measures, what is played, what came of it."""
     from .expect.check import Check
-    from .expect.report import explain
+    from .expect.report import explain_statement
 
     sources, statements, _ = read_expectations(paths, config, fleet, world)
     some = [one for one in statements if one.name == name]
@@ -588,9 +588,9 @@
         near = get_close_matches(name, [one.name for one in statements], 1, 0.5)
         raise NotAsked(f"nothing is named {name!r}" + (f", was {near[0]!r} meant?" if near else ""))
     report = Check(sources, some, seed).run()
-    for line in explain(some[0], report, sources):
+    for line in explain_statement(some[0], report, sources):
         click.echo(line)
-    raise SystemExit(report.code)
+    raise SystemExit(report.exit_code)
 
 
 @expect.command("mutate")
@@ -614,21 +614,23 @@
     sources, statements, _ = read_expectations(paths, config, fleet, world)
 
     def tell(one: Any) -> None:
-        by = f": {one.by}" if one.by else ""
-        mark = "seen" if one.found else "NOT "
-        click.echo(f"{mark}  {one.place}: {one.change.was} -> {one.change.then}: {one.seen.value}{by}")
+        by = f": {one.detected_by}" if one.detected_by else ""
+        mark = "seen" if one.is_detected else "NOT "
+        click.echo(
+            f"{mark}  {one.path_label}: {one.change.old} -> {one.change.new}: {one.detection.value}{by}"
+        )
 
     found = mutate(sources, statements, seed, seeds, tell)
-    seen = sum(1 for one in found if one.found)
+    seen = sum(1 for one in found if one.is_detected)
     click.echo(f"{seen} of {len(found)} breaks are seen")
     if out is not None:
         rows = [
             {
-                "place": one.place,
-                "was": one.change.was,
-                "then": one.change.then,
-                "seen": one.seen.value,
-                "by": one.by,
+                "place": one.path_label,
+                "was": one.change.old,
+                "then": one.change.new,
+                "seen": one.detection.value,
+                "by": one.detected_by,
             }
             for one in found
         ]
--- a/birchslip/expect/check.py
+++ b/birchslip/expect/check.py
@@ -11,20 +11,20 @@
 
 from ..errors import InvalidInputError
 from ..lab.model.world import Setting
-from .consistency import Conflict, conflicts
-from .judge import Outcome, Said, Verdict, verdict
-from .names import Names
-from .parse import Wrong, parse
-from .plays import Came, Plays, Task
-from .reason import Clash, reason
-from .search import Case, blame, history, shrink
-from .situations import script
+from .consistency import Conflict, find_conflicts
+from .judge import Evaluation, Outcome, Verdict, combine_seeds
+from .names import KnownNames
+from .parse import ExpectationSyntaxError, parse
+from .plays import RunOutcome, ScenarioRun, ScenarioRunner
+from .reason import Contradiction, reason_about
+from .search import Case, attribute_change, failure_history, shrink
+from .situations import build_script
 from .sources import Sources
-from .words import Claim, Statement, When
+from .words import Claim, Condition, Statement
 
 SUFFIX = ".expect"
-SEEDS = 3  # plays of each situation
-SEARCHED_MOST = 8  # failures whose history and setting are looked for; others are told without
+DEFAULT_SEED_COUNT = 3  # plays of each situation
+MAX_SEARCHED_FAILURES = 8  # failures whose history and setting are looked for; others are told without
 
 
 @dataclass(slots=True)
@@ -32,30 +32,30 @@
     """`verdicts` in the order of the files; `clashes` are contradictions."""
 
     verdicts: dict[Statement, Verdict] = field(default_factory=dict)
-    clashes: list[Clash] = field(default_factory=list)
+    contradictions: list[Contradiction] = field(default_factory=list)
     conflicts: list[Conflict] = field(default_factory=list)  # of settings alone
-    plays: int = 0
+    run_count: int = 0
     empty: list[str] = field(default_factory=list)  # files without a statement
 
     def count(self, outcome: Outcome) -> int:
         return sum(1 for one in self.verdicts.values() if one.outcome is outcome)
 
     @property
-    def code(self) -> int:
+    def exit_code(self) -> int:
         """0: all hold; 1: something fails; 2: something can't be told."""
-        if self.conflicts or self.clashes or self.count(Outcome.FAILS):
+        if self.conflicts or self.contradictions or self.count(Outcome.FAILS):
             return 1
-        return 2 if self.count(Outcome.UNTOLD) or not self.verdicts else 0
+        return 2 if self.count(Outcome.UNDECIDED) or not self.verdicts else 0
 
 
-def files_of(paths: Iterable[str | Path]) -> list[Path]:
+def expectation_files(paths: Iterable[str | Path]) -> list[Path]:
     """Folders stand for their `*.expect` files, in order of their names."""
     found: list[Path] = []
     for one in map(Path, paths):
-        some = sorted(one.rglob(f"*{SUFFIX}")) if one.is_dir() else [one]
-        if not some:
+        files = sorted(one.rglob(f"*{SUFFIX}")) if one.is_dir() else [one]
+        if not files:
             raise InvalidInputError(f"{one}: no file ends in {SUFFIX}")
-        found += some
+        found += files
     return list(dict.fromkeys(found))
 
 
@@ -64,36 +64,39 @@
 
     `InvalidInputError` names every wrong place, a line each.
     """
-    names = Names(sources.setting)
-    made: list[Statement] = []
+    names = KnownNames(sources.setting)
+    result: list[Statement] = []
     empty: list[str] = []
-    wrong: list[str] = []
-    for path in files_of(paths):
+    errors: list[str] = []
+    for path in expectation_files(paths):
         try:
             text = path.read_bytes().decode("utf-8")
-        except UnicodeDecodeError as trouble:
-            wrong.append(f"{path}: not UTF-8: {trouble.reason} at byte {trouble.start}")
+        except UnicodeDecodeError as error:
+            errors.append(f"{path}: not UTF-8: {error.reason} at byte {error.start}")
             continue
         try:
-            some = parse(text, str(path))
-        except Wrong as trouble:
-            wrong.append(str(trouble))
+            parsed = parse(text, str(path))
+        except ExpectationSyntaxError as error:
+            errors.append(str(error))
             continue
-        if not some:
+        if not parsed:
             empty.append(str(path))
-        for statement in some:
-            trouble_here = names.trouble(statement)
-            if trouble_here:
-                wrong.append(f"{statement.spot.told()}: {trouble_here}")
-        made += some
+        for statement in parsed:
+            name_error = names.find_error(statement)
+            if name_error:
+                errors.append(f"{statement.location.describe()}: {name_error}")
+        result += parsed
     seen: dict[str, Statement] = {}
-    for statement in made:
+    for statement in result:
         other = seen.setdefault(statement.name, statement)
         if other is not statement:
-            wrong.append(f"{statement.spot.told()}: {statement.name!r} stands at {other.spot.told()} too")
-    if wrong:
-        raise InvalidInputError("\n".join(wrong))
-    return made, empty
+            errors.append(
+                f"{statement.location.describe()}: {statement.name!r}"
+                f" stands at {other.location.describe()} too"
+            )
+    if errors:
+        raise InvalidInputError("\n".join(errors))
+    return result, empty
 
 
 class Check:
@@ -106,7 +109,7 @@
         sources: Sources,
         statements: Sequence[Statement],
         seed: int = 1,
-        seeds: int = SEEDS,
+        seeds: int = DEFAULT_SEED_COUNT,
         search: bool = True,
         capacity: float = 0.0,
         jobs: int = 0,
@@ -114,127 +117,168 @@
         self.sources, self.statements = sources, statements
         self.seeds = [seed + step for step in range(seeds)]
         self.search = search
-        self.names = Names(sources.setting)
+        self.names = KnownNames(sources.setting)
         self.report = Report()
-        self.searched = 0
+        self.searched_count = 0
         self.capacity = capacity or sources.setting.capacity()
-        self.plays = Plays(jobs)
+        self.runner = ScenarioRunner(jobs)
 
     def run(self) -> Report:
         setting = self.sources.setting
-        reasoned = reason(self.statements, setting, (self.sources.names[0], self.sources.names[1]))
+        reasoned = reason_about(
+            self.statements, setting, (self.sources.file_labels[0], self.sources.file_labels[1])
+        )
         found: dict[Statement, Verdict] = {}
-        self.report.clashes, self.report.conflicts = reasoned.clashes, conflicts(self.sources)
-        clashing = {one: clash for clash in reasoned.clashes for one in clash.statements}
+        self.report.contradictions = reasoned.contradictions
+        self.report.conflicts = find_conflicts(self.sources)
+        contradicting = {
+            one: contradiction
+            for contradiction in reasoned.contradictions
+            for one in contradiction.statements
+        }
         for statement in self.statements:
-            if statement in clashing:
-                clash = clashing[statement]
-                others = [one.name for one in clash.statements if one is not statement]
-                rest = ", ".join([*others, *clash.settings])
-                found[statement] = Verdict(Outcome.FAILS, "reasoning", f"{clash.why}: with {rest}")
+            if statement in contradicting:
+                contradiction = contradicting[statement]
+                others = [one.name for one in contradiction.statements if one is not statement]
+                rest = ", ".join([*others, *contradiction.settings])
+                found[statement] = Verdict(Outcome.FAILS, "reasoning", f"{contradiction.reason}: with {rest}")
             elif statement in reasoned.fails:
                 found[statement] = Verdict(Outcome.FAILS, "reasoning", reasoned.fails[statement])
             elif statement in reasoned.holds:
                 found[statement] = Verdict(Outcome.HOLDS, "reasoning", reasoned.holds[statement])
         try:
-            self.play([one for one in self.statements if one not in found], found)
+            self.run_groups([one for one in self.statements if one not in found], found)
         finally:
-            self.plays.close()
-        self.report.plays = self.plays.count
+            self.runner.close()
+        self.report.run_count = self.runner.run_count
         self.report.verdicts = {statement: found[statement] for statement in self.statements}
         return self.report
 
-    def play(self, statements: Sequence[Statement], found: dict[Statement, Verdict]) -> None:
+    def run_groups(self, statements: Sequence[Statement], found: dict[Statement, Verdict]) -> None:
         """All that is said of one situation goes by the same plays; what is always to hold goes by all."""
-        groups: dict[When, list[Statement]] = {}
-        wide = [one for one in statements if one.when.always]
+        groups: dict[Condition, list[Statement]] = {}
+        always_statements = [one for one in statements if one.condition.always]
         for statement in statements:
-            if not statement.when.always:
-                groups.setdefault(statement.when, []).append(statement)
-        if wide:
-            groups.setdefault(When(), [])
-        always = tuple(one.claim for one in wide)
-        tasks = [
-            self.task(self.sources.setting, when, seed, tuple(one.claim for one in some), always)
-            for when, some in groups.items()
+            if not statement.condition.always:
+                groups.setdefault(statement.condition, []).append(statement)
+        if always_statements:
+            groups.setdefault(Condition(), [])
+        always_claims = tuple(one.claim for one in always_statements)
+        scenario_runs = [
+            self.scenario_run(
+                self.sources.setting, condition, seed, tuple(one.claim for one in group), always_claims
+            )
+            for condition, group in groups.items()
             for seed in self.seeds
         ]
-        came = self.plays.all(tasks)
-        for nth, statement in enumerate(wide):
+        outcomes = self.runner.run_all(scenario_runs)
+        for index, statement in enumerate(always_statements):
             self.judge_always(
-                statement, found, [(task, one.always[nth]) for task, one in zip(tasks, came, strict=True)]
+                statement,
+                found,
+                [
+                    (scenario_run, one.always_evaluations[index])
+                    for scenario_run, one in zip(scenario_runs, outcomes, strict=True)
+                ],
             )
-        for place, some in enumerate(groups.values()):
-            mine = came[place * len(self.seeds) : (place + 1) * len(self.seeds)]
-            never = next((one.never for one in mine if one.never), "")
-            for nth, statement in enumerate(some):
-                if never:
-                    why = f"its condition never came true: {never}"
-                    found[statement] = Verdict(Outcome.UNTOLD, "play", why)
+        for group_index, group in enumerate(groups.values()):
+            seed_outcomes = outcomes[group_index * len(self.seeds) : (group_index + 1) * len(self.seeds)]
+            unmet_reason = next((one.unmet_reason for one in seed_outcomes if one.unmet_reason), "")
+            for index, statement in enumerate(group):
+                if unmet_reason:
+                    reason = f"its condition never came true: {unmet_reason}"
+                    found[statement] = Verdict(Outcome.UNDECIDED, "play", reason)
                     continue
-                said = {seed: one.said[nth] for seed, one in zip(self.seeds, mine, strict=True)}
-                found[statement] = one = verdict(list(said.items()))
-                if one.outcome is Outcome.FAILS and one.seed is not None:
-                    self.look_into(statement, one, said[one.seed], statement.when)
+                evaluations = {
+                    seed: one.evaluations[index] for seed, one in zip(self.seeds, seed_outcomes, strict=True)
+                }
+                found[statement] = verdict = combine_seeds(list(evaluations.items()))
+                if verdict.outcome is Outcome.FAILS and verdict.seed is not None:
+                    self.investigate(statement, verdict, evaluations[verdict.seed], statement.condition)
 
     def judge_always(
-        self, statement: Statement, found: dict[Statement, Verdict], came: list[tuple[Task, Said]]
+        self,
+        statement: Statement,
+        found: dict[Statement, Verdict],
+        outcomes: list[tuple[ScenarioRun, Evaluation]],
     ) -> None:
         """Over all plays of each seed: the worst counts, and where there was nothing to measure none does."""
-        worst: dict[int, tuple[Task, Said]] = {}
-        for task, said in came:
-            was = worst.get(task.seed)
-            if was is None or was[1].held is None or (said.held is not None and said.over > was[1].over):
-                worst[task.seed] = (task, said)
-        found[statement] = one = verdict([(seed, said) for seed, (_, said) in worst.items()])
-        if one.outcome is Outcome.FAILS and one.seed is not None:
-            self.look_into(statement, one, worst[one.seed][1], worst[one.seed][0].when)
-
-    def task(
+        worst: dict[int, tuple[ScenarioRun, Evaluation]] = {}
+        for scenario_run, evaluation in outcomes:
+            previous = worst.get(scenario_run.seed)
+            if (
+                previous is None
+                or previous[1].held is None
+                or (evaluation.held is not None and evaluation.excess > previous[1].excess)
+            ):
+                worst[scenario_run.seed] = (scenario_run, evaluation)
+        found[statement] = verdict = combine_seeds(
+            [(seed, evaluation) for seed, (_, evaluation) in worst.items()]
+        )
+        if verdict.outcome is Outcome.FAILS and verdict.seed is not None:
+            self.investigate(statement, verdict, worst[verdict.seed][1], worst[verdict.seed][0].condition)
+
+    def scenario_run(
         self,
         setting: Setting,
-        when: When,
+        condition: Condition,
         seed: int,
         claims: tuple[Claim, ...],
-        always: tuple[Claim, ...] = (),
-    ) -> Task:
-        return Task(setting, when, script(when, setting), seed, claims, always, self.capacity)
+        always_claims: tuple[Claim, ...] = (),
+    ) -> ScenarioRun:
+        return ScenarioRun(
+            setting, condition, build_script(condition, setting), seed, claims, always_claims, self.capacity
+        )
 
-    def look_into(self, statement: Statement, one: Verdict, worst: Said, when: When) -> None:
+    def investigate(
+        self, statement: Statement, verdict: Verdict, worst: Evaluation, condition: Condition
+    ) -> None:
         """How little it takes, and which setting bears it. `when` is the situation it failed in."""
-        if not self.search or self.searched >= SEARCHED_MOST:
+        if not self.search or self.searched_count >= MAX_SEARCHED_FAILURES:
             return
-        self.searched += 1
-        assert one.seed is not None
-        own: tuple[Claim, ...] = (statement.claim,)
-        claims, always = ((), own) if statement.when.always else (own, ())
-        first = self.task(self.sources.setting, when, one.seed, claims, always)
+        self.searched_count += 1
+        assert verdict.seed is not None
+        own_claim: tuple[Claim, ...] = (statement.claim,)
+        claims, always_claims = ((), own_claim) if statement.condition.always else (own_claim, ())
+        first = self.scenario_run(self.sources.setting, condition, verdict.seed, claims, always_claims)
 
-        def of(came: Came) -> Said:
-            return (came.said or came.always)[0]
+        def evaluation_of(outcome: RunOutcome) -> Evaluation:
+            return (outcome.evaluations or outcome.always_evaluations)[0]
 
-        def fails(cases: Sequence[Case]) -> list[Said]:
-            return [of(came) for came in self.plays.all([self.of_case(first, case) for case in cases])]
+        def run_cases(cases: Sequence[Case]) -> list[Evaluation]:
+            return [
+                evaluation_of(outcome)
+                for outcome in self.runner.run_all([self.with_case(first, case) for case in cases])
+            ]
 
-        case, least = shrink(Case(first.setting, first.script, one.seed), worst, statement, fails)
-        one.history = history(case, least, self.plays.all([self.of_case(first, case)])[0].notes)
+        case, least = shrink(Case(first.setting, first.script, verdict.seed), worst, statement, run_cases)
+        verdict.history = failure_history(
+            case, least, self.runner.run_all([self.with_case(first, case)])[0].notes
+        )
 
-        def changed(some: Sequence[Sources]) -> list[Said | None]:
-            tasks: list[Task | None] = []
-            for sources in some:
+        def run_changed(changed_sources: Sequence[Sources]) -> list[Evaluation | None]:
+            scenario_runs: list[ScenarioRun | None] = []
+            for sources in changed_sources:
                 try:
-                    tasks.append(self.task(sources.setting, when, case.seed, claims, always))
+                    scenario_runs.append(
+                        self.scenario_run(sources.setting, condition, case.seed, claims, always_claims)
+                    )
                 except InvalidInputError:
-                    tasks.append(None)
-            came = iter(self.plays.all([task for task in tasks if task is not None]))
-            return [of(next(came)) if task is not None else None for task in tasks]
+                    scenario_runs.append(None)
+            outcomes = iter(self.runner.run_all([run for run in scenario_runs if run is not None]))
+            return [
+                evaluation_of(next(outcomes)) if scenario_run is not None else None
+                for scenario_run in scenario_runs
+            ]
 
-        found = blame(statement, worst, self.sources, changed)
-        if found is not None:
-            change, then = found
-            good = "it holds" if then.held else "it comes closer"
-            one.setting = f"{change.told(self.sources)}; with {change.then} {good} ({then.why})"
+        attribution = attribute_change(statement, worst, self.sources, run_changed)
+        if attribution is not None:
+            change, evaluation = attribution
+            effect = "it holds" if evaluation.held else "it comes closer"
+            verdict.responsible_setting = (
+                f"{change.describe(self.sources)}; with {change.new} {effect} ({evaluation.reason})"
+            )
 
     @staticmethod
-    def of_case(task: Task, case: Case) -> Task:
-        return replace(task, setting=case.setting, script=case.script, seed=case.seed)
+    def with_case(scenario_run: ScenarioRun, case: Case) -> ScenarioRun:
+        return replace(scenario_run, setting=case.setting, script=case.script, seed=case.seed)
--- a/birchslip/expect/facts.py
+++ b/birchslip/expect/facts.py
@@ -10,9 +10,9 @@
 from ..admission.types import Downstream
 from ..cluster.disruption_types import BudgetGroup
 from ..lab.model.world import Setting
-from .words import Kind, Measure, Subject, When
+from .words import Condition, Measure, Subject, SubjectKind
 
-THE_FLEET = Subject(Kind.FLEET)
+THE_FLEET = Subject(SubjectKind.FLEET)
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,100 +26,102 @@
     measure: Measure
     low: float
     high: float
-    place: str
-    when: When | None = None
-    reached: bool = False
+    setting_path: str
+    condition: Condition | None = None
+    is_reachable: bool = False
 
 
-def facts(setting: Setting, config: str = "configuration", fleet: str = "fleet file") -> list[Fact]:
-    return [*of_deployment(setting, config, fleet), *of_fleet(setting, fleet)]
+def facts_of(setting: Setting, config: str = "configuration", fleet: str = "fleet file") -> list[Fact]:
+    return [*deployment_facts(setting, config, fleet), *fleet_facts(setting, fleet)]
 
 
-def of_deployment(setting: Setting, config: str, fleet: str) -> Iterator[Fact]:
+def deployment_facts(setting: Setting, config: str, fleet: str) -> Iterator[Fact]:
     deployment = setting.deployment
-    longest = deployment.max_retry_after if deployment.sends_retry_after else 0
-    ceiling = "max_retry_after_s" if deployment.sends_retry_after else "retry_after"
-    place = f"{config}: settings.ceilings.{ceiling}"
-    for subject in callers(setting):
-        yield Fact(subject, Measure.ADVISED, 0, longest, place)
+    max_wait = deployment.max_retry_after if deployment.sends_retry_after else 0
+    setting_name = "max_retry_after_s" if deployment.sends_retry_after else "retry_after"
+    setting_path = f"{config}: settings.ceilings.{setting_name}"
+    for subject in caller_subjects(setting):
+        yield Fact(subject, Measure.ADVISED, 0, max_wait, setting_path)
     sites = setting.sites()
     servers = [name for names in sites.values() for name in names]
     if setting.fleet is not None and setting.fleet.vault is not None:
-        vault, bases = setting.fleet.vault, setting.fleet.base_calls()
+        vault, base_calls = setting.fleet.vault, setting.fleet.base_calls()
         yield Fact(THE_FLEET, Measure.CALLS, 0, vault.total_calls, f"{fleet}: vault.total")
         if not setting.planners:
             for name in servers:
                 yield Fact(
-                    Subject(Kind.SERVER, name),
+                    Subject(SubjectKind.SERVER, name),
                     Measure.CALLS,
                     0,
-                    vault.unleased_fraction * bases[name],
+                    vault.unleased_fraction * base_calls[name],
                     f"{fleet}: vault.kept",
                 )
     elif deployment.downstream is Downstream.SHARED:
-        share = max(1.0, deployment.downstream_quota)
-        place = f"{config}: settings.family_info.calls_out"
-        yield Fact(THE_FLEET, Measure.CALLS, 0, share * len(servers), place)
+        calls_per_server = max(1.0, deployment.downstream_quota)
+        setting_path = f"{config}: settings.family_info.calls_out"
+        yield Fact(THE_FLEET, Measure.CALLS, 0, calls_per_server * len(servers), setting_path)
         for name in servers:
-            yield Fact(Subject(Kind.SERVER, name), Measure.CALLS, 0, share, place)
+            yield Fact(Subject(SubjectKind.SERVER, name), Measure.CALLS, 0, calls_per_server, setting_path)
     elif deployment.downstream is Downstream.NONE:
         yield Fact(THE_FLEET, Measure.CALLS, 0, 0, f"{config}: settings.family_info.downstream")
 
 
-def callers(setting: Setting) -> Iterator[Subject]:
+def caller_subjects(setting: Setting) -> Iterator[Subject]:
     yield THE_FLEET
     for site in setting.sites():
-        yield Subject(Kind.SITE, site)
+        yield Subject(SubjectKind.SITE, site)
     for router in setting.routers():
-        yield Subject(Kind.ROUTER, str(router.number))
+        yield Subject(SubjectKind.ROUTER, str(router.number))
     for name in setting.tenants:
-        yield Subject(Kind.TENANT, name)
+        yield Subject(SubjectKind.TENANT, name)
     for name in setting.profiles:
-        yield Subject(Kind.PROFILE, name)
+        yield Subject(SubjectKind.PROFILE, name)
 
 
-def of_fleet(setting: Setting, fleet: str) -> Iterator[Fact]:
+def fleet_facts(setting: Setting, fleet: str) -> Iterator[Fact]:
     sites = setting.sites()
-    place = f"{fleet}: sites" if setting.fleet is not None else "world file: servers"
+    setting_path = f"{fleet}: sites" if setting.fleet is not None else "world file: servers"
     for site, names in sites.items():
-        yield Fact(Subject(Kind.SITE, site), Measure.OUT, 0, len(names), f"{place}[{site}].members")
-    yield Fact(THE_FLEET, Measure.OUT, 0, sum(map(len, sites.values())), place)
+        yield Fact(
+            Subject(SubjectKind.SITE, site), Measure.OUT, 0, len(names), f"{setting_path}[{site}].members"
+        )
+    yield Fact(THE_FLEET, Measure.OUT, 0, sum(map(len, sites.values())), setting_path)
     if setting.fleet is None:
         return
-    releasing = When(release=True)
-    for group, told in zip(setting.fleet.budget_groups(), setting.fleet.disruption_budgets, strict=True):
-        what = (
+    releasing = Condition(release=True)
+    for group, budget in zip(setting.fleet.budget_groups(), setting.fleet.disruption_budgets, strict=True):
+        limit_name = (
             "most_out"
-            if told.max_out is not None and group.disruptions_allowed == told.max_out
+            if budget.max_out is not None and group.disruptions_allowed == budget.max_out
             else "share_out"
         )
-        if told.max_out is None and told.max_out_fraction is None:
-            what = "least_room"
-        subject = Subject(Kind.GROUP, group.name)
+        if budget.max_out is None and budget.max_out_fraction is None:
+            limit_name = "least_room"
+        subject = Subject(SubjectKind.GROUP, group.name)
         yield Fact(subject, Measure.OUT, 0, len(group.members), f"{fleet}: groups[{group.name}]")
         yield Fact(
             subject,
             Measure.OUT,
             0,
             group.disruptions_allowed,
-            f"{fleet}: groups[{group.name}].{what}",
+            f"{fleet}: groups[{group.name}].{limit_name}",
             releasing,
         )
-        for other in same_members(group, sites):
+        for other in subjects_within_group(group, sites):
             yield Fact(
                 other,
                 Measure.OUT,
                 0,
                 group.disruptions_allowed,
-                f"{fleet}: groups[{group.name}].{what}",
+                f"{fleet}: groups[{group.name}].{limit_name}",
                 releasing,
             )
 
 
-def same_members(group: BudgetGroup, sites: dict[str, list[str]]) -> Iterator[Subject]:
+def subjects_within_group(group: BudgetGroup, sites: dict[str, list[str]]) -> Iterator[Subject]:
     """Sites that the group holds whole: no more of them can be out than of it."""
     for site, names in sites.items():
         if names and group.members.issuperset(names):
-            yield Subject(Kind.SITE, site)
+            yield Subject(SubjectKind.SITE, site)
     if group.members.issuperset(name for names in sites.values() for name in names):
         yield THE_FLEET
--- a/birchslip/expect/judge.py
+++ b/birchslip/expect/judge.py
@@ -12,115 +12,134 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from .measures import Seen
+from .measures import Observation
 from .words import (
-    Both,
+    AllOf,
+    AnyOf,
     Bound,
     Claim,
-    Compare,
-    Either,
+    Comparison,
     Measure,
     Not,
-    Order,
+    RefusalOrder,
     Subject,
-    figure,
+    format_figure,
 )
 
-Measuring = Callable[[Subject, Measure, Compare], Seen | None]
-Some = Callable[[Subject], list[Subject]]
+MeasureFunction = Callable[[Subject, Measure, Comparison], Observation | None]
+ExpandSubject = Callable[[Subject], list[Subject]]
 
 
 class Outcome(Enum):
     HOLDS = "holds"
     FAILS = "fails"
-    UNTOLD = "can't be told"
+    UNDECIDED = "can't be told"
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class Evaluation:
     """Of one claim in one play: whether it held (None: nothing was there to measure), by which figure."""
 
     held: bool | None
-    why: str
+    reason: str
     value: float | None = None
     bound: float | None = None
     at: int = 0
-    over: float = 0.0  # how far past its bound, in parts of it: what a search follows
+    excess: float = 0.0  # how far past its bound, in parts of it: what a search follows
 
 
-def weigh(claim: Claim, measure: Measuring, some: Some) -> Said:
+def evaluate(claim: Claim, measure: MeasureFunction, expand: ExpandSubject) -> Evaluation:
     match claim:
         case Bound():
-            said = [weigh_bound(replace(claim, subject=one), measure) for one in some(claim.subject)]
-            return all_of(said)
-        case Order(first, then):
-            return weigh_order(first, then, measure)
+            evaluations = [
+                evaluate_bound(replace(claim, subject=subject), measure) for subject in expand(claim.subject)
+            ]
+            return worst_of(evaluations)
+        case RefusalOrder(first, then):
+            return evaluate_order(first, then, measure)
         case Not(inner):
-            one = weigh(inner, measure, some)
-            if one.held is None:
-                return one
-            return replace(one, held=not one.held, why=f"{one.why}, and is not to be", over=-one.over)
-        case Both(claims):
-            return all_of([weigh(one, measure, some) for one in claims])
-        case Either(claims):
-            each = [weigh(one, measure, some) for one in claims]
-            good = next((one for one in each if one.held), None)
-            if good is not None:
-                return good
-            if any(one.held is None for one in each):
-                return next(one for one in each if one.held is None)
-            return replace(min(each, key=lambda one: one.over), why=" and ".join(one.why for one in each))
-
-
-def all_of(said: Sequence[Said]) -> Said:
+            evaluation = evaluate(inner, measure, expand)
+            if evaluation.held is None:
+                return evaluation
+            return replace(
+                evaluation,
+                held=not evaluation.held,
+                reason=f"{evaluation.reason}, and is not to be",
+                excess=-evaluation.excess,
+            )
+        case AllOf(claims):
+            return worst_of([evaluate(one, measure, expand) for one in claims])
+        case AnyOf(claims):
+            evaluations = [evaluate(one, measure, expand) for one in claims]
+            held = next((one for one in evaluations if one.held), None)
+            if held is not None:
+                return held
+            if any(one.held is None for one in evaluations):
+                return next(one for one in evaluations if one.held is None)
+            return replace(
+                min(evaluations, key=lambda one: one.excess),
+                reason=" and ".join(one.reason for one in evaluations),
+            )
+
+
+def worst_of(evaluations: Sequence[Evaluation]) -> Evaluation:
     """The worst of them: one that fails, else one that can't be told."""
-    bad = [one for one in said if one.held is False]
-    if bad:
-        return max(bad, key=lambda one: one.over)
-    untold = next((one for one in said if one.held is None), None)
-    if untold is not None:
-        return untold
-    return max(said, key=lambda one: one.over)
+    failed = [one for one in evaluations if one.held is False]
+    if failed:
+        return max(failed, key=lambda one: one.excess)
+    undecided = next((one for one in evaluations if one.held is None), None)
+    if undecided is not None:
+        return undecided
+    return max(evaluations, key=lambda one: one.excess)
 
 
-def weigh_bound(bound: Bound, measure: Measuring) -> Said:
-    if bound.compare is Compare.EXACTLY and bound.measure.form.always:
+def evaluate_bound(bound: Bound, measure: MeasureFunction) -> Evaluation:
+    if bound.compare is Comparison.EXACTLY and bound.measure.definition.is_instantaneous:
         # At every moment: neither more nor less.
-        return all_of(
-            [weigh_bound(replace(bound, compare=one), measure) for one in (Compare.AT_MOST, Compare.AT_LEAST)]
+        return worst_of(
+            [
+                evaluate_bound(replace(bound, compare=compare), measure)
+                for compare in (Comparison.AT_MOST, Comparison.AT_LEAST)
+            ]
         )
-    seen = measure(bound.subject, bound.measure, bound.compare)
-    who, word = bound.subject.told(), bound.measure.form.word
-    if seen is None:
+    observation = measure(bound.subject, bound.measure, bound.compare)
+    subject_label, word = bound.subject.describe(), bound.measure.definition.word
+    if observation is None:
         # Where nothing was shed, no wait was advised either.
-        if bound.measure is Measure.ADVISED and bound.compare.upper:
-            return Said(True, f"{who}: no wait was advised", 0.0, bound.value, over=-1.0)
-        return Said(None, f"{who}: there was nothing to measure of {word}")
-    value = seen.value
+        if bound.measure is Measure.ADVISED and bound.compare.is_upper_bound:
+            return Evaluation(True, f"{subject_label}: no wait was advised", 0.0, bound.value, excess=-1.0)
+        return Evaluation(None, f"{subject_label}: there was nothing to measure of {word}")
+    value = observation.value
     held = {
-        Compare.AT_MOST: value <= bound.value,
-        Compare.UNDER: value < bound.value,
-        Compare.AT_LEAST: value >= bound.value,
-        Compare.OVER: value > bound.value,
-        Compare.EXACTLY: value == bound.value,
+        Comparison.AT_MOST: value <= bound.value,
+        Comparison.UNDER: value < bound.value,
+        Comparison.AT_LEAST: value >= bound.value,
+        Comparison.OVER: value > bound.value,
+        Comparison.EXACTLY: value == bound.value,
     }[bound.compare]
     scale = max(abs(bound.value), 0.01)
-    off = (value - bound.value) / scale
-    over = off if bound.compare.upper else -off if bound.compare is not Compare.EXACTLY else abs(off)
-    against = f"{bound.compare.value} {figure(bound.measure, bound.value)}"
-    told = f"{who} {word} {figure(bound.measure, value)}, against {against}"
-    return Said(held, told, value, bound.value, seen.at, over)
-
-
-def weigh_order(first: Subject, then: Subject, measure: Measuring) -> Said:
-    a, b = (measure(one, Measure.REFUSED, Compare.AT_MOST) for one in (first, then))
+    deviation = (value - bound.value) / scale
+    excess = (
+        deviation
+        if bound.compare.is_upper_bound
+        else -deviation
+        if bound.compare is not Comparison.EXACTLY
+        else abs(deviation)
+    )
+    against = f"{bound.compare.value} {format_figure(bound.measure, bound.value)}"
+    text = f"{subject_label} {word} {format_figure(bound.measure, value)}, against {against}"
+    return Evaluation(held, text, value, bound.value, observation.at, excess)
+
+
+def evaluate_order(first: Subject, then: Subject, measure: MeasureFunction) -> Evaluation:
+    a, b = (measure(one, Measure.REFUSED, Comparison.AT_MOST) for one in (first, then))
     if a is None or b is None:
-        who = first if a is None else then
-        return Said(None, f"{who.told()}: there was nothing to measure of refused")
+        unmeasured = first if a is None else then
+        return Evaluation(None, f"{unmeasured.describe()}: there was nothing to measure of refused")
     if not a.value and not b.value:
-        return Said(None, f"neither {first.told()} nor {then.told()} was refused anything")
-    told = f"{first.told()} refused {a.value:.1%}, {then.told()} {b.value:.1%}"
-    return Said(b.value <= a.value, told, b.value, a.value, 0, b.value - a.value)
+        return Evaluation(None, f"neither {first.describe()} nor {then.describe()} was refused anything")
+    text = f"{first.describe()} refused {a.value:.1%}, {then.describe()} {b.value:.1%}"
+    return Evaluation(b.value <= a.value, text, b.value, a.value, 0, b.value - a.value)
 
 
 @dataclass(slots=True)
@@ -128,27 +147,30 @@
     """Of a statement: how it was come by (`reasoning` or `play`) and what can be said of a failure."""
 
     outcome: Outcome
-    by: str
-    why: str
+    method: str
+    reason: str
     value: float | None = None
     bound: float | None = None
     seed: int | None = None
     history: list[str] = field(default_factory=list)
-    setting: str = ""  # the one most responsible, and what it would have to be
+    responsible_setting: str = ""  # the one most responsible, and what it would have to be
 
 
-def verdict(said: Sequence[tuple[int, Said]]) -> Verdict:
+def combine_seeds(evaluations: Sequence[tuple[int, Evaluation]]) -> Verdict:
     """Over all seeds."""
-    if all(one.held for _, one in said):
-        seed, worst = max(said, key=lambda pair: pair[1].over)
-        return Verdict(Outcome.HOLDS, "play", worst.why, worst.value, worst.bound, seed)
-    if all(one.held is False for _, one in said):
-        seed, worst = max(said, key=lambda pair: pair[1].over)
-        return Verdict(Outcome.FAILS, "play", worst.why, worst.value, worst.bound, seed)
-    empty = next((one for _, one in said if one.held is None), None)
+    if all(one.held for _, one in evaluations):
+        seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
+        return Verdict(Outcome.HOLDS, "play", worst.reason, worst.value, worst.bound, seed)
+    if all(one.held is False for _, one in evaluations):
+        seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
+        return Verdict(Outcome.FAILS, "play", worst.reason, worst.value, worst.bound, seed)
+    empty = next((one for _, one in evaluations if one.held is None), None)
     if empty is not None:
-        return Verdict(Outcome.UNTOLD, "play", empty.why)
-    good = sum(1 for _, one in said if one.held)
-    seed, worst = max(said, key=lambda pair: pair[1].over)
-    why = f"it held with {good} of {len(said)} seeds, the bound lies within the noise; at worst {worst.why}"
-    return Verdict(Outcome.UNTOLD, "play", why, worst.value, worst.bound, seed)
+        return Verdict(Outcome.UNDECIDED, "play", empty.reason)
+    held = sum(1 for _, one in evaluations if one.held)
+    seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
+    reason = (
+        f"it held with {held} of {len(evaluations)} seeds, the bound lies within the noise;"
+        f" at worst {worst.reason}"
+    )
+    return Verdict(Outcome.UNDECIDED, "play", reason, worst.value, worst.bound, seed)
--- a/birchslip/expect/measures.py
+++ b/birchslip/expect/measures.py
@@ -9,178 +9,199 @@
 from ..lab.model.clock import SECOND
 from ..lab.model.routers import Deed
 from ..lab.model.world import Series, World
-from .words import Compare, Kind, Measure, Subject
+from .words import Comparison, Measure, Subject, SubjectKind
 
 Span = tuple[int, int]
-ROOM_OVER = SECOND  # a share of room is that of a second
-FEW = 20  # transactions that a share is told of at least
+UTILIZATION_WINDOW = SECOND  # a share of room is that of a second
+MIN_REQUESTS = 20  # transactions that a share is told of at least
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class Observation:
     """A figure, the moment it was reached (0 where it is no moment's), and of how many it was told."""
 
     value: float
     at: int = 0
-    of: int = 0
+    sample_count: int = 0
 
 
-def measured(
-    world: World, subject: Subject, measure: Measure, compare: Compare, spans: Sequence[Span]
-) -> Seen | None:
+def measure_world(
+    world: World, subject: Subject, measure: Measure, compare: Comparison, spans: Sequence[Span]
+) -> Observation | None:
     """The figure that the comparison goes by: the most where it is bounded from above, the least from below.
     None where there was nothing to measure.
     """
     match measure:
         case Measure.OUTSTANDING:
-            return extreme(together(outstanding(world, subject)), compare, spans)
+            return extreme(sum_series(outstanding_series(world, subject)), compare, spans)
         case Measure.CALLS:
-            return extreme(together(calls(world, subject)), compare, spans)
+            return extreme(sum_series(downstream_call_series(world, subject)), compare, spans)
         case Measure.OUT:
-            return extreme(together([world.out[name] for name in members(world, subject)]), compare, spans)
+            return extreme(
+                sum_series([world.out[name] for name in member_names(world, subject)]), compare, spans
+            )
         case Measure.ROOM:
-            return room(world, subject, compare, spans)
+            return core_utilization(world, subject, compare, spans)
         case Measure.ADVISED:
-            return advised(world, subject, compare, spans)
+            return advised_wait(world, subject, compare, spans)
         case Measure.TRIES:
-            deeds = born(world, subject, spans)
+            requests = requests_started(world, subject, spans)
             return (
-                Seen(sum(deed.tries for deed in deeds) / len(deeds), of=len(deeds))
-                if len(deeds) >= FEW
+                Observation(
+                    sum(request.tries for request in requests) / len(requests), sample_count=len(requests)
+                )
+                if len(requests) >= MIN_REQUESTS
                 else None
             )
         case Measure.REFUSED:
-            return share(born(world, subject, spans), lambda deed: deed.shed and deed.honoured_at < 0)
+            return share_of_requests(
+                requests_started(world, subject, spans),
+                lambda request: request.shed and request.honoured_at < 0,
+            )
         case Measure.EARNED:
-            deeds = born(world, subject, spans)
-            asked = sum(deed.profile.priority_weight for deed in deeds)
-            got = sum(deed.profile.priority_weight for deed in deeds if deed.in_time)
-            return Seen(got / asked, of=len(deeds)) if len(deeds) >= FEW and asked else None
+            requests = requests_started(world, subject, spans)
+            total_weight = sum(request.profile.priority_weight for request in requests)
+            earned_weight = sum(request.profile.priority_weight for request in requests if request.in_time)
+            return (
+                Observation(earned_weight / total_weight, sample_count=len(requests))
+                if len(requests) >= MIN_REQUESTS and total_weight
+                else None
+            )
         case Measure.SERVED:
-            return share(born(world, subject, spans), lambda deed: deed.in_time)
+            return share_of_requests(requests_started(world, subject, spans), lambda request: request.in_time)
     raise ValueError(f"no such measure: {measure}")
 
 
-def members(world: World, subject: Subject) -> list[str]:
+def member_names(world: World, subject: Subject) -> list[str]:
     match subject.kind:
-        case Kind.SITE:
+        case SubjectKind.SITE:
             return world.sites[subject.name]
-        case Kind.SERVER:
+        case SubjectKind.SERVER:
             return [subject.name]
-        case Kind.GROUP:
+        case SubjectKind.GROUP:
             fleet = world.setting.fleet
             assert fleet is not None
             group = next(one for one in fleet.budget_groups() if one.name == subject.name)
             return [name for name in world.by_name if name in group.members]
-        case Kind.SERVICE:
+        case SubjectKind.SERVICE:
             fleet = world.setting.fleet
             needs = fleet.required_services() if fleet is not None else {}
             return [name for name in world.by_name if subject.name in needs.get(name, ())]
     return list(world.by_name)
 
 
-def outstanding(world: World, subject: Subject) -> list[Series]:
-    if subject.kind is Kind.ROUTER:
+def outstanding_series(world: World, subject: Subject) -> list[Series]:
+    if subject.kind is SubjectKind.ROUTER:
         return [world.outstanding[int(subject.name)]]
-    if subject.kind is Kind.FLEET:
+    if subject.kind is SubjectKind.FLEET:
         return list(world.outstanding.values())
-    return [world.sent[name] for name in members(world, subject)]
+    return [world.sent[name] for name in member_names(world, subject)]
 
 
-def calls(world: World, subject: Subject) -> list[Series]:
-    if subject.kind is Kind.FLEET:
+def downstream_call_series(world: World, subject: Subject) -> list[Series]:
+    if subject.kind is SubjectKind.FLEET:
         return [world.calls]
-    return [world.calls_of[name] for name in members(world, subject)]
+    return [world.calls_of[name] for name in member_names(world, subject)]
 
 
-def together(some: list[Series]) -> Series:
+def sum_series(series_list: list[Series]) -> Series:
     """Their sum at every moment."""
-    if len(some) == 1:
-        return some[0]
-    made = Series()
+    if len(series_list) == 1:
+        return series_list[0]
+    summed = Series()
     changes = sorted(
-        (at, place, value)
-        for place, one in enumerate(some)
-        for at, value in zip(one.times, one.values, strict=True)
+        (at, index, value)
+        for index, series in enumerate(series_list)
+        for at, value in zip(series.times, series.values, strict=True)
     )
-    now = [0.0] * len(some)
+    current = [0.0] * len(series_list)
     total = 0.0
-    for at, place, value in changes:
-        total += value - now[place]
-        now[place] = value
-        made.set(at, total)
-    return made
+    for at, index, value in changes:
+        total += value - current[index]
+        current[index] = value
+        summed.set(at, total)
+    return summed
 
 
-def extreme(series: Series, compare: Compare, spans: Sequence[Span]) -> Seen | None:
-    values = [one for span in spans for one in series.within(span)]
-    if not values:
+def extreme(series: Series, compare: Comparison, spans: Sequence[Span]) -> Observation | None:
+    samples = [sample for span in spans for sample in series.within(span)]
+    if not samples:
         return None
-    pick: Callable[..., tuple[int, float]] = max if compare.upper else min
-    at, value = pick(values, key=lambda one: one[1])
-    return Seen(value, at, len(values))
+    choose: Callable[..., tuple[int, float]] = max if compare.is_upper_bound else min
+    at, value = choose(samples, key=lambda sample: sample[1])
+    return Observation(value, at, len(samples))
 
 
-def room(world: World, subject: Subject, compare: Compare, spans: Sequence[Span]) -> Seen | None:
+def core_utilization(
+    world: World, subject: Subject, compare: Comparison, spans: Sequence[Span]
+) -> Observation | None:
     """Busy cores over those that are there, second by second; one that is gone has none."""
-    names = members(world, subject)
-    found: list[tuple[int, float]] = []
+    names = member_names(world, subject)
+    samples: list[tuple[int, float]] = []
     for a, b in spans:
-        for at in range(a, b - ROOM_OVER + 1, ROOM_OVER):
-            part = (at, at + ROOM_OVER)
-            there = [name for name in names if mean(world.out[name], part) < 0.5]
-            if there:
-                found.append((at, sum(mean(world.busy[name], part) for name in there) / len(there)))
-    if not found:
+        for at in range(a, b - UTILIZATION_WINDOW + 1, UTILIZATION_WINDOW):
+            window = (at, at + UTILIZATION_WINDOW)
+            available = [name for name in names if time_average(world.out[name], window) < 0.5]
+            if available:
+                samples.append(
+                    (at, sum(time_average(world.busy[name], window) for name in available) / len(available))
+                )
+    if not samples:
         return None
-    pick: Callable[..., tuple[int, float]] = max if compare.upper else min
-    at, value = pick(found, key=lambda one: one[1])
-    return Seen(value, at, len(found))
+    choose: Callable[..., tuple[int, float]] = max if compare.is_upper_bound else min
+    at, value = choose(samples, key=lambda sample: sample[1])
+    return Observation(value, at, len(samples))
 
 
-def mean(series: Series, span: Span) -> float:
-    points = series.within(span)
+def time_average(series: Series, span: Span) -> float:
+    samples = series.within(span)
     total = 0.0
-    for (at, value), after in zip(points, [*(when for when, _ in points[1:]), span[1]], strict=True):
-        total += value * (after - at)
+    for (at, value), end in zip(samples, [*(time for time, _ in samples[1:]), span[1]], strict=True):
+        total += value * (end - at)
     return total / (span[1] - span[0])
 
 
-def advised(world: World, subject: Subject, compare: Compare, spans: Sequence[Span]) -> Seen | None:
+def advised_wait(
+    world: World, subject: Subject, compare: Comparison, spans: Sequence[Span]
+) -> Observation | None:
     """Of the sheds that say when to come back."""
-    wanted = of(subject)
-    found = []
+    matches = request_filter(subject)
+    samples = []
     for a, b in spans:
-        first = bisect_left(world.answers, a, key=lambda one: one[0])
-        last = bisect_right(world.answers, b, key=lambda one: one[0])
-        found += [(at, after) for at, deed, _, after in world.answers[first:last] if after and wanted(deed)]
-    if not found:
+        first = bisect_left(world.answers, a, key=lambda answer: answer[0])
+        last = bisect_right(world.answers, b, key=lambda answer: answer[0])
+        samples += [
+            (at, wait) for at, request, _, wait in world.answers[first:last] if wait and matches(request)
+        ]
+    if not samples:
         return None
-    pick: Callable[..., tuple[int, int]] = max if compare.upper else min
-    at, value = pick(found, key=lambda one: one[1])
-    return Seen(value, at, len(found))
+    choose: Callable[..., tuple[int, int]] = max if compare.is_upper_bound else min
+    at, value = choose(samples, key=lambda sample: sample[1])
+    return Observation(value, at, len(samples))
 
 
-def of(subject: Subject) -> Callable[[Deed], bool]:
+def request_filter(subject: Subject) -> Callable[[Deed], bool]:
     match subject.kind:
-        case Kind.ROUTER:
-            return lambda deed, number=int(subject.name): deed.router == number  # type: ignore[misc]
-        case Kind.TENANT:
-            return lambda deed: deed.account == subject.name
-        case Kind.PROFILE:
-            return lambda deed: deed.kind == subject.name
-        case Kind.SITE:
-            return lambda deed: deed.home == subject.name
-    return lambda deed: True
-
-
-def born(world: World, subject: Subject, spans: Iterable[Span]) -> list[Deed]:
+        case SubjectKind.ROUTER:
+            return lambda request, number=int(subject.name): request.router == number  # type: ignore[misc]
+        case SubjectKind.TENANT:
+            return lambda request: request.account == subject.name
+        case SubjectKind.PROFILE:
+            return lambda request: request.kind == subject.name
+        case SubjectKind.SITE:
+            return lambda request: request.home == subject.name
+    return lambda request: True
+
+
+def requests_started(world: World, subject: Subject, spans: Iterable[Span]) -> list[Deed]:
     """Transactions that came into the world then."""
-    wanted = of(subject)
-    return [deed for span in spans for deed in world.born(span) if wanted(deed)]
+    matches = request_filter(subject)
+    return [request for span in spans for request in world.born(span) if matches(request)]
 
 
-def share(deeds: list[Deed], bad: Callable[[Deed], bool]) -> Seen | None:
-    if len(deeds) < FEW:
+def share_of_requests(requests: list[Deed], is_counted: Callable[[Deed], bool]) -> Observation | None:
+    if len(requests) < MIN_REQUESTS:
         return None
-    return Seen(sum(1 for deed in deeds if bad(deed)) / len(deeds), of=len(deeds))
+    return Observation(
+        sum(1 for request in requests if is_counted(request)) / len(requests), sample_count=len(requests)
+    )
--- a/birchslip/expect/mutate.py
+++ b/birchslip/expect/mutate.py
@@ -15,70 +15,84 @@
 from .check import Check, Report
 from .judge import Outcome
 from .search import Change
-from .sources import Path_, Sources
+from .sources import Sources, ValuePath
 from .words import Statement
 
-FACTOR = 4
-SILENT = ("listen", "agent", "directory", "vault", "seed", "name", "address", "stop_ms")  # nothing of routing
-SILENT_UNDER = ("limits", "gauges", "planners")
-NAMES = ("name", "from", "to")
-
-
-class Seen(Enum):
+SCALE_FACTOR = 4
+IGNORED_KEYS = (
+    "listen",
+    "agent",
+    "directory",
+    "vault",
+    "seed",
+    "name",
+    "address",
+    "stop_ms",
+)  # nothing of routing
+IGNORED_SECTIONS = ("limits", "gauges", "planners")
+NAME_KEYS = ("name", "from", "to")
+
+
+class Detection(Enum):
     REFUSED = "refused by the settings' own checks"
     CONFLICT = "settings contradict each other"
     FAILED = "an expectation fails"
-    UNTOLD = "an expectation can't be told any more"
-    SAME = "nothing that is played changes"
-    UNBOUND = "figures change, and no expectation bounds them"
+    UNDECIDED = "an expectation can't be told any more"
+    NO_EFFECT = "nothing that is played changes"
+    UNBOUNDED = "figures change, and no expectation bounds them"
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class MutationResult:
     """One break and what came of it; `by` names who saw it."""
 
     change: Change
-    place: str
-    seen: Seen
-    by: str = ""
+    path_label: str
+    detection: Detection
+    detected_by: str = ""
 
     @property
-    def found(self) -> bool:
-        return self.seen in (Seen.REFUSED, Seen.CONFLICT, Seen.FAILED, Seen.UNTOLD)
+    def is_detected(self) -> bool:
+        return self.detection in (
+            Detection.REFUSED,
+            Detection.CONFLICT,
+            Detection.FAILED,
+            Detection.UNDECIDED,
+        )
 
 
-def breaks(sources: Sources) -> Iterator[Change]:
+def mutations(sources: Sources) -> Iterator[Change]:
     """All single breaks of what bears on routing, in the files' order."""
-    for which, path, value in sources.values():
-        if which == "world" or silent(which, path):
+    for file_kind, path, value in sources.values():
+        if file_kind == "world" or is_ignored(file_kind, path):
             continue
-        for then in broken(path, value):
-            yield Change(which, path, value, then)
+        for new in mutated_values(path, value):
+            yield Change(file_kind, path, value, new)
     if sources.fleet is not None and len(sources.fleet.get("refuse", ())) > 1:
         refuse = sources.fleet["refuse"]
         yield Change("fleet", ("refuse",), refuse, [*reversed(refuse[:-1]), refuse[-1]])
 
 
-def silent(which: str, path: Path_) -> bool:
-    if which == "config" and len(path) == 1:
+def is_ignored(file_kind: str, path: ValuePath) -> bool:
+    if file_kind == "config" and len(path) == 1:
         return True  # where it stands and whom it talks to
-    return path[-1] in SILENT or any(part in SILENT_UNDER for part in path) or path[0] == "refuse"
+    return path[-1] in IGNORED_KEYS or any(key in IGNORED_SECTIONS for key in path) or path[0] == "refuse"
 
 
-def broken(path: Path_, value: object) -> list[object]:
+def mutated_values(path: ValuePath, value: object) -> list[object]:
     if isinstance(value, bool):
         return [not value]
     if isinstance(value, int):
-        return [value * FACTOR, value // FACTOR] if value else [1]
+        return [value * SCALE_FACTOR, value // SCALE_FACTOR] if value else [1]
     if isinstance(value, float):
-        return [value * FACTOR, value / FACTOR] if value else [0.5]
-    if isinstance(value, str) and path[-1] not in NAMES:
+        return [value * SCALE_FACTOR, value / SCALE_FACTOR] if value else [0.5]
+    if isinstance(value, str) and path[-1] not in NAME_KEYS:
         return ["off" if value != "off" else "drop"]
     return []
 
 
-def figures(report: Report) -> list[float | None]:
-    return [one.value for one in report.verdicts.values()]
+def measured_values(report: Report) -> list[float | None]:
+    return [verdict.value for verdict in report.verdicts.values()]
 
 
 def mutate(
@@ -86,46 +100,50 @@
     statements: Sequence[Statement],
     seed: int = 1,
     seeds: int = 1,
-    tell: Callable[[Broken], None] = lambda broken: None,
-    some: Sequence[Change] | None = None,
-) -> list[Broken]:
+    on_result: Callable[[MutationResult], None] = lambda result: None,
+    changes: Sequence[Change] | None = None,
+) -> list[MutationResult]:
     """Each break in turn; the traffic stays what it was."""
-    usual = Check(sources, statements, seed, seeds, search=False)
-    before = usual.run()
-    found = []
-    for change in breaks(sources) if some is None else some:
-        one = try_out(sources, statements, change, before, seed, seeds, usual.capacity)
-        tell(one)
-        found.append(one)
-    return found
-
-
-def try_out(
+    baseline_check = Check(sources, statements, seed, seeds, search=False)
+    baseline = baseline_check.run()
+    results = []
+    for change in mutations(sources) if changes is None else changes:
+        result = evaluate_mutation(
+            sources, statements, change, baseline, seed, seeds, baseline_check.capacity
+        )
+        on_result(result)
+        results.append(result)
+    return results
+
+
+def evaluate_mutation(
     sources: Sources,
     statements: Sequence[Statement],
     change: Change,
-    before: Report,
+    baseline: Report,
     seed: int,
     seeds: int,
     capacity: float,
-) -> Broken:
-    place = sources.place(change.which, change.path)
-    then = sources.with_value(change.which, change.path, change.then)
+) -> MutationResult:
+    path_label = sources.path_label(change.file_kind, change.path)
+    mutated = sources.with_value(change.file_kind, change.path, change.new)
     try:
-        _ = then.setting
-        check = Check(then, statements, seed, seeds, search=False, capacity=capacity)
-        trouble = next((said for one in statements if (said := check.names.trouble(one))), "")
-    except InvalidInputError as why:
-        return Broken(change, place, Seen.REFUSED, str(why).splitlines()[0])
-    if trouble:
-        return Broken(change, place, Seen.REFUSED, trouble)
+        _ = mutated.setting
+        check = Check(mutated, statements, seed, seeds, search=False, capacity=capacity)
+        error = next((name_error for one in statements if (name_error := check.names.find_error(one))), "")
+    except InvalidInputError as invalid:
+        return MutationResult(change, path_label, Detection.REFUSED, str(invalid).splitlines()[0])
+    if error:
+        return MutationResult(change, path_label, Detection.REFUSED, error)
     after = check.run()
-    new = next((one for one in after.conflicts if one not in before.conflicts), None)
+    new = next((conflict for conflict in after.conflicts if conflict not in baseline.conflicts), None)
     if new is not None:
-        return Broken(change, place, Seen.CONFLICT, f"{', '.join(new.places)}: {new.why}")
-    for outcome, seen in ((Outcome.FAILS, Seen.FAILED), (Outcome.UNTOLD, Seen.UNTOLD)):
+        return MutationResult(
+            change, path_label, Detection.CONFLICT, f"{', '.join(new.setting_paths)}: {new.reason}"
+        )
+    for outcome, detection in ((Outcome.FAILS, Detection.FAILED), (Outcome.UNDECIDED, Detection.UNDECIDED)):
         for statement, verdict in after.verdicts.items():
-            if verdict.outcome is outcome and before.verdicts[statement].outcome is not outcome:
-                return Broken(change, place, seen, statement.name)
-    same = figures(before) == figures(after)
-    return Broken(change, place, Seen.SAME if same else Seen.UNBOUND)
+            if verdict.outcome is outcome and baseline.verdicts[statement].outcome is not outcome:
+                return MutationResult(change, path_label, detection, statement.name)
+    same = measured_values(baseline) == measured_values(after)
+    return MutationResult(change, path_label, Detection.NO_EFFECT if same else Detection.UNBOUNDED)
--- a/birchslip/expect/names.py
+++ b/birchslip/expect/names.py
@@ -6,60 +6,65 @@
 from difflib import get_close_matches
 
 from ..lab.model.world import Setting
-from .words import Kind, Statement, Subject, atoms, subjects
+from .words import Statement, Subject, SubjectKind, atoms, subjects_of
 
-SHOWN = 6  # names that are listed where none is near
+MAX_NAMES_SHOWN = 6  # names that are listed where none is near
 
 
-class Names:
+class KnownNames:
     def __init__(self, setting: Setting) -> None:
         sites = setting.sites()
         fleet = setting.fleet
-        self.of: dict[Kind, list[str]] = {
-            Kind.ROUTER: [str(one.number) for one in setting.routers()],
-            Kind.TENANT: list(setting.tenants),
-            Kind.PROFILE: list(setting.profiles),
-            Kind.SITE: list(sites),
-            Kind.SERVER: [name for names in sites.values() for name in names],
-            Kind.SERVICE: [one.name for one in fleet.services] if fleet is not None else [],
-            Kind.GROUP: [one.name for one in fleet.disruption_budgets] if fleet is not None else [],
-            Kind.FLEET: [""],
+        self.by_kind: dict[SubjectKind, list[str]] = {
+            SubjectKind.ROUTER: [str(router.number) for router in setting.routers()],
+            SubjectKind.TENANT: list(setting.tenants),
+            SubjectKind.PROFILE: list(setting.profiles),
+            SubjectKind.SITE: list(sites),
+            SubjectKind.SERVER: [name for names in sites.values() for name in names],
+            SubjectKind.SERVICE: [service.name for service in fleet.services] if fleet is not None else [],
+            SubjectKind.GROUP: [budget.name for budget in fleet.disruption_budgets]
+            if fleet is not None
+            else [],
+            SubjectKind.FLEET: [""],
         }
-        self.known = {kind: set(names) for kind, names in self.of.items()}
+        self.name_sets = {kind: set(names) for kind, names in self.by_kind.items()}
 
-    def some(self, subject: Subject) -> list[Subject]:
+    def expand(self, subject: Subject) -> list[Subject]:
         """The one, or each there is of the kind."""
         if not subject.each:
             return [subject]
-        return [Subject(subject.kind, name) for name in self.of[subject.kind]]
+        return [Subject(subject.kind, name) for name in self.by_kind[subject.kind]]
 
-    def trouble(self, statement: Statement) -> str:
+    def find_error(self, statement: Statement) -> str:
         """What the statement names that is not there; nothing where all is."""
         for atom in atoms(statement.claim):
-            for subject in subjects(atom):
-                if subject.each and not self.of[subject.kind]:
+            for subject in subjects_of(atom):
+                if subject.each and not self.by_kind[subject.kind]:
                     return f"there is no {subject.kind.value} in these settings"
-                if not subject.each and subject.name not in self.known[subject.kind]:
-                    return self.unknown(subject.kind, subject.name)
-        when = statement.when
-        for kind, name in ((Kind.SITE, when.lost), (Kind.TENANT, when.surge)):
-            if name and name not in self.known[kind]:
-                return self.unknown(kind, name)
+                if not subject.each and subject.name not in self.name_sets[subject.kind]:
+                    return self.unknown_name_error(subject.kind, subject.name)
+        condition = statement.condition
+        for kind, name in ((SubjectKind.SITE, condition.lost), (SubjectKind.TENANT, condition.surge)):
+            if name and name not in self.name_sets[kind]:
+                return self.unknown_name_error(kind, name)
         return ""
 
-    def unknown(self, kind: Kind, name: str) -> str:
+    def unknown_name_error(self, kind: SubjectKind, name: str) -> str:
         """It may be the name of another kind of thing, or nearly one of this kind."""
-        others = [one.value for one in self.kinds_of(name)]
-        if others:
-            return f"{name!r} is a {' and a '.join(others)}, not a {kind.value}"
-        near = get_close_matches(name, self.of[kind], 1, 0.6)
-        if near:
-            return f"no {kind.value} is named {name!r}, was {near[0]!r} meant?"
-        there = self.of[kind]
-        if not there:
+        other_kinds = [other.value for other in self.kinds_of(name)]
+        if other_kinds:
+            return f"{name!r} is a {' and a '.join(other_kinds)}, not a {kind.value}"
+        close_matches = get_close_matches(name, self.by_kind[kind], 1, 0.6)
+        if close_matches:
+            return f"no {kind.value} is named {name!r}, was {close_matches[0]!r} meant?"
+        known_names = self.by_kind[kind]
+        if not known_names:
             return f"no {kind.value} is named {name!r}: there is none at all"
-        more = " ..." if len(there) > SHOWN else ""
-        return f"no {kind.value} is named {name!r}; there are {', '.join(there[:SHOWN])}{more}"
+        ellipsis = " ..." if len(known_names) > MAX_NAMES_SHOWN else ""
+        shown = ", ".join(known_names[:MAX_NAMES_SHOWN])
+        return f"no {kind.value} is named {name!r}; there are {shown}{ellipsis}"
 
-    def kinds_of(self, name: str) -> Iterator[Kind]:
-        return (kind for kind, names in self.known.items() if name in names and kind is not Kind.FLEET)
+    def kinds_of(self, name: str) -> Iterator[SubjectKind]:
+        return (
+            kind for kind, names in self.name_sets.items() if name in names and kind is not SubjectKind.FLEET
+        )
--- a/birchslip/expect/parse.py
+++ b/birchslip/expect/parse.py
@@ -16,36 +16,36 @@
     UnexpectedEOF,
     UnexpectedInput,
     UnexpectedToken,
+    v_args,
 )
-from lark import v_args as shaped
 
 from .words import (
-    DEPTH_MOST,
-    Both,
+    MAX_CLAIM_DEPTH,
+    AllOf,
+    AnyOf,
     Bound,
     Claim,
-    Compare,
-    Either,
+    Comparison,
+    Condition,
     Event,
-    Kind,
     Measure,
     Not,
-    Order,
-    Spot,
+    RefusalOrder,
+    SourceLocation,
     Statement,
     Subject,
+    SubjectKind,
     Unit,
-    When,
-    depth_of,
+    claim_depth,
 )
 
-TEXT_MOST = 8 << 20  # bytes of one file
-STATEMENTS_MOST = 50_000
-LONGEST = 600 * 10_000  # ten minutes: a span that is longer is a slip
-SHRINK_USUAL, SURGE_USUAL = 0.5, 3.0
-TIMES = {"ms": 10.0, "s": 10_000.0, "min": 600_000.0}
-PARTS = {"%": 0.01, "percent": 0.01}
-SAID = {
+MAX_TEXT_BYTES = 8 << 20  # bytes of one file
+MAX_STATEMENTS = 50_000
+MAX_SPAN = 600 * 10_000  # ten minutes: a span that is longer is a slip
+DEFAULT_SHRINK, DEFAULT_SURGE_FACTOR = 0.5, 3.0
+TIME_UNITS = {"ms": 10.0, "s": 10_000.0, "min": 600_000.0}
+SHARE_UNITS = {"%": 0.01, "percent": 0.01}
+TERMINAL_LABELS = {
     "COMPARE": "<= or >=",
     "NUMBER": "a number",
     "NAME": "a name",
@@ -59,43 +59,51 @@
 }
 
 
-class Wrong(ValueError):
+class ExpectationSyntaxError(ValueError):
     """Something in the text that can't be meant; `spot` says where."""
 
-    def __init__(self, spot: Spot, why: str) -> None:
-        super().__init__(f"{spot.told()}: {why}")
-        self.spot, self.why = spot, why
+    def __init__(self, location: SourceLocation, reason: str) -> None:
+        super().__init__(f"{location.describe()}: {reason}")
+        self.location, self.reason = location, reason
 
 
-class Here(Exception):
+class TokenError(Exception):
     """The same before its file is known."""
 
-    def __init__(self, token: Token, why: str) -> None:
-        super().__init__(why)
-        self.token, self.why = token, why
+    def __init__(self, token: Token, reason: str) -> None:
+        super().__init__(reason)
+        self.token, self.reason = token, reason
 
 
 @lru_cache(1)
-def grammar() -> Lark:
+def load_grammar() -> Lark:
     text = files(__package__).joinpath("grammar.lark").read_text(encoding="utf-8")
-    return Lark(text, parser="lalr", transformer=Reading(), keep_all_tokens=False, maybe_placeholders=True)
+    return Lark(
+        text,
+        parser="lalr",
+        transformer=StatementTransformer(),
+        keep_all_tokens=False,
+        maybe_placeholders=True,
+    )
 
 
-def bare(token: Any) -> str:
+def unquote(token: Any) -> str:
     return str(token).strip('"')
 
 
-def join(claims: Iterable[Claim], made: type[Both] | type[Either]) -> Claim:
+def join_claims(claims: Iterable[Claim], operator: type[AllOf] | type[AnyOf]) -> Claim:
     """One level, however many there are of a kind side by side."""
-    some: list[Claim] = []
-    for one in claims:
-        some += one.claims if isinstance(one, Both | Either) and type(one) is made else (one,)
-    if len(some) == 1:
-        return some[0]
-    return made(tuple(some), 1 + max(depth_of(one) for one in some))
+    flattened: list[Claim] = []
+    for claim in claims:
+        flattened += (
+            claim.claims if isinstance(claim, AllOf | AnyOf) and type(claim) is operator else (claim,)
+        )
+    if len(flattened) == 1:
+        return flattened[0]
+    return operator(tuple(flattened), 1 + max(claim_depth(claim) for claim in flattened))
 
 
-class Reading(Transformer[Token, Any]):
+class StatementTransformer(Transformer[Token, Any]):
     """Built from below as the text is read: no tree is kept, and nothing here calls itself."""
 
     def start(self, children: list[Any]) -> list[Any]:
@@ -103,77 +111,84 @@
 
     def statement(self, children: list[Any]) -> tuple[Token | None, Claim, dict[str, Any]]:
         label = children[0] if isinstance(children[0], Token) else None
-        rest = [one for one in children if one is not None and not isinstance(one, Token)]
-        told: dict[str, Any] = {}
-        for one in rest[1:]:
-            twice = sorted(set(one) & set(told) - {"settled"})
-            if twice:
-                raise Here(one["token"], f"{twice[0].replace('_', ' ')} is said twice")
-            told |= {name: value for name, value in one.items() if name != "token"}
-        return label, rest[0], told
+        rest = [item for item in children if item is not None and not isinstance(item, Token)]
+        fields: dict[str, Any] = {}
+        for item in rest[1:]:
+            repeated = sorted(set(item) & set(fields) - {"settled"})
+            if repeated:
+                raise TokenError(item["token"], f"{repeated[0].replace('_', ' ')} is said twice")
+            fields |= {name: value for name, value in item.items() if name != "token"}
+        return label, rest[0], fields
 
     def label(self, children: list[Token]) -> Token:
         return children[0]
 
     def either(self, children: list[Claim]) -> Claim:
-        return join(children, Either)
+        return join_claims(children, AnyOf)
 
     def both(self, children: list[Claim]) -> Claim:
-        return join(children, Both)
+        return join_claims(children, AllOf)
 
     def denied(self, children: list[Claim]) -> Claim:
-        return Not(children[0], 1 + depth_of(children[0]))
+        return Not(children[0], 1 + claim_depth(children[0]))
 
-    @shaped(inline=True)
+    @v_args(inline=True)
     def bound(self, subject: tuple[Subject, Token], measure: Measure, compare: Token, quantity: Any) -> Bound:
-        told, token = subject
-        value, unit, at = quantity
-        form = measure.form
-        if told.kind not in form.kinds:
-            kinds = ", ".join(sorted(kind.value for kind in form.kinds))
-            raise Here(token, f"{form.word!r} is told of {kinds}, not of a {told.kind.value}")
-        if unit in TIMES and form.unit is not Unit.TIME:
-            raise Here(at, f"{form.word!r} is {form.unit.value}, and {unit!r} is a unit of time")
-        if unit in PARTS and form.unit is not Unit.PART:
-            raise Here(at, f"{form.word!r} is {form.unit.value}, and {unit!r} is a share")
-        if form.unit is Unit.TIME:
-            if unit not in TIMES:
-                raise Here(at, f"{form.word!r} is a time: say {at} ms, s or min")
-            value *= TIMES[unit]
-        elif form.unit is Unit.PART:
-            value *= PARTS.get(unit, 1.0)
+        target, token = subject
+        value, unit, number = quantity
+        definition = measure.definition
+        if target.kind not in definition.subject_kinds:
+            kinds = ", ".join(sorted(kind.value for kind in definition.subject_kinds))
+            raise TokenError(token, f"{definition.word!r} is told of {kinds}, not of a {target.kind.value}")
+        if unit in TIME_UNITS and definition.unit is not Unit.TIME:
+            raise TokenError(
+                number, f"{definition.word!r} is {definition.unit.value}, and {unit!r} is a unit of time"
+            )
+        if unit in SHARE_UNITS and definition.unit is not Unit.SHARE:
+            raise TokenError(
+                number, f"{definition.word!r} is {definition.unit.value}, and {unit!r} is a share"
+            )
+        if definition.unit is Unit.TIME:
+            if unit not in TIME_UNITS:
+                raise TokenError(number, f"{definition.word!r} is a time: say {number} ms, s or min")
+            value *= TIME_UNITS[unit]
+        elif definition.unit is Unit.SHARE:
+            value *= SHARE_UNITS.get(unit, 1.0)
             if value > 1:
-                raise Here(
-                    at, f"a share above 1: was {value:g}% meant?" if not unit else f"a share above 100%: {at}"
+                raise TokenError(
+                    number,
+                    f"a share above 1: was {value:g}% meant?"
+                    if not unit
+                    else f"a share above 100%: {number}",
                 )
-        return Bound(told, measure, Compare(str(compare)), value)
-
-    @shaped(inline=True)
-    def order(self, first: tuple[Subject, Token], then: tuple[Subject, Token]) -> Order:
-        for told, token in (first, then):
-            if told.kind not in Measure.REFUSED.form.kinds:
-                raise Here(token, f"a {told.kind.value} is not refused anything")
-            if told.each:
-                raise Here(token, "an order is between two that are named")
+        return Bound(target, measure, Comparison(str(compare)), value)
+
+    @v_args(inline=True)
+    def order(self, first: tuple[Subject, Token], then: tuple[Subject, Token]) -> RefusalOrder:
+        for target, token in (first, then):
+            if target.kind not in Measure.REFUSED.definition.subject_kinds:
+                raise TokenError(token, f"a {target.kind.value} is not refused anything")
+            if target.each:
+                raise TokenError(token, "an order is between two that are named")
         if first[0] == then[0]:
-            raise Here(then[1], f"{first[0].told()} can't be refused before itself")
-        return Order(first[0], then[0])
+            raise TokenError(then[1], f"{first[0].describe()} can't be refused before itself")
+        return RefusalOrder(first[0], then[0])
 
     def subject(self, children: list[Any]) -> tuple[Subject, Token]:
         each = children[0] if children[0] is not None and children[0].type == "EACH" else None
-        word = next(one for one in children if one is not None and one.type not in ("EACH", "THE"))
+        word = next(item for item in children if item is not None and item.type not in ("EACH", "THE"))
         name = children[-1] if children[-1] is not word else None
-        kind = Kind.SERVER if word.type == "SERVER" else Kind(str(word))
-        if kind is Kind.FLEET:
+        kind = SubjectKind.SERVER if word.type == "SERVER" else SubjectKind(str(word))
+        if kind is SubjectKind.FLEET:
             return Subject(kind), word
         if (each is None) == (name is None):
-            why = (
+            reason = (
                 f"which {kind.value}? Name it, or say each"
                 if name is None
                 else f"each {kind.value}, or the one named?"
             )
-            raise Here(word, why)
-        return Subject(kind, bare(name) if name is not None else "", each is not None), word
+            raise TokenError(word, reason)
+        return Subject(kind, unquote(name) if name is not None else "", each is not None), word
 
     def name(self, children: list[Token]) -> Token:
         return children[0]
@@ -210,27 +225,27 @@
 
     def span(self, children: list[Token]) -> tuple[int, Token]:
         number, unit = children
-        if str(unit) not in TIMES:
-            raise Here(unit, f"a time is meant, in ms, s or min, not {unit}")
-        value = round(float(number) * TIMES[str(unit)])
-        if value > LONGEST:
-            raise Here(number, "longer than ten minutes")
+        if str(unit) not in TIME_UNITS:
+            raise TokenError(unit, f"a time is meant, in ms, s or min, not {unit}")
+        value = round(float(number) * TIME_UNITS[str(unit)])
+        if value > MAX_SPAN:
+            raise TokenError(number, "longer than ten minutes")
         return value, number
 
     # ---- when ------------------------------------------------------------------------------------------
 
-    @shaped(inline=True)
+    @v_args(inline=True)
     def lasting(self, situation: dict[str, Any], span: tuple[int, Token] | None) -> dict[str, Any]:
         return situation | ({"settled": span[0]} if span is not None else {})
 
-    @shaped(inline=True)
+    @v_args(inline=True)
     def loaded(self, number: Token) -> dict[str, Any]:
         load = float(number)
         if not 0 < load <= 100:
-            raise Here(number, "a load is more than 0 and at most 100 times the capacity")
+            raise TokenError(number, "a load is more than 0 and at most 100 times the capacity")
         return {"load": load, "token": number}
 
-    @shaped(inline=True)
+    @v_args(inline=True)
     def soon(self, span: tuple[int, Token], event: dict[str, Any]) -> dict[str, Any]:
         return event | {"within": span[0], "token": span[1]}
 
@@ -243,29 +258,31 @@
     def event_tenant(self, children: list[Token]) -> Token:
         return children[-1]
 
-    @shaped(inline=True)
+    @v_args(inline=True)
     def site_lost(self, name: Token) -> dict[str, Any]:
-        return {"lost": bare(name), "token": name}
+        return {"lost": unquote(name), "token": name}
 
     def shrinking(self, children: list[Any]) -> dict[str, Any]:
         quantity: tuple[float, str, Token] | None = children[-1]
         if quantity is None:
-            return {"shrink": SHRINK_USUAL, "token": Token("SHRINKING", "shrinking")}
+            return {"shrink": DEFAULT_SHRINK, "token": Token("SHRINKING", "shrinking")}
         value, unit, at = quantity
-        left = value * PARTS.get(unit, 1.0)
-        if unit in TIMES or not 0 < left < 1:
-            raise Here(at, "what is left of the fleet is a share between 0 and 1")
-        return {"shrink": left, "token": at}
+        remaining = value * SHARE_UNITS.get(unit, 1.0)
+        if unit in TIME_UNITS or not 0 < remaining < 1:
+            raise TokenError(at, "what is left of the fleet is a share between 0 and 1")
+        return {"shrink": remaining, "token": at}
 
     def releasing(self, _: list[Any]) -> dict[str, Any]:
         return {"release": True, "token": Token("RELEASE", "release")}
 
-    @shaped(inline=True)
+    @v_args(inline=True)
     def surging(self, name: Token, times: Token | None) -> dict[str, Any]:
-        by = float(times) if times is not None else SURGE_USUAL
-        if not 1 < by <= 1000:
-            raise Here(times if times is not None else name, "a surge is by more than 1 and at most 1000")
-        return {"surge": bare(name), "times": by, "token": name}
+        factor = float(times) if times is not None else DEFAULT_SURGE_FACTOR
+        if not 1 < factor <= 1000:
+            raise TokenError(
+                times if times is not None else name, "a surge is by more than 1 and at most 1000"
+            )
+        return {"surge": unquote(name), "surge_factor": factor, "token": name}
 
     def planners_gone(self, _: list[Any]) -> dict[str, Any]:
         return {"planners_gone": True, "token": Token("PLANNERS", "planners")}
@@ -273,143 +290,169 @@
     def below_down(self, _: list[Any]) -> dict[str, Any]:
         return {"below_down": True, "token": Token("SERVICE", "service")}
 
-    @shaped(inline=True)
+    @v_args(inline=True)
     def site_goes(self, name: Token) -> dict[str, Any]:
-        return {"event": Event.SITE_LOST, "whom": bare(name), "lost": bare(name)}
+        return {"event": Event.SITE_LOST, "event_subject": unquote(name), "lost": unquote(name)}
 
-    @shaped(inline=True)
+    @v_args(inline=True)
     def site_returns(self, name: Token) -> dict[str, Any]:
-        return {"event": Event.SITE_RETURNS, "whom": bare(name), "lost": bare(name)}
+        return {"event": Event.SITE_RETURNS, "event_subject": unquote(name), "lost": unquote(name)}
 
     def release_begins(self, _: list[Any]) -> dict[str, Any]:
         return {"event": Event.RELEASE, "release": True}
 
     def shrink_begins(self, _: list[Any]) -> dict[str, Any]:
-        return {"event": Event.SHRINKING, "shrink": SHRINK_USUAL}
+        return {"event": Event.SHRINKING, "shrink": DEFAULT_SHRINK}
 
     def shrink_ends(self, _: list[Any]) -> dict[str, Any]:
-        return {"event": Event.SHRUNK, "shrink": SHRINK_USUAL}
+        return {"event": Event.SHRUNK, "shrink": DEFAULT_SHRINK}
 
-    @shaped(inline=True)
+    @v_args(inline=True)
     def surge_begins(self, name: Token) -> dict[str, Any]:
-        return {"event": Event.SURGE, "whom": bare(name), "surge": bare(name), "times": SURGE_USUAL}
+        return {
+            "event": Event.SURGE,
+            "event_subject": unquote(name),
+            "surge": unquote(name),
+            "surge_factor": DEFAULT_SURGE_FACTOR,
+        }
 
 
 def parse(text: str, file: str) -> list[Statement]:
     """`Wrong` says where and what was meant. A file without a statement holds none: no error here."""
-    if len(text.encode("utf-8", "replace")) > TEXT_MOST:
-        raise Wrong(Spot(file, 1, 1), f"more than {TEXT_MOST >> 20} MB")
-    lines = starts(text)
+    if len(text.encode("utf-8", "replace")) > MAX_TEXT_BYTES:
+        raise ExpectationSyntaxError(SourceLocation(file, 1, 1), f"more than {MAX_TEXT_BYTES >> 20} MB")
+    positions = statement_positions(text)
     try:
-        read: Any = grammar().parse(text)
-    except UnexpectedInput as trouble:
-        raise unexpected(trouble, text, file) from None
-    except Exception as trouble:
-        here = trouble.__cause__ or getattr(trouble, "orig_exc", trouble)
-        if not isinstance(here, Here):
+        parsed: Any = load_grammar().parse(text)
+    except UnexpectedInput as error:
+        raise describe_syntax_error(error, text, file) from None
+    except Exception as error:
+        cause = error.__cause__ or getattr(error, "orig_exc", error)
+        if not isinstance(cause, TokenError):
             raise
-        token = here.token
-        raise Wrong(Spot(file, token.line or 1, token.column or 1), here.why) from None
-    if len(read) > STATEMENTS_MOST:
-        raise Wrong(Spot(file, 1, 1), f"{len(read)} statements, and {STATEMENTS_MOST} are the most")
-    made: list[Statement] = []
-    seen: dict[str, Spot] = {}
-    for place, (label, claim, told) in enumerate(read):
-        spot = Spot(file, *lines[place])
-        if depth_of(claim) > DEPTH_MOST:
-            raise Wrong(spot, f"claims within claims, {depth_of(claim)} deep; {DEPTH_MOST} is the most")
-        name = bare(label) if label is not None else f"{file.rpartition('/')[2]}:{spot.line}"
-        if label is not None and name in seen:
-            raise Wrong(spot, f"{name!r} stands at {seen[name].told()} too")
-        seen.setdefault(name, spot)
-        made.append(Statement(name, claim, when_of(told, spot), spot, label is not None))
-    return made
-
-
-def when_of(told: dict[str, Any], spot: Spot) -> When:
-    when = When(**told)
-    if when.always and when != When(always=True):
-        raise Wrong(spot, "'always' leaves nothing to say of when")
-    if when.event is None and when.settled and not situations(when):
-        raise Wrong(spot, "'for' says how long something lasts, and nothing is said to last")
-    return when
-
-
-def situations(when: When) -> bool:
+        token = cause.token
+        raise ExpectationSyntaxError(
+            SourceLocation(file, token.line or 1, token.column or 1), cause.reason
+        ) from None
+    if len(parsed) > MAX_STATEMENTS:
+        raise ExpectationSyntaxError(
+            SourceLocation(file, 1, 1), f"{len(parsed)} statements, and {MAX_STATEMENTS} are the most"
+        )
+    statements: list[Statement] = []
+    first_locations: dict[str, SourceLocation] = {}
+    for index, (label, claim, fields) in enumerate(parsed):
+        location = SourceLocation(file, *positions[index])
+        if claim_depth(claim) > MAX_CLAIM_DEPTH:
+            raise ExpectationSyntaxError(
+                location, f"claims within claims, {claim_depth(claim)} deep; {MAX_CLAIM_DEPTH} is the most"
+            )
+        name = unquote(label) if label is not None else f"{file.rpartition('/')[2]}:{location.line}"
+        if label is not None and name in first_locations:
+            raise ExpectationSyntaxError(
+                location, f"{name!r} stands at {first_locations[name].describe()} too"
+            )
+        first_locations.setdefault(name, location)
+        statements.append(
+            Statement(name, claim, build_condition(fields, location), location, label is not None)
+        )
+    return statements
+
+
+def build_condition(fields: dict[str, Any], location: SourceLocation) -> Condition:
+    condition = Condition(**fields)
+    if condition.always and condition != Condition(always=True):
+        raise ExpectationSyntaxError(location, "'always' leaves nothing to say of when")
+    if condition.event is None and condition.settled and not has_situation(condition):
+        raise ExpectationSyntaxError(
+            location, "'for' says how long something lasts, and nothing is said to last"
+        )
+    return condition
+
+
+def has_situation(condition: Condition) -> bool:
     return bool(
-        when.lost
-        or when.shrink is not None
-        or when.release
-        or when.surge
-        or when.planners_gone
-        or when.below_down
+        condition.lost
+        or condition.shrink is not None
+        or condition.release
+        or condition.surge
+        or condition.planners_gone
+        or condition.below_down
     )
 
 
-def starts(text: str) -> list[tuple[int, int]]:
+def statement_positions(text: str) -> list[tuple[int, int]]:
     """Line and column of each `expect` that begins a statement: outside comments and quotes, as a word."""
     found: list[tuple[int, int]] = []
     for number, line in enumerate(text.split("\n"), 1):
         if "expect" not in line:
             continue
-        code = blank(line)
-        at = code.find("expect")
-        while at >= 0:
-            before, after = code[at - 1 : at], code[at + 6 : at + 7]
+        masked = mask_quotes_and_comments(line)
+        column = masked.find("expect")
+        while column >= 0:
+            before, after = masked[column - 1 : column], masked[column + 6 : column + 7]
             if not (before.isalnum() or (before in ("_", ".", "-") and before)) and not (
                 after.isalnum() or (after in ("_", ".", "-") and after)
             ):
-                found.append((number, at + 1))
-            at = code.find("expect", at + 6)
+                found.append((number, column + 1))
+            column = masked.find("expect", column + 6)
     return found
 
 
-def blank(line: str) -> str:
+def mask_quotes_and_comments(line: str) -> str:
     """Without comments, and nothing but room where a quoted name stands."""
-    made, quoted = [], False
-    for sign in line:
-        if sign == '"':
+    masked, quoted = [], False
+    for char in line:
+        if char == '"':
             quoted = not quoted
-            made.append(" ")
-        elif sign == "#" and not quoted:
+            masked.append(" ")
+        elif char == "#" and not quoted:
             break
         else:
-            made.append(" " if quoted else sign)
-    return "".join(made)
+            masked.append(" " if quoted else char)
+    return "".join(masked)
 
 
-def unexpected(trouble: UnexpectedInput, text: str, file: str) -> Wrong:
+def describe_syntax_error(error: UnexpectedInput, text: str, file: str) -> ExpectationSyntaxError:
     """What stands there, what could, and the nearest of it."""
-    if isinstance(trouble, UnexpectedCharacters):
-        spot = Spot(file, trouble.line, trouble.column)
-        line = text.split("\n")[trouble.line - 1]
-        word = line[trouble.column - 1 :].split(" ")[0][:32]
-        allowed = sorted(trouble.allowed or ())
-        near = get_close_matches(word.lower(), [one.strip("_").lower() for one in allowed], 1, 0.6)
-        hint = f", was {near[0]!r} meant?" if near else f"; expected {told(allowed)}"
-        return Wrong(spot, f"{word!r} can't be read here{hint}")
-    if isinstance(trouble, UnexpectedToken):
-        token = trouble.token
-        expected = sorted(trouble.accepts or trouble.expected)
+    if isinstance(error, UnexpectedCharacters):
+        location = SourceLocation(file, error.line, error.column)
+        line = text.split("\n")[error.line - 1]
+        word = line[error.column - 1 :].split(" ")[0][:32]
+        allowed = sorted(error.allowed or ())
+        close_matches = get_close_matches(word.lower(), [item.strip("_").lower() for item in allowed], 1, 0.6)
+        hint = (
+            f", was {close_matches[0]!r} meant?"
+            if close_matches
+            else f"; expected {describe_terminals(allowed)}"
+        )
+        return ExpectationSyntaxError(location, f"{word!r} can't be read here{hint}")
+    if isinstance(error, UnexpectedToken):
+        token = error.token
+        expected = sorted(error.accepts or error.expected)
         if token.type == "$END":
             end = text.rstrip().split("\n")
-            return Wrong(
-                Spot(file, len(end), len(end[-1]) + 1), f"it ends too soon; expected {told(expected)}"
+            return ExpectationSyntaxError(
+                SourceLocation(file, len(end), len(end[-1]) + 1),
+                f"it ends too soon; expected {describe_terminals(expected)}",
             )
-        words = [one.strip("_").lower() for one in expected if one.strip("_").isalpha()]
-        near = get_close_matches(str(token).lower(), words, 1, 0.6)
-        hint = f", was {near[0]!r} meant?" if near else ""
-        return Wrong(
-            Spot(file, token.line or 1, token.column or 1),
-            f"{str(token)[:32]!r} is not expected{hint or '; expected ' + told(expected)}",
+        words = [item.strip("_").lower() for item in expected if item.strip("_").isalpha()]
+        close_matches = get_close_matches(str(token).lower(), words, 1, 0.6)
+        hint = f", was {close_matches[0]!r} meant?" if close_matches else ""
+        return ExpectationSyntaxError(
+            SourceLocation(file, token.line or 1, token.column or 1),
+            f"{str(token)[:32]!r} is not expected{hint or '; expected ' + describe_terminals(expected)}",
         )
-    if isinstance(trouble, UnexpectedEOF):
-        return Wrong(Spot(file, 1, 1), "it ends too soon")
-    return Wrong(Spot(file, 1, 1), "it can't be read")
-
-
-def told(names: Iterable[str]) -> str:
-    some = sorted(
-        {SAID.get(name, name.strip("_").lower()) for name in names if name not in ("WS", "COMMENT")}
+    if isinstance(error, UnexpectedEOF):
+        return ExpectationSyntaxError(SourceLocation(file, 1, 1), "it ends too soon")
+    return ExpectationSyntaxError(SourceLocation(file, 1, 1), "it can't be read")
+
+
+def describe_terminals(names: Iterable[str]) -> str:
+    names_shown = sorted(
+        {
+            TERMINAL_LABELS.get(name, name.strip("_").lower())
+            for name in names
+            if name not in ("WS", "COMMENT")
+        }
     )
-    return ", ".join(some[:8]) + (" ..." if len(some) > 8 else "")
+    return ", ".join(names_shown[:8]) + (" ..." if len(names_shown) > 8 else "")
--- a/birchslip/expect/reason.py
+++ b/birchslip/expect/reason.py
@@ -16,147 +16,149 @@
 import z3
 
 from ..lab.model.world import Setting
-from .facts import THE_FLEET, Fact, facts
-from .names import Names
+from .facts import THE_FLEET, Fact, facts_of
+from .names import KnownNames
 from .words import (
-    Both,
+    AllOf,
+    AnyOf,
     Bound,
     Claim,
-    Compare,
-    Either,
-    Kind,
+    Comparison,
+    Condition,
     Measure,
     Not,
-    Order,
+    RefusalOrder,
     Statement,
     Subject,
+    SubjectKind,
     Unit,
-    When,
-    parts,
+    conjuncts,
 )
 
-CLASHES_MOST = 20  # that are named; the rest waits until those are mended
-SOLVER_STEPS = 2_000_000  # of the solver's own count: the same verdict on every machine
-USUAL = When()
-Figure = tuple[Subject, Measure, When, bool]  # whose, of what, when, and whether the most is meant
+MAX_CONTRADICTIONS = 20  # that are named; the rest waits until those are mended
+SOLVER_RESOURCE_LIMIT = 2_000_000  # of the solver's own count: the same verdict on every machine
+UNCONDITIONAL = Condition()
+FigureKey = tuple[Subject, Measure, Condition, bool]  # whose, of what, when, and whether the most is meant
 
 
 @dataclass(frozen=True, slots=True)
-class Clash:
+class Contradiction:
     """What can't hold together: statements and settings, none of which can be left out."""
 
     statements: tuple[Statement, ...]
     settings: tuple[str, ...]
-    why: str
+    reason: str
 
-    def told(self) -> str:
-        names = [f"{one.name} ({one.spot.told()}: {one.told()})" for one in self.statements]
+    def describe(self) -> str:
+        names = [f"{one.name} ({one.location.describe()}: {one.describe()})" for one in self.statements]
         return "; ".join([*names, *self.settings])
 
 
 @dataclass(slots=True)
-class Reasoned:
+class ReasoningResult:
     """`holds` and `fails` are by statement, with the reason; whoever is in neither has to be played."""
 
-    clashes: list[Clash] = field(default_factory=list)
+    contradictions: list[Contradiction] = field(default_factory=list)
     holds: dict[Statement, str] = field(default_factory=dict)
     fails: dict[Statement, str] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Edge:
+class TightestBound:
     """The tightest bound of a figure so far, and who says it: a statement or a setting."""
 
     value: float
     strict: bool
-    who: Statement | str
+    origin: Statement | str
 
 
-def reason(
+def reason_about(
     statements: Sequence[Statement],
     setting: Setting,
     files: tuple[str, str] = ("configuration", "fleet file"),
-) -> Reasoned:
-    made = Reasoned()
-    names = Names(setting)
-    known = facts(setting, *files)
-    held = Held(known)
+) -> ReasoningResult:
+    result = ReasoningResult()
+    names = KnownNames(setting)
+    known_facts = facts_of(setting, *files)
+    index = FactIndex(known_facts)
     for statement in statements:
-        verdict = held.alone(statement, names)
+        verdict = index.decide(statement, names)
         if verdict is not None:
-            good, why = verdict
-            (made.holds if good else made.fails)[statement] = why
-    rest = [one for one in statements if one not in made.fails]
-    made.clashes = list(clashes(rest, known, setting, names))
-    return made
+            holds, reason = verdict
+            (result.holds if holds else result.fails)[statement] = reason
+    remaining = [one for one in statements if one not in result.fails]
+    result.contradictions = list(find_contradictions(remaining, known_facts, setting, names))
+    return result
 
 
-class Held:
+class FactIndex:
     """Settings alone, looked up by figure: what one statement by itself comes to."""
 
-    def __init__(self, known: Iterable[Fact]) -> None:
+    def __init__(self, known_facts: Iterable[Fact]) -> None:
         self.facts: dict[tuple[Subject, Measure], list[Fact]] = {}
-        for fact in known:
+        for fact in known_facts:
             self.facts.setdefault((fact.subject, fact.measure), []).append(fact)
 
-    def of(self, subject: Subject, measure: Measure, when: When) -> Iterator[Fact]:
+    def facts_for(self, subject: Subject, measure: Measure, condition: Condition) -> Iterator[Fact]:
         for fact in self.facts.get((subject, measure), ()):
-            if fact.when is None or covers(fact.when, when):
+            if fact.condition is None or covers(fact.condition, condition):
                 yield fact
 
-    def alone(self, statement: Statement, names: Names) -> tuple[bool, str] | None:
+    def decide(self, statement: Statement, names: KnownNames) -> tuple[bool, str] | None:
         """Whether it holds or fails whatever happens, and why; None where that depends."""
-        said = [self.claim(claim, statement.when, names) for claim in parts(statement.claim)]
-        bad = next((one for one in said if one is not None and not one[0]), None)
-        if bad is not None:
-            return bad
-        if all(said):
-            return True, "; ".join(dict.fromkeys(one[1] for one in said if one is not None))
+        verdicts = [
+            self.decide_claim(claim, statement.condition, names) for claim in conjuncts(statement.claim)
+        ]
+        failure = next((one for one in verdicts if one is not None and not one[0]), None)
+        if failure is not None:
+            return failure
+        if all(verdicts):
+            return True, "; ".join(dict.fromkeys(one[1] for one in verdicts if one is not None))
         return None
 
-    def claim(self, claim: Claim, when: When, names: Names) -> tuple[bool, str] | None:
+    def decide_claim(self, claim: Claim, condition: Condition, names: KnownNames) -> tuple[bool, str] | None:
         if not isinstance(claim, Bound):
             return None
-        whys = []
-        for subject in names.some(claim.subject):
-            verdict = self.bound(replace(claim, subject=subject), when)
+        reasons = []
+        for subject in names.expand(claim.subject):
+            verdict = self.decide_bound(replace(claim, subject=subject), condition)
             if verdict is None or not verdict[0]:
                 return verdict
-            whys.append(verdict[1])
-        return True, "; ".join(dict.fromkeys(whys))
+            reasons.append(verdict[1])
+        return True, "; ".join(dict.fromkeys(reasons))
 
-    def bound(self, bound: Bound, when: When) -> tuple[bool, str] | None:
-        for fact in self.of(bound.subject, bound.measure, when):
+    def decide_bound(self, bound: Bound, condition: Condition) -> tuple[bool, str] | None:
+        for fact in self.facts_for(bound.subject, bound.measure, condition):
             low, high, value = fact.low, fact.high, bound.value
             match bound.compare:
-                case Compare.AT_MOST if high <= value:
-                    return True, f"{fact.place} says at most {high:g}"
-                case Compare.UNDER if high < value:
-                    return True, f"{fact.place} says at most {high:g}"
-                case Compare.AT_LEAST if low >= value:
+                case Comparison.AT_MOST if high <= value:
+                    return True, f"{fact.setting_path} says at most {high:g}"
+                case Comparison.UNDER if high < value:
+                    return True, f"{fact.setting_path} says at most {high:g}"
+                case Comparison.AT_LEAST if low >= value:
                     return True, "it can't be less"
-                case Compare.AT_LEAST | Compare.EXACTLY if high < value:
-                    return False, f"{fact.place} says at most {high:g}"
-                case Compare.OVER if high <= value:
-                    return False, f"{fact.place} says at most {high:g}"
-                case Compare.UNDER if low >= value:
+                case Comparison.AT_LEAST | Comparison.EXACTLY if high < value:
+                    return False, f"{fact.setting_path} says at most {high:g}"
+                case Comparison.OVER if high <= value:
+                    return False, f"{fact.setting_path} says at most {high:g}"
+                case Comparison.UNDER if low >= value:
                     return False, "it can't be less"
         return None
 
 
-def covers(wide: When, narrow: When) -> bool:
+def covers(wide: Condition, narrow: Condition) -> bool:
     """Whether what holds in the one situation has to hold in the other: it is more of the same."""
     if wide.always or wide == narrow:
         return True
-    if wide == USUAL:
+    if wide == UNCONDITIONAL:
         return False
     for name in ("lost", "shrink", "release", "surge", "planners_gone", "below_down", "load"):
-        said = getattr(wide, name)
-        if said not in (None, "", False) and getattr(narrow, name) != said:
+        value = getattr(wide, name)
+        if value not in (None, "", False) and getattr(narrow, name) != value:
             return False
-    if wide.surge and wide.times != narrow.times:
+    if wide.surge and wide.surge_factor != narrow.surge_factor:
         return False
-    same = (wide.event, wide.whom) == (narrow.event, narrow.whom)
+    same = (wide.event, wide.event_subject) == (narrow.event, narrow.event_subject)
     return (wide.event is None or (same and wide.within >= narrow.within)) and (
         wide.settled <= narrow.settled
     )
@@ -165,163 +167,180 @@
 # ---- together ------------------------------------------------------------------------------------------
 
 
-def clashes(
-    statements: Sequence[Statement], known: list[Fact], setting: Setting, names: Names
-) -> Iterator[Clash]:
-    left = list(statements)
+def find_contradictions(
+    statements: Sequence[Statement], known_facts: list[Fact], setting: Setting, names: KnownNames
+) -> Iterator[Contradiction]:
+    remaining = list(statements)
     count = 0
-    for clash in edge_clashes(left, names):
+    for contradiction in bound_contradictions(remaining, names):
         count += 1
-        if count > CLASHES_MOST:
+        if count > MAX_CONTRADICTIONS:
             return
-        yield clash
-        left = [one for one in left if one not in clash.statements]
-    while count < CLASHES_MOST:
-        found = solver_clash(left, known, setting, names)
+        yield contradiction
+        remaining = [one for one in remaining if one not in contradiction.statements]
+    while count < MAX_CONTRADICTIONS:
+        found = solver_contradiction(remaining, known_facts, setting, names)
         if found is None:
             return
         count += 1
         yield found
-        left = [one for one in left if one not in found.statements]
+        remaining = [one for one in remaining if one not in found.statements]
 
 
-def edges(bound: Bound, when: When) -> Iterator[tuple[Figure, float, bool, bool]]:
+def bounded_figures(bound: Bound, condition: Condition) -> Iterator[tuple[FigureKey, float, bool, bool]]:
     """Which figures it bounds: the figure, the value, whether from above, whether strictly."""
     compare, value = bound.compare, bound.value
-    strict = compare in (Compare.UNDER, Compare.OVER)
-    if compare is Compare.EXACTLY or compare.upper:
-        yield (bound.subject, bound.measure, when, True), value, True, strict
-    if compare is Compare.EXACTLY or not compare.upper:
-        yield (bound.subject, bound.measure, when, False), value, False, strict
+    strict = compare in (Comparison.UNDER, Comparison.OVER)
+    if compare is Comparison.EXACTLY or compare.is_upper_bound:
+        yield (bound.subject, bound.measure, condition, True), value, True, strict
+    if compare is Comparison.EXACTLY or not compare.is_upper_bound:
+        yield (bound.subject, bound.measure, condition, False), value, False, strict
 
 
-def edge_clashes(statements: Sequence[Statement], names: Names) -> Iterator[Clash]:
+def bound_contradictions(statements: Sequence[Statement], names: KnownNames) -> Iterator[Contradiction]:
     """Of each figure by itself: the tightest from above under the tightest from below."""
-    above: dict[tuple[Subject, Measure, When], Edge] = {}
-    below: dict[tuple[Subject, Measure, When], Edge] = {}
+    above: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
+    below: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
     for statement in statements:
-        for claim in parts(statement.claim):
+        for claim in conjuncts(statement.claim):
             if not isinstance(claim, Bound):
                 continue
-            for subject in names.some(claim.subject):
-                one = replace(claim, subject=subject) if claim.subject.each else claim
-                for (who, measure, when, _), value, upper, strict in edges(one, statement.when):
-                    key = (who, measure, when)
-                    book = above if upper else below
-                    was = book.get(key)
-                    tighter = was is None or (value < was.value if upper else value > was.value)
-                    if tighter or (was is not None and value == was.value and strict):
-                        book[key] = Edge(value, strict, statement)
-    said: set[tuple[Statement, ...]] = set()
+            for subject in names.expand(claim.subject):
+                bound = replace(claim, subject=subject) if claim.subject.each else claim
+                for (owner, measure, condition, _), value, upper, strict in bounded_figures(
+                    bound, statement.condition
+                ):
+                    key = (owner, measure, condition)
+                    bounds = above if upper else below
+                    previous = bounds.get(key)
+                    tighter = previous is None or (
+                        value < previous.value if upper else value > previous.value
+                    )
+                    if tighter or (previous is not None and value == previous.value and strict):
+                        bounds[key] = TightestBound(value, strict, statement)
+    reported: set[tuple[Statement, ...]] = set()
     for key, most in above.items():
         least = below.get(key)
         if least is None or least.value < most.value:
             continue
         if least.value == most.value and not (least.strict or most.strict):
             continue
-        assert isinstance(most.who, Statement)
-        assert isinstance(least.who, Statement)
-        some = tuple(dict.fromkeys((most.who, least.who)))
-        if some not in said:
-            said.add(some)
-            said_most = Bound(key[0], key[1], Compare.AT_MOST, most.value)
-            yield Clash(some, (), f"{said_most.told()} and at least {least.value:g} can't both be")
+        assert isinstance(most.origin, Statement)
+        assert isinstance(least.origin, Statement)
+        pair = tuple(dict.fromkeys((most.origin, least.origin)))
+        if pair not in reported:
+            reported.add(pair)
+            upper_bound = Bound(key[0], key[1], Comparison.AT_MOST, most.value)
+            yield Contradiction(
+                pair, (), f"{upper_bound.describe()} and at least {least.value:g} can't both be"
+            )
 
 
 class Solver:
     """The figures as variables, and everything said of them as assertions that each have a name."""
 
-    def __init__(self, setting: Setting, names: Names) -> None:
+    def __init__(self, setting: Setting, names: KnownNames) -> None:
         self.setting, self.names = setting, names
         self.solver = z3.Solver()
-        self.solver.set("rlimit", SOLVER_STEPS)
-        self.variables: dict[Figure, Any] = {}
-        self.who: dict[str, Statement | str] = {}
+        self.solver.set("rlimit", SOLVER_RESOURCE_LIMIT)
+        self.variables: dict[FigureKey, Any] = {}
+        self.origins: dict[str, Statement | str] = {}
 
-    def figure(self, subject: Subject, measure: Measure, when: When, most: bool) -> Any:
-        key = (subject, measure, when, most)
+    def figure(self, subject: Subject, measure: Measure, condition: Condition, most: bool) -> Any:
+        key = (subject, measure, condition, most)
         if key not in self.variables:
             self.variables[key] = z3.Real(f"v{len(self.variables)}")
-            other = self.figure(subject, measure, when, not most)
-            one = self.variables[key]
+            other = self.figure(subject, measure, condition, not most)
+            variable = self.variables[key]
             # A mean has one value; of a figure of every moment the least is no more than the most.
             self.solver.add(
-                one == other if not measure.form.always else other <= one if most else one <= other
+                variable == other
+                if not measure.definition.is_instantaneous
+                else other <= variable
+                if most
+                else variable <= other
             )
-            self.solver.add(one >= 0)
-            if measure.form.unit is Unit.PART:
-                self.solver.add(one <= 1)
+            self.solver.add(variable >= 0)
+            if measure.definition.unit is Unit.SHARE:
+                self.solver.add(variable <= 1)
         return self.variables[key]
 
-    def name(self, who: Statement | str) -> Any:
-        word = f"s{len(self.who)}"
-        self.who[word] = who
-        return z3.Bool(word)
+    def assertion(self, origin: Statement | str) -> Any:
+        label = f"s{len(self.origins)}"
+        self.origins[label] = origin
+        return z3.Bool(label)
 
-    def claim(self, claim: Claim, when: When) -> Any:
+    def claim_term(self, claim: Claim, condition: Condition) -> Any:
         match claim:
             case Bound():
                 return z3.And(
-                    [self.bound(replace(claim, subject=one), when) for one in self.names.some(claim.subject)]
+                    [
+                        self.bound_term(replace(claim, subject=one), condition)
+                        for one in self.names.expand(claim.subject)
+                    ]
                 )
-            case Order(first, then):
-                low, high = (self.figure(one, Measure.REFUSED, when, True) for one in (then, first))
+            case RefusalOrder(first, then):
+                low, high = (self.figure(one, Measure.REFUSED, condition, True) for one in (then, first))
                 return low <= high
             case Not(inner):
-                return z3.Not(self.claim(inner, when))
-            case Both(claims):
-                return z3.And([self.claim(one, when) for one in claims])
-            case Either(claims):
-                return z3.Or([self.claim(one, when) for one in claims])
+                return z3.Not(self.claim_term(inner, condition))
+            case AllOf(claims):
+                return z3.And([self.claim_term(one, condition) for one in claims])
+            case AnyOf(claims):
+                return z3.Or([self.claim_term(one, condition) for one in claims])
 
-    def bound(self, bound: Bound, when: When) -> Any:
+    def bound_term(self, bound: Bound, condition: Condition) -> Any:
         terms = []
-        for (subject, measure, at, most), value, _, strict in edges(bound, when):
-            one = self.figure(subject, measure, at, most)
+        for (subject, measure, figure_condition, most), value, _, strict in bounded_figures(bound, condition):
+            figure = self.figure(subject, measure, figure_condition, most)
             number = z3.RealVal(repr(value))
             if most:
-                terms.append(one < number if strict else one <= number)
+                terms.append(figure < number if strict else figure <= number)
             else:
-                terms.append(one > number if strict else one >= number)
+                terms.append(figure > number if strict else figure >= number)
         return z3.And(terms)
 
-    def tie(self) -> None:
+    def add_constraints(self) -> None:
         """What figures say of each other, for those that anybody speaks of."""
-        spoken = {(measure, when) for _, measure, when, _ in self.variables}
-        for measure, when in sorted(spoken, key=str):
-            for whole, some in wholes(self.setting, measure):
-                wanted = [one for one in (whole, *some) if (one, measure, when, True) in self.variables]
-                if len(wanted) < 2:
+        mentioned = {(measure, condition) for _, measure, condition, _ in self.variables}
+        for measure, condition in sorted(mentioned, key=str):
+            for whole, members in wholes_and_parts(self.setting, measure):
+                mentioned_subjects = [
+                    one for one in (whole, *members) if (one, measure, condition, True) in self.variables
+                ]
+                if len(mentioned_subjects) < 2:
                     continue
-                self.tie_parts(whole, some, measure, when)
-        self.tie_situations()
-        self.tie_shares()
-
-    def tie_parts(self, whole: Subject, some: list[Subject], measure: Measure, when: When) -> None:
-        most = self.figure(whole, measure, when, True)
-        least = self.figure(whole, measure, when, False)
-        tops = [self.figure(one, measure, when, True) for one in some]
-        bottoms = [self.figure(one, measure, when, False) for one in some]
+                self.add_part_constraints(whole, members, measure, condition)
+        self.add_condition_constraints()
+        self.add_share_constraints()
+
+    def add_part_constraints(
+        self, whole: Subject, members: list[Subject], measure: Measure, condition: Condition
+    ) -> None:
+        most = self.figure(whole, measure, condition, True)
+        least = self.figure(whole, measure, condition, False)
+        part_maxima = [self.figure(one, measure, condition, True) for one in members]
+        part_minima = [self.figure(one, measure, condition, False) for one in members]
         add = self.solver.add
         if measure in (Measure.OUTSTANDING, Measure.CALLS, Measure.OUT):
-            add(most <= z3.Sum(tops), least >= z3.Sum(bottoms))
-            add(*[one <= most for one in tops])
+            add(most <= z3.Sum(part_maxima), least >= z3.Sum(part_minima))
+            add(*[one <= most for one in part_maxima])
         elif measure is Measure.ADVISED:
-            add(*[one <= most for one in tops])
+            add(*[one <= most for one in part_maxima])
         else:
             # A share of the whole lies between those of its parts.
-            add(z3.Or([most <= one for one in tops]), z3.Or([least >= one for one in bottoms]))
+            add(z3.Or([most <= one for one in part_maxima]), z3.Or([least >= one for one in part_minima]))
 
-    def tie_situations(self) -> None:
+    def add_condition_constraints(self) -> None:
         """What holds in a situation holds in more of the same."""
-        by: dict[tuple[Subject, Measure], set[When]] = {}
-        for subject, measure, when, _ in self.variables:
-            by.setdefault((subject, measure), set()).add(when)
-        for (subject, measure), whens in by.items():
-            if not measure.form.always:
+        by_figure: dict[tuple[Subject, Measure], set[Condition]] = {}
+        for subject, measure, condition, _ in self.variables:
+            by_figure.setdefault((subject, measure), set()).add(condition)
+        for (subject, measure), conditions in by_figure.items():
+            if not measure.definition.is_instantaneous:
                 continue  # a mean over more is no bound on a part of it
-            for wide in whens:
-                for narrow in whens:
+            for wide in conditions:
+                for narrow in conditions:
                     if wide is not narrow and covers(wide, narrow):
                         self.solver.add(
                             self.figure(subject, measure, wide, True)
@@ -330,105 +349,113 @@
                             <= self.figure(subject, measure, narrow, False),
                         )
 
-    def tie_shares(self) -> None:
+    def add_share_constraints(self) -> None:
         """Who was refused was not served."""
-        for subject, measure, when, most in list(self.variables):
+        for subject, measure, condition, most in list(self.variables):
             if (
                 measure is Measure.REFUSED
                 and most
-                and (subject, Measure.SERVED, when, True) in self.variables
+                and (subject, Measure.SERVED, condition, True) in self.variables
             ):
-                refused = self.figure(subject, measure, when, True)
-                served = self.figure(subject, Measure.SERVED, when, True)
+                refused = self.figure(subject, measure, condition, True)
+                served = self.figure(subject, Measure.SERVED, condition, True)
                 self.solver.add(refused + served <= 1)
 
-    def core(self, said: list[tuple[Any, Any]]) -> list[Statement | str] | None:
+    def minimal_core(self, assertions: list[tuple[Any, Any]]) -> list[Statement | str] | None:
         """The names of what can't hold together, as few as can be; None where all can, or nobody can tell."""
-        for name, term in said:
+        for name, term in assertions:
             self.solver.add(z3.Implies(name, term))
-        if self.solver.check(*[name for name, _ in said]) != z3.unsat:
+        if self.solver.check(*[name for name, _ in assertions]) != z3.unsat:
             return None
         kept = list(self.solver.unsat_core())
         for name in sorted(kept, key=str):
-            fewer = [one for one in kept if not one.eq(name)]
-            if self.solver.check(*fewer) == z3.unsat:
-                inner = {str(one) for one in self.solver.unsat_core()}
-                kept = [one for one in fewer if str(one) in inner]
-        return [self.who[str(one)] for one in kept]
+            remaining = [one for one in kept if not one.eq(name)]
+            if self.solver.check(*remaining) == z3.unsat:
+                core = {str(one) for one in self.solver.unsat_core()}
+                kept = [one for one in remaining if str(one) in core]
+        return [self.origins[str(one)] for one in kept]
 
 
-def solver_clash(
-    statements: Sequence[Statement], known: list[Fact], setting: Setting, names: Names
-) -> Clash | None:
+def solver_contradiction(
+    statements: Sequence[Statement], known_facts: list[Fact], setting: Setting, names: KnownNames
+) -> Contradiction | None:
     solver = Solver(setting, names)
-    said = []
-    for statement in needed(statements, names):
-        said.append((solver.name(statement), solver.claim(statement.claim, statement.when)))
-    spoken = {(subject, measure) for subject, measure, _, _ in solver.variables}
-    for measure in {measure for _, measure in spoken}:
-        for whole, some in wholes(setting, measure):
-            if any((one, measure) in spoken for one in some):
-                spoken.add((whole, measure))
-    whens = {when for _, _, when, _ in solver.variables}
-    for fact in known:
-        if (fact.subject, fact.measure) not in spoken:
+    assertions = []
+    for statement in tightest_statements(statements, names):
+        assertions.append(
+            (solver.assertion(statement), solver.claim_term(statement.claim, statement.condition))
+        )
+    mentioned = {(subject, measure) for subject, measure, _, _ in solver.variables}
+    for measure in {measure for _, measure in mentioned}:
+        for whole, members in wholes_and_parts(setting, measure):
+            if any((one, measure) in mentioned for one in members):
+                mentioned.add((whole, measure))
+    conditions = {condition for _, _, condition, _ in solver.variables}
+    for fact in known_facts:
+        if (fact.subject, fact.measure) not in mentioned:
             continue
-        for when in whens:
-            if fact.when is None or covers(fact.when, when):
-                most = solver.figure(fact.subject, fact.measure, when, True)
-                said.append((solver.name(fact.place), most <= z3.RealVal(repr(float(fact.high)))))
-    solver.tie()
-    core = solver.core(said)
+        for condition in conditions:
+            if fact.condition is None or covers(fact.condition, condition):
+                most = solver.figure(fact.subject, fact.measure, condition, True)
+                assertions.append(
+                    (solver.assertion(fact.setting_path), most <= z3.RealVal(repr(float(fact.high))))
+                )
+    solver.add_constraints()
+    core = solver.minimal_core(assertions)
     if core is None:
         return None
-    clashing = tuple(dict.fromkeys(one for one in core if isinstance(one, Statement)))
-    places = tuple(dict.fromkeys(one for one in core if isinstance(one, str)))
-    return Clash(clashing, places, "these can't all hold")
+    contradicting = tuple(dict.fromkeys(one for one in core if isinstance(one, Statement)))
+    setting_paths = tuple(dict.fromkeys(one for one in core if isinstance(one, str)))
+    return Contradiction(contradicting, setting_paths, "these can't all hold")
 
 
-def needed(statements: Sequence[Statement], names: Names) -> list[Statement]:
+def tightest_statements(statements: Sequence[Statement], names: KnownNames) -> list[Statement]:
     """Those that say more than others: of bounds on one figure the tightest implies the rest."""
-    tightest: dict[tuple[Subject, Measure, When, bool], tuple[float, bool, Statement]] = {}
+    tightest: dict[tuple[Subject, Measure, Condition, bool], tuple[float, bool, Statement]] = {}
     kept: dict[Statement, None] = {}
     for statement in statements:
         claim = statement.claim
-        if not isinstance(claim, Bound) or claim.subject.each or claim.compare is Compare.EXACTLY:
+        if not isinstance(claim, Bound) or claim.subject.each or claim.compare is Comparison.EXACTLY:
             kept[statement] = None
             continue
-        for figure, value, upper, strict in edges(claim, statement.when):
-            was = tightest.get(figure)
+        for figure, value, upper, strict in bounded_figures(claim, statement.condition):
+            previous = tightest.get(figure)
             rank = (-value if upper else value, strict)
-            if was is None or rank > (was[0], was[1]):
+            if previous is None or rank > (previous[0], previous[1]):
                 tightest[figure] = (*rank, statement)
     for _, _, statement in tightest.values():
         kept[statement] = None
     return list(kept)
 
 
-def wholes(setting: Setting, measure: Measure) -> Iterator[tuple[Subject, list[Subject]]]:
+def wholes_and_parts(setting: Setting, measure: Measure) -> Iterator[tuple[Subject, list[Subject]]]:
     """What is made of what: for each measure, wholes with all their parts."""
     sites = setting.sites()
-    kinds = measure.form.kinds
-    if Kind.SITE in kinds:
-        yield THE_FLEET, [Subject(Kind.SITE, name) for name in sites]
-    if Kind.SERVER in kinds:
+    kinds = measure.definition.subject_kinds
+    if SubjectKind.SITE in kinds:
+        yield THE_FLEET, [Subject(SubjectKind.SITE, name) for name in sites]
+    if SubjectKind.SERVER in kinds:
         for site, names in sites.items():
-            yield Subject(Kind.SITE, site), [Subject(Kind.SERVER, name) for name in names]
-    if Kind.ROUTER in kinds:
+            yield Subject(SubjectKind.SITE, site), [Subject(SubjectKind.SERVER, name) for name in names]
+    if SubjectKind.ROUTER in kinds:
         routers = setting.routers()
-        yield THE_FLEET, [Subject(Kind.ROUTER, str(one.number)) for one in routers]
+        yield THE_FLEET, [Subject(SubjectKind.ROUTER, str(one.number)) for one in routers]
         for site in sites if measure is not Measure.OUTSTANDING else ():
-            mine = [Subject(Kind.ROUTER, str(one.number)) for one in routers if one.site == site]
-            if mine:
-                yield Subject(Kind.SITE, site), mine
-    if Kind.TENANT in kinds and setting.tenants:
-        yield THE_FLEET, [Subject(Kind.TENANT, name) for name in setting.tenants]
-    if Kind.PROFILE in kinds:
-        yield THE_FLEET, [Subject(Kind.PROFILE, name) for name in setting.profiles]
+            site_routers = [
+                Subject(SubjectKind.ROUTER, str(one.number)) for one in routers if one.site == site
+            ]
+            if site_routers:
+                yield Subject(SubjectKind.SITE, site), site_routers
+    if SubjectKind.TENANT in kinds and setting.tenants:
+        yield THE_FLEET, [Subject(SubjectKind.TENANT, name) for name in setting.tenants]
+    if SubjectKind.PROFILE in kinds:
+        yield THE_FLEET, [Subject(SubjectKind.PROFILE, name) for name in setting.profiles]
     if measure is Measure.OUT and setting.fleet is not None:
         for group in setting.fleet.budget_groups():
             inside = [
-                Subject(Kind.SITE, site) for site, names in sites.items() if group.members.issuperset(names)
+                Subject(SubjectKind.SITE, site)
+                for site, names in sites.items()
+                if group.members.issuperset(names)
             ]
             if inside and sum(len(sites[one.name]) for one in inside) == len(group.members):
-                yield Subject(Kind.GROUP, group.name), inside
+                yield Subject(SubjectKind.GROUP, group.name), inside
--- a/birchslip/expect/report.py
+++ b/birchslip/expect/report.py
@@ -11,76 +11,78 @@
 from ..lab.model.clock import SECOND
 from .check import Report
 from .judge import Outcome, Verdict
-from .situations import script
+from .situations import build_script
 from .sources import Sources
 from .words import Bound, Measure, Statement, atoms
 
-WORDS = {Outcome.HOLDS: "holds", Outcome.FAILS: "FAILS", Outcome.UNTOLD: "?"}
+OUTCOME_LABELS = {Outcome.HOLDS: "holds", Outcome.FAILS: "FAILS", Outcome.UNDECIDED: "?"}
 
 
-def lines(report: Report) -> Iterator[str]:
+def report_lines(report: Report) -> Iterator[str]:
     for statement, verdict in report.verdicts.items():
-        yield from of_one(statement, verdict)
+        yield from statement_lines(statement, verdict)
     for conflict in report.conflicts:
-        yield f"settings contradict each other: {conflict.why}"
-        yield from (f"    {place}" for place in conflict.places)
-    for clash in report.clashes:
-        yield f"can't hold together: {clash.why}"
-        for one in clash.statements:
-            yield f"    {one.spot.told()}: {one.name}: {one.told()}"
-        for place in clash.settings:
-            yield f"    {place}"
+        yield f"settings contradict each other: {conflict.reason}"
+        yield from (f"    {path}" for path in conflict.setting_paths)
+    for contradiction in report.contradictions:
+        yield f"can't hold together: {contradiction.reason}"
+        for one in contradiction.statements:
+            yield f"    {one.location.describe()}: {one.name}: {one.describe()}"
+        for path in contradiction.settings:
+            yield f"    {path}"
     for name in report.empty:
         yield f"{name}: nothing is expected there"
     counts = [f"{report.count(Outcome.HOLDS)} hold", f"{report.count(Outcome.FAILS)} fail"]
-    yield f"{', '.join(counts)}, {report.count(Outcome.UNTOLD)} can't be told; {report.plays} plays"
+    yield f"{', '.join(counts)}, {report.count(Outcome.UNDECIDED)} can't be told; {report.run_count} plays"
 
 
-def of_one(statement: Statement, verdict: Verdict) -> Iterator[str]:
-    yield f"{WORDS[verdict.outcome]:6} {statement.name:28} {verdict.why}"
+def statement_lines(statement: Statement, verdict: Verdict) -> Iterator[str]:
+    yield f"{OUTCOME_LABELS[verdict.outcome]:6} {statement.name:28} {verdict.reason}"
     if verdict.outcome is Outcome.HOLDS:
         return
-    yield f"       at {statement.spot.told()}: {statement.told()}"
+    yield f"       at {statement.location.describe()}: {statement.describe()}"
     if verdict.history:
         yield "       a history that breaks it:"
         yield from (f"         {line}" for line in verdict.history)
-    if verdict.setting:
-        yield f"       the setting that bears most of it: {verdict.setting}"
+    if verdict.responsible_setting:
+        yield f"       the setting that bears most of it: {verdict.responsible_setting}"
 
 
 def as_json(report: Report) -> dict[str, Any]:
     return {
         "holds": report.count(Outcome.HOLDS),
         "fails": report.count(Outcome.FAILS),
-        "untold": report.count(Outcome.UNTOLD),
-        "plays": report.plays,
-        "statements": [one_as_json(statement, verdict) for statement, verdict in report.verdicts.items()],
+        "untold": report.count(Outcome.UNDECIDED),
+        "plays": report.run_count,
+        "statements": [
+            statement_as_json(statement, verdict) for statement, verdict in report.verdicts.items()
+        ],
         "clashes": [
             {
-                "statements": [one.name for one in clash.statements],
-                "settings": list(clash.settings),
-                "why": clash.why,
+                "statements": [one.name for one in contradiction.statements],
+                "settings": list(contradiction.settings),
+                "why": contradiction.reason,
             }
-            for clash in report.clashes
+            for contradiction in report.contradictions
         ],
-        "conflicts": [{"settings": list(one.places), "why": one.why} for one in report.conflicts],
+        "conflicts": [{"settings": list(one.setting_paths), "why": one.reason} for one in report.conflicts],
         "empty": report.empty,
     }
 
 
-def one_as_json(statement: Statement, verdict: Verdict) -> dict[str, Any]:
+def statement_as_json(statement: Statement, verdict: Verdict) -> dict[str, Any]:
     return {
         "name": statement.name,
-        "at": statement.spot.told(),
-        "says": statement.told(),
+        "at": statement.location.describe(),
+        "says": statement.describe(),
         "outcome": verdict.outcome.value,
-        "by": verdict.by,
-        "why": verdict.why,
+        "by": verdict.method,
+        "why": verdict.reason,
         "value": verdict.value,
         "bound": verdict.bound,
         "seed": verdict.seed,
         "history": verdict.history,
-        "setting": verdict.setting,
+        "setting": verdict.responsible_setting,
     }
 
 
@@ -88,18 +90,18 @@
     """A suite for each file; what can't be told counts as an error, as it was not checked."""
     suites: dict[str, Any] = {}
     for statement, verdict in report.verdicts.items():
-        suite = suites.setdefault(statement.spot.file, TestSuite(statement.spot.file))
-        case = TestCase(statement.name, classname=statement.spot.told())
-        text = "\n".join(of_one(statement, verdict))
+        suite = suites.setdefault(statement.location.file, TestSuite(statement.location.file))
+        case = TestCase(statement.name, classname=statement.location.describe())
+        text = "\n".join(statement_lines(statement, verdict))
         if verdict.outcome is Outcome.FAILS:
-            case.result = [with_text(Failure(verdict.why), text)]
-        elif verdict.outcome is Outcome.UNTOLD:
-            case.result = [with_text(Error(verdict.why), text)]
+            case.result = [with_text(Failure(verdict.reason), text)]
+        elif verdict.outcome is Outcome.UNDECIDED:
+            case.result = [with_text(Error(verdict.reason), text)]
         suite.add_testcase(case)
     for conflict in report.conflicts:
         suite = suites.setdefault("settings", TestSuite("settings"))
-        case = TestCase(" and ".join(conflict.places), classname="settings")
-        case.result = [Failure(conflict.why)]
+        case = TestCase(" and ".join(conflict.setting_paths), classname="settings")
+        case.result = [Failure(conflict.reason)]
         suite.add_testcase(case)
     for name in report.empty:
         suite = suites.setdefault(name, TestSuite(name))
@@ -111,8 +113,8 @@
         suite.update_statistics()
         xml.add_testsuite(suite)
     xml.update_statistics()
-    made: bytes = xml.tostring()
-    return made
+    content: bytes = xml.tostring()
+    return content
 
 
 def with_text(result: Any, text: str) -> Any:
@@ -120,24 +122,28 @@
     return result
 
 
-def explain(statement: Statement, report: Report, sources: Sources) -> Iterator[str]:
+def explain_statement(statement: Statement, report: Report, sources: Sources) -> Iterator[str]:
     """One statement at length."""
-    yield f"{statement.name} at {statement.spot.told()}"
-    yield f"it says: {statement.told()}"
+    yield f"{statement.name} at {statement.location.describe()}"
+    yield f"it says: {statement.describe()}"
     for atom in atoms(statement.claim):
         measure = atom.measure if isinstance(atom, Bound) else Measure.REFUSED
-        form = measure.form
-        over = "the figure furthest from its bound counts" if form.always else "over all of the span"
-        yield f"{form.word}: {form.about}; {over}"
-    told = script(statement.when, sources.setting)
+        definition = measure.definition
+        aggregation = (
+            "the figure furthest from its bound counts"
+            if definition.is_instantaneous
+            else "over all of the span"
+        )
+        yield f"{definition.word}: {definition.description}; {aggregation}"
+    scenario_script = build_script(statement.condition, sources.setting)
     verdict = report.verdicts[statement]
-    if verdict.by == "play":
-        yield f"played for {told.until / SECOND:g} s of virtual time:"
-        yield from (f"  {line}" for line in told.told() or ["nothing is done to the world"])
+    if verdict.method == "play":
+        yield f"played for {scenario_script.until / SECOND:g} s of virtual time:"
+        yield from (f"  {line}" for line in scenario_script.describe() or ["nothing is done to the world"])
     else:
         yield "by reasoning: nothing was played"
-    yield from of_one(statement, verdict)
+    yield from statement_lines(statement, verdict)
 
 
-def dump(report: Report) -> str:
+def to_json_text(report: Report) -> str:
     return json.dumps(as_json(report), indent=2)
--- a/birchslip/expect/search.py
+++ b/birchslip/expect/search.py
@@ -10,14 +10,14 @@
 from ..lab.model.clock import SECOND
 from ..lab.model.layout import Work
 from ..lab.model.world import BEGIN, Setting
-from .judge import Said
-from .situations import AFTER, Script
-from .sources import Path_, Sources
-from .words import Kind, Measure, Statement, atoms, subjects
+from .judge import Evaluation
+from .situations import COOL_DOWN, Script
+from .sources import Sources, ValuePath
+from .words import Measure, Statement, SubjectKind, atoms, subjects_of
 
-SHRINK_MOST = 12  # plays for one failure
-BLAME_MOST = 20
-TAIL = SECOND // 2  # of a play, past the moment that it fails
+MAX_SHRINK_RUNS = 12  # plays for one failure
+MAX_CHANGE_RUNS = 20
+RUN_TAIL = SECOND // 2  # of a play, past the moment that it fails
 
 
 @dataclass(frozen=True)
@@ -27,51 +27,55 @@
     setting: Setting
     script: Script
     seed: int
-    without: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
 
 
-Fails = Callable[[Sequence[Case]], list[Said]]  # several may be played at once
+RunCases = Callable[[Sequence[Case]], list[Evaluation]]  # several may be played at once
 
 
 def shrink(
-    case: Case, said: Said, statement: Statement, fails: Fails, most: int = SHRINK_MOST
-) -> tuple[Case, Said]:
+    case: Case,
+    evaluation: Evaluation,
+    statement: Statement,
+    run_cases: RunCases,
+    max_runs: int = MAX_SHRINK_RUNS,
+) -> tuple[Case, Evaluation]:
     """Smaller and smaller as long as it still fails: fewer steps, less of the world, an earlier end."""
-    left = most
-    while left > 0:
-        smaller = list(reductions(case, said, statement))[:left]
-        left -= len(smaller)
+    runs_left = max_runs
+    while runs_left > 0:
+        smaller = list(reductions(case, evaluation, statement))[:runs_left]
+        runs_left -= len(smaller)
         found = next(
-            (pair for pair in zip(smaller, fails(smaller), strict=True) if pair[1].held is False), None
+            (pair for pair in zip(smaller, run_cases(smaller), strict=True) if pair[1].held is False), None
         )
         if found is None:
-            return case, said
-        case, said = found
-    return case, said
+            return case, evaluation
+        case, evaluation = found
+    return case, evaluation
 
 
-def reductions(case: Case, said: Said, statement: Statement) -> Iterator[Case]:
+def reductions(case: Case, evaluation: Evaluation, statement: Statement) -> Iterator[Case]:
     """The largest cuts first."""
     script = case.script
-    end = said.at + TAIL + AFTER
-    if said.at and end < script.until:
+    end = evaluation.at + RUN_TAIL + COOL_DOWN
+    if evaluation.at and end < script.until:
         yield replace(case, script=replace(script, until=end))
-    for place, step in enumerate(script.steps):
-        rest = script.steps[:place] + script.steps[place + 1 :]
-        yield replace(case, script=replace(script, steps=rest), without=(*case.without, step.told()))
-    named = names_of(statement)
-    yield from without_routers(case, named[Kind.ROUTER])
-    yield from without_tenants(case, named[Kind.TENANT])
-    yield from without_profiles(case, named[Kind.PROFILE])
+    for index, step in enumerate(script.steps):
+        rest = script.steps[:index] + script.steps[index + 1 :]
+        yield replace(case, script=replace(script, steps=rest), removed=(*case.removed, step.told()))
+    named = named_subjects(statement)
+    yield from without_routers(case, named[SubjectKind.ROUTER])
+    yield from without_tenants(case, named[SubjectKind.TENANT])
+    yield from without_profiles(case, named[SubjectKind.PROFILE])
 
 
-def names_of(statement: Statement) -> dict[Kind, set[str]]:
-    found: dict[Kind, set[str]] = {kind: set() for kind in Kind}
+def named_subjects(statement: Statement) -> dict[SubjectKind, set[str]]:
+    found: dict[SubjectKind, set[str]] = {kind: set() for kind in SubjectKind}
     for atom in atoms(statement.claim):
-        for subject in subjects(atom):
+        for subject in subjects_of(atom):
             found[subject.kind].add("*" if subject.each else subject.name)
-    if statement.when.surge:
-        found[Kind.TENANT].add(statement.when.surge)
+    if statement.condition.surge:
+        found[SubjectKind.TENANT].add(statement.condition.surge)
     return found
 
 
@@ -79,71 +83,73 @@
     routers = case.setting.routers()
     if len(routers) < 2 or "*" in named:
         return
-    for gone in reversed(routers):
-        if str(gone.number) not in named:
-            rest = [one for one in routers if one is not gone]
+    for excluded in reversed(routers):
+        if str(excluded.number) not in named:
+            rest = [one for one in routers if one is not excluded]
             layout = replace_layout(case.setting, routers=rest)
-            yield replace(case, setting=layout, without=(*case.without, f"router {gone.number}"))
+            yield replace(case, setting=layout, removed=(*case.removed, f"router {excluded.number}"))
 
 
 def without_tenants(case: Case, named: set[str]) -> Iterator[Case]:
     tenants = case.setting.traffic().tenants
-    there = [name for name, (_, share) in tenants.items() if share > 0 and name]
-    if len(there) < 2 or "*" in named:
+    present = [name for name, (_, share) in tenants.items() if share > 0 and name]
+    if len(present) < 2 or "*" in named:
         return
-    for gone in reversed(there):
-        if gone not in named:
-            shares = {name: share for name, (_, share) in tenants.items() if name != gone}
+    for excluded in reversed(present):
+        if excluded not in named:
+            shares = {name: share for name, (_, share) in tenants.items() if name != excluded}
             setting = replace_layout(case.setting, tenants=shares)
-            yield replace(case, setting=setting, without=(*case.without, f"tenant {gone}"))
+            yield replace(case, setting=setting, removed=(*case.removed, f"tenant {excluded}"))
 
 
 def without_profiles(case: Case, named: set[str]) -> Iterator[Case]:
-    told = case.setting.layout.profiles
-    works = {name: told.get(name, Work()) for name in case.setting.profiles}
-    there = [name for name, work in works.items() if work.share > 0]
-    if len(there) < 2 or "*" in named:
+    works_by_name = case.setting.layout.profiles
+    works = {name: works_by_name.get(name, Work()) for name in case.setting.profiles}
+    present = [name for name, work in works.items() if work.share > 0]
+    if len(present) < 2 or "*" in named:
         return
-    for gone in reversed(there):
-        if gone not in named:
-            work = works[gone]
-            rest = works | {gone: Work(share=0.0, work_ms=work.work_ms, calls=work.calls)}
+    for excluded in reversed(present):
+        if excluded not in named:
+            work = works[excluded]
+            rest = works | {excluded: Work(share=0.0, work_ms=work.work_ms, calls=work.calls)}
             setting = replace_layout(case.setting, profiles=rest)
-            yield replace(case, setting=setting, without=(*case.without, f"profile {gone}"))
+            yield replace(case, setting=setting, removed=(*case.removed, f"profile {excluded}"))
 
 
 def replace_layout(setting: Setting, **more: object) -> Setting:
     layout = setting.layout
-    told = {name: getattr(layout, name) for name in layout.__struct_fields__} | more
-    return replace(setting, layout=type(layout)(**told))
+    fields = {name: getattr(layout, name) for name in layout.__struct_fields__} | more
+    return replace(setting, layout=type(layout)(**fields))
 
 
-def history(case: Case, said: Said, notes: Sequence[tuple[int, str, dict[str, object]]]) -> list[str]:
+def failure_history(
+    case: Case, evaluation: Evaluation, notes: Sequence[tuple[int, str, dict[str, object]]]
+) -> list[str]:
     """Line by line, for people: what was there, what was done, what the fleet made of it, what broke."""
     lines = [
         f"seed {case.seed}, {len([n for names in case.setting.sites().values() for n in names])} app servers"
     ]
-    if case.without:
-        lines.append(f"it takes none of: {', '.join(case.without)}")
-    told: list[tuple[int, str]] = [
+    if case.removed:
+        lines.append(f"it takes none of: {', '.join(case.removed)}")
+    events: list[tuple[int, str]] = [
         (BEGIN, f"{BEGIN / SECOND:.1f} s: traffic at {case.setting.layout.load:g} of capacity")
     ]
-    told += [(step.at, step.told()) for step in case.script.steps]
+    events += [(step.at, step.told()) for step in case.script.steps]
     for at, event, more in notes:
         if at <= case.script.until:
             words = ", ".join(
                 f"{name} {value}" for name, value in more.items() if name in ("site", "stage", "phase", "why")
             )
-            told.append((at, f"{at / SECOND:.1f} s: {event}: {words}"))
-    lines += [line for _, line in sorted(told)]
-    moment = f"{said.at / SECOND:.2f} s: " if said.at else "over all of it: "
-    return [*lines, moment + said.why]
+            events.append((at, f"{at / SECOND:.1f} s: {event}: {words}"))
+    lines += [line for _, line in sorted(events)]
+    moment = f"{evaluation.at / SECOND:.2f} s: " if evaluation.at else "over all of it: "
+    return [*lines, moment + evaluation.reason]
 
 
 # ---- the setting most responsible ----------------------------------------------------------------------
 
 
-BEARS: dict[Measure, tuple[str, ...]] = {
+RELEVANT_SETTINGS: dict[Measure, tuple[str, ...]] = {
     Measure.OUT: ("most_out", "share_out", "least_room", "drain_grace_s", "cold_s"),
     Measure.ADVISED: ("max_retry_after_s", "retry_after", "cores", "aim_s"),
     Measure.CALLS: ("calls_out", "vault.total", "vault.kept", "downstream", "class_skip_worth"),
@@ -178,37 +184,37 @@
 class Change:
     """One value of one file, as it is and as it would be."""
 
-    which: str
-    path: Path_
-    was: object
-    then: object
+    file_kind: str
+    path: ValuePath
+    old: object
+    new: object
 
-    def told(self, sources: Sources) -> str:
-        return f"{sources.place(self.which, self.path)} is {self.was}"
+    def describe(self, sources: Sources) -> str:
+        return f"{sources.path_label(self.file_kind, self.path)} is {self.old}"
 
 
-def suspects(statement: Statement, sources: Sources) -> list[Change]:
+def candidate_changes(statement: Statement, sources: Sources) -> list[Change]:
     """Values that bear on what the statement measures, each with what it might have been, in the order of how
     much they usually bear; what a second value might have been comes after the first of all.
     """
-    found: dict[tuple[int, str, Path_, object], Change] = {}
+    found: dict[tuple[int, str, ValuePath, object], Change] = {}
     for atom in atoms(statement.claim):
         measure = getattr(atom, "measure", Measure.REFUSED)
-        for word in BEARS[measure]:
-            for which, path, value in sources.values():
-                dotted = ".".join(str(part) for part in path)
+        for fragment in RELEVANT_SETTINGS[measure]:
+            for file_kind, path, value in sources.values():
+                dotted = ".".join(str(key) for key in path)
                 if (
-                    which == "world"
-                    or word not in dotted
-                    or any(part in ("name", "address") for part in path)
+                    file_kind == "world"
+                    or fragment not in dotted
+                    or any(key in ("name", "address") for key in path)
                 ):
                     continue
-                for turn, then in enumerate(others(value)):
-                    found[turn, which, path, then] = Change(which, path, value, then)
+                for rank, new in enumerate(alternative_values(value)):
+                    found[rank, file_kind, path, new] = Change(file_kind, path, value, new)
     return [found[key] for key in sorted(found, key=lambda key: key[0])]
 
 
-def others(value: object) -> list[object]:
+def alternative_values(value: object) -> list[object]:
     """What a value might have been: twice it, half of it."""
     if isinstance(value, bool):
         return [not value]
@@ -219,20 +225,22 @@
     return []
 
 
-def blame(
+def attribute_change(
     statement: Statement,
-    said: Said,
+    evaluation: Evaluation,
     sources: Sources,
-    play: Callable[[Sequence[Sources]], list[Said | None]],
-    most: int = BLAME_MOST,
-) -> tuple[Change, Said] | None:
+    run_changed: Callable[[Sequence[Sources]], list[Evaluation | None]],
+    max_runs: int = MAX_CHANGE_RUNS,
+) -> tuple[Change, Evaluation] | None:
     """The change that takes the figure furthest back, and what came of it; None where no change helps."""
-    some = suspects(statement, sources)[:most]
-    came = play([sources.with_value(change.which, change.path, change.then) for change in some])
-    best: tuple[Change, Said] | None = None
-    for change, then in zip(some, came, strict=True):
-        if then is None or then.held is None or then.over >= said.over - 1e-9:
+    changes = candidate_changes(statement, sources)[:max_runs]
+    evaluations = run_changed(
+        [sources.with_value(change.file_kind, change.path, change.new) for change in changes]
+    )
+    best: tuple[Change, Evaluation] | None = None
+    for change, changed in zip(changes, evaluations, strict=True):
+        if changed is None or changed.held is None or changed.excess >= evaluation.excess - 1e-9:
             continue
-        if best is None or (then.held, -then.over) > (best[1].held, -best[1].over):
-            best = (change, then)
+        if best is None or (changed.held, -changed.excess) > (best[1].held, -best[1].excess):
+            best = (change, changed)
     return best
--- a/birchslip/expect/situations.py
+++ b/birchslip/expect/situations.py
@@ -9,15 +9,15 @@
 
 from ..lab.model.clock import SECOND
 from ..lab.model.world import BEGIN, Setting, Step
-from .words import Event, When
-
-USUAL_FROM = BEGIN + 2 * SECOND  # the first tries of a day are none of any expectation's
-AT = BEGIN + 3 * SECOND  # when the situation begins
-LASTS = 4 * SECOND  # how long it is there, where nothing ends it by itself
-RAMP = SECOND  # a load is there for a second before it counts
-AFTER = SECOND  # a play goes on past what is measured, so that what is open then can end
-RETURNS = 6 * SECOND  # what a site needs to come back
-RELEASE = 40 * SECOND
+from .words import Condition, Event
+
+STEADY_FROM = BEGIN + 2 * SECOND  # the first tries of a day are none of any expectation's
+SITUATION_BEGIN = BEGIN + 3 * SECOND  # when the situation begins
+SITUATION_LENGTH = 4 * SECOND  # how long it is there, where nothing ends it by itself
+LOAD_RAMP = SECOND  # a load is there for a second before it counts
+COOL_DOWN = SECOND  # a play goes on past what is measured, so that what is open then can end
+SITE_RETURN_TIME = 6 * SECOND  # what a site needs to come back
+RELEASE_TIME = 40 * SECOND
 Span = tuple[int, int]
 
 
@@ -28,66 +28,80 @@
     steps: tuple[Step, ...]
     until: int
 
-    def told(self) -> list[str]:
+    def describe(self) -> list[str]:
         return [step.told() for step in self.steps]
 
 
-def script(when: When, setting: Setting, each: float = 0.25) -> Script:
+def build_script(condition: Condition, setting: Setting, shrink_step_s: float = 0.25) -> Script:
     """What is done to the world so that the situation comes about. `each` is a step of a shrinking fleet, in
     seconds.
     """
     steps: list[Step] = []
-    at, lasts = AT, LASTS + when.settled
-    if when.load is not None:
-        steps.append(Step(at - RAMP, "load", more=when.load))
-    if when.planners_gone:
+    at, length = SITUATION_BEGIN, SITUATION_LENGTH + condition.settled
+    if condition.load is not None:
+        steps.append(Step(at - LOAD_RAMP, "load", more=condition.load))
+    if condition.planners_gone:
         steps.append(Step(at, "planners-gone"))
-    if when.below_down:
+    if condition.below_down:
         steps.append(Step(at, "below-down"))
-    if when.surge:
-        steps.append(Step(at, "surge", when.surge, when.times))
-    if when.lost:
-        steps.append(Step(at, "lose", when.lost))
-        if when.event is Event.SITE_RETURNS:
-            steps.append(Step(at + LASTS, "restore", when.lost))
-            lasts += RETURNS
-    if when.shrink is not None:
-        steps.append(Step(at, "shrink", more=when.shrink))
+    if condition.surge:
+        steps.append(Step(at, "surge", condition.surge, condition.surge_factor))
+    if condition.lost:
+        steps.append(Step(at, "lose", condition.lost))
+        if condition.event is Event.SITE_RETURNS:
+            steps.append(Step(at + SITUATION_LENGTH, "restore", condition.lost))
+            length += SITE_RETURN_TIME
+    if condition.shrink is not None:
+        steps.append(Step(at, "shrink", more=condition.shrink))
         count = sum(len(names) for names in setting.sites().values())
-        lasts = max(lasts, int((1 - when.shrink) * count * each * SECOND) + 3 * SECOND)
-    if when.release:
+        length = max(length, int((1 - condition.shrink) * count * shrink_step_s * SECOND) + 3 * SECOND)
+    if condition.release:
         steps.append(Step(at, "release"))
-        lasts = max(lasts, RELEASE)
-    if when.within:
-        lasts = max(lasts, when.within + (LASTS if when.event is Event.SITE_RETURNS else 0))
-    return Script(tuple(steps), at + lasts + AFTER)
+        length = max(length, RELEASE_TIME)
+    if condition.within:
+        length = max(
+            length, condition.within + (SITUATION_LENGTH if condition.event is Event.SITE_RETURNS else 0)
+        )
+    return Script(tuple(steps), at + length + COOL_DOWN)
 
 
-def spans(when: When, marks: Iterable[tuple[int, str, str]], until: int) -> list[Span]:
+def matching_spans(condition: Condition, marks: Iterable[tuple[int, str, str]], until: int) -> list[Span]:
     """Where all that is said of when was so. None: the situation never came about."""
-    end = until - AFTER
-    told = list(marks)
-    found: list[Span] = [(USUAL_FROM, end)]
-    if when.load is not None:
-        found = [(AT, end)]
-    if when.always:
+    measured_until = until - COOL_DOWN
+    mark_list = list(marks)
+    found: list[Span] = [(STEADY_FROM, measured_until)]
+    if condition.load is not None:
+        found = [(SITUATION_BEGIN, measured_until)]
+    if condition.always:
         return found
-    if when.lost and when.event is not Event.SITE_RETURNS:
-        found = both(found, between(told, "lost", "returns", when.lost, end, when.settled))
-    if when.surge and when.event is not Event.SURGE:
-        found = both(found, between(told, "surge", "surge over", when.surge, end, when.settled))
-    if when.shrink is not None and when.event is not Event.SHRUNK:
-        found = both(found, between(told, "shrinking", "shrunk", "", end, when.settled))
-    if when.release and when.event is not Event.RELEASE:
-        found = both(found, between(told, "release", "released", "", end, when.settled))
-    if when.planners_gone or when.below_down:
-        found = both(found, [(AT + when.settled, end)])
-    if when.event is not None:
-        found = both(found, soon(when, told, end))
+    if condition.lost and condition.event is not Event.SITE_RETURNS:
+        found = intersect(
+            found,
+            spans_between(mark_list, "lost", "returns", condition.lost, measured_until, condition.settled),
+        )
+    if condition.surge and condition.event is not Event.SURGE:
+        found = intersect(
+            found,
+            spans_between(
+                mark_list, "surge", "surge over", condition.surge, measured_until, condition.settled
+            ),
+        )
+    if condition.shrink is not None and condition.event is not Event.SHRUNK:
+        found = intersect(
+            found, spans_between(mark_list, "shrinking", "shrunk", "", measured_until, condition.settled)
+        )
+    if condition.release and condition.event is not Event.RELEASE:
+        found = intersect(
+            found, spans_between(mark_list, "release", "released", "", measured_until, condition.settled)
+        )
+    if condition.planners_gone or condition.below_down:
+        found = intersect(found, [(SITUATION_BEGIN + condition.settled, measured_until)])
+    if condition.event is not None:
+        found = intersect(found, spans_after_event(condition, mark_list, measured_until))
     return [(a, b) for a, b in found if b > a]
 
 
-MARKS = {
+EVENT_MARKS = {
     Event.SITE_LOST: "lost",
     Event.SITE_RETURNS: "returns",
     Event.RELEASE: "release",
@@ -97,33 +111,40 @@
 }
 
 
-def soon(when: When, marks: list[tuple[int, str, str]], end: int) -> list[Span]:
+def spans_after_event(
+    condition: Condition, marks: list[tuple[int, str, str]], measured_until: int
+) -> list[Span]:
     """Within so long of each time that it happened."""
-    assert when.event is not None
-    word = MARKS[when.event]
+    assert condition.event is not None
+    mark = EVENT_MARKS[condition.event]
     return [
-        (at, min(end, at + when.within))
-        for at, event, whom in marks
-        if event == word and (not when.whom or whom == when.whom)
+        (at, min(measured_until, at + condition.within))
+        for at, event, subject_name in marks
+        if event == mark and (not condition.event_subject or subject_name == condition.event_subject)
     ]
 
 
-def between(
-    marks: list[tuple[int, str, str]], begins: str, ends: str, whom: str, until: int, settled: int
+def spans_between(
+    marks: list[tuple[int, str, str]],
+    begin_mark: str,
+    end_mark: str,
+    subject_name: str,
+    until: int,
+    settled: int,
 ) -> list[Span]:
     """From each beginning to the next end."""
     found: list[Span] = []
-    since: int | None = None
-    for at, event, of in marks:
-        if event == begins and (not whom or of == whom) and since is None:
-            since = at
-        elif event == ends and (not whom or of == whom) and since is not None:
-            found.append((since + settled, at))
-            since = None
-    if since is not None:
-        found.append((since + settled, until))
+    begun_at: int | None = None
+    for at, event, name in marks:
+        if event == begin_mark and (not subject_name or name == subject_name) and begun_at is None:
+            begun_at = at
+        elif event == end_mark and (not subject_name or name == subject_name) and begun_at is not None:
+            found.append((begun_at + settled, at))
+            begun_at = None
+    if begun_at is not None:
+        found.append((begun_at + settled, until))
     return [(a, min(b, until)) for a, b in found if a < min(b, until)]
 
 
-def both(some: list[Span], others: list[Span]) -> list[Span]:
-    return [(max(a, c), min(b, d)) for a, b in some for c, d in others if max(a, c) < min(b, d)]
+def intersect(first: list[Span], second: list[Span]) -> list[Span]:
+    return [(max(a, c), min(b, d)) for a, b in first for c, d in second if max(a, c) < min(b, d)]
--- a/birchslip/expect/sources.py
+++ b/birchslip/expect/sources.py
@@ -21,11 +21,11 @@
 from ..lab.model.world import Setting
 from ..net.site import Site, site_of
 
-KEYS = ("name", "from", "number")  # what an entry of a list is called by, where it has one
-FILES = ("config", "fleet", "world")
+NAMING_KEYS = ("name", "from", "number")  # what an entry of a list is called by, where it has one
+FILE_KINDS = ("config", "fleet", "world")
 
-Path_ = tuple[str | int, ...]
-Kind = TypeVar("Kind", bound=msgspec.Struct)
+ValuePath = tuple[str | int, ...]
+StructT = TypeVar("StructT", bound=msgspec.Struct)
 
 
 @dataclass(frozen=True)
@@ -35,123 +35,123 @@
     config: dict[str, Any]
     fleet: dict[str, Any] | None = None
     world: dict[str, Any] | None = None
-    names: tuple[str, str, str] = ("configuration", "fleet file", "world file")
+    file_labels: tuple[str, str, str] = ("configuration", "fleet file", "world file")
 
     @cached_property
     def site(self) -> Site:
         try:
             return site_of(self.config, {})
-        except InvalidInputError as trouble:
-            raise InvalidInputError(f"{self.names[0]}: {trouble}") from None
+        except InvalidInputError as error:
+            raise InvalidInputError(f"{self.file_labels[0]}: {error}") from None
 
     @cached_property
-    def read_fleet(self) -> Fleet | None:
+    def parsed_fleet(self) -> Fleet | None:
         if self.fleet is None:
             return None
-        fleet = convert(self.fleet, Fleet, self.names[1])
-        found = list(violations(fleet))
-        if found:
-            raise InvalidInputError(f"{self.names[1]}: {found[0]}")
+        fleet = convert_struct(self.fleet, Fleet, self.file_labels[1])
+        failures = list(violations(fleet))
+        if failures:
+            raise InvalidInputError(f"{self.file_labels[1]}: {failures[0]}")
         return fleet
 
     @cached_property
     def layout(self) -> Layout:
-        return convert(self.world or {}, Layout, self.names[2])
+        return convert_struct(self.world or {}, Layout, self.file_labels[2])
 
     @cached_property
     def setting(self) -> Setting:
         site = self.site
-        made = Setting(
-            site.deployment, site.profiles, site.tenants, self.layout, self.read_fleet, name=site.name
+        result = Setting(
+            site.deployment, site.profiles, site.tenants, self.layout, self.parsed_fleet, name=site.name
         )
-        troubles = self.layout.trouble(site.profiles, site.tenants, list(made.sites()))
-        if troubles:
-            raise InvalidInputError(f"{self.names[2]}: {troubles[0]}")
-        return made
+        errors = self.layout.trouble(site.profiles, site.tenants, list(result.sites()))
+        if errors:
+            raise InvalidInputError(f"{self.file_labels[2]}: {errors[0]}")
+        return result
 
     # ---- single values ---------------------------------------------------------------------------------
 
-    def values(self) -> Iterator[tuple[str, Path_, Any]]:
+    def values(self) -> Iterator[tuple[str, ValuePath, Any]]:
         """Every value that is no list and no object, with its file and path, in order."""
-        for which in FILES:
-            told = getattr(self, which)
-            if told is not None:
-                for path, value in leaves(told, ()):
-                    yield which, path, value
-
-    def value(self, which: str, path: Path_) -> Any:
-        at = getattr(self, which)
-        for part in path:
-            at = at[part]
-        return at
-
-    def with_value(self, which: str, path: Path_, value: Any) -> Sources:
+        for file_kind in FILE_KINDS:
+            contents = getattr(self, file_kind)
+            if contents is not None:
+                for path, value in leaf_values(contents, ()):
+                    yield file_kind, path, value
+
+    def value(self, file_kind: str, path: ValuePath) -> Any:
+        node = getattr(self, file_kind)
+        for key in path:
+            node = node[key]
+        return node
+
+    def with_value(self, file_kind: str, path: ValuePath, value: Any) -> Sources:
         """The same but for one value; `None` takes the entry out."""
-        told = copy.deepcopy(getattr(self, which))
-        at = told
-        for part in path[:-1]:
-            at = at[part]
+        contents = copy.deepcopy(getattr(self, file_kind))
+        node = contents
+        for key in path[:-1]:
+            node = node[key]
         if value is None:
-            del at[path[-1]]
+            del node[path[-1]]
         else:
-            at[path[-1]] = value
-        return replace(self, **{which: told})
+            node[path[-1]] = value
+        return replace(self, **{file_kind: contents})
 
-    def place(self, which: str, path: Path_) -> str:
+    def path_label(self, file_kind: str, path: ValuePath) -> str:
         """A path for people: entries by their names, where they have any."""
-        at, made = getattr(self, which), ""
-        for part in path:
-            if isinstance(part, str):
-                made += f".{part}" if made else part
-                at = at.get(part) if isinstance(at, dict) else None
+        node, result = getattr(self, file_kind), ""
+        for key in path:
+            if isinstance(key, str):
+                result += f".{key}" if result else key
+                node = node.get(key) if isinstance(node, dict) else None
                 continue
-            at = at[part]
-            called = next((at[key] for key in KEYS if isinstance(at, dict) and key in at), part)
-            made += f"[{called}]"
-        return f"{self.names[FILES.index(which)]}: {made}"
-
-
-def leaves(at: Any, path: Path_) -> Iterator[tuple[Path_, Any]]:
-    if isinstance(at, dict):
-        for name, value in at.items():
-            yield from leaves(value, (*path, name))
-    elif isinstance(at, list):
-        for place, value in enumerate(at):
-            yield from leaves(value, (*path, place))
+            node = node[key]
+            label = next((node[name] for name in NAMING_KEYS if isinstance(node, dict) and name in node), key)
+            result += f"[{label}]"
+        return f"{self.file_labels[FILE_KINDS.index(file_kind)]}: {result}"
+
+
+def leaf_values(node: Any, path: ValuePath) -> Iterator[tuple[ValuePath, Any]]:
+    if isinstance(node, dict):
+        for name, value in node.items():
+            yield from leaf_values(value, (*path, name))
+    elif isinstance(node, list):
+        for index, value in enumerate(node):
+            yield from leaf_values(value, (*path, index))
     else:
-        yield path, at
+        yield path, node
 
 
-def convert(told: dict[str, Any], kind: type[Kind], name: str) -> Kind:
+def convert_struct(contents: dict[str, Any], kind: type[StructT], name: str) -> StructT:
     try:
-        return msgspec.convert(told, kind)
-    except msgspec.ValidationError as trouble:
-        raise InvalidInputError(f"{name}: {trouble}") from None
+        return msgspec.convert(contents, kind)
+    except msgspec.ValidationError as error:
+        raise InvalidInputError(f"{name}: {error}") from None
 
 
 def read_json(path: str | Path) -> dict[str, Any]:
     """Malformed or OSError says what is wrong, in one line."""
     try:
-        told = json.loads(Path(path).read_bytes())
-    except (ValueError, RecursionError) as trouble:
-        raise InvalidInputError(f"{path} is not JSON: {trouble}") from None
-    if not isinstance(told, dict):
+        contents = json.loads(Path(path).read_bytes())
+    except (ValueError, RecursionError) as error:
+        raise InvalidInputError(f"{path} is not JSON: {error}") from None
+    if not isinstance(contents, dict):
         raise InvalidInputError(f"{path} holds no object")
-    return told
+    return contents
 
 
 def read_sources(
     config: str | Path, fleet: str | Path | None = None, world: str | Path | None = None
 ) -> Sources:
-    files = [
-        Path(one).name if one is not None else usual
-        for one, usual in ((config, ""), (fleet, "fleet file"), (world, "world file"))
+    labels = [
+        Path(path).name if path is not None else default
+        for path, default in ((config, ""), (fleet, "fleet file"), (world, "world file"))
     ]
-    made = Sources(
+    result = Sources(
         read_json(config),
         read_json(fleet) if fleet is not None else None,
         read_json(world) if world is not None else None,
-        (files[0], files[1], files[2]),
+        (labels[0], labels[1], labels[2]),
     )
-    _ = made.setting
-    return made
+    _ = result.setting
+    return result
--- a/birchslip/expect/words.py
+++ b/birchslip/expect/words.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-DEPTH_MOST = 64  # of claims within claims
+MAX_CLAIM_DEPTH = 64  # of claims within claims
 
 
-class Kind(Enum):
+class SubjectKind(Enum):
     """Kinds of subjects, as they are written."""
 
     ROUTER = "router"
@@ -29,70 +29,78 @@
     """What a figure counts."""
 
     COUNT = "a count"
-    PART = "a share"
+    SHARE = "a share"
     TIME = "a time"
 
 
 @dataclass(frozen=True, slots=True)
-class MeasureForm:
+class MeasureDefinition:
     """`word` as it is written, what it counts, of whom it can be told, and what it means."""
 
     word: str
     unit: Unit
-    kinds: frozenset[Kind]
-    about: str
-    always: bool = False  # a figure of every moment: its most and its least count, not its mean
+    subject_kinds: frozenset[SubjectKind]
+    description: str
+    is_instantaneous: bool = False  # a figure of every moment: its most and its least count, not its mean
 
 
-CALLERS = frozenset({Kind.ROUTER, Kind.TENANT, Kind.PROFILE, Kind.SITE, Kind.FLEET})
+CALLER_KINDS = frozenset(
+    {SubjectKind.ROUTER, SubjectKind.TENANT, SubjectKind.PROFILE, SubjectKind.SITE, SubjectKind.FLEET}
+)
 
 
 class Measure(Enum):
-    OUTSTANDING = MeasureForm(
+    OUTSTANDING = MeasureDefinition(
         "outstanding",
         Unit.COUNT,
-        frozenset({Kind.ROUTER, Kind.SITE, Kind.SERVER, Kind.FLEET}),
+        frozenset({SubjectKind.ROUTER, SubjectKind.SITE, SubjectKind.SERVER, SubjectKind.FLEET}),
         "tries without an answer, at every moment",
         True,
     )
-    ROOM = MeasureForm(
+    ROOM = MeasureDefinition(
         "share of room",
-        Unit.PART,
-        frozenset({Kind.SITE, Kind.SERVER, Kind.FLEET}),
+        Unit.SHARE,
+        frozenset({SubjectKind.SITE, SubjectKind.SERVER, SubjectKind.FLEET}),
         "cores that are busy, of those there, over each second",
         True,
     )
-    REFUSED = MeasureForm("refused", Unit.PART, CALLERS, "transactions that were shed and never honoured")
-    SERVED = MeasureForm(
-        "served", Unit.PART, CALLERS, "transactions that were honoured within their latency goal"
+    REFUSED = MeasureDefinition(
+        "refused", Unit.SHARE, CALLER_KINDS, "transactions that were shed and never honoured"
     )
-    EARNED = MeasureForm(
-        "earned", Unit.PART, CALLERS, "payoff of those that were served, of all payoff asked for"
+    SERVED = MeasureDefinition(
+        "served", Unit.SHARE, CALLER_KINDS, "transactions that were honoured within their latency goal"
     )
-    ADVISED = MeasureForm("advised wait", Unit.TIME, CALLERS, "what a shed says of when to come back", True)
-    CALLS = MeasureForm(
+    EARNED = MeasureDefinition(
+        "earned", Unit.SHARE, CALLER_KINDS, "payoff of those that were served, of all payoff asked for"
+    )
+    ADVISED = MeasureDefinition(
+        "advised wait", Unit.TIME, CALLER_KINDS, "what a shed says of when to come back", True
+    )
+    CALLS = MeasureDefinition(
         "calls below",
         Unit.COUNT,
-        frozenset({Kind.SITE, Kind.SERVER, Kind.FLEET}),
+        frozenset({SubjectKind.SITE, SubjectKind.SERVER, SubjectKind.FLEET}),
         "calls in hand at the service below, at every moment",
         True,
     )
-    OUT = MeasureForm(
+    OUT = MeasureDefinition(
         "out at once",
         Unit.COUNT,
-        frozenset({Kind.SITE, Kind.GROUP, Kind.SERVICE, Kind.FLEET}),
+        frozenset({SubjectKind.SITE, SubjectKind.GROUP, SubjectKind.SERVICE, SubjectKind.FLEET}),
         "app servers that are down, leaving or cold, at every moment",
         True,
     )
-    TRIES = MeasureForm("tries each", Unit.COUNT, CALLERS, "tries that a transaction takes, in the mean")
+    TRIES = MeasureDefinition(
+        "tries each", Unit.COUNT, CALLER_KINDS, "tries that a transaction takes, in the mean"
+    )
 
     @property
-    def form(self) -> MeasureForm:
-        form: MeasureForm = self.value
-        return form
+    def definition(self) -> MeasureDefinition:
+        definition: MeasureDefinition = self.value
+        return definition
 
 
-class Compare(Enum):
+class Comparison(Enum):
     AT_MOST = "<="
     UNDER = "<"
     AT_LEAST = ">="
@@ -100,21 +108,21 @@
     EXACTLY = "="
 
     @property
-    def upper(self) -> bool:
+    def is_upper_bound(self) -> bool:
         """Whether the most counts."""
-        return self in (Compare.AT_MOST, Compare.UNDER)
+        return self in (Comparison.AT_MOST, Comparison.UNDER)
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
     """One, or each of a kind: then `name` is empty. The fleet has no name."""
 
-    kind: Kind
+    kind: SubjectKind
     name: str = ""
     each: bool = False
 
-    def told(self) -> str:
-        if self.kind is Kind.FLEET:
+    def describe(self) -> str:
+        if self.kind is SubjectKind.FLEET:
             return "the fleet"
         return f"each {self.kind.value}" if self.each else f"{self.kind.value} {self.name}"
 
@@ -123,23 +131,23 @@
 class Bound:
     subject: Subject
     measure: Measure
-    compare: Compare
+    compare: Comparison
     value: float
 
-    def told(self) -> str:
-        word, value = self.measure.form.word, figure(self.measure, self.value)
-        return f"{self.subject.told()} {word} {self.compare.value} {value}"
+    def describe(self) -> str:
+        word, value = self.measure.definition.word, format_figure(self.measure, self.value)
+        return f"{self.subject.describe()} {word} {self.compare.value} {value}"
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class RefusalOrder:
     """`first` is refused before `then`: in a larger share, and `then` not at all where `first` is not."""
 
     first: Subject
     then: Subject
 
-    def told(self) -> str:
-        return f"{self.first.told()} refused before {self.then.told()}"
+    def describe(self) -> str:
+        return f"{self.first.describe()} refused before {self.then.describe()}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -147,57 +155,57 @@
     claim: Claim
     depth: int = 1
 
-    def told(self) -> str:
-        return f"not ({self.claim.told()})"
+    def describe(self) -> str:
+        return f"not ({self.claim.describe()})"
 
 
 @dataclass(frozen=True, slots=True)
-class Both:
+class AllOf:
     claims: tuple[Claim, ...]
     depth: int = 1
 
-    def told(self) -> str:
+    def describe(self) -> str:
         return " and ".join(
-            f"({one.told()})" if isinstance(one, Either) else one.told() for one in self.claims
+            f"({inner.describe()})" if isinstance(inner, AnyOf) else inner.describe() for inner in self.claims
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Either:
+class AnyOf:
     claims: tuple[Claim, ...]
     depth: int = 1
 
-    def told(self) -> str:
-        return " or ".join(one.told() for one in self.claims)
+    def describe(self) -> str:
+        return " or ".join(inner.describe() for inner in self.claims)
 
 
-Claim = Bound | Order | Not | Both | Either
+Claim = Bound | RefusalOrder | Not | AllOf | AnyOf
 
 
-def depth_of(claim: Claim) -> int:
-    return claim.depth if isinstance(claim, Not | Both | Either) else 0
+def claim_depth(claim: Claim) -> int:
+    return claim.depth if isinstance(claim, Not | AllOf | AnyOf) else 0
 
 
-def atoms(claim: Claim) -> Iterator[Bound | Order]:
+def atoms(claim: Claim) -> Iterator[Bound | RefusalOrder]:
     """All bounds and orders within, wherever they stand."""
     if isinstance(claim, Not):
         yield from atoms(claim.claim)
-    elif isinstance(claim, Both | Either):
-        for one in claim.claims:
-            yield from atoms(one)
+    elif isinstance(claim, AllOf | AnyOf):
+        for inner in claim.claims:
+            yield from atoms(inner)
     else:
         yield claim
 
 
-def subjects(atom: Bound | Order) -> tuple[Subject, ...]:
+def subjects_of(atom: Bound | RefusalOrder) -> tuple[Subject, ...]:
     """Of whom it is told."""
     return (atom.subject,) if isinstance(atom, Bound) else (atom.first, atom.then)
 
 
-def parts(claim: Claim) -> list[Claim]:
+def conjuncts(claim: Claim) -> list[Claim]:
     """What must hold by itself: the parts of an `and` at the top."""
-    if isinstance(claim, Both):
-        return [part for one in claim.claims for part in parts(one)]
+    if isinstance(claim, AllOf):
+        return [part for inner in claim.claims for part in conjuncts(inner)]
     return [claim]
 
 
@@ -213,7 +221,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class When:
+class Condition:
     """All that is said of when: each part stands at its default where nothing is said of it.
 
     `settled` is how long the situation must have lasted; `within` counts from `event` of `whom`.
@@ -224,51 +232,53 @@
     shrink: float | None = None  # what is left of the fleet
     release: bool = False
     surge: str = ""
-    times: float = 0.0
+    surge_factor: float = 0.0
     planners_gone: bool = False
     below_down: bool = False
     settled: int = 0
     within: int = 0
     event: Event | None = None
-    whom: str = ""
+    event_subject: str = ""
     always: bool = False
 
-    def told(self) -> str:
+    def describe(self) -> str:
         """As it would be written."""
-        said = []
-        for_ = f" for {self.settled / 10_000:g} s" if self.settled else ""
+        phrases = []
+        duration = f" for {self.settled / 10_000:g} s" if self.settled else ""
         if self.lost and self.event is not Event.SITE_RETURNS:
-            said.append(f"while site {self.lost} is lost")
+            phrases.append(f"while site {self.lost} is lost")
         if self.shrink is not None and self.event is not Event.SHRUNK:
-            said.append(f"while the fleet is shrinking to {self.shrink:.0%}")
+            phrases.append(f"while the fleet is shrinking to {self.shrink:.0%}")
         if self.release and self.event is not Event.RELEASE:
-            said.append("while a release runs")
+            phrases.append("while a release runs")
         if self.surge and self.event is not Event.SURGE:
-            said.append(f"while tenant {self.surge} surges by {self.times:g}")
+            phrases.append(f"while tenant {self.surge} surges by {self.surge_factor:g}")
         if self.planners_gone:
-            said.append("while the planners are gone")
+            phrases.append("while the planners are gone")
         if self.below_down:
-            said.append("while the service below is down")
-        if said:
-            said[-1] += for_
+            phrases.append("while the service below is down")
+        if phrases:
+            phrases[-1] += duration
         if self.load is not None:
-            said.append(f"at {self.load:g} of capacity")
+            phrases.append(f"at {self.load:g} of capacity")
         if self.event is not None:
-            said.append(f"within {self.within / 10_000:g} s of {self.event.value.format(self.whom)}")
+            phrases.append(
+                f"within {self.within / 10_000:g} s of {self.event.value.format(self.event_subject)}"
+            )
         if self.always:
-            said.append("always")
-        return " ".join(said) or "as usual"
+            phrases.append("always")
+        return " ".join(phrases) or "as usual"
 
 
 @dataclass(frozen=True, slots=True)
-class Spot:
+class SourceLocation:
     """Where something stands: a file, a line and a column, both from 1."""
 
     file: str
     line: int
     column: int
 
-    def told(self) -> str:
+    def describe(self) -> str:
         return f"{self.file}:{self.line}:{self.column}"
 
 
@@ -276,18 +286,18 @@
 class Statement:
     name: str
     claim: Claim
-    when: When
-    spot: Spot
-    named: bool = field(default=False, compare=False)  # whether somebody gave it its name
+    condition: Condition
+    location: SourceLocation
+    has_explicit_name: bool = field(default=False, compare=False)  # whether somebody gave it its name
 
-    def told(self) -> str:
-        return f"{self.claim.told()} {self.when.told()}"
+    def describe(self) -> str:
+        return f"{self.claim.describe()} {self.condition.describe()}"
 
 
-def figure(measure: Measure, value: float) -> str:
+def format_figure(measure: Measure, value: float) -> str:
     """A figure of a measure, for people."""
-    match measure.form.unit:
-        case Unit.PART:
+    match measure.definition.unit:
+        case Unit.SHARE:
             return f"{value * 100:.4g}%"
         case Unit.TIME:
             return f"{value / 10:.4g} ms"
--- a/tests/expectdesk.py
+++ b/tests/expectation_harness.py
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 EXAMPLES = ROOT / "examples"
-SET = EXAMPLES / "expectations"
+EXPECTATIONS = EXAMPLES / "expectations"
 
 
 @cache
--- a/tests/test_expect_consistency.py
+++ b/tests/test_expect_consistency.py
@@ -3,11 +3,11 @@
 import pytest
 
 from birchslip.expect.check import Check
-from birchslip.expect.consistency import RULES, conflicts
-from birchslip.expect.report import lines
+from birchslip.expect.consistency import RULES, find_conflicts
+from birchslip.expect.report import report_lines
 
-from .expectdesk import sources, statements
-from .test_expect_check import changed
+from .expectation_harness import sources, statements
+from .test_expect_check import with_setting
 
 SETTINGS = ("settings",)
 CASES = [  # file, path, value, the places that are named
@@ -65,27 +65,30 @@
 ]
 
 
-@pytest.mark.parametrize(("which", "path", "value", "places"), CASES)
-def test_a_conflict_names_the_values_that_cannot_stand_beside_each_other(which, path, value, places):
-    found = conflicts(changed(which, path, value))
+@pytest.mark.parametrize(("which", "path", "value", "setting_paths"), CASES)
+def test_a_conflict_names_the_values_that_cannot_stand_beside_each_other(which, path, value, setting_paths):
+    found = find_conflicts(with_setting(which, path, value))
     assert found
-    assert len(found[0].places) == len(places)
-    assert all(told.endswith(place) for told, place in zip(found[0].places, places, strict=True)), found
+    assert len(found[0].setting_paths) == len(setting_paths)
+    assert all(
+        full_path.endswith(path)
+        for full_path, path in zip(found[0].setting_paths, setting_paths, strict=True)
+    ), found
 
 
 def test_nothing_below_is_known_by_all_or_by_none():
-    found = conflicts(changed("config", ("settings", "family_info", "downstream"), "off"))
-    assert [one.places[0].rpartition(".")[2] for one in found] == ["downstream", "downstream"]
+    found = find_conflicts(with_setting("config", ("settings", "family_info", "downstream"), "off"))
+    assert [one.setting_paths[0].rpartition(".")[2] for one in found] == ["downstream", "downstream"]
 
 
 def test_the_settings_of_the_example_do_not_contradict_each_other():
-    assert conflicts(sources()) == []
+    assert find_conflicts(sources()) == []
     assert len(RULES) == 11
 
 
 def test_a_conflict_fails_the_check_whatever_holds():
-    told = changed("config", ("settings", "group_size"), 3)
-    report = Check(told, statements("the fleet advised wait <= 1 s")).run()
-    said = "\n".join(lines(report))
-    assert report.code == 1
-    assert "settings contradict each other: 3 and 4 app servers" in said
+    changed_sources = with_setting("config", ("settings", "group_size"), 3)
+    report = Check(changed_sources, statements("the fleet advised wait <= 1 s")).run()
+    output = "\n".join(report_lines(report))
+    assert report.exit_code == 1
+    assert "settings contradict each other: 3 and 4 app servers" in output
--- a/tests/test_expect_judge.py
+++ b/tests/test_expect_judge.py
@@ -2,26 +2,33 @@
 
 import pytest
 
-from birchslip.expect.judge import Outcome, Said, verdict, weigh
-from birchslip.expect.measures import Seen, together
+from birchslip.expect.judge import Evaluation, Outcome, combine_seeds, evaluate
+from birchslip.expect.measures import Observation, sum_series
 from birchslip.expect.parse import parse
-from birchslip.expect.search import Case, blame, shrink, suspects
-from birchslip.expect.situations import AFTER, AT, Script, both, script, spans
-from birchslip.expect.words import Event, Kind, Measure, Subject, When
+from birchslip.expect.search import Case, attribute_change, candidate_changes, shrink
+from birchslip.expect.situations import (
+    COOL_DOWN,
+    SITUATION_BEGIN,
+    Script,
+    build_script,
+    intersect,
+    matching_spans,
+)
+from birchslip.expect.words import Condition, Event, Measure, Subject, SubjectKind
 from birchslip.lab.model.clock import SECOND
 from birchslip.lab.model.world import Series, Step
 
-from .expectdesk import sources, statements
+from .expectation_harness import sources, statements
 
 FIGURES = {"a": 4.0, "b": 5.0, "green": 0.2, "blue": 0.1, "red": 0.0, "black": 0.0}
 
 
 def measure(subject, of, compare):
     value = FIGURES.get(subject.name)
-    return None if value is None else Seen(value, 7, 30)
+    return None if value is None else Observation(value, 7, 30)
 
 
-def some(subject):
+def expand(subject):
     return [Subject(subject.kind, name) for name in ("a", "b")] if subject.each else [subject]
 
 
@@ -57,11 +64,11 @@
 )
 def test_a_claim_is_weighed_by_its_figures(claim, held):
     (one,) = parse(f"expect {claim}", "f")
-    assert weigh(one.claim, measure, some).held is held
+    assert evaluate(one.claim, measure, expand).held is held
 
 
-def said(*held):
-    return [(seed, Said(one, f"seed {seed}", over=float(seed))) for seed, one in enumerate(held, 1)]
+def evaluations_by_seed(*held):
+    return [(seed, Evaluation(one, f"seed {seed}", excess=float(seed))) for seed, one in enumerate(held, 1)]
 
 
 @pytest.mark.parametrize(
@@ -69,15 +76,15 @@
     [
         ((True, True, True), Outcome.HOLDS, "seed 3"),
         ((False, False, False), Outcome.FAILS, "seed 3"),
-        ((True, False, True), Outcome.UNTOLD, "within the noise"),
-        ((True, None, True), Outcome.UNTOLD, "seed 2"),
-        ((False, None, False), Outcome.UNTOLD, "seed 2"),
+        ((True, False, True), Outcome.UNDECIDED, "within the noise"),
+        ((True, None, True), Outcome.UNDECIDED, "seed 2"),
+        ((False, None, False), Outcome.UNDECIDED, "seed 2"),
     ],
 )
 def test_no_verdict_hangs_on_one_draw(held, outcome, words):
-    made = verdict(said(*held))
-    assert made.outcome is outcome
-    assert words in made.why
+    verdict = combine_seeds(evaluations_by_seed(*held))
+    assert verdict.outcome is outcome
+    assert words in verdict.reason
 
 
 MARKS = [
@@ -89,46 +96,58 @@
 
 
 @pytest.mark.parametrize(
-    ("when", "found"),
+    ("condition", "found"),
     [
-        (When(), [(40_000, 110_000)]),
-        (When(load=2.0), [(50_000, 110_000)]),
-        (When(lost="north"), [(50_000, 90_000)]),
-        (When(lost="north", settled=30_000), [(80_000, 90_000)]),
-        (When(lost="north", settled=50_000), []),
-        (When(lost="south"), []),
-        (When(shrink=0.5), [(70_000, 80_000)]),
-        (When(shrink=0.5, lost="north"), [(70_000, 80_000)]),
-        (When(shrink=0.5, event=Event.SHRUNK, within=10_000), [(80_000, 90_000)]),
-        (When(shrink=0.5, event=Event.SHRINKING, within=5_000), [(70_000, 75_000)]),
-        (When(lost="north", event=Event.SITE_RETURNS, whom="north", within=90_000), [(90_000, 110_000)]),
-        (When(lost="north", event=Event.SITE_LOST, whom="north", within=3_000), [(50_000, 53_000)]),
-        (When(release=True), []),
+        (Condition(), [(40_000, 110_000)]),
+        (Condition(load=2.0), [(50_000, 110_000)]),
+        (Condition(lost="north"), [(50_000, 90_000)]),
+        (Condition(lost="north", settled=30_000), [(80_000, 90_000)]),
+        (Condition(lost="north", settled=50_000), []),
+        (Condition(lost="south"), []),
+        (Condition(shrink=0.5), [(70_000, 80_000)]),
+        (Condition(shrink=0.5, lost="north"), [(70_000, 80_000)]),
+        (Condition(shrink=0.5, event=Event.SHRUNK, within=10_000), [(80_000, 90_000)]),
+        (Condition(shrink=0.5, event=Event.SHRINKING, within=5_000), [(70_000, 75_000)]),
+        (
+            Condition(lost="north", event=Event.SITE_RETURNS, event_subject="north", within=90_000),
+            [(90_000, 110_000)],
+        ),
+        (
+            Condition(lost="north", event=Event.SITE_LOST, event_subject="north", within=3_000),
+            [(50_000, 53_000)],
+        ),
+        (Condition(release=True), []),
     ],
 )
-def test_a_situation_is_where_it_truly_was(when, found):
-    assert spans(when, MARKS, 110_000 + AFTER) == found
+def test_a_situation_is_where_it_truly_was(condition, found):
+    assert matching_spans(condition, MARKS, 110_000 + COOL_DOWN) == found
 
 
 def test_spans_are_where_both_are():
-    assert both([(0, 10), (20, 30)], [(5, 25)]) == [(5, 10), (20, 25)]
+    assert intersect([(0, 10), (20, 30)], [(5, 25)]) == [(5, 10), (20, 25)]
 
 
 @pytest.mark.parametrize(
-    ("when", "steps"),
+    ("condition", "steps"),
     [
-        (When(), []),
-        (When(load=2.0, surge="blue", times=3.0), ["load", "surge"]),
-        (When(lost="north"), ["lose"]),
-        (When(lost="north", event=Event.SITE_RETURNS, whom="north", within=10), ["lose", "restore"]),
-        (When(shrink=0.5, planners_gone=True, below_down=True), ["planners-gone", "below-down", "shrink"]),
-        (When(release=True), ["release"]),
+        (Condition(), []),
+        (Condition(load=2.0, surge="blue", surge_factor=3.0), ["load", "surge"]),
+        (Condition(lost="north"), ["lose"]),
+        (
+            Condition(lost="north", event=Event.SITE_RETURNS, event_subject="north", within=10),
+            ["lose", "restore"],
+        ),
+        (
+            Condition(shrink=0.5, planners_gone=True, below_down=True),
+            ["planners-gone", "below-down", "shrink"],
+        ),
+        (Condition(release=True), ["release"]),
     ],
 )
-def test_a_script_brings_the_situation_about(when, steps):
-    told = script(when, sources().setting)
-    assert [step.what for step in told.steps] == steps
-    assert told.until > AT + AFTER
+def test_a_script_brings_the_situation_about(condition, steps):
+    scenario = build_script(condition, sources().setting)
+    assert [step.what for step in scenario.steps] == steps
+    assert scenario.until > SITUATION_BEGIN + COOL_DOWN
 
 
 def test_series_add_up_at_every_moment():
@@ -136,7 +155,7 @@
     for series, changes in ((a, [(10, 1), (30, 0)]), (b, [(20, 2), (30, 5)])):
         for at, value in changes:
             series.set(at, float(value))
-    assert together([a, b]).within((0, 40)) == [(0, 0.0), (10, 1.0), (20, 3.0), (30, 5.0)]
+    assert sum_series([a, b]).within((0, 40)) == [(0, 0.0), (10, 1.0), (20, 3.0), (30, 5.0)]
 
 
 STEPS = tuple(Step(at * SECOND, what) for at, what in enumerate(("a", "b", "c", "d"), 3))
@@ -144,33 +163,33 @@
 
 def test_a_history_is_cut_down_as_long_as_it_fails():
     (one,) = statements("router 1 outstanding <= 4")
-    plays = []
+    cases_run = []
 
-    def fails(cases):
-        plays.extend(cases)
+    def run_cases(cases):
+        cases_run.extend(cases)
         needed = ["b" in {step.what for step in case.script.steps} for case in cases]
-        return [Said(not one, "5 against 4", 5.0, 4.0, 6 * SECOND, 0.25) for one in needed]
+        return [Evaluation(not one, "5 against 4", 5.0, 4.0, 6 * SECOND, 0.25) for one in needed]
 
     case = Case(sources().setting, Script(STEPS, 20 * SECOND), 1)
-    least, then = shrink(case, Said(False, "x", at=9 * SECOND), one, fails, 90)
-    assert [step.what for step in least.script.steps] == ["b"]
-    assert then.held is False
-    assert least.script.until < 8 * SECOND
-    assert len(plays) <= 90
-    assert [router.number for router in least.setting.routers()] == [1]  # the other is not named
-    assert least.without[-1].startswith("profile")
+    smallest, evaluation = shrink(case, Evaluation(False, "x", at=9 * SECOND), one, run_cases, 90)
+    assert [step.what for step in smallest.script.steps] == ["b"]
+    assert evaluation.held is False
+    assert smallest.script.until < 8 * SECOND
+    assert len(cases_run) <= 90
+    assert [router.number for router in smallest.setting.routers()] == [1]  # the other is not named
+    assert smallest.removed[-1].startswith("profile")
 
 
 def test_no_more_plays_than_are_allowed():
     (one,) = statements("router 1 outstanding <= 4")
-    plays = []
+    cases_run = []
 
-    def fails(cases):
-        plays.extend(cases)
-        return [Said(False, "x", at=SECOND) for _ in cases]
+    def run_cases(cases):
+        cases_run.extend(cases)
+        return [Evaluation(False, "x", at=SECOND) for _ in cases]
 
-    shrink(Case(sources().setting, Script(STEPS, 20 * SECOND), 1), Said(False, "x"), one, fails, 3)
-    assert len(plays) == 3
+    shrink(Case(sources().setting, Script(STEPS, 20 * SECOND), 1), Evaluation(False, "x"), one, run_cases, 3)
+    assert len(cases_run) == 3
 
 
 @pytest.mark.parametrize(
@@ -185,30 +204,35 @@
 )
 def test_the_likely_values_are_tried_first(line, place):
     (one,) = statements(line)
-    assert suspects(one, sources())[0].path[-1] == place
+    assert candidate_changes(one, sources())[0].path[-1] == place
 
 
 def test_the_change_that_takes_the_figure_back_is_blamed():
     (one,) = statements("the fleet served >= 90 %")
     usual = sources().value("config", ("settings", "family_info", "cores"))
 
-    def one_by_one(some):
-        return [play(then) for then in some]
+    def run_changed(changed):
+        return [evaluation_of(settings) for settings in changed]
 
-    def play(then):
-        if then.config["settings"]["family_info"]["cores"] > usual:
-            return Said(True, "91%", over=-0.2)
-        if then.config["settings"]["family_info"]["cores"] < usual:
+    def evaluation_of(settings):
+        if settings.config["settings"]["family_info"]["cores"] > usual:
+            return Evaluation(True, "91%", excess=-0.2)
+        if settings.config["settings"]["family_info"]["cores"] < usual:
             return None
-        return Said(False, "50%", over=0.4)
+        return Evaluation(False, "50%", excess=0.4)
 
-    change, then = blame(one, Said(False, "40%", over=0.5), sources(), one_by_one)
+    change, evaluation = attribute_change(one, Evaluation(False, "40%", excess=0.5), sources(), run_changed)
     assert change.path[-1] == "cores"
-    assert change.then == 2 * usual
-    assert then.held
-    assert blame(one, Said(False, "x", over=0.1), sources(), lambda some: [None for _ in some]) is None
+    assert change.new == 2 * usual
+    assert evaluation.held
+    assert (
+        attribute_change(
+            one, Evaluation(False, "x", excess=0.1), sources(), lambda changed: [None for _ in changed]
+        )
+        is None
+    )
 
 
 def test_measures_say_of_whom_they_are_told():
-    assert Kind.GROUP in Measure.OUT.form.kinds
-    assert Kind.GROUP not in Measure.SERVED.form.kinds
+    assert SubjectKind.GROUP in Measure.OUT.definition.subject_kinds
+    assert SubjectKind.GROUP not in Measure.SERVED.definition.subject_kinds
