--- a/tests/test_expect_language.py
+++ b/tests/test_expect_language.py
@@ -8,25 +8,25 @@
 
 from birchslip.errors import InvalidInputError
 from birchslip.expect.check import read_statements
-from birchslip.expect.parse import STATEMENTS_MOST, Wrong, parse
+from birchslip.expect.parse import MAX_STATEMENTS, ExpectationSyntaxError, parse
 from birchslip.expect.sources import Sources
 from birchslip.expect.words import (
-    Both,
+    AllOf,
+    AnyOf,
     Bound,
-    Compare,
-    Either,
+    Comparison,
+    Condition,
     Event,
     Measure,
     Not,
-    Order,
-    When,
+    RefusalOrder,
     atoms,
 )
 
-from .expectdesk import sources
+from .expectation_harness import sources
 
 
-def only(text):
+def parse_one(text):
     (one,) = parse(text, "f.expect")
     return one
 
@@ -34,65 +34,68 @@
 @pytest.mark.parametrize(
     ("text", "measure", "value", "compare"),
     [
-        ("router 1 outstanding <= 40", Measure.OUTSTANDING, 40, Compare.AT_MOST),
-        ("tenant blue refused < 5 %", Measure.REFUSED, 0.05, Compare.UNDER),
-        ("tenant blue refused < 0.05", Measure.REFUSED, 0.05, Compare.UNDER),
-        ("profile order served >= 90 percent", Measure.SERVED, 0.9, Compare.AT_LEAST),
-        ("each profile earned >= 0.5", Measure.EARNED, 0.5, Compare.AT_LEAST),
-        ("site north advised wait <= 250 ms", Measure.ADVISED, 2_500, Compare.AT_MOST),
-        ("the fleet advised wait <= 1.5 s", Measure.ADVISED, 15_000, Compare.AT_MOST),
-        ("the fleet calls below = 3", Measure.CALLS, 3, Compare.EXACTLY),
-        ("app server toy-1 share of room > 0.5", Measure.ROOM, 0.5, Compare.OVER),
-        ("group fleet out at once <= 1", Measure.OUT, 1, Compare.AT_MOST),
-        ('each tenant tries each <= 2 # "not" a word of it', Measure.TRIES, 2, Compare.AT_MOST),
+        ("router 1 outstanding <= 40", Measure.OUTSTANDING, 40, Comparison.AT_MOST),
+        ("tenant blue refused < 5 %", Measure.REFUSED, 0.05, Comparison.UNDER),
+        ("tenant blue refused < 0.05", Measure.REFUSED, 0.05, Comparison.UNDER),
+        ("profile order served >= 90 percent", Measure.SERVED, 0.9, Comparison.AT_LEAST),
+        ("each profile earned >= 0.5", Measure.EARNED, 0.5, Comparison.AT_LEAST),
+        ("site north advised wait <= 250 ms", Measure.ADVISED, 2_500, Comparison.AT_MOST),
+        ("the fleet advised wait <= 1.5 s", Measure.ADVISED, 15_000, Comparison.AT_MOST),
+        ("the fleet calls below = 3", Measure.CALLS, 3, Comparison.EXACTLY),
+        ("app server toy-1 share of room > 0.5", Measure.ROOM, 0.5, Comparison.OVER),
+        ("group fleet out at once <= 1", Measure.OUT, 1, Comparison.AT_MOST),
+        ('each tenant tries each <= 2 # "not" a word of it', Measure.TRIES, 2, Comparison.AT_MOST),
     ],
 )
 def test_figures_are_read_in_one_unit_each(text, measure, value, compare):
-    claim = only(f"expect {text}").claim
+    claim = parse_one(f"expect {text}").claim
     assert (claim.measure, claim.compare) == (measure, compare)
     assert claim.value == pytest.approx(value)
 
 
 @pytest.mark.parametrize(
-    ("text", "when"),
+    ("text", "condition"),
     [
-        ("", When()),
-        ("always", When(always=True)),
-        ("at 1.5 of capacity", When(load=1.5)),
-        ("while site north is lost for 2 s", When(lost="north", settled=20_000)),
-        ("while the fleet is shrinking", When(shrink=0.5)),
-        ("while the fleet is shrinking to 40 %, at 0.9 of capacity", When(shrink=0.4, load=0.9)),
-        ("while a release runs", When(release=True)),
-        ('while tenant "blue" surges by 4', When(surge="blue", times=4.0)),
+        ("", Condition()),
+        ("always", Condition(always=True)),
+        ("at 1.5 of capacity", Condition(load=1.5)),
+        ("while site north is lost for 2 s", Condition(lost="north", settled=20_000)),
+        ("while the fleet is shrinking", Condition(shrink=0.5)),
+        ("while the fleet is shrinking to 40 %, at 0.9 of capacity", Condition(shrink=0.4, load=0.9)),
+        ("while a release runs", Condition(release=True)),
+        ('while tenant "blue" surges by 4', Condition(surge="blue", surge_factor=4.0)),
         (
             "while the planners are gone while the service below is down",
-            When(planners_gone=True, below_down=True),
+            Condition(planners_gone=True, below_down=True),
         ),
         (
             "within 500 ms of site north returning",
-            When(lost="north", within=5_000, event=Event.SITE_RETURNS, whom="north"),
+            Condition(lost="north", within=5_000, event=Event.SITE_RETURNS, event_subject="north"),
         ),
-        ("within 1 s of the fleet having shrunk", When(shrink=0.5, within=10_000, event=Event.SHRUNK)),
+        ("within 1 s of the fleet having shrunk", Condition(shrink=0.5, within=10_000, event=Event.SHRUNK)),
     ],
 )
-def test_when_is_read_and_told_again(text, when):
-    one = only(f"expect the fleet served >= 1 % {text}")
-    assert one.when == when
-    told = one.when.told()
-    assert told == "as usual" or only(f"expect the fleet served >= 1 % {told}").when == when
+def test_when_is_read_and_told_again(text, condition):
+    one = parse_one(f"expect the fleet served >= 1 % {text}")
+    assert one.condition == condition
+    text_again = one.condition.describe()
+    assert (
+        text_again == "as usual"
+        or parse_one(f"expect the fleet served >= 1 % {text_again}").condition == condition
+    )
 
 
 def test_claims_nest_and_bind_as_they_are_written():
-    one = only(
+    one = parse_one(
         "expect a: the fleet served >= 1 % and (tenant x refused before tenant y"
         " or not the fleet out at once > 1) and the fleet tries each < 2"
     )
-    assert isinstance(one.claim, Both)
+    assert isinstance(one.claim, AllOf)
     assert len(one.claim.claims) == 3
-    assert isinstance(one.claim.claims[1], Either)
+    assert isinstance(one.claim.claims[1], AnyOf)
     assert isinstance(one.claim.claims[1].claims[1], Not)
-    assert [type(atom) for atom in atoms(one.claim)] == [Bound, Order, Bound, Bound]
-    assert only(f"expect {one.claim.told()}").claim == one.claim
+    assert [type(atom) for atom in atoms(one.claim)] == [Bound, RefusalOrder, Bound, Bound]
+    assert parse_one(f"expect {one.claim.describe()}").claim == one.claim
 
 
 @pytest.mark.parametrize(
@@ -126,9 +129,9 @@
     ],
 )
 def test_what_is_wrong_is_named_with_its_place(text, at, words):
-    with pytest.raises(Wrong, match=re.escape(words)) as found:
+    with pytest.raises(ExpectationSyntaxError, match=re.escape(words)) as found:
         parse(text, "f.expect")
-    assert found.value.spot.told() == f"f.expect:{at}"
+    assert found.value.location.describe() == f"f.expect:{at}"
 
 
 @pytest.mark.parametrize(
@@ -156,11 +159,11 @@
     (tmp_path / "d.expect").write_text("# nothing yet\n")
     with pytest.raises(InvalidInputError) as found:
         read_statements([tmp_path], sources())
-    told = str(found.value)
-    assert len(told.splitlines()) == 3
-    assert "nort" in told
-    assert "stands at" in told
-    assert "UTF-8" in told
+    errors = str(found.value)
+    assert len(errors.splitlines()) == 3
+    assert "nort" in errors
+    assert "stands at" in errors
+    assert "UTF-8" in errors
     assert read_statements([tmp_path / "d.expect"], sources()) == ([], [str(tmp_path / "d.expect")])
 
 
@@ -190,18 +193,18 @@
 def test_hostile_text_is_read_or_refused_with_a_place(text):
     try:
         found = parse(text, "f")
-    except Wrong as trouble:
-        assert trouble.spot.line >= 1
-        assert trouble.spot.column >= 1
-        assert len(str(trouble)) < 600
+    except ExpectationSyntaxError as error:
+        assert error.location.line >= 1
+        assert error.location.column >= 1
+        assert len(str(error)) < 600
     else:
-        assert len(found) <= STATEMENTS_MOST
+        assert len(found) <= MAX_STATEMENTS
 
 
 def test_a_world_file_is_checked_whole():
-    told = sources()
+    valid = sources()
     wrong = {"routers": [{"number": 1, "habit": "odd"}]}
     with pytest.raises(InvalidInputError, match="no habit is named 'odd'"):
-        _ = Sources(told.config, told.fleet, wrong).setting
+        _ = Sources(valid.config, valid.fleet, wrong).setting
     with pytest.raises(InvalidInputError, match="unknown field"):
-        _ = Sources(told.config, told.fleet, {"speed": 1}).setting
+        _ = Sources(valid.config, valid.fleet, {"speed": 1}).setting
--- a/tests/test_expect_reason.py
+++ b/tests/test_expect_reason.py
@@ -6,12 +6,12 @@
 
 from birchslip.expect.check import Check
 from birchslip.expect.judge import Outcome
-from birchslip.expect.reason import covers, reason
-from birchslip.expect.words import Event, When
+from birchslip.expect.reason import covers, reason_about
+from birchslip.expect.words import Condition, Event
 
-from .expectdesk import sources, statements
+from .expectation_harness import sources, statements
 
-CLASHES = [  # statements, how many of them clash, settings that do
+CONTRADICTIONS = [  # statements, how many of them clash, settings that do
     (
         ["a: router 1 outstanding <= 4", "b: router 1 outstanding >= 5", "c: router 2 outstanding <= 3"],
         "ab",
@@ -63,12 +63,12 @@
 ]
 
 
-@pytest.mark.parametrize(("lines", "names", "settings"), CLASHES)
+@pytest.mark.parametrize(("lines", "names", "settings"), CONTRADICTIONS)
 def test_a_contradiction_names_the_smallest_set(lines, names, settings):
-    found = reason(statements(*lines), sources().setting)
-    (clash,) = found.clashes
-    assert sorted(one.name for one in clash.statements) == sorted(names)
-    assert [place.partition(": ")[2] for place in clash.settings] == settings
+    found = reason_about(statements(*lines), sources().setting)
+    (contradiction,) = found.contradictions
+    assert sorted(one.name for one in contradiction.statements) == sorted(names)
+    assert [place.partition(": ")[2] for place in contradiction.settings] == settings
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
     ],
 )
 def test_what_can_hold_together_is_no_contradiction(lines):
-    assert reason(statements(*lines), sources().setting).clashes == []
+    assert reason_about(statements(*lines), sources().setting).contradictions == []
 
 
 @pytest.mark.parametrize(
@@ -109,30 +109,30 @@
 )
 def test_settings_alone_may_settle_it(line, holds, words):
     (one,) = statements(line)
-    found = reason([one], sources().setting)
-    told = found.holds if holds else found.fails
+    found = reason_about([one], sources().setting)
+    reasons = found.holds if holds else found.fails
     assert (one in found.holds, one in found.fails) == (holds is True, holds is False)
-    assert holds is None or words in told[one]
+    assert holds is None or words in reasons[one]
 
 
 @pytest.mark.parametrize(
     ("wide", "narrow", "is_more"),
     [
-        (When(always=True), When(load=2.0), True),
-        (When(), When(load=2.0), False),
-        (When(load=2.0), When(load=2.0, lost="north"), True),
-        (When(load=2.0), When(load=1.5, lost="north"), False),
-        (When(lost="north"), When(lost="north", settled=10), True),
-        (When(lost="north", settled=10), When(lost="north"), False),
-        (When(surge="a", times=2.0), When(surge="a", times=3.0), False),
+        (Condition(always=True), Condition(load=2.0), True),
+        (Condition(), Condition(load=2.0), False),
+        (Condition(load=2.0), Condition(load=2.0, lost="north"), True),
+        (Condition(load=2.0), Condition(load=1.5, lost="north"), False),
+        (Condition(lost="north"), Condition(lost="north", settled=10), True),
+        (Condition(lost="north", settled=10), Condition(lost="north"), False),
+        (Condition(surge="a", surge_factor=2.0), Condition(surge="a", surge_factor=3.0), False),
         (
-            When(release=True, within=20, event=Event.RELEASE),
-            When(release=True, within=10, event=Event.RELEASE),
+            Condition(release=True, within=20, event=Event.RELEASE),
+            Condition(release=True, within=10, event=Event.RELEASE),
             True,
         ),
         (
-            When(release=True, within=10, event=Event.RELEASE),
-            When(release=True, within=20, event=Event.RELEASE),
+            Condition(release=True, within=10, event=Event.RELEASE),
+            Condition(release=True, within=20, event=Event.RELEASE),
             False,
         ),
     ],
@@ -147,8 +147,8 @@
     )
     report = Check(sources(), some).run()
     assert [one.outcome for one in report.verdicts.values()] == [Outcome.FAILS, Outcome.FAILS, Outcome.HOLDS]
-    assert report.code == 1
-    assert report.plays == 0
+    assert report.exit_code == 1
+    assert report.run_count == 0
 
 
 def test_ten_thousand_statements_are_reasoned_about_in_seconds():
@@ -156,7 +156,11 @@
         f"n{n}: router {1 + n % 2} outstanding <= {100 + n} at {1 + n % 50 / 10} of capacity"
         for n in range(10_000)
     ]
-    began = time.process_time()
-    found = reason(statements(*lines, "odd: router 1 outstanding >= 101 at 1 of capacity"), sources().setting)
-    assert [sorted(one.name for one in clash.statements) for clash in found.clashes] == [["n0", "odd"]]
-    assert time.process_time() - began < 20  # it takes a few; a checking machine may be slow
+    started = time.process_time()
+    found = reason_about(
+        statements(*lines, "odd: router 1 outstanding >= 101 at 1 of capacity"), sources().setting
+    )
+    assert [
+        sorted(one.name for one in contradiction.statements) for contradiction in found.contradictions
+    ] == [["n0", "odd"]]
+    assert time.process_time() - started < 20  # it takes a few; a checking machine may be slow
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,7 +11,7 @@
 from birchslip.lab.model.habits import HABITS
 from birchslip.lab.model.world import Series, Step, World
 
-from .expectdesk import sources
+from .expectation_harness import sources
 
 
 class Fixed:
