--- a/birchslip/expect/__init__.py
+++ b/birchslip/expect/__init__.py
@@ -1,1 +1,1 @@
-"""Expectations of routing, written beside the configuration and checked with no traffic."""
+"""Expectations of routing: stated beside the configuration and checked without real traffic."""
--- a/birchslip/expect/check.py
+++ b/birchslip/expect/check.py
@@ -1,4 +1,4 @@
-"""The whole check: files are read, statements are reasoned about, what is left is played, failures searched.
+"""A complete check: files are read, statements reasoned about, scenarios run and failures searched.
 
 No socket is opened and no clock is read: the same files and seed give the same verdicts.
 """
@@ -23,33 +23,46 @@
 from .words import Claim, Condition, Statement
 
 SUFFIX = ".expect"
-DEFAULT_SEED_COUNT = 3  # plays of each situation
-MAX_SEARCHED_FAILURES = 8  # failures whose history and setting are looked for; others are told without
+DEFAULT_SEED_COUNT = 3  # scenario runs of each condition
+MAX_SEARCHED_FAILURES = 8  # further failures are reported without history and setting
 
 
 @dataclass(slots=True)
 class Report:
-    """`verdicts` in the order of the files; `clashes` are contradictions."""
+    """The result of a check.
+
+    Attributes:
+        verdicts: The verdict on each statement, in the order of the files.
+        contradictions: Statements that cannot hold together.
+        conflicts: Settings that contradict each other.
+        run_count: How many scenarios were run.
+        empty: Files without a statement.
+    """
 
     verdicts: dict[Statement, Verdict] = field(default_factory=dict)
     contradictions: list[Contradiction] = field(default_factory=list)
-    conflicts: list[Conflict] = field(default_factory=list)  # of settings alone
+    conflicts: list[Conflict] = field(default_factory=list)
     run_count: int = 0
-    empty: list[str] = field(default_factory=list)  # files without a statement
+    empty: list[str] = field(default_factory=list)
 
     def count(self, outcome: Outcome) -> int:
+        """Return the number of statements with an outcome."""
         return sum(1 for one in self.verdicts.values() if one.outcome is outcome)
 
     @property
     def exit_code(self) -> int:
-        """0: all hold; 1: something fails; 2: something can't be told."""
+        """0 if all hold, 1 if something fails, 2 if something is undecided or there is no statement."""
         if self.conflicts or self.contradictions or self.count(Outcome.FAILS):
             return 1
         return 2 if self.count(Outcome.UNDECIDED) or not self.verdicts else 0
 
 
 def expectation_files(paths: Iterable[str | Path]) -> list[Path]:
-    """Folders stand for their `*.expect` files, in order of their names."""
+    """Return the files to read; a folder stands for its `*.expect` files, sorted by name.
+
+    Raises:
+        InvalidInputError: A folder holds no such file.
+    """
     found: list[Path] = []
     for one in map(Path, paths):
         files = sorted(one.rglob(f"*{SUFFIX}")) if one.is_dir() else [one]
@@ -60,9 +73,13 @@
 
 
 def read_statements(paths: Iterable[str | Path], sources: Sources) -> tuple[list[Statement], list[str]]:
-    """All statements, and the files that hold none.
+    """Read all statements.
+
+    Returns:
+        The statements, and the files that hold none.
 
-    `InvalidInputError` names every wrong place, a line each.
+    Raises:
+        InvalidInputError: A statement is wrong; the message has a line for each error.
     """
     names = KnownNames(sources.setting)
     result: list[Statement] = []
@@ -91,8 +108,8 @@
         other = seen.setdefault(statement.name, statement)
         if other is not statement:
             errors.append(
-                f"{statement.location.describe()}: {statement.name!r}"
-                f" stands at {other.location.describe()} too"
+                f"{statement.location.describe()}: the name {statement.name!r}"
+                f" already stands at {other.location.describe()}"
             )
     if errors:
         raise InvalidInputError("\n".join(errors))
@@ -100,9 +117,7 @@
 
 
 class Check:
-    """`search` looks for histories and settings of what fails; `jobs` plays at a time, 0 for as many as there
-    are cores.
-    """
+    """Checks statements against settings."""
 
     def __init__(
         self,
@@ -114,6 +129,17 @@
         capacity: float = 0.0,
         jobs: int = 0,
     ) -> None:
+        """Prepare a check.
+
+        Args:
+            sources: The settings.
+            statements: The statements.
+            seed: The first seed.
+            seeds: How many seeds each condition is run with.
+            search: Whether to search for the history and the responsible setting of failures.
+            capacity: What loads are multiples of; 0 for the capacity of the settings.
+            jobs: How many scenarios run at a time; 0 for one for each core.
+        """
         self.sources, self.statements = sources, statements
         self.seeds = [seed + step for step in range(seeds)]
         self.search = search
@@ -124,6 +150,7 @@
         self.runner = ScenarioRunner(jobs)
 
     def run(self) -> Report:
+        """Run the check and return its report."""
         setting = self.sources.setting
         reasoned = reason_about(
             self.statements, setting, (self.sources.file_labels[0], self.sources.file_labels[1])
@@ -155,7 +182,10 @@
         return self.report
 
     def run_groups(self, statements: Sequence[Statement], found: dict[Statement, Verdict]) -> None:
-        """All that is said of one situation goes by the same plays; what is always to hold goes by all."""
+        """Run the scenarios of the statements and add their verdicts to `found`.
+
+        All statements with the same condition share their runs. Statements with `always` apply to every run.
+        """
         groups: dict[Condition, list[Statement]] = {}
         always_statements = [one for one in statements if one.condition.always]
         for statement in statements:
@@ -202,7 +232,11 @@
         found: dict[Statement, Verdict],
         outcomes: list[tuple[ScenarioRun, Evaluation]],
     ) -> None:
-        """Over all plays of each seed: the worst counts, and where there was nothing to measure none does."""
+        """Add the verdict on a statement with `always`.
+
+        The worst evaluation of each seed counts. Runs with nothing to measure count only if there is no
+        other.
+        """
         worst: dict[int, tuple[ScenarioRun, Evaluation]] = {}
         for scenario_run, evaluation in outcomes:
             previous = worst.get(scenario_run.seed)
@@ -226,6 +260,7 @@
         claims: tuple[Claim, ...],
         always_claims: tuple[Claim, ...] = (),
     ) -> ScenarioRun:
+        """Return the scenario run of a condition with one seed."""
         return ScenarioRun(
             setting, condition, build_script(condition, setting), seed, claims, always_claims, self.capacity
         )
@@ -233,7 +268,14 @@
     def investigate(
         self, statement: Statement, verdict: Verdict, worst: Evaluation, condition: Condition
     ) -> None:
-        """How little it takes, and which setting bears it. `when` is the situation it failed in."""
+        """Search for the history and the responsible setting of a failure; they are added to the verdict.
+
+        Args:
+            statement: The statement that fails.
+            verdict: Its verdict.
+            worst: The evaluation of the deciding run.
+            condition: The condition of that run.
+        """
         if not self.search or self.searched_count >= MAX_SEARCHED_FAILURES:
             return
         self.searched_count += 1
@@ -281,4 +323,5 @@
 
     @staticmethod
     def with_case(scenario_run: ScenarioRun, case: Case) -> ScenarioRun:
+        """Return a scenario run with the settings, script and seed of a case."""
         return replace(scenario_run, setting=case.setting, script=case.script, seed=case.seed)
--- a/birchslip/expect/consistency.py
+++ b/birchslip/expect/consistency.py
@@ -1,7 +1,7 @@
-"""Settings that contradict each other: within one file, or between configuration, fleet file and world file.
+"""Rules that find contradictions within and between configuration, fleet file and world file.
 
-Each rule names the values that can't stand beside each other, and why. What one file's own reading refuses
-(a share above 1, a name twice) is not said again here. Free of I/O.
+Each rule yields the values that contradict each other, and why. Errors that the validation of a single file
+reports (a share above 1, a name given twice) are not repeated here. The module performs no I/O.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from ..lab.model.world import Setting
 from .sources import FILE_KINDS, Sources
 
-SHARE_TOLERANCE = 0.02  # two shares of one thing may differ by so much: they are typed by hand
-USABLE_MEMORY_SHARE = 0.9  # of the memory, that the decisions use
+SHARE_TOLERANCE = 0.02  # shares are typed by hand and may be rounded
+USABLE_MEMORY_SHARE = 0.9  # the share of the limit that admission decisions use
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The values that can't stand beside each other, as places for people, and why."""
+    """Values that contradict each other: their paths, and the reason."""
 
     setting_paths: tuple[str, ...]
     reason: str
@@ -33,39 +33,49 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckContext:
-    """The settings as they were read, and the places of their values."""
+    """The settings that the rules check, and the paths of their values for reports."""
 
     sources: Sources
     setting: Setting
 
     @property
     def fleet(self) -> Fleet | None:
+        """The parsed fleet file, or `None` if there is none."""
         return self.setting.fleet
 
     @property
     def settings(self) -> dict[str, Any]:
+        """The section `settings` of the configuration as decoded JSON."""
         stated: dict[str, Any] = self.sources.config.get("settings", {})
         return stated
 
     def config_path(self, setting_path: str) -> str:
+        """Return the path of a value in the section `settings` of the configuration."""
         return f"{self.sources.file_labels[0]}: settings.{setting_path}"
 
     def fleet_path(self, setting_path: str) -> str:
+        """Return the path of a value in the fleet file."""
         return f"{self.sources.file_labels[FILE_KINDS.index('fleet')]}: {setting_path}"
 
     def world_path(self, setting_path: str) -> str:
+        """Return the path of a value in the world file."""
         return f"{self.sources.file_labels[FILE_KINDS.index('world')]}: {setting_path}"
 
 
 def find_conflicts(sources: Sources) -> list[Conflict]:
+    """Return the conflicts that all rules find."""
     context = CheckContext(sources, sources.setting)
     return [conflict for rule in RULES for conflict in rule(context)]
 
 
-# ---- the configuration by itself -----------------------------------------------------------------------
+# ---- the configuration alone -----------------------------------------------------------------------
 
 
 def check_profile_spans(context: CheckContext) -> Iterator[Conflict]:
+    """Check latency objective, deadline and key retention of each profile.
+
+    Also check that only idempotent profiles earn weight without their call.
+    """
     for name, profile in zip(
         context.setting.profiles, context.setting.deployment.request_classes, strict=True
     ):
@@ -86,6 +96,7 @@
 
 
 def check_drain_grace(context: CheckContext) -> Iterator[Conflict]:
+    """Check that the process is not stopped before its drain grace ends."""
     if context.setting.deployment.drain_grace > context.sources.site.stop:
         setting_paths = (
             context.config_path("contract.drain_grace_s"),
@@ -95,6 +106,7 @@
 
 
 def check_speed(context: CheckContext) -> Iterator[Conflict]:
+    """Check the speed after a cold start and the load at which the app server fails."""
     deployment = context.setting.deployment
     if not 0 < deployment.cold_start_speed <= 1:
         yield Conflict(
@@ -105,6 +117,7 @@
 
 
 def check_memory(context: CheckContext) -> Iterator[Conflict]:
+    """Check that a run on each core fits into the memory limit."""
     deployment, size = context.setting.deployment, context.setting.layout.size
     if deployment.running_memory_factor < 1:
         yield Conflict(
@@ -122,6 +135,7 @@
 
 
 def check_retry_after(context: CheckContext) -> Iterator[Conflict]:
+    """Check that callers are not told to retry after their deadline."""
     deployment = context.setting.deployment
     shortest = min(profile.deadline for profile in deployment.request_classes)
     if deployment.sends_retry_after and deployment.max_retry_after > shortest:
@@ -132,6 +146,7 @@
 
 
 def check_downstream_calls(context: CheckContext) -> Iterator[Conflict]:
+    """Check that calls are made only if there is a downstream service, and its quota window."""
     deployment, stated = context.setting.deployment, context.setting.layout.profiles
     callers = [name for name in context.setting.profiles if stated.get(name, Work()).calls > 0]
     if deployment.downstream is Downstream.NONE and callers:
@@ -162,6 +177,7 @@
 
 
 def check_fleet_size(context: CheckContext) -> Iterator[Conflict]:
+    """Check the number of app servers and that the fleet file names this one."""
     if context.fleet is None:
         return
     members = sum(len(site.members) for site in context.fleet.sites)
@@ -177,7 +193,10 @@
 
 
 def check_tenant_shares(context: CheckContext) -> Iterator[Conflict]:
-    """A tenant's part is told up to three times."""
+    """Check that the share of each tenant is the same wherever it is given.
+
+    It follows from `share`, from the fleet file and from the quotas.
+    """
     tenants = context.settings.get("tenants", [])
     quotas = {tenant.get("name"): float(tenant.get("quota_per_s") or 0.0) for tenant in tenants}
     stated = {tenant["name"]: float(tenant["share"]) for tenant in tenants if tenant.get("share") is not None}
@@ -211,6 +230,7 @@
 
 
 def check_vault_quota(context: CheckContext) -> Iterator[Conflict]:
+    """Check that fleet file and configuration agree on the downstream quota."""
     if context.fleet is None or context.fleet.vault is None:
         return
     deployment = context.setting.deployment
@@ -232,6 +252,7 @@
 
 
 def check_disruption_budgets(context: CheckContext) -> Iterator[Conflict]:
+    """Check that no budget allows all members of a group, or none, to be out."""
     if context.fleet is None:
         return
     for group in context.fleet.budget_groups():
@@ -247,7 +268,7 @@
 
 
 def check_router_sites(context: CheckContext) -> Iterator[Conflict]:
-    """Who sends by the world file, and who is at home by the fleet file."""
+    """Check that the world file and the fleet file give each router the same site."""
     if context.fleet is None or not context.setting.layout.routers:
         return
     homes = {number: site.name for site in context.fleet.sites for number in site.routers}
--- a/birchslip/expect/facts.py
+++ b/birchslip/expect/facts.py
@@ -1,5 +1,6 @@
-"""What settings alone say of measures: bounds that hold whatever happens, each with the value that it rests
-on.
+"""Bounds on measures that follow from the settings alone, whatever happens in a run.
+
+Each fact names the setting that it follows from.
 """
 
 from __future__ import annotations
@@ -17,9 +18,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Fact:
-    """`subject` has `measure` of at least `low` and at most `high`; `place` is the setting that says so.
-
-    Where `when` is told it holds only then. `reached` says that so much can really come about.
+    """A bound on a measure that the settings guarantee.
+
+    Attributes:
+        subject: The subject of the measure.
+        measure: The bounded measure.
+        low: The lower bound.
+        high: The upper bound.
+        setting_path: The setting that the bound follows from, for reports.
+        condition: The condition under which it holds; `None` if it always holds.
+        is_reachable: Whether the upper bound can actually be reached.
     """
 
     subject: Subject
@@ -32,10 +40,18 @@
 
 
 def facts_of(setting: Setting, config: str = "configuration", fleet: str = "fleet file") -> list[Fact]:
+    """Return all facts of the settings.
+
+    Args:
+        setting: The settings.
+        config: The label of the configuration in setting paths.
+        fleet: The label of the fleet file in setting paths.
+    """
     return [*deployment_facts(setting, config, fleet), *fleet_facts(setting, fleet)]
 
 
 def deployment_facts(setting: Setting, config: str, fleet: str) -> Iterator[Fact]:
+    """Yield bounds on advised waits and downstream calls."""
     deployment = setting.deployment
     max_wait = deployment.max_retry_after if deployment.sends_retry_after else 0
     setting_name = "max_retry_after_s" if deployment.sends_retry_after else "retry_after"
@@ -67,6 +83,7 @@
 
 
 def caller_subjects(setting: Setting) -> Iterator[Subject]:
+    """Yield every subject that sends requests: the fleet, sites, routers, tenants and profiles."""
     yield THE_FLEET
     for site in setting.sites():
         yield Subject(SubjectKind.SITE, site)
@@ -79,6 +96,10 @@
 
 
 def fleet_facts(setting: Setting, fleet: str) -> Iterator[Fact]:
+    """Yield bounds on how many app servers can be out at once.
+
+    Site sizes bound this at all times, disruption budgets only while a release runs.
+    """
     sites = setting.sites()
     setting_path = f"{fleet}: sites" if setting.fleet is not None else "world file: servers"
     for site, names in sites.items():
@@ -119,7 +140,10 @@
 
 
 def subjects_within_group(group: BudgetGroup, sites: dict[str, list[str]]) -> Iterator[Subject]:
-    """Sites that the group holds whole: no more of them can be out than of it."""
+    """Yield the sites, or the fleet, whose members all belong to the group.
+
+    No more of their members can be out than the group allows.
+    """
     for site, names in sites.items():
         if names and group.members.issuperset(names):
             yield Subject(SubjectKind.SITE, site)
--- a/birchslip/expect/judge.py
+++ b/birchslip/expect/judge.py
@@ -1,9 +1,8 @@
-"""From figures to verdicts: holds, fails, or can't be told. Free of I/O: a play is handed in as a function
-that measures.
+"""Evaluation of claims from measured figures, and verdicts over several seeds.
 
-A statement is played with several seeds. It holds where it held in each, and fails where it failed in each;
-where seeds differ, the bound lies within the noise of the world, and nobody can tell. So no verdict hangs on
-one draw.
+The module performs no I/O: a scenario run is passed in as a function that measures. A statement holds if it
+held with every seed and fails if it failed with every seed. Where seeds differ, the bound lies within the
+noise of the simulation and the verdict is undecided, so that no verdict depends on a single seed.
 """
 
 from __future__ import annotations
@@ -31,6 +30,8 @@
 
 
 class Outcome(Enum):
+    """The outcome of a check of one statement."""
+
     HOLDS = "holds"
     FAILS = "fails"
     UNDECIDED = "can't be told"
@@ -38,17 +39,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Evaluation:
-    """Of one claim in one play: whether it held (None: nothing was there to measure), by which figure."""
+    """The result of one claim in one scenario run.
+
+    Attributes:
+        held: Whether the claim held; `None` if there was nothing to measure.
+        reason: The deciding figure in words.
+        value: The deciding figure.
+        bound: The bound that it was compared with.
+        at: When the figure was reached; 0 if it belongs to no moment.
+        excess: How far the figure is past its bound, relative to the bound; negative within it. The search
+            for a smaller failure compares it.
+    """
 
     held: bool | None
     reason: str
     value: float | None = None
     bound: float | None = None
     at: int = 0
-    excess: float = 0.0  # how far past its bound, in parts of it: what a search follows
+    excess: float = 0.0
 
 
 def evaluate(claim: Claim, measure: MeasureFunction, expand: ExpandSubject) -> Evaluation:
+    """Evaluate a claim.
+
+    Args:
+        claim: The claim.
+        measure: Returns the figure of a subject, or `None` if there is none.
+        expand: Returns the subjects that a subject with `each` stands for.
+    """
     match claim:
         case Bound():
             evaluations = [
@@ -83,7 +101,10 @@
 
 
 def worst_of(evaluations: Sequence[Evaluation]) -> Evaluation:
-    """The worst of them: one that fails, else one that can't be told."""
+    """Return the evaluation that decides a conjunction.
+
+    This is the failure with the largest excess, else the first undecided one, else the largest excess.
+    """
     failed = [one for one in evaluations if one.held is False]
     if failed:
         return max(failed, key=lambda one: one.excess)
@@ -94,8 +115,9 @@
 
 
 def evaluate_bound(bound: Bound, measure: MeasureFunction) -> Evaluation:
+    """Evaluate a bound on one subject."""
     if bound.compare is Comparison.EXACTLY and bound.measure.definition.is_instantaneous:
-        # At every moment: neither more nor less.
+        # The figure must equal the bound at every moment: it is neither above nor below it.
         return worst_of(
             [
                 evaluate_bound(replace(bound, compare=compare), measure)
@@ -105,7 +127,7 @@
     observation = measure(bound.subject, bound.measure, bound.compare)
     subject_label, word = bound.subject.describe(), bound.measure.definition.word
     if observation is None:
-        # Where nothing was shed, no wait was advised either.
+        # Without rejections no wait was advised, so that an upper bound holds.
         if bound.measure is Measure.ADVISED and bound.compare.is_upper_bound:
             return Evaluation(True, f"{subject_label}: no wait was advised", 0.0, bound.value, excess=-1.0)
         return Evaluation(None, f"{subject_label}: there was nothing to measure of {word}")
@@ -132,6 +154,7 @@
 
 
 def evaluate_order(first: Subject, then: Subject, measure: MeasureFunction) -> Evaluation:
+    """Evaluate an order of refusals; undecided if neither subject was refused anything."""
     a, b = (measure(one, Measure.REFUSED, Comparison.AT_MOST) for one in (first, then))
     if a is None or b is None:
         unmeasured = first if a is None else then
@@ -144,7 +167,18 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """Of a statement: how it was come by (`reasoning` or `play`) and what can be said of a failure."""
+    """The verdict on a statement.
+
+    Attributes:
+        outcome: Whether it holds.
+        method: How the verdict was reached: `reasoning` or `play` (a scenario run).
+        reason: Why, in words.
+        value: The deciding figure, if there is one.
+        bound: The bound that it was compared with.
+        seed: The seed of the deciding run.
+        history: Lines that describe the smallest failing run that was found.
+        responsible_setting: The setting that affects a failure most, and the value that would help.
+    """
 
     outcome: Outcome
     method: str
@@ -153,11 +187,11 @@
     bound: float | None = None
     seed: int | None = None
     history: list[str] = field(default_factory=list)
-    responsible_setting: str = ""  # the one most responsible, and what it would have to be
+    responsible_setting: str = ""
 
 
 def combine_seeds(evaluations: Sequence[tuple[int, Evaluation]]) -> Verdict:
-    """Over all seeds."""
+    """Combine the evaluations of a claim over all seeds, as (seed, evaluation)."""
     if all(one.held for _, one in evaluations):
         seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
         return Verdict(Outcome.HOLDS, "play", worst.reason, worst.value, worst.bound, seed)
--- a/birchslip/expect/measures.py
+++ b/birchslip/expect/measures.py
@@ -1,4 +1,4 @@
-"""Figures read off a play: of whom, of what, over which spans."""
+"""Measures of a scenario run: the figure of a subject over given spans of virtual time."""
 
 from __future__ import annotations
 
@@ -12,13 +12,20 @@
 from .words import Comparison, Measure, Subject, SubjectKind
 
 Span = tuple[int, int]
-UTILIZATION_WINDOW = SECOND  # a share of room is that of a second
-MIN_REQUESTS = 20  # transactions that a share is told of at least
+UTILIZATION_WINDOW = SECOND
+MAX_OUT_SHARE = 0.5  # an app server that is out for longer does not count in a window
+MIN_REQUESTS = 20  # fewer give no meaningful share
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """A figure, the moment it was reached (0 where it is no moment's), and of how many it was told."""
+    """A measured figure.
+
+    Attributes:
+        value: The figure, in the unit of its measure.
+        at: When it was reached; 0 for means.
+        sample_count: How many samples or requests it is taken from.
+    """
 
     value: float
     at: int = 0
@@ -28,8 +35,22 @@
 def measure_world(
     world: World, subject: Subject, measure: Measure, compare: Comparison, spans: Sequence[Span]
 ) -> Observation | None:
-    """The figure that the comparison goes by: the most where it is bounded from above, the least from below.
-    None where there was nothing to measure.
+    """Return the figure that a comparison refers to.
+
+    For an instantaneous measure this is the maximum if it is bounded from above, otherwise the minimum.
+
+    Args:
+        world: The finished scenario run.
+        subject: One subject, not `each`.
+        measure: The measure.
+        compare: The comparison with the bound.
+        spans: The spans that count.
+
+    Returns:
+        The observation, or `None` if there was nothing to measure.
+
+    Raises:
+        ValueError: The measure is unknown.
     """
     match measure:
         case Measure.OUTSTANDING:
@@ -73,6 +94,7 @@
 
 
 def member_names(world: World, subject: Subject) -> list[str]:
+    """Return the app servers that belong to a subject."""
     match subject.kind:
         case SubjectKind.SITE:
             return world.sites[subject.name]
@@ -91,6 +113,7 @@
 
 
 def outstanding_series(world: World, subject: Subject) -> list[Series]:
+    """Return the series of outstanding attempts that add up to a subject's."""
     if subject.kind is SubjectKind.ROUTER:
         return [world.outstanding[int(subject.name)]]
     if subject.kind is SubjectKind.FLEET:
@@ -99,13 +122,14 @@
 
 
 def downstream_call_series(world: World, subject: Subject) -> list[Series]:
+    """Return the series of downstream calls in flight that add up to a subject's."""
     if subject.kind is SubjectKind.FLEET:
         return [world.calls]
     return [world.calls_of[name] for name in member_names(world, subject)]
 
 
 def sum_series(series_list: list[Series]) -> Series:
-    """Their sum at every moment."""
+    """Return the sum of several series at every moment."""
     if len(series_list) == 1:
         return series_list[0]
     summed = Series()
@@ -124,6 +148,7 @@
 
 
 def extreme(series: Series, compare: Comparison, spans: Sequence[Span]) -> Observation | None:
+    """Return the maximum or minimum of a series over the spans, as the comparison requires."""
     samples = [sample for span in spans for sample in series.within(span)]
     if not samples:
         return None
@@ -135,13 +160,16 @@
 def core_utilization(
     world: World, subject: Subject, compare: Comparison, spans: Sequence[Span]
 ) -> Observation | None:
-    """Busy cores over those that are there, second by second; one that is gone has none."""
+    """Return the extreme share of busy cores over whole windows of one second.
+
+    App servers that are out for at least half of a window do not count in it.
+    """
     names = member_names(world, subject)
     samples: list[tuple[int, float]] = []
     for a, b in spans:
         for at in range(a, b - UTILIZATION_WINDOW + 1, UTILIZATION_WINDOW):
             window = (at, at + UTILIZATION_WINDOW)
-            available = [name for name in names if time_average(world.out[name], window) < 0.5]
+            available = [name for name in names if time_average(world.out[name], window) < MAX_OUT_SHARE]
             if available:
                 samples.append(
                     (at, sum(time_average(world.busy[name], window) for name in available) / len(available))
@@ -154,6 +182,7 @@
 
 
 def time_average(series: Series, span: Span) -> float:
+    """Return the time-weighted mean of a series over a span."""
     samples = series.within(span)
     total = 0.0
     for (at, value), end in zip(samples, [*(time for time, _ in samples[1:]), span[1]], strict=True):
@@ -164,7 +193,7 @@
 def advised_wait(
     world: World, subject: Subject, compare: Comparison, spans: Sequence[Span]
 ) -> Observation | None:
-    """Of the sheds that say when to come back."""
+    """Return the extreme wait that rejections advised; rejections without advice do not count."""
     matches = request_filter(subject)
     samples = []
     for a, b in spans:
@@ -181,6 +210,7 @@
 
 
 def request_filter(subject: Subject) -> Callable[[Deed], bool]:
+    """Return a predicate that selects the requests of a subject."""
     match subject.kind:
         case SubjectKind.ROUTER:
             return lambda request, number=int(subject.name): request.router == number  # type: ignore[misc]
@@ -194,12 +224,13 @@
 
 
 def requests_started(world: World, subject: Subject, spans: Iterable[Span]) -> list[Deed]:
-    """Transactions that came into the world then."""
+    """Return the requests of a subject that were first sent within the spans."""
     matches = request_filter(subject)
     return [request for span in spans for request in world.born(span) if matches(request)]
 
 
 def share_of_requests(requests: list[Deed], is_counted: Callable[[Deed], bool]) -> Observation | None:
+    """Return the share of requests that satisfy a predicate; `None` for too few requests."""
     if len(requests) < MIN_REQUESTS:
         return None
     return Observation(
--- a/birchslip/expect/mutate.py
+++ b/birchslip/expect/mutate.py
@@ -1,8 +1,8 @@
-"""Which single breaks of the settings no expectation sees.
+"""Mutation of settings: which single changed values no expectation detects.
 
-A break changes one value: a number becomes a quarter or four times of it, a switch is turned, an entry is
-taken out, an order is turned round. The settings' own checks may refuse it, an expectation may fail or become
-untold; what is left is listed with why nobody saw it.
+A mutation multiplies or divides a number by four, negates a switch, changes a word or reverses an order. The
+validation of the settings may refuse it, or an expectation may fail or become undecided. Every other mutation
+is listed with the reason why it was not detected.
 """
 
 from __future__ import annotations
@@ -28,12 +28,14 @@
     "name",
     "address",
     "stop_ms",
-)  # nothing of routing
+)  # these do not affect routing
 IGNORED_SECTIONS = ("limits", "gauges", "planners")
 NAME_KEYS = ("name", "from", "to")
 
 
 class Detection(Enum):
+    """How a mutation was detected, or why it was not."""
+
     REFUSED = "refused by the settings' own checks"
     CONFLICT = "settings contradict each other"
     FAILED = "an expectation fails"
@@ -44,7 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MutationResult:
-    """One break and what came of it; `by` names who saw it."""
+    """The result of one mutation.
+
+    Attributes:
+        change: The changed value.
+        path_label: Its path, for reports.
+        detection: How it was detected.
+        detected_by: The error, conflict or expectation that detected it.
+    """
 
     change: Change
     path_label: str
@@ -53,6 +62,7 @@
 
     @property
     def is_detected(self) -> bool:
+        """Whether validation or an expectation detected the mutation."""
         return self.detection in (
             Detection.REFUSED,
             Detection.CONFLICT,
@@ -62,7 +72,7 @@
 
 
 def mutations(sources: Sources) -> Iterator[Change]:
-    """All single breaks of what bears on routing, in the files' order."""
+    """Yield all single mutations of values that affect routing, in the order of the files."""
     for file_kind, path, value in sources.values():
         if file_kind == "world" or is_ignored(file_kind, path):
             continue
@@ -74,12 +84,14 @@
 
 
 def is_ignored(file_kind: str, path: ValuePath) -> bool:
+    """Return whether a value does not affect routing, or is mutated separately."""
     if file_kind == "config" and len(path) == 1:
-        return True  # where it stands and whom it talks to
+        return True  # addresses and names of the process
     return path[-1] in IGNORED_KEYS or any(key in IGNORED_SECTIONS for key in path) or path[0] == "refuse"
 
 
 def mutated_values(path: ValuePath, value: object) -> list[object]:
+    """Return the values that replace a value."""
     if isinstance(value, bool):
         return [not value]
     if isinstance(value, int):
@@ -92,6 +104,7 @@
 
 
 def measured_values(report: Report) -> list[float | None]:
+    """Return the deciding figure of each verdict."""
     return [verdict.value for verdict in report.verdicts.values()]
 
 
@@ -103,7 +116,18 @@
     on_result: Callable[[MutationResult], None] = lambda result: None,
     changes: Sequence[Change] | None = None,
 ) -> list[MutationResult]:
-    """Each break in turn; the traffic stays what it was."""
+    """Check the expectations against each mutation in turn.
+
+    The traffic stays that of the unchanged settings.
+
+    Args:
+        sources: The settings.
+        statements: The expectations.
+        seed: The first seed.
+        seeds: How many seeds are run.
+        on_result: Called with each result as it is known.
+        changes: The mutations; `None` for all.
+    """
     baseline_check = Check(sources, statements, seed, seeds, search=False)
     baseline = baseline_check.run()
     results = []
@@ -125,6 +149,17 @@
     seeds: int,
     capacity: float,
 ) -> MutationResult:
+    """Check the expectations against one mutation.
+
+    Args:
+        sources: The settings without the mutation.
+        statements: The expectations.
+        change: The mutation.
+        baseline: The report on the settings without the mutation.
+        seed: The first seed.
+        seeds: How many seeds are run.
+        capacity: What loads are multiples of.
+    """
     path_label = sources.path_label(change.file_kind, change.path)
     mutated = sources.with_value(change.file_kind, change.path, change.new)
     try:
--- a/birchslip/expect/names.py
+++ b/birchslip/expect/names.py
@@ -1,4 +1,4 @@
-"""The names that statements may use, as the settings know them; who is meant where one is not known."""
+"""The names that statements may refer to, taken from the settings, and suggestions for unknown names."""
 
 from __future__ import annotations
 
@@ -8,11 +8,19 @@
 from ..lab.model.world import Setting
 from .words import Statement, Subject, SubjectKind, atoms, subjects_of
 
-MAX_NAMES_SHOWN = 6  # names that are listed where none is near
+MAX_NAMES_SHOWN = 6  # in the error for an unknown name without a close match
 
 
 class KnownNames:
+    """The names of all subjects in the settings.
+
+    Attributes:
+        by_kind: The names of each kind, in the order of the settings.
+        name_sets: The same names as sets, for lookups.
+    """
+
     def __init__(self, setting: Setting) -> None:
+        """Collect the names of the sites, app servers, routers, tenants and other subjects."""
         sites = setting.sites()
         fleet = setting.fleet
         self.by_kind: dict[SubjectKind, list[str]] = {
@@ -30,13 +38,13 @@
         self.name_sets = {kind: set(names) for kind, names in self.by_kind.items()}
 
     def expand(self, subject: Subject) -> list[Subject]:
-        """The one, or each there is of the kind."""
+        """Return the subject itself, or every subject of its kind if it says `each`."""
         if not subject.each:
             return [subject]
         return [Subject(subject.kind, name) for name in self.by_kind[subject.kind]]
 
     def find_error(self, statement: Statement) -> str:
-        """What the statement names that is not there; nothing where all is."""
+        """Return an error message for the first unknown name in a statement, or an empty string."""
         for atom in atoms(statement.claim):
             for subject in subjects_of(atom):
                 if subject.each and not self.by_kind[subject.kind]:
@@ -50,7 +58,7 @@
         return ""
 
     def unknown_name_error(self, kind: SubjectKind, name: str) -> str:
-        """It may be the name of another kind of thing, or nearly one of this kind."""
+        """Describe an unknown name: it may name another kind of subject or be misspelt."""
         other_kinds = [other.value for other in self.kinds_of(name)]
         if other_kinds:
             return f"{name!r} is a {' and a '.join(other_kinds)}, not a {kind.value}"
@@ -65,6 +73,7 @@
         return f"no {kind.value} is named {name!r}; there are {shown}{ellipsis}"
 
     def kinds_of(self, name: str) -> Iterator[SubjectKind]:
+        """Yield the kinds that have a subject of this name."""
         return (
             kind for kind, names in self.name_sets.items() if name in names and kind is not SubjectKind.FLEET
         )
--- a/birchslip/expect/parse.py
+++ b/birchslip/expect/parse.py
@@ -1,4 +1,8 @@
-"""Text to statements. Every error names its place and what was meant; hostile text costs bounded work."""
+"""The parser of the expectation language.
+
+Every error names its position and suggests what may have been meant. The limits on text, statements and
+nesting bound the work that hostile text can cause.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +23,7 @@
     v_args,
 )
 
+from ..admission.types import SECOND
 from .words import (
     MAX_CLAIM_DEPTH,
     AllOf,
@@ -39,11 +44,14 @@
     claim_depth,
 )
 
-MAX_TEXT_BYTES = 8 << 20  # bytes of one file
+MAX_TEXT_BYTES = 8 << 20
 MAX_STATEMENTS = 50_000
-MAX_SPAN = 600 * 10_000  # ten minutes: a span that is longer is a slip
+MAX_SPAN = 600 * SECOND  # ten minutes; a longer span is taken for a mistake
 DEFAULT_SHRINK, DEFAULT_SURGE_FACTOR = 0.5, 3.0
-TIME_UNITS = {"ms": 10.0, "s": 10_000.0, "min": 600_000.0}
+MAX_LOAD = 100  # times the capacity
+MAX_SURGE_FACTOR = 1000
+MAX_TERMINALS_SHOWN = 8  # in a syntax error
+TIME_UNITS = {"ms": 10.0, "s": float(SECOND), "min": 600_000.0}
 SHARE_UNITS = {"%": 0.01, "percent": 0.01}
 TERMINAL_LABELS = {
     "COMPARE": "<= or >=",
@@ -60,23 +68,34 @@
 
 
 class ExpectationSyntaxError(ValueError):
-    """Something in the text that can't be meant; `spot` says where."""
+    """An error in an expectation file.
+
+    Attributes:
+        location: Where the error is.
+        reason: What is wrong.
+    """
 
     def __init__(self, location: SourceLocation, reason: str) -> None:
+        """Create an error whose message starts with its location."""
         super().__init__(f"{location.describe()}: {reason}")
         self.location, self.reason = location, reason
 
 
 class TokenError(Exception):
-    """The same before its file is known."""
+    """An error at a token, raised while the file name is not known.
+
+    `parse` turns it into an `ExpectationSyntaxError`.
+    """
 
     def __init__(self, token: Token, reason: str) -> None:
+        """Create an error at a token."""
         super().__init__(reason)
         self.token, self.reason = token, reason
 
 
 @lru_cache(1)
 def load_grammar() -> Lark:
+    """Return the parser, built once for each process."""
     text = files(__package__).joinpath("grammar.lark").read_text(encoding="utf-8")
     return Lark(
         text,
@@ -88,11 +107,12 @@
 
 
 def unquote(token: Any) -> str:
+    """Return the text of a token without its quotes."""
     return str(token).strip('"')
 
 
 def join_claims(claims: Iterable[Claim], operator: type[AllOf] | type[AnyOf]) -> Claim:
-    """One level, however many there are of a kind side by side."""
+    """Combine claims with one operator, flattening nested claims of the same operator."""
     flattened: list[Claim] = []
     for claim in claims:
         flattened += (
@@ -104,12 +124,23 @@
 
 
 class StatementTransformer(Transformer[Token, Any]):
-    """Built from below as the text is read: no tree is kept, and nothing here calls itself."""
+    """Builds statements bottom-up while the text is parsed.
+
+    No parse tree is kept and no method recurses, so that deep nesting cannot exhaust the stack. Each
+    method is named after its rule in `grammar.lark`. Parts of a condition are dictionaries of `Condition`
+    fields, with the token to report errors at under the key `token`.
+    """
 
     def start(self, children: list[Any]) -> list[Any]:
+        """Return all statements of the text."""
         return children
 
     def statement(self, children: list[Any]) -> tuple[Token | None, Claim, dict[str, Any]]:
+        """Return the label, the claim and the fields of the condition.
+
+        Raises:
+            TokenError: The same part of the condition is given twice.
+        """
         label = children[0] if isinstance(children[0], Token) else None
         rest = [item for item in children if item is not None and not isinstance(item, Token)]
         fields: dict[str, Any] = {}
@@ -121,25 +152,36 @@
         return label, rest[0], fields
 
     def label(self, children: list[Token]) -> Token:
+        """Return the token of a label."""
         return children[0]
 
     def either(self, children: list[Claim]) -> Claim:
+        """Return the disjunction of claims."""
         return join_claims(children, AnyOf)
 
     def both(self, children: list[Claim]) -> Claim:
+        """Return the conjunction of claims."""
         return join_claims(children, AllOf)
 
     def denied(self, children: list[Claim]) -> Claim:
+        """Return the negation of a claim."""
         return Not(children[0], 1 + claim_depth(children[0]))
 
     @v_args(inline=True)
     def bound(self, subject: tuple[Subject, Token], measure: Measure, compare: Token, quantity: Any) -> Bound:
+        """Return a bound with its value converted to the unit of the measure.
+
+        Raises:
+            TokenError: The subject does not have the measure, or the unit or value does not fit it.
+        """
         target, token = subject
         value, unit, number = quantity
         definition = measure.definition
         if target.kind not in definition.subject_kinds:
             kinds = ", ".join(sorted(kind.value for kind in definition.subject_kinds))
-            raise TokenError(token, f"{definition.word!r} is told of {kinds}, not of a {target.kind.value}")
+            raise TokenError(
+                token, f"{definition.word!r} is a measure of {kinds}, not of a {target.kind.value}"
+            )
         if unit in TIME_UNITS and definition.unit is not Unit.TIME:
             raise TokenError(
                 number, f"{definition.word!r} is {definition.unit.value}, and {unit!r} is a unit of time"
@@ -165,16 +207,26 @@
 
     @v_args(inline=True)
     def order(self, first: tuple[Subject, Token], then: tuple[Subject, Token]) -> RefusalOrder:
+        """Return an order of refusals.
+
+        Raises:
+            TokenError: A subject is never refused, is not a single one, or both subjects are the same.
+        """
         for target, token in (first, then):
             if target.kind not in Measure.REFUSED.definition.subject_kinds:
-                raise TokenError(token, f"a {target.kind.value} is not refused anything")
+                raise TokenError(token, f"a {target.kind.value} has no refused requests")
             if target.each:
-                raise TokenError(token, "an order is between two that are named")
+                raise TokenError(token, "an order compares two named subjects, not each of a kind")
         if first[0] == then[0]:
             raise TokenError(then[1], f"{first[0].describe()} can't be refused before itself")
         return RefusalOrder(first[0], then[0])
 
     def subject(self, children: list[Any]) -> tuple[Subject, Token]:
+        """Return a subject and the token of its kind.
+
+        Raises:
+            TokenError: Neither or both of a name and `each` are given.
+        """
         each = children[0] if children[0] is not None and children[0].type == "EACH" else None
         word = next(item for item in children if item is not None and item.type not in ("EACH", "THE"))
         name = children[-1] if children[-1] is not word else None
@@ -191,78 +243,110 @@
         return Subject(kind, unquote(name) if name is not None else "", each is not None), word
 
     def name(self, children: list[Token]) -> Token:
+        """Return the token of a name."""
         return children[0]
 
     def outstanding(self, _: list[Any]) -> Measure:
+        """Return the measure "outstanding"."""
         return Measure.OUTSTANDING
 
     def room(self, _: list[Any]) -> Measure:
+        """Return the measure "share of room"."""
         return Measure.ROOM
 
     def refused(self, _: list[Any]) -> Measure:
+        """Return the measure "refused"."""
         return Measure.REFUSED
 
     def served(self, _: list[Any]) -> Measure:
+        """Return the measure "served"."""
         return Measure.SERVED
 
     def earned(self, _: list[Any]) -> Measure:
+        """Return the measure "earned"."""
         return Measure.EARNED
 
     def advised(self, _: list[Any]) -> Measure:
+        """Return the measure "advised wait"."""
         return Measure.ADVISED
 
     def calls(self, _: list[Any]) -> Measure:
+        """Return the measure "calls below"."""
         return Measure.CALLS
 
     def out(self, _: list[Any]) -> Measure:
+        """Return the measure "out at once"."""
         return Measure.OUT
 
     def tries(self, _: list[Any]) -> Measure:
+        """Return the measure "tries each"."""
         return Measure.TRIES
 
     def quantity(self, children: list[Token]) -> tuple[float, str, Token]:
+        """Return a number, its unit (empty if there is none) and the token of the number."""
         return float(children[0]), str(children[1]) if len(children) > 1 and children[1] else "", children[0]
 
     def span(self, children: list[Token]) -> tuple[int, Token]:
+        """Return a length of time and the token of its number.
+
+        Raises:
+            TokenError: The unit is not one of time, or the span is longer than `MAX_SPAN`.
+        """
         number, unit = children
         if str(unit) not in TIME_UNITS:
-            raise TokenError(unit, f"a time is meant, in ms, s or min, not {unit}")
+            raise TokenError(unit, f"a time is expected, in ms, s or min, not {unit}")
         value = round(float(number) * TIME_UNITS[str(unit)])
         if value > MAX_SPAN:
             raise TokenError(number, "longer than ten minutes")
         return value, number
 
-    # ---- when ------------------------------------------------------------------------------------------
+    # ---- conditions ------------------------------------------------------------------------------------
 
     @v_args(inline=True)
     def lasting(self, situation: dict[str, Any], span: tuple[int, Token] | None) -> dict[str, Any]:
+        """Return a situation with the time that it must have lasted."""
         return situation | ({"settled": span[0]} if span is not None else {})
 
     @v_args(inline=True)
     def loaded(self, number: Token) -> dict[str, Any]:
+        """Return the field of an offered load.
+
+        Raises:
+            TokenError: The load is out of range.
+        """
         load = float(number)
-        if not 0 < load <= 100:
-            raise TokenError(number, "a load is more than 0 and at most 100 times the capacity")
+        if not 0 < load <= MAX_LOAD:
+            raise TokenError(number, f"a load is more than 0 and at most {MAX_LOAD} times the capacity")
         return {"load": load, "token": number}
 
     @v_args(inline=True)
     def soon(self, span: tuple[int, Token], event: dict[str, Any]) -> dict[str, Any]:
+        """Return an event with the time within which the statement applies after it."""
         return event | {"within": span[0], "token": span[1]}
 
     def always(self, _: list[Any]) -> dict[str, Any]:
+        """Return the field of a statement that applies to every run."""
         return {"always": True, "token": Token("ALWAYS", "always")}
 
     def event_site(self, children: list[Token]) -> Token:
+        """Return the token of a site's name."""
         return children[-1]
 
     def event_tenant(self, children: list[Token]) -> Token:
+        """Return the token of a tenant's name."""
         return children[-1]
 
     @v_args(inline=True)
     def site_lost(self, name: Token) -> dict[str, Any]:
+        """Return the field of a lost site."""
         return {"lost": unquote(name), "token": name}
 
     def shrinking(self, children: list[Any]) -> dict[str, Any]:
+        """Return the field of a shrinking fleet.
+
+        Raises:
+            TokenError: The remaining share is not between 0 and 1.
+        """
         quantity: tuple[float, str, Token] | None = children[-1]
         if quantity is None:
             return {"shrink": DEFAULT_SHRINK, "token": Token("SHRINKING", "shrinking")}
@@ -273,42 +357,57 @@
         return {"shrink": remaining, "token": at}
 
     def releasing(self, _: list[Any]) -> dict[str, Any]:
+        """Return the field of a running release."""
         return {"release": True, "token": Token("RELEASE", "release")}
 
     @v_args(inline=True)
     def surging(self, name: Token, times: Token | None) -> dict[str, Any]:
+        """Return the fields of a tenant whose traffic surges.
+
+        Raises:
+            TokenError: The factor is out of range.
+        """
         factor = float(times) if times is not None else DEFAULT_SURGE_FACTOR
-        if not 1 < factor <= 1000:
+        if not 1 < factor <= MAX_SURGE_FACTOR:
             raise TokenError(
-                times if times is not None else name, "a surge is by more than 1 and at most 1000"
+                times if times is not None else name,
+                f"a surge is by more than 1 and at most {MAX_SURGE_FACTOR}",
             )
         return {"surge": unquote(name), "surge_factor": factor, "token": name}
 
     def planners_gone(self, _: list[Any]) -> dict[str, Any]:
+        """Return the field of planners that are gone."""
         return {"planners_gone": True, "token": Token("PLANNERS", "planners")}
 
     def below_down(self, _: list[Any]) -> dict[str, Any]:
+        """Return the field of a downstream service that is down."""
         return {"below_down": True, "token": Token("SERVICE", "service")}
 
     @v_args(inline=True)
     def site_goes(self, name: Token) -> dict[str, Any]:
+        """Return the fields of the event that a site is lost."""
         return {"event": Event.SITE_LOST, "event_subject": unquote(name), "lost": unquote(name)}
 
     @v_args(inline=True)
     def site_returns(self, name: Token) -> dict[str, Any]:
+        """Return the fields of the event that a lost site returns."""
         return {"event": Event.SITE_RETURNS, "event_subject": unquote(name), "lost": unquote(name)}
 
     def release_begins(self, _: list[Any]) -> dict[str, Any]:
+        """Return the fields of the event that a release begins."""
         return {"event": Event.RELEASE, "release": True}
 
     def shrink_begins(self, _: list[Any]) -> dict[str, Any]:
+        """Return the fields of the event that the fleet begins to shrink."""
         return {"event": Event.SHRINKING, "shrink": DEFAULT_SHRINK}
 
     def shrink_ends(self, _: list[Any]) -> dict[str, Any]:
+        """Return the fields of the event that the fleet has shrunk."""
         return {"event": Event.SHRUNK, "shrink": DEFAULT_SHRINK}
 
     @v_args(inline=True)
     def surge_begins(self, name: Token) -> dict[str, Any]:
+        """Return the fields of the event that a tenant's surge begins."""
         return {
             "event": Event.SURGE,
             "event_subject": unquote(name),
@@ -318,7 +417,18 @@
 
 
 def parse(text: str, file: str) -> list[Statement]:
-    """`Wrong` says where and what was meant. A file without a statement holds none: no error here."""
+    """Parse the text of an expectation file.
+
+    Args:
+        text: The text; it may hold no statement.
+        file: The name of the file, for locations.
+
+    Returns:
+        The statements in the order of the text.
+
+    Raises:
+        ExpectationSyntaxError: The text is too large or not valid.
+    """
     if len(text.encode("utf-8", "replace")) > MAX_TEXT_BYTES:
         raise ExpectationSyntaxError(SourceLocation(file, 1, 1), f"more than {MAX_TEXT_BYTES >> 20} MB")
     positions = statement_positions(text)
@@ -336,7 +446,7 @@
         ) from None
     if len(parsed) > MAX_STATEMENTS:
         raise ExpectationSyntaxError(
-            SourceLocation(file, 1, 1), f"{len(parsed)} statements, and {MAX_STATEMENTS} are the most"
+            SourceLocation(file, 1, 1), f"{len(parsed)} statements; {MAX_STATEMENTS} are the most"
         )
     statements: list[Statement] = []
     first_locations: dict[str, SourceLocation] = {}
@@ -344,12 +454,12 @@
         location = SourceLocation(file, *positions[index])
         if claim_depth(claim) > MAX_CLAIM_DEPTH:
             raise ExpectationSyntaxError(
-                location, f"claims within claims, {claim_depth(claim)} deep; {MAX_CLAIM_DEPTH} is the most"
+                location, f"claims are nested {claim_depth(claim)} deep; {MAX_CLAIM_DEPTH} is the most"
             )
         name = unquote(label) if label is not None else f"{file.rpartition('/')[2]}:{location.line}"
         if label is not None and name in first_locations:
             raise ExpectationSyntaxError(
-                location, f"{name!r} stands at {first_locations[name].describe()} too"
+                location, f"the name {name!r} already stands at {first_locations[name].describe()}"
             )
         first_locations.setdefault(name, location)
         statements.append(
@@ -359,17 +469,23 @@
 
 
 def build_condition(fields: dict[str, Any], location: SourceLocation) -> Condition:
+    """Build the condition of a statement from its fields.
+
+    Raises:
+        ExpectationSyntaxError: `always` stands beside other parts, or `for` without a situation.
+    """
     condition = Condition(**fields)
     if condition.always and condition != Condition(always=True):
-        raise ExpectationSyntaxError(location, "'always' leaves nothing to say of when")
+        raise ExpectationSyntaxError(location, "'always' leaves nothing else to specify")
     if condition.event is None and condition.settled and not has_situation(condition):
         raise ExpectationSyntaxError(
-            location, "'for' says how long something lasts, and nothing is said to last"
+            location, "'for' needs a situation that lasts, such as 'while a release runs'"
         )
     return condition
 
 
 def has_situation(condition: Condition) -> bool:
+    """Return whether a condition includes a situation that lasts."""
     return bool(
         condition.lost
         or condition.shrink is not None
@@ -381,7 +497,10 @@
 
 
 def statement_positions(text: str) -> list[tuple[int, int]]:
-    """Line and column of each `expect` that begins a statement: outside comments and quotes, as a word."""
+    """Return line and column of each `expect` that begins a statement.
+
+    An `expect` within a comment, a quoted name or a longer word does not count.
+    """
     found: list[tuple[int, int]] = []
     for number, line in enumerate(text.split("\n"), 1):
         if "expect" not in line:
@@ -399,7 +518,7 @@
 
 
 def mask_quotes_and_comments(line: str) -> str:
-    """Without comments, and nothing but room where a quoted name stands."""
+    """Return a line without its comment and with quoted names replaced by spaces."""
     masked, quoted = [], False
     for char in line:
         if char == '"':
@@ -413,7 +532,7 @@
 
 
 def describe_syntax_error(error: UnexpectedInput, text: str, file: str) -> ExpectationSyntaxError:
-    """What stands there, what could, and the nearest of it."""
+    """Convert an error of the parser, with the expected words or the closest one of them."""
     if isinstance(error, UnexpectedCharacters):
         location = SourceLocation(file, error.line, error.column)
         line = text.split("\n")[error.line - 1]
@@ -448,6 +567,7 @@
 
 
 def describe_terminals(names: Iterable[str]) -> str:
+    """Return the names of grammar terminals for a message, at most `MAX_TERMINALS_SHOWN`."""
     names_shown = sorted(
         {
             TERMINAL_LABELS.get(name, name.strip("_").lower())
@@ -455,4 +575,6 @@
             if name not in ("WS", "COMMENT")
         }
     )
-    return ", ".join(names_shown[:8]) + (" ..." if len(names_shown) > 8 else "")
+    return ", ".join(names_shown[:MAX_TERMINALS_SHOWN]) + (
+        " ..." if len(names_shown) > MAX_TERMINALS_SHOWN else ""
+    )
--- a/birchslip/expect/plays.py
+++ b/birchslip/expect/plays.py
@@ -1,5 +1,7 @@
-"""Plays, several at a time: each in a process of its own where there are cores for it, and always the same
-whatever their number. What is measured is read off where it was played; no world crosses a process.
+"""Scenario runs, several at a time.
+
+Each run has a process of its own if there are cores for it; the results do not depend on how many run at a
+time. Figures are measured in the process of the run, so that no world crosses a process boundary.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 from .words import Claim, Comparison, Condition, Measure, Subject
 
 MAX_JOBS = 8
-EVENT_LABELS = {  # of what the fleet made of it: the event, and how people are told of it
+EVENT_LABELS = {  # events of the fleet that a failure history shows, and their labels
     "site_lost": "site lost",
     "site_stage_changed": "site moves",
     "no release": "no release",
@@ -29,8 +31,17 @@
 
 @dataclass(frozen=True)
 class ScenarioRun:
-    """One play, and what is claimed of it. `capacity` is what loads are parts of, the setting's own where it
-    is 0: the traffic stays what it was where a setting is changed.
+    """The input of one scenario run.
+
+    Attributes:
+        setting: The settings to run.
+        condition: The condition under which `claims` apply.
+        script: What is done to the world.
+        seed: The seed of the run.
+        claims: Claims that apply while the condition holds.
+        always_claims: Claims that apply to the whole run.
+        capacity: What loads are multiples of; 0 for the capacity of the settings. A fixed value keeps the
+            traffic the same when a setting is changed.
     """
 
     setting: Setting
@@ -38,13 +49,20 @@
     script: Script
     seed: int
     claims: tuple[Claim, ...]
-    always_claims: tuple[Claim, ...] = ()  # what is claimed of all of the play, whatever its situation
+    always_claims: tuple[Claim, ...] = ()
     capacity: float = 0.0
 
 
 @dataclass(frozen=True)
 class RunOutcome:
-    """What came of it: of each claim, and why the situation never came about, where it did not."""
+    """The result of one scenario run.
+
+    Attributes:
+        evaluations: One evaluation for each of the claims.
+        always_evaluations: One evaluation for each claim that applies to the whole run.
+        notes: What the fleet did, as (time, label, fields).
+        unmet_reason: Why the condition never came true; empty if it did.
+    """
 
     evaluations: tuple[Evaluation, ...]
     always_evaluations: tuple[Evaluation, ...]
@@ -53,6 +71,7 @@
 
 
 def run_scenario(task: ScenarioRun) -> RunOutcome:
+    """Run one scenario in virtual time and evaluate its claims."""
     world = World(task.setting, task.seed, task.capacity)
     world.run(task.script.steps, task.script.until)
     matched_spans = matching_spans(task.condition, world.marks, task.script.until)
@@ -80,25 +99,36 @@
 
 
 class ScenarioRunner:
-    """`jobs` at a time; 1 plays here. `count` tells how many there were."""
+    """Runs scenarios in this process or in a pool of processes.
+
+    Attributes:
+        jobs: How many run at a time; with 1 they run in this process.
+        run_count: How many were run so far.
+    """
 
     def __init__(self, jobs: int = 0) -> None:
+        """Create a runner without starting processes.
+
+        Args:
+            jobs: How many scenarios run at a time; 0 for one for each core, at most `MAX_JOBS`.
+        """
         self.jobs = jobs or min(MAX_JOBS, os.cpu_count() or 1)
         self.run_count = 0
         self.executor: ProcessPoolExecutor | None = None
 
     def run_all(self, tasks: Sequence[ScenarioRun]) -> list[RunOutcome]:
-        """What came of each, in their order."""
+        """Run the scenarios and return their outcomes in the same order."""
         self.run_count += len(tasks)
         if self.jobs < 2 or len(tasks) < 2:
             return [run_scenario(task) for task in tasks]
         if self.executor is None:
-            # Forked: what has been read need not be read again, and nothing goes through a socket.
+            # Forking keeps the files that were already read and uses no socket.
             context = multiprocessing.get_context("fork")
             self.executor = ProcessPoolExecutor(self.jobs, mp_context=context)
         return list(self.executor.map(run_scenario, tasks))
 
     def close(self) -> None:
+        """Stop the pool of processes, if it was started."""
         if self.executor is not None:
             self.executor.shutdown()
             self.executor = None
--- a/birchslip/expect/reason.py
+++ b/birchslip/expect/reason.py
@@ -1,10 +1,10 @@
-"""By reasoning: what settings and statements say of one another, with nothing played.
+"""Reasoning about settings and statements without a scenario run.
 
-Each subject, measure and situation has two figures: the least and the most that it comes to. A statement
-bounds one of them, a setting too (`facts.py`), and figures bound each other: a part is no more than its
-whole, all parts together no less. First each figure's own bounds are held against each other, which finds
-almost everything at once, however many statements there are; what ties several figures together goes to a
-solver, which says which of the statements and settings can't hold together, and no fewer of them.
+Each subject, measure and condition has two figures: the minimum and the maximum. A statement bounds one of
+them, so does a setting (`facts.py`), and figures bound each other: a part is at most its whole, and the parts
+together are at least the whole. Bounds on the same figure are compared first; this finds almost every
+contradiction quickly, however many statements there are. Constraints between several figures go to an SMT
+solver, which returns a minimal set of statements and settings that contradict each other.
 """
 
 from __future__ import annotations
@@ -35,28 +35,43 @@
     conjuncts,
 )
 
-MAX_CONTRADICTIONS = 20  # that are named; the rest waits until those are mended
-SOLVER_RESOURCE_LIMIT = 2_000_000  # of the solver's own count: the same verdict on every machine
+MAX_CONTRADICTIONS = 20  # further ones are reported once these are resolved
+SOLVER_RESOURCE_LIMIT = 2_000_000  # in units of z3's rlimit, which do not depend on the machine's speed
 UNCONDITIONAL = Condition()
-FigureKey = tuple[Subject, Measure, Condition, bool]  # whose, of what, when, and whether the most is meant
+FigureKey = tuple[Subject, Measure, Condition, bool]  # the last one: whether it is the maximum
 
 
 @dataclass(frozen=True, slots=True)
 class Contradiction:
-    """What can't hold together: statements and settings, none of which can be left out."""
+    """A minimal set of statements and settings that cannot hold together.
+
+    Attributes:
+        statements: The statements.
+        settings: The paths of the settings.
+        reason: Why they contradict each other.
+    """
 
     statements: tuple[Statement, ...]
     settings: tuple[str, ...]
     reason: str
 
     def describe(self) -> str:
+        """Return the statements with their locations, and the settings, in one line."""
         names = [f"{one.name} ({one.location.describe()}: {one.describe()})" for one in self.statements]
         return "; ".join([*names, *self.settings])
 
 
 @dataclass(slots=True)
 class ReasoningResult:
-    """`holds` and `fails` are by statement, with the reason; whoever is in neither has to be played."""
+    """What reasoning found.
+
+    Statements in neither `holds` nor `fails` need scenario runs.
+
+    Attributes:
+        contradictions: The contradictions between statements.
+        holds: The reason for each statement that holds in every run.
+        fails: The reason for each statement that fails in every run.
+    """
 
     contradictions: list[Contradiction] = field(default_factory=list)
     holds: dict[Statement, str] = field(default_factory=dict)
@@ -65,7 +80,7 @@
 
 @dataclass(slots=True)
 class TightestBound:
-    """The tightest bound of a figure so far, and who says it: a statement or a setting."""
+    """The tightest bound on a figure so far, and the statement or setting that it comes from."""
 
     value: float
     strict: bool
@@ -77,6 +92,13 @@
     setting: Setting,
     files: tuple[str, str] = ("configuration", "fleet file"),
 ) -> ReasoningResult:
+    """Decide statements by the settings alone and find contradictions between the others.
+
+    Args:
+        statements: The statements.
+        setting: The settings.
+        files: The labels of configuration and fleet file in setting paths.
+    """
     result = ReasoningResult()
     names = KnownNames(setting)
     known_facts = facts_of(setting, *files)
@@ -92,20 +114,22 @@
 
 
 class FactIndex:
-    """Settings alone, looked up by figure: what one statement by itself comes to."""
+    """The facts of the settings by subject and measure; decides single statements."""
 
     def __init__(self, known_facts: Iterable[Fact]) -> None:
+        """Index the facts."""
         self.facts: dict[tuple[Subject, Measure], list[Fact]] = {}
         for fact in known_facts:
             self.facts.setdefault((fact.subject, fact.measure), []).append(fact)
 
     def facts_for(self, subject: Subject, measure: Measure, condition: Condition) -> Iterator[Fact]:
+        """Yield the facts about a measure that apply under a condition."""
         for fact in self.facts.get((subject, measure), ()):
             if fact.condition is None or covers(fact.condition, condition):
                 yield fact
 
     def decide(self, statement: Statement, names: KnownNames) -> tuple[bool, str] | None:
-        """Whether it holds or fails whatever happens, and why; None where that depends."""
+        """Return whether a statement holds or fails in every run, and why; `None` if it depends."""
         verdicts = [
             self.decide_claim(claim, statement.condition, names) for claim in conjuncts(statement.claim)
         ]
@@ -117,6 +141,7 @@
         return None
 
     def decide_claim(self, claim: Claim, condition: Condition, names: KnownNames) -> tuple[bool, str] | None:
+        """Decide a bound for all its subjects; `None` for any other claim."""
         if not isinstance(claim, Bound):
             return None
         reasons = []
@@ -128,6 +153,7 @@
         return True, "; ".join(dict.fromkeys(reasons))
 
     def decide_bound(self, bound: Bound, condition: Condition) -> tuple[bool, str] | None:
+        """Decide a bound on one subject from the first fact that settles it."""
         for fact in self.facts_for(bound.subject, bound.measure, condition):
             low, high, value = fact.low, fact.high, bound.value
             match bound.compare:
@@ -147,7 +173,10 @@
 
 
 def covers(wide: Condition, narrow: Condition) -> bool:
-    """Whether what holds in the one situation has to hold in the other: it is more of the same."""
+    """Return whether every bound under `wide` also applies under `narrow`.
+
+    This is the case if `narrow` has all parts of `wide`, and perhaps more.
+    """
     if wide.always or wide == narrow:
         return True
     if wide == UNCONDITIONAL:
@@ -164,12 +193,16 @@
     )
 
 
-# ---- together ------------------------------------------------------------------------------------------
+# ---- contradictions ------------------------------------------------------------------------------------
 
 
 def find_contradictions(
     statements: Sequence[Statement], known_facts: list[Fact], setting: Setting, names: KnownNames
 ) -> Iterator[Contradiction]:
+    """Yield contradictions, at most `MAX_CONTRADICTIONS`.
+
+    The statements of one contradiction are left out of the search for the next.
+    """
     remaining = list(statements)
     count = 0
     for contradiction in bound_contradictions(remaining, names):
@@ -188,7 +221,7 @@
 
 
 def bounded_figures(bound: Bound, condition: Condition) -> Iterator[tuple[FigureKey, float, bool, bool]]:
-    """Which figures it bounds: the figure, the value, whether from above, whether strictly."""
+    """Yield the figures that a claim bounds, as (figure, value, is upper bound, is strict)."""
     compare, value = bound.compare, bound.value
     strict = compare in (Comparison.UNDER, Comparison.OVER)
     if compare is Comparison.EXACTLY or compare.is_upper_bound:
@@ -198,7 +231,10 @@
 
 
 def bound_contradictions(statements: Sequence[Statement], names: KnownNames) -> Iterator[Contradiction]:
-    """Of each figure by itself: the tightest from above under the tightest from below."""
+    """Yield the contradictions between bounds on the same figure.
+
+    A contradiction exists if the tightest upper bound is below the tightest lower bound.
+    """
     above: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
     below: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
     for statement in statements:
@@ -237,9 +273,10 @@
 
 
 class Solver:
-    """The figures as variables, and everything said of them as assertions that each have a name."""
+    """An SMT solver with a variable for each figure and a named assertion for each statement and setting."""
 
     def __init__(self, setting: Setting, names: KnownNames) -> None:
+        """Create a solver without variables."""
         self.setting, self.names = setting, names
         self.solver = z3.Solver()
         self.solver.set("rlimit", SOLVER_RESOURCE_LIMIT)
@@ -247,12 +284,13 @@
         self.origins: dict[str, Statement | str] = {}
 
     def figure(self, subject: Subject, measure: Measure, condition: Condition, most: bool) -> Any:
+        """Return the variable of a figure; created on first use with the constraints on its range."""
         key = (subject, measure, condition, most)
         if key not in self.variables:
             self.variables[key] = z3.Real(f"v{len(self.variables)}")
             other = self.figure(subject, measure, condition, not most)
             variable = self.variables[key]
-            # A mean has one value; of a figure of every moment the least is no more than the most.
+            # A mean has one value; the minimum of an instantaneous measure is at most its maximum.
             self.solver.add(
                 variable == other
                 if not measure.definition.is_instantaneous
@@ -266,11 +304,13 @@
         return self.variables[key]
 
     def assertion(self, origin: Statement | str) -> Any:
+        """Return a Boolean variable that stands for a statement or a setting."""
         label = f"s{len(self.origins)}"
         self.origins[label] = origin
         return z3.Bool(label)
 
     def claim_term(self, claim: Claim, condition: Condition) -> Any:
+        """Return the formula of a claim."""
         match claim:
             case Bound():
                 return z3.And(
@@ -290,6 +330,7 @@
                 return z3.Or([self.claim_term(one, condition) for one in claims])
 
     def bound_term(self, bound: Bound, condition: Condition) -> Any:
+        """Return the formula of a bound on one subject."""
         terms = []
         for (subject, measure, figure_condition, most), value, _, strict in bounded_figures(bound, condition):
             figure = self.figure(subject, measure, figure_condition, most)
@@ -301,7 +342,7 @@
         return z3.And(terms)
 
     def add_constraints(self) -> None:
-        """What figures say of each other, for those that anybody speaks of."""
+        """Add the constraints between the figures that have variables."""
         mentioned = {(measure, condition) for _, measure, condition, _ in self.variables}
         for measure, condition in sorted(mentioned, key=str):
             for whole, members in wholes_and_parts(self.setting, measure):
@@ -317,6 +358,7 @@
     def add_part_constraints(
         self, whole: Subject, members: list[Subject], measure: Measure, condition: Condition
     ) -> None:
+        """Add the constraints between the figures of a whole and of its parts."""
         most = self.figure(whole, measure, condition, True)
         least = self.figure(whole, measure, condition, False)
         part_maxima = [self.figure(one, measure, condition, True) for one in members]
@@ -328,17 +370,17 @@
         elif measure is Measure.ADVISED:
             add(*[one <= most for one in part_maxima])
         else:
-            # A share of the whole lies between those of its parts.
+            # The share of the whole lies between the shares of its parts.
             add(z3.Or([most <= one for one in part_maxima]), z3.Or([least >= one for one in part_minima]))
 
     def add_condition_constraints(self) -> None:
-        """What holds in a situation holds in more of the same."""
+        """Add the constraints between figures whose conditions cover each other."""
         by_figure: dict[tuple[Subject, Measure], set[Condition]] = {}
         for subject, measure, condition, _ in self.variables:
             by_figure.setdefault((subject, measure), set()).add(condition)
         for (subject, measure), conditions in by_figure.items():
             if not measure.definition.is_instantaneous:
-                continue  # a mean over more is no bound on a part of it
+                continue  # the mean of a span does not bound the mean of a part of it
             for wide in conditions:
                 for narrow in conditions:
                     if wide is not narrow and covers(wide, narrow):
@@ -350,7 +392,7 @@
                         )
 
     def add_share_constraints(self) -> None:
-        """Who was refused was not served."""
+        """Add that refused and served shares of a subject sum to at most 1."""
         for subject, measure, condition, most in list(self.variables):
             if (
                 measure is Measure.REFUSED
@@ -362,7 +404,15 @@
                 self.solver.add(refused + served <= 1)
 
     def minimal_core(self, assertions: list[tuple[Any, Any]]) -> list[Statement | str] | None:
-        """The names of what can't hold together, as few as can be; None where all can, or nobody can tell."""
+        """Find assertions that contradict each other, such that none can be left out.
+
+        Args:
+            assertions: The names of the assertions with their formulas.
+
+        Returns:
+            The statements and settings of the contradiction; `None` if there is none or the solver could not
+            decide within its limit.
+        """
         for name, term in assertions:
             self.solver.add(z3.Implies(name, term))
         if self.solver.check(*[name for name, _ in assertions]) != z3.unsat:
@@ -379,6 +429,7 @@
 def solver_contradiction(
     statements: Sequence[Statement], known_facts: list[Fact], setting: Setting, names: KnownNames
 ) -> Contradiction | None:
+    """Find one contradiction that involves several figures; `None` if there is none."""
     solver = Solver(setting, names)
     assertions = []
     for statement in tightest_statements(statements, names):
@@ -410,7 +461,10 @@
 
 
 def tightest_statements(statements: Sequence[Statement], names: KnownNames) -> list[Statement]:
-    """Those that say more than others: of bounds on one figure the tightest implies the rest."""
+    """Return the statements that are not implied by others.
+
+    Of several simple bounds on one figure only the tightest is kept; it implies the others.
+    """
     tightest: dict[tuple[Subject, Measure, Condition, bool], tuple[float, bool, Statement]] = {}
     kept: dict[Statement, None] = {}
     for statement in statements:
@@ -429,7 +483,7 @@
 
 
 def wholes_and_parts(setting: Setting, measure: Measure) -> Iterator[tuple[Subject, list[Subject]]]:
-    """What is made of what: for each measure, wholes with all their parts."""
+    """Yield each whole with all its parts for which a measure is defined."""
     sites = setting.sites()
     kinds = measure.definition.subject_kinds
     if SubjectKind.SITE in kinds:
--- a/birchslip/expect/report.py
+++ b/birchslip/expect/report.py
@@ -1,4 +1,4 @@
-"""Verdicts for people, for programs and for CI."""
+"""Reports of a check as text, JSON and JUnit XML."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def report_lines(report: Report) -> Iterator[str]:
+    """Yield the lines of a report for the terminal."""
     for statement, verdict in report.verdicts.items():
         yield from statement_lines(statement, verdict)
     for conflict in report.conflicts:
@@ -37,6 +38,7 @@
 
 
 def statement_lines(statement: Statement, verdict: Verdict) -> Iterator[str]:
+    """Yield the lines about one statement."""
     yield f"{OUTCOME_LABELS[verdict.outcome]:6} {statement.name:28} {verdict.reason}"
     if verdict.outcome is Outcome.HOLDS:
         return
@@ -49,6 +51,7 @@
 
 
 def as_json(report: Report) -> dict[str, Any]:
+    """Return a report as JSON values."""
     return {
         "holds": report.count(Outcome.HOLDS),
         "fails": report.count(Outcome.FAILS),
@@ -71,6 +74,7 @@
 
 
 def statement_as_json(statement: Statement, verdict: Verdict) -> dict[str, Any]:
+    """Return the verdict on one statement as JSON values."""
     return {
         "name": statement.name,
         "at": statement.location.describe(),
@@ -87,7 +91,10 @@
 
 
 def junit(report: Report) -> bytes:
-    """A suite for each file; what can't be told counts as an error, as it was not checked."""
+    """Return a report as JUnit XML, with a suite for each file.
+
+    An undecided statement is reported as an error, because it was not checked.
+    """
     suites: dict[str, Any] = {}
     for statement, verdict in report.verdicts.items():
         suite = suites.setdefault(statement.location.file, TestSuite(statement.location.file))
@@ -118,12 +125,13 @@
 
 
 def with_text(result: Any, text: str) -> Any:
+    """Set the text of a JUnit result and return it."""
     result.text = text
     return result
 
 
 def explain_statement(statement: Statement, report: Report, sources: Sources) -> Iterator[str]:
-    """One statement at length."""
+    """Yield lines that explain what a statement measures, what was run and the verdict."""
     yield f"{statement.name} at {statement.location.describe()}"
     yield f"it says: {statement.describe()}"
     for atom in atoms(statement.claim):
@@ -146,4 +154,5 @@
 
 
 def to_json_text(report: Report) -> str:
+    """Return a report as JSON text."""
     return json.dumps(as_json(report), indent=2)
--- a/birchslip/expect/search.py
+++ b/birchslip/expect/search.py
@@ -1,5 +1,6 @@
-"""What is made of a failure: the shortest history found that still fails, and the setting that bears most of
-it. Free of I/O: plays are handed in as functions, and their number is bounded.
+"""The search for a short history of a failure and for the setting that affects it most.
+
+The module performs no I/O: scenario runs are passed in as functions, and their number is bounded.
 """
 
 from __future__ import annotations
@@ -15,14 +16,21 @@
 from .sources import Sources, ValuePath
 from .words import Measure, Statement, SubjectKind, atoms, subjects_of
 
-MAX_SHRINK_RUNS = 12  # plays for one failure
-MAX_CHANGE_RUNS = 20
-RUN_TAIL = SECOND // 2  # of a play, past the moment that it fails
+MAX_SHRINK_RUNS = 12  # scenario runs to reduce one failure
+MAX_CHANGE_RUNS = 20  # scenario runs to find the responsible setting of one failure
+RUN_TAIL = SECOND // 2  # kept after the moment of the failure
 
 
 @dataclass(frozen=True)
 class Case:
-    """What one play is made of. `without` names what was left out of the world, for people."""
+    """The input of one scenario run during the search.
+
+    Attributes:
+        setting: The settings.
+        script: The script.
+        seed: The seed.
+        removed: Descriptions of what was taken out of the original run.
+    """
 
     setting: Setting
     script: Script
@@ -30,7 +38,7 @@
     removed: tuple[str, ...] = ()
 
 
-RunCases = Callable[[Sequence[Case]], list[Evaluation]]  # several may be played at once
+RunCases = Callable[[Sequence[Case]], list[Evaluation]]  # may run several at a time
 
 
 def shrink(
@@ -40,7 +48,18 @@
     run_cases: RunCases,
     max_runs: int = MAX_SHRINK_RUNS,
 ) -> tuple[Case, Evaluation]:
-    """Smaller and smaller as long as it still fails: fewer steps, less of the world, an earlier end."""
+    """Reduce a failing case as long as it still fails.
+
+    Args:
+        case: The failing case.
+        evaluation: Its evaluation.
+        statement: The statement that fails.
+        run_cases: Runs several cases and returns their evaluations.
+        max_runs: How many cases may be run.
+
+    Returns:
+        The smallest failing case that was found, and its evaluation.
+    """
     runs_left = max_runs
     while runs_left > 0:
         smaller = list(reductions(case, evaluation, statement))[:runs_left]
@@ -55,7 +74,10 @@
 
 
 def reductions(case: Case, evaluation: Evaluation, statement: Statement) -> Iterator[Case]:
-    """The largest cuts first."""
+    """Yield smaller cases: an earlier end, one step fewer, one router, tenant or profile fewer.
+
+    The largest reductions come first.
+    """
     script = case.script
     end = evaluation.at + RUN_TAIL + COOL_DOWN
     if evaluation.at and end < script.until:
@@ -70,6 +92,7 @@
 
 
 def named_subjects(statement: Statement) -> dict[SubjectKind, set[str]]:
+    """Return the names that a statement refers to by kind; `*` stands for each of a kind."""
     found: dict[SubjectKind, set[str]] = {kind: set() for kind in SubjectKind}
     for atom in atoms(statement.claim):
         for subject in subjects_of(atom):
@@ -80,6 +103,7 @@
 
 
 def without_routers(case: Case, named: set[str]) -> Iterator[Case]:
+    """Yield the case without one router that the statement does not name."""
     routers = case.setting.routers()
     if len(routers) < 2 or "*" in named:
         return
@@ -91,6 +115,7 @@
 
 
 def without_tenants(case: Case, named: set[str]) -> Iterator[Case]:
+    """Yield the case without the traffic of one tenant that the statement does not name."""
     tenants = case.setting.traffic().tenants
     present = [name for name, (_, share) in tenants.items() if share > 0 and name]
     if len(present) < 2 or "*" in named:
@@ -103,6 +128,7 @@
 
 
 def without_profiles(case: Case, named: set[str]) -> Iterator[Case]:
+    """Yield the case without the traffic of one profile that the statement does not name."""
     works_by_name = case.setting.layout.profiles
     works = {name: works_by_name.get(name, Work()) for name in case.setting.profiles}
     present = [name for name, work in works.items() if work.share > 0]
@@ -117,6 +143,7 @@
 
 
 def replace_layout(setting: Setting, **more: object) -> Setting:
+    """Return the settings with fields of the world file replaced."""
     layout = setting.layout
     fields = {name: getattr(layout, name) for name in layout.__struct_fields__} | more
     return replace(setting, layout=type(layout)(**fields))
@@ -125,7 +152,11 @@
 def failure_history(
     case: Case, evaluation: Evaluation, notes: Sequence[tuple[int, str, dict[str, object]]]
 ) -> list[str]:
-    """Line by line, for people: what was there, what was done, what the fleet made of it, what broke."""
+    """Describe a failing case line by line.
+
+    The lines tell the seed and the size of the fleet, what was taken out, what was done to the world, what
+    the fleet did, and the figure that broke the bound.
+    """
     lines = [
         f"seed {case.seed}, {len([n for names in case.setting.sites().values() for n in names])} app servers"
     ]
@@ -146,7 +177,7 @@
     return [*lines, moment + evaluation.reason]
 
 
-# ---- the setting most responsible ----------------------------------------------------------------------
+# ---- the setting that affects a failure ----------------------------------------------------------------
 
 
 RELEVANT_SETTINGS: dict[Measure, tuple[str, ...]] = {
@@ -182,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One value of one file, as it is and as it would be."""
+    """One changed value in one file: its path, the old and the new value."""
 
     file_kind: str
     path: ValuePath
@@ -190,12 +221,15 @@
     new: object
 
     def describe(self, sources: Sources) -> str:
+        """Return the path of the value and its old value."""
         return f"{sources.path_label(self.file_kind, self.path)} is {self.old}"
 
 
 def candidate_changes(statement: Statement, sources: Sources) -> list[Change]:
-    """Values that bear on what the statement measures, each with what it might have been, in the order of how
-    much they usually bear; what a second value might have been comes after the first of all.
+    """Return changes of settings that may affect what a statement measures.
+
+    The settings that usually affect the measure most come first. A second alternative of a value comes after
+    the first alternatives of all values.
     """
     found: dict[tuple[int, str, ValuePath, object], Change] = {}
     for atom in atoms(statement.claim):
@@ -215,7 +249,7 @@
 
 
 def alternative_values(value: object) -> list[object]:
-    """What a value might have been: twice it, half of it."""
+    """Return alternatives of a value: twice and half of a number, the negation of a switch."""
     if isinstance(value, bool):
         return [not value]
     if isinstance(value, int):
@@ -232,7 +266,18 @@
     run_changed: Callable[[Sequence[Sources]], list[Evaluation | None]],
     max_runs: int = MAX_CHANGE_RUNS,
 ) -> tuple[Change, Evaluation] | None:
-    """The change that takes the figure furthest back, and what came of it; None where no change helps."""
+    """Find the single change of a setting that improves a failing figure most.
+
+    Args:
+        statement: The statement that fails.
+        evaluation: Its evaluation with the settings unchanged.
+        sources: The settings.
+        run_changed: Runs changed settings and returns their evaluations; `None` for invalid settings.
+        max_runs: How many changes may be tried.
+
+    Returns:
+        The change and its evaluation; `None` if no change improves the figure.
+    """
     changes = candidate_changes(statement, sources)[:max_runs]
     evaluations = run_changed(
         [sources.with_value(change.file_kind, change.path, change.new) for change in changes]
--- a/birchslip/expect/situations.py
+++ b/birchslip/expect/situations.py
@@ -1,5 +1,8 @@
-"""When an expectation counts: the script that brings its situation about, and the spans in which it was
-there, by what has truly happened in a play. Free of I/O and of clocks.
+"""Scripts that bring about the condition of a statement, and the spans of a run in which it held.
+
+The spans follow from the events recorded during a run. Absent planners and an outage of the downstream
+service record no event, so that their spans follow from the script. The module performs no I/O and reads no
+clock.
 """
 
 from __future__ import annotations
@@ -11,30 +14,35 @@
 from ..lab.model.world import BEGIN, Setting, Step
 from .words import Condition, Event
 
-STEADY_FROM = BEGIN + 2 * SECOND  # the first tries of a day are none of any expectation's
-SITUATION_BEGIN = BEGIN + 3 * SECOND  # when the situation begins
-SITUATION_LENGTH = 4 * SECOND  # how long it is there, where nothing ends it by itself
-LOAD_RAMP = SECOND  # a load is there for a second before it counts
-COOL_DOWN = SECOND  # a play goes on past what is measured, so that what is open then can end
-SITE_RETURN_TIME = 6 * SECOND  # what a site needs to come back
+STEADY_FROM = BEGIN + 2 * SECOND  # the first attempts of a run count for no expectation
+SITUATION_BEGIN = BEGIN + 3 * SECOND  # when the script sets the condition
+SITUATION_LENGTH = 4 * SECOND  # for conditions that do not end by themselves
+LOAD_RAMP = SECOND  # a load is applied this long before it is measured
+COOL_DOWN = SECOND  # after the measured span, so that open requests can end
+SITE_RETURN_TIME = 6 * SECOND  # what a lost site needs to return
 RELEASE_TIME = 40 * SECOND
 Span = tuple[int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Script:
-    """`until` is how long it is played; `planners` whether there have to be any."""
+    """The steps of a scenario run and the virtual time `until` which it runs."""
 
     steps: tuple[Step, ...]
     until: int
 
     def describe(self) -> list[str]:
+        """Return one line for each step."""
         return [step.told() for step in self.steps]
 
 
 def build_script(condition: Condition, setting: Setting, shrink_step_s: float = 0.25) -> Script:
-    """What is done to the world so that the situation comes about. `each` is a step of a shrinking fleet, in
-    seconds.
+    """Return the script that brings about a condition.
+
+    Args:
+        condition: The condition to bring about.
+        setting: The settings, for the size of the fleet.
+        shrink_step_s: Seconds between two steps of a shrinking fleet.
     """
     steps: list[Step] = []
     at, length = SITUATION_BEGIN, SITUATION_LENGTH + condition.settled
@@ -66,7 +74,16 @@
 
 
 def matching_spans(condition: Condition, marks: Iterable[tuple[int, str, str]], until: int) -> list[Span]:
-    """Where all that is said of when was so. None: the situation never came about."""
+    """Return the spans of a run in which every part of a condition held.
+
+    Args:
+        condition: The condition.
+        marks: The recorded events as (time, event, subject name).
+        until: The end of the run.
+
+    Returns:
+        The spans in order; empty if the condition never came true.
+    """
     measured_until = until - COOL_DOWN
     mark_list = list(marks)
     found: list[Span] = [(STEADY_FROM, measured_until)]
@@ -114,7 +131,7 @@
 def spans_after_event(
     condition: Condition, marks: list[tuple[int, str, str]], measured_until: int
 ) -> list[Span]:
-    """Within so long of each time that it happened."""
+    """Return the spans of length `condition.within` after each occurrence of its event."""
     assert condition.event is not None
     mark = EVENT_MARKS[condition.event]
     return [
@@ -132,7 +149,10 @@
     until: int,
     settled: int,
 ) -> list[Span]:
-    """From each beginning to the next end."""
+    """Return the spans from each beginning mark to the next end mark.
+
+    Each span starts `settled` after its beginning mark; one without an end mark lasts to `until`.
+    """
     found: list[Span] = []
     begun_at: int | None = None
     for at, event, name in marks:
@@ -147,4 +167,5 @@
 
 
 def intersect(first: list[Span], second: list[Span]) -> list[Span]:
+    """Return the pairwise intersections of two lists of spans."""
     return [(max(a, c), min(b, d)) for a, b in first for c, d in second if max(a, c) < min(b, d)]
--- a/birchslip/expect/sources.py
+++ b/birchslip/expect/sources.py
@@ -1,5 +1,6 @@
-"""The settings that expectations are held against: a configuration, a fleet file, a world file. Read as the
-program reads them, and with single values changed, for whoever asks what a value is worth.
+"""The settings that expectations are checked against: configuration, fleet file and world file.
+
+They are read as the program reads them. Single values can be changed to find out what depends on them.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from ..lab.model.world import Setting
 from ..net.site import Site, site_of
 
-NAMING_KEYS = ("name", "from", "number")  # what an entry of a list is called by, where it has one
+NAMING_KEYS = ("name", "from", "number")  # keys that name an entry of a list, in order of preference
 FILE_KINDS = ("config", "fleet", "world")
 
 ValuePath = tuple[str | int, ...]
@@ -30,7 +31,16 @@
 
 @dataclass(frozen=True)
 class Sources:
-    """Decoded JSON; `InvalidInputError` at `setting` says what is wrong with it."""
+    """The decoded JSON of the three files.
+
+    Accessing `setting` validates all of them and raises `InvalidInputError` for the first error.
+
+    Attributes:
+        config: The configuration of an app server.
+        fleet: The fleet file, if there is one.
+        world: The world file, if there is one.
+        file_labels: How the three files are called in messages.
+    """
 
     config: dict[str, Any]
     fleet: dict[str, Any] | None = None
@@ -39,6 +49,11 @@
 
     @cached_property
     def site(self) -> Site:
+        """The parsed configuration.
+
+        Raises:
+            InvalidInputError: The configuration is invalid.
+        """
         try:
             return site_of(self.config, {})
         except InvalidInputError as error:
@@ -46,6 +61,11 @@
 
     @cached_property
     def parsed_fleet(self) -> Fleet | None:
+        """The parsed fleet file, or `None` if there is none.
+
+        Raises:
+            InvalidInputError: The fleet file is malformed or inconsistent.
+        """
         if self.fleet is None:
             return None
         fleet = convert_struct(self.fleet, Fleet, self.file_labels[1])
@@ -56,10 +76,20 @@
 
     @cached_property
     def layout(self) -> Layout:
+        """The parsed world file; its defaults if there is none.
+
+        Raises:
+            InvalidInputError: The world file is malformed.
+        """
         return convert_struct(self.world or {}, Layout, self.file_labels[2])
 
     @cached_property
     def setting(self) -> Setting:
+        """The settings of a scenario run.
+
+        Raises:
+            InvalidInputError: A file is invalid, or the world file refers to an unknown name.
+        """
         site = self.site
         result = Setting(
             site.deployment, site.profiles, site.tenants, self.layout, self.parsed_fleet, name=site.name
@@ -72,7 +102,7 @@
     # ---- single values ---------------------------------------------------------------------------------
 
     def values(self) -> Iterator[tuple[str, ValuePath, Any]]:
-        """Every value that is no list and no object, with its file and path, in order."""
+        """Yield every scalar value with its file and path, in the order of the files."""
         for file_kind in FILE_KINDS:
             contents = getattr(self, file_kind)
             if contents is not None:
@@ -80,13 +110,14 @@
                     yield file_kind, path, value
 
     def value(self, file_kind: str, path: ValuePath) -> Any:
+        """Return the value at a path of a file."""
         node = getattr(self, file_kind)
         for key in path:
             node = node[key]
         return node
 
     def with_value(self, file_kind: str, path: ValuePath, value: Any) -> Sources:
-        """The same but for one value; `None` takes the entry out."""
+        """Return a copy with one value replaced, or its entry removed if the value is `None`."""
         contents = copy.deepcopy(getattr(self, file_kind))
         node = contents
         for key in path[:-1]:
@@ -98,7 +129,7 @@
         return replace(self, **{file_kind: contents})
 
     def path_label(self, file_kind: str, path: ValuePath) -> str:
-        """A path for people: entries by their names, where they have any."""
+        """Return a path for messages, with list entries shown by their names if they have any."""
         node, result = getattr(self, file_kind), ""
         for key in path:
             if isinstance(key, str):
@@ -112,6 +143,7 @@
 
 
 def leaf_values(node: Any, path: ValuePath) -> Iterator[tuple[ValuePath, Any]]:
+    """Yield the scalar values below a node with their paths."""
     if isinstance(node, dict):
         for name, value in node.items():
             yield from leaf_values(value, (*path, name))
@@ -123,6 +155,11 @@
 
 
 def convert_struct(contents: dict[str, Any], kind: type[StructT], name: str) -> StructT:
+    """Convert decoded JSON to a struct.
+
+    Raises:
+        InvalidInputError: The contents do not match the struct; the message starts with `name`.
+    """
     try:
         return msgspec.convert(contents, kind)
     except msgspec.ValidationError as error:
@@ -130,19 +167,30 @@
 
 
 def read_json(path: str | Path) -> dict[str, Any]:
-    """Malformed or OSError says what is wrong, in one line."""
+    """Read a JSON file that holds an object.
+
+    Raises:
+        InvalidInputError: The file is not JSON or does not hold an object.
+        OSError: The file cannot be read.
+    """
     try:
         contents = json.loads(Path(path).read_bytes())
     except (ValueError, RecursionError) as error:
         raise InvalidInputError(f"{path} is not JSON: {error}") from None
     if not isinstance(contents, dict):
-        raise InvalidInputError(f"{path} holds no object")
+        raise InvalidInputError(f"{path} does not hold a JSON object")
     return contents
 
 
 def read_sources(
     config: str | Path, fleet: str | Path | None = None, world: str | Path | None = None
 ) -> Sources:
+    """Read and validate the settings.
+
+    Raises:
+        InvalidInputError: A file is invalid.
+        OSError: A file cannot be read.
+    """
     labels = [
         Path(path).name if path is not None else default
         for path, default in ((config, ""), (fleet, "fleet file"), (world, "world file"))
--- a/birchslip/expect/words.py
+++ b/birchslip/expect/words.py
@@ -1,6 +1,7 @@
-"""What an expectation says, once it has been read: subjects, measures, bounds, and when they hold.
+"""The model of a parsed expectation: subjects, measures, bounds and the conditions under which they apply.
 
-Figures are in one unit each: counts as they are, shares as parts of 1, times in tenths of a millisecond.
+Every figure has one unit: counts are plain numbers, shares are fractions of 1, times are tenths of a
+millisecond.
 """
 
 from __future__ import annotations
@@ -9,11 +10,13 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MAX_CLAIM_DEPTH = 64  # of claims within claims
+from ..admission.types import SECOND
+
+MAX_CLAIM_DEPTH = 64  # bounds the recursion over nested claims
 
 
 class SubjectKind(Enum):
-    """Kinds of subjects, as they are written."""
+    """Kinds of subjects, with the words that name them in a statement."""
 
     ROUTER = "router"
     TENANT = "tenant"
@@ -26,7 +29,7 @@
 
 
 class Unit(Enum):
-    """What a figure counts."""
+    """The unit of a figure, with its description for error messages."""
 
     COUNT = "a count"
     SHARE = "a share"
@@ -35,13 +38,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasureDefinition:
-    """`word` as it is written, what it counts, of whom it can be told, and what it means."""
+    """What a measure is called, its unit, and the subjects it applies to.
+
+    Attributes:
+        word: The measure as written in a statement.
+        unit: The unit of its figures.
+        subject_kinds: The kinds of subjects that have this measure.
+        description: What the measure means, printed by `birchslip expect explain`.
+        is_instantaneous: Whether the measure has a value at every moment. Its maximum or minimum is then
+            compared with the bound; other measures are one mean over the whole span.
+    """
 
     word: str
     unit: Unit
     subject_kinds: frozenset[SubjectKind]
     description: str
-    is_instantaneous: bool = False  # a figure of every moment: its most and its least count, not its mean
+    is_instantaneous: bool = False
 
 
 CALLER_KINDS = frozenset(
@@ -50,6 +62,8 @@
 
 
 class Measure(Enum):
+    """The measures that a statement can bound."""
+
     OUTSTANDING = MeasureDefinition(
         "outstanding",
         Unit.COUNT,
@@ -96,11 +110,14 @@
 
     @property
     def definition(self) -> MeasureDefinition:
+        """The definition of this measure."""
         definition: MeasureDefinition = self.value
         return definition
 
 
 class Comparison(Enum):
+    """Comparison operators, with the signs that denote them in a statement."""
+
     AT_MOST = "<="
     UNDER = "<"
     AT_LEAST = ">="
@@ -109,19 +126,26 @@
 
     @property
     def is_upper_bound(self) -> bool:
-        """Whether the most counts."""
+        """Whether the value is bounded from above, so that its maximum decides."""
         return self in (Comparison.AT_MOST, Comparison.UNDER)
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """One, or each of a kind: then `name` is empty. The fleet has no name."""
+    """One subject, or all subjects of a kind.
+
+    Attributes:
+        kind: The kind of subject.
+        name: Its name; empty for the fleet and where `each` is set.
+        each: Whether all subjects of the kind are meant.
+    """
 
     kind: SubjectKind
     name: str = ""
     each: bool = False
 
     def describe(self) -> str:
+        """Return the subject as it is written in a statement."""
         if self.kind is SubjectKind.FLEET:
             return "the fleet"
         return f"each {self.kind.value}" if self.each else f"{self.kind.value} {self.name}"
@@ -129,42 +153,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
+    """A claim that a measure of a subject is within a bound."""
+
     subject: Subject
     measure: Measure
     compare: Comparison
     value: float
 
     def describe(self) -> str:
+        """Return the claim as it is written in a statement."""
         word, value = self.measure.definition.word, format_figure(self.measure, self.value)
         return f"{self.subject.describe()} {word} {self.compare.value} {value}"
 
 
 @dataclass(frozen=True, slots=True)
 class RefusalOrder:
-    """`first` is refused before `then`: in a larger share, and `then` not at all where `first` is not."""
+    """A claim that requests of `first` are refused before those of `then`.
+
+    The claim holds if the refused share of `then` is at most that of `first`.
+    """
 
     first: Subject
     then: Subject
 
     def describe(self) -> str:
+        """Return the claim as it is written in a statement."""
         return f"{self.first.describe()} refused before {self.then.describe()}"
 
 
 @dataclass(frozen=True, slots=True)
 class Not:
+    """The negation of a claim; `depth` is its nesting depth."""
+
     claim: Claim
     depth: int = 1
 
     def describe(self) -> str:
+        """Return the claim as it is written in a statement."""
         return f"not ({self.claim.describe()})"
 
 
 @dataclass(frozen=True, slots=True)
 class AllOf:
+    """A conjunction of claims; `depth` is its nesting depth."""
+
     claims: tuple[Claim, ...]
     depth: int = 1
 
     def describe(self) -> str:
+        """Return the claim as it is written in a statement, with alternatives in parentheses."""
         return " and ".join(
             f"({inner.describe()})" if isinstance(inner, AnyOf) else inner.describe() for inner in self.claims
         )
@@ -172,10 +209,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AnyOf:
+    """A disjunction of claims; `depth` is its nesting depth."""
+
     claims: tuple[Claim, ...]
     depth: int = 1
 
     def describe(self) -> str:
+        """Return the claim as it is written in a statement."""
         return " or ".join(inner.describe() for inner in self.claims)
 
 
@@ -183,11 +223,12 @@
 
 
 def claim_depth(claim: Claim) -> int:
+    """Return the nesting depth of a claim; 0 for a bound or an order."""
     return claim.depth if isinstance(claim, Not | AllOf | AnyOf) else 0
 
 
 def atoms(claim: Claim) -> Iterator[Bound | RefusalOrder]:
-    """All bounds and orders within, wherever they stand."""
+    """Yield every bound and order within a claim, at any depth."""
     if isinstance(claim, Not):
         yield from atoms(claim.claim)
     elif isinstance(claim, AllOf | AnyOf):
@@ -198,19 +239,19 @@
 
 
 def subjects_of(atom: Bound | RefusalOrder) -> tuple[Subject, ...]:
-    """Of whom it is told."""
+    """Return the subjects that a bound or an order refers to."""
     return (atom.subject,) if isinstance(atom, Bound) else (atom.first, atom.then)
 
 
 def conjuncts(claim: Claim) -> list[Claim]:
-    """What must hold by itself: the parts of an `and` at the top."""
+    """Return the claims that must each hold: the members of a top-level conjunction, or the claim itself."""
     if isinstance(claim, AllOf):
         return [part for inner in claim.claims for part in conjuncts(inner)]
     return [claim]
 
 
 class Event(Enum):
-    """A moment that `within` counts from."""
+    """An event that `within` counts from, with the words that name it in a statement."""
 
     SITE_LOST = "site {} is lost"
     SITE_RETURNS = "site {} returning"
@@ -222,14 +263,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """All that is said of when: each part stands at its default where nothing is said of it.
-
-    `settled` is how long the situation must have lasted; `within` counts from `event` of `whom`.
+    """When a statement applies. A field keeps its default if the statement does not mention it.
+
+    Attributes:
+        load: Offered load as a multiple of the capacity.
+        lost: The site that is lost.
+        shrink: The share of the fleet that remains while it shrinks.
+        release: Whether a release runs.
+        surge: The tenant whose traffic surges.
+        surge_factor: The multiple of its usual traffic that the surging tenant sends.
+        planners_gone: Whether all planners are gone.
+        below_down: Whether the downstream service is down.
+        settled: How long the situation must have lasted before the statement applies.
+        within: How long after `event` the statement applies.
+        event: The event that `within` counts from.
+        event_subject: The site or tenant of `event`; empty for events of the fleet.
+        always: Whether the statement applies to every scenario run, in any situation.
     """
 
     load: float | None = None
     lost: str = ""
-    shrink: float | None = None  # what is left of the fleet
+    shrink: float | None = None
     release: bool = False
     surge: str = ""
     surge_factor: float = 0.0
@@ -242,9 +296,9 @@
     always: bool = False
 
     def describe(self) -> str:
-        """As it would be written."""
+        """Return the condition as it is written in a statement; `as usual` if it is empty."""
         phrases = []
-        duration = f" for {self.settled / 10_000:g} s" if self.settled else ""
+        duration = f" for {self.settled / SECOND:g} s" if self.settled else ""
         if self.lost and self.event is not Event.SITE_RETURNS:
             phrases.append(f"while site {self.lost} is lost")
         if self.shrink is not None and self.event is not Event.SHRUNK:
@@ -263,7 +317,7 @@
             phrases.append(f"at {self.load:g} of capacity")
         if self.event is not None:
             phrases.append(
-                f"within {self.within / 10_000:g} s of {self.event.value.format(self.event_subject)}"
+                f"within {self.within / SECOND:g} s of {self.event.value.format(self.event_subject)}"
             )
         if self.always:
             phrases.append("always")
@@ -272,30 +326,42 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceLocation:
-    """Where something stands: a file, a line and a column, both from 1."""
+    """A position in an expectation file; line and column count from 1."""
 
     file: str
     line: int
     column: int
 
     def describe(self) -> str:
+        """Return the position as `file:line:column`."""
         return f"{self.file}:{self.line}:{self.column}"
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
+    """One parsed expectation.
+
+    Attributes:
+        name: The label in the file, or `file:line` if there is none.
+        claim: What must hold.
+        condition: When it must hold.
+        location: Where the statement begins.
+        has_explicit_name: Whether the file gives the label; ignored in comparisons.
+    """
+
     name: str
     claim: Claim
     condition: Condition
     location: SourceLocation
-    has_explicit_name: bool = field(default=False, compare=False)  # whether somebody gave it its name
+    has_explicit_name: bool = field(default=False, compare=False)
 
     def describe(self) -> str:
+        """Return the statement in the expectation language, without its label."""
         return f"{self.claim.describe()} {self.condition.describe()}"
 
 
 def format_figure(measure: Measure, value: float) -> str:
-    """A figure of a measure, for people."""
+    """Format a value of a measure with its unit, for reports."""
     match measure.definition.unit:
         case Unit.SHARE:
             return f"{value * 100:.4g}%"
