--- a/birchslip/expect/check.py
+++ b/birchslip/expect/check.py
@@ -47,7 +47,7 @@
 
     def count(self, outcome: Outcome) -> int:
         """Return the number of statements with an outcome."""
-        return sum(1 for one in self.verdicts.values() if one.outcome is outcome)
+        return sum(1 for verdict in self.verdicts.values() if verdict.outcome is outcome)
 
     @property
     def exit_code(self) -> int:
@@ -64,10 +64,10 @@
         InvalidInputError: A folder holds no such file.
     """
     found: list[Path] = []
-    for one in map(Path, paths):
-        files = sorted(one.rglob(f"*{SUFFIX}")) if one.is_dir() else [one]
+    for path in map(Path, paths):
+        files = sorted(path.rglob(f"*{SUFFIX}")) if path.is_dir() else [path]
         if not files:
-            raise InvalidInputError(f"{one}: no file ends in {SUFFIX}")
+            raise InvalidInputError(f"{path}: no file ends in {SUFFIX}")
         found += files
     return list(dict.fromkeys(found))
 
@@ -155,48 +155,56 @@
         reasoned = reason_about(
             self.statements, setting, (self.sources.file_labels[0], self.sources.file_labels[1])
         )
-        found: dict[Statement, Verdict] = {}
+        verdicts: dict[Statement, Verdict] = {}
         self.report.contradictions = reasoned.contradictions
         self.report.conflicts = find_conflicts(self.sources)
         contradicting = {
-            one: contradiction
+            statement: contradiction
             for contradiction in reasoned.contradictions
-            for one in contradiction.statements
+            for statement in contradiction.statements
         }
         for statement in self.statements:
             if statement in contradicting:
                 contradiction = contradicting[statement]
-                others = [one.name for one in contradiction.statements if one is not statement]
+                others = [other.name for other in contradiction.statements if other is not statement]
                 rest = ", ".join([*others, *contradiction.settings])
-                found[statement] = Verdict(Outcome.FAILS, "reasoning", f"{contradiction.reason}: with {rest}")
+                verdicts[statement] = Verdict(
+                    Outcome.FAILS, "reasoning", f"{contradiction.reason}: with {rest}"
+                )
             elif statement in reasoned.fails:
-                found[statement] = Verdict(Outcome.FAILS, "reasoning", reasoned.fails[statement])
+                verdicts[statement] = Verdict(Outcome.FAILS, "reasoning", reasoned.fails[statement])
             elif statement in reasoned.holds:
-                found[statement] = Verdict(Outcome.HOLDS, "reasoning", reasoned.holds[statement])
+                verdicts[statement] = Verdict(Outcome.HOLDS, "reasoning", reasoned.holds[statement])
         try:
-            self.run_groups([one for one in self.statements if one not in found], found)
+            self.run_groups(
+                [statement for statement in self.statements if statement not in verdicts], verdicts
+            )
         finally:
             self.runner.close()
         self.report.run_count = self.runner.run_count
-        self.report.verdicts = {statement: found[statement] for statement in self.statements}
+        self.report.verdicts = {statement: verdicts[statement] for statement in self.statements}
         return self.report
 
-    def run_groups(self, statements: Sequence[Statement], found: dict[Statement, Verdict]) -> None:
-        """Run the scenarios of the statements and add their verdicts to `found`.
+    def run_groups(self, statements: Sequence[Statement], verdicts: dict[Statement, Verdict]) -> None:
+        """Run the scenarios of the statements and add their verdicts to `verdicts`.
 
         All statements with the same condition share their runs. Statements with `always` apply to every run.
         """
         groups: dict[Condition, list[Statement]] = {}
-        always_statements = [one for one in statements if one.condition.always]
+        always_statements = [statement for statement in statements if statement.condition.always]
         for statement in statements:
             if not statement.condition.always:
                 groups.setdefault(statement.condition, []).append(statement)
         if always_statements:
             groups.setdefault(Condition(), [])
-        always_claims = tuple(one.claim for one in always_statements)
+        always_claims = tuple(statement.claim for statement in always_statements)
         scenario_runs = [
             self.scenario_run(
-                self.sources.setting, condition, seed, tuple(one.claim for one in group), always_claims
+                self.sources.setting,
+                condition,
+                seed,
+                tuple(statement.claim for statement in group),
+                always_claims,
             )
             for condition, group in groups.items()
             for seed in self.seeds
@@ -205,31 +213,34 @@
         for index, statement in enumerate(always_statements):
             self.judge_always(
                 statement,
-                found,
+                verdicts,
                 [
-                    (scenario_run, one.always_evaluations[index])
-                    for scenario_run, one in zip(scenario_runs, outcomes, strict=True)
+                    (scenario_run, outcome.always_evaluations[index])
+                    for scenario_run, outcome in zip(scenario_runs, outcomes, strict=True)
                 ],
             )
         for group_index, group in enumerate(groups.values()):
             seed_outcomes = outcomes[group_index * len(self.seeds) : (group_index + 1) * len(self.seeds)]
-            unmet_reason = next((one.unmet_reason for one in seed_outcomes if one.unmet_reason), "")
+            unmet_reason = next(
+                (outcome.unmet_reason for outcome in seed_outcomes if outcome.unmet_reason), ""
+            )
             for index, statement in enumerate(group):
                 if unmet_reason:
                     reason = f"its condition never came true: {unmet_reason}"
-                    found[statement] = Verdict(Outcome.UNDECIDED, "play", reason)
+                    verdicts[statement] = Verdict(Outcome.UNDECIDED, "play", reason)
                     continue
                 evaluations = {
-                    seed: one.evaluations[index] for seed, one in zip(self.seeds, seed_outcomes, strict=True)
+                    seed: outcome.evaluations[index]
+                    for seed, outcome in zip(self.seeds, seed_outcomes, strict=True)
                 }
-                found[statement] = verdict = combine_seeds(list(evaluations.items()))
+                verdicts[statement] = verdict = combine_seeds(list(evaluations.items()))
                 if verdict.outcome is Outcome.FAILS and verdict.seed is not None:
                     self.investigate(statement, verdict, evaluations[verdict.seed], statement.condition)
 
     def judge_always(
         self,
         statement: Statement,
-        found: dict[Statement, Verdict],
+        verdicts: dict[Statement, Verdict],
         outcomes: list[tuple[ScenarioRun, Evaluation]],
     ) -> None:
         """Add the verdict on a statement with `always`.
@@ -246,7 +257,7 @@
                 or (evaluation.held is not None and evaluation.excess > previous[1].excess)
             ):
                 worst[scenario_run.seed] = (scenario_run, evaluation)
-        found[statement] = verdict = combine_seeds(
+        verdicts[statement] = verdict = combine_seeds(
             [(seed, evaluation) for seed, (_, evaluation) in worst.items()]
         )
         if verdict.outcome is Outcome.FAILS and verdict.seed is not None:
--- a/birchslip/expect/judge.py
+++ b/birchslip/expect/judge.py
@@ -86,17 +86,17 @@
                 excess=-evaluation.excess,
             )
         case AllOf(claims):
-            return worst_of([evaluate(one, measure, expand) for one in claims])
+            return worst_of([evaluate(inner, measure, expand) for inner in claims])
         case AnyOf(claims):
-            evaluations = [evaluate(one, measure, expand) for one in claims]
-            held = next((one for one in evaluations if one.held), None)
+            evaluations = [evaluate(inner, measure, expand) for inner in claims]
+            held = next((evaluation for evaluation in evaluations if evaluation.held), None)
             if held is not None:
                 return held
-            if any(one.held is None for one in evaluations):
-                return next(one for one in evaluations if one.held is None)
+            if any(evaluation.held is None for evaluation in evaluations):
+                return next(evaluation for evaluation in evaluations if evaluation.held is None)
             return replace(
-                min(evaluations, key=lambda one: one.excess),
-                reason=" and ".join(one.reason for one in evaluations),
+                min(evaluations, key=lambda evaluation: evaluation.excess),
+                reason=" and ".join(evaluation.reason for evaluation in evaluations),
             )
 
 
@@ -105,13 +105,13 @@
 
     This is the failure with the largest excess, else the first undecided one, else the largest excess.
     """
-    failed = [one for one in evaluations if one.held is False]
+    failed = [evaluation for evaluation in evaluations if evaluation.held is False]
     if failed:
-        return max(failed, key=lambda one: one.excess)
-    undecided = next((one for one in evaluations if one.held is None), None)
+        return max(failed, key=lambda evaluation: evaluation.excess)
+    undecided = next((evaluation for evaluation in evaluations if evaluation.held is None), None)
     if undecided is not None:
         return undecided
-    return max(evaluations, key=lambda one: one.excess)
+    return max(evaluations, key=lambda evaluation: evaluation.excess)
 
 
 def evaluate_bound(bound: Bound, measure: MeasureFunction) -> Evaluation:
@@ -155,7 +155,7 @@
 
 def evaluate_order(first: Subject, then: Subject, measure: MeasureFunction) -> Evaluation:
     """Evaluate an order of refusals; undecided if neither subject was refused anything."""
-    a, b = (measure(one, Measure.REFUSED, Comparison.AT_MOST) for one in (first, then))
+    a, b = (measure(subject, Measure.REFUSED, Comparison.AT_MOST) for subject in (first, then))
     if a is None or b is None:
         unmeasured = first if a is None else then
         return Evaluation(None, f"{unmeasured.describe()}: there was nothing to measure of refused")
@@ -192,16 +192,16 @@
 
 def combine_seeds(evaluations: Sequence[tuple[int, Evaluation]]) -> Verdict:
     """Combine the evaluations of a claim over all seeds, as (seed, evaluation)."""
-    if all(one.held for _, one in evaluations):
+    if all(evaluation.held for _, evaluation in evaluations):
         seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
         return Verdict(Outcome.HOLDS, "play", worst.reason, worst.value, worst.bound, seed)
-    if all(one.held is False for _, one in evaluations):
+    if all(evaluation.held is False for _, evaluation in evaluations):
         seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
         return Verdict(Outcome.FAILS, "play", worst.reason, worst.value, worst.bound, seed)
-    empty = next((one for _, one in evaluations if one.held is None), None)
+    empty = next((evaluation for _, evaluation in evaluations if evaluation.held is None), None)
     if empty is not None:
         return Verdict(Outcome.UNDECIDED, "play", empty.reason)
-    held = sum(1 for _, one in evaluations if one.held)
+    held = sum(1 for _, evaluation in evaluations if evaluation.held)
     seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
     reason = (
         f"it held with {held} of {len(evaluations)} seeds, the bound lies within the noise;"
--- a/birchslip/expect/measures.py
+++ b/birchslip/expect/measures.py
@@ -13,7 +13,7 @@
 
 Span = tuple[int, int]
 UTILIZATION_WINDOW = SECOND
-MAX_OUT_SHARE = 0.5  # an app server that is out for longer does not count in a window
+MAX_OUT_SHARE = 0.5  # out for this share of a window, an app server does not count in it
 MIN_REQUESTS = 20  # fewer give no meaningful share
 
 
@@ -103,7 +103,7 @@
         case SubjectKind.GROUP:
             fleet = world.setting.fleet
             assert fleet is not None
-            group = next(one for one in fleet.budget_groups() if one.name == subject.name)
+            group = next(group for group in fleet.budget_groups() if group.name == subject.name)
             return [name for name in world.by_name if name in group.members]
         case SubjectKind.SERVICE:
             fleet = world.setting.fleet
--- a/birchslip/expect/mutate.py
+++ b/birchslip/expect/mutate.py
@@ -165,7 +165,9 @@
     try:
         _ = mutated.setting
         check = Check(mutated, statements, seed, seeds, search=False, capacity=capacity)
-        error = next((name_error for one in statements if (name_error := check.names.find_error(one))), "")
+        error = next(
+            (name_error for statement in statements if (name_error := check.names.find_error(statement))), ""
+        )
     except InvalidInputError as invalid:
         return MutationResult(change, path_label, Detection.REFUSED, str(invalid).splitlines()[0])
     if error:
--- a/birchslip/expect/parse.py
+++ b/birchslip/expect/parse.py
@@ -350,27 +350,27 @@
         quantity: tuple[float, str, Token] | None = children[-1]
         if quantity is None:
             return {"shrink": DEFAULT_SHRINK, "token": Token("SHRINKING", "shrinking")}
-        value, unit, at = quantity
+        value, unit, number = quantity
         remaining = value * SHARE_UNITS.get(unit, 1.0)
         if unit in TIME_UNITS or not 0 < remaining < 1:
-            raise TokenError(at, "what is left of the fleet is a share between 0 and 1")
-        return {"shrink": remaining, "token": at}
+            raise TokenError(number, "what is left of the fleet is a share between 0 and 1")
+        return {"shrink": remaining, "token": number}
 
     def releasing(self, _: list[Any]) -> dict[str, Any]:
         """Return the field of a running release."""
         return {"release": True, "token": Token("RELEASE", "release")}
 
     @v_args(inline=True)
-    def surging(self, name: Token, times: Token | None) -> dict[str, Any]:
+    def surging(self, name: Token, number: Token | None) -> dict[str, Any]:
         """Return the fields of a tenant whose traffic surges.
 
         Raises:
             TokenError: The factor is out of range.
         """
-        factor = float(times) if times is not None else DEFAULT_SURGE_FACTOR
+        factor = float(number) if number is not None else DEFAULT_SURGE_FACTOR
         if not 1 < factor <= MAX_SURGE_FACTOR:
             raise TokenError(
-                times if times is not None else name,
+                number if number is not None else name,
                 f"a surge is by more than 1 and at most {MAX_SURGE_FACTOR}",
             )
         return {"surge": unquote(name), "surge_factor": factor, "token": name}
--- a/birchslip/expect/plays.py
+++ b/birchslip/expect/plays.py
@@ -70,15 +70,15 @@
     unmet_reason: str = ""
 
 
-def run_scenario(task: ScenarioRun) -> RunOutcome:
+def run_scenario(scenario_run: ScenarioRun) -> RunOutcome:
     """Run one scenario in virtual time and evaluate its claims."""
-    world = World(task.setting, task.seed, task.capacity)
-    world.run(task.script.steps, task.script.until)
-    matched_spans = matching_spans(task.condition, world.marks, task.script.until)
+    world = World(scenario_run.setting, scenario_run.seed, scenario_run.capacity)
+    world.run(scenario_run.script.steps, scenario_run.script.until)
+    matched_spans = matching_spans(scenario_run.condition, world.marks, scenario_run.script.until)
     notes = tuple(
         (at, EVENT_LABELS[event], fields) for at, event, fields in world.notes if event in EVENT_LABELS
     )
-    known_names = KnownNames(task.setting)
+    known_names = KnownNames(scenario_run.setting)
 
     def evaluate_all(claims: Sequence[Claim], within: list[tuple[int, int]]) -> tuple[Evaluation, ...]:
         def measure(subject: Subject, quantity: Measure, compare: Comparison) -> Observation | None:
@@ -87,15 +87,16 @@
         return tuple(evaluate(claim, measure, known_names.expand) for claim in claims)
 
     always_evaluations = evaluate_all(
-        task.always_claims, matching_spans(Condition(always=True), world.marks, task.script.until)
+        scenario_run.always_claims,
+        matching_spans(Condition(always=True), world.marks, scenario_run.script.until),
     )
     if not matched_spans:
         refusal = next((str(fields["why"]) for _, event, fields in notes if event == "no release"), "")
         reason = refusal or "nothing in these settings brings it about"
         return RunOutcome(
-            tuple(Evaluation(None, reason) for _ in task.claims), always_evaluations, notes, reason
+            tuple(Evaluation(None, reason) for _ in scenario_run.claims), always_evaluations, notes, reason
         )
-    return RunOutcome(evaluate_all(task.claims, matched_spans), always_evaluations, notes)
+    return RunOutcome(evaluate_all(scenario_run.claims, matched_spans), always_evaluations, notes)
 
 
 class ScenarioRunner:
@@ -116,16 +117,16 @@
         self.run_count = 0
         self.executor: ProcessPoolExecutor | None = None
 
-    def run_all(self, tasks: Sequence[ScenarioRun]) -> list[RunOutcome]:
+    def run_all(self, scenario_runs: Sequence[ScenarioRun]) -> list[RunOutcome]:
         """Run the scenarios and return their outcomes in the same order."""
-        self.run_count += len(tasks)
-        if self.jobs < 2 or len(tasks) < 2:
-            return [run_scenario(task) for task in tasks]
+        self.run_count += len(scenario_runs)
+        if self.jobs < 2 or len(scenario_runs) < 2:
+            return [run_scenario(scenario_run) for scenario_run in scenario_runs]
         if self.executor is None:
             # Forking keeps the files that were already read and uses no socket.
             context = multiprocessing.get_context("fork")
             self.executor = ProcessPoolExecutor(self.jobs, mp_context=context)
-        return list(self.executor.map(run_scenario, tasks))
+        return list(self.executor.map(run_scenario, scenario_runs))
 
     def close(self) -> None:
         """Stop the pool of processes, if it was started."""
--- a/birchslip/expect/reason.py
+++ b/birchslip/expect/reason.py
@@ -57,7 +57,10 @@
 
     def describe(self) -> str:
         """Return the statements with their locations, and the settings, in one line."""
-        names = [f"{one.name} ({one.location.describe()}: {one.describe()})" for one in self.statements]
+        names = [
+            f"{statement.name} ({statement.location.describe()}: {statement.describe()})"
+            for statement in self.statements
+        ]
         return "; ".join([*names, *self.settings])
 
 
@@ -108,7 +111,7 @@
         if verdict is not None:
             holds, reason = verdict
             (result.holds if holds else result.fails)[statement] = reason
-    remaining = [one for one in statements if one not in result.fails]
+    remaining = [statement for statement in statements if statement not in result.fails]
     result.contradictions = list(find_contradictions(remaining, known_facts, setting, names))
     return result
 
@@ -133,11 +136,11 @@
         verdicts = [
             self.decide_claim(claim, statement.condition, names) for claim in conjuncts(statement.claim)
         ]
-        failure = next((one for one in verdicts if one is not None and not one[0]), None)
+        failure = next((verdict for verdict in verdicts if verdict is not None and not verdict[0]), None)
         if failure is not None:
             return failure
         if all(verdicts):
-            return True, "; ".join(dict.fromkeys(one[1] for one in verdicts if one is not None))
+            return True, "; ".join(dict.fromkeys(verdict[1] for verdict in verdicts if verdict is not None))
         return None
 
     def decide_claim(self, claim: Claim, condition: Condition, names: KnownNames) -> tuple[bool, str] | None:
@@ -210,14 +213,14 @@
         if count > MAX_CONTRADICTIONS:
             return
         yield contradiction
-        remaining = [one for one in remaining if one not in contradiction.statements]
+        remaining = [statement for statement in remaining if statement not in contradiction.statements]
     while count < MAX_CONTRADICTIONS:
         found = solver_contradiction(remaining, known_facts, setting, names)
         if found is None:
             return
         count += 1
         yield found
-        remaining = [one for one in remaining if one not in found.statements]
+        remaining = [statement for statement in remaining if statement not in found.statements]
 
 
 def bounded_figures(bound: Bound, condition: Condition) -> Iterator[tuple[FigureKey, float, bool, bool]]:
@@ -315,19 +318,21 @@
             case Bound():
                 return z3.And(
                     [
-                        self.bound_term(replace(claim, subject=one), condition)
-                        for one in self.names.expand(claim.subject)
+                        self.bound_term(replace(claim, subject=subject), condition)
+                        for subject in self.names.expand(claim.subject)
                     ]
                 )
             case RefusalOrder(first, then):
-                low, high = (self.figure(one, Measure.REFUSED, condition, True) for one in (then, first))
+                low, high = (
+                    self.figure(subject, Measure.REFUSED, condition, True) for subject in (then, first)
+                )
                 return low <= high
             case Not(inner):
                 return z3.Not(self.claim_term(inner, condition))
             case AllOf(claims):
-                return z3.And([self.claim_term(one, condition) for one in claims])
+                return z3.And([self.claim_term(inner, condition) for inner in claims])
             case AnyOf(claims):
-                return z3.Or([self.claim_term(one, condition) for one in claims])
+                return z3.Or([self.claim_term(inner, condition) for inner in claims])
 
     def bound_term(self, bound: Bound, condition: Condition) -> Any:
         """Return the formula of a bound on one subject."""
@@ -345,33 +350,38 @@
         """Add the constraints between the figures that have variables."""
         mentioned = {(measure, condition) for _, measure, condition, _ in self.variables}
         for measure, condition in sorted(mentioned, key=str):
-            for whole, members in wholes_and_parts(self.setting, measure):
+            for whole, parts in wholes_and_parts(self.setting, measure):
                 mentioned_subjects = [
-                    one for one in (whole, *members) if (one, measure, condition, True) in self.variables
+                    subject
+                    for subject in (whole, *parts)
+                    if (subject, measure, condition, True) in self.variables
                 ]
                 if len(mentioned_subjects) < 2:
                     continue
-                self.add_part_constraints(whole, members, measure, condition)
+                self.add_part_constraints(whole, parts, measure, condition)
         self.add_condition_constraints()
         self.add_share_constraints()
 
     def add_part_constraints(
-        self, whole: Subject, members: list[Subject], measure: Measure, condition: Condition
+        self, whole: Subject, parts: list[Subject], measure: Measure, condition: Condition
     ) -> None:
         """Add the constraints between the figures of a whole and of its parts."""
         most = self.figure(whole, measure, condition, True)
         least = self.figure(whole, measure, condition, False)
-        part_maxima = [self.figure(one, measure, condition, True) for one in members]
-        part_minima = [self.figure(one, measure, condition, False) for one in members]
+        part_maxima = [self.figure(part, measure, condition, True) for part in parts]
+        part_minima = [self.figure(part, measure, condition, False) for part in parts]
         add = self.solver.add
         if measure in (Measure.OUTSTANDING, Measure.CALLS, Measure.OUT):
             add(most <= z3.Sum(part_maxima), least >= z3.Sum(part_minima))
-            add(*[one <= most for one in part_maxima])
+            add(*[maximum <= most for maximum in part_maxima])
         elif measure is Measure.ADVISED:
-            add(*[one <= most for one in part_maxima])
+            add(*[maximum <= most for maximum in part_maxima])
         else:
             # The share of the whole lies between the shares of its parts.
-            add(z3.Or([most <= one for one in part_maxima]), z3.Or([least >= one for one in part_minima]))
+            add(
+                z3.Or([most <= maximum for maximum in part_maxima]),
+                z3.Or([least >= minimum for minimum in part_minima]),
+            )
 
     def add_condition_constraints(self) -> None:
         """Add the constraints between figures whose conditions cover each other."""
@@ -419,11 +429,11 @@
             return None
         kept = list(self.solver.unsat_core())
         for name in sorted(kept, key=str):
-            remaining = [one for one in kept if not one.eq(name)]
+            remaining = [other for other in kept if not other.eq(name)]
             if self.solver.check(*remaining) == z3.unsat:
-                core = {str(one) for one in self.solver.unsat_core()}
-                kept = [one for one in remaining if str(one) in core]
-        return [self.origins[str(one)] for one in kept]
+                core = {str(member) for member in self.solver.unsat_core()}
+                kept = [member for member in remaining if str(member) in core]
+        return [self.origins[str(name)] for name in kept]
 
 
 def solver_contradiction(
@@ -438,8 +448,8 @@
         )
     mentioned = {(subject, measure) for subject, measure, _, _ in solver.variables}
     for measure in {measure for _, measure in mentioned}:
-        for whole, members in wholes_and_parts(setting, measure):
-            if any((one, measure) in mentioned for one in members):
+        for whole, parts in wholes_and_parts(setting, measure):
+            if any((part, measure) in mentioned for part in parts):
                 mentioned.add((whole, measure))
     conditions = {condition for _, _, condition, _ in solver.variables}
     for fact in known_facts:
@@ -455,8 +465,8 @@
     core = solver.minimal_core(assertions)
     if core is None:
         return None
-    contradicting = tuple(dict.fromkeys(one for one in core if isinstance(one, Statement)))
-    setting_paths = tuple(dict.fromkeys(one for one in core if isinstance(one, str)))
+    contradicting = tuple(dict.fromkeys(origin for origin in core if isinstance(origin, Statement)))
+    setting_paths = tuple(dict.fromkeys(origin for origin in core if isinstance(origin, str)))
     return Contradiction(contradicting, setting_paths, "these can't all hold")
 
 
@@ -493,10 +503,10 @@
             yield Subject(SubjectKind.SITE, site), [Subject(SubjectKind.SERVER, name) for name in names]
     if SubjectKind.ROUTER in kinds:
         routers = setting.routers()
-        yield THE_FLEET, [Subject(SubjectKind.ROUTER, str(one.number)) for one in routers]
+        yield THE_FLEET, [Subject(SubjectKind.ROUTER, str(router.number)) for router in routers]
         for site in sites if measure is not Measure.OUTSTANDING else ():
             site_routers = [
-                Subject(SubjectKind.ROUTER, str(one.number)) for one in routers if one.site == site
+                Subject(SubjectKind.ROUTER, str(router.number)) for router in routers if router.site == site
             ]
             if site_routers:
                 yield Subject(SubjectKind.SITE, site), site_routers
@@ -511,5 +521,5 @@
                 for site, names in sites.items()
                 if group.members.issuperset(names)
             ]
-            if inside and sum(len(sites[one.name]) for one in inside) == len(group.members):
+            if inside and sum(len(sites[site.name]) for site in inside) == len(group.members):
                 yield Subject(SubjectKind.GROUP, group.name), inside
--- a/birchslip/expect/report.py
+++ b/birchslip/expect/report.py
@@ -27,8 +27,8 @@
         yield from (f"    {path}" for path in conflict.setting_paths)
     for contradiction in report.contradictions:
         yield f"can't hold together: {contradiction.reason}"
-        for one in contradiction.statements:
-            yield f"    {one.location.describe()}: {one.name}: {one.describe()}"
+        for statement in contradiction.statements:
+            yield f"    {statement.location.describe()}: {statement.name}: {statement.describe()}"
         for path in contradiction.settings:
             yield f"    {path}"
     for name in report.empty:
@@ -62,13 +62,16 @@
         ],
         "clashes": [
             {
-                "statements": [one.name for one in contradiction.statements],
+                "statements": [statement.name for statement in contradiction.statements],
                 "settings": list(contradiction.settings),
                 "why": contradiction.reason,
             }
             for contradiction in report.contradictions
         ],
-        "conflicts": [{"settings": list(one.setting_paths), "why": one.reason} for one in report.conflicts],
+        "conflicts": [
+            {"settings": list(conflict.setting_paths), "why": conflict.reason}
+            for conflict in report.conflicts
+        ],
         "empty": report.empty,
     }
 
--- a/birchslip/expect/search.py
+++ b/birchslip/expect/search.py
@@ -109,9 +109,9 @@
         return
     for excluded in reversed(routers):
         if str(excluded.number) not in named:
-            rest = [one for one in routers if one is not excluded]
-            layout = replace_layout(case.setting, routers=rest)
-            yield replace(case, setting=layout, removed=(*case.removed, f"router {excluded.number}"))
+            rest = [router for router in routers if router is not excluded]
+            setting = replace_layout(case.setting, routers=rest)
+            yield replace(case, setting=setting, removed=(*case.removed, f"router {excluded.number}"))
 
 
 def without_tenants(case: Case, named: set[str]) -> Iterator[Case]:
@@ -142,10 +142,10 @@
             yield replace(case, setting=setting, removed=(*case.removed, f"profile {excluded}"))
 
 
-def replace_layout(setting: Setting, **more: object) -> Setting:
+def replace_layout(setting: Setting, **changed_fields: object) -> Setting:
     """Return the settings with fields of the world file replaced."""
     layout = setting.layout
-    fields = {name: getattr(layout, name) for name in layout.__struct_fields__} | more
+    fields = {name: getattr(layout, name) for name in layout.__struct_fields__} | changed_fields
     return replace(setting, layout=type(layout)(**fields))
 
 
@@ -166,10 +166,12 @@
         (BEGIN, f"{BEGIN / SECOND:.1f} s: traffic at {case.setting.layout.load:g} of capacity")
     ]
     events += [(step.at, step.told()) for step in case.script.steps]
-    for at, event, more in notes:
+    for at, event, fields in notes:
         if at <= case.script.until:
             words = ", ".join(
-                f"{name} {value}" for name, value in more.items() if name in ("site", "stage", "phase", "why")
+                f"{name} {value}"
+                for name, value in fields.items()
+                if name in ("site", "stage", "phase", "why")
             )
             events.append((at, f"{at / SECOND:.1f} s: {event}: {words}"))
     lines += [line for _, line in sorted(events)]
