--- a/benchmarks/expect_broken.py
+++ b/benchmarks/expect_broken.py
@@ -1,4 +1,4 @@
-"""Thirty settings that are broken on purpose, and the same ones whole: is each found, why, and how soon?
+"""Measures how many of thirty deliberately broken settings a check finds, with which reason and how fast.
 
 python benchmarks/expect_broken.py
 """
@@ -14,20 +14,21 @@
 
 
 def main():
-    found, worst = 0, 0.0
+    found, slowest = 0, 0.0
     for name, which, path, value, expected, words in BROKEN:
-        whole = check_result(sources(), expected)[0] if expected and name != "a contradiction" else 0
-        began = time.monotonic()
+        intact_code = check_result(sources(), expected)[0] if expected and name != "a contradiction" else 0
+        started = time.monotonic()
         code, reason = check_result(with_setting(which, path, value), expected)
-        took = time.monotonic() - began
-        good = code != 0 and words in reason
-        found, worst = found + good, max(worst, took)
-        line = next((one for one in reason.splitlines() if words in one), reason.splitlines()[0])
+        took = time.monotonic() - started
+        is_found = code != 0 and words in reason
+        found, slowest = found + is_found, max(slowest, took)
+        line = next((text for text in reason.splitlines() if words in text), reason.splitlines()[0])
         print(
-            f"{'found' if good else 'MISSED'} {took:5.1f} s, whole: {whole}  {name}: {line.strip()[:150]}",
+            f"{'found' if is_found else 'MISSED'} {took:5.1f} s, whole: {intact_code}  "
+            f"{name}: {line.strip()[:150]}",
             flush=True,
         )
-    print(f"{found} of {len(BROKEN)} found with their reason, the slowest in {worst:.1f} s")
+    print(f"{found} of {len(BROKEN)} found with their reason, the slowest in {slowest:.1f} s")
 
 
 if __name__ == "__main__":
--- a/birchslip/expect/plays.py
+++ b/birchslip/expect/plays.py
@@ -120,7 +120,7 @@
     def run_all(self, scenario_runs: Sequence[ScenarioRun]) -> list[RunOutcome]:
         """Run the scenarios and return their outcomes in the same order."""
         self.run_count += len(scenario_runs)
-        if self.jobs < 2 or len(scenario_runs) < 2:
+        if self.jobs <= 1 or len(scenario_runs) <= 1:
             return [run_scenario(scenario_run) for scenario_run in scenario_runs]
         if self.executor is None:
             # Forking keeps the files that were already read and uses no socket.
--- a/birchslip/expect/reason.py
+++ b/birchslip/expect/reason.py
@@ -356,7 +356,7 @@
                     for subject in (whole, *parts)
                     if (subject, measure, condition, True) in self.variables
                 ]
-                if len(mentioned_subjects) < 2:
+                if len(mentioned_subjects) <= 1:
                     continue
                 self.add_part_constraints(whole, parts, measure, condition)
         self.add_condition_constraints()
--- a/birchslip/expect/search.py
+++ b/birchslip/expect/search.py
@@ -105,7 +105,7 @@
 def without_routers(case: Case, named: set[str]) -> Iterator[Case]:
     """Yield the case without one router that the statement does not name."""
     routers = case.setting.routers()
-    if len(routers) < 2 or "*" in named:
+    if len(routers) <= 1 or "*" in named:
         return
     for excluded in reversed(routers):
         if str(excluded.number) not in named:
@@ -118,7 +118,7 @@
     """Yield the case without the traffic of one tenant that the statement does not name."""
     tenants = case.setting.traffic().tenants
     present = [name for name, (_, share) in tenants.items() if share > 0 and name]
-    if len(present) < 2 or "*" in named:
+    if len(present) <= 1 or "*" in named:
         return
     for excluded in reversed(present):
         if excluded not in named:
@@ -132,7 +132,7 @@
     works_by_name = case.setting.layout.profiles
     works = {name: works_by_name.get(name, Work()) for name in case.setting.profiles}
     present = [name for name, work in works.items() if work.share > 0]
-    if len(present) < 2 or "*" in named:
+    if len(present) <= 1 or "*" in named:
         return
     for excluded in reversed(present):
         if excluded not in named:
--- a/tests/expectation_harness.py
+++ b/tests/expectation_harness.py
@@ -1,4 +1,4 @@
-"""What tests of expectations share: the repository's own example settings, and statements made of a line."""
+"""Shared by the tests of expectations: the example settings, and statements from single lines."""
 
 from functools import cache
 from pathlib import Path
--- a/tests/test_expect_check.py
+++ b/tests/test_expect_check.py
@@ -1,4 +1,4 @@
-"""Whole checks: the repository's own set, settings that are broken on purpose, reports, no socket."""
+"""Complete checks: the example expectations, deliberately broken settings, reports and commands."""
 
 import copy
 import json
@@ -53,11 +53,13 @@
 
 
 def check_result(settings, expected, **options):
-    """Exit code and reason, as the command would give them."""
+    """Return exit code and output as the command would give them."""
     try:
         expectations = statements(*expected)
         names = KnownNames(settings.setting)
-        name_errors = [names.find_error(one) for one in expectations if names.find_error(one)]
+        name_errors = [
+            names.find_error(statement) for statement in expectations if names.find_error(statement)
+        ]
         if name_errors:
             return 2, name_errors[0]
         report = Check(settings, expectations, **options).run()
@@ -69,19 +71,19 @@
 @pytest.mark.parametrize(
     ("name", "which", "path", "value", "expected", "words"), BROKEN, ids=[one[0] for one in BROKEN]
 )
-def test_what_is_broken_is_found_with_its_reason_and_what_is_not_passes(
+def test_reports_broken_settings_with_reason_and_passes_intact_ones(
     name, which, path, value, expected, words
 ):
     is_contradiction = name == "a contradiction"
     if expected and not is_contradiction:
         assert check_result(sources(), expected, search=False)[0] == 0
-    # Only where a setting is to be named by what a change of it does has it to be searched for.
+    # The search is needed only in cases that expect the name of the responsible setting.
     code, reason = check_result(with_setting(which, path, value), expected, search=words not in "xy")
     assert code != 0
     assert words in reason
 
 
-def test_the_set_of_the_example_holds_and_opens_no_socket(tmp_path):
+def test_example_expectations_hold_without_opening_socket(tmp_path):
     words = [
         "expect",
         "check",
@@ -103,7 +105,7 @@
     assert (suites.tests, suites.failures, suites.errors) == (report["holds"], 0, 0)
 
 
-def test_a_failure_comes_with_a_history_and_a_setting(tmp_path):
+def test_failure_is_reported_with_history_and_responsible_setting(tmp_path):
     path = tmp_path / "a.expect"
     path.write_text("expect small: site south outstanding <= 5 while site north is lost\n")
     code, output, _ = command("expect", "explain", "small", str(path), *SETTINGS_OPTIONS)
@@ -112,14 +114,21 @@
     assert "lose north" in output
     assert "the setting that bears most of it: fleet-server.json" in output
     assert "a.expect:1:1" in output
-    report = [tmp_path / "r.json", tmp_path / "r.xml"]
+    json_report, junit_report = tmp_path / "r.json", tmp_path / "r.xml"
     code, _, _ = command(
-        "expect", "check", str(path), *SETTINGS_OPTIONS, "--json", str(report[0]), "--junit", str(report[1])
+        "expect",
+        "check",
+        str(path),
+        *SETTINGS_OPTIONS,
+        "--json",
+        str(json_report),
+        "--junit",
+        str(junit_report),
     )
-    (one,) = json.loads(report[0].read_text())["statements"]
-    assert (code, one["outcome"], one["by"], one["bound"]) == (1, "fails", "play", 5.0)
-    assert one["value"] > 5
-    assert JUnitXml.fromfile(str(report[1])).failures == 1
+    (statement,) = json.loads(json_report.read_text())["statements"]
+    assert (code, statement["outcome"], statement["by"], statement["bound"]) == (1, "fails", "play", 5.0)
+    assert statement["value"] > 5
+    assert JUnitXml.fromfile(str(junit_report)).failures == 1
 
 
 @pytest.mark.parametrize(
@@ -131,45 +140,49 @@
         (["check", "docs"], 2, "no file ends in .expect"),
     ],
 )
-def test_the_commands_say_what_they_are_asked(words, code, text):
+def test_commands_print_result_and_exit_code_without_traceback(words, code, text):
     got, out, error = command("expect", *words, *SETTINGS_OPTIONS)
     assert got == code
     assert text in out + error
     assert "Traceback" not in error
 
 
-def test_a_condition_that_never_comes_true_is_told_and_not_passed():
+def test_condition_that_never_comes_true_is_undecided():
     changed_sources = with_setting("fleet", ("groups",), [])
-    (one,) = statements("the fleet served >= 1 % while a release runs")
-    report = Check(changed_sources, [one]).run()
+    (statement,) = statements("the fleet served >= 1 % while a release runs")
+    report = Check(changed_sources, [statement]).run()
     assert report.exit_code == 2
-    assert "never came true: the fleet file has no groups" in report.verdicts[one].reason
+    assert "never came true: the fleet file has no groups" in report.verdicts[statement].reason
 
 
-def test_what_holds_while_it_shrinks_may_fail_in_the_second_after():
+def test_distinguishes_shrinking_fleet_from_time_before_and_after():
     expectations = statements(
         "during: the fleet out at once <= 2 while the fleet is shrinking to 50 %",
         "after: the fleet out at once <= 1 within 1 s of the fleet having shrunk",
         "early: the fleet out at once <= 1 within 100 ms of the fleet shrinking",
     )
     report = Check(sources(), expectations, search=False).run()
-    assert [one.outcome for one in report.verdicts.values()] == [Outcome.HOLDS, Outcome.FAILS, Outcome.HOLDS]
+    assert [verdict.outcome for verdict in report.verdicts.values()] == [
+        Outcome.HOLDS,
+        Outcome.FAILS,
+        Outcome.HOLDS,
+    ]
 
 
-def test_what_is_always_to_hold_is_held_against_every_play():
+def test_always_is_checked_in_every_scenario_run():
     expectations = statements(
         "a: the fleet out at once <= 1 always",
         "b: the fleet out at once <= 2 always",
         "c: the fleet served >= 1 % while site north is lost",
     )
     verdicts = list(Check(sources(), expectations).run().verdicts.values())
-    assert [one.outcome for one in verdicts] == [Outcome.FAILS, Outcome.HOLDS, Outcome.HOLDS]
+    assert [verdict.outcome for verdict in verdicts] == [Outcome.FAILS, Outcome.HOLDS, Outcome.HOLDS]
     assert any("lose north" in line for line in verdicts[0].history)
     (alone,) = Check(sources(), expectations[:1]).run().verdicts.values()
-    assert alone.outcome is Outcome.HOLDS  # nothing else is played
+    assert alone.outcome is Outcome.HOLDS  # no other scenario is run
 
 
-def test_the_same_files_and_seed_give_the_same_report_however_many_plays_run_at_a_time():
+def test_report_does_not_depend_on_number_of_parallel_runs():
     expectations = statements(
         "tenant blue refused <= 30 % at 1.5 of capacity", "the fleet tries each <= 1.2 at 1.5 of capacity"
     )
@@ -179,7 +192,7 @@
     assert one_at_a_time == four_at_a_time
 
 
-CHANGES = [  # what, as it is, as it is broken, who sees it
+CHANGES = [  # the mutation, and how it is detected
     (Change("fleet", ("vault", "kept"), 0.5, 2.0), Detection.REFUSED),
     (Change("fleet", ("groups", 0, "most_out"), 1, 0), Detection.CONFLICT),
     (Change("config", ("settings", "family_info", "cores"), 2, 1), Detection.FAILED),
@@ -188,25 +201,25 @@
 ]
 
 
-def test_breaks_are_seen_or_listed_with_why():
+def test_mutations_are_detected_or_listed_with_reason():
     expectations = statements(
         "the fleet served >= 98 %",
         "the fleet served >= 1 % at 2 of capacity",
         "the fleet served >= 1 % while a release runs",
     )
-    found = mutate(sources(), expectations, changes=[change for change, _ in CHANGES])
-    assert [one.detection for one in found] == [detection for _, detection in CHANGES]
-    assert found[0].detected_by.startswith("fleet.json")
-    assert found[2].detected_by == expectations[0].name
+    results = mutate(sources(), expectations, changes=[change for change, _ in CHANGES])
+    assert [result.detection for result in results] == [detection for _, detection in CHANGES]
+    assert results[0].detected_by.startswith("fleet.json")
+    assert results[2].detected_by == expectations[0].name
 
 
-def test_every_value_that_bears_on_routing_is_broken_and_no_address_is():
-    places = {sources().path_label(one.file_kind, one.path) for one in mutations(sources())}
-    assert "fleet-server.json: settings.tenants[blue].quota_per_s" in places
-    assert "fleet.json: refuse" in places
-    assert not any("address" in one or "listen" in one or "planner-1" in one for one in places)
+def test_mutates_routing_values_but_no_addresses():
+    paths = {sources().path_label(change.file_kind, change.path) for change in mutations(sources())}
+    assert "fleet-server.json: settings.tenants[blue].quota_per_s" in paths
+    assert "fleet.json: refuse" in paths
+    assert not any("address" in path or "listen" in path or "planner-1" in path for path in paths)
 
 
-def test_the_schema_in_the_repository_is_the_one_in_force():
+def test_world_schema_file_matches_layout():
     schema = json.loads((ROOT / "deploy" / "world.schema.json").read_text())
     assert schema == json.loads(json.dumps(layout_schema()))
--- a/tests/test_expect_consistency.py
+++ b/tests/test_expect_consistency.py
@@ -1,4 +1,4 @@
-"""Settings that contradict each other: each rule, and that the example's own do not."""
+"""Contradicting settings: every rule, and that the example settings have none."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 from .test_expect_check import with_setting
 
 SETTINGS = ("settings",)
-CASES = [  # file, path, value, the places that are named
+CASES = [  # file, path, value, the ends of the reported paths
     (
         "config",
         (*SETTINGS, "classes", 0, "aim_s"),
@@ -66,27 +66,30 @@
 
 
 @pytest.mark.parametrize(("which", "path", "value", "setting_paths"), CASES)
-def test_a_conflict_names_the_values_that_cannot_stand_beside_each_other(which, path, value, setting_paths):
-    found = find_conflicts(with_setting(which, path, value))
-    assert found
-    assert len(found[0].setting_paths) == len(setting_paths)
+def test_conflict_names_contradicting_settings(which, path, value, setting_paths):
+    conflicts = find_conflicts(with_setting(which, path, value))
+    assert conflicts
+    assert len(conflicts[0].setting_paths) == len(setting_paths)
     assert all(
         full_path.endswith(path)
-        for full_path, path in zip(found[0].setting_paths, setting_paths, strict=True)
-    ), found
+        for full_path, path in zip(conflicts[0].setting_paths, setting_paths, strict=True)
+    ), conflicts
 
 
-def test_nothing_below_is_known_by_all_or_by_none():
-    found = find_conflicts(with_setting("config", ("settings", "family_info", "downstream"), "off"))
-    assert [one.setting_paths[0].rpartition(".")[2] for one in found] == ["downstream", "downstream"]
+def test_disabled_downstream_conflicts_with_calls_and_vault():
+    conflicts = find_conflicts(with_setting("config", ("settings", "family_info", "downstream"), "off"))
+    assert [conflict.setting_paths[0].rpartition(".")[2] for conflict in conflicts] == [
+        "downstream",
+        "downstream",
+    ]
 
 
-def test_the_settings_of_the_example_do_not_contradict_each_other():
+def test_example_settings_have_no_conflict():
     assert find_conflicts(sources()) == []
     assert len(RULES) == 11
 
 
-def test_a_conflict_fails_the_check_whatever_holds():
+def test_conflict_fails_check_even_if_expectations_hold():
     changed_sources = with_setting("config", ("settings", "group_size"), 3)
     report = Check(changed_sources, statements("the fleet advised wait <= 1 s")).run()
     output = "\n".join(report_lines(report))
--- a/tests/test_expect_judge.py
+++ b/tests/test_expect_judge.py
@@ -1,4 +1,4 @@
-"""From figures to verdicts, and what is searched of a failure: tables, with no play."""
+"""Evaluations, verdicts, spans and the search of failures, without scenario runs."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 FIGURES = {"a": 4.0, "b": 5.0, "green": 0.2, "blue": 0.1, "red": 0.0, "black": 0.0}
 
 
-def measure(subject, of, compare):
+def measure(subject, quantity, compare):
     value = FIGURES.get(subject.name)
     return None if value is None else Observation(value, 7, 30)
 
@@ -62,13 +62,15 @@
         ("tenant c advised wait >= 1 s", None),
     ],
 )
-def test_a_claim_is_weighed_by_its_figures(claim, held):
-    (one,) = parse(f"expect {claim}", "f")
-    assert evaluate(one.claim, measure, expand).held is held
+def test_evaluates_claim_from_measured_figures(claim, held):
+    (statement,) = parse(f"expect {claim}", "f")
+    assert evaluate(statement.claim, measure, expand).held is held
 
 
 def evaluations_by_seed(*held):
-    return [(seed, Evaluation(one, f"seed {seed}", excess=float(seed))) for seed, one in enumerate(held, 1)]
+    return [
+        (seed, Evaluation(value, f"seed {seed}", excess=float(seed))) for seed, value in enumerate(held, 1)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -81,7 +83,7 @@
         ((False, None, False), Outcome.UNDECIDED, "seed 2"),
     ],
 )
-def test_no_verdict_hangs_on_one_draw(held, outcome, words):
+def test_verdict_needs_agreement_of_all_seeds(held, outcome, words):
     verdict = combine_seeds(evaluations_by_seed(*held))
     assert verdict.outcome is outcome
     assert words in verdict.reason
@@ -119,11 +121,11 @@
         (Condition(release=True), []),
     ],
 )
-def test_a_situation_is_where_it_truly_was(condition, found):
+def test_matching_spans_follow_recorded_events(condition, found):
     assert matching_spans(condition, MARKS, 110_000 + COOL_DOWN) == found
 
 
-def test_spans_are_where_both_are():
+def test_intersect_returns_common_spans():
     assert intersect([(0, 10), (20, 30)], [(5, 25)]) == [(5, 10), (20, 25)]
 
 
@@ -144,13 +146,13 @@
         (Condition(release=True), ["release"]),
     ],
 )
-def test_a_script_brings_the_situation_about(condition, steps):
+def test_script_has_steps_of_condition(condition, steps):
     scenario = build_script(condition, sources().setting)
     assert [step.what for step in scenario.steps] == steps
     assert scenario.until > SITUATION_BEGIN + COOL_DOWN
 
 
-def test_series_add_up_at_every_moment():
+def test_sum_series_adds_values_at_every_change():
     a, b = Series(), Series()
     for series, changes in ((a, [(10, 1), (30, 0)]), (b, [(20, 2), (30, 5)])):
         for at, value in changes:
@@ -161,39 +163,46 @@
 STEPS = tuple(Step(at * SECOND, what) for at, what in enumerate(("a", "b", "c", "d"), 3))
 
 
-def test_a_history_is_cut_down_as_long_as_it_fails():
-    (one,) = statements("router 1 outstanding <= 4")
+def test_shrink_reduces_case_as_long_as_it_fails():
+    (statement,) = statements("router 1 outstanding <= 4")
     cases_run = []
 
     def run_cases(cases):
         cases_run.extend(cases)
-        needed = ["b" in {step.what for step in case.script.steps} for case in cases]
-        return [Evaluation(not one, "5 against 4", 5.0, 4.0, 6 * SECOND, 0.25) for one in needed]
+        has_step_b = ["b" in {step.what for step in case.script.steps} for case in cases]
+        return [Evaluation(not fails, "5 against 4", 5.0, 4.0, 6 * SECOND, 0.25) for fails in has_step_b]
 
     case = Case(sources().setting, Script(STEPS, 20 * SECOND), 1)
-    smallest, evaluation = shrink(case, Evaluation(False, "x", at=9 * SECOND), one, run_cases, 90)
+    smallest, evaluation = shrink(case, Evaluation(False, "x", at=9 * SECOND), statement, run_cases, 90)
     assert [step.what for step in smallest.script.steps] == ["b"]
     assert evaluation.held is False
     assert smallest.script.until < 8 * SECOND
     assert len(cases_run) <= 90
-    assert [router.number for router in smallest.setting.routers()] == [1]  # the other is not named
+    # The statement does not name the other router, so that it is taken out.
+    assert [router.number for router in smallest.setting.routers()] == [1]
     assert smallest.removed[-1].startswith("profile")
 
 
-def test_no_more_plays_than_are_allowed():
-    (one,) = statements("router 1 outstanding <= 4")
+def test_shrink_stops_at_run_limit():
+    (statement,) = statements("router 1 outstanding <= 4")
     cases_run = []
 
     def run_cases(cases):
         cases_run.extend(cases)
         return [Evaluation(False, "x", at=SECOND) for _ in cases]
 
-    shrink(Case(sources().setting, Script(STEPS, 20 * SECOND), 1), Evaluation(False, "x"), one, run_cases, 3)
+    shrink(
+        Case(sources().setting, Script(STEPS, 20 * SECOND), 1),
+        Evaluation(False, "x"),
+        statement,
+        run_cases,
+        3,
+    )
     assert len(cases_run) == 3
 
 
 @pytest.mark.parametrize(
-    ("line", "place"),
+    ("line", "key"),
     [
         ("the fleet out at once <= 0 while a release runs", "most_out"),
         ("the fleet calls below <= 1", "calls_out"),
@@ -202,37 +211,39 @@
         ("the fleet advised wait <= 1 ms", "max_retry_after_s"),
     ],
 )
-def test_the_likely_values_are_tried_first(line, place):
-    (one,) = statements(line)
-    assert candidate_changes(one, sources())[0].path[-1] == place
+def test_candidate_changes_start_with_most_relevant_setting(line, key):
+    (statement,) = statements(line)
+    assert candidate_changes(statement, sources())[0].path[-1] == key
 
 
-def test_the_change_that_takes_the_figure_back_is_blamed():
-    (one,) = statements("the fleet served >= 90 %")
-    usual = sources().value("config", ("settings", "family_info", "cores"))
+def test_attributes_failure_to_change_that_improves_it_most():
+    (statement,) = statements("the fleet served >= 90 %")
+    usual_cores = sources().value("config", ("settings", "family_info", "cores"))
 
     def run_changed(changed):
         return [evaluation_of(settings) for settings in changed]
 
     def evaluation_of(settings):
-        if settings.config["settings"]["family_info"]["cores"] > usual:
+        if settings.config["settings"]["family_info"]["cores"] > usual_cores:
             return Evaluation(True, "91%", excess=-0.2)
-        if settings.config["settings"]["family_info"]["cores"] < usual:
+        if settings.config["settings"]["family_info"]["cores"] < usual_cores:
             return None
         return Evaluation(False, "50%", excess=0.4)
 
-    change, evaluation = attribute_change(one, Evaluation(False, "40%", excess=0.5), sources(), run_changed)
+    change, evaluation = attribute_change(
+        statement, Evaluation(False, "40%", excess=0.5), sources(), run_changed
+    )
     assert change.path[-1] == "cores"
-    assert change.new == 2 * usual
+    assert change.new == 2 * usual_cores
     assert evaluation.held
     assert (
         attribute_change(
-            one, Evaluation(False, "x", excess=0.1), sources(), lambda changed: [None for _ in changed]
+            statement, Evaluation(False, "x", excess=0.1), sources(), lambda changed: [None for _ in changed]
         )
         is None
     )
 
 
-def test_measures_say_of_whom_they_are_told():
+def test_measures_define_their_subject_kinds():
     assert SubjectKind.GROUP in Measure.OUT.definition.subject_kinds
     assert SubjectKind.GROUP not in Measure.SERVED.definition.subject_kinds
--- a/tests/test_expect_language.py
+++ b/tests/test_expect_language.py
@@ -1,4 +1,4 @@
-"""Expectations as they are written: what is read, what is refused and how, hostile text."""
+"""The expectation language: parsing, error messages and hostile text."""
 
 import re
 
@@ -27,8 +27,8 @@
 
 
 def parse_one(text):
-    (one,) = parse(text, "f.expect")
-    return one
+    (statement,) = parse(text, "f.expect")
+    return statement
 
 
 @pytest.mark.parametrize(
@@ -47,7 +47,7 @@
         ('each tenant tries each <= 2 # "not" a word of it', Measure.TRIES, 2, Comparison.AT_MOST),
     ],
 )
-def test_figures_are_read_in_one_unit_each(text, measure, value, compare):
+def test_parses_bound_into_unit_of_measure(text, measure, value, compare):
     claim = parse_one(f"expect {text}").claim
     assert (claim.measure, claim.compare) == (measure, compare)
     assert claim.value == pytest.approx(value)
@@ -75,27 +75,27 @@
         ("within 1 s of the fleet having shrunk", Condition(shrink=0.5, within=10_000, event=Event.SHRUNK)),
     ],
 )
-def test_when_is_read_and_told_again(text, condition):
-    one = parse_one(f"expect the fleet served >= 1 % {text}")
-    assert one.condition == condition
-    text_again = one.condition.describe()
+def test_condition_round_trips_through_description(text, condition):
+    statement = parse_one(f"expect the fleet served >= 1 % {text}")
+    assert statement.condition == condition
+    text_again = statement.condition.describe()
     assert (
         text_again == "as usual"
         or parse_one(f"expect the fleet served >= 1 % {text_again}").condition == condition
     )
 
 
-def test_claims_nest_and_bind_as_they_are_written():
-    one = parse_one(
+def test_parses_nested_claims_with_operator_precedence():
+    statement = parse_one(
         "expect a: the fleet served >= 1 % and (tenant x refused before tenant y"
         " or not the fleet out at once > 1) and the fleet tries each < 2"
     )
-    assert isinstance(one.claim, AllOf)
-    assert len(one.claim.claims) == 3
-    assert isinstance(one.claim.claims[1], AnyOf)
-    assert isinstance(one.claim.claims[1].claims[1], Not)
-    assert [type(atom) for atom in atoms(one.claim)] == [Bound, RefusalOrder, Bound, Bound]
-    assert parse_one(f"expect {one.claim.describe()}").claim == one.claim
+    assert isinstance(statement.claim, AllOf)
+    assert len(statement.claim.claims) == 3
+    assert isinstance(statement.claim.claims[1], AnyOf)
+    assert isinstance(statement.claim.claims[1].claims[1], Not)
+    assert [type(atom) for atom in atoms(statement.claim)] == [Bound, RefusalOrder, Bound, Bound]
+    assert parse_one(f"expect {statement.claim.describe()}").claim == statement.claim
 
 
 @pytest.mark.parametrize(
@@ -128,10 +128,10 @@
         ("\x00", "1:1", "can't be read here"),
     ],
 )
-def test_what_is_wrong_is_named_with_its_place(text, at, words):
-    with pytest.raises(ExpectationSyntaxError, match=re.escape(words)) as found:
+def test_syntax_error_names_position_and_hint(text, at, words):
+    with pytest.raises(ExpectationSyntaxError, match=re.escape(words)) as raised:
         parse(text, "f.expect")
-    assert found.value.location.describe() == f"f.expect:{at}"
+    assert raised.value.location.describe() == f"f.expect:{at}"
 
 
 @pytest.mark.parametrize(
@@ -145,21 +145,21 @@
         ("the fleet served >= 1 % while tenant bleu surges", "was 'blue' meant?"),
     ],
 )
-def test_names_are_held_against_the_settings(tmp_path, text, words):
+def test_rejects_names_unknown_to_settings(tmp_path, text, words):
     path = tmp_path / "a.expect"
     path.write_text(f"expect {text}\n")
     with pytest.raises(InvalidInputError, match=re.escape(words)):
         read_statements([path], sources())
 
 
-def test_all_troubles_of_all_files_are_told_at_once(tmp_path):
+def test_reports_errors_of_all_files_together(tmp_path):
     (tmp_path / "a.expect").write_text("expect x: the fleet served >= 1 %\nexpect site nort served >= 1 %")
     (tmp_path / "b.expect").write_text("expect x: the fleet served >= 1 %")
     (tmp_path / "c.expect").write_bytes(b"\xff")
     (tmp_path / "d.expect").write_text("# nothing yet\n")
-    with pytest.raises(InvalidInputError) as found:
+    with pytest.raises(InvalidInputError) as raised:
         read_statements([tmp_path], sources())
-    errors = str(found.value)
+    errors = str(raised.value)
     assert len(errors.splitlines()) == 3
     assert "nort" in errors
     assert "stands at" in errors
@@ -190,18 +190,18 @@
 @example("expect " + "(" * 5_000)
 @example('expect "' + "x" * 5_000)
 @example("expect a refused <= 1" + "0" * 5_000 + " %")
-def test_hostile_text_is_read_or_refused_with_a_place(text):
+def test_hostile_text_parses_or_fails_with_position(text):
     try:
-        found = parse(text, "f")
+        parsed = parse(text, "f")
     except ExpectationSyntaxError as error:
         assert error.location.line >= 1
         assert error.location.column >= 1
         assert len(str(error)) < 600
     else:
-        assert len(found) <= MAX_STATEMENTS
+        assert len(parsed) <= MAX_STATEMENTS
 
 
-def test_a_world_file_is_checked_whole():
+def test_rejects_invalid_world_file():
     valid = sources()
     wrong = {"routers": [{"number": 1, "habit": "odd"}]}
     with pytest.raises(InvalidInputError, match="no habit is named 'odd'"):
--- a/tests/test_expect_reason.py
+++ b/tests/test_expect_reason.py
@@ -1,4 +1,4 @@
-"""What settings and statements say of one another, with nothing played."""
+"""Reasoning about settings and statements without scenario runs."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 from .expectation_harness import sources, statements
 
-CONTRADICTIONS = [  # statements, how many of them clash, settings that do
+CONTRADICTIONS = [  # statements, the names of those that contradict, settings that contradict
     (
         ["a: router 1 outstanding <= 4", "b: router 1 outstanding >= 5", "c: router 2 outstanding <= 3"],
         "ab",
@@ -64,10 +64,10 @@
 
 
 @pytest.mark.parametrize(("lines", "names", "settings"), CONTRADICTIONS)
-def test_a_contradiction_names_the_smallest_set(lines, names, settings):
-    found = reason_about(statements(*lines), sources().setting)
-    (contradiction,) = found.contradictions
-    assert sorted(one.name for one in contradiction.statements) == sorted(names)
+def test_contradiction_names_minimal_set(lines, names, settings):
+    result = reason_about(statements(*lines), sources().setting)
+    (contradiction,) = result.contradictions
+    assert sorted(statement.name for statement in contradiction.statements) == sorted(names)
     assert [place.partition(": ")[2] for place in contradiction.settings] == settings
 
 
@@ -85,7 +85,7 @@
         ],
     ],
 )
-def test_what_can_hold_together_is_no_contradiction(lines):
+def test_compatible_statements_have_no_contradiction(lines):
     assert reason_about(statements(*lines), sources().setting).contradictions == []
 
 
@@ -107,12 +107,12 @@
         ("the fleet calls below <= 16 and site north out at once >= 3", False, "members"),
     ],
 )
-def test_settings_alone_may_settle_it(line, holds, words):
-    (one,) = statements(line)
-    found = reason_about([one], sources().setting)
-    reasons = found.holds if holds else found.fails
-    assert (one in found.holds, one in found.fails) == (holds is True, holds is False)
-    assert holds is None or words in reasons[one]
+def test_settings_alone_decide_statement(line, holds, words):
+    (statement,) = statements(line)
+    result = reason_about([statement], sources().setting)
+    reasons = result.holds if holds else result.fails
+    assert (statement in result.holds, statement in result.fails) == (holds is True, holds is False)
+    assert holds is None or words in reasons[statement]
 
 
 @pytest.mark.parametrize(
@@ -137,30 +137,35 @@
         ),
     ],
 )
-def test_more_of_the_same_situation_is_known_as_such(wide, narrow, is_more):
+def test_covers_recognizes_narrower_condition(wide, narrow, is_more):
     assert covers(wide, narrow) is is_more
 
 
-def test_both_sides_of_a_contradiction_fail_and_the_rest_is_judged_by_itself():
-    some = statements(
+def test_contradicting_statements_fail_and_others_are_decided():
+    expectations = statements(
         "a: the fleet out at once <= 1", "b: the fleet out at once > 1", "c: the fleet advised wait <= 1 s"
     )
-    report = Check(sources(), some).run()
-    assert [one.outcome for one in report.verdicts.values()] == [Outcome.FAILS, Outcome.FAILS, Outcome.HOLDS]
+    report = Check(sources(), expectations).run()
+    assert [verdict.outcome for verdict in report.verdicts.values()] == [
+        Outcome.FAILS,
+        Outcome.FAILS,
+        Outcome.HOLDS,
+    ]
     assert report.exit_code == 1
     assert report.run_count == 0
 
 
-def test_ten_thousand_statements_are_reasoned_about_in_seconds():
+def test_reasons_about_ten_thousand_statements_in_seconds():
     lines = [
         f"n{n}: router {1 + n % 2} outstanding <= {100 + n} at {1 + n % 50 / 10} of capacity"
         for n in range(10_000)
     ]
     started = time.process_time()
-    found = reason_about(
+    result = reason_about(
         statements(*lines, "odd: router 1 outstanding >= 101 at 1 of capacity"), sources().setting
     )
     assert [
-        sorted(one.name for one in contradiction.statements) for contradiction in found.contradictions
+        sorted(statement.name for statement in contradiction.statements)
+        for contradiction in result.contradictions
     ] == [["n0", "odd"]]
-    assert time.process_time() - started < 20  # it takes a few; a checking machine may be slow
+    assert time.process_time() - started < 20  # takes a few seconds; the bound allows for slow machines
