--- a/birchslip/expect/sources.py
+++ b/birchslip/expect/sources.py
@@ -1,5 +1,6 @@
-"""The settings that expectations are held against: a configuration, a fleet file, a world file. Read as the
-program reads them, and with single values changed, for whoever asks what a value is worth.
+"""The settings that expectations are checked against: configuration, fleet file and world file.
+
+They are read as the program reads them. Single values can be changed to find out what depends on them.
 """
 
 from __future__ import annotations
@@ -21,137 +22,184 @@
 from ..lab.model.world import Setting
 from ..net.site import ServerConfig, parse_config
 
-KEYS = ("name", "from", "number")  # what an entry of a list is called by, where it has one
-FILES = ("config", "fleet", "world")
+NAMING_KEYS = ("name", "from", "number")  # keys that name an entry of a list, in order of preference
+FILE_KINDS = ("config", "fleet", "world")
 
-Path_ = tuple[str | int, ...]
-Kind = TypeVar("Kind", bound=msgspec.Struct)
+ValuePath = tuple[str | int, ...]
+StructT = TypeVar("StructT", bound=msgspec.Struct)
 
 
 @dataclass(frozen=True)
 class Sources:
-    """Decoded JSON; `InvalidInputError` at `setting` says what is wrong with it."""
+    """The decoded JSON of the three files.
+
+    Accessing `setting` validates all of them and raises `InvalidInputError` for the first error.
+
+    Attributes:
+        config: The configuration of an app server.
+        fleet: The fleet file, if there is one.
+        world: The world file, if there is one.
+        file_labels: How the three files are called in messages.
+    """
 
     config: dict[str, Any]
     fleet: dict[str, Any] | None = None
     world: dict[str, Any] | None = None
-    names: tuple[str, str, str] = ("configuration", "fleet file", "world file")
+    file_labels: tuple[str, str, str] = ("configuration", "fleet file", "world file")
 
     @cached_property
     def site(self) -> ServerConfig:
+        """The parsed configuration.
+
+        Raises:
+            InvalidInputError: The configuration is invalid.
+        """
         try:
             return parse_config(self.config, {})
-        except InvalidInputError as trouble:
-            raise InvalidInputError(f"{self.names[0]}: {trouble}") from None
+        except InvalidInputError as error:
+            raise InvalidInputError(f"{self.file_labels[0]}: {error}") from None
 
     @cached_property
-    def read_fleet(self) -> Fleet | None:
+    def parsed_fleet(self) -> Fleet | None:
+        """The parsed fleet file, or `None` if there is none.
+
+        Raises:
+            InvalidInputError: The fleet file is malformed or inconsistent.
+        """
         if self.fleet is None:
             return None
-        fleet = convert(self.fleet, Fleet, self.names[1])
-        found = list(violations(fleet))
-        if found:
-            raise InvalidInputError(f"{self.names[1]}: {found[0]}")
+        fleet = convert_struct(self.fleet, Fleet, self.file_labels[1])
+        failures = list(violations(fleet))
+        if failures:
+            raise InvalidInputError(f"{self.file_labels[1]}: {failures[0]}")
         return fleet
 
     @cached_property
     def layout(self) -> Layout:
-        return convert(self.world or {}, Layout, self.names[2])
+        """The parsed world file; its defaults if there is none.
+
+        Raises:
+            InvalidInputError: The world file is malformed.
+        """
+        return convert_struct(self.world or {}, Layout, self.file_labels[2])
 
     @cached_property
     def setting(self) -> Setting:
+        """The settings of a scenario run.
+
+        Raises:
+            InvalidInputError: A file is invalid, or the world file refers to an unknown name.
+        """
         site = self.site
-        made = Setting(
-            site.settings, site.class_names, site.tenant_names, self.layout, self.read_fleet, name=site.name
+        result = Setting(
+            site.settings, site.class_names, site.tenant_names, self.layout, self.parsed_fleet, name=site.name
         )
-        troubles = self.layout.trouble(site.class_names, site.tenant_names, list(made.sites()))
-        if troubles:
-            raise InvalidInputError(f"{self.names[2]}: {troubles[0]}")
-        return made
+        errors = self.layout.trouble(site.class_names, site.tenant_names, list(result.sites()))
+        if errors:
+            raise InvalidInputError(f"{self.file_labels[2]}: {errors[0]}")
+        return result
 
     # ---- single values ---------------------------------------------------------------------------------
 
-    def values(self) -> Iterator[tuple[str, Path_, Any]]:
-        """Every value that is no list and no object, with its file and path, in order."""
-        for which in FILES:
-            told = getattr(self, which)
-            if told is not None:
-                for path, value in leaves(told, ()):
-                    yield which, path, value
-
-    def value(self, which: str, path: Path_) -> Any:
-        at = getattr(self, which)
-        for part in path:
-            at = at[part]
-        return at
-
-    def with_value(self, which: str, path: Path_, value: Any) -> Sources:
-        """The same but for one value; `None` takes the entry out."""
-        told = copy.deepcopy(getattr(self, which))
-        at = told
-        for part in path[:-1]:
-            at = at[part]
+    def values(self) -> Iterator[tuple[str, ValuePath, Any]]:
+        """Yield every scalar value with its file and path, in the order of the files."""
+        for file_kind in FILE_KINDS:
+            contents = getattr(self, file_kind)
+            if contents is not None:
+                for path, value in leaf_values(contents, ()):
+                    yield file_kind, path, value
+
+    def value(self, file_kind: str, path: ValuePath) -> Any:
+        """Return the value at a path of a file."""
+        node = getattr(self, file_kind)
+        for key in path:
+            node = node[key]
+        return node
+
+    def with_value(self, file_kind: str, path: ValuePath, value: Any) -> Sources:
+        """Return a copy with one value replaced, or its entry removed if the value is `None`."""
+        contents = copy.deepcopy(getattr(self, file_kind))
+        node = contents
+        for key in path[:-1]:
+            node = node[key]
         if value is None:
-            del at[path[-1]]
+            del node[path[-1]]
         else:
-            at[path[-1]] = value
-        return replace(self, **{which: told})
-
-    def place(self, which: str, path: Path_) -> str:
-        """A path for people: entries by their names, where they have any."""
-        at, made = getattr(self, which), ""
-        for part in path:
-            if isinstance(part, str):
-                made += f".{part}" if made else part
-                at = at.get(part) if isinstance(at, dict) else None
+            node[path[-1]] = value
+        return replace(self, **{file_kind: contents})
+
+    def path_label(self, file_kind: str, path: ValuePath) -> str:
+        """Return a path for messages, with list entries shown by their names if they have any."""
+        node, result = getattr(self, file_kind), ""
+        for key in path:
+            if isinstance(key, str):
+                result += f".{key}" if result else key
+                node = node.get(key) if isinstance(node, dict) else None
                 continue
-            at = at[part]
-            called = next((at[key] for key in KEYS if isinstance(at, dict) and key in at), part)
-            made += f"[{called}]"
-        return f"{self.names[FILES.index(which)]}: {made}"
-
-
-def leaves(at: Any, path: Path_) -> Iterator[tuple[Path_, Any]]:
-    if isinstance(at, dict):
-        for name, value in at.items():
-            yield from leaves(value, (*path, name))
-    elif isinstance(at, list):
-        for place, value in enumerate(at):
-            yield from leaves(value, (*path, place))
+            node = node[key]
+            label = next((node[name] for name in NAMING_KEYS if isinstance(node, dict) and name in node), key)
+            result += f"[{label}]"
+        return f"{self.file_labels[FILE_KINDS.index(file_kind)]}: {result}"
+
+
+def leaf_values(node: Any, path: ValuePath) -> Iterator[tuple[ValuePath, Any]]:
+    """Yield the scalar values below a node with their paths."""
+    if isinstance(node, dict):
+        for name, value in node.items():
+            yield from leaf_values(value, (*path, name))
+    elif isinstance(node, list):
+        for index, value in enumerate(node):
+            yield from leaf_values(value, (*path, index))
     else:
-        yield path, at
+        yield path, node
 
 
-def convert(told: dict[str, Any], kind: type[Kind], name: str) -> Kind:
+def convert_struct(contents: dict[str, Any], kind: type[StructT], name: str) -> StructT:
+    """Convert decoded JSON to a struct.
+
+    Raises:
+        InvalidInputError: The contents do not match the struct; the message starts with `name`.
+    """
     try:
-        return msgspec.convert(told, kind)
-    except msgspec.ValidationError as trouble:
-        raise InvalidInputError(f"{name}: {trouble}") from None
+        return msgspec.convert(contents, kind)
+    except msgspec.ValidationError as error:
+        raise InvalidInputError(f"{name}: {error}") from None
 
 
 def read_json(path: str | Path) -> dict[str, Any]:
-    """Malformed or OSError says what is wrong, in one line."""
+    """Read a JSON file that holds an object.
+
+    Raises:
+        InvalidInputError: The file is not JSON or does not hold an object.
+        OSError: The file cannot be read.
+    """
     try:
-        told = json.loads(Path(path).read_bytes())
-    except (ValueError, RecursionError) as trouble:
-        raise InvalidInputError(f"{path} is not JSON: {trouble}") from None
-    if not isinstance(told, dict):
-        raise InvalidInputError(f"{path} holds no object")
-    return told
+        contents = json.loads(Path(path).read_bytes())
+    except (ValueError, RecursionError) as error:
+        raise InvalidInputError(f"{path} is not JSON: {error}") from None
+    if not isinstance(contents, dict):
+        raise InvalidInputError(f"{path} does not hold a JSON object")
+    return contents
 
 
 def read_sources(
     config: str | Path, fleet: str | Path | None = None, world: str | Path | None = None
 ) -> Sources:
-    files = [
-        Path(one).name if one is not None else usual
-        for one, usual in ((config, ""), (fleet, "fleet file"), (world, "world file"))
+    """Read and validate the settings.
+
+    Raises:
+        InvalidInputError: A file is invalid.
+        OSError: A file cannot be read.
+    """
+    labels = [
+        Path(path).name if path is not None else default
+        for path, default in ((config, ""), (fleet, "fleet file"), (world, "world file"))
     ]
-    made = Sources(
+    result = Sources(
         read_json(config),
         read_json(fleet) if fleet is not None else None,
         read_json(world) if world is not None else None,
-        (files[0], files[1], files[2]),
+        (labels[0], labels[1], labels[2]),
     )
-    _ = made.setting
-    return made
+    _ = result.setting
+    return result
