--- a/birchslip/expect/plays.py
+++ b/birchslip/expect/plays.py
@@ -1,5 +1,7 @@
-"""Plays, several at a time: each in a process of its own where there are cores for it, and always the same
-whatever their number. What is measured is read off where it was played; no world crosses a process.
+"""Scenario runs, several at a time.
+
+Each run has a process of its own if there are cores for it; the results do not depend on how many run at a
+time. Figures are measured in the process of the run, so that no world crosses a process boundary.
 """
 
 from __future__ import annotations
@@ -11,14 +13,14 @@
 from dataclasses import dataclass
 
 from ..lab.model.world import Setting, World
-from .judge import Said, weigh
-from .measures import Seen, measured
-from .names import Names
-from .situations import Script, spans
-from .words import Claim, Compare, Measure, Subject, When
-
-JOBS_MOST = 8
-TOLD = {  # of what the fleet made of it: the event, and how people are told of it
+from .judge import Evaluation, evaluate
+from .measures import Observation, measure_world
+from .names import KnownNames
+from .situations import Script, matching_spans
+from .words import Claim, Comparison, Condition, Measure, Subject
+
+MAX_JOBS = 8
+EVENT_LABELS = {  # events of the fleet that a failure history shows, and their labels
     "site_lost": "site lost",
     "site_stage_changed": "site moves",
     "no release": "no release",
@@ -28,71 +30,106 @@
 
 
 @dataclass(frozen=True)
-class Task:
-    """One play, and what is claimed of it. `capacity` is what loads are parts of, the setting's own where it
-    is 0: the traffic stays what it was where a setting is changed.
+class ScenarioRun:
+    """The input of one scenario run.
+
+    Attributes:
+        setting: The settings to run.
+        condition: The condition under which `claims` apply.
+        script: What is done to the world.
+        seed: The seed of the run.
+        claims: Claims that apply while the condition holds.
+        always_claims: Claims that apply to the whole run.
+        capacity: What loads are multiples of; 0 for the capacity of the settings. A fixed value keeps the
+            traffic the same when a setting is changed.
     """
 
     setting: Setting
-    when: When
+    condition: Condition
     script: Script
     seed: int
     claims: tuple[Claim, ...]
-    always: tuple[Claim, ...] = ()  # what is claimed of all of the play, whatever its situation
+    always_claims: tuple[Claim, ...] = ()
     capacity: float = 0.0
 
 
 @dataclass(frozen=True)
-class Came:
-    """What came of it: of each claim, and why the situation never came about, where it did not."""
+class RunOutcome:
+    """The result of one scenario run.
+
+    Attributes:
+        evaluations: One evaluation for each of the claims.
+        always_evaluations: One evaluation for each claim that applies to the whole run.
+        notes: What the fleet did, as (time, label, fields).
+        unmet_reason: Why the condition never came true; empty if it did.
+    """
 
-    said: tuple[Said, ...]
-    always: tuple[Said, ...]
+    evaluations: tuple[Evaluation, ...]
+    always_evaluations: tuple[Evaluation, ...]
     notes: tuple[Note, ...]
-    never: str = ""
-
-
-def play(task: Task) -> Came:
-    world = World(task.setting, task.seed, task.capacity)
-    world.run(task.script.steps, task.script.until)
-    found = spans(task.when, world.marks, task.script.until)
-    notes = tuple((at, TOLD[event], more) for at, event, more in world.notes if event in TOLD)
-    names = Names(task.setting)
-
-    def weighed(claims: Sequence[Claim], within: list[tuple[int, int]]) -> tuple[Said, ...]:
-        def measure(subject: Subject, of: Measure, compare: Compare) -> Seen | None:
-            return measured(world, subject, of, compare, within)
-
-        return tuple(weigh(claim, measure, names.some) for claim in claims)
-
-    always = weighed(task.always, spans(When(always=True), world.marks, task.script.until))
-    if not found:
-        refused = next((str(more["why"]) for _, event, more in notes if event == "no release"), "")
-        why = refused or "nothing in these settings brings it about"
-        return Came(tuple(Said(None, why) for _ in task.claims), always, notes, why)
-    return Came(weighed(task.claims, found), always, notes)
-
-
-class Plays:
-    """`jobs` at a time; 1 plays here. `count` tells how many there were."""
+    unmet_reason: str = ""
+
+
+def run_scenario(scenario_run: ScenarioRun) -> RunOutcome:
+    """Run one scenario in virtual time and evaluate its claims."""
+    world = World(scenario_run.setting, scenario_run.seed, scenario_run.capacity)
+    world.run(scenario_run.script.steps, scenario_run.script.until)
+    matched_spans = matching_spans(scenario_run.condition, world.marks, scenario_run.script.until)
+    notes = tuple(
+        (at, EVENT_LABELS[event], fields) for at, event, fields in world.notes if event in EVENT_LABELS
+    )
+    known_names = KnownNames(scenario_run.setting)
+
+    def evaluate_all(claims: Sequence[Claim], within: list[tuple[int, int]]) -> tuple[Evaluation, ...]:
+        def measure(subject: Subject, quantity: Measure, compare: Comparison) -> Observation | None:
+            return measure_world(world, subject, quantity, compare, within)
+
+        return tuple(evaluate(claim, measure, known_names.expand) for claim in claims)
+
+    always_evaluations = evaluate_all(
+        scenario_run.always_claims,
+        matching_spans(Condition(always=True), world.marks, scenario_run.script.until),
+    )
+    if not matched_spans:
+        refusal = next((str(fields["why"]) for _, event, fields in notes if event == "no release"), "")
+        reason = refusal or "nothing in these settings brings it about"
+        return RunOutcome(
+            tuple(Evaluation(None, reason) for _ in scenario_run.claims), always_evaluations, notes, reason
+        )
+    return RunOutcome(evaluate_all(scenario_run.claims, matched_spans), always_evaluations, notes)
+
+
+class ScenarioRunner:
+    """Runs scenarios in this process or in a pool of processes.
+
+    Attributes:
+        jobs: How many run at a time; with 1 they run in this process.
+        run_count: How many were run so far.
+    """
 
     def __init__(self, jobs: int = 0) -> None:
-        self.jobs = jobs or min(JOBS_MOST, os.cpu_count() or 1)
-        self.count = 0
-        self.pool: ProcessPoolExecutor | None = None
-
-    def all(self, tasks: Sequence[Task]) -> list[Came]:
-        """What came of each, in their order."""
-        self.count += len(tasks)
-        if self.jobs < 2 or len(tasks) < 2:
-            return [play(task) for task in tasks]
-        if self.pool is None:
-            # Forked: what has been read need not be read again, and nothing goes through a socket.
+        """Create a runner without starting processes.
+
+        Args:
+            jobs: How many scenarios run at a time; 0 for one for each core, at most `MAX_JOBS`.
+        """
+        self.jobs = jobs or min(MAX_JOBS, os.cpu_count() or 1)
+        self.run_count = 0
+        self.executor: ProcessPoolExecutor | None = None
+
+    def run_all(self, scenario_runs: Sequence[ScenarioRun]) -> list[RunOutcome]:
+        """Run the scenarios and return their outcomes in the same order."""
+        self.run_count += len(scenario_runs)
+        if self.jobs <= 1 or len(scenario_runs) <= 1:
+            return [run_scenario(scenario_run) for scenario_run in scenario_runs]
+        if self.executor is None:
+            # Forking keeps the files that were already read and uses no socket.
             context = multiprocessing.get_context("fork")
-            self.pool = ProcessPoolExecutor(self.jobs, mp_context=context)
-        return list(self.pool.map(play, tasks))
+            self.executor = ProcessPoolExecutor(self.jobs, mp_context=context)
+        return list(self.executor.map(run_scenario, scenario_runs))
 
     def close(self) -> None:
-        if self.pool is not None:
-            self.pool.shutdown()
-            self.pool = None
+        """Stop the pool of processes, if it was started."""
+        if self.executor is not None:
+            self.executor.shutdown()
+            self.executor = None
--- a/birchslip/expect/words.py
+++ b/birchslip/expect/words.py
@@ -1,6 +1,7 @@
-"""What an expectation says, once it has been read: subjects, measures, bounds, and when they hold.
+"""The model of a parsed expectation: subjects, measures, bounds and the conditions under which they apply.
 
-Figures are in one unit each: counts as they are, shares as parts of 1, times in tenths of a millisecond.
+Every figure has one unit: counts are plain numbers, shares are fractions of 1, times are tenths of a
+millisecond.
 """
 
 from __future__ import annotations
@@ -9,11 +10,13 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-DEPTH_MOST = 64  # of claims within claims
+from ..admission.types import SECOND
 
+MAX_CLAIM_DEPTH = 64  # bounds the recursion over nested claims
 
-class Kind(Enum):
-    """Kinds of subjects, as they are written."""
+
+class SubjectKind(Enum):
+    """Kinds of subjects, with the words that name them in a statement."""
 
     ROUTER = "router"
     TENANT = "tenant"
@@ -26,73 +29,95 @@
 
 
 class Unit(Enum):
-    """What a figure counts."""
+    """The unit of a figure, with its description for error messages."""
 
     COUNT = "a count"
-    PART = "a share"
+    SHARE = "a share"
     TIME = "a time"
 
 
 @dataclass(frozen=True, slots=True)
-class MeasureForm:
-    """`word` as it is written, what it counts, of whom it can be told, and what it means."""
+class MeasureDefinition:
+    """What a measure is called, its unit, and the subjects it applies to.
+
+    Attributes:
+        word: The measure as written in a statement.
+        unit: The unit of its figures.
+        subject_kinds: The kinds of subjects that have this measure.
+        description: What the measure means, printed by `birchslip expect explain`.
+        is_instantaneous: Whether the measure has a value at every moment. Its maximum or minimum is then
+            compared with the bound; other measures are one mean over the whole span.
+    """
 
     word: str
     unit: Unit
-    kinds: frozenset[Kind]
-    about: str
-    always: bool = False  # a figure of every moment: its most and its least count, not its mean
+    subject_kinds: frozenset[SubjectKind]
+    description: str
+    is_instantaneous: bool = False
 
 
-CALLERS = frozenset({Kind.ROUTER, Kind.TENANT, Kind.PROFILE, Kind.SITE, Kind.FLEET})
+CALLER_KINDS = frozenset(
+    {SubjectKind.ROUTER, SubjectKind.TENANT, SubjectKind.PROFILE, SubjectKind.SITE, SubjectKind.FLEET}
+)
 
 
 class Measure(Enum):
-    OUTSTANDING = MeasureForm(
+    """The measures that a statement can bound."""
+
+    OUTSTANDING = MeasureDefinition(
         "outstanding",
         Unit.COUNT,
-        frozenset({Kind.ROUTER, Kind.SITE, Kind.SERVER, Kind.FLEET}),
+        frozenset({SubjectKind.ROUTER, SubjectKind.SITE, SubjectKind.SERVER, SubjectKind.FLEET}),
         "tries without an answer, at every moment",
         True,
     )
-    ROOM = MeasureForm(
+    ROOM = MeasureDefinition(
         "share of room",
-        Unit.PART,
-        frozenset({Kind.SITE, Kind.SERVER, Kind.FLEET}),
+        Unit.SHARE,
+        frozenset({SubjectKind.SITE, SubjectKind.SERVER, SubjectKind.FLEET}),
         "cores that are busy, of those there, over each second",
         True,
     )
-    REFUSED = MeasureForm("refused", Unit.PART, CALLERS, "transactions that were shed and never honoured")
-    SERVED = MeasureForm(
-        "served", Unit.PART, CALLERS, "transactions that were honoured within their latency goal"
+    REFUSED = MeasureDefinition(
+        "refused", Unit.SHARE, CALLER_KINDS, "transactions that were shed and never honoured"
+    )
+    SERVED = MeasureDefinition(
+        "served", Unit.SHARE, CALLER_KINDS, "transactions that were honoured within their latency goal"
+    )
+    EARNED = MeasureDefinition(
+        "earned", Unit.SHARE, CALLER_KINDS, "payoff of those that were served, of all payoff asked for"
     )
-    EARNED = MeasureForm(
-        "earned", Unit.PART, CALLERS, "payoff of those that were served, of all payoff asked for"
+    ADVISED = MeasureDefinition(
+        "advised wait", Unit.TIME, CALLER_KINDS, "what a shed says of when to come back", True
     )
-    ADVISED = MeasureForm("advised wait", Unit.TIME, CALLERS, "what a shed says of when to come back", True)
-    CALLS = MeasureForm(
+    CALLS = MeasureDefinition(
         "calls below",
         Unit.COUNT,
-        frozenset({Kind.SITE, Kind.SERVER, Kind.FLEET}),
+        frozenset({SubjectKind.SITE, SubjectKind.SERVER, SubjectKind.FLEET}),
         "calls in hand at the service below, at every moment",
         True,
     )
-    OUT = MeasureForm(
+    OUT = MeasureDefinition(
         "out at once",
         Unit.COUNT,
-        frozenset({Kind.SITE, Kind.GROUP, Kind.SERVICE, Kind.FLEET}),
+        frozenset({SubjectKind.SITE, SubjectKind.GROUP, SubjectKind.SERVICE, SubjectKind.FLEET}),
         "app servers that are down, leaving or cold, at every moment",
         True,
     )
-    TRIES = MeasureForm("tries each", Unit.COUNT, CALLERS, "tries that a transaction takes, in the mean")
+    TRIES = MeasureDefinition(
+        "tries each", Unit.COUNT, CALLER_KINDS, "tries that a transaction takes, in the mean"
+    )
 
     @property
-    def form(self) -> MeasureForm:
-        form: MeasureForm = self.value
-        return form
+    def definition(self) -> MeasureDefinition:
+        """The definition of this measure."""
+        definition: MeasureDefinition = self.value
+        return definition
+
 
+class Comparison(Enum):
+    """Comparison operators, with the signs that denote them in a statement."""
 
-class Compare(Enum):
     AT_MOST = "<="
     UNDER = "<"
     AT_LEAST = ">="
@@ -100,109 +125,133 @@
     EXACTLY = "="
 
     @property
-    def upper(self) -> bool:
-        """Whether the most counts."""
-        return self in (Compare.AT_MOST, Compare.UNDER)
+    def is_upper_bound(self) -> bool:
+        """Whether the value is bounded from above, so that its maximum decides."""
+        return self in (Comparison.AT_MOST, Comparison.UNDER)
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """One, or each of a kind: then `name` is empty. The fleet has no name."""
+    """One subject, or all subjects of a kind.
+
+    Attributes:
+        kind: The kind of subject.
+        name: Its name; empty for the fleet and where `each` is set.
+        each: Whether all subjects of the kind are meant.
+    """
 
-    kind: Kind
+    kind: SubjectKind
     name: str = ""
     each: bool = False
 
-    def told(self) -> str:
-        if self.kind is Kind.FLEET:
+    def describe(self) -> str:
+        """Return the subject as it is written in a statement."""
+        if self.kind is SubjectKind.FLEET:
             return "the fleet"
         return f"each {self.kind.value}" if self.each else f"{self.kind.value} {self.name}"
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
+    """A claim that a measure of a subject is within a bound."""
+
     subject: Subject
     measure: Measure
-    compare: Compare
+    compare: Comparison
     value: float
 
-    def told(self) -> str:
-        word, value = self.measure.form.word, figure(self.measure, self.value)
-        return f"{self.subject.told()} {word} {self.compare.value} {value}"
+    def describe(self) -> str:
+        """Return the claim as it is written in a statement."""
+        word, value = self.measure.definition.word, format_figure(self.measure, self.value)
+        return f"{self.subject.describe()} {word} {self.compare.value} {value}"
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """`first` is refused before `then`: in a larger share, and `then` not at all where `first` is not."""
+class RefusalOrder:
+    """A claim that requests of `first` are refused before those of `then`.
+
+    The claim holds if the refused share of `then` is at most that of `first`.
+    """
 
     first: Subject
     then: Subject
 
-    def told(self) -> str:
-        return f"{self.first.told()} refused before {self.then.told()}"
+    def describe(self) -> str:
+        """Return the claim as it is written in a statement."""
+        return f"{self.first.describe()} refused before {self.then.describe()}"
 
 
 @dataclass(frozen=True, slots=True)
 class Not:
+    """The negation of a claim; `depth` is its nesting depth."""
+
     claim: Claim
     depth: int = 1
 
-    def told(self) -> str:
-        return f"not ({self.claim.told()})"
+    def describe(self) -> str:
+        """Return the claim as it is written in a statement."""
+        return f"not ({self.claim.describe()})"
 
 
 @dataclass(frozen=True, slots=True)
-class Both:
+class AllOf:
+    """A conjunction of claims; `depth` is its nesting depth."""
+
     claims: tuple[Claim, ...]
     depth: int = 1
 
-    def told(self) -> str:
+    def describe(self) -> str:
+        """Return the claim as it is written in a statement, with alternatives in parentheses."""
         return " and ".join(
-            f"({one.told()})" if isinstance(one, Either) else one.told() for one in self.claims
+            f"({inner.describe()})" if isinstance(inner, AnyOf) else inner.describe() for inner in self.claims
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Either:
+class AnyOf:
+    """A disjunction of claims; `depth` is its nesting depth."""
+
     claims: tuple[Claim, ...]
     depth: int = 1
 
-    def told(self) -> str:
-        return " or ".join(one.told() for one in self.claims)
+    def describe(self) -> str:
+        """Return the claim as it is written in a statement."""
+        return " or ".join(inner.describe() for inner in self.claims)
 
 
-Claim = Bound | Order | Not | Both | Either
+Claim = Bound | RefusalOrder | Not | AllOf | AnyOf
 
 
-def depth_of(claim: Claim) -> int:
-    return claim.depth if isinstance(claim, Not | Both | Either) else 0
+def claim_depth(claim: Claim) -> int:
+    """Return the nesting depth of a claim; 0 for a bound or an order."""
+    return claim.depth if isinstance(claim, Not | AllOf | AnyOf) else 0
 
 
-def atoms(claim: Claim) -> Iterator[Bound | Order]:
-    """All bounds and orders within, wherever they stand."""
+def atoms(claim: Claim) -> Iterator[Bound | RefusalOrder]:
+    """Yield every bound and order within a claim, at any depth."""
     if isinstance(claim, Not):
         yield from atoms(claim.claim)
-    elif isinstance(claim, Both | Either):
-        for one in claim.claims:
-            yield from atoms(one)
+    elif isinstance(claim, AllOf | AnyOf):
+        for inner in claim.claims:
+            yield from atoms(inner)
     else:
         yield claim
 
 
-def subjects(atom: Bound | Order) -> tuple[Subject, ...]:
-    """Of whom it is told."""
+def subjects_of(atom: Bound | RefusalOrder) -> tuple[Subject, ...]:
+    """Return the subjects that a bound or an order refers to."""
     return (atom.subject,) if isinstance(atom, Bound) else (atom.first, atom.then)
 
 
-def parts(claim: Claim) -> list[Claim]:
-    """What must hold by itself: the parts of an `and` at the top."""
-    if isinstance(claim, Both):
-        return [part for one in claim.claims for part in parts(one)]
+def conjuncts(claim: Claim) -> list[Claim]:
+    """Return the claims that must each hold: the members of a top-level conjunction, or the claim itself."""
+    if isinstance(claim, AllOf):
+        return [part for inner in claim.claims for part in conjuncts(inner)]
     return [claim]
 
 
 class Event(Enum):
-    """A moment that `within` counts from."""
+    """An event that `within` counts from, with the words that name it in a statement."""
 
     SITE_LOST = "site {} is lost"
     SITE_RETURNS = "site {} returning"
@@ -213,81 +262,108 @@
 
 
 @dataclass(frozen=True, slots=True)
-class When:
-    """All that is said of when: each part stands at its default where nothing is said of it.
-
-    `settled` is how long the situation must have lasted; `within` counts from `event` of `whom`.
+class Condition:
+    """When a statement applies. A field keeps its default if the statement does not mention it.
+
+    Attributes:
+        load: Offered load as a multiple of the capacity.
+        lost: The site that is lost.
+        shrink: The share of the fleet that remains while it shrinks.
+        release: Whether a release runs.
+        surge: The tenant whose traffic surges.
+        surge_factor: The multiple of its usual traffic that the surging tenant sends.
+        planners_gone: Whether all planners are gone.
+        below_down: Whether the downstream service is down.
+        settled: How long the situation must have lasted before the statement applies.
+        within: How long after `event` the statement applies.
+        event: The event that `within` counts from.
+        event_subject: The site or tenant of `event`; empty for events of the fleet.
+        always: Whether the statement applies to every scenario run, in any situation.
     """
 
     load: float | None = None
     lost: str = ""
-    shrink: float | None = None  # what is left of the fleet
+    shrink: float | None = None
     release: bool = False
     surge: str = ""
-    times: float = 0.0
+    surge_factor: float = 0.0
     planners_gone: bool = False
     below_down: bool = False
     settled: int = 0
     within: int = 0
     event: Event | None = None
-    whom: str = ""
+    event_subject: str = ""
     always: bool = False
 
-    def told(self) -> str:
-        """As it would be written."""
-        said = []
-        for_ = f" for {self.settled / 10_000:g} s" if self.settled else ""
+    def describe(self) -> str:
+        """Return the condition as it is written in a statement; `as usual` if it is empty."""
+        phrases = []
+        duration = f" for {self.settled / SECOND:g} s" if self.settled else ""
         if self.lost and self.event is not Event.SITE_RETURNS:
-            said.append(f"while site {self.lost} is lost")
+            phrases.append(f"while site {self.lost} is lost")
         if self.shrink is not None and self.event is not Event.SHRUNK:
-            said.append(f"while the fleet is shrinking to {self.shrink:.0%}")
+            phrases.append(f"while the fleet is shrinking to {self.shrink:.0%}")
         if self.release and self.event is not Event.RELEASE:
-            said.append("while a release runs")
+            phrases.append("while a release runs")
         if self.surge and self.event is not Event.SURGE:
-            said.append(f"while tenant {self.surge} surges by {self.times:g}")
+            phrases.append(f"while tenant {self.surge} surges by {self.surge_factor:g}")
         if self.planners_gone:
-            said.append("while the planners are gone")
+            phrases.append("while the planners are gone")
         if self.below_down:
-            said.append("while the service below is down")
-        if said:
-            said[-1] += for_
+            phrases.append("while the service below is down")
+        if phrases:
+            phrases[-1] += duration
         if self.load is not None:
-            said.append(f"at {self.load:g} of capacity")
+            phrases.append(f"at {self.load:g} of capacity")
         if self.event is not None:
-            said.append(f"within {self.within / 10_000:g} s of {self.event.value.format(self.whom)}")
+            phrases.append(
+                f"within {self.within / SECOND:g} s of {self.event.value.format(self.event_subject)}"
+            )
         if self.always:
-            said.append("always")
-        return " ".join(said) or "as usual"
+            phrases.append("always")
+        return " ".join(phrases) or "as usual"
 
 
 @dataclass(frozen=True, slots=True)
-class Spot:
-    """Where something stands: a file, a line and a column, both from 1."""
+class SourceLocation:
+    """A position in an expectation file; line and column count from 1."""
 
     file: str
     line: int
     column: int
 
-    def told(self) -> str:
+    def describe(self) -> str:
+        """Return the position as `file:line:column`."""
         return f"{self.file}:{self.line}:{self.column}"
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
+    """One parsed expectation.
+
+    Attributes:
+        name: The label in the file, or `file:line` if there is none.
+        claim: What must hold.
+        condition: When it must hold.
+        location: Where the statement begins.
+        has_explicit_name: Whether the file gives the label; ignored in comparisons.
+    """
+
     name: str
     claim: Claim
-    when: When
-    spot: Spot
-    named: bool = field(default=False, compare=False)  # whether somebody gave it its name
+    condition: Condition
+    location: SourceLocation
+    has_explicit_name: bool = field(default=False, compare=False)
 
-    def told(self) -> str:
-        return f"{self.claim.told()} {self.when.told()}"
+    def describe(self) -> str:
+        """Return the statement in the expectation language, without its label."""
+        return f"{self.claim.describe()} {self.condition.describe()}"
 
 
-def figure(measure: Measure, value: float) -> str:
-    """A figure of a measure, for people."""
-    match measure.form.unit:
-        case Unit.PART:
+def format_figure(measure: Measure, value: float) -> str:
+    """Format a value of a measure with its unit, for reports."""
+    match measure.definition.unit:
+        case Unit.SHARE:
             return f"{value * 100:.4g}%"
         case Unit.TIME:
             return f"{value / 10:.4g} ms"
--- a/tests/expectdesk.py
+++ b/tests/expectation_harness.py
@@ -1,4 +1,4 @@
-"""What tests of expectations share: the repository's own example settings, and statements made of a line."""
+"""Shared by the tests of expectations: the example settings, and statements from single lines."""
 
 from functools import cache
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 EXAMPLES = ROOT / "examples"
-SET = EXAMPLES / "expectations"
+EXPECTATIONS = EXAMPLES / "expectations"
 
 
 @cache
