--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -1,4 +1,9 @@
-"""The routers: MessagePack-RPC on the listening address."""
+"""Router connections: MessagePack-RPC on the listening address.
+
+A request is `[0, id, class, [fields, body]]`, its response `[1, id, error, result]`, a notification
+`[2, name, params]`. Each connection has one greenlet; the number of connections, open requests and unread and
+unsent bytes is bounded.
+"""
 
 from __future__ import annotations
 
@@ -27,57 +32,51 @@
 from .request_context import DecodedRequest, RequestContext
 from .scheduler import READ, Scheduler
 
-OVERLOADED, FAILED = "Overloaded", "Failed"  # the words of answers that are no result
+OVERLOADED, FAILED = "Overloaded", "Failed"  # error texts of a rejection and of a failed request
 ID_PATTERN, KEY_PATTERN = re.compile("[0-9a-f]{16}"), re.compile("[0-9a-f]{32}")
 INTEGER_PATTERN, DECIMAL_PATTERN, FLAG_PATTERN = (
     re.compile("[0-9]{1,18}"),
     re.compile(r"[0-9]{1,9}(\.[0-9]{1,18})?"),
     re.compile("1"),
 )
-MAX_BODY_BYTES = 2048  # the largest body
-MAX_FIELD_CHARS = 256  # characters of a field: a tenant may have a long name
-MAX_NEED_KB = 2000  # KB: a transaction books less
-MAX_TIMEOUT_MS = 3_600_000  # ms: no client waits for an hour
-MAX_OPEN_REQUESTS = 32  # open transactions on one connection
-MAX_UNSENT_BYTES = MAX_OPEN_REQUESTS * 5_120  # as many answers of the largest size
+MAX_BODY_BYTES = 2048
+MAX_FIELD_CHARS = 256  # tenant names may be long
+MAX_NEED_KB = 2000  # memory that a request reserves; exclusive
+MAX_TIMEOUT_MS = 3_600_000  # one hour; also used where a request names no timeout
+MAX_OPEN_REQUESTS = 32  # per connection
+MAX_UNSENT_BYTES = MAX_OPEN_REQUESTS * 5_120  # a response of the largest size for each open request
 LISTEN_BACKLOG = 1024
-ACCEPT_RETRY_DELAY = 200  # accepting rests 20 ms when there is no room, or the system has no descriptor left
-IDLE_CHECK_INTERVAL = 2_500  # while idle ones are to close, they are looked for four times a second
-MESSAGE_TIMEOUT = (
-    20_000  # a whole message is here within two seconds of its connection, or of its own first byte
-)
+ACCEPT_RETRY_DELAY = 200  # 20 ms, when there is no room or the system has no descriptor left
+IDLE_CHECK_INTERVAL = 2_500  # 250 ms between checks, while an idle timeout is set
+MESSAGE_TIMEOUT = 20_000  # 2 s from the connection's start, or from a message's first byte, to its last byte
 MESSAGE_CHECK_INTERVAL = 2_000
-SILENT_EVICTION_AGE = 2_000  # for 200 ms a new connection is not asked to make room while another can
-MIN_EVICTION_AGE = 500  # and for 50 ms not at all: what it came to say is on its way
-CLOSING_TIMEOUT = (
-    20_000  # a connection told that it closes is ended here after two seconds, if nothing is open on it
-)
-DRAIN_CLOSING_TIMEOUT = (
-    5_000  # after half a second where the program leaves: there is an end, but a router may hear late
-)
-FINAL_ACCEPT_DELAY = (
-    100  # what is being opened as the program leaves has 10 ms to get into the system's queue
-)
-MIN_LINGERING_CONNECTIONS = 4  # ended connections may be there besides, and an eighth of all
-MIN_LINGER_TIME = 200  # one is not cut off to make room before its answers have had 20 ms to be read
-MIN_LINGER_TIME_UNSENT = 2_000  # or before 200 ms, where they have not all gone out
-MAX_EVICTION_CANDIDATES = 8  # looked at to make room
-MAX_FINAL_READS = (
-    16  # of a connection that is to be ended, before it is judged: it may hold more than one read takes
-)
-SO_ATTACH_FILTER = 26  # SO_ATTACH_FILTER of Linux
-# Its classic BPF on a TCP header: the flags; where SYN is set, nothing is kept of the packet, else all.
+SILENT_EVICTION_AGE = 2_000  # a connection without a message is the first to be evicted after 200 ms
+MIN_EVICTION_AGE = 500  # and is never evicted within 50 ms: its first request is on its way
+CLOSING_TIMEOUT = 20_000  # 2 s from the `closing` notification to the close, if no request is open
+DRAIN_CLOSING_TIMEOUT = 5_000  # the same while draining: shorter, since the process has a deadline
+FINAL_ACCEPT_DELAY = 100  # 10 ms for handshakes in progress to reach the accept queue
+MIN_LINGERING_CONNECTIONS = 4  # allowed beside the open ones, in addition to an eighth of the limit
+MIN_LINGER_TIME = 200  # a lingering connection is not evicted before its peer had 20 ms to read responses
+MIN_LINGER_TIME_UNSENT = 2_000  # or 200 ms, if some are still unsent
+MAX_EVICTION_CANDIDATES = 8
+MAX_FINAL_READS = 16  # before a connection is closed; one read may not take all that was received
+SO_ATTACH_FILTER = 26  # Linux; not in the socket module
+# Classic BPF on a TCP header: loads the flags, drops the packet if SYN is set, else keeps it whole.
 DROP_SYN_FILTER = ((0x30, 0, 0, 13), (0x45, 0, 1, 2), (0x06, 0, 0, 0), (0x06, 0, 0, 0xFFFFFFFF))
 
 
 class MessageType:
-    """What a message is, by its first item."""
+    """The first item of a message."""
 
     REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
 
 
 def read_messages(buffer: Buffer) -> tuple[list[Any], str]:
-    """All whole messages that have been read, and what is wrong behind them; what is cut off is left."""
+    """Removes all complete messages from a buffer; an incomplete one stays.
+
+    Returns:
+        The messages, and why the data after them is malformed, or "".
+    """
     received = []
     malformed_reason = ""
     with memoryview(buffer.data) as view:
@@ -95,6 +94,11 @@
 
 
 def parse_field(fields: dict[str, str], name: str, pattern: Pattern[str]) -> str:
+    """Returns the field's value.
+
+    Raises:
+        InvalidInputError: If it is absent or does not match the pattern.
+    """
     value = fields.get(name, "")
     if not pattern.fullmatch(value):
         raise InvalidInputError(f"{name} is absent or of a wrong form: {value[:40]!r}")
@@ -102,7 +106,11 @@
 
 
 def parse_number(fields: dict[str, str], name: str, pattern: Pattern[str], low: float, high: float) -> float:
-    """A figure from `low` to under `high`."""
+    """Returns the field's value as a number from `low` (inclusive) to `high` (exclusive).
+
+    Raises:
+        InvalidInputError: If it is absent, does not match the pattern or is out of range.
+    """
     value = float(parse_field(fields, name, pattern))
     if not low <= value < high:
         raise InvalidInputError(f"{name} is out of range: {value:.15g}")
@@ -110,7 +118,15 @@
 
 
 def decode_request(class_name: str, params: list[Any]) -> DecodedRequest:
-    """A call's profile, fields and body; Malformed names what is wrong."""
+    """Decodes the parameters of a request.
+
+    Args:
+        class_name: The method of the message: the name of a request class.
+        params: The fields, as a map of strings, and the body.
+
+    Raises:
+        InvalidInputError: If a field or the body is invalid; its text is sent to the router.
+    """
     match params:
         case [dict(fields), bytes(body)] if len(body) <= MAX_BODY_BYTES:
             pass
@@ -130,7 +146,7 @@
         class_name=class_name,
         body=body,
         router_timestamp=int(parse_number(fields, "ts", INTEGER_PATTERN, 0, 1 << 50)) * MS,
-        # Where callers don't say how long they wait, the settings bound it.
+        # Without a timeout of the caller, the deadline of the request class applies.
         timeout=int(
             parse_number(fields, "timeout", INTEGER_PATTERN, 1, MAX_TIMEOUT_MS)
             if "timeout" in fields
@@ -147,15 +163,27 @@
 
 
 class Client:
-    """One router's connection."""
+    """The connection of one router.
+
+    Attributes:
+        open_requests: Requests without a response, by message id.
+        highest_message_id: Ids of requests increase on a connection.
+        closing_sent: Whether the router was notified that this connection closes.
+    """
 
     def __init__(self, clients: Clients, connection: Connection) -> None:
+        """Wraps a connection that was accepted."""
         self.clients, self.connection = clients, connection
         self.open_requests: dict[int, RequestContext] = {}
         self.highest_message_id = 0
         self.closing_sent = False
 
     def on_data(self, buffer: Buffer) -> None:
+        """Handles all complete messages in the buffer.
+
+        Raises:
+            MalformedMessageError: If the data is malformed; messages before it are handled.
+        """
         received, malformed_reason = read_messages(buffer)
         for message in received:
             self.handle_message(message)
@@ -164,12 +192,17 @@
         self.clients.on_messages_read(self, has_message=bool(received), has_partial=len(buffer) > 0)
 
     def handle_message(self, message: Any) -> None:
+        """Handles a health check, a request or a notification.
+
+        Raises:
+            MalformedMessageError: If it is none of these.
+        """
         match message:
             case [MessageType.REQUEST, int(), str(method), list(params)] if self.highest_message_id < message[
                 1
             ] < 1 << 32:
                 message_id = self.highest_message_id = message[1]
-                # A class may be called like the check: a transaction has a body beside its fields.
+                # A request class may be named "ping" too; its requests have a body after the fields.
                 if method == "ping" and len(params) < 2:
                     self.clients.counters.count("clients.pings")
                     self.send(
@@ -200,27 +233,40 @@
             case _:
                 raise MalformedMessageError("a message of no known form")
 
-    # ---- answers -------------------------------------------------------------------------------------------
+    # ---- responses -----------------------------------------------------------------------------------------
 
     def send_result(self, message_id: int, body: bytes) -> None:
+        """Sends the result of a request that succeeded."""
         self.send(pack([MessageType.RESPONSE, message_id, None, [body, {}]]))
 
     def send_rejection(self, message_id: int, retry_after: int, stop_retrying: bool) -> None:
-        """When to come back, in whole milliseconds rounded up; `stop_retrying` asks not to try elsewhere."""
+        """Rejects a request.
+
+        Args:
+            message_id: Id of the request's message.
+            retry_after: Delay before a retry, sent in milliseconds, rounded up; 0 sends none.
+            stop_retrying: Whether the router shall not retry on another app server either.
+        """
         fields = {"holdoff": str(-(-retry_after // MS))} if retry_after else {}
         if stop_retrying:
             fields["nomore"] = "1"
         self.send(pack([MessageType.RESPONSE, message_id, [OVERLOADED, fields], None]))
 
     def send_error(self, message_id: int, reason: str = FAILED) -> None:
+        """Sends an error without a Retry-After."""
         self.send(pack([MessageType.RESPONSE, message_id, [reason, {}], None]))
 
     def send(self, message: bytes) -> None:
+        """Sends an encoded message at the end of the pass."""
         self.connection.write(message)
         self.clients.update_idle(self)
 
     def send_closing(self, timeout: int = CLOSING_TIMEOUT) -> None:
-        """The router sends nothing new then, and closes it once everything has been answered."""
+        """Notifies the router that the connection closes, once.
+
+        The router sends no new requests on it, and closes it after the last response. After `timeout` this
+        side closes it.
+        """
         if not self.closing_sent and self.connection.open:
             self.closing_sent = True
             self.connection.write(pack([MessageType.NOTIFICATION, "closing", []]))
@@ -228,7 +274,7 @@
             self.schedule_close(timeout)
 
     def schedule_close(self, timeout: int) -> None:
-        """Told to close: it is ended here if the router does not, once nothing is open on it."""
+        """Closes the connection after `timeout` if no request is open, else checks again as often."""
 
         def close_or_reschedule() -> None:
             if self in self.clients.active and not self.clients.close_if_idle(self, "closing"):
@@ -237,20 +283,36 @@
         self.clients.scheduler.at(self.clients.scheduler.now + timeout, close_or_reschedule)
 
     def on_malformed(self, reason: str) -> None:
-        """What can't be read ends it; what was read before has its answers."""
+        """Closes the connection; requests read before the malformed data get their responses."""
         self.clients.counters.count("clients.malformed")
         self.clients.log.fault("malformed input from a router, its connection is ended", why=reason)
         self.clients.close_client(self, reason)
 
 
 class Clients:
-    """The listening socket and all connections on it.
-
-    `owing` holds those from whom a whole message is due, and since when; `spare` those without an open
-    transaction, the one that moved last at the end. Both guard against peers that take room and say nothing.
+    """The listening socket and all connections accepted on it.
+
+    Connections that send nothing must not keep others out: at the limit, silent and idle ones are evicted.
+
+    Attributes:
+        max_connections: Limit of `active`.
+        max_lingering: Limit of `lingering`, beyond free places in `active`.
+        active: Open connections that are not being closed.
+        idle: Those without an open request, the least recently used first.
+        awaiting_message: Those of which a complete message is due, and since when.
+        awaiting_first_message: Those that have not sent a complete message yet, the oldest first.
+        lingering: Connections being closed gracefully, and since when.
+        listener_closes_at: When draining, the time from which the listener closes once its queue is empty.
+        healthy: The result of health checks.
+        health_details: Returns details for the response to a health check.
+        idle_timeout: Age at which idle connections are notified that they close; 0 is never.
+        on_request: Called with the connection, the message id and a function that decodes the request.
+        on_disconnected: Called for each open request of a connection that has ended, and of an abort.
+        on_abandoned: Called for each open request of a connection that this side closes.
     """
 
     def __init__(self, scheduler: Scheduler, counters: Counters, log: Log, bounds: Bounds) -> None:
+        """Starts without a listener; `bounds` limits connections and bytes."""
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.max_lingering = bounds.connections // 8 + MIN_LINGERING_CONNECTIONS
         self.max_connections, self.max_unread_bytes = (
@@ -260,15 +322,13 @@
         self.active: dict[Client, None] = {}
         self.idle: OrderedDict[Client, None] = OrderedDict()
         self.awaiting_message: OrderedDict[Client, int] = OrderedDict()
-        self.awaiting_first_message: OrderedDict[Client, None] = (
-            OrderedDict()
-        )  # those that have not said anything whole yet
+        self.awaiting_first_message: OrderedDict[Client, None] = OrderedDict()
         self.message_check_scheduled = False
-        self.lingering: OrderedDict[Client, int] = OrderedDict()  # ended in order, and since when
+        self.lingering: OrderedDict[Client, int] = OrderedDict()
         self.draining = False
         self.listener_closes_at = 0
         self.healthy = True
-        self.health_details: Callable[[], dict[str, str]] = dict  # what health checks are told besides
+        self.health_details: Callable[[], dict[str, str]] = dict
         self.idle_timeout = 0
         self.idle_check_scheduled = False
         self.pool = SendBufferPool(bounds.unsent)
@@ -278,6 +338,7 @@
         self.on_abandoned: Callable[[RequestContext], None]
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
+        """Opens the listener; returns its address, with the port that was chosen if 0 was given."""
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
@@ -286,14 +347,15 @@
         return host, port
 
     def accept(self) -> None:
+        """Accepts connections until the listener closes; runs as a task."""
         while self.listener is not None:
             if not self.has_room():
-                # Left unaccepted, they wait in the system's queue until a connection ends.
+                # New connections wait in the system's accept queue until one here ends.
                 self.scheduler.unregister(self.listener.fileno())
                 self.scheduler.sleep(self.scheduler.now + ACCEPT_RETRY_DELAY)
                 continue
             if self.draining:
-                # Nobody begins to open any more: it is not woken by what has come, but looks.
+                # New handshakes are blocked: polls, since connections in the queue were reported already.
                 self.scheduler.sleep(self.scheduler.now + ACCEPT_RETRY_DELAY)
             else:
                 self.scheduler.wait(self.listener.fileno(), READ)
@@ -301,7 +363,13 @@
                 self.scheduler.sleep(self.scheduler.now + ACCEPT_RETRY_DELAY)
 
     def accept_ready(self, listener: socket.socket) -> bool:
-        """All that wait in the system's queue, as far as there is room; false where no descriptor is left."""
+        """Accepts what waits in the system's queue while there is room.
+
+        While draining, closes the listener if the queue is empty and the time for that has come.
+
+        Returns:
+            False if the system has no descriptor or memory left.
+        """
         while self.has_room():
             try:
                 sock, _ = listener.accept()
@@ -321,12 +389,14 @@
         return True
 
     def close_listener(self) -> None:
+        """Closes the listener, if it is open."""
         if self.listener is not None:
             self.scheduler.unregister(self.listener.fileno())
             self.listener.close()
             self.listener = None
 
     def add_connection(self, sock: socket.socket) -> None:
+        """Adds an accepted connection and starts its task; at a limit, another is evicted."""
         if len(self.active) >= self.max_connections:
             self.evict_one()
         if (
@@ -347,6 +417,7 @@
             client.send_closing(DRAIN_CLOSING_TIMEOUT)
 
     def serve(self, client: Client) -> None:
+        """Reads a connection until it ends; its open requests are reported as disconnected."""
         reason = "a fault"
         try:
             reason = client.connection.serve(client.on_data)
@@ -358,15 +429,22 @@
             for context in list(client.open_requests.values()):
                 self.on_disconnected(context)
 
-    # ---- who may stay --------------------------------------------------------------------------------------
+    # ---- timeouts and eviction -----------------------------------------------------------------------------
 
     def remove(self, client: Client) -> None:
+        """Removes a connection from all groups but `lingering`."""
         self.active.pop(client, None)
         for group in (self.idle, self.awaiting_message, self.awaiting_first_message):
             group.pop(client, None)
 
     def on_messages_read(self, client: Client, has_message: bool, has_partial: bool) -> None:
-        """Something has been read: whole messages, and perhaps the beginning of another."""
+        """Updates the groups after a read.
+
+        Args:
+            client: The connection that was read.
+            has_message: Whether a complete message was read.
+            has_partial: Whether the beginning of another one was read.
+        """
         if has_message:
             self.awaiting_first_message.pop(client, None)
             self.awaiting_message.pop(client, None)
@@ -375,22 +453,24 @@
             self.await_message(client)
 
     def update_idle(self, client: Client) -> None:
-        """It has moved; without an open transaction it is one that may be closed to make room."""
+        """Makes the connection the most recently used idle one, or removes it from them if it is not idle."""
         self.idle.pop(client, None)
         if not client.open_requests and client in self.active:
             self.idle[client] = None
 
     def await_message(self, client: Client) -> None:
+        """Starts the message timeout of a connection."""
         self.awaiting_message[client] = self.scheduler.now
         if not self.message_check_scheduled:
             self.message_check_scheduled = True
             self.scheduler.at(self.scheduler.now + MESSAGE_CHECK_INTERVAL, self.close_overdue)
 
     def close_overdue(self) -> None:
-        """Who has owed a message for too long is ended; what lies ready is read before: we may be late.
+        """Closes connections whose message timeout has passed.
 
-        One that waits for answers gets them first: guards against a slow writer whose other transactions
-        would be lost with the half one.
+        Data that has arrived is read first, since this process may have been paused. A connection with open
+        requests gets their responses before it is closed: a slow writer must not lose them with its
+        incomplete message.
         """
         self.message_check_scheduled = False
         for client, since in list(self.awaiting_message.items()):
@@ -409,10 +489,11 @@
             self.scheduler.at(self.scheduler.now + MESSAGE_CHECK_INTERVAL, self.close_overdue)
 
     def has_room(self) -> bool:
+        """Whether another connection can be accepted, possibly by evicting one."""
         now = self.scheduler.now
         if len(self.active) + len(self.lingering) >= self.max_connections + self.max_lingering:
-            # Guards against answers that are cut off in the pass in which their connection was ended, and
-            # against one that reads nothing and would keep all others out.
+            # A lingering connection keeps its place for a minimum time, or its responses would be cut off in
+            # the pass that closes it. That time is bounded: a peer that reads nothing must not block others.
             for client, since in islice(self.lingering.items(), 1):
                 if since > now - (MIN_LINGER_TIME_UNSENT if client.connection.unsent else MIN_LINGER_TIME):
                     return False
@@ -424,9 +505,11 @@
         )
 
     def evict_one(self) -> None:
-        """At the bound, one that has said nothing since a while goes, then the one that moved longest ago.
+        """Closes one connection to make room for another.
 
-        Guards against crowds that say nothing, and against ending one whose transaction lies unread.
+        Candidates are connections that are old enough and have sent no message, then idle ones, the least
+        recently used first, then younger ones without a message. Each is read before it is closed, and stays
+        if anything had arrived. If all stay, the first without an open request is closed.
         """
         silent = (
             client
@@ -447,17 +530,24 @@
         if victim is None and (
             victim := next((client for client in candidates if not client.open_requests), None)
         ):
-            self.close_client(victim, "room for another")  # each has said something: the first of them
+            self.close_client(victim, "room for another")  # each had input: takes the first
         if victim is not None:
             self.counters.count("clients.made_room")
 
-    # ---- ending one connection -----------------------------------------------------------------------------
+    # ---- closing one connection ----------------------------------------------------------------------------
 
     def close_if_idle(self, client: Client, reason: str, only_if_silent: bool = False) -> bool:
-        """End it if nothing is open on it, or only if it says nothing just now; whether it ends.
+        """Closes a connection if it has no open request and no incomplete message.
+
+        Data that has arrived is read first: a request that arrives at the moment of the close would be lost.
+
+        Args:
+            client: The connection.
+            reason: Why it is closed.
+            only_if_silent: Whether it also stays open if anything was read now.
 
-        What lies ready is read before, and half a message is waited for: guards against a transaction that
-        comes in the moment of the close, which would be lost with it.
+        Returns:
+            Whether it is closed.
         """
         had_input = self.read_pending(client)
         stays = client.connection.open and client in self.active
@@ -470,14 +560,17 @@
 
     @staticmethod
     def read_pending(client: Client) -> bool:
-        """What lies ready on it is read; whether anything did."""
+        """Reads data that has arrived, within a bound; returns whether there was any."""
         reads = 0
         while reads < MAX_FINAL_READS and client.connection.read(client.on_data):
             reads += 1
         return reads > 0
 
     def close_client(self, client: Client, reason: str) -> None:
-        """End it whatever is on it: what is open is answered now, and what comes from now on is not taken."""
+        """Closes a connection gracefully in any state.
+
+        Its open requests are abandoned, which sends their responses; data received from now on is discarded.
+        """
         for context in list(client.open_requests.values()):
             self.on_abandoned(context)
         self.remove(client)
@@ -485,17 +578,17 @@
             self.lingering[client] = self.scheduler.now
             client.connection.close_gracefully(reason)
 
-    # ---- closing -------------------------------------------------------------------------------------------
+    # ---- closing many --------------------------------------------------------------------------------------
 
     def set_idle_timeout(self, span: int) -> None:
-        """Connections that carry nothing for so long are told to close; 0 leaves that to the routers."""
+        """Sets after how long idle connections are notified that they close; 0 leaves that to the routers."""
         self.idle_timeout = span
         if span and not self.idle_check_scheduled:
             self.idle_check_scheduled = True
             self.close_idle()
 
     def close_idle(self) -> None:
-        """Those at the head have carried nothing for the longest time."""
+        """Notifies connections whose idle timeout has passed, the least recently used first; repeats."""
         if not self.idle_timeout:
             self.idle_check_scheduled = False
             return
@@ -506,7 +599,7 @@
             client.send_closing()
 
     def start_draining(self) -> None:
-        """Nobody new, and those who are here hear it; what lies in the system's queue is still taken."""
+        """Stops accepting and notifies all routers; connections in the system's queue are still accepted."""
         if self.listener is not None and not self.draining:
             self.draining, self.listener_closes_at = True, self.scheduler.now + FINAL_ACCEPT_DELAY
             block_new_handshakes(self.listener)
@@ -516,32 +609,37 @@
             client.send_closing(DRAIN_CLOSING_TIMEOUT)
 
     def final_accept(self) -> None:
+        """Accepts what reached the system's queue before new handshakes were blocked."""
         if self.listener is not None:
             self.accept_ready(self.listener)
 
     def close_all_gracefully(self, reason: str) -> None:
-        """All of them; what lies ready is read before, and is for `given_up` to answer."""
+        """Closes all connections gracefully.
+
+        Data that has arrived is read first, so that each request read gets a response from `on_abandoned`.
+        """
         for client in list(self.active):
             self.read_pending(client)
         for client in list(self.active):
             self.close_client(client, reason)
 
     def has_open_sockets(self) -> bool:
-        """Whether anyone is here still, or may yet be let in."""
+        """Whether a connection or the listener is still open."""
         return bool(self.active or self.lingering or self.listener)
 
     def close_all(self) -> None:
+        """Closes the listener and all connections at once."""
         self.close_listener()
         for client in [*self.active, *self.lingering]:
             client.connection.close("the program ends")
 
 
 def block_new_handshakes(listener: socket.socket) -> None:
-    """From now on nobody begins to open a connection: not heard, it tries again, and is refused then.
+    """Drops new SYN packets on a listener.
 
-    Guards against a connection that the system accepts between the last look into the queue and the close:
-    the close would reset it, and the transaction on it would be lost. Where the system takes no such filter
-    the gap between the two calls stays.
+    Peers retransmit them, and are refused once the listener is closed. Otherwise the system could
+    complete a handshake between the last `accept` and the close of the listener: the close would reset that
+    connection, and its request would be lost. A system that does not accept the filter keeps that gap.
     """
     instructions = array("B", b"".join(struct.pack("HBBI", *line) for line in DROP_SYN_FILTER))
     filter_program = struct.pack("HP", len(DROP_SYN_FILTER), instructions.buffer_info()[0])
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -1,4 +1,4 @@
-"""The program: it puts peers and stages together and goes through its phases, from start to exit."""
+"""The app server process: connects peers and pipeline stages, and runs its phases from start to exit."""
 
 from __future__ import annotations
 
@@ -41,21 +41,23 @@
 from .stages.run_dispatcher import ResultKeeper, RunDispatcher
 from .vault import Vault
 
-GAUGES_LEAD = 50  # gauges are asked for 5 ms before the tick that reads them
-CLOSE_LEAD = 800  # all that is open is answered 80 ms before the process would be killed
-EXIT_LEAD = 250  # and closed 25 ms before, whoever has not read it
-MAX_CLOSING_TIME = 10_000  # routers are waited for a second, where there is the time
-SHUT_LEAD = 3_000  # and routers hear it 300 ms before, however long the grace
-TASK_RESTART_DELAY = 1_000  # a task that had a fault begins again after 100 ms
+GAUGES_LEAD = 50  # gauges are requested 5 ms before the tick that reads them
+CLOSE_LEAD = 800  # open requests get a response 80 ms before the process would be killed
+EXIT_LEAD = 250  # connections are closed 25 ms before that, even if a router has not read everything
+MAX_CLOSING_TIME = 10_000  # 1 s for routers to close their side, if the deadline allows
+SHUT_LEAD = 3_000  # routers are notified at least 300 ms before the deadline, even within the drain grace
+TASK_RESTART_DELAY = 1_000  # 100 ms between a task's exception and its restart
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
 
 class Phase(Enum):
-    STARTING = "starting"  # listening, checks are answered; the agent has not greeted yet
+    """Phases of the process; their values are logged."""
+
+    STARTING = "starting"  # accepts connections and responds to health checks; waits for the agent's greeting
     SERVING = "serving"
-    DRAINING = "draining"  # told to leave: what comes within the grace is taken as before
-    SHUT = "shut"  # the grace is over: nobody new, all that was read is answered
-    CLOSING = "closing"  # all is answered; what is written goes out
+    DRAINING = "draining"  # stop was requested: still accepts requests within the drain grace
+    SHUT = "shut"  # the drain grace is over: accepts no new requests, finishes open ones
+    CLOSING = "closing"  # every request has a response: sends what is unsent
     ENDED = "ended"
 
 
@@ -70,39 +72,93 @@
 
 
 class FleetMember(Protocol):
-    """What stands beside one app server for its fleet; without one nothing here is any different."""
+    """The app server's membership in a fleet; optional.
+
+    Attributes:
+        driver: Admission control, once it has started.
+        status: What the member reports of itself.
+        on_listing_changed: Called when the member is to be listed in the catalog, or no longer.
+    """
 
     driver: AdmissionDriver | None
     status: Any
     on_listing_changed: Callable[[], None]
 
-    def start(self) -> None: ...
-    def record_arrival(self, context: RequestContext) -> None: ...
-    def record_answer(self, context: RequestContext, what: str) -> None: ...
-    def apply_lease(self) -> None: ...
-    def update_listing(self) -> bool: ...
+    def start(self) -> None:
+        """Starts its tasks."""
+        ...
+
+    def record_arrival(self, context: RequestContext) -> None:
+        """Counts a request that was accepted."""
+        ...
+
+    def record_answer(self, context: RequestContext, outcome: str) -> None:
+        """Counts a request that got its response."""
+        ...
+
+    def apply_lease(self) -> None:
+        """Applies the downstream quota of this moment; called before each batch of decisions."""
+        ...
+
+    def update_listing(self) -> bool:
+        """Whether the catalog may list this app server."""
+        ...
 
 
 class DurableResultStore(ResultKeeper, Protocol):
-    """Kept results, as the program has them beside it; off without a file of the operators'."""
+    """The store of results of keyed requests that outlives the process; optional."""
+
+    def set_resolution_listener(self, listener: Callable[[IdempotencyEntry, RunResult], None]) -> None:
+        """Sets the function called when the result of an earlier incarnation's run is known."""
+        ...
+
+    def start(self) -> None:
+        """Starts writing."""
+        ...
+
+    def close(self) -> None:
+        """Closes the store at exit."""
+        ...
+
+    def capacity(self) -> tuple[int, int, int]:
+        """Returns the arguments of `AdmissionDriver.limit_new_keys`."""
+        ...
+
+    def health(self) -> dict[str, str]:
+        """Why keyed requests are rejected at the moment; empty if they are not."""
+        ...
 
-    def set_resolution_listener(self, listener: Callable[[IdempotencyEntry, RunResult], None]) -> None: ...
-    def start(self) -> None: ...
-    def close(self) -> None: ...
-    def capacity(self) -> tuple[int, int, int]: ...
-    def health(self) -> dict[str, str]: ...
-    def find_earlier_result(self, context: RequestContext) -> IdempotencyEntry | None: ...
-    def complete_earlier_run(self, run_id: str, outcome: Outcome, result: bytes) -> None: ...
+    def find_earlier_result(self, context: RequestContext) -> IdempotencyEntry | None:
+        """Returns the entry of a key that an earlier incarnation started."""
+        ...
+
+    def complete_earlier_run(self, run_id: str, outcome: Outcome, result: bytes) -> None:
+        """Completes a run of an earlier incarnation that the agent still reports."""
+        ...
 
 
 def read_memory_kb(field: str = "VmRSS") -> int:
-    """Resident memory in KB, or its peak (`VmHWM`); the usage record would count the parent too."""
+    """Returns the process's resident memory in KB, or its peak with `VmHWM`.
+
+    `getrusage` is not used: its peak includes the parent's memory before `exec`.
+    """
     with open("/proc/self/status", encoding="ascii") as status:
         return next((int(line.split()[1]) for line in status if line.startswith(f"{field}:")), 0)
 
 
 class Program:
+    """One app server: its peers, its pipeline stages and its phase.
+
+    Attributes:
+        stop_deadline: When the process would be killed, once a stop was requested.
+        exit_deadline: When connections are closed at the latest, once closing has begun.
+        signals: Read end of the signal wakeup descriptor; `wakeup` is its write end.
+        fleet_member: The membership in a fleet, if there is one.
+        result_store: The store of results, if there is one.
+    """
+
     def __init__(self, site: Site) -> None:
+        """Creates all parts; opens no connection."""
         self.site = site
         self.phase = Phase.STARTING
         self.stop_deadline = self.exit_deadline = 0
@@ -145,7 +201,7 @@
             self.downstream_caller,
             self.response_recorder,
         )
-        # who hears whom
+        # callbacks
         self.clients.on_request, self.clients.on_disconnected = self.request_decoder, self.on_disconnected
         self.clients.on_abandoned = self.on_abandoned
         self.request_decoder.submit, self.request_decoder.register = (
@@ -179,7 +235,7 @@
         self.result_store: DurableResultStore | None = None
 
     def attach_fleet_member(self, fleet_member: FleetMember) -> None:
-        """Before `run`: the fleet's side of it."""
+        """Connects the membership in a fleet; to be called before `run`."""
         self.fleet_member = fleet_member
         fleet_member.on_listing_changed = self.catalog.hurry
         submit = self.request_decoder.submit
@@ -188,13 +244,13 @@
             submit(context)
             self.scheduler.guard(lambda: fleet_member.record_arrival(context), "companion")
 
-        def record_answer(context: RequestContext, what: str) -> None:
-            self.scheduler.guard(lambda: fleet_member.record_answer(context, what), "companion")
+        def record_answer(context: RequestContext, outcome: str) -> None:
+            self.scheduler.guard(lambda: fleet_member.record_answer(context, outcome), "companion")
 
         self.request_decoder.submit, self.response_recorder.on_answered = submit_and_record, record_answer
 
     def attach_result_store(self, result_store: DurableResultStore) -> None:
-        """Before `run`: what labelled transactions come to survives this process."""
+        """Connects the store of results of keyed requests; to be called before `run`."""
         self.result_store = self.run_dispatcher.result_keeper = result_store
         result_store.set_resolution_listener(self.response_recorder.resolve_entry)
         self.idempotency_table.find_earlier = result_store.find_earlier_result
@@ -204,6 +260,11 @@
     # ---- phases --------------------------------------------------------------------------------------------
 
     def enter_phase(self, phase: Phase) -> None:
+        """Changes the phase.
+
+        Raises:
+            RuntimeError: If that is no allowed transition.
+        """
         if phase not in PHASE_TRANSITIONS[self.phase]:
             raise RuntimeError(f"no way from {self.phase.value} to {phase.value}")
         self.log.info("phase", left=self.phase.value, now=phase.value)
@@ -213,6 +274,7 @@
             self.fleet_member.status.is_draining = phase not in (Phase.STARTING, Phase.SERVING)
 
     def run(self) -> None:
+        """Serves until the process is to exit."""
         self.install_signal_handlers()
         host, port = self.clients.listen(self.site.listen)
         self.log.info("listening", address=f"{host}:{port}")
@@ -229,7 +291,7 @@
         try:
             self.scheduler.run()
         finally:
-            for number in SIGNALS:  # their defaults would end what is ending already, with a code above 0
+            for number in SIGNALS:  # the default actions would end this process with an exit code above 0
                 signal.signal(number, signal.SIG_IGN)
             if self.result_store is not None:
                 self.result_store.close()
@@ -237,7 +299,7 @@
             self.log.writer.flush()
 
     def spawn_supervised(self, name: str, function: Callable[[], None]) -> None:
-        """A task that the program can't do without: a fault in it is logged, and it begins again."""
+        """Runs a task that is restarted, after a delay, when it raises."""
 
         def run_supervised() -> None:
             while True:
@@ -251,9 +313,10 @@
         self.scheduler.spawn(name, run_supervised)
 
     def on_agent_greeting(self, is_cold: bool, started_at: int) -> None:
-        """The agent is up: the decisions begin, empty. Its age counts for its warmth alone.
+        """Starts admission control on the agent's first greeting.
 
-        Begun with the age of a warm one, the quota would bind before its windows had been filled once.
+        Only a cold agent's start time is used, for its slow start. With that of a warm one, quotas would bind
+        before their windows had been filled once.
         """
         if self.phase is Phase.STARTING:
             self.enter_phase(Phase.SERVING)
@@ -265,7 +328,11 @@
                 self.fleet_member.driver = self.admission_stage.driver
 
     def begin_drain(self) -> None:
-        """The notice to leave; a second one means now: what is open is answered, and the program ends."""
+        """Handles a stop request.
+
+        The first one starts the drain; a second one ends it: open requests get a response, and the process
+        exits.
+        """
         if self.phase in (Phase.CLOSING, Phase.ENDED):
             return
         if self.phase in (Phase.DRAINING, Phase.SHUT):
@@ -277,19 +344,24 @@
             return
         self.enter_phase(Phase.DRAINING)
         self.admission_stage.start_drain(deadline)
-        # Routers learn late that this one leaves. Turned away meanwhile, they would crowd those that stay.
+        # Routers learn late that this app server drains. Requests that it rejected meanwhile would overload
+        # the others.
         grace_over = self.scheduler.now + self.site.deployment.drain_grace
         self.scheduler.at(min(grace_over, deadline - SHUT_LEAD), self.stop_accepting)
         self.scheduler.at(deadline - CLOSE_LEAD, self.begin_close)
 
     def stop_accepting(self) -> None:
+        """Ends the drain grace: rejects new requests and notifies routers."""
         if self.phase is Phase.DRAINING:
             self.enter_phase(Phase.SHUT)
             self.admission_stage.rejects_new_requests = True
             self.clients.start_draining()
 
     def begin_close(self) -> None:
-        """Nothing more is owed, or the time is up: what has no answer yet gets one, and nothing runs."""
+        """Sends a response to each open request and closes the connections gracefully.
+
+        Called once no connection is left, and at the latest `CLOSE_LEAD` before the deadline.
+        """
         if self.phase in (Phase.STARTING, Phase.DRAINING, Phase.SHUT):
             self.enter_phase(Phase.CLOSING)
             self.admission_stage.rejects_new_requests = True
@@ -302,9 +374,11 @@
             self.scheduler.at(now, self.finish_close)
 
     def finish_close(self) -> None:
-        """Once all has gone out and the routers have ended their side too, or at the last moment."""
+        """Stops the scheduler once all connections are closed or at `exit_deadline`; else retries in 1 ms."""
         for client in list(self.clients.active):
-            self.clients.close_if_idle(client, "the program ends")  # taken from the system's queue meanwhile
+            self.clients.close_if_idle(
+                client, "the program ends"
+            )  # accepted from the system's queue meanwhile
         if self.clients.has_open_sockets() and self.scheduler.now < self.exit_deadline:
             self.scheduler.at(self.scheduler.now + 10, self.finish_close)
             return
@@ -313,9 +387,9 @@
         self.scheduler.stop()
 
     def finish_pass(self) -> None:
-        """Once a pass."""
+        """Runs admission control on what the pass has received, and ends a drain that is complete."""
         if self.fleet_member is not None:
-            # Whatever is wrong with the fleet's side, the batch goes on.
+            # An error in the fleet's part must not stop the batch.
             self.scheduler.guard(self.fleet_member.apply_lease, "companion")
         self.admission_stage.process_pending()
         if (
@@ -328,6 +402,7 @@
     # ---- signals -------------------------------------------------------------------------------------------
 
     def install_signal_handlers(self) -> None:
+        """Routes signals to the wakeup descriptor, which `handle_signals` reads."""
         self.signals.setblocking(False)
         self.wakeup.setblocking(False)
         signal.set_wakeup_fd(self.wakeup.fileno(), warn_on_full_buffer=False)
@@ -336,6 +411,7 @@
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
     def handle_signals(self) -> None:
+        """Handles signals as they arrive; runs as a task."""
         while True:
             self.scheduler.wait(self.signals.fileno(), READ)
             try:
@@ -351,7 +427,7 @@
                     self.begin_drain()
 
     def reload(self) -> None:
-        """The configuration is read again; one that can't be read leaves the old one in force."""
+        """Reads the configuration again; the old one stays in force if it is invalid."""
         try:
             later = read_site(os.environ)
         except (InvalidInputError, OSError) as error:
@@ -372,7 +448,7 @@
         self.log.info("configuration taken over", **named)
 
     def log_counters(self) -> None:
-        """The counters, on request and at exit: a line for each peer and stage."""
+        """Logs a line of counters for each peer and stage; on request and at exit."""
         for part, counts in self.counters.report().items():
             self.log.info("counters", part=part, **counts)
         cpu_ms, dropped = time.process_time_ns() // 1_000_000, self.log.writer.dropped
@@ -384,9 +460,10 @@
             log_lines_dropped=dropped,
         )
 
-    # ---- what concerns the whole app server ----------------------------------------------------------------
+    # ---- callbacks of admission control, peers and the scheduler -------------------------------------------
 
     def apply_server_action(self, server_action: ServerAction) -> None:
+        """Carries out an action of admission control that concerns no single request."""
         match server_action:
             case SetTimer(at):
                 self.scheduler.at(at - GAUGES_LEAD, self.agent.sample)
@@ -399,29 +476,34 @@
                 self.log.info(server_action.name, **asdict(server_action))
 
     def tick(self) -> None:
+        """Passes gauges and the store's capacity to admission control."""
         if self.result_store is not None and self.admission_stage.driver is not None:
             self.admission_stage.driver.limit_new_keys(*self.result_store.capacity())
         self.admission_stage.tick(Gauges(self.agent.cores_used()))
 
     def is_passing(self) -> bool:
+        """Whether the catalog shall list this app server."""
         if self.fleet_member is not None and not self.fleet_member.update_listing():
             return False
         return self.clients.healthy and self.phase in (Phase.STARTING, Phase.SERVING)
 
     def is_id_in_use(self, name: str) -> bool:
+        """Whether a request with this id is open or still runs."""
         return name in self.response_recorder.open_request_ids or name in self.agent.runs
 
     def on_disconnected(self, context: RequestContext) -> None:
+        """Handles the loss of a request's caller."""
         self.downstream_caller.cancel_call(context)
         self.response_recorder.on_caller_gone(context)
 
     def on_abandoned(self, context: RequestContext) -> None:
+        """Sends a response to a request whose connection is about to close."""
         if self.admission_stage.driver is not None:
-            self.admission_stage.look_up_entry(context)  # it may have been read just now
+            self.admission_stage.look_up_entry(context)  # it may have been read in this pass
         self.downstream_caller.cancel_call(context)
         self.response_recorder.abandon(context)
 
     def on_task_error(self, name: str, error: Exception) -> None:
-        """What a task or a timer raised: it ends that alone."""
+        """Counts and logs an exception that a task or a timer raised."""
         self.counters.count("program.faults")
         self.log.trace("a fault", error, task=name)
