--- a/birchslip/admission/rejection.py
+++ b/birchslip/admission/rejection.py
@@ -1,6 +1,6 @@
-"""How a request is rejected: its Retry-After, and whether another server is worth trying.
+"""How a request is rejected: its Retry-After, and whether it may be retried on another app server.
 
-Owns what was rejected in the window, and the random sequence that spreads Retry-After.
+This module owns the random sequence for the jitter of Retry-After.
 """
 
 from __future__ import annotations
@@ -17,17 +17,18 @@
 from .rejection_stats import RejectionStats
 from .types import AdmissionSettings, Reject, Request
 
-SLOWED_RUNS = 2.0  # slowdown from which another server is worth trying all the same
-LOWEST_SPREAD = 0.75  # of the Retry-After; the highest is 1.25
+# From this slowdown on, a retry on another app server is allowed even if the conditions against it are met.
+RETRY_ELSEWHERE_SLOWDOWN = 2.0
+MIN_JITTER = 0.75  # factor on Retry-After; the highest is 1.25
 RANDOM_FACTOR = 6364136223846793005  # Knuth's MMIX linear congruential generator
 RANDOM_INCREMENT = 1442695040888963407
 RANDOM_BITS = 64
-RANDOM_LOW_BITS = 40  # not used: their period is short
-SPREAD_BITS = 25
+RANDOM_LOW_BITS = 40  # dropped, because the low bits have a short period
+JITTER_BITS = 25
 
 
 class Rejections:
-    """Final answers to requests that never ran."""
+    """Creates the final answers to requests that never ran."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         quotas: Quotas,
         plan: PlanState,
     ) -> None:
-        """Begin with the random sequence of the settings' seed."""
+        """Start the random sequence with the seed of the settings."""
         self.settings = settings
         self.stats = stats
         self.queue = queue
@@ -50,34 +51,40 @@
         self.random_state = settings.seed
 
     def reject(self, request: Request, now: int, delay: int = 0) -> Reject:
-        """Return the rejection of a request, with at least `delay` as its Retry-After."""
+        """Count a rejection and return it; its Retry-After, before jitter, is at least `delay`.
+
+        While the app server is unhealthy, the Retry-After is the longest allowed one.
+        """
         self.stats.add(now, self._age(request, now))
         if not self.settings.sends_retry_after:
             return Reject()
-        longest = self.settings.max_retry_after
-        wait: float = longest
+        max_retry_after = self.settings.max_retry_after
+        wait: float = max_retry_after
         if self.health.is_healthy:
             core_wait = self.limit.core_wait(self.health.slowdown)
             wait = max(delay, core_wait, self.queue.read_delay, TIMER_INTERVAL)
-        retry_after = min(ceil(wait * self._spread()), longest)
+        retry_after = min(ceil(wait * self._jitter()), max_retry_after)
         return Reject(retry_after, self._is_retry_useless())
 
     def _age(self, request: Request, now: int) -> int:
-        # An evacuated caller past its quota is rejected at once, which says nothing of how old others are.
+        """Return the age that a rejected request adds to the mean age of rejected requests."""
+        # An evacuated caller past its quota is rejected at once, so its age must not lower the mean.
         if request.quota_meter is self.quotas.evacuated:
             return int(self.stats.mean_age(now))
         return now - request.arrived_at
 
-    def _spread(self) -> float:
+    def _jitter(self) -> float:
+        """Return the next random factor, evenly distributed from 0.75 to 1.25."""
         state = self.random_state * RANDOM_FACTOR + RANDOM_INCREMENT
         self.random_state = state % (1 << RANDOM_BITS)
-        return LOWEST_SPREAD + (self.random_state >> RANDOM_LOW_BITS) / (1 << SPREAD_BITS)
+        return MIN_JITTER + (self.random_state >> RANDOM_LOW_BITS) / (1 << JITTER_BITS)
 
     def _is_retry_useless(self) -> bool:
+        """Return whether the caller should not retry on another app server."""
         is_full = (
             self.queue.is_saturated
             or self.stats.is_retry_storm
             or self.idle_connections.retry_needs_handshake
             or self.plan.is_capacity_short
         )
-        return is_full and self.health.slowdown < SLOWED_RUNS
+        return is_full and self.health.slowdown < RETRY_ELSEWHERE_SLOWDOWN
--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -1,8 +1,9 @@
-"""Answers for idempotency keys that an earlier incarnation of the app server started.
+"""Answers to repeats of requests that an earlier incarnation of the app server started.
 
-The index of the recovered store says which keys those are; their results are read from the segments when a
-repeat requests one. A run whose end the agent still reports is completed late. This module never lets such a
-key run again: the table of keys decides that, and is given an entry that has run.
+The index of the recovered store holds the keys of these requests; their results are read from the segments
+when a repeat arrives. If the agent reports the end of such a run only after the restart, the run is completed
+then. Whether a request may run is decided by `IdempotencyTable` alone; the entries that it gets from this
+module are marked as run, so that their keys are not run again.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 ResolutionListener = Callable[[IdempotencyEntry, RunResult], None]
 
 
-class DiscardingCaller:
-    """The caller of a request of an earlier incarnation: there is nobody to answer."""
+class DiscardingChannel:
+    """Response channel of a request whose connection ended with an earlier incarnation; discards answers."""
 
     def __init__(self) -> None:
         """Start without open requests."""
@@ -42,22 +43,23 @@
 
 
 class EarlierResults:
-    """The keys of earlier incarnations, and the answers to their repeats.
+    """Keys of earlier incarnations and answers to their repeats.
 
     Attributes:
-        on_resolved: Notified of the entry of a key and what it came to, once that is known.
+        on_resolved: Called with the entry of a key and the result of its run, once the result is known; must
+            be set before the first repeat.
     """
 
     def __init__(
         self, counters: Counters, writer: Writer, flush_queue: FlushQueue, recovered: RecoveredStore
     ) -> None:
-        """Answer from a recovered store, which is changed as keys are resolved and expire."""
+        """Answer from a recovered store, which is updated as keys are resolved or expire."""
         self.on_resolved: ResolutionListener
         self._counters = counters
         self._writer = writer
         self._flush_queue = flush_queue
         self._recovered = recovered
-        self._entries: dict[bytes, IdempotencyEntry] = {}  # of the keys that were requested since the start
+        self._entries: dict[bytes, IdempotencyEntry] = {}  # of keys that were repeated since the start
 
     @property
     def is_empty(self) -> bool:
@@ -66,11 +68,14 @@
 
     @property
     def entry_count(self) -> int:
-        """How many keys that were requested since the start are in memory."""
+        """The number of keys in memory: those that were repeated since the start."""
         return len(self._entries)
 
     def find(self, context: RequestContext) -> IdempotencyEntry | None:
-        """The entry of a request's key if an earlier incarnation started it; its result is fetched."""
+        """Return the entry of a request's key if an earlier incarnation started it, or None.
+
+        If the result is stored, it is read from its segment, and `on_resolved` is called afterwards.
+        """
         key = bytes.fromhex(context.idempotency_key)
         location = self._recovered.index.get(key, context.received_at)
         if location is None:
@@ -86,13 +91,13 @@
             task = FetchTask(
                 location=unpack_location(location),
                 max_body_bytes=COMPLETION_RESERVE_BYTES,
-                on_done=partial(self._fetched, entry),
+                on_done=partial(self._on_fetched, entry),
             )
             self._writer.submit(task)
         return entry
 
     def complete_run(self, run_id: str, outcome: Outcome, result: bytes) -> None:
-        """Complete a run of an earlier incarnation whose end the agent still reports; others are ignored."""
+        """Complete a run of an earlier incarnation whose end the agent reports late; ignore other runs."""
         started = self._recovered.open_runs.pop(run_id, None)
         if started is None:
             return
@@ -101,14 +106,14 @@
         if entry is not None:
             self._resolve(entry, RunResult(outcome, result))
         completed = replace(started, kind=RecordKind.COMPLETED, run_id="", outcome=outcome, result=result)
-        self._flush_queue.append(completed, partial(self._completion_done, completed))
+        self._flush_queue.append(completed, partial(self._on_completion_appended, completed))
 
     def forget(self, now: int) -> None:
-        """Forget all keys, once the last one has expired."""
+        """Drop all keys; called once the last one has expired."""
         self._recovered.index = KeyIndex(now)
         self._entries = {}
 
-    def _fetched(self, entry: IdempotencyEntry, task: FetchTask) -> None:
+    def _on_fetched(self, entry: IdempotencyEntry, task: FetchTask) -> None:
         record = task.record
         if record is None or record.key != bytes.fromhex(entry.key):
             self._counters.count("keep.unread")
@@ -121,24 +126,27 @@
         if entry.result is None:
             self.on_resolved(entry, run_result)
 
-    def _completion_done(self, record: ResultRecord, task: AppendTask) -> None:
+    def _on_completion_appended(self, record: ResultRecord, task: AppendTask) -> None:
         index = self._recovered.index
         if record.outcome in NEVER_RAN_OUTCOMES:
-            index.put(record.key, 0)  # expired: the key is free again
+            index.put(record.key, 0)  # expired, so that the key can be started again
         elif not task.error:
             index.put(record.key, record.expires_at, pack_location(task.serial, task.offset))
 
 
 def _make_entry(repeat: RequestContext) -> IdempotencyEntry:
-    """The entry of a key whose first request, as far as the controller is concerned, has run and is over."""
+    """Return an entry whose original request counts as run and answered, so that it is not run again."""
     arrived_at = repeat.received_at
     request_class = repeat.request.request_class
     request = Request(request_class, caller=0, arrived_at=arrived_at, deadline=arrived_at, size=0)
     request.has_started = True
     request.state = RequestState.COMPLETED
-    original = RequestContext(DiscardingCaller(), 0, "", "", b"", request, arrived_at, repeat.idempotency_key)
+    original = RequestContext(
+        DiscardingChannel(), 0, "", "", b"", request, arrived_at, repeat.idempotency_key
+    )
     original.is_launched = True
     original.is_answered = True
+    # Every repeat matches until the stored digest is read, and always if none can be read.
     return IdempotencyEntry(
         repeat.idempotency_key, original, arrived_at, original, matches_earlier_run=lambda other: True
     )
--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -28,7 +28,7 @@
 from .connection import Connection, SendBufferPool
 from .counters import Counters
 from .log import Log
-from .messagepack import Incomplete, pack, unpack
+from .messagepack import IncompleteMessageError, pack, unpack
 from .request_context import DecodedRequest, RequestContext
 from .scheduler import READ, Scheduler
 
@@ -85,7 +85,7 @@
             while position < buffer.end:
                 message, position = unpack(view, position, buffer.end)
                 received.append(message)
-        except Incomplete:
+        except IncompleteMessageError:
             pass
         except MalformedMessageError as error:
             malformed_reason = str(error)
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -32,7 +32,7 @@
 from .request_context import IdempotencyEntry, RequestContext, RunResult
 from .scheduler import READ, Scheduler
 from .servers import Agent
-from .site import MOVING, Site, read_site
+from .site import RELOADABLE_FIELDS, ServerConfig, read_config
 from .stages.action_dispatcher import ActionDispatcher
 from .stages.admission_stage import AdmissionStage
 from .stages.downstream_caller import DownstreamCaller
@@ -157,7 +157,7 @@
         result_store: The store of results, if there is one.
     """
 
-    def __init__(self, site: Site) -> None:
+    def __init__(self, site: ServerConfig) -> None:
         """Creates all parts; opens no connection."""
         self.site = site
         self.phase = Phase.STARTING
@@ -167,18 +167,18 @@
         self.counters = Counters()
         scheduler, counters, log = self.scheduler, self.counters, self.log
         descriptors = min(site.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        self.bounds = compute_bounds(site.memory, read_memory_kb() << 10, descriptors)
+        self.bounds = compute_bounds(site.memory_bytes, read_memory_kb() << 10, descriptors)
         # peers
         self.clients = Clients(scheduler, counters, log, self.bounds)
-        self.agent = Agent(scheduler, counters, log, site.agent, site.gauges, self.bounds.orders)
+        self.agent = Agent(scheduler, counters, log, site.agent, site.gauge_names, self.bounds.orders)
         self.vault = Vault(scheduler, counters, log, site.vault, self.bounds.calls)
         self.catalog = Catalog(scheduler, counters, log, site.catalog, site.name, self.is_passing)
         # stages
         self.idempotency_table = IdempotencyTable(
-            max(profile.deadline for profile in site.deployment.request_classes)
+            max(profile.deadline for profile in site.settings.request_classes)
         )
         self.request_decoder = RequestDecoder(
-            scheduler, counters, log, site.deployment, site.profiles, site.tenants
+            scheduler, counters, log, site.settings, site.class_names, site.tenant_names
         )
         self.admission_stage = AdmissionStage(scheduler, counters, self.idempotency_table)
         self.response_recorder = ResponseRecorder(counters, log, self.idempotency_table, self.admission_stage)
@@ -219,16 +219,16 @@
         )
         self.admission_stage.on_key_mismatch = self.response_recorder.send_error
         guard = self.response_recorder.guard
-        self.agent.greeted, self.agent.wanted = (
+        self.agent.on_handshake, self.agent.on_call_needed = (
             self.on_agent_greeting,
             guard(self.downstream_caller.on_call_needed),
         )
-        self.agent.ended, self.agent.doubt = (
+        self.agent.on_run_ended, self.agent.on_outcome_unknown = (
             guard(self.run_dispatcher.on_run_ended),
             guard(self.run_dispatcher.mark_outcome_unknown),
         )
-        self.agent.refused = guard(self.run_dispatcher.on_launch_refused)
-        self.vault.ended = guard(self.downstream_caller.on_call_ended)
+        self.agent.on_launch_refused = guard(self.run_dispatcher.on_launch_refused)
+        self.vault.on_call_ended = guard(self.downstream_caller.on_call_ended)
         self.downstream_caller.guarded_on_timeout = guard(self.downstream_caller.on_timeout)
         self.signals, self.wakeup = socket.socketpair()
         self.fleet_member: FleetMember | None = None
@@ -237,7 +237,7 @@
     def attach_fleet_member(self, fleet_member: FleetMember) -> None:
         """Connects the membership in a fleet; to be called before `run`."""
         self.fleet_member = fleet_member
-        fleet_member.on_listing_changed = self.catalog.hurry
+        fleet_member.on_listing_changed = self.catalog.report_now
         submit = self.request_decoder.submit
 
         def submit_and_record(context: RequestContext) -> None:
@@ -254,7 +254,7 @@
         self.result_store = self.run_dispatcher.result_keeper = result_store
         result_store.set_resolution_listener(self.response_recorder.resolve_entry)
         self.idempotency_table.find_earlier = result_store.find_earlier_result
-        self.agent.stranger = result_store.complete_earlier_run
+        self.agent.on_unknown_run_ended = result_store.complete_earlier_run
         self.clients.health_details = result_store.health
 
     # ---- phases --------------------------------------------------------------------------------------------
@@ -280,7 +280,7 @@
         self.log.info("listening", address=f"{host}:{port}")
         self.log.info("bounds", **asdict(self.bounds))
         self.spawn_supervised("signals", self.handle_signals)
-        self.spawn_supervised("agent", self.agent.keep_link)
+        self.spawn_supervised("agent", self.agent.maintain_link)
         self.spawn_supervised("catalog", self.catalog.keep_reporting)
         self.spawn_supervised("listener", self.clients.accept)
         if self.result_store is not None:
@@ -321,7 +321,7 @@
         if self.phase is Phase.STARTING:
             self.enter_phase(Phase.SERVING)
             self.admission_stage.start(
-                replace(self.site.deployment, starts_cold=is_cold),
+                replace(self.site.settings, starts_cold=is_cold),
                 started_at if is_cold else self.scheduler.now,
             )
             if self.fleet_member is not None:
@@ -338,7 +338,7 @@
         if self.phase in (Phase.DRAINING, Phase.SHUT):
             self.begin_close()
             return
-        self.stop_deadline = deadline = self.scheduler.now + self.site.stop
+        self.stop_deadline = deadline = self.scheduler.now + self.site.stop_timeout
         if self.phase is Phase.STARTING:
             self.begin_close()
             return
@@ -346,7 +346,7 @@
         self.admission_stage.start_drain(deadline)
         # Routers learn late that this app server drains. Requests that it rejected meanwhile would overload
         # the others.
-        grace_over = self.scheduler.now + self.site.deployment.drain_grace
+        grace_over = self.scheduler.now + self.site.settings.drain_grace
         self.scheduler.at(min(grace_over, deadline - SHUT_LEAD), self.stop_accepting)
         self.scheduler.at(deadline - CLOSE_LEAD, self.begin_close)
 
@@ -429,19 +429,19 @@
     def reload(self) -> None:
         """Reads the configuration again; the old one stays in force if it is invalid."""
         try:
-            later = read_site(os.environ)
+            later = read_config(os.environ)
         except (InvalidInputError, OSError) as error:
             self.counters.count("program.not_reloaded")
             self.log.info("the configuration is left as it was", why=str(error))
             return
-        fixed_parts = self.site.fixed(later)
+        fixed_parts = self.site.changes_needing_restart(later)
         if fixed_parts:
             self.log.info("not taken over while running", parts=",".join(fixed_parts))
-        new_values = {part: getattr(later, part) for part in MOVING}
+        new_values = {part: getattr(later, part) for part in RELOADABLE_FIELDS}
         self.site = replace(self.site, **new_values)
-        self.agent.move(later.agent)
-        self.vault.move(later.vault)
-        self.catalog.move(later.catalog)
+        self.agent.change_address(later.agent)
+        self.vault.change_address(later.vault)
+        self.catalog.change_address(later.catalog)
         self.counters.count("program.reloads")
         peers = {"agent": later.agent, "catalog": later.catalog, "vault": later.vault}
         named = {what: f"{where[0]}:{where[1]}" for what, where in peers.items() if where is not None}
@@ -466,7 +466,7 @@
         """Carries out an action of admission control that concerns no single request."""
         match server_action:
             case SetTimer(at):
-                self.scheduler.at(at - GAUGES_LEAD, self.agent.sample)
+                self.scheduler.at(at - GAUGES_LEAD, self.agent.request_gauges)
                 self.scheduler.at(at, self.tick)
             case SetHealth(healthy):
                 self.clients.healthy = healthy
--- a/birchslip/simulator/codec.py
+++ b/birchslip/simulator/codec.py
@@ -1,7 +1,7 @@
-"""Lines of the simulator's wire to types and back; the wire's names go no further than this module.
+"""Decodes lines of the simulator's wire and encodes actions; only this module uses the wire's names.
 
-Absent values have defaults. Conversion errs on the safe side: deadlines are rounded down, spans up. It
-stores nothing between lines.
+Absent values have defaults. Conversion is conservative: deadlines are rounded down, spans up. No state is
+kept between lines.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
     "refused_conn": Outcome.UNREACHABLE,
     "superseded": Outcome.SUPERSEDED,
 }
-BARE_ACTIONS: dict[type[Action], str] = {
+ACTIONS_WITHOUT_ARGUMENTS: dict[type[Action], str] = {
     StartRun: "dispatch",
     SkipCall: "bypass",
     AttachToOriginal: "attach",
@@ -65,13 +65,13 @@
     Fail: "finish_error",
 }
 RETRY_FLAG = 2
-REQUEST_PARTS = 13  # a request's line is filled up with absent values to this length
+REQUEST_PARTS = 13  # a shorter request line is padded with absent values
 NO_ORIGINAL = "0"
 BYTES_PER_KB = 1024
 
 
 class RequestLine(NamedTuple):
-    """A request as the wire gives it; 0 where a number is absent, but for `original`."""
+    """A request line; an absent number is 0, an absent `original` is None."""
 
     request_id: int
     class_index: int
@@ -85,15 +85,15 @@
     original: int | None
 
 
-def part(parts: list[str], place: int) -> str:
-    """Return one part of a line that has to have it."""
-    if place >= len(parts):
-        raise InvalidInputError(f"{parts[0]} has {len(parts) - 1} parts, at least {place} wanted")
-    return parts[place]
+def required_part(parts: list[str], index: int) -> str:
+    """Return one part of a line; raises `InvalidInputError` if the line is too short."""
+    if index >= len(parts):
+        raise InvalidInputError(f"{parts[0]} has {len(parts) - 1} parts, at least {index} required")
+    return parts[index]
 
 
 def decode_settings(seed: str, pairs: list[str]) -> AdmissionSettings:
-    """Read the pairs of a start."""
+    """Read the settings of a `hello` line."""
     number = parse_count(seed, "prng")
     values = []
     for pair in pairs:
@@ -105,9 +105,9 @@
 
 
 def decode_request(parts: list[str]) -> RequestLine:
-    """Read a request."""
+    """Read a `call` line."""
     parts = parts + ["-"] * (REQUEST_PARTS - len(parts))
-    _, request_id, priority, user_group, _, deadline, work, size, _, flags, who, backlog, original = parts[
+    _, request_id, priority, user_group, _, deadline, work, size, _, flags, caller, backlog, original = parts[
         :REQUEST_PARTS
     ]
     return RequestLine(
@@ -117,7 +117,7 @@
         deadline=_duration_down(deadline, "client_deadline_s"),
         tenant_index=_count(user_group, "user_group"),
         original=_original(original),
-        caller=_count(who, "who"),
+        caller=_count(caller, "who"),
         size=_size(size),
         cost_hint=_duration_up(work, "work_s"),
         is_retry=bool(_count(flags, "flags") & RETRY_FLAG),
@@ -134,52 +134,52 @@
     return -int(-parse_number(text, "kb") * BYTES_PER_KB // 1)  # rounded up
 
 
-def _duration_up(text: str, what: str) -> int:
-    return 0 if is_absent(text) else round_up_seconds(parse_number(text, what))
+def _duration_up(text: str, name: str) -> int:
+    return 0 if is_absent(text) else round_up_seconds(parse_number(text, name))
 
 
-def _duration_down(text: str, what: str) -> int:
-    return 0 if is_absent(text) else round_down_seconds(parse_number(text, what))
+def _duration_down(text: str, name: str) -> int:
+    return 0 if is_absent(text) else round_down_seconds(parse_number(text, name))
 
 
-def _optional_count(text: str, what: str) -> int | None:
-    return None if is_absent(text) else parse_count(text, what)
+def _optional_count(text: str, name: str) -> int | None:
+    return None if is_absent(text) else parse_count(text, name)
 
 
-def _count(text: str, what: str) -> int:
-    return 0 if is_absent(text) else parse_count(text, what)
+def _count(text: str, name: str) -> int:
+    return 0 if is_absent(text) else parse_count(text, name)
 
 
 def decode_request_event(parts: list[str]) -> Event | None:
-    """Read what happened to one request; None for an event of another kind."""
+    """Read an event of one request; None for a line of another kind."""
     match parts[0]:
         case "completed":
-            return RunEnded(decode_outcome(part(parts, 2)), _elapsed(parts))
+            return RunEnded(decode_outcome(required_part(parts, 2)), _elapsed(parts))
         case "ready_to_call":
             return CallNeeded()
         case "call_ended":
-            return CallEnded(decode_outcome(part(parts, 2)), _elapsed(parts))
+            return CallEnded(decode_outcome(required_part(parts, 2)), _elapsed(parts))
         case "hangup":
             return CallerGone()
     return None
 
 
 def _elapsed(parts: list[str]) -> int:
-    place = 3
-    if len(parts) <= place or is_absent(parts[place]):
+    index = 3
+    if len(parts) <= index or is_absent(parts[index]):
         return 0
-    return round_up_seconds(parse_number(parts[place], "elapsed_s"))
+    return round_up_seconds(parse_number(parts[index], "elapsed_s"))
 
 
 def decode_outcome(text: str) -> Outcome:
-    """Read how a run or a call ended."""
+    """Read how a run or a call ended; raises `InvalidInputError` for an unknown outcome."""
     if text not in OUTCOMES:
         raise InvalidInputError(f"unknown outcome: {text[:40]!r}")
     return OUTCOMES[text]
 
 
 def decode_gauges(text: str) -> Gauges:
-    """Read the gauges of a tick."""
+    """Read the gauges of a `wakeup` line: pairs `NAME:NUMBER`, separated by commas."""
     values: dict[str, float] = {}
     if not is_absent(text):
         for pair in text.split(","):
@@ -189,15 +189,15 @@
 
 
 def encode_seconds(time: int) -> str:
-    """Write a time or span in seconds."""
+    """Encode a time or span in seconds; four decimals keep it exact."""
     return f"{time / SECOND:.4f}"
 
 
 def encode_action(request_id: int, action: Action) -> str | None:
-    """Write an action for one request; None where nothing is to be said."""
-    verb = BARE_ACTIONS.get(type(action))
-    if verb is not None:
-        return f"{verb}\t{request_id}"
+    """Encode an action for one request; None for an action that is not sent."""
+    action_name = ACTIONS_WITHOUT_ARGUMENTS.get(type(action))
+    if action_name is not None:
+        return f"{action_name}\t{request_id}"
     match action:
         case CallDownstream(timeout):
             return f"dial\t{request_id}\t{encode_seconds(timeout)}"
@@ -214,7 +214,7 @@
 
 
 def encode_server_action(action: ServerAction) -> str:
-    """Write an action for the app server as a whole."""
+    """Encode an action for the app server as a whole."""
     match action:
         case SetTimer(at):
             return f"remind\t{encode_seconds(at)}\ttick"
@@ -229,7 +229,7 @@
 
 
 def _log_text(event: LogEvent) -> str:
-    """Return the text of a log event; operators read these lines, so their wording stays."""
+    """Return the text of a log event; operators rely on these lines, so their wording must not change."""
     match event:
         case QuotasBind(queued, running):
             return f"quota binds: {queued} held, {running} on the cores"
--- a/birchslip/simulator/host.py
+++ b/birchslip/simulator/host.py
@@ -1,6 +1,6 @@
-"""The app servers that one process hosts on the simulator's wire, and the loop over batches.
+"""Hosts the app servers of one process on the simulator's wire, and loops over batches.
 
-It decides nothing: ids of the wire on one side, requests and the driver on the other.
+It makes no decisions: it maps the ids of the wire to requests and passes their events to the drivers.
 """
 
 from __future__ import annotations
@@ -23,53 +23,53 @@
 
 END_OF_BATCH = "go"
 END_OF_REPLY = "ack"
-START_PARTS = 2
-GAUGES_PLACE = 2
+START_HEADER_PARTS = 2  # parts of a `hello` line before its settings
+GAUGES_INDEX = 2
 
 
 class SimulatedServer:
-    """One app server on the wire: its driver, and its requests by id."""
+    """One app server on the wire: its driver and its requests by id."""
 
     def __init__(self, parts: list[str], now: int) -> None:
-        """Start as the line of a start says."""
-        if len(parts) < START_PARTS:
-            raise InvalidInputError("a start without a seed")
+        """Start an app server with the seed and the settings of a `hello` line."""
+        if len(parts) < START_HEADER_PARTS:
+            raise InvalidInputError("hello without a seed")
         self.lines: list[str] = []
-        self.settings = codec.decode_settings(parts[1], parts[START_PARTS:])
+        self.settings = codec.decode_settings(parts[1], parts[START_HEADER_PARTS:])
         self.ids: WeakKeyDictionary[Request, int] = WeakKeyDictionary()
         self.requests: WeakValueDictionary[int, Request] = WeakValueDictionary()
-        self.driver = AdmissionDriver(self.settings, now, self.perform, self.announce)
+        self.driver = AdmissionDriver(self.settings, now, self.perform, self.perform_server_action)
 
     def perform(self, request: Request, action: Action) -> None:
-        """Write an action for one request."""
+        """Add the line of an action for one request to the reply."""
         line = codec.encode_action(self.ids[request], action)
         if line is not None:
             self.lines.append(line)
 
-    def announce(self, action: ServerAction) -> None:
-        """Write an action for the app server as a whole."""
+    def perform_server_action(self, action: ServerAction) -> None:
+        """Add the line of an action for the app server as a whole to the reply."""
         self.lines.append(codec.encode_server_action(action))
 
     def handle(self, parts: list[str], now: int) -> None:
-        """Take in one event; one of an unknown kind is ignored."""
+        """Handle one event line; an unknown kind is ignored."""
         match parts[0]:
             case "call":
                 self._admit(codec.decode_request(parts), now)
             case "wakeup":
-                gauges = parts[GAUGES_PLACE] if len(parts) > GAUGES_PLACE else "-"
+                gauges = parts[GAUGES_INDEX] if len(parts) > GAUGES_INDEX else "-"
                 self.driver.tick(codec.decode_gauges(gauges))
             case "wind_down":
-                ends_at = parse_number(codec.part(parts, 1), "the end of a wind_down")
+                ends_at = parse_number(codec.required_part(parts, 1), "the end of a wind_down")
                 self.driver.drain(round_down_seconds(ends_at))
             case _:
                 self._deliver(parts)
 
     def _deliver(self, parts: list[str]) -> None:
-        """Pass on an event of one request; one that is over or unknown is ignored."""
+        """Deliver an event of one request; ignored for a request that is over or unknown."""
         event = codec.decode_request_event(parts)
         if event is None:
             return
-        request = self.requests.get(parse_count(codec.part(parts, 1), "request_id"))
+        request = self.requests.get(parse_count(codec.required_part(parts, 1), "request_id"))
         if request is not None:
             self.driver.deliver(request, event)
 
@@ -91,40 +91,40 @@
         self.requests[line.request_id] = request
         self.driver.admit(request)
 
-    def _request_class(self, place: int) -> RequestClass:
-        if place >= len(self.settings.request_classes):
-            raise InvalidInputError(f"no such priority: {place}")
-        return self.settings.request_classes[place]
+    def _request_class(self, index: int) -> RequestClass:
+        if index >= len(self.settings.request_classes):
+            raise InvalidInputError(f"no such priority: {index}")
+        return self.settings.request_classes[index]
 
-    def _tenant(self, place: int) -> Tenant | None:
+    def _tenant(self, index: int) -> Tenant | None:
         tenants = self.settings.tenants
         if not tenants:
             return None
-        if place >= len(tenants):
-            raise InvalidInputError(f"no such user_group: {place}")
-        return tenants[place]
+        if index >= len(tenants):
+            raise InvalidInputError(f"no such user_group: {index}")
+        return tenants[index]
 
     def _original(self, request_id: int | None, request_class: RequestClass, now: int) -> Request | None:
         if request_id is None:
             return None
-        known = self.requests.get(request_id)
-        if known is not None:
-            return known
-        # One that is no longer remembered has to be taken as having run: the safe side.
+        original = self.requests.get(request_id)
+        if original is not None:
+            return original
+        # An unknown original may have run: treat it as one that has, so that it does not run twice.
         return Request(request_class, 0, now, now, 0, has_started=True)
 
     def settle(self) -> list[str]:
-        """End a batch; returns the lines of its reply."""
+        """End a batch; returns the reply lines of this app server."""
         self.driver.settle()
         lines, self.lines = self.lines, []
         return lines
 
 
 class SimulatorHost:
-    """All app servers of this process; they share nothing but the process."""
+    """All app servers of this process; they share no state."""
 
     def __init__(self, errors: TextIO) -> None:
-        """Begin without app servers; `errors` gets a line for each error."""
+        """Start without app servers; one line for each error is written to `errors`."""
         self.servers: dict[int, SimulatedServer] = {}
         self.errors = errors
         self.now = 0
@@ -132,7 +132,7 @@
         self.replies: dict[int, list[str]] = {}
 
     def batch(self, lines: Iterable[str]) -> list[str]:
-        """Take in one batch; returns the reply without its closing line."""
+        """Handle one batch; returns the reply without its closing line."""
         self.now = 0
         self.server_id = None
         self.replies = {}
@@ -143,19 +143,19 @@
                 self._report(self.server_id, error)
         reply: list[str] = []
         for server_id in self.replies:
-            said = self._settle(server_id)
-            if said:
+            reply_lines = self._settle(server_id)
+            if reply_lines:
                 reply.append(f"at\t{server_id}")
-                reply.extend(said)
+                reply.extend(reply_lines)
         return reply
 
     def _handle(self, parts: list[str]) -> None:
         kind = parts[0]
         server_id = self.server_id
         if kind == "sync":
-            self.now = round_up_seconds(parse_number(codec.part(parts, 1), "the clock"))
+            self.now = round_up_seconds(parse_number(codec.required_part(parts, 1), "the clock"))
         elif kind == "to":
-            self._address(parse_count(codec.part(parts, 1), "server_id"))
+            self._select_server(parse_count(codec.required_part(parts, 1), "server_id"))
         elif server_id is None:
             raise InvalidInputError(f"an event before any 'to' line: {kind[:40]!r}")
         elif kind == "hello":
@@ -165,15 +165,16 @@
         elif server_id in self.servers:
             self.servers[server_id].handle(parts, self.now)
         else:
-            raise InvalidInputError(f"an event for one that has not started: {kind[:40]!r}")
+            raise InvalidInputError(f"an event for an app server that has not started: {kind[:40]!r}")
 
-    def _address(self, server_id: int) -> None:
+    def _select_server(self, server_id: int) -> None:
         self.server_id = server_id
         self.replies.setdefault(server_id, [])
         if server_id in self.servers:
             self.servers[server_id].driver.advance_clock(self.now)
 
     def _settle(self, server_id: int) -> list[str]:
+        """End the batch of one app server; returns its reply lines, then the `crash` lines of its errors."""
         errors = self.replies[server_id]
         if server_id not in self.servers:
             return errors
@@ -184,11 +185,11 @@
             return errors
 
     def _report(self, server_id: int | None, error: Exception) -> None:
-        """Write one line on standard error, and declare a crash for the app server concerned."""
+        """Write one line to `errors`, and add a `crash` line to the reply of the app server concerned."""
         text = " ".join(str(error).split()) or type(error).__name__
         if not isinstance(error, InvalidInputError):
-            where = traceback.extract_tb(error.__traceback__)[-1]
-            text = f"{type(error).__name__}: {text} ({where.name}, line {where.lineno})"
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            text = f"{type(error).__name__}: {text} ({frame.name}, line {frame.lineno})"
         name = "-" if server_id is None else server_id
         print(f"birchslip: app server {name}: {text}", file=self.errors, flush=True)
         if server_id is not None:
