--- a/birchslip/net/__init__.py
+++ b/birchslip/net/__init__.py
@@ -1,1 +1,1 @@
-"""The app server on real sockets; it decides nothing."""
+"""The app server's process and its sockets; all decisions are made in `birchslip.admission`."""
--- a/birchslip/net/bounds.py
+++ b/birchslip/net/bounds.py
@@ -1,26 +1,35 @@
-"""What the limits told leave for each kind of thing that peers can make this program hold.
+"""Bounds on what peers can make the app server hold, from the configured limits on sockets and memory.
 
-Guards against crowds: of connections, of messages that are cut off, of answers that nobody reads, of calls
-whose replies go on and on. Each has a share of the memory that the program leaves, whatever that is.
+Too many connections, incomplete messages, responses that routers do not read, and endless replies to
+downstream calls must not exhaust the process. Each has a share of the memory that the process does not need
+itself.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-RESERVED_DESCRIPTORS = 16  # descriptors kept for the agent, the catalog, the log and the signals
+RESERVED_DESCRIPTORS = 16  # for the agent, the catalog, the log and signals
 MIN_CALLS = 4
-MIN_SOCKETS = RESERVED_DESCRIPTORS + MIN_CALLS + 1  # with fewer no router could be let in
-DESCRIPTORS_PER_CALL = 8  # of the descriptors, one in so many is for calls
-CONNECTION_BYTES = 12_288  # bytes that a connection takes with all that belongs to it
-MIN_UNREAD_BYTES, MAX_UNREAD_BYTES = 8_192, 32_768  # a whole message of a router fits twice into the least
-CALL_BYTES = 81_920  # bytes of a call: the largest reply, unread, and its task
-MIN_AVAILABLE_BYTES = 4 << 20  # of less the program can't serve: it says so by what it turns away
+MIN_SOCKETS = RESERVED_DESCRIPTORS + MIN_CALLS + 1  # with fewer no router could connect
+DESCRIPTORS_PER_CALL = 8  # one in so many descriptors is for downstream calls
+CONNECTION_BYTES = 12_288  # memory of a connection and its task, without unread data
+MIN_UNREAD_BYTES, MAX_UNREAD_BYTES = 8_192, 32_768  # the minimum holds two of a router's largest messages
+CALL_BYTES = 81_920  # memory of a downstream call: its largest reply, unread, and its task
+MIN_AVAILABLE_BYTES = 4 << 20  # with less the app server could not serve; it rejects requests instead
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Of a number of connections and of calls, and of bytes: unread on each, unsent on all, orders unsent."""
+    """The bounds; logged at the start.
+
+    Attributes:
+        connections: Number of connections.
+        calls: Number of downstream calls in flight.
+        unread: Bytes unread on each connection.
+        unsent: Bytes unsent on all connections together.
+        orders: Bytes unsent to the agent.
+    """
 
     connections: int
     calls: int
@@ -30,7 +39,13 @@
 
 
 def compute_bounds(memory_limit: int, own_memory: int, descriptors: int) -> Bounds:
-    """`taken` is what the program takes by itself, before any peer has come."""
+    """Divides the limits.
+
+    Args:
+        memory_limit: Limit of the process's memory, in bytes.
+        own_memory: Bytes that the process uses before any peer is connected.
+        descriptors: Limit of open descriptors.
+    """
     available = max(MIN_AVAILABLE_BYTES, memory_limit - own_memory)
     calls = max(MIN_CALLS, min(descriptors // DESCRIPTORS_PER_CALL, available // 4 // CALL_BYTES))
     share = available * 3 // 8
--- a/birchslip/net/buffer.py
+++ b/birchslip/net/buffer.py
@@ -1,31 +1,45 @@
-"""The one buffer of a connection: it grows as it needs, up to a bound, and is compacted in place."""
+"""The receive buffer of a connection: it grows up to a bound and is compacted in place."""
 
 from __future__ import annotations
 
 import socket
 
 INITIAL_BYTES = 2048
-MIN_READ_BYTES = 1024  # a read finds at least so much room
+MIN_READ_BYTES = 1024  # free space for each read, if the bound allows
 
 
 class MalformedMessageError(ValueError):
-    """What a peer has sent can't be read, or not within this program's limits: its connection is closed."""
+    """A peer has sent data that is malformed or exceeds a limit; its connection is to be closed."""
 
 
 class Buffer:
-    """What has been read and not yet taken is `data[start:end]`."""
+    """Bytes that were read and not yet consumed: `data[start:end]`.
+
+    Attributes:
+        scanned: Number of bytes from `start` that contain no end of a line.
+    """
 
     def __init__(self, max_bytes: int) -> None:
+        """Creates an empty buffer that grows up to `max_bytes`."""
         self.max_bytes = max_bytes
         self.data = bytearray(min(INITIAL_BYTES, max_bytes))
         self.start = self.end = 0
-        self.scanned = 0  # bytes from `start` that hold no end of a line
+        self.scanned = 0
 
     def __len__(self) -> int:
+        """Returns the number of bytes not yet consumed."""
         return self.end - self.start
 
     def fill(self, source: socket.socket) -> int:
-        """One read; 0 at the end of the stream. The socket's own errors pass through."""
+        """Reads once from a socket.
+
+        Returns:
+            The number of bytes; 0 at the end of the stream.
+
+        Raises:
+            MalformedMessageError: If the buffer is full.
+            OSError: If the socket raises it, also if no data is there.
+        """
         self.make_room()
         with memoryview(self.data) as view, view[self.end :] as free:
             count = source.recv_into(free)
@@ -33,13 +47,18 @@
         return count
 
     def feed(self, data: bytes) -> None:
-        """As if it had been read."""
+        """Appends data as if it had been read."""
         while self.end + len(data) > len(self.data):
             self.make_room(len(data))
         self.data[self.end : self.end + len(data)] = data
         self.end += len(data)
 
     def make_room(self, min_free: int = MIN_READ_BYTES) -> None:
+        """Makes free space at the end: by compacting, then by growing; an empty large buffer is shrunk.
+
+        Raises:
+            MalformedMessageError: If the buffer is full.
+        """
         unread = self.end - self.start
         if unread == 0:
             self.start = self.end = 0
@@ -56,18 +75,23 @@
             raise MalformedMessageError(f"{unread} bytes read and not a whole message")
 
     def skip(self, count: int) -> None:
+        """Consumes bytes."""
         self.start += count
         self.scanned = 0
 
     def take(self, count: int) -> bytes:
-        """The next bytes, copied out once."""
+        """Consumes bytes and returns them as one copy."""
         with memoryview(self.data) as view:
             data = bytes(view[self.start : self.start + count])
         self.skip(count)
         return data
 
     def read_line(self, max_length: int) -> bytes | None:
-        """The next line without its end (LF, or CR LF); None while it is not whole."""
+        """Consumes a line and returns it without its end (LF or CR LF); None while it is incomplete.
+
+        Raises:
+            MalformedMessageError: If it is longer than `max_length`.
+        """
         newline = self.data.find(b"\n", self.start + self.scanned, self.end)
         if newline < 0:
             self.scanned = self.end - self.start
--- a/birchslip/net/connection.py
+++ b/birchslip/net/connection.py
@@ -1,4 +1,4 @@
-"""One connection: one greenlet reads it and sends what is left over; writes go out once a pass."""
+"""TCP connections: one task reads each; all writes of a scheduler pass are sent together at its end."""
 
 from __future__ import annotations
 
@@ -12,24 +12,39 @@
 from .buffer import Buffer, MalformedMessageError
 from .scheduler import HANGUP_OR_ERROR, READ, WRITE, Scheduler, Timer
 
-MAX_PIECES_PER_SEND = 64  # gathered into one send
-LINGER_TIMEOUT = (
-    10_000  # one that was ended is read for another second at most, until its peer has ended it too
-)
-MAX_DISCARDED_BYTES = 65_536  # and for so many bytes: past that the peer heeds nothing
-CONNECT_TIMEOUT = 10_000  # a connection that takes longer than a second to open is taken as refused
+MAX_PIECES_PER_SEND = 64
+LINGER_TIMEOUT = 10_000  # a graceful close waits 1 s at most for the peer to close its side
+MAX_DISCARDED_BYTES = 65_536  # and for so many bytes: a peer that sends more ignores the close
+CONNECT_TIMEOUT = 10_000  # 1 s
 
 
 class SendBufferPool:
-    """What waits to go out on many connections together, bounded as well."""
+    """The bytes unsent on several connections together, and their limit."""
 
     def __init__(self, max_bytes: int) -> None:
+        """Starts empty."""
         self.max_bytes = max_bytes
         self.unsent_bytes = 0
 
 
 class Connection:
-    """`unsent` holds what is to go out, up to `bound` bytes; past it the peer reads too slowly: cut off."""
+    """A connected socket with buffers for both directions.
+
+    A peer that reads too slowly, so that more than `max_unsent_bytes` wait for it, is disconnected.
+
+    Attributes:
+        buffer: Bytes that were read and not yet consumed.
+        unsent: Writes that are still to be sent, `unsent_bytes` in all.
+        open: Whether the socket is open, possibly while a graceful close waits for the peer.
+        linger_timer: Set during a graceful close; data received from then on is discarded.
+        discarded_bytes: Bytes received since a graceful close began.
+        peer_closed: Whether the peer closed its side during a graceful close.
+        close_reason: Why the connection was closed, or is being closed.
+        malformed: Whether the peer has sent malformed data.
+        on_malformed: Called with the reason in place of `close` when data is malformed. Removed at the close:
+            the reference cycle would keep both objects in memory until the next garbage collection.
+        last_activity_at: When bytes were last received or sent.
+    """
 
     def __init__(
         self,
@@ -39,6 +54,7 @@
         max_unsent_bytes: int,
         pool: SendBufferPool | None = None,
     ) -> None:
+        """Wraps a non-blocking socket; without a pool, it has one of its own."""
         self.scheduler, self.sock, self.max_unsent_bytes = scheduler, sock, max_unsent_bytes
         self.pool = pool or SendBufferPool(max_unsent_bytes)
         self.descriptor = sock.fileno()
@@ -47,26 +63,26 @@
         self.unsent_bytes = 0
         self.open = True
         self.flush_scheduled = False
-        self.linger_timer: Timer | None = (
-            None  # set once its end has been asked for; nothing is taken any more
-        )
+        self.linger_timer: Timer | None = None
         self.discarded_bytes = 0
         self.peer_closed = False
         self.close_reason = ""
         self.malformed = False
-        # Hears of what can't be read, where a close is not enough. Let go at the close: each would keep the
-        # other in memory, with its buffer, until the collector comes by.
         self.on_malformed: Callable[[str], None] | None = None
-        self.last_activity_at = scheduler.now  # when something last went either way
+        self.last_activity_at = scheduler.now
 
     def serve(self, on_data: Callable[[Buffer], None]) -> str:
-        """Read until it ends and say why it did; `take` is called after each read."""
+        """Reads until the connection closes, with `on_data` after each read; returns the close reason."""
         while self.open:
             self.step(on_data)
         return self.close_reason
 
     def step(self, on_data: Callable[[Buffer], None], until: int | None = None) -> int:
-        """Wait once and do what it is ready for; 0 when the time is up or it was closed meanwhile."""
+        """Waits once, then sends and reads as the socket is ready.
+
+        Returns:
+            The events, or 0 at the time `until` or if the connection was closed meanwhile.
+        """
         events = self.scheduler.wait(self.descriptor, self.event_mask(), until)
         if self.open and events & WRITE:
             self.flush()
@@ -75,7 +91,11 @@
         return events
 
     def read(self, on_data: Callable[[Buffer], None]) -> bool:
-        """One read, and whether it brought anything; what can't be read ends this connection alone."""
+        """Reads once without waiting; malformed data closes the connection.
+
+        Returns:
+            Whether data was received and passed to `on_data`.
+        """
         try:
             return self.read_once(on_data)
         except MalformedMessageError as error:
@@ -84,6 +104,11 @@
             return False
 
     def read_once(self, on_data: Callable[[Buffer], None]) -> bool:
+        """Reads once without waiting.
+
+        Raises:
+            MalformedMessageError: If `on_data` finds the data malformed or the buffer is full.
+        """
         if not self.open:
             return False
         try:
@@ -105,14 +130,18 @@
         return count > 0 and self.linger_timer is None
 
     def discard(self, count: int) -> None:
-        """What comes after its end was asked for is not taken: it could not be answered any more."""
+        """Counts bytes received during a graceful close; no response to them could be sent any more.
+
+        Args:
+            count: Number of bytes; 0 means that the peer has closed its side.
+        """
         self.discarded_bytes += count
         self.peer_closed = self.peer_closed or not count
         if (self.peer_closed and not self.unsent) or self.discarded_bytes > MAX_DISCARDED_BYTES:
             self.close(self.close_reason)
 
     def write(self, piece: bytes) -> None:
-        """Goes out at the end of this pass, with all else for the same peer."""
+        """Queues bytes to be sent at the end of this pass; ignored once the connection is being closed."""
         if not self.open or self.linger_timer:
             return
         self.unsent.append(piece)
@@ -120,11 +149,13 @@
         self.schedule_flush()
 
     def schedule_flush(self) -> None:
+        """Sends what is unsent at the end of this pass."""
         if not self.flush_scheduled:
             self.flush_scheduled = True
             self.scheduler.at_pass_end(self.flush)
 
     def flush(self) -> None:
+        """Sends as much as the socket takes; too much left unsent closes the connection."""
         self.flush_scheduled = False
         while self.open and self.unsent:
             try:
@@ -155,19 +186,21 @@
             self.scheduler.update_mask(self.descriptor, self.event_mask())
 
     def adjust_unsent_bytes(self, count: int) -> None:
+        """Adds to the number of unsent bytes, here and in the pool."""
         self.unsent_bytes += count
         self.pool.unsent_bytes += count
 
     def event_mask(self) -> int:
-        # An end that was read stays ready: asked for again, it would wake every pass.
+        """Returns the events to wait for."""
+        # A socket at the end of its stream stays readable: polled for reads, it would wake every pass.
         return (0 if self.peer_closed else READ) | (WRITE if self.unsent else 0)
 
     def close_gracefully(self, reason: str) -> None:
-        """End it in order: what waits goes out, the end is said, and what still comes is passed over until
-        the peer ends it too, for a bounded time.
+        """Closes the connection after everything unsent was sent and the peer has closed its side too.
 
-        Guards against answers that a reset takes with it: a close over unread bytes is one, and what was
-        unsent at a close is dropped.
+        Received data is discarded meanwhile; time and bytes are bounded. An immediate close would drop what
+        is unsent, and with received bytes unread it would send a reset, which can take responses in transit
+        with it.
         """
         if self.open and self.linger_timer is None:
             self.close_reason = reason
@@ -177,7 +210,7 @@
             self.schedule_flush()
 
     def shut_down_writing(self) -> None:
-        """Nothing more is written; what the peer has not read yet still reaches it."""
+        """Sends the end of the stream, after all data; closes if the peer has closed its side already."""
         if self.peer_closed:
             self.close(self.close_reason)
             return
@@ -187,7 +220,10 @@
             self.close(error.strerror or "broken")
 
     def close(self, reason: str) -> None:
-        """At once; a peer that may still be writing, or has not read all, is ended in order instead."""
+        """Closes the socket at once and drops what is unsent.
+
+        Use `close_gracefully` for a peer that may still send or has not read everything.
+        """
         if self.open:
             self.open, self.close_reason, self.on_malformed = False, self.close_reason or reason, None
             if self.linger_timer is not None:
@@ -199,18 +235,28 @@
 
 
 class Connector:
-    """One connection that the calling task opens; another task may give it up, which frees it at once.
+    """An attempt to open a connection, which another task can cancel.
+
+    Cancelling frees the descriptor at once: attempts at an address that does not respond would each hold one
+    until their timeout.
 
-    Guards against an address that takes no notice: each try at it holds a descriptor for as long as it lasts.
+    Attributes:
+        descriptor: The socket's descriptor, while the attempt waits.
+        cancelled: Whether it was cancelled.
     """
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int]) -> None:
+        """Prepares an attempt."""
         self.scheduler, self.address = scheduler, address
         self.descriptor: int | None = None
         self.cancelled = False
 
     def open(self, timeout: int = CONNECT_TIMEOUT) -> socket.socket:
-        """A new connection, or OSError; only the calling task waits."""
+        """Connects; only the calling task waits.
+
+        Raises:
+            OSError: If it fails, is cancelled or takes longer than `timeout`.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -226,6 +272,11 @@
         return sock
 
     def wait_connected(self, sock: socket.socket, until: int) -> None:
+        """Waits until the socket is connected.
+
+        Raises:
+            OSError: If it fails, is cancelled or is not connected at `until`.
+        """
         self.descriptor = sock.fileno()
         try:
             events = self.scheduler.wait(self.descriptor, WRITE, until)
@@ -238,11 +289,16 @@
             raise OSError(error_code, os.strerror(error_code) if error_code else "no connection in time")
 
     def cancel(self) -> None:
+        """Makes `open` raise at once."""
         self.cancelled = True
         if self.descriptor is not None:
             self.scheduler.wake(self.descriptor)
 
 
 def connect(scheduler: Scheduler, address: tuple[str, int]) -> socket.socket:
-    """A new connection, or OSError; only the calling task waits."""
+    """Opens a connection; only the calling task waits.
+
+    Raises:
+        OSError: If it fails or takes longer than `CONNECT_TIMEOUT`.
+    """
     return Connector(scheduler, address).open()
--- a/birchslip/net/counters.py
+++ b/birchslip/net/counters.py
@@ -1,10 +1,10 @@
-"""What the program has taken in, sent and answered: one count for each peer or stage and kind of thing."""
+"""Counters of the app server, named `part.name`, where the part is a peer or a stage."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-# Shown even while they are nought, so that a report always tells the same story.
+# Reported even while they are 0, so that every report has the same names.
 COUNTER_NAMES = (
     "clients.opened clients.closed clients.turned_away clients.pings clients.malformed clients.too_many "
     "clients.silent clients.made_room "
@@ -21,19 +21,29 @@
 
 
 class Counters:
+    """Counts, and peaks of values.
+
+    Attributes:
+        counts: Number of events, by name.
+        peaks: Highest value seen, by name.
+    """
+
     def __init__(self, names: list[str] = COUNTER_NAMES) -> None:
+        """Starts all names at 0."""
         self.counts: Counter[str] = Counter(dict.fromkeys(names, 0))
         self.peaks: dict[str, int] = {}
 
     def count(self, name: str, amount: int = 1) -> None:
+        """Adds to a counter."""
         self.counts[name] += amount
 
     def peak(self, name: str, value: int) -> None:
+        """Records a value, of which the highest is kept."""
         if value > self.peaks.get(name, 0):
             self.peaks[name] = value
 
     def report(self) -> dict[str, dict[str, int]]:
-        """All of them, by part and name; peaks are marked as such."""
+        """Returns all values by part and name; names of peaks end in `_most`."""
         report: dict[str, dict[str, int]] = {}
         for name, value in [*self.counts.items(), *((f"{name}_most", n) for name, n in self.peaks.items())]:
             group, _, what = name.partition(".")
--- a/birchslip/net/log.py
+++ b/birchslip/net/log.py
@@ -1,4 +1,4 @@
-"""structlog lines that never block: kept up to a bound and written while the descriptor takes them."""
+"""The log: structlog lines in logfmt, queued up to a bound and written without blocking."""
 
 from __future__ import annotations
 
@@ -8,12 +8,11 @@
 import traceback
 from collections import deque
 from importlib import import_module
-from typing import Any
 
 from .scheduler import WRITE, Scheduler
 
-# structlog's console writer, not used here, loads rich wherever it is installed: two fifths of all imports
-# of a start. It goes without where it finds none.
+# structlog's console renderer, not used here, imports rich if it is installed: two fifths of all imports of a
+# start. It works without rich too.
 RICH_HIDDEN = "rich" not in sys.modules
 if RICH_HIDDEN:
     sys.modules["rich"] = None  # type: ignore[assignment]
@@ -21,22 +20,30 @@
 if RICH_HIDDEN:
     del sys.modules["rich"]
 
-MAX_LINE_BYTES = 2048  # well under what a pipe takes whole
-MAX_QUEUED_LINES = 256  # lines; more are dropped and counted
-MAX_TRACE_CHARS = 1500  # characters of a trace
-FAULT_INTERVAL = 10_000  # a kind of fault is logged at most once a second
+MAX_LINE_BYTES = 2048  # well below PIPE_BUF, so that a pipe takes a line whole
+MAX_QUEUED_LINES = 256  # more are dropped and counted
+MAX_TRACE_CHARS = 1500
+FAULT_INTERVAL = 10_000  # 1 s between lines of one event
 
 
 class LogWriter:
-    """What structlog writes to; `drain` is the task that passes the lines on."""
+    """Queues lines for a descriptor; a task writes them.
+
+    Attributes:
+        lines: Lines that are still to be written.
+        dropped: Number of lines dropped because the queue was full.
+        drain_running: Whether the task runs.
+    """
 
     def __init__(self, scheduler: Scheduler, descriptor: int = 2) -> None:
+        """Starts with an empty queue; the default descriptor is standard error."""
         self.scheduler, self.descriptor = scheduler, descriptor
         self.lines: deque[bytes] = deque()
         self.dropped = 0
         self.drain_running = False
 
     def write(self, text: str) -> None:
+        """Queues a line; newlines in it are escaped, and its end is cut off if it is too long."""
         if len(self.lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
@@ -46,7 +53,8 @@
             self.scheduler.spawn("log", self.drain)
 
     def drain(self) -> None:
-        # Written only when poll says that there is room, and never more than a pipe takes whole.
+        """Writes the queue; runs as a task. Drops the lines if the descriptor fails."""
+        # A blocking pipe does not block on a line below PIPE_BUF once poll has reported it writable.
         while self.lines:
             if not self.scheduler.wait(self.descriptor, WRITE) & WRITE:
                 self.lines.clear()
@@ -56,13 +64,14 @@
         self.drain_running = False
 
     def write_next_line(self) -> None:
+        """Writes one line; drops all if that fails."""
         try:
             os.write(self.descriptor, self.lines.popleft())
         except OSError:
             self.lines.clear()
 
     def flush(self, milliseconds: int = 100) -> None:
-        """At exit: what the descriptor takes within a moment."""
+        """Writes what is queued at exit; stops when the descriptor is not writable for `milliseconds`."""
         poll = select.poll()
         poll.register(self.descriptor, WRITE)
         while self.lines and any(events & WRITE for _, events in poll.poll(milliseconds)):
@@ -70,9 +79,10 @@
 
 
 class Log:
-    """The program's log: plain lines, and faults that come in crowds limited in rate."""
+    """The log of a process; lines of errors are limited in rate."""
 
     def __init__(self, scheduler: Scheduler, name: str) -> None:
+        """Configures structlog; each line has the process's name as `server`."""
         self.scheduler = scheduler
         self.writer = LogWriter(scheduler)
         structlog.configure(
@@ -88,11 +98,15 @@
         self.last_logged_at: dict[str, int] = {}
         self.suppressed: dict[str, int] = {}
 
-    def info(self, event: str, **fields: Any) -> None:
+    def info(self, event: str, **fields: object) -> None:
+        """Logs an event."""
         self.logger.info(event, **fields)
 
-    def fault(self, event: str, **fields: Any) -> None:
-        """At most one line a second of each kind, with the number of those passed over."""
+    def fault(self, event: str, **fields: object) -> None:
+        """Logs a warning, at most once a second for each event.
+
+        The next line has the number of those left out as `passed_over`.
+        """
         now = self.scheduler.now
         if now - self.last_logged_at.get(event, -FAULT_INTERVAL) < FAULT_INTERVAL:
             self.suppressed[event] = self.suppressed.get(event, 0) + 1
@@ -101,8 +115,8 @@
         suppressed = self.suppressed.pop(event, 0)
         self.logger.warning(event, **fields, **({"passed_over": suppressed} if suppressed else {}))
 
-    def trace(self, event: str, error: Exception, **fields: Any) -> None:
-        """A fault with the end of its trace, which says what and where."""
+    def trace(self, event: str, error: Exception, **fields: object) -> None:
+        """Logs a warning with the end of an exception's traceback as `trace`."""
         self.fault(event, **fields, trace="".join(traceback.format_exception(error))[-MAX_TRACE_CHARS:])
 
 
@@ -110,4 +124,5 @@
     """The logger that structlog wraps."""
 
     def __init__(self, writer: LogWriter) -> None:
+        """Passes all lines to a writer."""
         self.msg = self.info = self.warning = self.error = writer.write
--- a/birchslip/net/scheduler.py
+++ b/birchslip/net/scheduler.py
@@ -1,7 +1,7 @@
-"""Greenlets over `select.poll`: who waits for which descriptor, timers in a heap, one pass after the other.
+"""An event loop of greenlets over `select.poll`, with timers.
 
-A pass takes what is due, then what is ready, then calls `settle` once, then what was asked for its end.
-Nothing else blocks: only a ready descriptor, a due timer or a signal wakes an idle process.
+A pass runs due timers, then tasks that are ready, then calls `on_pass_end` once, then runs the actions
+scheduled for its end. Only a ready descriptor, a due timer or a signal wakes an idle process.
 """
 
 from __future__ import annotations
@@ -17,48 +17,51 @@
 
 READ, WRITE = select.POLLIN, select.POLLOUT
 HANGUP_OR_ERROR = select.POLLHUP | select.POLLERR | select.POLLNVAL
-TASK_TIME_SLICE = (
-    50  # a pass that has taken 5 ms of reading settles and looks at its timers before it reads more
-)
+TASK_TIME_SLICE = 50  # after 5 ms of tasks a pass ends, so that timers are not late; the rest run in the next
 MIN_CANCELLED_TO_SWEEP = (
-    64  # cancelled timers are swept out of the heap once there are so many, and they are half of it
+    64  # cancelled timers are removed from the heap once they are so many, and half of it
 )
 
 
 def unix_clock() -> int:
-    """The system's Unix clock in tenths of a millisecond."""
+    """Returns Unix time in tenths of a millisecond."""
     return time.time_ns() // 100_000
 
 
 class Timer:
-    """Something to do at a time, unless it is cancelled before."""
+    """An action at a time that can be cancelled; `action` is None once it has run or was cancelled."""
 
     __slots__ = ("action", "scheduler")
 
     def __init__(self, scheduler: Scheduler, action: Callable[[], None]) -> None:
+        """Creates a timer; use `Scheduler.at`."""
         self.scheduler = scheduler
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
+        """Cancels the action, if it has not run."""
         if self.action is not None:
             self.action = None
             self.scheduler.on_timer_cancelled()
 
 
 class InterruptibleSleep:
-    """A task's sleep that others may end early."""
+    """A sleep of one task that others can end early."""
 
     def __init__(self, scheduler: Scheduler) -> None:
+        """Starts awake."""
         self.scheduler = scheduler
         self.task: greenlet | None = None
         self.timer: Timer | None = None
 
     def sleep(self, until: int) -> None:
+        """Suspends the calling task until a time, or until `wake`."""
         self.task = getcurrent()
         self.timer = self.scheduler.at(until, self.wake)
         self.scheduler.hub.switch()
 
     def wake(self) -> None:
+        """Wakes the task, if it sleeps."""
         task, self.task = self.task, None
         if task is not None and self.timer is not None:
             self.timer.cancel()
@@ -66,7 +69,18 @@
 
 
 class Scheduler:
-    """`settle` is called once at the end of each pass; `fault` hears what a task or a timer raised."""
+    """Runs tasks, each a greenlet, and timers in one thread.
+
+    Attributes:
+        now: Time of the last reading of the clock; it never goes back.
+        hub: The greenlet that runs the passes; a task waits by switching to it.
+        event_masks: Events that the poller reports, by descriptor.
+        waiting_tasks: The task that waits for each descriptor.
+        ready_tasks: Tasks to resume, with the value that their wait returns.
+        pass_end_actions: Actions for the end of this pass.
+        timers: A heap of time, serial number and timer; timers of the same time run in the order of creation.
+        poll_at_once: Whether the next pass does not wait for events.
+    """
 
     def __init__(
         self,
@@ -74,6 +88,13 @@
         on_error: Callable[[str, Exception], None],
         clock: Callable[[], int] = unix_clock,
     ) -> None:
+        """Starts without tasks.
+
+        Args:
+            on_pass_end: Called once at the end of each pass.
+            on_error: Called with the name of a task or action and the exception that it raised.
+            clock: Returns the time in tenths of a millisecond.
+        """
         self.on_pass_end, self.on_error, self.clock = on_pass_end, on_error, clock
         self.now = clock()
         self.hub = getcurrent()
@@ -86,16 +107,20 @@
         self.last_serial = self.cancelled_count = 0
         self.poll_at_once = self.stopped = False
 
-    # ---- what tasks call -----------------------------------------------------------------------------------
+    # ---- called by tasks -----------------------------------------------------------------------------------
 
     def spawn(self, name: str, function: Callable[[], None]) -> greenlet:
-        """A task of its own; what it raises is told to `fault` and ends nothing else."""
+        """Starts a task; an exception ends only the task itself and is passed to `on_error`."""
         task = greenlet(lambda _: self.guard(function, name), self.hub)
         self.ready_tasks.append((task, None))
         return task
 
     def wait(self, descriptor: int, mask: int, until: int | None = None) -> int:
-        """Wait for a descriptor; what it is ready for, 0 when the time is up or it was woken."""
+        """Suspends the calling task until a descriptor is ready.
+
+        Returns:
+            The events, or 0 at the time `until` or if the task was woken.
+        """
         self.register_descriptor(descriptor, mask)
         self.waiting_tasks[descriptor] = getcurrent()
         timer = None if until is None else self.at(until, lambda: self.wake(descriptor))
@@ -105,63 +130,73 @@
         return events
 
     def update_mask(self, descriptor: int, mask: int) -> None:
-        """Let the task that waits for this descriptor be woken for more."""
+        """Changes the events for which a waiting task is woken; no effect if none waits."""
         if descriptor in self.waiting_tasks:
             self.register_descriptor(descriptor, mask)
 
     def register_descriptor(self, descriptor: int, mask: int) -> None:
+        """Sets the events that the poller reports for a descriptor."""
         if self.event_masks.get(descriptor) != mask:
             self.event_masks[descriptor] = mask
             self.poller.register(descriptor, mask)
 
     def wake(self, descriptor: int) -> None:
+        """Resumes the task that waits for a descriptor, if there is one."""
         task = self.waiting_tasks.pop(descriptor, None)
         if task is not None:
             self.ready_tasks.append((task, 0))
 
     def unregister(self, descriptor: int) -> None:
-        """Before a descriptor is closed: its number may come back for another."""
+        """Stops polling a descriptor and wakes its task.
+
+        To be called before the descriptor is closed, since its number can be used again.
+        """
         if self.event_masks.pop(descriptor, None) is not None:
             self.poller.unregister(descriptor)
         self.wake(descriptor)
 
     def sleep(self, until: int) -> None:
+        """Suspends the calling task until a time."""
         task = getcurrent()
         self.at(until, lambda: self.ready_tasks.append((task, 0)))
         self.hub.switch()
 
     def at(self, due: int, action: Callable[[], None]) -> Timer:
+        """Schedules an action for a time."""
         timer = Timer(self, action)
         self.last_serial += 1
         heapq.heappush(self.timers, (due, self.last_serial, timer))
         return timer
 
     def at_pass_end(self, action: Callable[[], None]) -> None:
-        """Once, at the end of this pass."""
+        """Schedules an action for the end of this pass."""
         self.pass_end_actions.append(action)
 
     def request_pass(self) -> None:
-        """Another pass at once, whatever the descriptors say."""
+        """Makes the next pass start at once, whether a descriptor is ready or not."""
         self.poll_at_once = True
 
     def stop(self) -> None:
+        """Makes `run` return after this pass."""
         self.stopped = True
 
-    # ---- the passes ----------------------------------------------------------------------------------------
+    # ---- passes --------------------------------------------------------------------------------------------
 
     def run(self) -> None:
+        """Runs passes until `stop` is called."""
         self.hub = getcurrent()
         while not self.stopped:
             self.run_pass()
 
     def run_pass(self) -> None:
-        # Also while tasks are ready: each pass has its price, whether it takes one event or thirty.
+        """Runs one pass; waits for an event first if there is nothing to do."""
+        # Polls also while tasks are ready: a pass has a fixed cost, so it should handle many events.
         for descriptor, events in self.poller.poll(0 if self.ready_tasks else self.poll_timeout_ms()):
             task = self.waiting_tasks.pop(descriptor, None)
             if task is not None:
                 self.ready_tasks.append((task, events))
             else:
-                # Nobody waits for it just now: left in, it would wake every pass.
+                # No task waits for this descriptor: left in the poller, it would end every wait at once.
                 del self.event_masks[descriptor]
                 self.poller.unregister(descriptor)
         self.poll_at_once = False
@@ -179,7 +214,7 @@
                 self.guard(action)
 
     def poll_timeout_ms(self) -> int | None:
-        """Milliseconds until the next timer, rounded up; None for ever."""
+        """Returns milliseconds until the next timer, rounded up; None waits without limit."""
         if self.poll_at_once or self.pass_end_actions:
             return 0
         if not self.timers:
@@ -187,11 +222,12 @@
         return max(0, -((self.clock() - self.timers[0][0]) // 10))
 
     def update_clock(self) -> int:
-        """The clock, which never goes back within a run."""
+        """Reads the clock into `now`, which never goes back, and returns it."""
         self.now = max(self.now, self.clock())
         return self.now
 
     def run_due_timers(self) -> None:
+        """Runs the actions of timers whose time has come."""
         while self.timers and self.timers[0][0] <= self.now:
             timer = heapq.heappop(self.timers)[2]
             action, timer.action = timer.action, None
@@ -201,12 +237,14 @@
                 self.guard(action)
 
     def guard(self, action: Callable[[], None], name: str = "") -> None:
+        """Runs an action; passes an exception to `on_error`, with the action's name if none is given."""
         try:
             action()
         except Exception as error:
             self.on_error(name or getattr(action, "__qualname__", "action"), error)
 
     def on_timer_cancelled(self) -> None:
+        """Counts a cancelled timer, and removes them from the heap if there are too many."""
         self.cancelled_count += 1
         if self.cancelled_count >= MIN_CANCELLED_TO_SWEEP and self.cancelled_count * 2 > len(self.timers):
             self.timers = [entry for entry in self.timers if entry[2].action is not None]
