--- a/birchslip/net/bounds.py
+++ b/birchslip/net/bounds.py
@@ -16,7 +16,7 @@
 CONNECTION_BYTES = 12_288  # memory of a connection and its task, without unread data
 MIN_UNREAD_BYTES, MAX_UNREAD_BYTES = 8_192, 32_768  # the minimum holds two of a router's largest messages
 CALL_BYTES = 81_920  # memory of a downstream call: its largest reply, unread, and its task
-MIN_AVAILABLE_BYTES = 4 << 20  # with less the app server could not serve; it rejects requests instead
+MIN_AVAILABLE_BYTES = 4 << 20  # assumed at least; with less it cannot serve, which shows in rejections
 
 
 @dataclass(frozen=True, slots=True)
--- a/birchslip/net/connection.py
+++ b/birchslip/net/connection.py
@@ -15,7 +15,7 @@
 MAX_PIECES_PER_SEND = 64
 LINGER_TIMEOUT = 10_000  # a graceful close waits 1 s at most for the peer to close its side
 MAX_DISCARDED_BYTES = 65_536  # and for so many bytes: a peer that sends more ignores the close
-CONNECT_TIMEOUT = 10_000  # 1 s
+CONNECT_TIMEOUT = 10_000  # after 1 s an attempt counts as refused
 
 
 class SendBufferPool:
--- a/birchslip/net/scheduler.py
+++ b/birchslip/net/scheduler.py
@@ -1,7 +1,8 @@
 """An event loop of greenlets over `select.poll`, with timers.
 
 A pass runs due timers, then tasks that are ready, then calls `on_pass_end` once, then runs the actions
-scheduled for its end. Only a ready descriptor, a due timer or a signal wakes an idle process.
+scheduled for its end. Nothing else blocks: only a ready descriptor, a due timer or a signal wakes an idle
+process.
 """
 
 from __future__ import annotations
@@ -18,9 +19,7 @@
 READ, WRITE = select.POLLIN, select.POLLOUT
 HANGUP_OR_ERROR = select.POLLHUP | select.POLLERR | select.POLLNVAL
 TASK_TIME_SLICE = 50  # after 5 ms of tasks a pass ends, so that timers are not late; the rest run in the next
-MIN_CANCELLED_TO_SWEEP = (
-    64  # cancelled timers are removed from the heap once they are so many, and half of it
-)
+MIN_CANCELLED_TO_SWEEP = 64  # cancelled timers leave the heap once they are so many, and half of it
 
 
 def unix_clock() -> int:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""What comes in the moment of a close, on real connections; the bad order is made to happen every time."""
+"""Requests that arrive while a connection or the app server closes, on real sockets; each race is forced."""
 
 import gc
 import select
@@ -22,33 +22,33 @@
 from .hall import Hall
 
 KEY = "1" * 32
-TOLD_MS = CLOSING_TIMEOUT // 10 + 1
+PAST_CLOSING_TIMEOUT_MS = CLOSING_TIMEOUT // 10 + 1
 
 
 @pytest.fixture
-def begin():
+def start():
     halls = []
 
-    def made(**more):
-        halls.append(Hall(**more))
+    def build(**options):
+        halls.append(Hall(**options))
         return halls[-1]
 
-    yield made
+    yield build
     for hall in halls:
         hall.stop()
 
 
-def at_the_end(router):
-    """What is still read before the connection's end; a reset on the way is an error."""
-    said = []
+def read_until_end(router):
+    """Returns all messages until the connection's end; a reset raises."""
+    messages = []
     with pytest.raises(EOFError):
         while True:
-            said.append(router.message())
-    return said
+            messages.append(router.message())
+    return messages
 
 
-def told_closing(hall):
-    """A router that rests on a connection that was told `closing`."""
+def notified_router(hall):
+    """Returns a router with an idle connection on which `closing` was sent."""
     router = hall.router()
     ping = router.ping()
     hall.passes()
@@ -60,70 +60,70 @@
 
 
 @pytest.mark.parametrize("cut", [0, 1, 20])
-def test_a_request_in_the_moment_of_an_idle_close_is_served(begin, cut):
-    """It lies unread, whole or in part, when the connection's time is up: no close, and no reset."""
-    hall = begin()
-    router = told_closing(hall)
+def test_serves_request_that_arrives_as_idle_connection_closes(start, cut):
+    """The request has arrived unread, in whole or in part, when the idle timeout passes."""
+    hall = start()
+    router = notified_router(hall)
     sent = []
     router.link, link = type("Tap", (), {"sendall": sent.append})(), router.link
-    call = router.call("lookup", b"1", ts=str(hall.time // 10 + TOLD_MS))
+    call = router.call("lookup", b"1", ts=str(hall.time // 10 + PAST_CLOSING_TIMEOUT_MS))
     router.link = link
     raw = sent[0]
     link.sendall(raw[: len(raw) - cut])
-    hall.passes(ms=TOLD_MS)
+    hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)
     link.sendall(raw[len(raw) - cut :])
     hall.passes()
     (name,) = hall.launched()
     hall.end(name, Outcome.SERVED)
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
-    hall.passes(ms=TOLD_MS)  # and once nothing is open, it ends
-    assert at_the_end(router) == []
+    hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)  # without an open request it is closed
+    assert read_until_end(router) == []
 
 
-def test_what_comes_after_the_end_is_neither_run_nor_answered_and_resets_nothing(begin):
-    hall = begin()
-    router = told_closing(hall)
-    hall.passes(ms=TOLD_MS)
+def test_discards_request_after_close_without_reset(start):
+    hall = start()
+    router = notified_router(hall)
+    hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)
     router.call("lookup", b"1")
     hall.passes()
-    assert at_the_end(router) == [[2, "closing", []]]
+    assert read_until_end(router) == [[2, "closing", []]]
     assert hall.launched() == []
     hall.hang_up(router)
     assert not hall.clients.active
     assert not hall.clients.lingering
 
 
-@pytest.mark.parametrize("rubbish", [b"\xc1", pack([0, 1, "ping", [{}]])])
-def test_answers_of_the_same_pass_are_not_lost_with_what_cannot_be_read(begin, rubbish):
-    hall = begin()
+@pytest.mark.parametrize("malformed", [b"\xc1", pack([0, 1, "ping", [{}]])])
+def test_malformed_data_loses_no_responses_of_the_same_pass(start, malformed):
+    hall = start()
     router = hall.router()
     first = pack([0, 1, "ping", [{}]]) + pack([0, 2, "unheard", [{}, b""]])
-    router.link.sendall(first + rubbish + pack([0, 3, "ping", [{}]]))
+    router.link.sendall(first + malformed + pack([0, 3, "ping", [{}]]))
     hall.passes()
-    answers = at_the_end(router)
-    assert [message[1] for message in answers] == [1, 2]
+    responses = read_until_end(router)
+    assert [message[1] for message in responses] == [1, 2]
     assert hall.clients.counters.counts["clients.malformed"]
 
 
-def test_what_was_open_on_a_connection_that_is_spoilt_gets_its_one_answer(begin):
-    hall = begin()
+def test_malformed_data_leaves_one_response_to_each_open_request(start):
+    hall = start()
     router = hall.router()
     launched = router.call("lookup", b"1")
     hall.passes()
     held = [router.call("lookup", b"1", need="900") for _ in range(4)]
     router.link.sendall(b"\xc1")
     hall.passes()
-    said = {message[1]: message[2][0] for message in at_the_end(router)}
-    assert sorted(said) == [launched, *held]
-    assert said[launched] == "Failed"
-    assert hall.orders[-1]["op"] == "freeze" or hall.orders[-2]["op"] == "freeze"  # nobody waits for it
-    assert len(hall.launched()) == 1  # what was told never to have run does not run afterwards
-    assert set(said[number] for number in held) == {"Overloaded"}
+    errors = {message[1]: message[2][0] for message in read_until_end(router)}
+    assert sorted(errors) == [launched, *held]
+    assert errors[launched] == "Failed"
+    assert hall.orders[-1]["op"] == "freeze" or hall.orders[-2]["op"] == "freeze"  # its caller is gone
+    assert len(hall.launched()) == 1  # a rejected request never runs
+    assert set(errors[number] for number in held) == {"Overloaded"}
 
 
-def test_a_slow_writer_keeps_what_else_is_open_on_its_connection(begin):
-    hall = begin()
+def test_message_timeout_waits_for_open_requests(start):
+    hall = start()
     router = hall.router()
     call = router.call("lookup", b"1")
     hall.passes()
@@ -133,14 +133,14 @@
     hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
-    hall.passes(ms=MESSAGE_CHECK_INTERVAL // 10)  # then the half message is one too late
-    assert at_the_end(router) == []
+    hall.passes(ms=MESSAGE_CHECK_INTERVAL // 10)  # now the incomplete message has timed out
+    assert read_until_end(router) == []
     assert hall.clients.counters.counts["clients.silent"] == 1
 
 
-def test_a_router_among_a_crowd_that_says_nothing_gets_in_with_its_request(begin):
-    """All are accepted in one pass, past the bound, before any of them is read."""
-    hall = begin(most=3)
+def test_request_is_served_among_many_silent_connections(start):
+    """All are accepted in one pass, above the limit, before any of them is read."""
+    hall = start(most=3)
     router = hall.router()
     call = router.call("lookup", b"1")
     crowd = [hall.router() for _ in range(20)]
@@ -155,31 +155,31 @@
     assert len(hall.clients.active) <= 3
 
 
-def test_who_is_to_make_room_is_read_before(begin):
-    hall = begin(most=2)
+def test_reads_connection_before_evicting_it(start):
+    hall = start(most=2)
     mute, router = hall.router(), hall.router()
     hall.passes()
     hall.passes(ms=300)
-    call = mute.call("lookup", b"1")  # the one that would go has just said something
+    call = mute.call("lookup", b"1")  # the candidate for eviction has just sent a request
     other = hall.router()
     hall.passes()
     hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert mute.answer(call) == (None, [b"made", {}])
-    assert at_the_end(router) == []
+    assert read_until_end(router) == []
     assert other.link
 
 
-def test_answers_are_not_cut_off_in_the_pass_that_ends_their_connection(begin):
-    """Each of a full table has just said something when as many new ones come in one pass."""
-    hall = begin(most=12)
+def test_eviction_loses_no_responses_of_the_same_pass(start):
+    """At the limit, every connection has just sent a message when as many new ones arrive in one pass."""
+    hall = start(most=12)
     hall.clients.max_lingering = 4
     old = [hall.router() for _ in range(12)]
     for router in old:
         ping = router.ping()
         hall.passes()
         assert router.answer(ping)[0] is None
-    hall.passes(ms=200)  # the listener is looked at again
+    hall.passes(ms=200)  # the listener is polled again
     pings = [router.ping() for router in old]
     new = [hall.router() for _ in range(12)]
     for _ in range(100):
@@ -191,16 +191,16 @@
     assert hall.clients.counters.counts["clients.made_room"] >= 12
 
 
-def test_one_that_reads_nothing_does_not_keep_others_out_for_long(begin):
-    """At the bound, with no more connections to end than the one that was ended first."""
-    hall = begin(most=1)
+def test_lingering_peer_that_reads_nothing_is_evicted(start):
+    """At the limit, when the only connection is already being closed."""
+    hall = start(most=1)
     hall.clients.max_lingering = 1
     first = hall.router()
     ping = first.ping()
     hall.passes()
     assert first.answer(ping)[0] is None
     (client,) = hall.clients.active
-    client.connection.flush = lambda: None  # the system takes nothing more for it
+    client.connection.flush = lambda: None  # the socket takes nothing more
     first.ping()
     hall.passes()
     second, third = hall.router(), hall.router()
@@ -212,13 +212,13 @@
     assert third.answer(call) == (None, [True, {}])
 
 
-def test_the_listener_closes_once_there_was_room_for_who_waited_and_nobody_waits(begin):
-    hall = begin(most=1)
+def test_listener_closes_once_its_queue_is_accepted(start):
+    hall = start(most=1)
     router = hall.router()
     call = router.call("lookup", b"1")
     hall.passes()
-    leave(hall)
-    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)  # no room to look whether someone waits
+    end_drain_grace(hall)
+    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)  # no room to accept
     assert hall.clients.listener is not None
     hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
@@ -229,10 +229,12 @@
     assert hall.program.phase is Phase.ENDED
 
 
-@pytest.mark.parametrize("how", ["its own end", "told closing", "rubbish", "the program's close"])
-def test_a_connection_that_is_over_is_freed_without_a_collection(begin, how):
-    """Guards against memory that grows with each connection until the collector comes by."""
-    hall = begin()
+@pytest.mark.parametrize(
+    "cause", ["closed by the router", "closing sent", "malformed data", "closed by the server"]
+)
+def test_closed_connection_is_freed_without_garbage_collection(start, cause):
+    """A reference cycle would keep each connection in memory until the next garbage collection."""
+    hall = start()
     gc.collect()
     gc.disable()
     try:
@@ -241,38 +243,42 @@
         hall.passes()
         assert router.answer(ping)[0] is None
         (client,) = hall.clients.active
-        watched = [weakref.ref(client), weakref.ref(client.connection), weakref.ref(client.connection.buffer)]
-        if how == "told closing":
+        references = [
+            weakref.ref(client),
+            weakref.ref(client.connection),
+            weakref.ref(client.connection.buffer),
+        ]
+        if cause == "closing sent":
             client.send_closing()
-        elif how == "rubbish":
+        elif cause == "malformed data":
             router.link.sendall(b"\xc1")
-        elif how == "the program's close":
+        elif cause == "closed by the server":
             client.connection.close("dropped")
         del client
         hall.passes()
-        hall.passes(ms=TOLD_MS)
+        hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)
         hall.hang_up(router)
-        hall.passes(ms=TOLD_MS)
-        assert [one() for one in watched] == [None] * 3
+        hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)
+        assert [reference() for reference in references] == [None] * 3
     finally:
         gc.enable()
 
 
-def leave(hall):
+def end_drain_grace(hall):
     hall.program.begin_drain()
     hall.passes(ms=hall.program.site.settings.drain_grace // 10 + 1)
     assert hall.program.phase in (Phase.SHUT, Phase.CLOSING, Phase.ENDED)
 
 
-def test_who_waits_in_the_systems_queue_at_the_shutdown_is_answered(begin):
-    """At the bound, with no connection to spare: the listener stays until they have been let in."""
-    hall = begin(most=1)
+def test_connection_in_accept_queue_at_drain_gets_response(start):
+    """At the limit without an idle connection: the listener stays open until the queue is empty."""
+    hall = start(most=1)
     first = hall.router()
     running = first.call("lookup", b"1")
     hall.passes()
     second = hall.router()
     waiting = second.call("lookup", b"1")
-    leave(hall)
+    end_drain_grace(hall)
     hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert first.answer(running) == (None, [b"made", {}])
@@ -284,12 +290,12 @@
 
 
 class LateListener:
-    """Each time its queue is found empty, a router connects and sends a request before the next line runs."""
+    """A listener to which a router connects and sends a request each time `accept` finds the queue empty."""
 
-    def __init__(self, listener, address, raw):
-        self.listener, self.raw, self.late = listener, raw, []
+    def __init__(self, listener, address, request):
+        self.listener, self.request, self.late_sockets = listener, request, []
         host, _, port = address.rpartition(":")
-        self.there = host, int(port)
+        self.address = host, int(port)
 
     def __getattr__(self, name):
         return getattr(self.listener, name)
@@ -298,18 +304,18 @@
         try:
             return self.listener.accept()
         except BlockingIOError:
-            if len(self.late) < 8:
+            if len(self.late_sockets) < 8:
                 link = socket.socket()
                 link.setblocking(False)
-                link.connect_ex(self.there)
-                self.late.append(link)
+                link.connect_ex(self.address)
+                self.late_sockets.append(link)
                 if select.select([], [link], [], 0)[1]:
-                    link.sendall(self.raw)
+                    link.sendall(self.request)
             raise
 
 
-def test_a_connection_opened_as_the_listener_closes_is_not_reset_with_its_request(begin):
-    hall = begin()
+def test_connection_opened_as_listener_closes_is_not_reset(start):
+    hall = start()
     listener = LateListener(hall.clients.listener, hall.address, pack([0, 1, "ping", [{}]]))
     hall.clients.listener = listener
     hall.program.begin_drain()
@@ -317,16 +323,16 @@
     hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
     hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
     assert hall.clients.listener is None
-    assert len(listener.late) > 1
-    for link in listener.late:
-        if select.select([], [link], [], 0)[1]:  # it was let in: then it has its answer
+    assert len(listener.late_sockets) > 1
+    for link in listener.late_sockets:
+        if select.select([], [link], [], 0)[1]:  # it was accepted, so it was notified
             assert b"closing" in link.recv(1000)
         link.close()
 
 
 @pytest.mark.parametrize("greets", [True, False])
-def test_a_request_that_lies_unread_at_the_end_is_answered_and_not_run(begin, greets):
-    hall = begin(greets=greets)
+def test_request_unread_at_exit_is_rejected_and_never_runs(start, greets):
+    hall = start(greets=greets)
     router = hall.router()
     ping = router.ping()
     hall.passes()
@@ -334,10 +340,10 @@
     call = router.call("lookup", b"1")
     hall.program.begin_drain()
     hall.program.begin_close()
-    late = router.call("lookup", b"1")  # the end is on its way
+    late = router.call("lookup", b"1")  # the connection is already being closed
     hall.passes()
-    said = at_the_end(router)
-    assert [message[2][0] for message in said if message[0] == 1] == ["Overloaded"]
+    messages = read_until_end(router)
+    assert [message[2][0] for message in messages if message[0] == 1] == ["Overloaded"]
     assert late > call
     assert not hall.launched()
     hall.hang_up(router)
@@ -346,9 +352,9 @@
     assert hall.program.phase is Phase.ENDED
 
 
-def test_before_the_agent_greets_a_repeat_of_an_earlier_life_may_come_again(begin):
-    """Guards against writing off, as unknown, what is kept and can be told a moment later."""
-    hall = begin(greets=False)
+def test_rejects_repeat_of_earlier_incarnation_before_agent_greets(start):
+    """It must not fail as unknown: its result may be stored, and available a moment later."""
+    hall = start(greets=False)
     hall.program.idempotency_table.find_earlier = lambda context: IdempotencyEntry(
         context.idempotency_key, context, context.received_at, context, matches_earlier_run=lambda other: True
     )
@@ -358,15 +364,15 @@
     assert router.answer(call)[0][0] == "Overloaded"
 
 
-def test_after_the_shutdown_only_a_repeat_of_what_runs_is_taken(begin):
-    hall = begin()
+def test_accepts_only_repeats_of_running_requests_after_drain_grace(start):
+    hall = start()
     router = hall.router()
     first = router.call("order", b"1", opkey=KEY)
     hall.passes()
     other = hall.router()
     hall.passes()
-    leave(hall)
-    # both cross the notice that the connection closes
+    end_drain_grace(hall)
+    # both were sent before the router received `closing`
     again, new = other.call("order", b"1", opkey=KEY), other.call("order", b"1", opkey="2" * 32)
     hall.passes()
     assert other.answer(new)[0][0] == "Overloaded"
@@ -377,21 +383,21 @@
     assert len(hall.launched()) == 1
 
 
-def test_a_repeat_read_at_the_end_never_hears_that_it_has_not_run(begin):
-    hall = begin()
+def test_repeat_read_at_exit_fails_and_is_not_rejected(start):
+    hall = start()
     router, other = hall.router(), hall.router()
     first = router.call("order", b"1", opkey=KEY)
     hall.passes()
     again = other.call("order", b"1", opkey=KEY)
     hall.program.begin_drain()
-    hall.program.begin_drain()  # a second notice: now
+    hall.program.begin_drain()  # the second request ends the drain
     hall.passes()
     assert router.answer(first)[0][0] == other.answer(again)[0][0] == "Failed"
     assert len(hall.launched()) == 1
 
 
-def test_at_the_end_nothing_that_was_answered_starts_afterwards(begin):
-    hall = begin()
+def test_no_request_starts_after_its_response_at_exit(start):
+    hall = start()
     router = hall.router()
     calls = [router.call("lookup", b"1", need="400") for _ in range(6)]
     hall.passes()
@@ -400,27 +406,27 @@
     hall.program.begin_drain()
     hall.program.begin_close()
     for name in hall.launched():
-        hall.end(name, Outcome.CANCELLED)  # its room would be free for the next
+        hall.end(name, Outcome.CANCELLED)  # the next request could start
     hall.passes()
     words = [router.answer(call)[0][0] for call in calls]
     assert sorted(words) == ["Failed"] * started + ["Overloaded"] * (6 - started)
     assert len(hall.launched()) == started
 
 
-def test_a_notice_to_leave_in_the_pass_of_an_answer_takes_nothing_from_it(begin):
-    hall = begin()
+def test_stop_in_same_pass_as_result_loses_no_response(start):
+    hall = start()
     router = hall.router()
     call = router.call("lookup", b"1")
     hall.passes()
     hall.program.begin_drain()
     hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.program.begin_drain()  # and at once the second
+    hall.program.begin_drain()  # at once the second
     hall.passes()
     assert router.answer(call) == (None, [b"made", {}])
 
 
-def test_a_time_to_stop_that_is_shorter_than_the_grace_leaves_nothing_unanswered(begin):
-    hall = begin(stop_ms=500)
+def test_stop_timeout_shorter_than_drain_grace_leaves_no_request_without_response(start):
+    hall = start(stop_ms=500)
     router = hall.router()
     running = router.call("order", b"1", opkey=KEY)
     hall.passes()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""The project's own parsers: whole or cut at any byte, at their limits, and fed with rubbish."""
+"""Parsers of data from outside: complete or split at any byte, at their limits, and malformed."""
 
 import msgpack
 import pytest
@@ -43,27 +43,27 @@
 
 
 @pytest.mark.parametrize("value", VALUES, ids=lambda value: repr(value)[:30])
-def test_messagepack_agrees_with_the_library_both_ways(value):
+def test_messagepack_agrees_with_library_in_both_directions(value):
     assert msgpack.unpackb(pack(value), strict_map_key=False) == value
     assert read_messages(buffer_of(msgpack.packb(value))) == ([value], "")
 
 
-def test_messages_cut_at_each_byte_come_out_whole_and_once():
+def test_messages_split_at_any_byte_are_read_once():
     sent = [[0, 7, "lookup", [{"ts": "17"}, b"body"]], [2, "abort", [7]], [0, 300, "ping", [{}]]]
     raw = b"".join(pack(message) for message in sent)
-    for cut in range(len(raw) + 1):
-        buffer = buffer_of(raw[:cut])
-        first, trouble = read_messages(buffer)
-        buffer.feed(raw[cut:])
-        second, trouble_then = read_messages(buffer)
+    for split in range(len(raw) + 1):
+        buffer = buffer_of(raw[:split])
+        first, reason = read_messages(buffer)
+        buffer.feed(raw[split:])
+        second, second_reason = read_messages(buffer)
         assert first + second == sent
-        assert not trouble
-        assert not trouble_then
+        assert not reason
+        assert not second_reason
         assert not len(buffer)
 
 
 @pytest.mark.parametrize(
-    ("raw", "named"),
+    ("raw", "expected"),
     [
         (b"\xc1", "type byte 0xc1"),
         (b"\xd4\x01\x00", "type byte 0xd4"),
@@ -77,24 +77,24 @@
         (b"\xa2\xff\xfe", "not UTF-8"),
     ],
 )
-def test_messagepack_past_its_limits_is_named(raw, named):
+def test_messagepack_beyond_limits_is_rejected_with_reason(raw, expected):
     good = pack([2, "abort", [1]])
-    taken, trouble = read_messages(buffer_of(good + raw))
-    assert taken == [[2, "abort", [1]]]
-    assert named in trouble
+    messages, reason = read_messages(buffer_of(good + raw))
+    assert messages == [[2, "abort", [1]]]
+    assert expected in reason
 
 
 @pytest.mark.parametrize("value", [2**64, -(2**63) - 1, object()])
-def test_what_has_no_form_is_refused(value):
+def test_rejects_value_without_encoding(value):
     with pytest.raises((OverflowError, TypeError)):
         pack(value)
 
 
-def test_a_buffer_grows_to_its_bound_and_is_compacted_in_place():
+def test_buffer_grows_to_its_bound_and_is_compacted():
     buffer = Buffer(4 * INITIAL_BYTES)
     buffer.feed(b"a" * INITIAL_BYTES)
     assert buffer.take(INITIAL_BYTES - 10) == b"a" * (INITIAL_BYTES - 10)
-    buffer.feed(b"b" * 100)  # fits once what was taken has made way
+    buffer.feed(b"b" * 100)  # fits after compaction
     assert len(buffer.data) == INITIAL_BYTES
     assert buffer.take(110) == b"a" * 10 + b"b" * 100
     buffer.feed(b"c" * 4 * INITIAL_BYTES)
@@ -112,7 +112,7 @@
         ([b"x" * 99 + b"\r", b"\nrest"], [b"x" * 99]),
     ],
 )
-def test_lines_in_pieces(pieces, lines):
+def test_reads_lines_received_in_pieces(pieces, lines):
     buffer, read = Buffer(1 << 16), []
     for piece in pieces:
         buffer.feed(piece)
@@ -122,12 +122,12 @@
 
 
 @pytest.mark.parametrize("raw", [b"x" * 102, b"x" * 102 + b"\n"])
-def test_a_line_too_long_is_refused_whole_or_not(raw):
+def test_rejects_line_that_is_too_long(raw):
     with pytest.raises(MalformedMessageError, match="more than 100"):
         buffer_of(raw).read_line(100)
 
 
-ANSWERS = [
+HTTP_RESPONSES = [
     (b"HTTP/1.1 204 No Content\r\n\r\n", 204, True),
     (b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n", 204, False),
     (b"HTTP/1.0 204 Fine\r\n\r\n", 204, False),
@@ -136,14 +136,14 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "status", "keeps"), ANSWERS)
-def test_http_answers_cut_at_each_byte(raw, status, keeps):
-    for cut in range(len(raw)):
-        buffer, answer = buffer_of(raw[:cut]), http.Response()
-        assert not answer.read(buffer)
-        buffer.feed(raw[cut:])
-        assert answer.read(buffer)
-        assert (answer.status, answer.keeps_alive) == (status, keeps)
+@pytest.mark.parametrize(("raw", "status", "keeps_alive"), HTTP_RESPONSES)
+def test_reads_http_response_split_at_any_byte(raw, status, keeps_alive):
+    for split in range(len(raw)):
+        buffer, response = buffer_of(raw[:split]), http.Response()
+        assert not response.read(buffer)
+        buffer.feed(raw[split:])
+        assert response.read(buffer)
+        assert (response.status, response.keeps_alive) == (status, keeps_alive)
         assert not len(buffer)
 
 
@@ -163,13 +163,13 @@
         b"x" * 5000,
     ],
 )
-def test_http_that_is_not_read_here(raw):
+def test_rejects_unsupported_http_response(raw):
     with pytest.raises(MalformedMessageError):
         http.Response().read(buffer_of(raw))
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "expected"),
     [
         (b"9b1f yes 140", ("9b1f", "yes", 140)),
         (b"9b1f notnow", ("9b1f", "notnow", 0)),
@@ -184,13 +184,13 @@
         (b"\xff\xfe yes 3", None),
     ],
 )
-def test_the_vaults_lines(line, said):
-    if said is None:
+def test_reads_reply_lines_of_vault(line, expected):
+    if expected is None:
         with pytest.raises(MalformedMessageError):
             parse_reply_line(line)
     else:
-        name, word, length = parse_reply_line(line)
-        assert (name, word.decode(), length) == said
+        name, outcome, length = parse_reply_line(line)
+        assert (name, outcome.decode(), length) == expected
 
 
 SETTINGS = {
@@ -201,27 +201,32 @@
 }
 
 
-def test_nested_settings_are_read_as_the_wires_pairs():
-    setup = SettingsReader(flatten(SETTINGS))
-    told = read_admission_settings(7, setup)
-    profile = told.request_classes[0]
-    assert setup.names("classes") == ["order taking"]
-    assert setup.text("azs", "") == "a,b"
-    assert (profile.idempotency, profile.latency_objective, profile.key_retention) == (
+def test_reads_nested_settings():
+    reader = SettingsReader(flatten(SETTINGS))
+    settings = read_admission_settings(7, reader)
+    request_class = settings.request_classes[0]
+    assert reader.names("classes") == ["order taking"]
+    assert reader.text("azs", "") == "a,b"
+    assert (request_class.idempotency, request_class.latency_objective, request_class.key_retention) == (
         Idempotency.KEYED,
         15_000,
         60_000,
     )
-    assert (profile.weight_without_call, told.cores, told.starts_cold, told.tenants[0].quota) == (
+    assert (
+        request_class.weight_without_call,
+        settings.cores,
+        settings.starts_cold,
+        settings.tenants[0].quota,
+    ) == (
         0.3,
         3,
         True,
         20.0,
     )
-    assert told.memory_limit == 1 << 30  # absent: the default holds
+    assert settings.memory_limit == 1 << 30  # absent: the default applies
 
 
 @pytest.mark.parametrize("wrong", [{"effect": "perhaps"}, {"aim_s": "soon"}, {"hard_limit_s": float("nan")}])
-def test_settings_that_cannot_be_are_named(wrong):
+def test_invalid_setting_is_named(wrong):
     with pytest.raises(InvalidInputError, match=next(iter(wrong))):
         read_admission_settings(7, SettingsReader(flatten({"classes": [SETTINGS["classes"][0] | wrong]})))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as `run` starts it, spoken to over loopback; its peers are the toy ones of `examples/`."""
+"""The app server as a process, among the stand-ins of `examples/` for its peers, over loopback."""
 
 import json
 import os
@@ -19,41 +19,41 @@
 
 pytestmark = pytest.mark.xdist_group("processes")
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 20
+TIMEOUT_S = 20
 KEY1, KEY2 = "1" * 32, "2" * 32
 
 
-class Place:
-    """One program among toy peers; the program's log is read as it comes."""
+class ServerProcess:
+    """One app server process among stand-ins for its peers; its log is read line by line."""
 
     def __init__(
-        self, folder, vault_up=True, greets=True, catalog_up=True, words=("-m", "birchslip"), **more
+        self, folder, vault_up=True, greets=True, catalog_up=True, arguments=("-m", "birchslip"), **options
     ):
         self.agent, self.vault, self.catalog = Agent(greets=greets), Vault(), Catalog()
         if not vault_up:
             self.vault.stop()
         if not catalog_up:
             self.catalog.stop()
-        told = json.loads(CONFIGURATION.read_text())
-        told |= {"listen": "127.0.0.1:0", "agent": self.agent.address, "vault": self.vault.address}
-        told |= {"directory": self.catalog.address, **more}
-        self.path, self.told = folder / "config.json", told
-        self.path.write_text(json.dumps(told))
+        configuration = json.loads(CONFIGURATION.read_text())
+        configuration |= {"listen": "127.0.0.1:0", "agent": self.agent.address, "vault": self.vault.address}
+        configuration |= {"directory": self.catalog.address, **options}
+        self.path, self.configuration = folder / "config.json", configuration
+        self.path.write_text(json.dumps(configuration))
         self.process = subprocess.Popen(
-            [sys.executable, *words],
+            [sys.executable, *arguments],
             cwd=ROOT,
             env=os.environ | {"PROXY_CONFIG": str(folder / "config.json")},
             stderr=subprocess.PIPE,
             text=True,
         )
         self.lines = []
-        self.address = self.line("listening").split("address=")[1].strip()
+        self.address = self.wait_for_line("listening").split("address=")[1].strip()
         if greets:
-            self.line("now=serving")
+            self.wait_for_line("now=serving")
 
-    def line(self, part):
-        """The next line of the log that holds this."""
-        watchdog = threading.Timer(PATIENCE, self.process.kill)
+    def wait_for_line(self, part):
+        """Returns the next line of the log that contains `part`."""
+        watchdog = threading.Timer(TIMEOUT_S, self.process.kill)
         watchdog.start()
         try:
             for line in self.process.stderr:
@@ -64,11 +64,11 @@
             watchdog.cancel()
         raise AssertionError(f"no line with {part!r} in {self.lines}")
 
-    def reload(self, text=None, **more):
-        """The configuration is replaced, by this text or with these parts, and the program is told."""
-        self.told |= {"agent": self.agent.address, "vault": self.vault.address, **more}
-        self.told |= {"directory": self.catalog.address}
-        self.path.write_text(json.dumps(self.told) if text is None else text)
+    def reload(self, text=None, **options):
+        """Replaces the configuration, by a text or with changed parts, and sends SIGHUP."""
+        self.configuration |= {"agent": self.agent.address, "vault": self.vault.address, **options}
+        self.configuration |= {"directory": self.catalog.address}
+        self.path.write_text(json.dumps(self.configuration) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
     def counters(self):
@@ -78,22 +78,22 @@
     def read_counters(self):
         counts, part = {}, ""
         while part != "process":
-            pairs = dict(pair.split("=", 1) for pair in self.line("event=counters").split())
+            pairs = dict(pair.split("=", 1) for pair in self.wait_for_line("event=counters").split())
             part = pairs["part"]
             counts |= {f"{part}.{name}": int(value) for name, value in pairs.items() if value.isdigit()}
         return counts
 
     def router(self):
-        return Router(self.address, PATIENCE)
+        return Router(self.address, TIMEOUT_S)
 
     def router_address(self):
         host, _, port = self.address.rpartition(":")
         return host, int(port)
 
-    def order(self, op):
-        """The next order of this kind that the agent gets."""
-        until = time.monotonic() + PATIENCE  # gauges are asked for all the time: each is an order too
-        while (order := self.agent.seen.get(timeout=max(0.0, until - time.monotonic())))["op"] != op:
+    def next_order(self, op):
+        """Returns the next order of this kind that the agent receives."""
+        deadline = time.monotonic() + TIMEOUT_S  # gauges are requested all the time, with an order each
+        while (order := self.agent.seen.get(timeout=max(0.0, deadline - time.monotonic())))["op"] != op:
             pass
         return order
 
@@ -101,7 +101,7 @@
         print(*self.lines, sep="")
         if self.process.poll() is None:
             self.process.kill()
-        self.process.wait(PATIENCE)
+        self.process.wait(TIMEOUT_S)
         self.process.stderr.close()
         for peer in (self.agent, self.vault, self.catalog):
             peer.stop()
@@ -109,34 +109,34 @@
 
 @pytest.fixture
 def start(tmp_path):
-    places = []
+    servers = []
 
-    def begin(**more):
-        places.append(Place(tmp_path, **more))
-        return places[-1]
+    def build(**options):
+        servers.append(ServerProcess(tmp_path, **options))
+        return servers[-1]
 
-    yield begin
-    for place in places:
-        place.stop()
+    yield build
+    for server in servers:
+        server.stop()
 
 
-def test_transactions_are_honoured_with_and_without_a_call_in_any_order(start):
-    place = start()
-    router = place.router()
+def test_serves_requests_with_and_without_call_in_any_order(start):
+    server = start()
+    router = server.router()
     ping, slow = router.ping(), router.call("lookup", b"300 ms")
     quick, called = router.call("lookup", b"1 ms"), router.call("order", b"10 ms call", opkey=KEY1)
     assert router.answer(quick) == (None, [b"made of 1 ms", {}])
-    assert slow not in router.replies  # answers come as they are ready
+    assert slow not in router.replies  # responses are sent as results arrive, in any order
     assert router.answer(called) == (None, [b"made of 10 ms call and paid", {}])
     assert router.answer(slow)[0] is None
     assert router.answer(ping) == (None, [True, {}])
-    seen = place.counters()
+    seen = server.counters()
     assert (seen["take_in.taken"], seen["book.honoured"], seen["send.launched"]) == (3, 3, 3)
     assert (seen["relay.called"], seen["relay.honoured"], seen["clients.pings"]) == (1, 1, 1)
-    assert place.catalog.seen.get(timeout=PATIENCE) == ("/catalog/register/toy-1", {"status": "passing"})
+    assert server.catalog.seen.get(timeout=TIMEOUT_S) == ("/catalog/register/toy-1", {"status": "passing"})
 
 
-def test_what_cannot_be_held_is_shed_with_its_holdoff(start):
+def test_rejects_request_beyond_memory_with_retry_after(start):
     router = start().router()
     router.call("lookup", b"hold", need="1900")
     error, result = router.answer(router.call("lookup", b"1", need="1900"))
@@ -145,164 +145,166 @@
     assert result is None
 
 
-def test_a_repeat_of_a_label_shares_the_one_run(start):
-    place = start()
-    router, other = place.router(), place.router()
+def test_repeat_of_key_shares_run(start):
+    server = start()
+    router, other = server.router(), server.router()
     first = router.call("order", b"hold", opkey=KEY1)
-    held = place.order("launch")["id"]
+    held = server.next_order("launch")["id"]
     repeat = other.call("order", b"hold", opkey=KEY1, resent="1")
-    router.abort(first)  # its run goes on for the repeat
+    router.abort(first)  # its run continues for the repeat
     assert other.answer(other.ping())[0] is None
-    place.agent.end(held)
+    server.agent.end(held)
     assert other.answer(repeat) == (None, [b"made of hold", {}])
     assert other.answer(other.call("order", b"hold", opkey=KEY1, resent="1")) == (None, [b"made of hold", {}])
-    assert len(place.agent.launched) == 1
-    assert place.counters()["admit.repeats"] == 2
+    assert len(server.agent.launched) == 1
+    assert server.counters()["admit.repeats"] == 2
 
 
-def test_an_abort_stops_the_run_and_frees_its_place(start):
-    place = start()
-    router = place.router()
+def test_abort_stops_run_and_frees_its_slot(start):
+    server = start()
+    router = server.router()
     aborted = router.call("lookup", b"hold")
-    held = place.order("launch")["id"]
+    held = server.next_order("launch")["id"]
     router.abort(aborted)
-    assert place.order("freeze")["id"] == held
+    assert server.next_order("freeze")["id"] == held
     assert router.answer(router.call("lookup", b"1"))[0] is None
-    seen = place.counters()
+    seen = server.counters()
     assert (seen["book.gone"], seen["send.recalled"], seen["book.honoured"]) == (1, 1, 1)
 
 
-def test_a_connection_that_ends_takes_its_transactions_along(start):
-    place = start()
-    router = place.router()
+def test_closed_connection_stops_its_runs(start):
+    server = start()
+    router = server.router()
     router.call("lookup", b"hold")
-    place.order("launch")
+    server.next_order("launch")
     router.link.close()
-    place.order("freeze")
-    assert place.counters()["book.gone"] == 1
+    server.next_order("freeze")
+    assert server.counters()["book.gone"] == 1
 
 
-def test_a_lost_link_to_the_agent_loses_nothing_and_runs_nothing_twice(start):
-    place = start()
-    router = place.router()
+def test_lost_agent_link_loses_and_repeats_no_run(start):
+    server = start()
+    router = server.router()
     ended, held = router.call("order", b"hold", opkey=KEY1), router.call("lookup", b"hold")
-    launched = {order["class"]: order["id"] for order in (place.order("launch"), place.order("launch"))}
+    launched = {
+        order["class"]: order["id"] for order in (server.next_order("launch"), server.next_order("launch"))
+    }
     first, second = launched["order"], launched["lookup"]
-    with place.agent.lock:
-        place.agent.say(b'{"op":"outcome","seq":1,"id":"')  # cut inside a notice
-        place.agent.drop()
-        place.agent.out = None
-        place.agent.end(first)  # while there is no link: told again on the next
-    assert place.order("subscribe")["seq"] == 0
+    with server.agent.lock:
+        server.agent.say(b'{"op":"outcome","seq":1,"id":"')  # ends inside a notice
+        server.agent.drop()
+        server.agent.out = None
+        server.agent.end(first)  # without a link: sent again on the next one
+    assert server.next_order("subscribe")["seq"] == 0
     assert router.answer(ended)[0] is None
-    again = place.order("launch")  # no notice has answered this one, and to launch what runs changes nothing
+    again = server.next_order("launch")  # not acknowledged by a notice; a second launch has no effect
     assert again["id"] == second
-    place.agent.end(second)
+    server.agent.end(second)
     assert router.answer(held)[0] is None
-    assert sorted(place.agent.launched) == sorted([first, second])
-    seen = place.counters()
+    assert sorted(server.agent.launched) == sorted([first, second])
+    seen = server.counters()
     assert (seen["agent.links"], seen["agent.lost"], seen["book.honoured"]) == (2, 1, 2)
 
 
-def test_a_run_given_up_while_the_link_is_away_is_stopped_once_it_is_back(start):
-    """Guards against runs that go on unseen beside those that are begun in their place."""
-    place = start()
-    router = place.router()
+def test_run_aborted_without_agent_link_is_stopped_on_next_link(start):
+    """Otherwise the run would continue unnoticed beside the one started in its place."""
+    server = start()
+    router = server.router()
     aborted = router.call("lookup", b"hold")
-    name = place.order("launch")["id"]
-    with place.agent.lock:
-        place.agent.greets = False
-        place.agent.drop()
-    place.order("subscribe")
+    name = server.next_order("launch")["id"]
+    with server.agent.lock:
+        server.agent.greets = False
+        server.agent.drop()
+    server.next_order("subscribe")
     router.abort(aborted)
     assert router.answer(router.ping())[0] is None
-    place.agent.greet()
-    assert place.order("freeze")["id"] == name
+    server.agent.greet()
+    assert server.next_order("freeze")["id"] == name
     assert router.answer(router.call("lookup", b"1"))[0] is None
-    seen = place.counters()
+    seen = server.counters()
     assert (seen["book.gone"], seen["send.recalled"], seen["agent.links"]) == (1, 1, 2)
-    assert not place.agent.runs
-    assert place.agent.launched.count(name) == 1
+    assert not server.agent.runs
+    assert server.agent.launched.count(name) == 1
 
 
-def test_a_notice_that_was_missed_is_told_again_on_a_new_link(start):
-    place = start()
-    router = place.router()
+def test_missed_notice_is_sent_again_on_new_link(start):
+    server = start()
+    router = server.router()
     first = router.call("lookup", b"hold")
-    name = place.order("launch")["id"]
-    with place.agent.lock:
-        out, place.agent.out = place.agent.out, None
-        place.agent.end(name)  # never arrives on this link
-        place.agent.out = out
-        place.agent.note(op="aside", end="news of no meaning")
+    name = server.next_order("launch")["id"]
+    with server.agent.lock:
+        out, server.agent.out = server.agent.out, None
+        server.agent.end(name)  # never arrives on this link
+        server.agent.out = out
+        server.agent.note(op="aside", end="news of no meaning")
     assert router.answer(first) == (None, [b"made of hold", {}])
-    seen = place.counters()
+    seen = server.counters()
     assert (seen["agent.links"], seen["agent.gaps"], seen["agent.malformed"]) == (2, 1, 0)
 
 
-def test_what_can_no_longer_be_known_is_written_off_and_not_run_again(start):
-    place = start()
-    router = place.router()
+def test_run_of_unknown_outcome_fails_and_never_runs_again(start):
+    server = start()
+    router = server.router()
     labelled = router.call("order", b"hold", opkey=KEY1)
-    name = place.order("launch")["id"]
-    with place.agent.lock:
-        place.agent.drop()
-        place.agent.out = None
-        place.agent.end(name)
-        place.agent.note(op="aside", end="news of no meaning")
-        place.agent.notices[0] = place.agent.notices[1]  # too many since then: it is gone for good
+    name = server.next_order("launch")["id"]
+    with server.agent.lock:
+        server.agent.drop()
+        server.agent.out = None
+        server.agent.end(name)
+        server.agent.note(op="aside", end="news of no meaning")
+        server.agent.notices[0] = server.agent.notices[1]  # the agent no longer has the notice
     assert router.answer(labelled)[0][0] == "Failed"
     assert router.answer(router.call("order", b"hold", opkey=KEY1, resent="1"))[0][0] == "Failed"
-    assert place.agent.launched == [name]
-    assert place.counters()["send.recalled"] == 1
+    assert server.agent.launched == [name]
+    assert server.counters()["send.recalled"] == 1
 
 
 @pytest.mark.parametrize("vault", ["down", "notnow", "failed"])
-def test_a_call_that_fails_is_written_off_in_time(start, vault):
-    place = start(vault_up=vault != "down")
-    place.vault.word = vault
-    router = place.router()
+def test_failed_call_fails_request_before_timeout(start, vault):
+    server = start(vault_up=vault != "down")
+    server.vault.word = vault
+    router = server.router()
     error, _ = router.answer(router.call("order", b"1 call", opkey=KEY1, timeout="2000"))
     assert error[0] == "Failed"
     assert router.answer(router.call("lookup", b"1"))[0] is None
-    assert place.counters()["vault.unreached"] < 30  # guards against a spin while it is down
+    assert server.counters()["vault.unreached"] < 30  # no busy loop while it is down
 
 
-def test_no_connection_to_the_vault_is_kept_to_be_forgotten_there(start):
-    place = start()
-    router = place.router()
+def test_closes_vault_connections_after_their_last_call(start):
+    server = start()
+    router = server.router()
     for label in (KEY1, KEY2):
         assert router.answer(router.call("order", b"1 call", opkey=label))[0] is None
-        assert place.vault.ends.get(timeout=PATIENCE)
-    seen = place.counters()
+        assert server.vault.ends.get(timeout=TIMEOUT_S)
+    seen = server.counters()
     assert (seen["vault.links"], seen["vault.lost"], seen["relay.honoured"]) == (2, 0, 2)
 
 
-def test_new_addresses_take_what_is_new_and_lose_nothing(start):
-    place = start()
-    router = place.router()
-    place.vault.word = "silent"
+def test_reload_moves_peers_and_loses_nothing(start):
+    server = start()
+    router = server.router()
+    server.vault.word = "silent"
     called, held = router.call("order", b"1 call", opkey=KEY1), router.call("lookup", b"hold")
-    first = place.vault.seen.get(timeout=PATIENCE)[1]
-    old = place.vault.links[0]
-    for peer in (place.agent, place.vault, place.catalog):
+    first = server.vault.seen.get(timeout=TIMEOUT_S)[1]
+    old = server.vault.links[0]
+    for peer in (server.agent, server.vault, server.catalog):
         peer.move()
-    while not place.catalog.seen.empty():
-        place.catalog.seen.get()
-    place.reload(stop_ms=2000)
-    subscribed = place.order("subscribe")
+    while not server.catalog.seen.empty():
+        server.catalog.seen.get()
+    server.reload(stop_ms=2000)
+    subscribed = server.next_order("subscribe")
     while subscribed["seq"] == 0:
-        subscribed = place.order("subscribe")
-    assert subscribed["seq"] == 1  # the wish for the call: notices go on where they stood
-    old.sendall(first + b" yes 4\r\npaid\r\n")  # a call that is out ends on its own connection
+        subscribed = server.next_order("subscribe")
+    assert subscribed["seq"] == 1  # the notice that the run needs a call: notices continue after it
+    old.sendall(first + b" yes 4\r\npaid\r\n")  # a call in flight ends on its own connection
     assert router.answer(called) == (None, [b"made of 1 callpaid", {}])
-    place.vault.word = "yes"
+    server.vault.word = "yes"
     assert router.answer(router.call("order", b"1 call", opkey=KEY2))[0] is None
-    (name,) = (name for name, words in place.agent.runs.items() if "hold" in words)
-    place.agent.end(name)
+    (name,) = (name for name, arguments in server.agent.runs.items() if "hold" in arguments)
+    server.agent.end(name)
     assert router.answer(held)[0] is None
-    assert place.catalog.seen.get(timeout=PATIENCE)[1] == {"status": "passing"}
-    seen = place.counters()
+    assert server.catalog.seen.get(timeout=TIMEOUT_S)[1] == {"status": "passing"}
+    seen = server.counters()
     assert (seen["program.reloads"], seen["agent.links"], seen["agent.lost"], seen["relay.severed"]) == (
         1,
         2,
@@ -312,7 +314,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "more", "line", "counter"),
+    ("text", "changes", "line", "counter"),
     [
         ("{", {}, "is not JSON", "program.not_reloaded"),
         ("", {}, "is not JSON", "program.not_reloaded"),
@@ -322,53 +324,51 @@
         (None, {}, "configuration taken over", "program.reloads"),
     ],
 )
-def test_a_configuration_that_cannot_be_taken_over_is_named_and_ends_nothing(
-    start, text, more, line, counter
-):
-    place = start()
-    place.reload(text, **more)
-    assert line in place.line(line)
-    router = place.router()
+def test_reload_logs_what_is_not_applied_and_keeps_serving(start, text, changes, line, counter):
+    server = start()
+    server.reload(text, **changes)
+    assert line in server.wait_for_line(line)
+    router = server.router()
     assert router.answer(router.call("order", b"1 call", opkey=KEY1))[0] is None
-    assert place.counters()[counter] == 1
+    assert server.counters()[counter] == 1
 
 
-def test_however_often_it_is_told_to_read_again_it_goes_on_and_leaves_in_order(start):
-    place = start(stop_ms=800)
-    router = place.router()
+def test_many_reloads_do_not_disturb_serving_or_exit(start):
+    server = start(stop_ms=800)
+    router = server.router()
     held = router.call("order", b"hold", opkey=KEY1)
     for _ in range(20):
-        place.agent.move()
-        place.reload()
-    place.line(f"agent={place.agent.address}")
-    place.path.unlink()
-    place.process.send_signal(signal.SIGHUP)
-    place.line("left as it was")
+        server.agent.move()
+        server.reload()
+    server.wait_for_line(f"agent={server.agent.address}")
+    server.path.unlink()
+    server.process.send_signal(signal.SIGHUP)
+    server.wait_for_line("left as it was")
     assert router.answer(router.call("lookup", b"1"))[0] is None
-    place.process.send_signal(signal.SIGTERM)
-    place.line("now=draining")
-    place.process.send_signal(signal.SIGHUP)
+    server.process.send_signal(signal.SIGTERM)
+    server.wait_for_line("now=draining")
+    server.process.send_signal(signal.SIGHUP)
     assert router.answer(held)[0][0] == "Failed"
-    assert place.process.wait(PATIENCE) == 0
+    assert server.process.wait(TIMEOUT_S) == 0
 
 
-def test_a_catalog_that_is_down_costs_reports_alone(start):
-    place = start()
-    place.catalog.stop()
-    place.line("report to the catalog missed")
-    router = place.router()
+def test_catalog_that_is_down_affects_no_request(start):
+    server = start()
+    server.catalog.stop()
+    server.wait_for_line("report to the catalog missed")
+    router = server.router()
     assert router.answer(router.call("lookup", b"1"))[0] is None
-    assert place.counters()["catalog.missed"] >= 1
+    assert server.counters()["catalog.missed"] >= 1
 
 
-def test_a_call_without_a_reply_is_given_up(start):
-    place = start()
-    place.vault.word = "silent"
-    router = place.router()
+def test_cancels_call_without_reply(start):
+    server = start()
+    server.vault.word = "silent"
+    router = server.router()
     assert router.answer(router.call("order", b"1 call", opkey=KEY1, timeout="600"))[0][0] == "Failed"
-    assert place.vault.seen.get(timeout=PATIENCE)[0] == b"ask"
-    assert place.vault.ends.get(timeout=PATIENCE)  # closing its connection gives the call up
-    assert place.counters()["vault.lost"] == 0
+    assert server.vault.seen.get(timeout=TIMEOUT_S)[0] == b"ask"
+    assert server.vault.ends.get(timeout=TIMEOUT_S)  # closing its connection cancels the call
+    assert server.counters()["vault.lost"] == 0
 
 
 @pytest.mark.parametrize(
@@ -405,59 +405,59 @@
         ("lookup", {"body": "long"}, "a body of at most"),
     ],
 )
-def test_a_transaction_that_cannot_be_taken_in_hears_why(start, profile, fields, named):
+def test_invalid_request_gets_error_that_names_the_field(start, profile, fields, named):
     router = start().router()
     body = b"x" * 3000 if fields.pop("body", "") else b"1"
     assert named in router.answer(router.call(profile, body, **fields))[0][0]
     assert router.answer(router.call("lookup", b"1"))[0] is None
 
 
-def test_a_repeat_that_is_read_late_is_known_by_its_own_time(start):
-    place = start()
-    router = place.router()
+def test_repeat_read_late_is_matched_by_its_timestamp(start):
+    server = start()
+    router = server.router()
     stamp = str(time.time_ns() // 1_000_000)
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
     late = router.call("order", b"1", opkey=KEY1, ts=stamp, timeout="1")
     assert router.answer(late)[0] is None
-    assert len(place.agent.launched) == 1
+    assert len(server.agent.launched) == 1
 
 
-def test_an_id_that_is_open_and_a_label_with_another_body_share_no_outcome(start):
-    place = start()
-    good, bad = place.router(), place.router()
+def test_reused_id_and_key_with_other_body_share_no_result(start):
+    server = start()
+    good, bad = server.router(), server.router()
     held = good.call("order", b"hold", opkey=KEY1, req="a" * 16)
-    name = place.order("launch")["id"]
+    name = server.next_order("launch")["id"]
     assert "open" in bad.answer(bad.call("lookup", b"hold", req="a" * 16))[0][0]
     assert bad.answer(bad.call("order", b"other", opkey=KEY1))[0][0] == "Failed"
-    place.agent.end(name)
+    server.agent.end(name)
     assert good.answer(held) == (None, [b"made of hold", {}])
     assert bad.answer(bad.call("order", b"other", opkey=KEY1))[0][0] == "Failed"
-    assert place.agent.launched == [name]
-    assert place.counters()["admit.mislabelled"] == 2
+    assert server.agent.launched == [name]
+    assert server.counters()["admit.mislabelled"] == 2
 
 
-def test_a_launch_that_the_agent_refuses_is_over_at_once_and_its_label_is_free(start):
-    place = start()
-    place.agent.unknown = True
-    router = place.router()
+def test_refused_launch_fails_at_once_and_releases_key(start):
+    server = start()
+    server.agent.unknown = True
+    router = server.router()
     for call in (router.call("lookup", b"1"), router.call("order", b"1", opkey=KEY1)):
         assert router.answer(call)[0][0] == "Failed"
-    place.agent.unknown = False
+    server.agent.unknown = False
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
-    seen = place.counters()
+    seen = server.counters()
     assert (seen["send.refused"], seen["send.moot"], seen["agent.declined"]) == (2, 2, 2)
 
 
 @pytest.mark.parametrize("part", [b"", b"\x94\x00", b"\x94\x00\x01\xa6lookup\x92\x81"])
-def test_who_owes_a_whole_message_for_two_seconds_is_closed_alone(start, part):
-    place = start()
-    good, bad = place.router(), place.router()
+def test_closes_only_connection_without_complete_message_in_two_seconds(start, part):
+    server = start()
+    good, bad = server.router(), server.router()
     assert good.answer(good.ping())[0] is None
     bad.link.sendall(part)
     with pytest.raises((EOFError, ConnectionResetError)):
         bad.message()
-    assert good.answer(good.ping())[0] is None  # one that has spoken may be silent
-    assert place.counters()["clients.silent"] == 1
+    assert good.answer(good.ping())[0] is None  # after a message a connection may be silent
+    assert server.counters()["clients.silent"] == 1
 
 
 @pytest.mark.parametrize(
@@ -472,19 +472,19 @@
         b"\x94\x00\x01\xa6lookup\x91" + b"\xc5\x40\x00" + b"x" * 40_000,
     ],
 )
-def test_rubbish_from_a_router_closes_its_connection_alone(start, raw):
-    place = start()
-    good, bad = place.router(), place.router()
+def test_malformed_data_closes_only_its_connection(start, raw):
+    server = start()
+    good, bad = server.router(), server.router()
     held = good.call("lookup", b"50")
     bad.link.sendall(raw)
-    with pytest.raises(EOFError):  # and no reset, which would take with it what was answered before
+    with pytest.raises(EOFError):  # and no reset, which would drop earlier responses
         while True:
-            assert bad.message()[2]  # an error: what could be read before the rubbish has its answer
+            assert bad.message()[2]  # an error: messages before the malformed data get a response
     assert good.answer(held)[0] is None
-    assert place.counters()["clients.malformed"] == 1
+    assert server.counters()["clients.malformed"] == 1
 
 
-def test_more_than_thirty_two_open_transactions_on_a_connection(start):
+def test_rejects_more_than_thirty_two_open_requests_on_a_connection(start):
     router = start().router()
     numbers = [router.call("lookup", b"hold", need="1") for _ in range(33)]
     assert "more than 32" in router.answer(numbers[-1])[0][0]
@@ -493,129 +493,129 @@
 @pytest.mark.parametrize(
     "raw", [b"\xff\xfe\n", b"[]\n", b'{"op":"greeting"}\n', b'{"op":"outcome","seq":"x"}\n']
 )
-def test_rubbish_from_the_agent_opens_the_link_anew(start, raw):
-    place = start()
-    router = place.router()
-    place.order("subscribe")
+def test_malformed_line_of_agent_reopens_link(start, raw):
+    server = start()
+    router = server.router()
+    server.next_order("subscribe")
     held = router.call("lookup", b"100")
-    place.order("launch")
-    place.agent.say(raw)
-    place.order("subscribe")
+    server.next_order("launch")
+    server.agent.say(raw)
+    server.next_order("subscribe")
     assert router.answer(held)[0] is None
-    assert place.counters()["agent.malformed"] == 1
+    assert server.counters()["agent.malformed"] == 1
 
 
-def test_rubbish_from_the_vault_and_the_catalog_touches_no_transaction(start):
-    place = start()
-    router = place.router()
-    place.vault.word, place.catalog.status = "silent", 500
+def test_malformed_replies_of_vault_and_catalog_affect_no_other_request(start):
+    server = start()
+    router = server.router()
+    server.vault.word, server.catalog.status = "silent", 500
     waiting = router.call("order", b"1 call", opkey=KEY1)
-    place.vault.seen.get(timeout=PATIENCE)
-    place.vault.say(b"what is this\r\n")
+    server.vault.seen.get(timeout=TIMEOUT_S)
+    server.vault.say(b"what is this\r\n")
     assert router.answer(waiting)[0][0] == "Failed"
-    place.line("report to the catalog missed")
-    place.vault.word, place.catalog.status = "yes", 204
+    server.wait_for_line("report to the catalog missed")
+    server.vault.word, server.catalog.status = "yes", 204
     assert router.answer(router.call("order", b"1 call", opkey=KEY2))[0] is None
-    seen = place.counters()
+    seen = server.counters()
     assert (seen["vault.malformed"], seen["relay.severed"]) == (1, 1)
     assert seen["catalog.missed"] >= 1
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_told_to_leave_it_answers_what_it_has_and_ends(start, number):
-    place = start()
-    router, idle = place.router(), place.router()
+def test_drain_finishes_open_requests_and_exits(start, number):
+    server = start()
+    router, idle = server.router(), server.router()
     assert idle.answer(idle.ping())[0] is None
     held = router.call("lookup", b"hold")
-    name = place.order("launch")["id"]
-    place.process.send_signal(number)
-    place.line("now=draining")
-    within = place.router()  # routers learn late: what comes within the grace is taken as before
-    assert within.answer(within.call("lookup", b"1"))[0] is None
-    assert within.answer(within.ping()) == (None, [False, {}])
-    assert within.message() == [2, "closing", []]
-    within.link.close()
+    name = server.next_order("launch")["id"]
+    server.process.send_signal(number)
+    server.wait_for_line("now=draining")
+    accepted_in_grace = server.router()  # within the drain grace requests are still accepted
+    assert accepted_in_grace.answer(accepted_in_grace.call("lookup", b"1"))[0] is None
+    assert accepted_in_grace.answer(accepted_in_grace.ping()) == (None, [False, {}])
+    assert accepted_in_grace.message() == [2, "closing", []]
+    accepted_in_grace.link.close()
     assert idle.message() == [2, "closing", []]
     assert router.message() == [2, "closing", []]
     with pytest.raises(ConnectionRefusedError):
-        place.router()
+        server.router()
     idle.link.close()
-    place.agent.end(name)
+    server.agent.end(name)
     assert router.answer(held)[0] is None
     router.link.close()
-    seen = place.read_counters()
-    assert place.process.wait(PATIENCE) == 0
+    seen = server.read_counters()
+    assert server.process.wait(TIMEOUT_S) == 0
     assert seen["book.honoured"] == 2
-    assert any("now=ended" in line for line in place.lines)
+    assert any("now=ended" in line for line in server.lines)
 
 
-def test_at_the_bound_who_moved_longest_ago_without_an_open_transaction_makes_room(start):
-    place = start(limits={"sockets": 23})  # three for routers
-    busy, old, young = (place.router() for _ in range(3))
+def test_evicts_least_recently_used_idle_connection_at_limit(start):
+    server = start(limits={"sockets": 23})  # three for routers
+    busy, old, young = (server.router() for _ in range(3))
     held = busy.call("lookup", b"hold")
-    name = place.order("launch")["id"]
+    name = server.next_order("launch")["id"]
     assert old.answer(old.ping())[0] is None
     assert young.answer(young.ping())[0] is None
-    for gone in (old, young):
-        another = place.router()
-        assert another.answer(another.ping())[0] is None
+    for evicted in (old, young):
+        newcomer = server.router()
+        assert newcomer.answer(newcomer.ping())[0] is None
         with pytest.raises((EOFError, ConnectionResetError)):
-            gone.message()
-    place.agent.end(name)
+            evicted.message()
+    server.agent.end(name)
     assert busy.answer(held)[0] is None
-    seen = place.counters()
+    seen = server.counters()
     assert (seen["clients.connections_most"], seen["clients.made_room"]) == (3, 2)
 
 
-@pytest.mark.parametrize("down", ["from the start", "later"])
-def test_a_crowd_that_says_nothing_leaves_descriptors_for_peers_and_routers(start, down):
-    """The catalog is down, and more connections come than the told limit of sockets has room for."""
-    most = 64
-    place = start(limits={"sockets": most}, catalog_up=down == "later")
-    if down == "later":
-        place.catalog.seen.get(timeout=PATIENCE)
-        place.catalog.stop()
-    place.line("report to the catalog missed")
-    crowd = [socket.create_connection(place.router_address(), PATIENCE) for _ in range(3 * most)]
-    held, names = [], os.listdir(f"/proc/{place.process.pid}/fd")
-    assert len(names) <= most
-    with place.agent.lock:
-        place.agent.drop()  # it has to open another link
-    place.order("subscribe")
-    for number in range(8):  # a router with a transaction gets in, and its call gets a connection
-        router = place.router()
+@pytest.mark.parametrize("catalog_down", ["from the start", "later"])
+def test_silent_connections_leave_descriptors_for_peers_and_routers(start, catalog_down):
+    """The catalog is down, and routers open more connections than the limit of sockets allows."""
+    max_sockets = 64
+    server = start(limits={"sockets": max_sockets}, catalog_up=catalog_down == "later")
+    if catalog_down == "later":
+        server.catalog.seen.get(timeout=TIMEOUT_S)
+        server.catalog.stop()
+    server.wait_for_line("report to the catalog missed")
+    silent = [socket.create_connection(server.router_address(), TIMEOUT_S) for _ in range(3 * max_sockets)]
+    held, names = [], os.listdir(f"/proc/{server.process.pid}/fd")
+    assert len(names) <= max_sockets
+    with server.agent.lock:
+        server.agent.drop()  # another link has to be opened
+    server.next_order("subscribe")
+    for number in range(8):  # a router with a request is accepted, and its call gets a connection
+        router = server.router()
         held.append(router)
         key = f"{number}" * 32
         assert router.answer(router.call("order", b"1 call", opkey=key)) == (
             None,
             [b"made of 1 call and paid", {}],
         )
-        assert len(os.listdir(f"/proc/{place.process.pid}/fd")) <= most
-    place.catalog.listen(place.catalog.host, place.catalog.port)
-    assert place.catalog.seen.get(timeout=PATIENCE)[1] == {"status": "passing"}
-    seen = place.counters()
+        assert len(os.listdir(f"/proc/{server.process.pid}/fd")) <= max_sockets
+    server.catalog.listen(server.catalog.host, server.catalog.port)
+    assert server.catalog.seen.get(timeout=TIMEOUT_S)[1] == {"status": "passing"}
+    seen = server.counters()
     assert seen["clients.turned_away"] == 0
     assert seen["clients.made_room"] > 0
-    assert len(crowd) == 3 * most
+    assert len(silent) == 3 * max_sockets
 
 
-def serve_once(place):
-    """A check and a call of a new router; whether the call had to be sent again.
+def serve_once(server):
+    """Sends a health check and a request from a new router; returns whether the request was sent twice.
 
-    At its bound the program may close a connection with no open request on it. A request that crosses such a
-    close is sent once more, on a new connection.
+    At its limit the app server may close a connection with no open request on it. A request that crosses
+    such a close is sent once more, on a new connection.
     """
-    made_room_before = place.counters()["clients.made_room"]
-    router = place.router()
+    made_room_before = server.counters()["clients.made_room"]
+    router = server.router()
     assert router.answer(router.ping())[0] is None
     sent_again = False
     try:
         error, _ = router.answer(router.call("lookup", b"1", timeout="5000"))
     except EOFError:
-        assert place.counters()["clients.made_room"] > made_room_before
+        assert server.counters()["clients.made_room"] > made_room_before
         sent_again = True
         router.link.close()
-        router = place.router()
+        router = server.router()
         error, _ = router.answer(router.call("lookup", b"1", timeout="5000"))
     router.link.close()
     assert error is None or error[0] == "Overloaded"
@@ -623,15 +623,15 @@
 
 
 def test_honest_routers_are_served_through_a_flood(start):
-    """Half messages, pings, calls beyond 32, and one that reads nothing, all at full speed."""
-    place = start(limits={"sockets": 256, "memory_mb": 64})
-    host = place.router_address()
+    """Incomplete messages, pings, requests beyond 32, and a peer that reads nothing, all at full speed."""
+    server = start(limits={"sockets": 256, "memory_mb": 64})
+    host = server.router_address()
     stop = threading.Event()
 
     def flood(raw, reads):
         while not stop.is_set():
             try:
-                with socket.create_connection(host, PATIENCE) as link:
+                with socket.create_connection(host, TIMEOUT_S) as link:
                     link.settimeout(0.2)
                     for _ in range(200):
                         link.sendall(raw)
@@ -653,146 +653,148 @@
     for thread in threads:
         thread.start()
     try:
-        sent_again = sum(serve_once(place) for _ in range(5))
+        sent_again = sum(serve_once(server) for _ in range(5))
     finally:
         stop.set()
         for thread in threads:
-            thread.join(PATIENCE)
-    assert place.process.poll() is None
-    seen = place.counters()
+            thread.join(TIMEOUT_S)
+    assert server.process.poll() is None
+    seen = server.counters()
     assert sent_again <= seen["clients.made_room"]
-    orders = [place.agent.seen.get_nowait() for _ in range(place.agent.seen.qsize())]
+    orders = [server.agent.seen.get_nowait() for _ in range(server.agent.seen.qsize())]
     honest = [order for order in orders if order["op"] == "launch" and b64decode(order["body"]) == b"1"]
-    assert len(honest) <= 5  # what crossed a close has not run
+    assert len(honest) <= 5  # a request that crossed a close has not run
     assert seen["process.memory_kb_most"] < 64 << 10
     assert seen["book.faults"] == seen.get("program.faults", 0) == 0
 
 
-def test_what_still_runs_at_the_end_is_written_off_before_it(start):
-    place = start(stop_ms=800)
-    router = place.router()
+def test_fails_requests_still_running_before_stop_deadline(start):
+    server = start(stop_ms=800)
+    router = server.router()
     held = router.call("order", b"hold", opkey=KEY1)
-    place.order("launch")
+    server.next_order("launch")
     began = time.monotonic()
-    place.process.send_signal(signal.SIGTERM)
+    server.process.send_signal(signal.SIGTERM)
     assert router.answer(held)[0][0] == "Failed"
-    assert place.process.wait(PATIENCE) == 0
+    assert server.process.wait(TIMEOUT_S) == 0
     assert time.monotonic() - began < 5
 
 
 @pytest.mark.parametrize("name", ["ping", "abort", "closing", "render page", "post/entry", "pr\u00fcfen"])
-def test_a_class_may_be_called_anything_and_is_run_under_its_own_name(start, name):
-    """Guards against a class that is taken for a health check: its transactions were answered unrun."""
+def test_request_class_may_have_any_name(start, name):
+    """A class named like the health check got responses without a run."""
     settings = json.loads(CONFIGURATION.read_text())["settings"]
     settings["classes"][0]["name"] = name
-    place = start(settings=settings)
-    router = place.router()
+    server = start(settings=settings)
+    router = server.router()
     assert router.answer(router.call(name, b"1")) == (None, [b"made of 1", {}])
     assert router.answer(router.ping()) == (None, [True, {}])
-    assert place.order("launch")["class"] == name
-    seen = place.counters()
+    assert server.next_order("launch")["class"] == name
+    seen = server.counters()
     assert (seen["clients.pings"], seen["book.honoured"]) == (1, 1)
 
 
-def test_a_pause_loses_nothing(start):
-    place = start()
-    router = place.router()
+def test_pause_loses_nothing(start):
+    server = start()
+    router = server.router()
     held = router.call("lookup", b"hold")
-    name = place.order("launch")["id"]
-    place.process.send_signal(signal.SIGSTOP)
-    place.agent.end(name)
+    name = server.next_order("launch")["id"]
+    server.process.send_signal(signal.SIGSTOP)
+    server.agent.end(name)
     after = router.call("lookup", b"1")
-    place.process.send_signal(signal.SIGCONT)
+    server.process.send_signal(signal.SIGCONT)
     assert router.answer(held)[0] is None
     assert router.answer(after)[0] is None
 
 
-def test_one_that_was_killed_begins_again_from_nothing_at_the_same_address(start):
-    place = start()
-    router = place.router()
+def test_killed_server_restarts_empty_at_same_address(start):
+    server = start()
+    router = server.router()
     router.call("order", b"hold", opkey=KEY1)
-    place.order("launch")
-    place.process.kill()
+    server.next_order("launch")
+    server.process.kill()
     with pytest.raises((EOFError, ConnectionResetError)):
         router.message()
-    place = start(listen=place.address)
-    router = place.router()
+    server = start(listen=server.address)
+    router = server.router()
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
-    assert place.counters()["admit.repeats"] == 0
+    assert server.counters()["admit.repeats"] == 0
 
 
-def test_a_notice_to_leave_and_one_to_read_again_in_one_go_are_both_heeded(start):
-    place = start()
-    router = place.router()
+def test_handles_stop_and_reload_signals_together(start):
+    server = start()
+    router = server.router()
     held = router.call("lookup", b"hold")
-    name = place.order("launch")["id"]
-    place.process.send_signal(signal.SIGSTOP)
-    place.agent.move()
-    place.reload()
-    place.process.send_signal(signal.SIGTERM)
-    place.process.send_signal(signal.SIGCONT)
-    place.line("now=draining")
-    while place.order("subscribe")["seq"]:
+    name = server.next_order("launch")["id"]
+    server.process.send_signal(signal.SIGSTOP)
+    server.agent.move()
+    server.reload()
+    server.process.send_signal(signal.SIGTERM)
+    server.process.send_signal(signal.SIGCONT)
+    server.wait_for_line("now=draining")
+    while server.next_order("subscribe")["seq"]:
         pass
-    place.agent.end(name)
+    server.agent.end(name)
     assert router.answer(held)[0] is None
     router.link.close()
-    assert place.process.wait(PATIENCE) == 0
+    assert server.process.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("second", [signal.SIGTERM, signal.SIGINT])
-def test_a_second_notice_ends_it_at_once_and_leaves_nothing_unanswered(start, second):
-    place = start(stop_ms=60_000)
-    router = place.router()
+def test_second_stop_signal_ends_drain_with_responses_to_all(start, second):
+    server = start(stop_ms=60_000)
+    router = server.router()
     running = router.call("order", b"hold", opkey=KEY1)
-    place.order("launch")
+    server.next_order("launch")
     held = router.call("lookup", b"hold", need="500")
     assert router.answer(router.ping())[0] is None
-    place.process.send_signal(signal.SIGTERM)
-    place.line("now=draining")
-    place.process.send_signal(second)
+    server.process.send_signal(signal.SIGTERM)
+    server.wait_for_line("now=draining")
+    server.process.send_signal(second)
     assert router.answer(running)[0][0] == "Failed"
     assert router.answer(held)[0][0] in ("Failed", "Overloaded")
-    assert place.process.wait(PATIENCE) == 0
+    assert server.process.wait(TIMEOUT_S) == 0
 
 
-LATE = """
+SIGNAL_AFTER_EXIT = """
 import ctypes, os, signal, sys
 import birchslip.__main__ as main
 
 os.setsid()
 libc = ctypes.CDLL(None)
-# As the last thing, when the interpreter is gone: kill(the exit code, which is 0 for its own group, signal).
+# Runs last, after the interpreter's exit: kill(exit code, signal); exit code 0 means its own process group.
 libc.on_exit(libc.kill, ctypes.c_void_p(int(signal.{})))
 sys.exit(main.main())
 """
 
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGHUP", "SIGUSR1"])
-def test_a_notice_that_comes_after_the_end_does_not_look_like_a_crash(start, number):
-    place = start(words=("-c", LATE.format(number)))
-    place.process.send_signal(signal.SIGTERM)
-    assert place.process.wait(PATIENCE) == 0
+def test_signal_after_exit_leaves_exit_code_zero(start, number):
+    server = start(arguments=("-c", SIGNAL_AFTER_EXIT.format(number)))
+    server.process.send_signal(signal.SIGTERM)
+    assert server.process.wait(TIMEOUT_S) == 0
 
 
-def test_a_start_loads_nothing_that_only_operators_use():
-    said = "import birchslip.__main__, sys; print(*sorted(n for n in sys.modules if n.split('.')[0] in {}))"
+def test_start_imports_nothing_that_only_operators_use():
+    program = (
+        "import birchslip.__main__, sys; print(*sorted(n for n in sys.modules if n.split('.')[0] in {}))"
+    )
     names = {"rich", "click", "msgspec", "z3", "lark", "xxhash"}
-    done = subprocess.run(
-        [sys.executable, "-c", said.format(names)], cwd=ROOT, capture_output=True, text=True
+    ended = subprocess.run(
+        [sys.executable, "-c", program.format(names)], cwd=ROOT, capture_output=True, text=True
     )
-    assert done.returncode == 0
-    assert done.stdout.strip() == ""
+    assert ended.returncode == 0
+    assert ended.stdout.strip() == ""
 
 
-def test_checks_are_answered_before_the_agent_greets(start):
-    place = start(greets=False)
-    router = place.router()
+def test_responds_to_health_checks_before_agent_greets(start):
+    server = start(greets=False)
+    router = server.router()
     assert router.answer(router.ping()) == (None, [True, {}])
     assert router.answer(router.call("lookup", b"1"))[0][0] == "Overloaded"
-    place.order("subscribe")
-    place.agent.greet()
-    place.line("now=serving")
+    server.next_order("subscribe")
+    server.agent.greet()
+    server.wait_for_line("now=serving")
     assert router.answer(router.call("lookup", b"1"))[0] is None
 
 
@@ -815,7 +817,7 @@
         ('{"name": "a", "listen": "127.0.0.1:1", "agent": "x:1", "stop_ms": "soon"}', "stop_ms"),
     ],
 )
-def test_a_start_that_cannot_be_ends_with_one_plain_line(tmp_path, text, named):
+def test_invalid_configuration_exits_with_one_line(tmp_path, text, named):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Tasks, timers and passes, on a clock that the test sets and on pipes."""
+"""The scheduler, connections and their limits, on a clock that the test sets, pipes and socket pairs."""
 
 import errno
 import os
@@ -21,12 +21,12 @@
 BOUNDS = compute_bounds(192 << 20, 0, 1024)
 
 
-class World:
+class SchedulerHarness:
     def __init__(self):
-        self.time, self.said, self.faults = 1000, [], []
+        self.time, self.events, self.errors = 1000, [], []
         self.scheduler = Scheduler(
-            lambda: self.said.append("settle"),
-            lambda name, why: self.faults.append((name, type(why).__name__)),
+            lambda: self.events.append("settle"),
+            lambda name, error: self.errors.append((name, type(error).__name__)),
             self.clock,
         )
 
@@ -35,206 +35,215 @@
 
     def pass_at(self, time):
         self.time = time
-        self.said.clear()
-        self.scheduler.poll_at_once = True  # look, and don't wait
+        self.events.clear()
+        self.scheduler.poll_at_once = True  # polls without waiting
         self.scheduler.run_pass()
-        return [word for word in self.said if word != "settle"]
+        return [event for event in self.events if event != "settle"]
 
 
 @pytest.fixture
-def world():
-    return World()
+def harness():
+    return SchedulerHarness()
 
 
 @pytest.fixture
 def pipe():
-    ends = os.pipe()
-    yield ends
-    for end in ends:
-        os.close(end)
+    descriptors = os.pipe()
+    yield descriptors
+    for descriptor in descriptors:
+        os.close(descriptor)
 
 
-def test_timers_go_off_in_order_and_each_pass_settles_once(world):
-    for due, word in ((1030, "late"), (1010, "early"), (1010, "early too"), (1020, "dropped")):
-        timer = world.scheduler.at(due, lambda word=word: world.said.append(word))
-        if word == "dropped":
+def test_timers_run_in_order_and_each_pass_ends_once(harness):
+    for due, name in ((1030, "late"), (1010, "early"), (1010, "early too"), (1020, "dropped")):
+        timer = harness.scheduler.at(due, lambda name=name: harness.events.append(name))
+        if name == "dropped":
             timer.cancel()
-            timer.cancel()  # twice is no harm
-    assert world.pass_at(1009) == []
-    assert world.said == ["settle"]
-    assert world.pass_at(1010) == ["early", "early too"]
-    assert world.said[-1] == "settle"
-    assert world.pass_at(1100) == ["late"]
-    assert not world.scheduler.timers
+            timer.cancel()  # the second call has no effect
+    assert harness.pass_at(1009) == []
+    assert harness.events == ["settle"]
+    assert harness.pass_at(1010) == ["early", "early too"]
+    assert harness.events[-1] == "settle"
+    assert harness.pass_at(1100) == ["late"]
+    assert not harness.scheduler.timers
 
 
-def test_cancelled_timers_do_not_pile_up(world):
-    timers = [world.scheduler.at(9_000_000, lambda: None) for _ in range(MIN_CANCELLED_TO_SWEEP * 4)]
+def test_removes_cancelled_timers_from_heap(harness):
+    timers = [harness.scheduler.at(9_000_000, lambda: None) for _ in range(MIN_CANCELLED_TO_SWEEP * 4)]
     for timer in timers[: MIN_CANCELLED_TO_SWEEP * 3]:
         timer.cancel()
-    assert len(world.scheduler.timers) <= MIN_CANCELLED_TO_SWEEP * 2
+    assert len(harness.scheduler.timers) <= MIN_CANCELLED_TO_SWEEP * 2
 
 
 @pytest.mark.parametrize(("due", "milliseconds"), [(1000, 0), (1001, 1), (1010, 1), (1011, 2), (500, 0)])
-def test_patience_is_rounded_up_to_the_next_timer(world, due, milliseconds):
-    assert world.scheduler.poll_timeout_ms() is None
-    world.scheduler.at(due, lambda: None)
-    assert world.scheduler.poll_timeout_ms() == milliseconds
+def test_poll_timeout_is_rounded_up_to_next_timer(harness, due, milliseconds):
+    assert harness.scheduler.poll_timeout_ms() is None
+    harness.scheduler.at(due, lambda: None)
+    assert harness.scheduler.poll_timeout_ms() == milliseconds
 
 
-def test_the_clock_never_goes_back(world):
-    world.pass_at(2000)
-    world.pass_at(1500)
-    assert world.scheduler.now == 2000
+def test_clock_never_goes_back(harness):
+    harness.pass_at(2000)
+    harness.pass_at(1500)
+    assert harness.scheduler.now == 2000
 
 
-def test_a_task_waits_for_a_descriptor_or_its_time(world, pipe):
+def test_task_waits_for_descriptor_or_timeout(harness, pipe):
     def task():
         for until in (1050, None):
-            world.said.append(world.scheduler.wait(pipe[0], READ, until))
+            harness.events.append(harness.scheduler.wait(pipe[0], READ, until))
 
-    world.scheduler.spawn("reader", task)
-    assert world.pass_at(1000) == []
-    assert world.pass_at(1050) == [0]
+    harness.scheduler.spawn("reader", task)
+    assert harness.pass_at(1000) == []
+    assert harness.pass_at(1050) == [0]
     os.write(pipe[1], b"x")
-    assert world.pass_at(1060) == [READ]
-    assert world.pass_at(1070) == []
-    assert pipe[0] not in world.scheduler.event_masks
+    assert harness.pass_at(1060) == [READ]
+    assert harness.pass_at(1070) == []
+    assert pipe[0] not in harness.scheduler.event_masks
 
 
-def test_a_pass_with_tasks_that_are_ready_takes_what_came_meanwhile_too(world, pipe):
-    world.scheduler.spawn("reader", lambda: world.said.append(world.scheduler.wait(pipe[0], READ)))
-    world.pass_at(1000)
+def test_pass_with_ready_tasks_also_polls_for_events(harness, pipe):
+    harness.scheduler.spawn("reader", lambda: harness.events.append(harness.scheduler.wait(pipe[0], READ)))
+    harness.pass_at(1000)
     os.write(pipe[1], b"x")
-    world.scheduler.spawn("call", lambda: world.said.append("call"))
-    assert world.pass_at(1001) == ["call", READ]
-    assert len(world.said) == 3
+    harness.scheduler.spawn("call", lambda: harness.events.append("call"))
+    assert harness.pass_at(1001) == ["call", READ]
+    assert len(harness.events) == 3
 
 
-def test_a_fault_ends_its_task_alone(world):
-    world.scheduler.spawn("bad", lambda: 1 // 0)
-    world.scheduler.at(1000, lambda: [][1])
-    world.scheduler.spawn("good", lambda: world.said.append("good"))
-    assert world.pass_at(1000) == ["good"]
-    assert [why for _, why in world.faults] == [
+def test_exception_ends_only_its_task(harness):
+    harness.scheduler.spawn("bad", lambda: 1 // 0)
+    harness.scheduler.at(1000, lambda: [][1])
+    harness.scheduler.spawn("good", lambda: harness.events.append("good"))
+    assert harness.pass_at(1000) == ["good"]
+    assert [error for _, error in harness.errors] == [
         "IndexError",
         "ZeroDivisionError",
     ]
 
 
-def test_due_times_come_before_more_reading(world):
-    """Guards against ticks and limits that run late because many connections have much to say."""
+def test_due_timers_run_before_remaining_tasks(harness):
+    """Reading from many busy connections must not delay ticks and timeouts."""
 
-    def reader(word):
-        world.said.append(word)
-        world.time += TASK_TIME_SLICE
+    def reader(name):
+        harness.events.append(name)
+        harness.time += TASK_TIME_SLICE
 
-    for word in ("first", "second", "third"):
-        world.scheduler.spawn(word, lambda word=word: reader(word))
-    world.scheduler.at(1000 + TASK_TIME_SLICE, lambda: world.said.append("due"))
-    assert world.pass_at(1000) == ["first"]
-    assert world.pass_at(world.time) == ["due", "second"]
-    assert world.pass_at(world.time) == ["third"]
+    for name in ("first", "second", "third"):
+        harness.scheduler.spawn(name, lambda name=name: reader(name))
+    harness.scheduler.at(1000 + TASK_TIME_SLICE, lambda: harness.events.append("due"))
+    assert harness.pass_at(1000) == ["first"]
+    assert harness.pass_at(harness.time) == ["due", "second"]
+    assert harness.pass_at(harness.time) == ["third"]
 
 
-def test_forgetting_a_descriptor_wakes_who_waits_for_it(world, pipe):
-    world.scheduler.spawn("reader", lambda: world.said.append(world.scheduler.wait(pipe[0], READ)))
-    world.pass_at(1000)
-    world.scheduler.unregister(pipe[0])
-    assert world.pass_at(1001) == [0]
-    assert not world.scheduler.event_masks
+def test_unregistering_descriptor_wakes_its_task(harness, pipe):
+    harness.scheduler.spawn("reader", lambda: harness.events.append(harness.scheduler.wait(pipe[0], READ)))
+    harness.pass_at(1000)
+    harness.scheduler.unregister(pipe[0])
+    assert harness.pass_at(1001) == [0]
+    assert not harness.scheduler.event_masks
 
 
-def pair(world, bound=1 << 20, pool=1 << 20):
-    here, there = socket.socketpair()
-    here.setblocking(False)
-    there.setblocking(False)
-    return Connection(world.scheduler, here, 4096, bound, SendBufferPool(pool)), there
+def connected_pair(harness, max_unsent_bytes=1 << 20, max_pool_bytes=1 << 20):
+    local, peer = socket.socketpair()
+    local.setblocking(False)
+    peer.setblocking(False)
+    return Connection(harness.scheduler, local, 4096, max_unsent_bytes, SendBufferPool(max_pool_bytes)), peer
 
 
-def test_writes_go_out_once_at_the_end_of_a_pass_and_the_rest_when_there_is_room(world):
-    connection, there = pair(world)
-    world.scheduler.spawn("connection", lambda: connection.serve(lambda buffer: None))
-    world.pass_at(1000)
-    sent = [bytes([place]) * 10_000 for place in range(60)]
+def test_sends_writes_at_end_of_pass_and_the_rest_when_writable(harness):
+    connection, peer = connected_pair(harness)
+    harness.scheduler.spawn("connection", lambda: connection.serve(lambda buffer: None))
+    harness.pass_at(1000)
+    sent = [bytes([number]) * 10_000 for number in range(60)]
     for piece in sent:
         connection.write(piece)
     with pytest.raises(BlockingIOError):
-        there.recv(1)
-    got = b""
-    while len(got) < 600_000:
-        world.pass_at(1001)
-        got += there.recv(1 << 20)
-    assert got == b"".join(sent)
+        peer.recv(1)
+    received = b""
+    while len(received) < 600_000:
+        harness.pass_at(1001)
+        received += peer.recv(1 << 20)
+    assert received == b"".join(sent)
     assert connection.unsent_bytes == 0
     assert connection.pool.unsent_bytes == 0
 
 
-@pytest.mark.parametrize(("bound", "pool"), [(1000, 1 << 30), (1 << 30, 1000)])
-def test_a_peer_that_reads_too_slowly_is_cut_off(world, bound, pool):
-    connection, there = pair(world, bound, pool)
-    world.scheduler.spawn("connection", lambda: world.said.append(connection.serve(lambda buffer: None)))
-    world.pass_at(1000)
+@pytest.mark.parametrize(("max_unsent_bytes", "max_pool_bytes"), [(1000, 1 << 30), (1 << 30, 1000)])
+def test_closes_connection_of_peer_that_reads_too_slowly(harness, max_unsent_bytes, max_pool_bytes):
+    connection, peer = connected_pair(harness, max_unsent_bytes, max_pool_bytes)
+    harness.scheduler.spawn(
+        "connection", lambda: harness.events.append(connection.serve(lambda buffer: None))
+    )
+    harness.pass_at(1000)
     for _ in range(100):
         connection.write(b"x" * 100_000)
-    world.pass_at(1001)
-    assert world.pass_at(1002) == ["reads too slowly"]
+    harness.pass_at(1001)
+    assert harness.pass_at(1002) == ["reads too slowly"]
     assert connection.pool.unsent_bytes == 0
-    there.close()
+    peer.close()
 
 
-def test_too_much_that_is_not_a_message_closes_the_connection(world):
-    connection, there = pair(world)
-    world.scheduler.spawn("connection", lambda: world.said.append(connection.serve(lambda buffer: None)))
-    there.send(b"x" * 4097)
-    said = [word for time in range(1000, 1010) for word in world.pass_at(time)]
-    assert said == ["4096 bytes read and not a whole message"]
+def test_closes_connection_when_buffer_fills_without_message(harness):
+    connection, peer = connected_pair(harness)
+    harness.scheduler.spawn(
+        "connection", lambda: harness.events.append(connection.serve(lambda buffer: None))
+    )
+    peer.send(b"x" * 4097)
+    reasons = [reason for time in range(1000, 1010) for reason in harness.pass_at(time)]
+    assert reasons == ["4096 bytes read and not a whole message"]
     assert connection.malformed
 
 
-def test_no_descriptor_left_is_survived(world):
+def test_survives_running_out_of_descriptors(harness):
     class Listener:
         def accept(self):
-            world.said.append("tried")
+            harness.events.append("tried")
             raise OSError(errno.EMFILE, "too many")
 
-    clients = Clients(world.scheduler, Counters(), Log(world.scheduler, "t"), BOUNDS)
-    world.scheduler.spawn("listener", lambda: clients.accept_ready(Listener()))
-    world.scheduler.spawn("other", lambda: world.said.append("other"))
-    assert world.pass_at(1000) == ["tried", "other"]
-    assert not world.faults
+    clients = Clients(harness.scheduler, Counters(), Log(harness.scheduler, "t"), BOUNDS)
+    harness.scheduler.spawn("listener", lambda: clients.accept_ready(Listener()))
+    harness.scheduler.spawn("other", lambda: harness.events.append("other"))
+    assert harness.pass_at(1000) == ["tried", "other"]
+    assert not harness.errors
     assert clients.counters.counts["clients.turned_away"] == 1
 
 
 @pytest.mark.parametrize("descriptors", [384, 512])
 @pytest.mark.parametrize("megabytes", [32, 64, 192])
-def test_all_that_peers_can_fill_fits_into_the_memory_told(megabytes, descriptors):
-    """Guards against crowds on small machines: with all at its bound, an eighth is left for the rest."""
-    told = compute_bounds(megabytes << 20, 18 << 20, descriptors)
-    connections = told.connections * (CONNECTION_BYTES + told.unread)
-    filled = connections + told.calls * CALL_BYTES + told.unsent + told.orders
-    assert filled <= (megabytes - 18 << 20) * 7 // 8
-    assert told.connections + told.calls < descriptors
-    assert told.connections >= 256
-
-
-def clients(world, most):
-    """The connections of routers, as many as that, on socket pairs in place of a listener."""
-    some = Clients(world.scheduler, Counters(), Log(world.scheduler, "t"), replace(BOUNDS, connections=most))
-    theirs = []
-
-    def join():
-        here, there = socket.socketpair()
-        here.setblocking(False)
-        there.settimeout(1)
-        some.add_connection(here)
-        theirs.append(there)
-        return there
-
-    return some, join
-
-
-def closed(peer):
+def test_all_bounds_together_fit_into_memory_limit(megabytes, descriptors):
+    """Even on small machines, with everything at its bound, an eighth of the memory is left for the rest."""
+    bounds = compute_bounds(megabytes << 20, 18 << 20, descriptors)
+    connections = bounds.connections * (CONNECTION_BYTES + bounds.unread)
+    total = connections + bounds.calls * CALL_BYTES + bounds.unsent + bounds.orders
+    assert total <= (megabytes - 18 << 20) * 7 // 8
+    assert bounds.connections + bounds.calls < descriptors
+    assert bounds.connections >= 256
+
+
+def make_clients(harness, max_connections):
+    """Router connections up to a limit, on socket pairs in place of a listener."""
+    clients = Clients(
+        harness.scheduler,
+        Counters(),
+        Log(harness.scheduler, "t"),
+        replace(BOUNDS, connections=max_connections),
+    )
+    peers = []
+
+    def connect_router():
+        local, peer = socket.socketpair()
+        local.setblocking(False)
+        peer.settimeout(1)
+        clients.add_connection(local)
+        peers.append(peer)
+        return peer
+
+    return clients, connect_router
+
+
+def is_closed(peer):
     try:
         while peer.recv(100):
             pass
@@ -247,109 +256,111 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "later", "ended"),
+    ("first_part", "second_part", "is_closed"),
     [
         (b"", b"", True),
         (PING[:4], b"", True),
-        (PING, b"", False),  # one that has spoken may be silent
+        (PING, b"", False),  # after a message a connection may be silent
         (PING + PING[:4], b"", True),
-        (PING[:4], PING[4:], False),  # it lay ready while this program paused: not taken for silence
+        (PING[:4], PING[4:], False),  # it arrived while this process was paused: not a timeout
         (b"", PING, False),
     ],
 )
-def test_a_whole_message_is_due_within_two_seconds(world, first, later, ended):
-    some, join = clients(world, 4)
-    router = join()
-    router.send(first)
+def test_closes_connection_without_complete_message_in_two_seconds(
+    harness, first_part, second_part, is_closed
+):
+    clients, connect_router = make_clients(harness, 4)
+    router = connect_router()
+    router.send(first_part)
     for time in range(1000, 1004):
-        world.pass_at(time)
-    router.send(later)
-    world.scheduler.poller = type(
-        "Deaf", (), {"poll": lambda *_: [], "register": print, "unregister": print}
+        harness.pass_at(time)
+    router.send(second_part)
+    harness.scheduler.poller = type(
+        "SilentPoller", (), {"poll": lambda *_: [], "register": print, "unregister": print}
     )()
-    world.pass_at(1000 + MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL)
-    world.pass_at(1001 + MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL)
-    assert (len(some.active) == 0) is ended
-    assert some.counters.counts["clients.silent"] == ended
+    harness.pass_at(1000 + MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL)
+    harness.pass_at(1001 + MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL)
+    assert (len(clients.active) == 0) is is_closed
+    assert clients.counters.counts["clients.silent"] == is_closed
 
 
 @pytest.mark.parametrize(
-    ("mute_since", "gone"),
+    ("silent_since", "evicted"),
     [
-        (1000, ["mute"]),
+        (1000, ["silent"]),
         (1000 + SILENT_EVICTION_AGE, ["old"]),
-    ],  # a new connection has a moment to say something
+    ],  # a new connection has time to send a message
 )
-def test_who_makes_room_at_the_bound(world, mute_since, gone):
-    some, join = clients(world, 3)
+def test_evicts_silent_then_least_recently_used_connection_at_limit(harness, silent_since, evicted):
+    clients, connect_router = make_clients(harness, 3)
     peers = {}
     for name, time in sorted(
-        {"old": 1000, "young": 1001, "mute": mute_since}.items(), key=lambda one: one[1]
+        {"old": 1000, "young": 1001, "silent": silent_since}.items(), key=lambda item: item[1]
     ):
-        world.time = time
-        world.pass_at(time)
-        peers[name] = join()
-        if name != "mute":
+        harness.time = time
+        harness.pass_at(time)
+        peers[name] = connect_router()
+        if name != "silent":
             peers[name].send(PING)
-            world.pass_at(time)
-    world.pass_at(1001 + SILENT_EVICTION_AGE)
-    join()
-    world.pass_at(1002 + SILENT_EVICTION_AGE)
-    assert len(some.active) == 3
+            harness.pass_at(time)
+    harness.pass_at(1001 + SILENT_EVICTION_AGE)
+    connect_router()
+    harness.pass_at(1002 + SILENT_EVICTION_AGE)
+    assert len(clients.active) == 3
     for peer in peers.values():
         peer.setblocking(False)
-    assert [name for name, peer in peers.items() if closed(peer)] == gone
+    assert [name for name, peer in peers.items() if is_closed(peer)] == evicted
 
 
 A, B = "a" * 16, "b" * 16
 
 
-class Below:
-    """A vault that the test speaks for, and what came of the calls to it."""
+class FakeVault:
+    """A listener on which the test replies, a `Vault` connected to it, and the outcomes of its calls."""
 
-    def __init__(self, world):
-        self.world, self.ended = world, []
+    def __init__(self, harness):
+        self.harness, self.outcomes = harness, []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.settimeout(5)
         self.vault = Vault(
-            world.scheduler, Counters(), Log(world.scheduler, "t"), self.listener.getsockname(), 8
+            harness.scheduler, Counters(), Log(harness.scheduler, "t"), self.listener.getsockname(), 8
         )
-        self.vault.on_call_ended = lambda context, outcome, body: self.ended.append(
+        self.vault.on_call_ended = lambda context, outcome, body: self.outcomes.append(
             (context.request_id, outcome, body)
         )
 
-    def until(self, happened, time=None):
+    def run_until(self, condition, time=None):
         for _ in range(1000):
-            self.world.pass_at(time or self.world.time)
-            if happened():
+            self.harness.pass_at(time or self.harness.time)
+            if condition():
                 return
-        raise AssertionError(f"only {self.ended}")
+        raise AssertionError(f"only {self.outcomes}")
 
     def ask(self, name, link=None):
-        """The call, read from its connection: a new one, or this."""
+        """Starts a call and reads it, on `link` or a new connection; returns the connection."""
         self.vault.call(SimpleNamespace(request_id=name), 500, b"body")
         counts, before = self.vault.counters.counts, self.vault.counters.counts["vault.links"]
         if link is None:
-            self.until(lambda: counts["vault.links"] > before)
+            self.run_until(lambda: counts["vault.links"] > before)
             link, _ = self.listener.accept()
             link.settimeout(5)
         else:
-            self.until(lambda: self.vault.calls[name].link)
+            self.run_until(lambda: self.vault.calls[name].link)
         assert link.recv(100) == f"ask {name} 500 4\r\nbody\r\n".encode()
         return link
 
 
-def yes(name, body):
+def served_reply(name, body):
     return f"{name} yes {len(body)}\r\n".encode() + body + b"\r\n"
 
 
 @pytest.mark.parametrize(
     ("reply", "outcome", "body"),
     [
-        (yes(A, b"paid"), Outcome.SERVED, b"paid"),
-        (yes(A, b""), Outcome.SERVED, b""),
-        (yes(B, b"not yours") + yes(A, b"paid"), Outcome.SERVED, b"paid"),
-        (f"{B} failed\r\n".encode() + yes(A, b"paid"), Outcome.SERVED, b"paid"),
+        (served_reply(A, b"paid"), Outcome.SERVED, b"paid"),
+        (served_reply(A, b""), Outcome.SERVED, b""),
+        (served_reply(B, b"not yours") + served_reply(A, b"paid"), Outcome.SERVED, b"paid"),
+        (f"{B} failed\r\n".encode() + served_reply(A, b"paid"), Outcome.SERVED, b"paid"),
         (f"{A} notnow\r\n".encode(), Outcome.REJECTED, b""),
         (f"{A} pointless\r\n".encode(), Outcome.SUPERSEDED, b""),
         (b"\xff\xfe\x00 noise\r\n", Outcome.CONNECTION_LOST, b""),
@@ -359,61 +370,63 @@
         (f"{A} yes 2\r\npaid\r\n".encode(), Outcome.CONNECTION_LOST, b""),
         (f"{A} maybe\r\n".encode(), Outcome.CONNECTION_LOST, b""),
         (f"{B} failed\r\n".encode() * 9, Outcome.CONNECTION_LOST, b""),
-        (None, Outcome.CONNECTION_LOST, b""),  # closed in place of a reply
+        (None, Outcome.CONNECTION_LOST, b""),  # closed without a reply
     ],
 )
-def test_how_a_call_ends_by_what_comes_in_reply(world, reply, outcome, body):
-    below = Below(world)
-    link = below.ask(A)
+def test_outcome_of_downstream_call_by_reply(harness, reply, outcome, body):
+    fake_vault = FakeVault(harness)
+    link = fake_vault.ask(A)
     link.sendall(reply) if reply is not None else link.close()
-    below.until(lambda: below.ended)
-    assert below.ended == [(A, outcome, body)]
-    assert not below.vault.calls
+    fake_vault.run_until(lambda: fake_vault.outcomes)
+    assert fake_vault.outcomes == [(A, outcome, body)]
+    assert not fake_vault.vault.calls
 
 
-@pytest.mark.parametrize("part", [A.encode(), f"{A} yes 9\r\n".encode(), f"{A} yes 9\r\npaid\r\n".encode()])
-def test_a_reply_that_does_not_go_on_ends_its_call_before_its_limit(world, part):
-    below = Below(world)
-    below.ask(A).sendall(part)
-    asked = below.vault.calls[A]
-    below.until(lambda: asked.reply_head or len(asked.link.buffer))
-    below.until(lambda: below.ended, world.time + REPLY_STALL_TIMEOUT)
-    assert below.ended == [(A, Outcome.CONNECTION_LOST, b"")]
+@pytest.mark.parametrize(
+    "partial_reply", [A.encode(), f"{A} yes 9\r\n".encode(), f"{A} yes 9\r\npaid\r\n".encode()]
+)
+def test_stalled_reply_ends_call_before_its_timeout(harness, partial_reply):
+    fake_vault = FakeVault(harness)
+    fake_vault.ask(A).sendall(partial_reply)
+    call = fake_vault.vault.calls[A]
+    fake_vault.run_until(lambda: call.reply_head or len(call.link.buffer))
+    fake_vault.run_until(lambda: fake_vault.outcomes, harness.time + REPLY_STALL_TIMEOUT)
+    assert fake_vault.outcomes == [(A, Outcome.CONNECTION_LOST, b"")]
 
 
 @pytest.mark.parametrize(
-    ("reply", "wait", "again"),
+    ("reply", "wait", "is_reused"),
     [
-        (yes(A, b"paid"), MAX_IDLE_TIME - 1, True),
-        (yes(A, b"paid"), MAX_IDLE_TIME, False),  # it may have been forgotten there
-        (yes(A, b"paid") + yes(A, b"paid"), 0, False),  # it brought more than its reply
-        (yes(A, b"paid") + b"x", 0, False),
+        (served_reply(A, b"paid"), MAX_IDLE_TIME - 1, True),
+        (served_reply(A, b"paid"), MAX_IDLE_TIME, False),  # the vault may have dropped it
+        (served_reply(A, b"paid") + served_reply(A, b"paid"), 0, False),  # data after its reply
+        (served_reply(A, b"paid") + b"x", 0, False),
     ],
 )
-def test_a_connection_takes_another_call_only_right_after_its_reply(world, reply, wait, again):
-    below = Below(world)
-    link = below.ask(A)
+def test_vault_connection_is_reused_only_right_after_its_reply(harness, reply, wait, is_reused):
+    fake_vault = FakeVault(harness)
+    link = fake_vault.ask(A)
     link.sendall(reply)
-    below.until(lambda: below.ended)
-    world.time += wait
-    below.ask(B, link if again else None).sendall(yes(B, b"too"))
-    below.until(lambda: len(below.ended) == 2)
-    assert below.ended[1] == (B, Outcome.SERVED, b"too")
-    assert below.vault.counters.counts["vault.links"] == (1 if again else 2)
+    fake_vault.run_until(lambda: fake_vault.outcomes)
+    harness.time += wait
+    fake_vault.ask(B, link if is_reused else None).sendall(served_reply(B, b"too"))
+    fake_vault.run_until(lambda: len(fake_vault.outcomes) == 2)
+    assert fake_vault.outcomes[1] == (B, Outcome.SERVED, b"too")
+    assert fake_vault.vault.counters.counts["vault.links"] == (1 if is_reused else 2)
 
 
-def test_a_refused_connection_is_an_error_of_its_task_alone(world):
-    free = socket.create_server(("127.0.0.1", 0))
-    address = free.getsockname()
-    free.close()
+def test_refused_connection_raises_only_in_its_task(harness):
+    listener = socket.create_server(("127.0.0.1", 0))
+    address = listener.getsockname()
+    listener.close()
 
     def task():
         try:
-            connect(world.scheduler, address)
+            connect(harness.scheduler, address)
         except OSError:
-            world.said.append("refused")
+            harness.events.append("refused")
 
-    world.scheduler.spawn("peer", task)
-    said = [word for time in range(1000, 1010) for word in world.pass_at(time)]
-    assert said == ["refused"]
-    assert not world.scheduler.event_masks
+    harness.scheduler.spawn("peer", task)
+    events = [event for time in range(1000, 1010) for event in harness.pass_at(time)]
+    assert events == ["refused"]
+    assert not harness.scheduler.event_masks
