--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -228,10 +228,10 @@
                 self.clients.counters.count("clients.unknown_news")
             case [MessageType.REQUEST, int(), *_]:
                 raise MalformedMessageError(
-                    f"a call numbered {message[1]} after {self.highest_message_id}, or of a wrong form"
+                    f"request id {message[1]} is not above {self.highest_message_id}, or malformed request"
                 )
             case _:
-                raise MalformedMessageError("a message of no known form")
+                raise MalformedMessageError("unknown type or form of message")
 
     # ---- responses -----------------------------------------------------------------------------------------
 
@@ -285,7 +285,7 @@
     def on_malformed(self, reason: str) -> None:
         """Closes the connection; requests read before the malformed data get their responses."""
         self.clients.counters.count("clients.malformed")
-        self.clients.log.fault("malformed input from a router, its connection is ended", why=reason)
+        self.clients.log.fault("malformed_router_message", why=reason)
         self.clients.close_client(self, reason)
 
 
@@ -380,7 +380,7 @@
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
                     self.counters.count("clients.turned_away")
-                    self.log.fault("no descriptor for a connection", why=error.strerror)
+                    self.log.fault("accept_failed", why=error.strerror)
                     return False
                 continue
             sock.setblocking(False)
@@ -403,7 +403,7 @@
             self.lingering
             and len(self.active) + len(self.lingering) >= self.max_connections + self.max_lingering
         ):
-            self.lingering.popitem(last=False)[0].connection.close("room for another")
+            self.lingering.popitem(last=False)[0].connection.close("evicted to make room")
         client = Client(
             self, Connection(self.scheduler, sock, self.max_unread_bytes, MAX_UNSENT_BYTES, self.pool)
         )
@@ -418,7 +418,7 @@
 
     def serve(self, client: Client) -> None:
         """Reads a connection until it ends; its open requests are reported as disconnected."""
-        reason = "a fault"
+        reason = "unhandled exception"
         try:
             reason = client.connection.serve(client.on_data)
         finally:
@@ -483,7 +483,7 @@
                 and client.connection.open
             ):
                 self.counters.count("clients.silent")
-                self.close_client(client, "no whole message in time")
+                self.close_client(client, "message timeout")
         if self.awaiting_message and not self.message_check_scheduled:
             self.message_check_scheduled = True
             self.scheduler.at(self.scheduler.now + MESSAGE_CHECK_INTERVAL, self.close_overdue)
@@ -523,14 +523,14 @@
             (
                 client
                 for client in candidates
-                if self.close_if_idle(client, "room for another", only_if_silent=True)
+                if self.close_if_idle(client, "evicted to make room", only_if_silent=True)
             ),
             None,
         )
         if victim is None and (
             victim := next((client for client in candidates if not client.open_requests), None)
         ):
-            self.close_client(victim, "room for another")  # each had input: takes the first
+            self.close_client(victim, "evicted to make room")  # each had input: takes the first
         if victim is not None:
             self.counters.count("clients.made_room")
 
@@ -631,7 +631,7 @@
         """Closes the listener and all connections at once."""
         self.close_listener()
         for client in [*self.active, *self.lingering]:
-            client.connection.close("the program ends")
+            client.connection.close("process exits")
 
 
 def block_new_handshakes(listener: socket.socket) -> None:
--- a/birchslip/net/connection.py
+++ b/birchslip/net/connection.py
@@ -283,10 +283,10 @@
         finally:
             self.descriptor = None
         if self.cancelled:
-            raise OSError("given up")
+            raise OSError("cancelled")
         error_code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error_code or not events:
-            raise OSError(error_code, os.strerror(error_code) if error_code else "no connection in time")
+            raise OSError(error_code, os.strerror(error_code) if error_code else "connect timeout")
 
     def cancel(self) -> None:
         """Makes `open` raise at once."""
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -266,7 +266,7 @@
             RuntimeError: If that is no allowed transition.
         """
         if phase not in PHASE_TRANSITIONS[self.phase]:
-            raise RuntimeError(f"no way from {self.phase.value} to {phase.value}")
+            raise RuntimeError(f"phase {self.phase.value} cannot be followed by {phase.value}")
         self.log.info("phase", left=self.phase.value, now=phase.value)
         self.phase = phase
         if self.fleet_member is not None:
@@ -366,7 +366,7 @@
             self.enter_phase(Phase.CLOSING)
             self.admission_stage.rejects_new_requests = True
             self.clients.start_draining()
-            self.clients.close_all_gracefully("the program ends")
+            self.clients.close_all_gracefully("process exits")
             now = self.scheduler.now
             self.exit_deadline = min(
                 now + MAX_CLOSING_TIME, max(now + EXIT_LEAD, self.stop_deadline - EXIT_LEAD)
@@ -376,9 +376,7 @@
     def finish_close(self) -> None:
         """Stops the scheduler once all connections are closed or at `exit_deadline`; else retries in 1 ms."""
         for client in list(self.clients.active):
-            self.clients.close_if_idle(
-                client, "the program ends"
-            )  # accepted from the system's queue meanwhile
+            self.clients.close_if_idle(client, "process exits")  # accepted from the system's queue meanwhile
         if self.clients.has_open_sockets() and self.scheduler.now < self.exit_deadline:
             self.scheduler.at(self.scheduler.now + 10, self.finish_close)
             return
@@ -432,11 +430,11 @@
             later = read_config(os.environ)
         except (InvalidInputError, OSError) as error:
             self.counters.count("program.not_reloaded")
-            self.log.info("the configuration is left as it was", why=str(error))
+            self.log.info("configuration_rejected", why=str(error))
             return
         fixed_parts = self.site.changes_needing_restart(later)
         if fixed_parts:
-            self.log.info("not taken over while running", parts=",".join(fixed_parts))
+            self.log.info("configuration_change_needs_restart", parts=",".join(fixed_parts))
         new_values = {part: getattr(later, part) for part in RELOADABLE_FIELDS}
         self.site = replace(self.site, **new_values)
         self.agent.change_address(later.agent)
@@ -445,7 +443,7 @@
         self.counters.count("program.reloads")
         peers = {"agent": later.agent, "catalog": later.catalog, "vault": later.vault}
         named = {what: f"{where[0]}:{where[1]}" for what, where in peers.items() if where is not None}
-        self.log.info("configuration taken over", **named)
+        self.log.info("configuration_applied", **named)
 
     def log_counters(self) -> None:
         """Logs a line of counters for each peer and stage; on request and at exit."""
@@ -506,4 +504,4 @@
     def on_task_error(self, name: str, error: Exception) -> None:
         """Counts and logs an exception that a task or a timer raised."""
         self.counters.count("program.faults")
-        self.log.trace("a fault", error, task=name)
+        self.log.trace("unhandled_exception", error, task=name)
