--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -16,7 +16,7 @@
     from .cluster.fleet_reader import read_fleet
     from .cluster.planner_link import PlannerLink
 
-    site = program.site
+    site = program.config
     planner_link = PlannerLink(
         program.scheduler,
         program.counters,
@@ -36,7 +36,7 @@
     from .idempotency.settings_file import read_store_settings
 
     settings = read_store_settings(path)
-    site = program.site
+    site = program.config
     request_classes = site.settings.request_classes
     program.attach_result_store(
         ResultStore(program.scheduler, program.counters, program.log, settings, site.name, request_classes)
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -157,28 +157,28 @@
         result_store: The store of results, if there is one.
     """
 
-    def __init__(self, site: ServerConfig) -> None:
+    def __init__(self, config: ServerConfig) -> None:
         """Creates all parts; opens no connection."""
-        self.site = site
+        self.config = config
         self.phase = Phase.STARTING
         self.stop_deadline = self.exit_deadline = 0
         self.scheduler = Scheduler(self.finish_pass, self.on_task_error)
-        self.log = Log(self.scheduler, site.name)
+        self.log = Log(self.scheduler, config.name)
         self.counters = Counters()
         scheduler, counters, log = self.scheduler, self.counters, self.log
-        descriptors = min(site.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        self.bounds = compute_bounds(site.memory_bytes, read_memory_kb() << 10, descriptors)
+        descriptors = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        self.bounds = compute_bounds(config.memory_bytes, read_memory_kb() << 10, descriptors)
         # peers
         self.clients = Clients(scheduler, counters, log, self.bounds)
-        self.agent = Agent(scheduler, counters, log, site.agent, site.gauge_names, self.bounds.orders)
-        self.vault = Vault(scheduler, counters, log, site.vault, self.bounds.calls)
-        self.catalog = Catalog(scheduler, counters, log, site.catalog, site.name, self.is_passing)
+        self.agent = Agent(scheduler, counters, log, config.agent, config.gauge_names, self.bounds.orders)
+        self.vault = Vault(scheduler, counters, log, config.vault, self.bounds.calls)
+        self.catalog = Catalog(scheduler, counters, log, config.catalog, config.name, self.is_passing)
         # stages
         self.idempotency_table = IdempotencyTable(
-            max(profile.deadline for profile in site.settings.request_classes)
+            max(profile.deadline for profile in config.settings.request_classes)
         )
         self.request_decoder = RequestDecoder(
-            scheduler, counters, log, site.settings, site.class_names, site.tenant_names
+            scheduler, counters, log, config.settings, config.class_names, config.tenant_names
         )
         self.admission_stage = AdmissionStage(scheduler, counters, self.idempotency_table)
         self.response_recorder = ResponseRecorder(counters, log, self.idempotency_table, self.admission_stage)
@@ -276,7 +276,7 @@
     def run(self) -> None:
         """Serves until the process is to exit."""
         self.install_signal_handlers()
-        host, port = self.clients.listen(self.site.listen)
+        host, port = self.clients.listen(self.config.listen)
         self.log.info("listening", address=f"{host}:{port}")
         self.log.info("bounds", **asdict(self.bounds))
         self.spawn_supervised("signals", self.handle_signals)
@@ -321,7 +321,7 @@
         if self.phase is Phase.STARTING:
             self.enter_phase(Phase.SERVING)
             self.admission_stage.start(
-                replace(self.site.settings, starts_cold=is_cold),
+                replace(self.config.settings, starts_cold=is_cold),
                 started_at if is_cold else self.scheduler.now,
             )
             if self.fleet_member is not None:
@@ -338,7 +338,7 @@
         if self.phase in (Phase.DRAINING, Phase.SHUT):
             self.begin_close()
             return
-        self.stop_deadline = deadline = self.scheduler.now + self.site.stop_timeout
+        self.stop_deadline = deadline = self.scheduler.now + self.config.stop_timeout
         if self.phase is Phase.STARTING:
             self.begin_close()
             return
@@ -346,7 +346,7 @@
         self.admission_stage.start_drain(deadline)
         # Routers learn late that this app server drains. Requests that it rejected meanwhile would overload
         # the others.
-        grace_over = self.scheduler.now + self.site.settings.drain_grace
+        grace_over = self.scheduler.now + self.config.settings.drain_grace
         self.scheduler.at(min(grace_over, deadline - SHUT_LEAD), self.stop_accepting)
         self.scheduler.at(deadline - CLOSE_LEAD, self.begin_close)
 
@@ -427,23 +427,25 @@
     def reload(self) -> None:
         """Reads the configuration again; the old one stays in force if it is invalid."""
         try:
-            later = read_config(os.environ)
+            new_config = read_config(os.environ)
         except (InvalidInputError, OSError) as error:
             self.counters.count("program.not_reloaded")
             self.log.info("configuration_rejected", why=str(error))
             return
-        fixed_parts = self.site.changes_needing_restart(later)
+        fixed_parts = self.config.changes_needing_restart(new_config)
         if fixed_parts:
             self.log.info("configuration_change_needs_restart", parts=",".join(fixed_parts))
-        new_values = {part: getattr(later, part) for part in RELOADABLE_FIELDS}
-        self.site = replace(self.site, **new_values)
-        self.agent.change_address(later.agent)
-        self.vault.change_address(later.vault)
-        self.catalog.change_address(later.catalog)
+        new_values = {part: getattr(new_config, part) for part in RELOADABLE_FIELDS}
+        self.config = replace(self.config, **new_values)
+        self.agent.change_address(new_config.agent)
+        self.vault.change_address(new_config.vault)
+        self.catalog.change_address(new_config.catalog)
         self.counters.count("program.reloads")
-        peers = {"agent": later.agent, "catalog": later.catalog, "vault": later.vault}
-        named = {what: f"{where[0]}:{where[1]}" for what, where in peers.items() if where is not None}
-        self.log.info("configuration_applied", **named)
+        peers = {"agent": new_config.agent, "catalog": new_config.catalog, "vault": new_config.vault}
+        addresses = {
+            name: f"{address[0]}:{address[1]}" for name, address in peers.items() if address is not None
+        }
+        self.log.info("configuration_applied", **addresses)
 
     def log_counters(self) -> None:
         """Logs a line of counters for each peer and stage; on request and at exit."""
@@ -485,9 +487,9 @@
             return False
         return self.clients.healthy and self.phase in (Phase.STARTING, Phase.SERVING)
 
-    def is_id_in_use(self, name: str) -> bool:
+    def is_id_in_use(self, request_id: str) -> bool:
         """Whether a request with this id is open or still runs."""
-        return name in self.response_recorder.open_request_ids or name in self.agent.runs
+        return request_id in self.response_recorder.open_request_ids or request_id in self.agent.runs
 
     def on_disconnected(self, context: RequestContext) -> None:
         """Handles the loss of a request's caller."""
--- a/tests/hall.py
+++ b/tests/hall.py
@@ -59,7 +59,7 @@
         self.clients = program.clients
         if most is not None:
             self.clients.max_connections = most
-        host, port = self.clients.listen(program.site.listen)
+        host, port = self.clients.listen(program.config.listen)
         self.address = f"{host}:{port}"
         program.spawn_supervised("listener", self.clients.accept)
         if greets:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -266,7 +266,7 @@
 
 def end_drain_grace(hall):
     hall.program.begin_drain()
-    hall.passes(ms=hall.program.site.settings.drain_grace // 10 + 1)
+    hall.passes(ms=hall.program.config.settings.drain_grace // 10 + 1)
     assert hall.program.phase in (Phase.SHUT, Phase.CLOSING, Phase.ENDED)
 
 
@@ -319,7 +319,7 @@
     listener = LateListener(hall.clients.listener, hall.address, pack([0, 1, "ping", [{}]]))
     hall.clients.listener = listener
     hall.program.begin_drain()
-    hall.passes(count=1, ms=hall.program.site.settings.drain_grace // 10 + 1)
+    hall.passes(count=1, ms=hall.program.config.settings.drain_grace // 10 + 1)
     hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
     hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
     assert hall.clients.listener is None
