--- a/birchslip/net/buffer.py
+++ b/birchslip/net/buffer.py
@@ -72,7 +72,7 @@
         if len(self.data) - self.end < min_free and len(self.data) < self.max_bytes:
             self.data.extend(bytes(min(max(len(self.data), min_free), self.max_bytes - len(self.data))))
         if len(self.data) == self.end:
-            raise MalformedMessageError(f"{unread} bytes read and not a whole message")
+            raise MalformedMessageError(f"{unread} bytes without a complete message")
 
     def skip(self, count: int) -> None:
         """Consumes bytes."""
--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -53,7 +53,7 @@
 SILENT_EVICTION_AGE = 2_000  # a connection without a message is the first to be evicted after 200 ms
 MIN_EVICTION_AGE = 500  # and is never evicted within 50 ms: its first request is on its way
 CLOSING_TIMEOUT = 20_000  # 2 s from the `closing` notification to the close, if no request is open
-DRAIN_CLOSING_TIMEOUT = 5_000  # the same while draining: shorter, since the process has a deadline
+DRAIN_CLOSING_TIMEOUT = 5_000  # 500 ms while draining: the process has a deadline, but routers may read late
 FINAL_ACCEPT_DELAY = 100  # 10 ms for handshakes in progress to reach the accept queue
 MIN_LINGERING_CONNECTIONS = 4  # allowed beside the open ones, in addition to an eighth of the limit
 MIN_LINGER_TIME = 200  # a lingering connection is not evicted before its peer had 20 ms to read responses
@@ -355,7 +355,8 @@
                 self.scheduler.sleep(self.scheduler.now + ACCEPT_RETRY_DELAY)
                 continue
             if self.draining:
-                # New handshakes are blocked: polls, since connections in the queue were reported already.
+                # New handshakes are blocked, so the listener may never become readable again: polls it, to
+                # close it in time.
                 self.scheduler.sleep(self.scheduler.now + ACCEPT_RETRY_DELAY)
             else:
                 self.scheduler.wait(self.listener.fileno(), READ)
@@ -507,6 +508,7 @@
     def evict_one(self) -> None:
         """Closes one connection to make room for another.
 
+        Silent connections must not keep routers out, and no request that has arrived unread may be lost.
         Candidates are connections that are old enough and have sent no message, then idle ones, the least
         recently used first, then younger ones without a message. Each is read before it is closed, and stays
         if anything had arrived. If all stay, the first without an open request is closed.
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -72,7 +72,7 @@
 
 
 class FleetMember(Protocol):
-    """The app server's membership in a fleet; optional.
+    """The app server's membership in a fleet; optional, and nothing else depends on it.
 
     Attributes:
         driver: Admission control, once it has started.
@@ -106,7 +106,7 @@
 
 
 class DurableResultStore(ResultKeeper, Protocol):
-    """The store of results of keyed requests that outlives the process; optional."""
+    """The store of results of keyed requests that outlives the process; optional, by a settings file."""
 
     def set_resolution_listener(self, listener: Callable[[IdempotencyEntry, RunResult], None]) -> None:
         """Sets the function called when the result of an earlier incarnation's run is known."""
@@ -299,7 +299,7 @@
             self.log.writer.flush()
 
     def spawn_supervised(self, name: str, function: Callable[[], None]) -> None:
-        """Runs a task that is restarted, after a delay, when it raises."""
+        """Runs a task that the process needs: when it raises, it is restarted after a delay."""
 
         def run_supervised() -> None:
             while True:
@@ -313,7 +313,7 @@
         self.scheduler.spawn(name, run_supervised)
 
     def on_agent_greeting(self, is_cold: bool, started_at: int) -> None:
-        """Starts admission control on the agent's first greeting.
+        """Starts admission control, with empty state, on the agent's first greeting.
 
         Only a cold agent's start time is used, for its slow start. With that of a warm one, quotas would bind
         before their windows had been filled once.
@@ -360,7 +360,8 @@
     def begin_close(self) -> None:
         """Sends a response to each open request and closes the connections gracefully.
 
-        Called once no connection is left, and at the latest `CLOSE_LEAD` before the deadline.
+        No request runs afterwards. Called once no connection is left, and at the latest `CLOSE_LEAD` before
+        the deadline.
         """
         if self.phase in (Phase.STARTING, Phase.DRAINING, Phase.SHUT):
             self.enter_phase(Phase.CLOSING)
@@ -385,7 +386,10 @@
         self.scheduler.stop()
 
     def finish_pass(self) -> None:
-        """Runs admission control on what the pass has received, and ends a drain that is complete."""
+        """Runs admission control on what a pass has received, and ends a drain that is complete.
+
+        Called at the end of each pass.
+        """
         if self.fleet_member is not None:
             # An error in the fleet's part must not stop the batch.
             self.scheduler.guard(self.fleet_member.apply_lease, "companion")
@@ -499,7 +503,7 @@
     def on_abandoned(self, context: RequestContext) -> None:
         """Sends a response to a request whose connection is about to close."""
         if self.admission_stage.driver is not None:
-            self.admission_stage.look_up_entry(context)  # it may have been read in this pass
+            self.admission_stage.look_up_entry(context)  # read in this pass, it has no entry yet
         self.downstream_caller.cancel_call(context)
         self.response_recorder.abandon(context)
 
