--- a/benchmarks/model_days.py
+++ b/benchmarks/model_days.py
@@ -13,11 +13,11 @@
 
 from birchslip.expect.sources import Sources, read_json
 from birchslip.lab.faults import schedule
-from birchslip.lab.model.world import BEGIN, Step, World
+from birchslip.lab.model.world import TRAFFIC_START, Step, World
 from birchslip.lab.site_loss import Told, spans_of
 from birchslip.lab.world import PROFILES, SITES
 
-DAYS = [
+SCENARIOS = [
     ("none", 0.9, 1),
     ("none", 1.2, 2),
     ("kill", 0.6, 3),
@@ -29,13 +29,13 @@
     ("rush", 0.9, 9),
     ("flaps", 0.7, 10),
 ]
-WORDS = {"kill": "lose", "start": "restore", "pause": "pause", "resume": "resume", "slow": "slow"}
-NEAR = 0.05
+ACTIONS = {"kill": "lose", "start": "restore", "pause": "pause", "resume": "resume", "slow": "slow"}
+TOLERANCE = 0.05
 
 
-def start(day, folder):
-    fault, load, seed = day
-    words = [
+def start(scenario, folder):
+    fault, load, seed = scenario
+    arguments = [
         "lab",
         "play",
         "site-loss",
@@ -48,65 +48,82 @@
         "--alone",
     ]
     logs = folder / f"{fault}-{load}"
-    words += ["--logs", str(logs), "--json", str(folder / f"{fault}-{load}.json")]
-    return subprocess.Popen([sys.executable, "-m", "birchslip", *words], stdout=subprocess.DEVNULL)
+    arguments += ["--logs", str(logs), "--json", str(folder / f"{fault}-{load}.json")]
+    return subprocess.Popen([sys.executable, "-m", "birchslip", *arguments], stdout=subprocess.DEVNULL)
 
 
-def model(day, folder):
+def emulate(scenario, folder):
     """The same day in virtual time: service in each of its parts."""
-    fault, load, seed = day
+    fault, load, seed = scenario
     logs = folder / f"{fault}-{load}" / "fleet"
-    first = f"{SITES[0]}-1"
-    world = {
+    first_server = f"{SITES[0]}-1"
+    world_file = {
         "profiles": {
-            one.name: {"share": one.share, "work_ms": one.work / 10, "calls": float(one.label)}
-            for one in PROFILES
+            profile.name: {
+                "share": profile.share,
+                "work_ms": profile.work / 10,
+                "calls": float(profile.label),
+            }
+            for profile in PROFILES
         },
         "below": {"took_ms": 20.0},
         "load": load,
         "size": 60,
     }
-    sources = Sources(read_json(logs / f"{first}.json"), read_json(logs / f"{first}.fleet.json"), world)
-    told = Told(seed=seed, fault=fault, load=load)
-    steps = schedule(fault, seed, list(SITES[:3]), ["planner-1", "planner-2", "planner-3"], told.lost)
-    spans = spans_of(told, steps)
-    zero = BEGIN + spans["before"][1]
-    script = [Step(zero + one.at, WORDS.get(one.what, one.what), one.whom, one.more) for one in steps]
-    played = World(sources.setting, seed)
-    played.run(script, BEGIN + spans["after"][1] + 20_000)
+    sources = Sources(
+        read_json(logs / f"{first_server}.json"), read_json(logs / f"{first_server}.fleet.json"), world_file
+    )
+    options = Told(seed=seed, fault=fault, load=load)
+    steps = schedule(fault, seed, list(SITES[:3]), ["planner-1", "planner-2", "planner-3"], options.lost)
+    spans = spans_of(options, steps)
+    script_start = TRAFFIC_START + spans["before"][1]
+    script = [
+        Step(script_start + step.at, ACTIONS.get(step.what, step.what), step.whom, step.more)
+        for step in steps
+    ]
+    emulated = World(sources.setting, seed)
+    emulated.run(script, TRAFFIC_START + spans["after"][1] + 20_000)
     return {
-        "service": {name: played.service((BEGIN + a, BEGIN + b)) for name, (a, b) in spans.items()},
-        "attempts": {name: played.attempts((BEGIN + a, BEGIN + b)) for name, (a, b) in spans.items()},
+        "service": {
+            name: emulated.service((TRAFFIC_START + first, TRAFFIC_START + last))
+            for name, (first, last) in spans.items()
+        },
+        "attempts": {
+            name: emulated.mean_attempts((TRAFFIC_START + first, TRAFFIC_START + last))
+            for name, (first, last) in spans.items()
+        },
     }
 
 
 def main():
-    words = argparse.ArgumentParser()
-    words.add_argument("--at-a-time", type=int, default=3)
-    words.add_argument("--out", type=Path, required=True)
-    words.add_argument("--again", action="store_true", help="the model alone, against what was played before")
-    told = words.parse_args()
-    told.out.mkdir(parents=True, exist_ok=True)
-    for at in range(0, len(DAYS) if not told.again else 0, told.at_a_time):
-        for one in [start(day, told.out) for day in DAYS[at : at + told.at_a_time]]:
-            one.wait(240)
-    near = parts = 0
-    for day in DAYS:
-        fault, load, _ = day
-        real = json.loads((told.out / f"{fault}-{load}.json").read_text())
-        made = model(day, told.out)
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--at-a-time", type=int, default=3)
+    parser.add_argument("--out", type=Path, required=True)
+    parser.add_argument(
+        "--again", action="store_true", help="the model alone, against what was played before"
+    )
+    options = parser.parse_args()
+    options.out.mkdir(parents=True, exist_ok=True)
+    for at in range(0, len(SCENARIOS) if not options.again else 0, options.at_a_time):
+        for process in [start(scenario, options.out) for scenario in SCENARIOS[at : at + options.at_a_time]]:
+            process.wait(240)
+    near_count = part_count = 0
+    for scenario in SCENARIOS:
+        fault, load, _ = scenario
+        real = json.loads((options.out / f"{fault}-{load}.json").read_text())
+        emulated = emulate(scenario, options.out)
         row = []
         for name in ("before", "during", "back", "after"):
-            there = real["after"] if name == "after" else real["service"][name]
-            off = made["service"][name] - there
-            near, parts = near + (abs(off) <= NEAR), parts + 1
-            row.append(f"{name} {there:.3f} {made['service'][name]:.3f} ({off:+.3f})")
-        tries = " ".join(
-            f"{name} {real['attempts_each'][name]:.2f} {made['attempts'][name]:.2f}"
+            measured = real["after"] if name == "after" else real["service"][name]
+            difference = emulated["service"][name] - measured
+            near_count, part_count = near_count + (abs(difference) <= TOLERANCE), part_count + 1
+            row.append(f"{name} {measured:.3f} {emulated['service'][name]:.3f} ({difference:+.3f})")
+        attempts = " ".join(
+            f"{name} {real['attempts_each'][name]:.2f} {emulated['attempts'][name]:.2f}"
             for name in ("before", "during", "after")
         )
-        print(f"{fault:18} {load:.1f}  {'; '.join(row)}; tries {tries}", flush=True)
-    print(f"{near} of {parts} parts within {NEAR}")
+        print(f"{fault:18} {load:.1f}  {'; '.join(row)}; tries {attempts}", flush=True)
+    print(f"{near_count} of {part_count} parts within {TOLERANCE}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/model_size.py
+++ b/benchmarks/model_size.py
@@ -17,7 +17,7 @@
 from birchslip.lab.model.world import Setting, Step, World
 
 EXAMPLE = Path(__file__).resolve().parent.parent / "examples" / "app-server.json"
-LONG = 60 * SECOND
+DURATION = 60 * SECOND
 
 
 def setting(count, load):
@@ -26,7 +26,7 @@
     settings["group_size"] = count
     for tenant in settings["tenants"]:
         tenant["quota_per_s"] = count * 1.5
-    told = read_admission_settings(1, SettingsReader(flatten(settings)))
+    deployment = read_admission_settings(1, SettingsReader(flatten(settings)))
     layout = Layout(
         profiles={
             "lookup": Work(share=0.7, work_ms=300.0),
@@ -36,24 +36,25 @@
         servers=count,
         load=load,
     )
-    return Setting(told, ["lookup", "order"], ["blue", "green"], layout)
+    return Setting(deployment, ["lookup", "order"], ["blue", "green"], layout)
 
 
 def main():
     load = float((sys.argv[1:] or ["0.8"])[0])
     for count in [int(word) for word in sys.argv[2:]] or [30, 100, 300, 1_000]:
         world = World(setting(count, load), 1)
-        gone = [server.name for server in world.servers[::10]]
-        steps = [Step(25 * SECOND, "kill", name) for name in gone] + [
-            Step(35 * SECOND, "start", name) for name in gone
+        lost = [server.name for server in world.servers[::10]]
+        steps = [Step(25 * SECOND, "kill", name) for name in lost] + [
+            Step(35 * SECOND, "start", name) for name in lost
         ]
-        began = time.process_time()
-        world.run(steps, LONG)
-        took = time.process_time() - began
-        each = took / len(world.deeds) * 1e6
+        started_at = time.process_time()
+        world.run(steps, DURATION)
+        cpu_s = time.process_time() - started_at
+        us_per_request = cpu_s / len(world.requests) * 1e6
         print(
-            f"{count:5} app servers: {took:6.1f} s of processor for 60 virtual seconds, {len(world.deeds)} "
-            f"transactions, {each:4.0f} us each; service {world.service((0, LONG)):.3f}",
+            f"{count:5} app servers: {cpu_s:6.1f} s of processor for 60 virtual seconds, "
+            f"{len(world.requests)} transactions, {us_per_request:4.0f} us each; "
+            f"service {world.service((0, DURATION)):.3f}",
             flush=True,
         )
 
--- a/birchslip/expect/consistency.py
+++ b/birchslip/expect/consistency.py
@@ -187,7 +187,7 @@
         yield Conflict(
             setting_paths, f"{stated} and {members} app servers: quotas are shared out by the first"
         )
-    if context.setting.name not in context.setting.sites_of():
+    if context.setting.name not in context.setting.site_by_server():
         setting_paths = (f"{context.sources.file_labels[0]}: name", context.fleet_path("sites"))
         yield Conflict(setting_paths, f"no member is named {context.setting.name!r}")
 
--- a/birchslip/expect/measures.py
+++ b/birchslip/expect/measures.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..lab.model.clock import SECOND
-from ..lab.model.routers import Deed
+from ..lab.model.routers import ClientRequest
 from ..lab.model.world import Series, World
 from .words import Comparison, Measure, Subject, SubjectKind
 
@@ -59,7 +59,7 @@
             return extreme(sum_series(downstream_call_series(world, subject)), compare, spans)
         case Measure.OUT:
             return extreme(
-                sum_series([world.out[name] for name in member_names(world, subject)]), compare, spans
+                sum_series([world.unavailable[name] for name in member_names(world, subject)]), compare, spans
             )
         case Measure.ROOM:
             return core_utilization(world, subject, compare, spans)
@@ -69,7 +69,8 @@
             requests = requests_started(world, subject, spans)
             return (
                 Observation(
-                    sum(request.tries for request in requests) / len(requests), sample_count=len(requests)
+                    sum(request.attempt_count for request in requests) / len(requests),
+                    sample_count=len(requests),
                 )
                 if len(requests) >= MIN_REQUESTS
                 else None
@@ -77,19 +78,23 @@
         case Measure.REFUSED:
             return share_of_requests(
                 requests_started(world, subject, spans),
-                lambda request: request.shed and request.honoured_at < 0,
+                lambda request: request.was_shed and request.honoured_at < 0,
             )
         case Measure.EARNED:
             requests = requests_started(world, subject, spans)
-            total_weight = sum(request.profile.priority_weight for request in requests)
-            earned_weight = sum(request.profile.priority_weight for request in requests if request.in_time)
+            total_weight = sum(request.request_class.priority_weight for request in requests)
+            earned_weight = sum(
+                request.request_class.priority_weight for request in requests if request.is_in_time
+            )
             return (
                 Observation(earned_weight / total_weight, sample_count=len(requests))
                 if len(requests) >= MIN_REQUESTS and total_weight
                 else None
             )
         case Measure.SERVED:
-            return share_of_requests(requests_started(world, subject, spans), lambda request: request.in_time)
+            return share_of_requests(
+                requests_started(world, subject, spans), lambda request: request.is_in_time
+            )
     raise ValueError(f"no such measure: {measure}")
 
 
@@ -104,12 +109,12 @@
             fleet = world.setting.fleet
             assert fleet is not None
             group = next(group for group in fleet.budget_groups() if group.name == subject.name)
-            return [name for name in world.by_name if name in group.members]
+            return [name for name in world.servers_by_name if name in group.members]
         case SubjectKind.SERVICE:
             fleet = world.setting.fleet
             needs = fleet.required_services() if fleet is not None else {}
-            return [name for name in world.by_name if subject.name in needs.get(name, ())]
-    return list(world.by_name)
+            return [name for name in world.servers_by_name if subject.name in needs.get(name, ())]
+    return list(world.servers_by_name)
 
 
 def outstanding_series(world: World, subject: Subject) -> list[Series]:
@@ -118,14 +123,14 @@
         return [world.outstanding[int(subject.name)]]
     if subject.kind is SubjectKind.FLEET:
         return list(world.outstanding.values())
-    return [world.sent[name] for name in member_names(world, subject)]
+    return [world.outstanding_by_server[name] for name in member_names(world, subject)]
 
 
 def downstream_call_series(world: World, subject: Subject) -> list[Series]:
     """Return the series of downstream calls in flight that add up to a subject's."""
     if subject.kind is SubjectKind.FLEET:
-        return [world.calls]
-    return [world.calls_of[name] for name in member_names(world, subject)]
+        return [world.downstream_calls]
+    return [world.downstream_calls_by_server[name] for name in member_names(world, subject)]
 
 
 def sum_series(series_list: list[Series]) -> Series:
@@ -169,10 +174,16 @@
     for a, b in spans:
         for at in range(a, b - UTILIZATION_WINDOW + 1, UTILIZATION_WINDOW):
             window = (at, at + UTILIZATION_WINDOW)
-            available = [name for name in names if time_average(world.out[name], window) < MAX_OUT_SHARE]
+            available = [
+                name for name in names if time_average(world.unavailable[name], window) < MAX_OUT_SHARE
+            ]
             if available:
                 samples.append(
-                    (at, sum(time_average(world.busy[name], window) for name in available) / len(available))
+                    (
+                        at,
+                        sum(time_average(world.core_use[name], window) for name in available)
+                        / len(available),
+                    )
                 )
     if not samples:
         return None
@@ -209,27 +220,29 @@
     return Observation(value, at, len(samples))
 
 
-def request_filter(subject: Subject) -> Callable[[Deed], bool]:
+def request_filter(subject: Subject) -> Callable[[ClientRequest], bool]:
     """Return a predicate that selects the requests of a subject."""
     match subject.kind:
         case SubjectKind.ROUTER:
-            return lambda request, number=int(subject.name): request.router == number  # type: ignore[misc]
+            return lambda request, number=int(subject.name): request.router_number == number  # type: ignore[misc]
         case SubjectKind.TENANT:
-            return lambda request: request.account == subject.name
+            return lambda request: request.tenant_name == subject.name
         case SubjectKind.PROFILE:
-            return lambda request: request.kind == subject.name
+            return lambda request: request.class_name == subject.name
         case SubjectKind.SITE:
-            return lambda request: request.home == subject.name
+            return lambda request: request.home_site == subject.name
     return lambda request: True
 
 
-def requests_started(world: World, subject: Subject, spans: Iterable[Span]) -> list[Deed]:
+def requests_started(world: World, subject: Subject, spans: Iterable[Span]) -> list[ClientRequest]:
     """Return the requests of a subject that were first sent within the spans."""
     matches = request_filter(subject)
-    return [request for span in spans for request in world.born(span) if matches(request)]
+    return [request for span in spans for request in world.requests_started(span) if matches(request)]
 
 
-def share_of_requests(requests: list[Deed], is_counted: Callable[[Deed], bool]) -> Observation | None:
+def share_of_requests(
+    requests: list[ClientRequest], is_counted: Callable[[ClientRequest], bool]
+) -> Observation | None:
     """Return the share of requests that satisfy a predicate; `None` for too few requests."""
     if len(requests) < MIN_REQUESTS:
         return None
--- a/birchslip/expect/search.py
+++ b/birchslip/expect/search.py
@@ -10,7 +10,7 @@
 
 from ..lab.model.clock import SECOND
 from ..lab.model.layout import Work
-from ..lab.model.world import BEGIN, Setting
+from ..lab.model.world import TRAFFIC_START, Setting
 from .judge import Evaluation
 from .situations import COOL_DOWN, Script
 from .sources import Sources, ValuePath
@@ -84,7 +84,7 @@
         yield replace(case, script=replace(script, until=end))
     for index, step in enumerate(script.steps):
         rest = script.steps[:index] + script.steps[index + 1 :]
-        yield replace(case, script=replace(script, steps=rest), removed=(*case.removed, step.told()))
+        yield replace(case, script=replace(script, steps=rest), removed=(*case.removed, step.describe()))
     named = named_subjects(statement)
     yield from without_routers(case, named[SubjectKind.ROUTER])
     yield from without_tenants(case, named[SubjectKind.TENANT])
@@ -163,9 +163,12 @@
     if case.removed:
         lines.append(f"it takes none of: {', '.join(case.removed)}")
     events: list[tuple[int, str]] = [
-        (BEGIN, f"{BEGIN / SECOND:.1f} s: traffic at {case.setting.layout.load:g} of capacity")
+        (
+            TRAFFIC_START,
+            f"{TRAFFIC_START / SECOND:.1f} s: traffic at {case.setting.layout.load:g} of capacity",
+        )
     ]
-    events += [(step.at, step.told()) for step in case.script.steps]
+    events += [(step.at, step.describe()) for step in case.script.steps]
     for at, event, fields in notes:
         if at <= case.script.until:
             words = ", ".join(
--- a/birchslip/expect/situations.py
+++ b/birchslip/expect/situations.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 
 from ..lab.model.clock import SECOND
-from ..lab.model.world import BEGIN, Setting, Step
+from ..lab.model.world import TRAFFIC_START, Setting, Step
 from .words import Condition, Event
 
-STEADY_FROM = BEGIN + 2 * SECOND  # the first attempts of a run count for no expectation
-SITUATION_BEGIN = BEGIN + 3 * SECOND  # when the script sets the condition
+STEADY_FROM = TRAFFIC_START + 2 * SECOND  # the first attempts of a run count for no expectation
+SITUATION_BEGIN = TRAFFIC_START + 3 * SECOND  # when the script sets the condition
 SITUATION_LENGTH = 4 * SECOND  # for conditions that do not end by themselves
 LOAD_RAMP = SECOND  # a load is applied this long before it is measured
 COOL_DOWN = SECOND  # after the measured span, so that open requests can end
@@ -33,7 +33,7 @@
 
     def describe(self) -> list[str]:
         """Return one line for each step."""
-        return [step.told() for step in self.steps]
+        return [step.describe() for step in self.steps]
 
 
 def build_script(condition: Condition, setting: Setting, shrink_step_s: float = 0.25) -> Script:
@@ -47,7 +47,7 @@
     steps: list[Step] = []
     at, length = SITUATION_BEGIN, SITUATION_LENGTH + condition.settled
     if condition.load is not None:
-        steps.append(Step(at - LOAD_RAMP, "load", more=condition.load))
+        steps.append(Step(at - LOAD_RAMP, "load", value=condition.load))
     if condition.planners_gone:
         steps.append(Step(at, "planners-gone"))
     if condition.below_down:
@@ -60,7 +60,7 @@
             steps.append(Step(at + SITUATION_LENGTH, "restore", condition.lost))
             length += SITE_RETURN_TIME
     if condition.shrink is not None:
-        steps.append(Step(at, "shrink", more=condition.shrink))
+        steps.append(Step(at, "shrink", value=condition.shrink))
         count = sum(len(names) for names in setting.sites().values())
         length = max(length, int((1 - condition.shrink) * count * shrink_step_s * SECOND) + 3 * SECOND)
     if condition.release:
--- a/birchslip/expect/sources.py
+++ b/birchslip/expect/sources.py
@@ -94,7 +94,7 @@
         result = Setting(
             site.settings, site.class_names, site.tenant_names, self.layout, self.parsed_fleet, name=site.name
         )
-        errors = self.layout.trouble(site.class_names, site.tenant_names, list(result.sites()))
+        errors = self.layout.validation_errors(site.class_names, site.tenant_names, list(result.sites()))
         if errors:
             raise InvalidInputError(f"{self.file_labels[2]}: {errors[0]}")
         return result
--- a/birchslip/lab/model/clock.py
+++ b/birchslip/lab/model/clock.py
@@ -15,29 +15,29 @@
     def __init__(self) -> None:
         self.now = 0
         self.serial = 0
-        self.due: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
-    def at(self, when: int, act: Callable[..., None], *given: Any) -> None:
+    def at(self, time: int, callback: Callable[..., None], *args: Any) -> None:
         """Once, at that moment or at once; whoever is called looks whether it still matters."""
         self.serial += 1
-        heapq.heappush(self.due, (max(when, self.now), self.serial, act, given))
+        heapq.heappush(self.queue, (max(time, self.now), self.serial, callback, args))
 
-    def after(self, span: int, act: Callable[..., None], *given: Any) -> None:
-        self.at(self.now + span, act, *given)
+    def after(self, delay: int, callback: Callable[..., None], *args: Any) -> None:
+        self.at(self.now + delay, callback, *args)
 
-    def every(self, span: int, act: Callable[[], None], until: int) -> None:
+    def every(self, interval: int, callback: Callable[[], None], until: int) -> None:
         """From now on, up to `until`."""
 
-        def again() -> None:
-            act()
-            if self.now + span <= until:
-                self.at(self.now + span, again)
+        def run_and_reschedule() -> None:
+            callback()
+            if self.now + interval <= until:
+                self.at(self.now + interval, run_and_reschedule)
 
-        self.at(self.now, again)
+        self.at(self.now, run_and_reschedule)
 
     def run(self, until: int) -> None:
-        due = self.due
-        while due and due[0][0] <= until:
-            self.now, _, act, given = heapq.heappop(due)
-            act(*given)
+        queue = self.queue
+        while queue and queue[0][0] <= until:
+            self.now, _, callback, args = heapq.heappop(queue)
+            callback(*args)
         self.now = max(self.now, until)
--- a/birchslip/lab/model/layout.py
+++ b/birchslip/lab/model/layout.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from ...cluster.messages import Fraction, Message, Name
-from .habits import HABITS
+from .habits import ROUTING_POLICIES
 
-SERVERS_MOST = 1_000
+MAX_SERVERS = 1_000
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e6)]
 Weight = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
 
@@ -49,9 +49,7 @@
     profiles: dict[Name, Work] = msgspec.field(default_factory=dict)
     tenants: dict[Name, Weight] = msgspec.field(default_factory=dict)
     routers: list[RouterTold] = msgspec.field(default_factory=list)
-    servers: Annotated[int, msgspec.Meta(ge=1, le=SERVERS_MOST)] | None = (
-        None  # where no fleet file names any
-    )
+    servers: Annotated[int, msgspec.Meta(ge=1, le=MAX_SERVERS)] | None = None  # where no fleet file names any
     below: Below = msgspec.field(default_factory=Below)
     load: Positive = 0.7  # of all cores, while nothing else is said
     rate: Positive | None = None  # the same in transactions a second: then loads are parts of what that makes
@@ -64,30 +62,32 @@
     )
     loss: Fraction = 0.0  # for each one more
 
-    def trouble(self, profiles: list[str], tenants: list[str], sites: list[str]) -> list[str]:
+    def validation_errors(self, profiles: list[str], tenants: list[str], sites: list[str]) -> list[str]:
         """Names that nothing else knows, a line each."""
-        found = []
+        errors = []
         for name in self.profiles:
             if name not in profiles:
-                found.append(f"profiles: no profile is named {name!r}; there are {', '.join(profiles)}")
+                errors.append(f"profiles: no profile is named {name!r}; there are {', '.join(profiles)}")
         for name in self.tenants:
             if name not in tenants:
-                found.append(
+                errors.append(
                     f"tenants: no tenant is named {name!r}; there are {', '.join(tenants) or 'none'}"
                 )
         numbers: set[int] = set()
-        for place, router in enumerate(self.routers):
+        for index, router in enumerate(self.routers):
             if router.number in numbers:
-                found.append(f"routers[{place}]: the router {router.number} stands there twice")
+                errors.append(f"routers[{index}]: the router {router.number} stands there twice")
             numbers.add(router.number)
             if router.site is not None and router.site not in sites:
-                found.append(f"routers[{place}].site: no site is named {router.site!r}")
-            if router.habit not in HABITS:
-                known = ", ".join(HABITS)
-                found.append(f"routers[{place}].habit: no habit is named {router.habit!r}; there are {known}")
-        if self.profiles and not sum(one.share for one in self.profiles.values()):
-            found.append("profiles: no profile has any share")
-        return found
+                errors.append(f"routers[{index}].site: no site is named {router.site!r}")
+            if router.habit not in ROUTING_POLICIES:
+                known_policies = ", ".join(ROUTING_POLICIES)
+                errors.append(
+                    f"routers[{index}].habit: no habit is named {router.habit!r}; there are {known_policies}"
+                )
+        if self.profiles and not sum(work.share for work in self.profiles.values()):
+            errors.append("profiles: no profile has any share")
+        return errors
 
 
 def layout_schema() -> dict[str, Any]:
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -30,12 +30,12 @@
     from .servers import AppServer
     from .world import World
 
-SAMPLE = 1_000
-KNOCK_LIMIT, KNOCK_KEPT, KNOCKS_MOST = 3_000, 10_000, 8
-ASK = 2_000  # how often the platform is asked, where the fleet file does not say
+SAMPLE_INTERVAL = 1_000
+PROBE_TIMEOUT, PROBE_RESULT_LIFETIME, MAX_PROBE_RESULTS = 3_000, 10_000, 8
+DEFAULT_INVENTORY_INTERVAL = 2_000  # how often the platform is asked, where the fleet file does not say
 
 
-class Bond:
+class PlannerLink:
     """One life of a member: what it shows, and what it obeys."""
 
     def __init__(self, planners: Planners, server: AppServer) -> None:
@@ -44,126 +44,141 @@
         self.site = fleet.site_of(server.name)
         assert self.site is not None
         self.routers = frozenset(self.site.routers)
-        self.life, self.number = server.life, 0
+        self.incarnation, self.sequence = server.incarnation, 0
         base = fleet.base_calls().get(server.name, 0.0)
-        kept = fleet.vault.unleased_fraction * base if fleet.vault else 0.0
-        self.obey = PlanSubscription(kept, span(fleet.patience_ms), world.clock.now)
+        unleased_calls = fleet.vault.unleased_fraction * base if fleet.vault else 0.0
+        self.subscription = PlanSubscription(unleased_calls, span(fleet.patience_ms), world.clock.now)
         self.rates = RequestRates(world.tenant_names)
-        self.figures = OutcomeCounts(world.profile_names)
-        self.honoured, self.shed = server.counts["honoured"], server.counts["shed"]
-        self.met: dict[str, tuple[int, str]] = {}
-        self.calls = -1.0
-        server.seen, server.answered, server.before = self.seen, self.answered, self.check
+        self.outcome_counts = OutcomeCounts(world.class_names)
+        self.base_honoured, self.base_shed = server.counts["honoured"], server.counts["shed"]
+        self.probe_results: dict[str, tuple[int, str]] = {}
+        self.applied_quota = -1.0
+        server.on_request = self.record_arrival
+        server.on_request_closed = self.record_answer
+        server.before_event = self.apply_downstream_quota
         self.sample()
-        world.clock.after(planners.chance.randrange(1, 2_000), self.report)
+        world.clock.after(planners.rng.randrange(1, 2_000), self.send_report)
 
     @property
-    def alive(self) -> bool:
-        return self.server.life == self.life and self.server.up
+    def is_current(self) -> bool:
+        return self.server.incarnation == self.incarnation and self.server.is_up
 
-    def seen(self, transaction: Request) -> None:
-        at_home = not self.routers or transaction.caller in self.routers
-        account = transaction.context.a_try.deed.account if transaction.tenant is not None else ""
-        self.rates.record_arrival(self.planners.world.clock.now, account, at_home, transaction.is_retry)
+    def record_arrival(self, request: Request) -> None:
+        at_home = not self.routers or request.caller in self.routers
+        tenant_name = request.context.attempt.request.tenant_name if request.tenant is not None else ""
+        self.rates.record_arrival(self.planners.world.clock.now, tenant_name, at_home, request.is_retry)
 
-    def answered(self, transaction: Request, what: str, ran: int) -> None:
+    def record_answer(self, request: Request, result: str, run_time: int) -> None:
         now = self.planners.world.clock.now
-        late = now - transaction.arrived_at > transaction.request_class.latency_objective
-        self.figures.record_answer(transaction.context.a_try.deed.kind, what, ran, late)
+        is_late = now - request.arrived_at > request.request_class.latency_objective
+        self.outcome_counts.record_answer(
+            request.context.attempt.request.class_name, result, run_time, is_late
+        )
 
     def sample(self) -> None:
-        if not self.alive:
+        if not self.is_current:
             return
         counts, clock = self.server.counts, self.planners.world.clock
-        self.rates.record_answers(clock.now, counts["honoured"] - self.honoured, counts["shed"] - self.shed)
-        clock.after(SAMPLE, self.sample)
+        self.rates.record_answers(
+            clock.now, counts["honoured"] - self.base_honoured, counts["shed"] - self.base_shed
+        )
+        clock.after(SAMPLE_INTERVAL, self.sample)
 
-    def check(self) -> None:
+    def apply_downstream_quota(self) -> None:
         """A lease that has ended binds before the next call is made."""
         if self.planners.fleet.vault is None or self.server.driver is None:
             return
-        calls = self.obey.allowed_calls(self.planners.world.clock.now)
-        if calls != self.calls:
-            self.calls = calls
-            self.server.driver.set_downstream_quota(calls)
+        quota = self.subscription.allowed_calls(self.planners.world.clock.now)
+        if quota != self.applied_quota:
+            self.applied_quota = quota
+            self.server.driver.set_downstream_quota(quota)
 
-    def report(self) -> None:
-        if not self.alive:
+    def send_report(self) -> None:
+        if not self.is_current:
             return
         clock, planners = self.planners.world.clock, self.planners
-        every = self.obey.report_interval or span(planners.fleet.report_ms)
-        clock.after(every, self.report)
-        if self.server.paused or planners.gone:
+        interval = self.subscription.report_interval or span(planners.fleet.report_ms)
+        clock.after(interval, self.send_report)
+        if self.server.is_paused or planners.are_unreachable:
             return
-        sent = clock.now
-        told = self.told(sent)
-        clock.after(planners.world.delay, self.arrive, told, sent)
+        sent_at = clock.now
+        report = self.build_report(sent_at)
+        clock.after(planners.world.link_delay, self.deliver_report, report, sent_at)
 
-    def arrive(self, told: MemberReport, sent: int) -> None:
-        reply = self.planners.mind.receive_report(told, self.planners.world.clock.now)
-        self.planners.world.clock.after(self.planners.world.delay, self.take, reply, sent)
+    def deliver_report(self, report: MemberReport, sent_at: int) -> None:
+        reply = self.planners.state.receive_report(report, self.planners.world.clock.now)
+        self.planners.world.clock.after(self.planners.world.link_delay, self.handle_reply, reply, sent_at)
 
-    def told(self, now: int) -> MemberReport:
-        self.number += 1
+    def build_report(self, now: int) -> MemberReport:
+        self.sequence += 1
         server, site = self.server, self.site
         assert server.driver is not None and site is not None
         metrics = server.driver.metrics()
-        load, visits, again, honoured, shed = self.rates.snapshot(now)
-        self.met = {name: (at, what) for name, (at, what) in self.met.items() if now - at <= KNOCK_KEPT}
+        local_load, evacuated_load, retries, honoured, shed = self.rates.snapshot(now)
+        self.probe_results = {
+            name: (at, outcome)
+            for name, (at, outcome) in self.probe_results.items()
+            if now - at <= PROBE_RESULT_LIFETIME
+        }
         return MemberReport(
             name=server.name,
             site=site.name,
-            incarnation=Incarnation(nonce=self.life),
-            sequence=self.number,
+            incarnation=Incarnation(nonce=self.incarnation),
+            sequence=self.sequence,
             address="127.0.0.1:1",
-            uptime=now - server.began,
-            is_serving=server.serving,
-            is_draining=server.leaving,
-            is_warm=server.warm,
+            uptime=now - server.started_at,
+            is_serving=server.is_serving,
+            is_draining=server.is_draining,
+            is_warm=server.is_warm,
             capacity=estimate_capacity(server.cores.count, metrics.mean_service_time, honoured),
             slowdown=max(0.0, metrics.slowdown),
-            local_load=load,
-            evacuated_load=visits,
-            retries=again,
+            local_load=local_load,
+            evacuated_load=evacuated_load,
+            retries=retries,
             served=honoured,
             rejected=shed,
             calls_in_flight=float(metrics.calls_in_flight),
-            call_limit=max(0.0, self.obey.allowed_calls(now)),
-            lease_remaining=self.obey.lease_remaining(now),
-            plan_term=self.obey.term,
-            plan_number=self.obey.plan_number,
+            call_limit=max(0.0, self.subscription.allowed_calls(now)),
+            lease_remaining=self.subscription.lease_remaining(now),
+            plan_term=self.subscription.term,
+            plan_number=self.subscription.plan_number,
             probes=[
-                ProbeResult(member=name, outcome=ProbeOutcome(what)) for name, (_, what) in self.met.items()
-            ][:KNOCKS_MOST],
-            metrics=self.figures.totals({"relay.called": server.counts["called"]}),
-            latency_histograms={name: list(counts) for name, counts in self.figures.durations.items()},
+                ProbeResult(member=name, outcome=ProbeOutcome(outcome))
+                for name, (_, outcome) in self.probe_results.items()
+            ][:MAX_PROBE_RESULTS],
+            metrics=self.outcome_counts.totals({"relay.called": server.counts["called"]}),
+            latency_histograms={name: list(counts) for name, counts in self.outcome_counts.durations.items()},
         )
 
-    def take(self, reply: ReportReply, sent: int) -> None:
-        if not self.alive or self.server.paused:
+    def handle_reply(self, reply: ReportReply, sent_at: int) -> None:
+        if not self.is_current or self.server.is_paused:
             return
         now, server = self.planners.world.clock.now, self.server
-        if not self.obey.accept(reply, sent, now):
+        if not self.subscription.accept(reply, sent_at, now):
             return
         for name in reply.probe_addresses:
-            self.knock(name)
-        tell = reply.assignment
-        if tell is not None and tell is self.obey.assignment and server.driver is not None:
+            self.probe(name)
+        assignment = reply.assignment
+        if (
+            assignment is not None
+            and assignment is self.subscription.assignment
+            and server.driver is not None
+        ):
             server.driver.advance_clock(now)
-            until = now + self.obey.assignment_remaining(now)
-            server.driver.apply_plan(plan_override(tell, self.planners.tenants, until))
-            if server.dozes and server.driver.metrics().plan_weight:
-                server.dozes = False
-                server.tick(server.life)
-
-    def knock(self, name: str) -> None:
-        other = self.planners.world.by_name.get(name)
+            until = now + self.subscription.assignment_remaining(now)
+            server.driver.apply_plan(plan_override(assignment, self.planners.tenants, until))
+            if server.ticks_suspended and server.driver.metrics().plan_weight:
+                server.ticks_suspended = False
+                server.tick(server.incarnation)
+
+    def probe(self, name: str) -> None:
+        other = self.planners.world.servers_by_name.get(name)
         if other is None:
             return
-        what = "refused" if not other.up else "silent" if other.paused else "answered"
+        outcome = "refused" if not other.is_up else "silent" if other.is_paused else "answered"
         clock = self.planners.world.clock
-        wait = KNOCK_LIMIT if what == "silent" else 2 * self.planners.world.delay
-        clock.after(wait, lambda: self.met.update({name: (clock.now, what)}))
+        delay = PROBE_TIMEOUT if outcome == "silent" else 2 * self.planners.world.link_delay
+        clock.after(delay, lambda: self.probe_results.update({name: (clock.now, outcome)}))
 
 
 class Planners:
@@ -171,106 +186,109 @@
 
     def __init__(self, world: World, fleet: Fleet, seed: int) -> None:
         self.world, self.fleet = world, fleet
-        self.chance = Random(seed)
-        ballot = Election("model", ["model"], DurableVote(), 1, 0, Random(seed))
-        self.mind = PlannerState(fleet, ballot, 0)
-        self.bonds: dict[str, Bond] = {}
-        self.gone = False
+        self.rng = Random(seed)
+        election = Election("model", ["model"], DurableVote(), 1, 0, Random(seed))
+        self.state = PlannerState(fleet, election, 0)
+        self.links: dict[str, PlannerLink] = {}
+        self.are_unreachable = False
         self.tenants: dict[str, Tenant] = dict(zip(world.tenant_names, world.deployment.tenants, strict=True))
-        self.versions = {name: "1" for name in world.by_name}
-        self.states = {name: "up" for name in world.by_name}
-        self.phase = ""  # of the only release
-        self.carried: set[tuple[str, int]] = set()
+        self.versions = {name: "1" for name in world.servers_by_name}
+        self.process_states = {name: "up" for name in world.servers_by_name}
+        self.rollout_phase = ""  # of the only release
+        self.executed_orders: set[tuple[str, int]] = set()
 
     def start(self) -> None:
-        self.look()
+        self.tick()
         if self.fleet.disruption_budgets:
-            self.ask()
+            self.poll_platform()
 
-    def begun(self, server: AppServer) -> None:
+    def on_server_started(self, server: AppServer) -> None:
         """A new life of a member."""
-        self.bonds[server.name] = Bond(self, server)
+        self.links[server.name] = PlannerLink(self, server)
 
-    def broke(self, server: AppServer, life: int) -> None:
-        self.mind.membership.mark_disconnected(server.name, Incarnation(nonce=life))
+    def on_connection_lost(self, server: AppServer, incarnation: int) -> None:
+        self.state.membership.mark_disconnected(server.name, Incarnation(nonce=incarnation))
 
-    def may_be_found(self, server: AppServer) -> bool:
-        bond = self.bonds.get(server.name)
-        return bond is None or bond.obey.is_listed(self.world.clock.now)
+    def is_listed(self, server: AppServer) -> bool:
+        link = self.links.get(server.name)
+        return link is None or link.subscription.is_listed(self.world.clock.now)
 
     # ---- time ------------------------------------------------------------------------------------------
 
-    def look(self) -> None:
-        clock, mind = self.world.clock, self.mind
-        clock.after(EVALUATION_INTERVAL, self.look)
-        if self.gone:
+    def tick(self) -> None:
+        clock, state = self.world.clock, self.state
+        clock.after(EVALUATION_INTERVAL, self.tick)
+        if self.are_unreachable:
             return
         now = clock.now
-        ask = mind.election.next_vote_request(now)
-        if ask is not None:
-            mind.election.handle_vote_response(
-                mind.election.handle_vote_request(ask, now), ask.term, now, now
+        vote_request = state.election.next_vote_request(now)
+        if vote_request is not None:
+            state.election.handle_vote_response(
+                state.election.handle_vote_request(vote_request, now), vote_request.term, now, now
             )
-        mind.tick(now)
-        self.have_kept()
-        for event, more in mind.drain_events():
-            self.world.note(event, **more)
-
-    def have_kept(self) -> None:
-        mind = self.mind
-        told = mind.replication_request()
-        if told is not None and mind.election.handle_replication_response(
-            mind.election.handle_replication_request(told, self.world.clock.now), told.state_number
+        state.tick(now)
+        self.replicate_state()
+        for event, fields in state.drain_events():
+            self.world.note(event, **fields)
+
+    def replicate_state(self) -> None:
+        state = self.state
+        request = state.replication_request()
+        if request is not None and state.election.handle_replication_response(
+            state.election.handle_replication_request(request, self.world.clock.now), request.state_number
         ):
-            mind.mark_replicated(told.state_number)
+            state.mark_replicated(request.state_number)
 
     # ---- a release, and its platform -------------------------------------------------------------------
 
-    def ask(self) -> None:
+    def poll_platform(self) -> None:
         clock = self.world.clock
         platform = self.fleet.platform
-        clock.after(span(platform.ask_ms) if platform is not None else ASK, self.ask)
-        if not self.mind.is_effective_leader(clock.now) or self.gone:
+        clock.after(
+            span(platform.ask_ms) if platform is not None else DEFAULT_INVENTORY_INTERVAL, self.poll_platform
+        )
+        if not self.state.is_effective_leader(clock.now) or self.are_unreachable:
             return
         members = {
-            name: ProcessReport(state=self.states[name], version=self.versions[name]) for name in self.states
+            name: ProcessReport(state=self.process_states[name], version=self.versions[name])
+            for name in self.process_states
         }
         services = {one.name: ProcessReport(state="up", start_count=1) for one in self.fleet.services}
-        self.mind.receive_inventory(Inventory(members, services), clock.now)
-        for order in list(self.mind.platform_orders(clock.now)):
-            self.carry(order)
-        releases = self.mind.rollouts.controller.rollouts
+        self.state.receive_inventory(Inventory(members, services), clock.now)
+        for order in list(self.state.platform_orders(clock.now)):
+            self.execute_order(order)
+        releases = self.state.rollouts.controller.rollouts
         if releases:
-            self.phase = releases[-1].phase.value
+            self.rollout_phase = releases[-1].phase.value
 
-    def release(self, plan: RolloutSpec) -> str:
+    def start_rollout(self, spec: RolloutSpec) -> str:
         """Why it can't begin; nothing where it has."""
         if not self.fleet.disruption_budgets:
             return "the fleet file has no groups"
-        _, said = self.mind.handle_rollout_command(
-            RolloutCommand(action=RolloutAction.START, operator="the model", spec=plan), self.world.clock.now
+        _, response = self.state.handle_rollout_command(
+            RolloutCommand(action=RolloutAction.START, operator="the model", spec=spec), self.world.clock.now
         )
-        self.have_kept()
-        if said.accepted:
-            self.phase = "running"
-        return said.reason
+        self.replicate_state()
+        if response.accepted:
+            self.rollout_phase = "running"
+        return response.reason
 
-    def carry(self, order: PlatformOrder) -> None:
+    def execute_order(self, order: PlatformOrder) -> None:
         world, name = self.world, order.member
-        server = world.by_name[name]
+        server = world.servers_by_name[name]
         if order.action is OrderAction.START:
-            if self.states[name] == "stopped":
-                self.versions[name], self.states[name] = order.version, "up"
-                world.start(server, cold=True)
+            if self.process_states[name] == "stopped":
+                self.versions[name], self.process_states[name] = order.version, "up"
+                world.start_server(server, cold=True)
             return
-        stale = (name, order.permit_number) in self.carried or self.versions[name] == order.version
-        if stale or self.states[name] != "up" or not server.up:
+        is_stale = (name, order.permit_number) in self.executed_orders or self.versions[name] == order.version
+        if is_stale or self.process_states[name] != "up" or not server.is_up:
             return
-        self.carried.add((name, order.permit_number))
-        self.states[name] = "draining"
-        world.drain(server, lambda: self.states.update({name: "stopped"}))
+        self.executed_orders.add((name, order.permit_number))
+        self.process_states[name] = "draining"
+        world.drain_server(server, lambda: self.process_states.update({name: "stopped"}))
 
-    def plan(self) -> RolloutSpec:
+    def rollout_spec(self) -> RolloutSpec:
         """A short release of everybody, of a version that is as good as the one before."""
         return RolloutSpec(
             version="2",
--- a/birchslip/lab/model/servers.py
+++ b/birchslip/lab/model/servers.py
@@ -39,37 +39,37 @@
     StoreKey,
 )
 from ..cores import SECOND, Cores
-from .below import Below, CallBelow
+from .below import DownstreamCall, DownstreamService
 from .clock import Clock
 
 if TYPE_CHECKING:
-    from .routers import Try
+    from .routers import Attempt
 
-STOP = 2 * SECOND  # from the notice to leave to the end, where nothing else is told
+DEFAULT_STOP_SPAN = 2 * SECOND  # from the notice to leave to the end, where nothing else is told
 
 
 @dataclass(eq=False, slots=True)
-class Label:
+class KeyRecord:
     """Of one label, for its window: who ran, and who waits for what comes of it."""
 
     original: Request
-    until: int
+    expires_at: int
     outcome: Outcome | None = None
-    waiting: list[Request] = field(default_factory=list)
+    waiting_repeats: list[Request] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
 class Run:
     """A transaction on this side of the door, and what is left of its run."""
 
-    a_try: Try
-    rest: int  # of its work, on one core
-    calls: bool
-    launched: bool = False
-    launched_at: int = 0
-    over: bool = False
-    number: int = 0  # of the piece that is on the cores: one that was stopped does not end
-    call: CallBelow | None = None
+    attempt: Attempt
+    remaining_work: int  # of its work, on one core
+    calls_downstream: bool
+    has_started: bool = False
+    started_at: int = 0
+    is_over: bool = False
+    piece_number: int = 0  # of the piece that is on the cores: one that was stopped does not end
+    call: DownstreamCall | None = None
 
 
 class AppServer:
@@ -82,144 +82,151 @@
         site: str,
         deployment: AdmissionSettings,
         cores: Cores,
-        below: Below,
-        answer: Callable[[Try, str, int, bool], None],
+        downstream: DownstreamService,
+        on_answer: Callable[[Attempt, str, int, bool], None],
     ) -> None:
         self.clock, self.name, self.site, self.deployment = clock, name, site, deployment
-        self.cores, self.below, self.answer = cores, below, answer
-        self.life = 0
-        self.up = self.paused = self.leaving = self.good = False
-        self.idle = -1
+        self.cores, self.downstream, self.on_answer = cores, downstream, on_answer
+        self.incarnation = 0
+        self.is_up = self.is_paused = self.is_draining = self.is_healthy = False
+        self.idle_timeout = -1
         self.counts: Counter[str] = Counter()
-        self.seen: Callable[[Request], None] = lambda transaction: None
-        self.answered: Callable[[Request, str, int], None] = lambda transaction, what, ran: None
-        self.before: Callable[[], None] = lambda: None  # each batch: leases that have ended bind
-        self.held: list[tuple[int, Callable[[], None]]] = []  # while it is paused, with the life it is for
+        self.on_request: Callable[[Request], None] = lambda request: None
+        self.on_request_closed: Callable[[Request, str, int], None] = lambda request, result, run_time: None
+        self.before_event: Callable[[], None] = lambda: None  # each batch: leases that have ended bind
+        self.deferred: list[
+            tuple[int, Callable[[], None]]
+        ] = []  # while it is paused, with the life it is for
         self.driver: AdmissionDriver | None = None
 
     # ---- lives -----------------------------------------------------------------------------------------
 
     def start(self, cold: bool) -> None:
         now = self.clock.now
-        self.life += 1
-        self.up, self.paused, self.leaving, self.good, self.idle = True, False, False, True, -1
+        self.incarnation += 1
+        self.is_up, self.is_paused, self.is_draining, self.is_healthy = True, False, False, True
+        self.idle_timeout = -1
         self.cores.start(now, cold)
-        self.labels: dict[str, Label] = {}
-        self.open: dict[Request, Run] = {}
+        self.key_records: dict[str, KeyRecord] = {}
+        self.open_requests: dict[Request, Run] = {}
         self.on_cores = 0
-        self.began = now
-        self.dozes = False
-        self.held.clear()
-        told = replace(self.deployment, starts_cold=cold, seed=self.deployment.seed + 7919 * self.life)
-        self.driver = AdmissionDriver(told, now, self.carry, self.tell)
+        self.started_at = now
+        self.ticks_suspended = False
+        self.deferred.clear()
+        settings = replace(
+            self.deployment, starts_cold=cold, seed=self.deployment.seed + 7919 * self.incarnation
+        )
+        self.driver = AdmissionDriver(settings, now, self.perform_action, self.perform_server_action)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """At once: what it held is gone, and nobody hears of it but by the broken link."""
-        self.up = self.paused = False
-        self.life += 1
+        self.is_up = self.is_paused = False
+        self.incarnation += 1
         self.driver = None
-        self.below.drop(self.name)
-        for run in self.open.values():
-            self.answer(run.a_try, "cut", 0, False)
-        self.open = {}
+        self.downstream.drop_calls(self.name)
+        for run in self.open_requests.values():
+            self.on_answer(run.attempt, "cut", 0, False)
+        self.open_requests = {}
         self.on_cores = 0
 
     def pause(self) -> None:
-        self.paused = True
+        self.is_paused = True
 
     def resume(self) -> None:
-        self.paused = False
-        held, self.held = self.held, []
-        for life, act in held:
-            if life == self.life:
-                act()
-
-    def leave(self, stop: int = STOP) -> None:
-        if self.driver is None or self.leaving:
+        self.is_paused = False
+        deferred, self.deferred = self.deferred, []
+        for incarnation, callback in deferred:
+            if incarnation == self.incarnation:
+                callback()
+
+    def drain(self, stop_span: int = DEFAULT_STOP_SPAN) -> None:
+        if self.driver is None or self.is_draining:
             return
-        self.leaving = True
+        self.is_draining = True
         self.driver.advance_clock(self.clock.now)
-        self.driver.drain(self.clock.now + stop)
+        self.driver.drain(self.clock.now + stop_span)
         self.settle()
 
     @property
-    def warm(self) -> bool:
-        return self.up and (not self.cores.cold or self.clock.now - self.began >= self.cores.cold_span)
+    def is_warm(self) -> bool:
+        return self.is_up and (
+            not self.cores.cold or self.clock.now - self.started_at >= self.cores.cold_span
+        )
 
     @property
-    def serving(self) -> bool:
-        return self.up and not self.paused and not self.leaving
+    def is_serving(self) -> bool:
+        return self.is_up and not self.is_paused and not self.is_draining
 
-    def awake(self, act: Callable[[], None]) -> Callable[[], None]:
+    def guard(self, callback: Callable[[], None]) -> Callable[[], None]:
         """Nothing happens while it is paused, and nothing of an earlier life happens at all."""
-        life = self.life
+        incarnation = self.incarnation
 
-        def guarded() -> None:
-            if life != self.life:
+        def run_if_current() -> None:
+            if incarnation != self.incarnation:
                 return
-            if self.paused:
-                self.held.append((life, guarded))
+            if self.is_paused:
+                self.deferred.append((incarnation, run_if_current))
             else:
-                act()
+                callback()
 
-        return guarded
+        return run_if_current
 
     # ---- what comes in ---------------------------------------------------------------------------------
 
-    def receive(self, a_try: Try) -> None:
+    def receive(self, attempt: Attempt) -> None:
         """What a router has sent; one that was on its way to an earlier life finds its link broken."""
-        if a_try.life != self.life:
-            self.answer(a_try, "cut", 0, False)
+        if attempt.incarnation != self.incarnation:
+            self.on_answer(attempt, "cut", 0, False)
         else:
-            self.awake(lambda: self.read(a_try))()
+            self.guard(lambda: self.process_arrival(attempt))()
 
-    def read(self, a_try: Try) -> None:
+    def process_arrival(self, attempt: Attempt) -> None:
         now = self.clock.now
         if self.driver is None:
             return
-        told = a_try.deed
+        client_request = attempt.request
         original = None
-        if told.label:
-            label = self.labels.get(told.label)
-            if label is not None and label.until > now:
-                original = label.original
-        transaction = Request(
-            told.profile,
-            caller=a_try.router,
-            arrived_at=min(now, a_try.at),
-            deadline=max(now, a_try.due),
-            size=told.size,
-            tenant=told.tenant,
+        if client_request.idempotency_key:
+            key_record = self.key_records.get(client_request.idempotency_key)
+            if key_record is not None and key_record.expires_at > now:
+                original = key_record.original
+        request = Request(
+            client_request.request_class,
+            caller=attempt.router_number,
+            arrived_at=min(now, attempt.sent_at),
+            deadline=max(now, attempt.deadline),
+            size=client_request.size,
+            tenant=client_request.tenant,
             original=original,
-            is_retry=a_try.again,
+            is_retry=attempt.is_retry,
         )
-        run = self.open[transaction] = Run(a_try, told.work, told.calls)
-        transaction.context = run
-        self.seen(transaction)
-        self.batch()
-        if self.dozes:
-            self.dozes = False
-            self.tick(self.life)
-        self.driver.admit(transaction)
+        run = self.open_requests[request] = Run(attempt, client_request.work, client_request.calls_downstream)
+        request.context = run
+        self.on_request(request)
+        self.begin_event()
+        if self.ticks_suspended:
+            self.ticks_suspended = False
+            self.tick(self.incarnation)
+        self.driver.admit(request)
         self.settle()
 
-    def abort(self, a_try: Try) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Its caller waits no longer."""
-        for transaction, run in self.open.items():
-            if run.a_try is a_try:
-                self.closed(transaction, run, "gone")
-                self.hear(transaction, CallerGone())
+        for request, run in self.open_requests.items():
+            if run.attempt is attempt:
+                self.close_request(request, run, "gone")
+                self.deliver_event(request, CallerGone())
                 return
 
-    def batch(self) -> None:
+    def begin_event(self) -> None:
         assert self.driver is not None
-        self.before()
+        self.before_event()
         self.driver.advance_clock(self.clock.now)
 
-    def hear(self, transaction: Request, event: Event) -> None:
+    def deliver_event(self, request: Request, event: Event) -> None:
         if self.driver is not None:
-            self.batch()
-            self.driver.deliver(transaction, event)
+            self.begin_event()
+            self.driver.deliver(request, event)
             self.settle()
 
     def settle(self) -> None:
@@ -228,166 +235,173 @@
 
     # ---- what the decisions wish -----------------------------------------------------------------------
 
-    def carry(self, transaction: Request, wish: Action) -> None:
-        run: Run = transaction.context
-        match wish:
+    def perform_action(self, request: Request, action: Action) -> None:
+        run: Run = request.context
+        match action:
             case StartRun():
-                self.launch(transaction, run)
-            case CallDownstream(limit):
-                self.call(transaction, run, limit)
+                self.start_run(request, run)
+            case CallDownstream(timeout):
+                self.start_call(request, run, timeout)
             case SkipCall():
-                self.work(transaction, run)
+                self.run_remaining(request, run)
             case AttachToOriginal():
-                self.attach(transaction, run)
+                self.attach_to_original(request, run)
             case StopRun():
-                if run.launched and not run.over:
-                    self.clock.after(0, self.awake(lambda: self.end(transaction, run, Outcome.CANCELLED)))
-            case StoreKey(span):
-                label = run.a_try.deed.label
-                self.labels[label] = Label(transaction, self.clock.now + span)
+                if run.has_started and not run.is_over:
+                    self.clock.after(0, self.guard(lambda: self.end_run(request, run, Outcome.CANCELLED)))
+            case StoreKey(retention):
+                key = run.attempt.request.idempotency_key
+                self.key_records[key] = KeyRecord(request, self.clock.now + retention)
             case ReleaseKey():
-                self.forget(run.a_try.deed.label, transaction)
-            case Reject(after, last):
-                self.close(transaction, run, "shed", after, last)
+                self.release_key(run.attempt.request.idempotency_key, request)
+            case Reject(retry_after, stop_retrying):
+                self.send_answer(request, run, "shed", retry_after, stop_retrying)
             case Fail():
-                self.drop_call(run)
-                self.close(transaction, run, "written_off")
+                self.cancel_call(run)
+                self.send_answer(request, run, "written_off")
 
-    def tell(self, notice: ServerAction) -> None:
-        match notice:
+    def perform_server_action(self, action: ServerAction) -> None:
+        match action:
             case SetTimer(at):
-                self.clock.at(at, self.tick, self.life)
-            case SetHealth(good):
-                self.good = good
-            case SetIdleTimeout(span):
-                self.idle = span
+                self.clock.at(at, self.tick, self.incarnation)
+            case SetHealth(is_healthy):
+                self.is_healthy = is_healthy
+            case SetIdleTimeout(timeout):
+                self.idle_timeout = timeout
 
-    def tick(self, life: int) -> None:
+    def tick(self, incarnation: int) -> None:
         """One that has nothing in hand sleeps until something comes: its ticks would change nothing."""
-        if life != self.life or self.driver is None:
+        if incarnation != self.incarnation or self.driver is None:
             return
-        if self.paused:
-            self.held.append((life, lambda: self.tick(life)))
+        if self.is_paused:
+            self.deferred.append((incarnation, lambda: self.tick(incarnation)))
             return
         metrics = self.driver.metrics()
-        if not self.open and metrics.is_healthy and not metrics.plan_weight and not self.leaving:
-            self.dozes = True
+        if not self.open_requests and metrics.is_healthy and not metrics.plan_weight and not self.is_draining:
+            self.ticks_suspended = True
             return
-        self.batch()
+        self.begin_event()
         self.driver.tick(Gauges(min(1.0, self.on_cores / self.cores.count)))
         self.settle()
 
     # ---- runs ------------------------------------------------------------------------------------------
 
-    def launch(self, transaction: Request, run: Run) -> None:
-        run.launched, run.launched_at = True, self.clock.now
+    def start_run(self, request: Request, run: Run) -> None:
+        run.has_started, run.started_at = True, self.clock.now
         self.counts["launched"] += 1
-        if run.calls:
-            half = run.rest // 2
-            run.rest -= half
-            self.piece(transaction, run, half, self.wants_call)
+        if run.calls_downstream:
+            first_half = run.remaining_work // 2
+            run.remaining_work -= first_half
+            self.run_piece(request, run, first_half, self.request_call)
         else:
-            self.work(transaction, run)
+            self.run_remaining(request, run)
 
-    def work(self, transaction: Request, run: Run) -> None:
-        self.piece(transaction, run, run.rest, self.done)
+    def run_remaining(self, request: Request, run: Run) -> None:
+        self.run_piece(request, run, run.remaining_work, self.on_work_done)
 
-    def piece(self, transaction: Request, run: Run, span: int, then: Callable[[Request, Run], None]) -> None:
+    def run_piece(
+        self, request: Request, run: Run, work: int, on_done: Callable[[Request, Run], None]
+    ) -> None:
         """On the cores until it is over, as long as nobody stops it."""
         self.on_cores += 1
-        run.number += 1
-        number = run.number
-        took = self.cores.took(self.clock.now, span, self.on_cores)
+        run.piece_number += 1
+        piece_number = run.piece_number
+        duration = self.cores.took(self.clock.now, work, self.on_cores)
 
-        def over() -> None:
-            if run.number == number and not run.over:
+        def finish_piece() -> None:
+            if run.piece_number == piece_number and not run.is_over:
                 self.on_cores -= 1
-                run.number += 1
-                then(transaction, run)
+                run.piece_number += 1
+                on_done(request, run)
 
-        self.clock.after(max(1, took), self.awake(over))
+        self.clock.after(max(1, duration), self.guard(finish_piece))
 
-    def wants_call(self, transaction: Request, run: Run) -> None:
-        self.hear(transaction, CallNeeded())
+    def request_call(self, request: Request, run: Run) -> None:
+        self.deliver_event(request, CallNeeded())
 
-    def call(self, transaction: Request, run: Run, limit: int) -> None:
+    def start_call(self, request: Request, run: Run, timeout: int) -> None:
         self.counts["called"] += 1
 
-        def ended(outcome: Outcome) -> None:
+        def on_end(outcome: Outcome) -> None:
             run.call = None
-            life = self.awake(lambda: self.call_ended(transaction, run, outcome))
-            life()
+            resume_run = self.guard(lambda: self.on_call_ended(request, run, outcome))
+            resume_run()
 
-        run.call = self.below.ask(self.name, limit, ended)
+        run.call = self.downstream.start_call(self.name, timeout, on_end)
 
-    def call_ended(self, transaction: Request, run: Run, outcome: Outcome) -> None:
+    def on_call_ended(self, request: Request, run: Run, outcome: Outcome) -> None:
         if outcome is not Outcome.SERVED:
             self.counts["calls_bad"] += 1
-        self.hear(transaction, CallEnded(outcome, 0))
-        if outcome is Outcome.SERVED and not run.over and transaction.state is RequestState.RUNNING:
-            self.work(transaction, run)
+        self.deliver_event(request, CallEnded(outcome, 0))
+        if outcome is Outcome.SERVED and not run.is_over and request.state is RequestState.RUNNING:
+            self.run_remaining(request, run)
 
-    def drop_call(self, run: Run) -> None:
+    def cancel_call(self, run: Run) -> None:
         if run.call is not None:
-            self.below.unask(run.call)
+            self.downstream.remove_call(run.call)
             run.call = None
 
-    def done(self, transaction: Request, run: Run) -> None:
-        self.end(transaction, run, Outcome.SERVED)
+    def on_work_done(self, request: Request, run: Run) -> None:
+        self.end_run(request, run, Outcome.SERVED)
 
-    def end(self, transaction: Request, run: Run, outcome: Outcome) -> None:
+    def end_run(self, request: Request, run: Run, outcome: Outcome) -> None:
         """The run is over, however: all who wait for it hear what came of it."""
-        if run.over:
+        if run.is_over:
             return
-        if run.number % 2:
+        if run.piece_number % 2:
             self.on_cores -= 1  # it was on them
-        run.over = True
-        self.drop_call(run)
-        label = self.labels.get(run.a_try.deed.label)
-        waiting: list[Request] = []
-        if label is not None and label.original is transaction:
-            label.outcome = outcome
-            waiting, label.waiting = label.waiting, []
-        self.share(transaction, run, outcome)
-        for repeat in waiting:
-            if repeat in self.open:
-                self.share(repeat, self.open[repeat], outcome)
-
-    def share(self, transaction: Request, run: Run, outcome: Outcome) -> None:
-        good = outcome is Outcome.SERVED
-        self.close(transaction, run, "honoured" if good else "written_off")
-        self.hear(transaction, RunEnded(outcome, 0))
-
-    def attach(self, transaction: Request, run: Run) -> None:
+        run.is_over = True
+        self.cancel_call(run)
+        key_record = self.key_records.get(run.attempt.request.idempotency_key)
+        waiting_repeats: list[Request] = []
+        if key_record is not None and key_record.original is request:
+            key_record.outcome = outcome
+            waiting_repeats, key_record.waiting_repeats = key_record.waiting_repeats, []
+        self.report_outcome(request, run, outcome)
+        for repeat in waiting_repeats:
+            if repeat in self.open_requests:
+                self.report_outcome(repeat, self.open_requests[repeat], outcome)
+
+    def report_outcome(self, request: Request, run: Run, outcome: Outcome) -> None:
+        is_served = outcome is Outcome.SERVED
+        self.send_answer(request, run, "honoured" if is_served else "written_off")
+        self.deliver_event(request, RunEnded(outcome, 0))
+
+    def attach_to_original(self, request: Request, run: Run) -> None:
         """It shares what the try that it repeats comes to, or has come to."""
-        label = self.labels.get(run.a_try.deed.label)
-        if label is None or label.outcome is not None:
-            outcome = Outcome.FAILED if label is None or label.outcome is None else label.outcome
-            self.clock.after(0, self.awake(lambda: self.share(transaction, run, outcome)))
+        key_record = self.key_records.get(run.attempt.request.idempotency_key)
+        if key_record is None or key_record.outcome is not None:
+            outcome = (
+                Outcome.FAILED if key_record is None or key_record.outcome is None else key_record.outcome
+            )
+            self.clock.after(0, self.guard(lambda: self.report_outcome(request, run, outcome)))
         else:
-            label.waiting.append(transaction)
+            key_record.waiting_repeats.append(request)
 
-    def forget(self, name: str, transaction: Request) -> None:
-        label = self.labels.get(name)
-        if label is None or label.original is not transaction:
+    def release_key(self, key: str, request: Request) -> None:
+        key_record = self.key_records.get(key)
+        if key_record is None or key_record.original is not request:
             return
-        del self.labels[name]
-        for repeat in label.waiting:
-            if repeat in self.open:
-                run = self.open[repeat]
-                self.clock.after(0, self.awake(lambda r=repeat, n=run: self.share(r, n, Outcome.FAILED)))  # type: ignore[misc]
+        del self.key_records[key]
+        for repeat in key_record.waiting_repeats:
+            if repeat in self.open_requests:
+                run = self.open_requests[repeat]
+                fail = self.guard(lambda r=repeat, n=run: self.report_outcome(r, n, Outcome.FAILED))  # type: ignore[misc]
+                self.clock.after(0, fail)
 
     # ---- final answers ---------------------------------------------------------------------------------
 
-    def close(self, transaction: Request, run: Run, what: str, after: int = 0, last: bool = False) -> None:
-        if self.closed(transaction, run, what):
-            self.answer(run.a_try, what, after, last)
+    def send_answer(
+        self, request: Request, run: Run, result: str, retry_after: int = 0, stop_retrying: bool = False
+    ) -> None:
+        if self.close_request(request, run, result):
+            self.on_answer(run.attempt, result, retry_after, stop_retrying)
 
-    def closed(self, transaction: Request, run: Run, what: str) -> bool:
+    def close_request(self, request: Request, run: Run, result: str) -> bool:
         """Whether this is the final answer: there is one, and none once the caller has gone."""
-        if self.open.pop(transaction, None) is None:
+        if self.open_requests.pop(request, None) is None:
             return False
-        self.counts[what] += 1
-        ran = self.clock.now - run.launched_at if run.launched else -1
-        self.answered(transaction, what, ran)
+        self.counts[result] += 1
+        run_time = self.clock.now - run.started_at if run.has_started else -1
+        self.on_request_closed(request, result, run_time)
         return True
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -14,20 +14,20 @@
 from ...admission.types import AdmissionSettings, Tenant
 from ...cluster.fleet_file import Fleet
 from ..cores import Cores
-from .below import Below
+from .below import DownstreamService
 from .clock import SECOND, Clock
-from .habits import HABITS
+from .habits import ROUTING_POLICIES
 from .layout import Layout, RouterTold, Work
 from .planners import Planners
-from .routers import Deed, Router, Traffic, Try
+from .routers import Attempt, ClientRequest, Router, Traffic
 from .servers import AppServer
 
-NEWS, NEWS_EVERY = 8_000, 2_000  # the catalog's list is read so often, and reaches routers so late
-LAPSE = 30_000  # a report to the catalog stands for three seconds
-PING, MISSED = 5_500, 2  # health checks, and how many must fail
-SAMPLE = 500
-BEGIN = 2 * SECOND  # traffic: by then planners lead, and routers know who is listed
-COLD_START = 5_000  # from the order to start to the first transaction
+LIST_DELAY, LIST_INTERVAL = 8_000, 2_000  # the catalog's list is read so often, and reaches routers so late
+CATALOG_REPORT_LIFETIME = 30_000  # a report to the catalog stands for three seconds
+HEALTH_CHECK_INTERVAL, MAX_FAILED_CHECKS = 5_500, 2  # health checks, and how many must fail
+SAMPLE_INTERVAL = 500
+TRAFFIC_START = 2 * SECOND  # traffic: by then planners lead, and routers know who is listed
+COLD_START_DELAY = 5_000  # from the order to start to the first transaction
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,14 +49,14 @@
     """
 
     at: int
-    what: str
-    whom: str = ""
-    more: float = 0.0
+    action: str
+    target: str = ""
+    value: float = 0.0
 
-    def told(self) -> str:
+    def describe(self) -> str:
         """For people."""
-        more = f" {self.more:g}" if self.more else ""
-        return f"{self.at / SECOND:.1f} s: {self.what}{' ' + self.whom if self.whom else ''}{more}"
+        value = f" {self.value:g}" if self.value else ""
+        return f"{self.at / SECOND:.1f} s: {self.action}{' ' + self.target if self.target else ''}{value}"
 
 
 class Series:
@@ -96,11 +96,11 @@
 
     def sites(self) -> dict[str, list[str]]:
         if self.fleet is not None:
-            return {site.name: [one.name for one in site.members] for site in self.fleet.sites}
+            return {site.name: [member.name for member in site.members] for site in self.fleet.sites}
         count = self.layout.servers or self.deployment.fleet_size
         return {"here": [self.name, *(f"here-{n}" for n in range(2, count + 1))][:count]}
 
-    def sites_of(self) -> dict[str, str]:
+    def site_by_server(self) -> dict[str, str]:
         """The site of each app server."""
         return {name: site for site, names in self.sites().items() for name in names}
 
@@ -115,9 +115,9 @@
                 for number in site.routers
             ]
         return [
-            RouterTold(number=1 + 2 * place + one, site=site)
-            for place, site in enumerate(self.sites())
-            for one in range(2)
+            RouterTold(number=1 + 2 * index + router, site=site)
+            for index, site in enumerate(self.sites())
+            for router in range(2)
         ]
 
     def capacity(self) -> float:
@@ -125,27 +125,29 @@
         if self.layout.rate is not None:
             return self.layout.rate / self.layout.load
         count = sum(map(len, self.sites().values()))
-        return count * self.deployment.cores * SECOND / self.traffic().work
+        return count * self.deployment.cores * SECOND / self.traffic().mean_work
 
     def traffic(self) -> Traffic:
-        profiles = []
-        for name, profile in zip(self.profiles, self.deployment.request_classes, strict=True):
-            told = self.layout.profiles.get(name, Work())
+        request_classes = []
+        for name, request_class in zip(self.profiles, self.deployment.request_classes, strict=True):
+            class_work = self.layout.profiles.get(name, Work())
             work = (
-                int(told.work_ms * 10)
-                if told.work_ms is not None
-                else max(10, profile.latency_objective // 8)
+                int(class_work.work_ms * 10)
+                if class_work.work_ms is not None
+                else max(10, request_class.latency_objective // 8)
             )
-            profiles.append((name, profile, told.share, work, told.calls))
+            request_classes.append((name, request_class, class_work.share, work, class_work.calls))
         tenants: dict[str, tuple[Tenant | None, float]] = {}
         shares = self.layout.tenants or (self.fleet.tenant_shares if self.fleet is not None else {})
         for name, tenant in zip(self.tenants, self.deployment.tenants, strict=True):
             tenants[name] = (tenant, shares.get(name, 0.0 if shares else 1.0))
-        weight = sum(share for _, share in tenants.values())
+        total_share = sum(share for _, share in tenants.values())
         parts = (
-            {name: (tenant, share / weight) for name, (tenant, share) in tenants.items()} if weight else {}
+            {name: (tenant, share / total_share) for name, (tenant, share) in tenants.items()}
+            if total_share
+            else {}
         )
-        return Traffic(profiles, parts or {"": (None, 1.0)}, self.layout.size)
+        return Traffic(request_classes, parts or {"": (None, 1.0)}, self.layout.size)
 
 
 class World:
@@ -155,18 +157,18 @@
         """`capacity` is what loads are parts of, in transactions a second: its own where none is told."""
         self.setting = setting
         self.clock = Clock()
-        chance = Random(seed)
+        rng = Random(seed)
         layout = self.layout = setting.layout
         deployment = self.deployment = setting.deployment
-        self.profile_names, self.tenant_names = setting.profiles, setting.tenants
-        self.delay = int(layout.link_ms * 10)
-        below = layout.below
-        self.below = Below(
+        self.class_names, self.tenant_names = setting.profiles, setting.tenants
+        self.link_delay = int(layout.link_ms * 10)
+        service = layout.below
+        self.downstream = DownstreamService(
             self.clock,
-            Random(chance.getrandbits(48)),
-            int(below.took_ms * 10),
-            below.holds or 0,
-            below.survives or 0,
+            Random(rng.getrandbits(48)),
+            int(service.took_ms * 10),
+            service.holds or 0,
+            service.survives or 0,
         )
         self.traffic = setting.traffic()
         self.servers: list[AppServer] = []
@@ -180,282 +182,301 @@
                     layout.crowd,
                     layout.loss,
                 )
-                told = replace(deployment, seed=chance.getrandbits(32))
-                self.servers.append(AppServer(self.clock, name, site, told, cores, self.below, self.answer))
-        self.by_name = {one.name: one for one in self.servers}
+                server_deployment = replace(deployment, seed=rng.getrandbits(32))
+                self.servers.append(
+                    AppServer(
+                        self.clock, name, site, server_deployment, cores, self.downstream, self.deliver_answer
+                    )
+                )
+        self.servers_by_name = {server.name: server for server in self.servers}
         self.capacity = capacity or setting.capacity()
-        self.found: list[AppServer] = []
-        self.checked: list[AppServer] = []
-        self.bad: set[AppServer] = set()
-        self.missed: Counter[AppServer] = Counter()
-        self.lapses: dict[AppServer, int] = {}
+        self.listed_servers: list[AppServer] = []
+        self.healthy_servers: list[AppServer] = []
+        self.unhealthy: set[AppServer] = set()
+        self.failed_checks: Counter[AppServer] = Counter()
+        self.listed_until: dict[AppServer, int] = {}
         self.routers: dict[int, Router] = {}
-        told_routers = setting.routers()
-        weight = sum(one.share for one in told_routers)
+        router_options = setting.routers()
+        total_share = sum(options.share for options in router_options)
         costs = (int(layout.handshake_ms * 10), int(layout.reading_ms * 10))
-        for one in told_routers:
+        for options in router_options:
             router = Router(
                 self.clock,
-                one.number,
-                one.site or "",
-                HABITS[one.habit],
+                options.number,
+                options.site or "",
+                ROUTING_POLICIES[options.habit],
                 self.traffic,
-                seed * 64 + one.number - 1,
-                self.delay,
-                self.listed,
+                seed * 64 + options.number - 1,
+                self.link_delay,
+                self.list_servers,
                 costs,
             )
-            self.routers[one.number] = router
-        self.shares = {one.number: one.share / weight for one in told_routers}
+            self.routers[options.number] = router
+        self.router_shares = {options.number: options.share / total_share for options in router_options}
         self.planners: Planners | None = None
         if setting.fleet is not None and setting.planners:
-            self.planners = Planners(self, setting.fleet, chance.getrandbits(48))
+            self.planners = Planners(self, setting.fleet, rng.getrandbits(48))
         # what is kept for whoever measures
-        self.deeds: list[Deed] = []
-        self.answers: list[tuple[int, Deed, str, int]] = []
+        self.requests: list[ClientRequest] = []
+        self.answers: list[tuple[int, ClientRequest, str, int]] = []
         self.notes: list[tuple[int, str, dict[str, object]]] = []
         self.marks: list[tuple[int, str, str]] = []  # what has happened: begin and end of conditions
         self.outstanding = {number: Series() for number in self.routers}
-        self.calls = Series()
-        self.calls_of = {name: Series() for name in self.by_name}
-        self.out = {name: Series() for name in self.by_name}
-        self.busy = {name: Series() for name in self.by_name}
-        self.sent = {name: Series() for name in self.by_name}  # outstanding at an app server
+        self.downstream_calls = Series()
+        self.downstream_calls_by_server = {name: Series() for name in self.servers_by_name}
+        self.unavailable = {name: Series() for name in self.servers_by_name}
+        self.core_use = {name: Series() for name in self.servers_by_name}
+        self.outstanding_by_server = {
+            name: Series() for name in self.servers_by_name
+        }  # outstanding at an app server
         for number, router in self.routers.items():
-            router.born = self.deeds.append
-            router.changed = self.outstanding_of(router, self.outstanding[number])
-            router.told = self.told
-        self.below.changed = self.called
+            router.on_request = self.requests.append
+            router.on_outstanding_change = self.outstanding_recorder(router, self.outstanding[number])
+            router.on_answer = self.record_answer
+        self.downstream.on_change = self.record_downstream_calls
 
-    def outstanding_of(self, router: Router, series: Series) -> Callable[[AppServer, int], None]:
-        sent, clock = self.sent, self.clock
+    def outstanding_recorder(self, router: Router, series: Series) -> Callable[[AppServer, int], None]:
+        outstanding_by_server, clock = self.outstanding_by_server, self.clock
 
-        def changed(server: AppServer, more: int) -> None:
+        def record(server: AppServer, change: int) -> None:
             series.set(clock.now, router.outstanding)
-            there = sent[server.name]
-            there.set(clock.now, there.values[-1] + more)
+            server_series = outstanding_by_server[server.name]
+            server_series.set(clock.now, server_series.values[-1] + change)
 
-        return changed
+        return record
 
     # ---- the course ------------------------------------------------------------------------------------
 
     def run(self, steps: Iterable[Step], until: int) -> None:
         for server in self.servers:
-            self.start(server, cold=False)
-        self.learn_list()
-        self.found = list(self.servers)
-        self.check()
-        self.checked = list(self.servers)
+            self.start_server(server, cold=False)
+        self.refresh_list()
+        self.listed_servers = list(self.servers)
+        self.check_health()
+        self.healthy_servers = list(self.servers)
         if self.planners is not None:
             self.planners.start()
         self.set_load(self.layout.load)
         for router in self.routers.values():
-            self.clock.at(BEGIN, router.start)
-        self.clock.every(SAMPLE, self.sample, until)
+            self.clock.at(TRAFFIC_START, router.start)
+        self.clock.every(SAMPLE_INTERVAL, self.sample, until)
         for step in sorted(steps, key=lambda step: step.at):
-            self.clock.at(step.at, self.carry_out, step)
+            self.clock.at(step.at, self.perform_step, step)
         self.clock.run(until)
 
     def set_load(self, load: float) -> None:
         for number, router in self.routers.items():
-            router.rate = load * self.capacity * self.shares[number]
+            router.rate_per_s = load * self.capacity * self.router_shares[number]
 
     def sample(self) -> None:
         now = self.clock.now
-        for name, server in self.by_name.items():
-            self.out[name].set(now, 0 if server.serving and server.warm else 1)
-            self.busy[name].set(now, min(1.0, server.on_cores / server.cores.count) if server.up else 0.0)
+        for name, server in self.servers_by_name.items():
+            self.unavailable[name].set(now, 0 if server.is_serving and server.is_warm else 1)
+            self.core_use[name].set(
+                now, min(1.0, server.on_cores / server.cores.count) if server.is_up else 0.0
+            )
 
-    def called(self, server: str) -> None:
-        self.calls.set(self.clock.now, self.below.in_hand)
-        self.calls_of[server].set(self.clock.now, len(self.below.by_server[server]))
+    def record_downstream_calls(self, server: str) -> None:
+        self.downstream_calls.set(self.clock.now, self.downstream.calls_in_flight)
+        self.downstream_calls_by_server[server].set(
+            self.clock.now, len(self.downstream.calls_by_server[server])
+        )
 
-    def told(self, deed: Deed, what: str, after: int) -> None:
-        self.answers.append((self.clock.now, deed, what, after))
+    def record_answer(self, request: ClientRequest, result: str, retry_after: int) -> None:
+        self.answers.append((self.clock.now, request, result, retry_after))
 
-    def note(self, event: str, **more: object) -> None:
-        self.notes.append((self.clock.now, event, more))
+    def note(self, event: str, **fields: object) -> None:
+        self.notes.append((self.clock.now, event, fields))
 
-    def mark(self, event: str, whom: str = "") -> None:
-        self.marks.append((self.clock.now, event, whom))
+    def mark(self, event: str, target: str = "") -> None:
+        self.marks.append((self.clock.now, event, target))
 
     # ---- app servers and who finds them ----------------------------------------------------------------
 
-    def answer(self, one: Try, what: str, after: int, last: bool) -> None:
-        router = self.routers[one.router]
-        if what == "cut":
-            self.clock.after(self.delay, router.cut, one)
+    def deliver_answer(self, attempt: Attempt, result: str, retry_after: int, stop_retrying: bool) -> None:
+        router = self.routers[attempt.router_number]
+        if result == "cut":
+            self.clock.after(self.link_delay, router.on_connection_lost, attempt)
         else:
-            self.clock.after(self.delay, router.hear, one, what, after, last)
+            self.clock.after(
+                self.link_delay, router.receive_answer, attempt, result, retry_after, stop_retrying
+            )
 
-    def start(self, server: AppServer, cold: bool) -> None:
+    def start_server(self, server: AppServer, cold: bool) -> None:
         server.start(cold)
         if self.planners is not None:
-            self.planners.begun(server)
+            self.planners.on_server_started(server)
 
-    def kill(self, server: AppServer, known: bool = False) -> None:
+    def kill(self, server: AppServer, announced: bool = False) -> None:
         """`known`: it has told the catalog that it leaves."""
-        if not server.up:
+        if not server.is_up:
             return
-        life = server.life
-        server.die()
-        self.lapses[server] = self.clock.now if known else self.clock.now + LAPSE - SECOND // 2
+        incarnation = server.incarnation
+        server.crash()
+        self.listed_until[server] = (
+            self.clock.now if announced else self.clock.now + CATALOG_REPORT_LIFETIME - SECOND // 2
+        )
         if self.planners is not None:
-            self.planners.broke(server, life)
+            self.planners.on_connection_lost(server, incarnation)
 
-    def learn_list(self) -> None:
+    def refresh_list(self) -> None:
         """Who is listed now; routers hear of it later."""
         now = self.clock.now
-        there = [one for one in self.servers if self.is_listed(one, now)]
-        self.clock.after(NEWS, self.hear_list, there)
-        self.clock.after(NEWS_EVERY, self.learn_list)
+        listed = [server for server in self.servers if self.is_listed(server, now)]
+        self.clock.after(LIST_DELAY, self.apply_list, listed)
+        self.clock.after(LIST_INTERVAL, self.refresh_list)
 
     def is_listed(self, server: AppServer, now: int) -> bool:
-        if not server.up:
-            return now < self.lapses.get(server, 0)
-        if server.leaving:
+        if not server.is_up:
+            return now < self.listed_until.get(server, 0)
+        if server.is_draining:
             return False
-        return self.planners is None or self.planners.may_be_found(server)
+        return self.planners is None or self.planners.is_listed(server)
 
-    def hear_list(self, there: list[AppServer]) -> None:
-        self.found = there
-        self.checked = [one for one in there if one not in self.bad]
+    def apply_list(self, listed: list[AppServer]) -> None:
+        self.listed_servers = listed
+        self.healthy_servers = [server for server in listed if server not in self.unhealthy]
 
-    def listed(self, checks: bool) -> list[AppServer]:
-        return self.checked if checks else self.found
+    def list_servers(self, uses_health_checks: bool) -> list[AppServer]:
+        return self.healthy_servers if uses_health_checks else self.listed_servers
 
-    def check(self) -> None:
+    def check_health(self) -> None:
         """Health checks of all routers, taken for one."""
         for server in self.servers:
-            good = server.up and not server.paused and server.good
-            self.missed[server] = 0 if good else self.missed[server] + 1
-            if good:
-                self.bad.discard(server)
-            elif self.missed[server] >= MISSED:
-                self.bad.add(server)
-        self.checked = [one for one in self.found if one not in self.bad]
-        self.clock.after(PING, self.check)
+            is_healthy = server.is_up and not server.is_paused and server.is_healthy
+            self.failed_checks[server] = 0 if is_healthy else self.failed_checks[server] + 1
+            if is_healthy:
+                self.unhealthy.discard(server)
+            elif self.failed_checks[server] >= MAX_FAILED_CHECKS:
+                self.unhealthy.add(server)
+        self.healthy_servers = [server for server in self.listed_servers if server not in self.unhealthy]
+        self.clock.after(HEALTH_CHECK_INTERVAL, self.check_health)
 
     # ---- the script ------------------------------------------------------------------------------------
 
-    def some(self, whom: str) -> list[AppServer]:
+    def servers_of(self, target: str) -> list[AppServer]:
         """A site's app servers, or the one of that name."""
-        return [self.by_name[name] for name in self.sites.get(whom, [whom])]
+        return [self.servers_by_name[name] for name in self.sites.get(target, [target])]
 
-    def carry_out(self, step: Step) -> None:
-        whom, more = step.whom, step.more
-        match step.what:
+    def perform_step(self, step: Step) -> None:
+        target, value = step.target, step.value
+        match step.action:
             case "load":
-                self.set_load(more)
-                self.mark("load", f"{more:g}")
+                self.set_load(value)
+                self.mark("load", f"{value:g}")
             case "surge":
                 for router in self.routers.values():
-                    router.surge[whom] = more
-                self.mark("surge" if more > 1 else "surge over", whom)
+                    router.surge_factors[target] = value
+                self.mark("surge" if value > 1 else "surge over", target)
             case "lose":
-                self.mark("lost", whom)
-                for server in self.some(whom):
+                self.mark("lost", target)
+                for server in self.servers_of(target):
                     self.kill(server)
             case "restore":
-                self.mark("returns", whom)
-                for server in self.some(whom):
-                    if not server.up:
-                        self.clock.after(COLD_START, self.restart, server)
+                self.mark("returns", target)
+                for server in self.servers_of(target):
+                    if not server.is_up:
+                        self.clock.after(COLD_START_DELAY, self.restart_server, server)
             case "kill":
-                self.kill(self.by_name[whom])
+                self.kill(self.servers_by_name[target])
             case "start":
-                self.restart(self.by_name[whom])
+                self.restart_server(self.servers_by_name[target])
             case "pause":
-                for server in self.some(whom):
+                for server in self.servers_of(target):
                     server.pause()
             case "resume":
-                for server in self.some(whom):
+                for server in self.servers_of(target):
                     server.resume()
             case "drain":
-                self.drain(self.by_name[whom])
+                self.drain_server(self.servers_by_name[target])
             case "slow":
-                for server in self.some(whom):
-                    server.cores.slow = more
+                for server in self.servers_of(target):
+                    server.cores.slow = value
             case "shrink":
-                self.shrink(more)
+                self.shrink(value)
             case "below-down":
-                self.below.fall()
+                self.downstream.go_down()
             case "below-up":
-                self.below.rise()
+                self.downstream.recover()
             case "planners-gone" | "planners-back":
                 if self.planners is not None:
-                    self.planners.gone = step.what == "planners-gone"
+                    self.planners.are_unreachable = step.action == "planners-gone"
             case "heed":
                 for router in self.routers.values():
-                    router.habit = replace(router.habit, heed=more)
+                    router.policy = replace(router.policy, advice_compliance=value)
             case "release":
-                self.release()
-            case what:
-                raise ValueError(f"no such step: {what}")
+                self.start_release()
+            case action:
+                raise ValueError(f"no such step: {action}")
 
-    def restart(self, server: AppServer) -> None:
-        if not server.up:
-            self.start(server, cold=True)
+    def restart_server(self, server: AppServer) -> None:
+        if not server.is_up:
+            self.start_server(server, cold=True)
 
-    def drain(self, server: AppServer, then: Callable[[], None] = lambda: None) -> None:
+    def drain_server(self, server: AppServer, on_drained: Callable[[], None] = lambda: None) -> None:
         """It leaves, and ends once it has answered all; `then` hears of that."""
-        if server.up:
-            server.leave()
-            self.look_at_leaving(server, server.life, then)
+        if server.is_up:
+            server.drain()
+            self.await_drained(server, server.incarnation, on_drained)
 
-    def look_at_leaving(self, server: AppServer, life: int, then: Callable[[], None]) -> None:
-        if server.life != life:
+    def await_drained(self, server: AppServer, incarnation: int, on_drained: Callable[[], None]) -> None:
+        if server.incarnation != incarnation:
             return
-        if server.open:
-            self.clock.after(500, self.look_at_leaving, server, life, then)
+        if server.open_requests:
+            self.clock.after(500, self.await_drained, server, incarnation, on_drained)
         else:
-            then()
-            self.kill(server, known=True)
+            on_drained()
+            self.kill(server, announced=True)
 
-    def shrink(self, left: float) -> None:
+    def shrink(self, remaining_share: float) -> None:
         """The last of each site in turn, one every quarter of a second; traffic falls with them."""
-        going = int(round((1 - left) * len(self.servers)))
+        drained_count = int(round((1 - remaining_share) * len(self.servers)))
         order = [
-            self.by_name[names[-1 - place]]
-            for place in range(max(len(names) for names in self.sites.values()))
+            self.servers_by_name[names[-1 - position]]
+            for position in range(max(len(names) for names in self.sites.values()))
             for names in self.sites.values()
-            if place < len(names)
-        ][:going]
+            if position < len(names)
+        ][:drained_count]
         self.mark("shrinking")
-        for place, server in enumerate(order):
-            self.clock.after(place * SECOND // 4, self.drain, server)
+        for index, server in enumerate(order):
+            self.clock.after(index * SECOND // 4, self.drain_server, server)
         self.clock.after(max(1, len(order)) * SECOND // 4 + SECOND, self.mark, "shrunk")
 
-    def release(self) -> None:
-        why = "there are no planners"
+    def start_release(self) -> None:
+        refusal = "there are no planners"
         if self.planners is not None:
-            why = self.planners.release(self.planners.plan())
-        if why:
-            self.note("no release", why=why)
+            refusal = self.planners.start_rollout(self.planners.rollout_spec())
+        if refusal:
+            self.note("no release", why=refusal)
             return
         self.mark("release")
         self.watch_release()
 
     def watch_release(self) -> None:
         assert self.planners is not None
-        if self.planners.phase in ("running", "backing"):
-            self.clock.after(SAMPLE, self.watch_release)
+        if self.planners.rollout_phase in ("running", "backing"):
+            self.clock.after(SAMPLE_INTERVAL, self.watch_release)
         else:
             self.mark("released")
 
     # ---- what came of it -------------------------------------------------------------------------------
 
-    def born(self, span: tuple[int, int]) -> list[Deed]:
-        first = bisect_left(self.deeds, span[0], key=lambda deed: deed.born)
-        last = bisect_left(self.deeds, span[1], key=lambda deed: deed.born)
-        return self.deeds[first:last]
+    def requests_started(self, span: tuple[int, int]) -> list[ClientRequest]:
+        first = bisect_left(self.requests, span[0], key=lambda request: request.started_at)
+        last = bisect_left(self.requests, span[1], key=lambda request: request.started_at)
+        return self.requests[first:last]
 
     def service(self, span: tuple[int, int]) -> float:
         """Payoff honoured within the latency goal over payoff asked for."""
-        deeds = self.born(span)
-        asked = sum(deed.profile.priority_weight for deed in deeds)
-        return sum(deed.profile.priority_weight for deed in deeds if deed.in_time) / asked if asked else 1.0
+        requests = self.requests_started(span)
+        total_weight = sum(request.request_class.priority_weight for request in requests)
+        return (
+            sum(request.request_class.priority_weight for request in requests if request.is_in_time)
+            / total_weight
+            if total_weight
+            else 1.0
+        )
 
-    def attempts(self, span: tuple[int, int]) -> float:
-        deeds = self.born(span)
-        return sum(deed.tries for deed in deeds) / len(deeds) if deeds else 1.0
+    def mean_attempts(self, span: tuple[int, int]) -> float:
+        requests = self.requests_started(span)
+        return sum(request.attempt_count for request in requests) / len(requests) if requests else 1.0
--- a/tests/test_expect_judge.py
+++ b/tests/test_expect_judge.py
@@ -148,7 +148,7 @@
 )
 def test_script_has_steps_of_condition(condition, steps):
     scenario = build_script(condition, sources().setting)
-    assert [step.what for step in scenario.steps] == steps
+    assert [step.action for step in scenario.steps] == steps
     assert scenario.until > SITUATION_BEGIN + COOL_DOWN
 
 
@@ -169,12 +169,12 @@
 
     def run_cases(cases):
         cases_run.extend(cases)
-        has_step_b = ["b" in {step.what for step in case.script.steps} for case in cases]
+        has_step_b = ["b" in {step.action for step in case.script.steps} for case in cases]
         return [Evaluation(not fails, "5 against 4", 5.0, 4.0, 6 * SECOND, 0.25) for fails in has_step_b]
 
     case = Case(sources().setting, Script(STEPS, 20 * SECOND), 1)
     smallest, evaluation = shrink(case, Evaluation(False, "x", at=9 * SECOND), statement, run_cases, 90)
-    assert [step.what for step in smallest.script.steps] == ["b"]
+    assert [step.action for step in smallest.script.steps] == ["b"]
     assert evaluation.held is False
     assert smallest.script.until < 8 * SECOND
     assert len(cases_run) <= 90
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -6,32 +6,32 @@
 
 from birchslip.admission.types import Outcome
 from birchslip.lab.cores import Cores
-from birchslip.lab.model.below import Below
+from birchslip.lab.model.below import DownstreamService
 from birchslip.lab.model.clock import SECOND, Clock
-from birchslip.lab.model.habits import HABITS
+from birchslip.lab.model.habits import ROUTING_POLICIES
 from birchslip.lab.model.world import Series, Step, World
 
 from .expectation_harness import sources
 
 
-class Fixed:
+class FixedUniform:
     def uniform(self, a, b):
         return 1.0
 
 
-def played(*steps, seed=1, until=12 * SECOND, load=0.7):
+def run_world(*steps, seed=1, until=12 * SECOND, load=0.7):
     world = World(sources().setting, seed)
-    world.run([Step(20_000, "load", more=load), *steps], until)
+    world.run([Step(20_000, "load", value=load), *steps], until)
     return world
 
 
-def fate(world):
-    return [(deed.born, deed.been, deed.honoured_at) for deed in world.deeds]
+def request_histories(world):
+    return [(request.started_at, request.tried_servers, request.honoured_at) for request in world.requests]
 
 
 def test_one_seed_gives_one_play_and_another_seed_another():
-    a, b, c = (played(Step(60_000, "lose", "north"), seed=seed) for seed in (1, 1, 2))
-    assert fate(a) == fate(b) != fate(c)
+    a, b, c = (run_world(Step(60_000, "lose", "north"), seed=seed) for seed in (1, 1, 2))
+    assert request_histories(a) == request_histories(b) != request_histories(c)
 
 
 @pytest.mark.parametrize("load", [0.5, 1.0, 2.5])
@@ -47,49 +47,49 @@
     world = World(sources().setting, 3)
     for server in world.servers:
 
-        def launch(transaction, run, server=server, inner=server.launch):
-            launched[server.name, server.life, run.a_try.deed.label] += 1
-            inner(transaction, run)
+        def start_run(request, run, server=server, inner=server.start_run):
+            launched[server.name, server.incarnation, run.attempt.request.idempotency_key] += 1
+            inner(request, run)
 
-        server.launch = launch
-    world.run([Step(20_000, "load", more=load), *steps], 12 * SECOND)
+        server.start_run = start_run
+    world.run([Step(20_000, "load", value=load), *steps], 12 * SECOND)
     for router in world.routers.values():
         router.stopped = True
     world.clock.run(20 * SECOND)
-    assert [deed for deed in world.deeds if deed.open] == []
+    assert [request for request in world.requests if request.open_attempts] == []
     silent = sum(router.counts["silent"] for router in world.routers.values())
     assert silent == 0 or fault == "pause"
-    assert max((count for (_, _, label), count in launched.items() if label), default=1) == 1
-    assert world.below.most <= 16
-    assert not world.below.fallen
-    assert len(world.deeds) > 100
+    assert max((count for (_, _, key), count in launched.items() if key), default=1) == 1
+    assert world.downstream.max_calls_in_flight <= 16
+    assert not world.downstream.has_failed
+    assert len(world.requests) > 100
 
 
 def test_a_lost_site_is_evacuated_and_comes_back_in_steps():
-    world = played(
+    world = run_world(
         Step(50_000, "lose", "north"), Step(90_000, "restore", "north"), until=20 * SECOND, load=0.75
     )
-    words = [event for _, event, _ in world.notes]
-    stages = [more["stage"] for _, event, more in world.notes if event == "site_stage_changed"]
-    assert "site_lost" in words
+    events = [event for _, event, _ in world.notes]
+    stages = [fields["stage"] for _, event, fields in world.notes if event == "site_stage_changed"]
+    assert "site_lost" in events
     assert stages[-1] == "home"
     assert stages.count("step") == 3
     assert world.service((50_000, 60_000)) < 0.95 < world.service((17 * SECOND, 19 * SECOND))
 
 
 def test_a_release_goes_through_everybody_within_the_budget():
-    world = played(Step(50_000, "release"), until=50 * SECOND, load=0.4)
-    assert world.planners.phase == "done"
+    world = run_world(Step(50_000, "release"), until=50 * SECOND, load=0.4)
+    assert world.planners.rollout_phase == "done"
     assert set(world.planners.versions.values()) == {"2"}
     assert [event for _, event, _ in world.marks] == ["load", "release", "released"]
     out = Counter()
-    for name, series in world.out.items():
+    for name, series in world.unavailable.items():
         out[name] = max(value for at, value in zip(series.times, series.values, strict=True) if at > 40_000)
     assert set(out.values()) == {1}
 
 
 def test_more_load_means_less_service_and_more_tries():
-    worlds = [played(load=load, until=10 * SECOND) for load in (0.5, 1.3, 2.5)]
+    worlds = [run_world(load=load, until=10 * SECOND) for load in (0.5, 1.3, 2.5)]
     service = [world.service((50_000, 90_000)) for world in worlds]
     assert service == sorted(service, reverse=True)
     assert service[0] > 0.99
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "limit", "down", "ends"),
+    ("call_count", "timeout", "down", "expected"),
     [
         (1, 1_000, False, [(100, Outcome.SERVED)]),
         (1, 50, False, [(50, Outcome.TIMED_OUT)]),
@@ -130,25 +130,25 @@
         (7, 1_000, False, [(0, Outcome.CONNECTION_LOST)] * 7),
     ],
 )
-def test_the_service_below_slows_refuses_and_falls(asked, limit, down, ends):
-    clock, found = Clock(), []
-    below = Below(clock, Fixed(), 100, holds=2, survives=6)
-    below.down = down
-    for _ in range(asked):
-        below.ask("a", limit, lambda outcome: found.append((clock.now, outcome)))
+def test_the_service_below_slows_refuses_and_falls(call_count, timeout, down, expected):
+    clock, results = Clock(), []
+    downstream = DownstreamService(clock, FixedUniform(), 100, full_speed_limit=2, failure_limit=6)
+    downstream.is_down = down
+    for _ in range(call_count):
+        downstream.start_call("a", timeout, lambda outcome: results.append((clock.now, outcome)))
     clock.run(10_000)
-    assert found == ends
-    assert below.in_hand == 0
-    assert below.fallen is (asked == 7)
+    assert results == expected
+    assert downstream.calls_in_flight == 0
+    assert downstream.has_failed is (call_count == 7)
 
 
 def test_calls_of_one_that_died_are_in_hand_no_more():
-    below = Below(Clock(), Fixed(), 100)
-    call = below.ask("a", 1_000, lambda outcome: None)
-    below.ask("b", 1_000, lambda outcome: None)
-    below.drop("a")
-    below.unask(call)
-    assert below.in_hand == 1
+    downstream = DownstreamService(Clock(), FixedUniform(), 100)
+    call = downstream.start_call("a", 1_000, lambda outcome: None)
+    downstream.start_call("b", 1_000, lambda outcome: None)
+    downstream.drop_calls("a")
+    downstream.remove_call(call)
+    assert downstream.calls_in_flight == 1
 
 
 def test_a_series_tells_what_was_so_within():
@@ -159,20 +159,24 @@
     assert series.within((0, 41)) == [(0, 0.0), (10, 1.0), (20, 2.0), (40, 0.0)]
 
 
-class Chance:
+class FixedRandom:
     def random(self):
         return 0.5
 
-    def choice(self, some):
-        return some[-1]
+    def choice(self, candidates):
+        return candidates[-1]
 
 
 @pytest.mark.parametrize(
-    ("name", "picked", "heeds"), [("usual", 3, True), ("turns", 2, True), ("blind", 3, False)]
+    ("name", "chosen", "follows_advice"), [("usual", 3, True), ("turns", 2, True), ("blind", 3, False)]
 )
-def test_habits_pick_and_heed(name, picked, heeds):
-    habit = HABITS[name]
-    assert habit.pick([1, 2, 3], lambda one: one, Chance(), 4) == picked
-    assert habit.heeds(Chance()) is heeds
-    assert habit.pick([], int, Chance(), 0) is None
-    assert [habit.wait(tries, Chance()) for tries in (1, 2, 3)] == [500, 1_000, 2_000]
+def test_habits_pick_and_heed(name, chosen, follows_advice):
+    policy = ROUTING_POLICIES[name]
+    assert policy.choose([1, 2, 3], lambda server: server, FixedRandom(), 4) == chosen
+    assert policy.follows_advice(FixedRandom()) is follows_advice
+    assert policy.choose([], int, FixedRandom(), 0) is None
+    assert [policy.retry_delay(attempt_count, FixedRandom()) for attempt_count in (1, 2, 3)] == [
+        500,
+        1_000,
+        2_000,
+    ]
