--- a/birchslip/lab/model/__init__.py
+++ b/birchslip/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the world in virtual time: the real decisions, site plans and permits, no process, no socket."""
+"""An emulator of a fleet in virtual time that runs the real decisions without processes or sockets."""
--- a/birchslip/lab/model/habits.py
+++ b/birchslip/lab/model/habits.py
@@ -1,4 +1,7 @@
-"""Named habits of routers: where a try goes, whether there is another, and when. No I/O and no clock."""
+"""Named routing policies: which app server gets an attempt, and whether and when a request is retried.
+
+Policies do no I/O and read no clock.
+"""
 
 from __future__ import annotations
 
@@ -7,15 +10,23 @@
 from random import Random
 from typing import TypeVar
 
-FIRST_RETRY_DELAY = 500  # before a further try: 50 ms at first, twice as long each time, half of it by chance
+FIRST_RETRY_DELAY = 500  # 50 ms, doubled for each further retry, with a random factor from 0.5 to 1.5
 TargetT = TypeVar("TargetT")
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingPolicy:
-    """`tries` is the most for one transaction, the first included; `heed` the share of advice that it
-    follows; `hedge` the part of the latency goal after which a silent redoable try is followed by another;
-    `checks` whether it goes by health checks; `choice` how it picks among those that it may use.
+    """How a router chooses app servers and retries.
+
+    Attributes:
+        max_attempts: Maximum number of attempts for one request, including the first.
+        advice_compliance: Share of rejections whose advice (Retry-After, no retry elsewhere) is followed.
+        hedge_fraction: Fraction of the latency objective after which an unanswered attempt of a request
+            without idempotency key is followed by a second one.
+        uses_health_checks: Whether app servers that fail health checks are avoided.
+        prefers_home_site: Whether the first attempt goes to the router's own site if possible.
+        choice: How an app server is chosen: `two` for the less loaded of two random ones, `turn` for
+            round robin, `any` for a random one.
     """
 
     max_attempts: int = 4
@@ -23,18 +34,35 @@
     hedge_fraction: float = 0.75
     uses_health_checks: bool = True
     prefers_home_site: bool = True
-    choice: str = "two"  # the less loaded of two by chance; or `turn`, one after the other, or `any`
+    choice: str = "two"
 
     def retry_delay(self, attempt_count: int, rng: Random) -> int:
-        """Before the next try, after so many."""
+        """Return the delay before the next attempt, in units of 0.1 ms.
+
+        Args:
+            attempt_count: Number of attempts so far.
+            rng: Source of the random factor.
+        """
         return int(FIRST_RETRY_DELAY * 2 ** max(0, attempt_count - 1) * (0.5 + rng.random()))
 
     def follows_advice(self, rng: Random) -> bool:
+        """Return whether the advice of one rejection is followed."""
         return rng.random() < self.advice_compliance
 
     def choose(
         self, candidates: Sequence[TargetT], load: Callable[[TargetT], int], rng: Random, turn: int
     ) -> TargetT | None:
+        """Choose one of the candidates.
+
+        Args:
+            candidates: The targets that may be chosen.
+            load: Returns the load of a target.
+            rng: Source of random choices.
+            turn: Number of the choice, for round robin.
+
+        Returns:
+            The target, or `None` if there are no candidates.
+        """
         if not candidates:
             return None
         if self.choice == "turn":
--- a/birchslip/lab/model/layout.py
+++ b/birchslip/lab/model/layout.py
@@ -1,5 +1,7 @@
-"""What the settings do not tell of the world around app servers: what transactions cost, who routes them, how
-the service below behaves. JSON with a schema; where nothing is told, a world is made to fit the settings.
+"""The world file: what the settings do not state about the surroundings of the app servers.
+
+It states what requests cost, how routers behave and how the downstream service behaves. It is JSON with a
+schema; values that it leaves out have defaults that fit the settings.
 """
 
 from __future__ import annotations
@@ -17,15 +19,28 @@
 
 
 class Work(Message):
-    """Of one profile: its part of the traffic, what a run takes on one core, how often it calls below."""
+    """The requests of one profile.
+
+    Attributes:
+        share: Weight of the profile in the traffic.
+        work_ms: Mean time of a run on one core; an eighth of the latency objective by default.
+        calls: Share of runs that call the downstream service.
+    """
 
     share: Weight = 1.0
-    work_ms: Positive | None = None  # an eighth of the latency goal where it is not told
+    work_ms: Positive | None = None
     calls: Fraction = 0.0
 
 
 class RouterTold(Message):
-    """One router; without a site it is at home everywhere."""
+    """One router.
+
+    Attributes:
+        number: Number by which app servers know the router.
+        site: The home site; without one the router prefers no site.
+        share: Weight of the router in the traffic.
+        habit: Name of the routing policy.
+    """
 
     number: Annotated[int, msgspec.Meta(ge=0, le=1 << 31)]
     site: Name | None = None
@@ -34,8 +49,12 @@
 
 
 class Below(Message):
-    """The service below. Past `holds` calls in hand each takes longer in proportion; past `survives` it
-    falls.
+    """The downstream service.
+
+    Attributes:
+        took_ms: Mean duration of a call at full speed.
+        holds: Calls in flight past which calls slow down in proportion; without it they never do.
+        survives: Calls in flight past which the service goes down; without it the service never does.
     """
 
     took_ms: Positive = 20.0
@@ -44,26 +63,50 @@
 
 
 class Layout(Message):
-    """A world file."""
+    """A world file.
+
+    Attributes:
+        profiles: The requests of each profile, by name.
+        tenants: Weight of each tenant in the traffic, by name; by default the shares of the fleet file,
+            otherwise equal weights.
+        routers: The routers; by default those of the fleet file, otherwise two for each site.
+        servers: Number of app servers if there is no fleet file; by default the group size of the settings.
+        below: The downstream service.
+        load: Traffic as a fraction of the capacity of all cores, until the script changes it.
+        rate: Traffic in requests per second at `load`; it defines the capacity in place of the cores.
+        link_ms: Delay of a message in one direction.
+        reading_ms: Core time for reading one attempt of a request.
+        handshake_ms: Core time for accepting a connection.
+        size: Size of a request in bytes.
+        crowd: Requests running on the cores of one app server past which its throughput falls; 0 for never.
+        loss: Fraction of throughput lost for each running request past `crowd`.
+    """
 
     profiles: dict[Name, Work] = msgspec.field(default_factory=dict)
     tenants: dict[Name, Weight] = msgspec.field(default_factory=dict)
     routers: list[RouterTold] = msgspec.field(default_factory=list)
-    servers: Annotated[int, msgspec.Meta(ge=1, le=MAX_SERVERS)] | None = None  # where no fleet file names any
+    servers: Annotated[int, msgspec.Meta(ge=1, le=MAX_SERVERS)] | None = None
     below: Below = msgspec.field(default_factory=Below)
-    load: Positive = 0.7  # of all cores, while nothing else is said
-    rate: Positive | None = None  # the same in transactions a second: then loads are parts of what that makes
+    load: Positive = 0.7
+    rate: Positive | None = None
     link_ms: Annotated[float, msgspec.Meta(ge=0, le=10_000)] = 0.5
     reading_ms: Annotated[float, msgspec.Meta(ge=0, le=1_000)] = 2.0
     handshake_ms: Annotated[float, msgspec.Meta(ge=0, le=1_000)] = 20.0
-    size: Annotated[int, msgspec.Meta(ge=1, le=1 << 30)] = 300  # bytes of a transaction
-    crowd: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = (
-        0  # on the cores, from where less gets done in all
-    )
-    loss: Fraction = 0.0  # for each one more
+    size: Annotated[int, msgspec.Meta(ge=1, le=1 << 30)] = 300
+    crowd: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 0
+    loss: Fraction = 0.0
 
     def validation_errors(self, profiles: list[str], tenants: list[str], sites: list[str]) -> list[str]:
-        """Names that nothing else knows, a line each."""
+        """Check names against the settings.
+
+        Args:
+            profiles: Names of the profiles in the settings.
+            tenants: Names of the tenants in the settings.
+            sites: Names of the sites.
+
+        Returns:
+            One message for each unknown or repeated name, and one if no profile has any share.
+        """
         errors = []
         for name in self.profiles:
             if name not in profiles:
@@ -76,7 +119,7 @@
         numbers: set[int] = set()
         for index, router in enumerate(self.routers):
             if router.number in numbers:
-                errors.append(f"routers[{index}]: the router {router.number} stands there twice")
+                errors.append(f"routers[{index}]: router {router.number} is listed twice")
             numbers.add(router.number)
             if router.site is not None and router.site not in sites:
                 errors.append(f"routers[{index}].site: no site is named {router.site!r}")
@@ -91,5 +134,5 @@
 
 
 def layout_schema() -> dict[str, Any]:
-    """The JSON Schema, as it stands in `deploy/world.schema.json`."""
+    """Return the JSON Schema of a world file, which `deploy/world.schema.json` holds."""
     return {"$schema": "https://json-schema.org/draft/2020-12/schema", **msgspec.json.schema(Layout)}
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -1,5 +1,7 @@
-"""The fleet's side in the model: one mind that leads, members that report and obey, a platform that carries
-out its orders. The decisions are the fleet's own; their messages take a link's delay.
+"""The planners' side of the emulated fleet: a leading planner, the members' links to it, and a platform.
+
+The decisions are the fleet's own. Reports and replies take the delay of a link; the platform carries out the
+leader's orders. All times are in units of 0.1 ms.
 """
 
 from __future__ import annotations
@@ -31,14 +33,38 @@
     from .world import World
 
 SAMPLE_INTERVAL = 1_000
-PROBE_TIMEOUT, PROBE_RESULT_LIFETIME, MAX_PROBE_RESULTS = 3_000, 10_000, 8
-DEFAULT_INVENTORY_INTERVAL = 2_000  # how often the platform is asked, where the fleet file does not say
+PROBE_TIMEOUT = 3_000
+PROBE_RESULT_LIFETIME = 10_000
+MAX_PROBE_RESULTS = 8  # in one report
+DEFAULT_INVENTORY_INTERVAL = 2_000  # if the fleet file describes no platform
 
 
 class PlannerLink:
-    """One life of a member: what it shows, and what it obeys."""
+    """The link of one incarnation of a member to the planners: its reports and the plan that it follows.
+
+    Attributes:
+        planners: The planners.
+        server: The member.
+        site: The member's site in the fleet file.
+        routers: Numbers of the routers whose home is this site; empty if the fleet file names none.
+        incarnation: The incarnation of the member that this link belongs to.
+        sequence: Number of the last report.
+        subscription: The plan and quota lease in force.
+        rates: Rates of requests and answers.
+        outcome_counts: Answers by request class and outcome.
+        base_honoured: Successful answers of the member before this incarnation.
+        base_shed: Rejections of the member before this incarnation.
+        probe_results: Time and outcome of the last probe of each member.
+        applied_quota: The downstream quota that the driver was given; negative before the first.
+    """
 
     def __init__(self, planners: Planners, server: AppServer) -> None:
+        """Connect a member that has just started; it reports after a random delay.
+
+        Args:
+            planners: The planners.
+            server: The member.
+        """
         self.planners, self.server = planners, server
         world, fleet = planners.world, planners.fleet
         self.site = fleet.site_of(server.name)
@@ -61,14 +87,17 @@
 
     @property
     def is_current(self) -> bool:
+        """Whether the member still runs in this link's incarnation."""
         return self.server.incarnation == self.incarnation and self.server.is_up
 
     def record_arrival(self, request: Request) -> None:
+        """Count a request that the member has read."""
         at_home = not self.routers or request.caller in self.routers
         tenant_name = request.context.attempt.request.tenant_name if request.tenant is not None else ""
         self.rates.record_arrival(self.planners.world.clock.now, tenant_name, at_home, request.is_retry)
 
     def record_answer(self, request: Request, result: str, run_time: int) -> None:
+        """Count an answer of the member."""
         now = self.planners.world.clock.now
         is_late = now - request.arrived_at > request.request_class.latency_objective
         self.outcome_counts.record_answer(
@@ -76,6 +105,7 @@
         )
 
     def sample(self) -> None:
+        """Record the totals of answers, at an interval."""
         if not self.is_current:
             return
         counts, clock = self.server.counts, self.planners.world.clock
@@ -85,7 +115,7 @@
         clock.after(SAMPLE_INTERVAL, self.sample)
 
     def apply_downstream_quota(self) -> None:
-        """A lease that has ended binds before the next call is made."""
+        """Give the driver the current downstream quota, so that an expired lease takes effect."""
         if self.planners.fleet.vault is None or self.server.driver is None:
             return
         quota = self.subscription.allowed_calls(self.planners.world.clock.now)
@@ -94,6 +124,7 @@
             self.server.driver.set_downstream_quota(quota)
 
     def send_report(self) -> None:
+        """Send a report and schedule the next one."""
         if not self.is_current:
             return
         clock, planners = self.planners.world.clock, self.planners
@@ -106,10 +137,12 @@
         clock.after(planners.world.link_delay, self.deliver_report, report, sent_at)
 
     def deliver_report(self, report: MemberReport, sent_at: int) -> None:
+        """Pass a report to the planner, and send its reply."""
         reply = self.planners.state.receive_report(report, self.planners.world.clock.now)
         self.planners.world.clock.after(self.planners.world.link_delay, self.handle_reply, reply, sent_at)
 
     def build_report(self, now: int) -> MemberReport:
+        """Return the member's next report."""
         self.sequence += 1
         server, site = self.server, self.site
         assert server.driver is not None and site is not None
@@ -151,6 +184,7 @@
         )
 
     def handle_reply(self, reply: ReportReply, sent_at: int) -> None:
+        """Apply the planner's reply to a report, if it is binding."""
         if not self.is_current or self.server.is_paused:
             return
         now, server = self.planners.world.clock.now, self.server
@@ -172,6 +206,7 @@
                 server.tick(server.incarnation)
 
     def probe(self, name: str) -> None:
+        """Probe another member, and keep the result for the reports."""
         other = self.planners.world.servers_by_name.get(name)
         if other is None:
             return
@@ -182,9 +217,30 @@
 
 
 class Planners:
-    """A mind of its own majority. `gone` while none is there."""
+    """A single planner that is its own majority, and the platform that it gives orders to.
+
+    Attributes:
+        world: The emulated world.
+        fleet: The fleet file.
+        rng: Source of report delays.
+        state: The planner's state and decisions.
+        links: The link of each member's current incarnation, by member.
+        are_unreachable: Whether no planner is there to answer or decide.
+        tenants: The tenants by name.
+        versions: The version that each member runs.
+        process_states: The state of each member's process as the platform reports it.
+        rollout_phase: Phase of the only rollout; empty before it starts.
+        executed_orders: Member and permit number of the stop orders that were carried out.
+    """
 
     def __init__(self, world: World, fleet: Fleet, seed: int) -> None:
+        """Create planners without members.
+
+        Args:
+            world: The emulated world.
+            fleet: The fleet file.
+            seed: Seed of the election and of report delays.
+        """
         self.world, self.fleet = world, fleet
         self.rng = Random(seed)
         election = Election("model", ["model"], DurableVote(), 1, 0, Random(seed))
@@ -194,28 +250,32 @@
         self.tenants: dict[str, Tenant] = dict(zip(world.tenant_names, world.deployment.tenants, strict=True))
         self.versions = {name: "1" for name in world.servers_by_name}
         self.process_states = {name: "up" for name in world.servers_by_name}
-        self.rollout_phase = ""  # of the only release
+        self.rollout_phase = ""
         self.executed_orders: set[tuple[str, int]] = set()
 
     def start(self) -> None:
+        """Start the planner, and the platform if there are disruption budgets."""
         self.tick()
         if self.fleet.disruption_budgets:
             self.poll_platform()
 
     def on_server_started(self, server: AppServer) -> None:
-        """A new life of a member."""
+        """Connect a new incarnation of a member."""
         self.links[server.name] = PlannerLink(self, server)
 
     def on_connection_lost(self, server: AppServer, incarnation: int) -> None:
+        """Tell the planner that the connection to an incarnation of a member broke."""
         self.state.membership.mark_disconnected(server.name, Incarnation(nonce=incarnation))
 
     def is_listed(self, server: AppServer) -> bool:
+        """Return whether routers may find a member."""
         link = self.links.get(server.name)
         return link is None or link.subscription.is_listed(self.world.clock.now)
 
-    # ---- time ------------------------------------------------------------------------------------------
+    # ---- periodic work ---------------------------------------------------------------------------------
 
     def tick(self) -> None:
+        """Run the planner's periodic work: election, decisions and replication."""
         clock, state = self.world.clock, self.state
         clock.after(EVALUATION_INTERVAL, self.tick)
         if self.are_unreachable:
@@ -232,6 +292,7 @@
             self.world.note(event, **fields)
 
     def replicate_state(self) -> None:
+        """Store the planner's state; its own replica is the majority."""
         state = self.state
         request = state.replication_request()
         if request is not None and state.election.handle_replication_response(
@@ -239,9 +300,10 @@
         ):
             state.mark_replicated(request.state_number)
 
-    # ---- a release, and its platform -------------------------------------------------------------------
+    # ---- rollout and platform --------------------------------------------------------------------------
 
     def poll_platform(self) -> None:
+        """Pass the platform's inventory to the planner, and carry out its orders."""
         clock = self.world.clock
         platform = self.fleet.platform
         clock.after(
@@ -262,7 +324,11 @@
             self.rollout_phase = releases[-1].phase.value
 
     def start_rollout(self, spec: RolloutSpec) -> str:
-        """Why it can't begin; nothing where it has."""
+        """Start a rollout.
+
+        Returns:
+            Why it was refused; empty if it has started.
+        """
         if not self.fleet.disruption_budgets:
             return "the fleet file has no groups"
         _, response = self.state.handle_rollout_command(
@@ -274,6 +340,11 @@
         return response.reason
 
     def execute_order(self, order: PlatformOrder) -> None:
+        """Carry out an order of the planner.
+
+        A member is started only after it has stopped. An order to stop is ignored if it was carried out
+        before, or if the member already runs the ordered version.
+        """
         world, name = self.world, order.member
         server = world.servers_by_name[name]
         if order.action is OrderAction.START:
@@ -289,7 +360,7 @@
         world.drain_server(server, lambda: self.process_states.update({name: "stopped"}))
 
     def rollout_spec(self) -> RolloutSpec:
-        """A short release of everybody, of a version that is as good as the one before."""
+        """Return a short rollout to all members, of a version that behaves like the previous one."""
         return RolloutSpec(
             version="2",
             previous_version="1",
--- a/birchslip/lab/model/routers.py
+++ b/birchslip/lab/model/routers.py
@@ -1,7 +1,8 @@
-"""Routers of the model and the clients behind them: arrivals, tries, further tries.
+"""Routers of the emulated fleet with the clients behind them: they generate requests, send and retry them.
 
-A router sends to app servers that it finds listed, at its own site first where its habit says so. What was
-shed, refused or cut is tried again elsewhere, as its habit goes.
+A router sends attempts to app servers that it finds listed, first to those of its own site if its policy
+prefers them. Requests that were rejected, refused or cut off are retried elsewhere as the policy says.
+All times are in units of 0.1 ms.
 """
 
 from __future__ import annotations
@@ -19,23 +20,46 @@
 if TYPE_CHECKING:
     from .servers import AppServer
 
-MAX_ATTEMPTS_PER_CONNECTION, MAX_CONNECTIONS = 24, 4  # tries on one link, links to one app server
-UNREACHABLE_AVOID_SPAN = 5_000  # one that can't be reached is left alone for half a second
-MAX_WAIT_FOR_SERVER = 3_000  # how long a transaction waits for any app server to be listed
-ABANDON_GRACE = 1_500  # past its time, before it is aborted
-SAMPLING_THRESHOLD, SAMPLE_DRAWS = 32, 8  # app servers from which on a choice is drawn, and how often
-MIN_REMAINING_TIME = 500  # left before the deadline when no further try is worth making
+MAX_ATTEMPTS_PER_CONNECTION = 24
+MAX_CONNECTIONS = 4  # to one app server
+UNREACHABLE_AVOID_SPAN = 5_000  # no attempts are sent to an app server that could not be reached
+MAX_WAIT_FOR_SERVER = 3_000  # a request without any listed app server is given up after this span
+ABANDON_GRACE = 1_500  # an attempt is aborted this long after its deadline
+SAMPLING_THRESHOLD = 32  # with more app servers than this, a few are drawn instead of filtering all of them
+SAMPLE_DRAWS = 8
+MIN_REMAINING_TIME = 500  # no attempt is made with less time than this left before the deadline
+MAX_CONCURRENT_ATTEMPTS = 2  # of one request
 
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """One transaction of a client, over all its tries. Times are tenths of a millisecond."""
+    """A request of a client over all its attempts.
+
+    Attributes:
+        request_class: The request class.
+        class_name: Name of the profile.
+        tenant: The tenant, or `None` if the settings have no tenants.
+        tenant_name: Name of the tenant; empty without tenants.
+        home_site: The site of its router.
+        router_number: Number of its router.
+        started_at: When the client sent it.
+        work: Core time of a run.
+        calls_downstream: Whether a run calls the downstream service.
+        size: Size in bytes.
+        idempotency_key: The idempotency key; empty for request classes without one.
+        attempt_count: Number of attempts so far, including those that were refused.
+        tried_servers: The app server of each attempt.
+        open_attempts: Number of attempts without an answer.
+        honoured_at: When it was first answered with success; -1 before.
+        was_shed: Whether any attempt was rejected.
+        ended: Whether no further attempts are made.
+    """
 
     request_class: RequestClass
-    class_name: str  # the profile's name
+    class_name: str
     tenant: Tenant | None
-    tenant_name: str  # the tenant's name
-    home_site: str  # the site of its router
+    tenant_name: str
+    home_site: str
     router_number: int
     started_at: int
     work: int
@@ -43,14 +67,15 @@
     size: int
     idempotency_key: str = ""
     attempt_count: int = 0
-    tried_servers: list[str] = field(default_factory=list)  # app servers, one for each try
+    tried_servers: list[str] = field(default_factory=list)
     open_attempts: int = 0
     honoured_at: int = -1
-    was_shed: bool = False  # ever
+    was_shed: bool = False
     ended: bool = False
 
     @property
     def is_in_time(self) -> bool:
+        """Whether it was answered with success within the latency objective."""
         return (
             self.honoured_at >= 0
             and self.honoured_at - self.started_at <= self.request_class.latency_objective
@@ -59,6 +84,19 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
+    """One attempt of a request at one app server.
+
+    Attributes:
+        request: The request.
+        router_number: Number of the router.
+        sent_at: When the router sent it.
+        deadline: When the client stops waiting for it.
+        is_retry: Whether other attempts were made before.
+        server: The app server.
+        incarnation: The incarnation of the app server that the router was connected to.
+        is_over: Whether it was answered, cut off or abandoned.
+    """
+
     request: ClientRequest
     router_number: int
     sent_at: int
@@ -71,37 +109,80 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """What is asked for: profiles and tenants by weight, with what a run takes."""
+    """The mix of requests that routers generate.
+
+    Attributes:
+        request_classes: Tuples of (profile name, request class, share, mean core time of a run, share of
+            runs that call the downstream service).
+        tenants: Tenant and share by name; one entry with an empty name if there are no tenants.
+        size: Size of a request in bytes.
+        tenant_names: The names of the tenants.
+        class_weights: The shares of the request classes.
+    """
 
-    request_classes: list[tuple[str, RequestClass, float, int, float]]  # name, profile, share, work, calls
+    request_classes: list[tuple[str, RequestClass, float, int, float]]
     tenants: dict[str, tuple[Tenant | None, float]]
     size: int
     tenant_names: list[str] = field(init=False)
     class_weights: list[float] = field(init=False)
 
     def __post_init__(self) -> None:
+        """Derive the lists that requests are drawn from."""
         self.class_weights = [share for _, _, share, _, _ in self.request_classes]
         self.tenant_names = list(self.tenants)
 
     @property
     def mean_work(self) -> float:
-        """Of one transaction in the mean."""
+        """Mean core time of a run over all request classes."""
         return sum(share * work for _, _, share, work, _ in self.request_classes) / sum(self.class_weights)
 
 
 class ConnectionPool:
-    """How many connections a router has to one app server; a new one costs a handshake there."""
+    """The connections of a router to one app server.
+
+    Attributes:
+        connection_count: Number of connections.
+        incarnation: The incarnation of the app server that they lead to; -1 before the first connection.
+        last_used_at: When an attempt last needed a connection.
+        open_attempts: Number of attempts without an answer.
+    """
 
     __slots__ = ("connection_count", "incarnation", "last_used_at", "open_attempts")
 
     def __init__(self) -> None:
+        """Create a pool without connections."""
         self.connection_count = self.open_attempts = self.last_used_at = 0
         self.incarnation = -1
 
 
 class Router:
-    """`listed` tells which app servers may be found and are not known to be bad, by the news that routers
-    have; `born`, `ended` and `counted` tell whoever measures.
+    """A router and the clients that send their requests to it.
+
+    Attributes:
+        clock: The virtual clock.
+        number: Number of the router.
+        site: The home site; empty if there is none.
+        policy: The routing policy.
+        traffic: The mix of requests.
+        rng: Source of routing decisions.
+        arrival_rng: Source of the requests, separate so that routing does not change what arrives.
+        link_delay: Delay of a message in one direction.
+        list_servers: Returns the listed app servers; with `True` only those that pass health checks.
+        handshake_cost: Core time that a new connection costs the app server.
+        read_cost: Core time that reading an attempt costs the app server.
+        rate_per_s: Requests per second without surges.
+        surge_factors: The factor by which the traffic of a tenant is multiplied, by tenant name.
+        pools: The connections by app server.
+        avoid_until: When an app server may be used again after a failure or a Retry-After.
+        listed_servers: The list from which `home_servers` was made.
+        home_servers: The app servers of the home site.
+        turn: Number of choices so far, for round robin.
+        outstanding: Number of attempts without an answer.
+        stopped: Set to stop generating requests.
+        counts: Number of attempts, of each kind of answer, and of cut, refused and abandoned attempts.
+        on_request: Called with each new request.
+        on_outstanding_change: Called with an app server and the change of attempts outstanding there.
+        on_answer: Called with the request, the result and the Retry-After of each answer.
     """
 
     def __init__(
@@ -116,41 +197,56 @@
         list_servers: Callable[[bool], list[AppServer]],
         connection_costs: tuple[int, int],
     ) -> None:
+        """Create a router that sends nothing before `start`.
+
+        Args:
+            clock: The virtual clock.
+            number: Number of the router.
+            site: The home site; empty if there is none.
+            policy: The routing policy.
+            traffic: The mix of requests.
+            seed: Seed of all random choices.
+            link_delay: Delay of a message in one direction.
+            list_servers: Returns the listed app servers; with `True` only those that pass health checks.
+            connection_costs: Core time of a new connection, and of reading an attempt.
+        """
         self.clock, self.number, self.site, self.policy, self.traffic = clock, number, site, policy, traffic
         self.rng, self.arrival_rng = Random(seed), Random(seed + 1)
         self.link_delay, self.list_servers = link_delay, list_servers
         self.handshake_cost, self.read_cost = connection_costs
-        self.rate_per_s = 0.0  # transactions a second
+        self.rate_per_s = 0.0
         self.surge_factors: dict[str, float] = {}
         self.pools: dict[AppServer, ConnectionPool] = {}
         self.avoid_until: dict[AppServer, int] = {}
-        self.listed_servers: list[AppServer] = []  # who was listed when `own` was made of them
-        self.home_servers: list[AppServer] = []  # those of its site
+        self.listed_servers: list[AppServer] = []
+        self.home_servers: list[AppServer] = []
         self.turn = 0
         self.outstanding = 0
         self.stopped = False
         self.counts: Counter[str] = Counter()
         self.on_request: Callable[[ClientRequest], None] = lambda request: None
-        self.on_outstanding_change: Callable[[AppServer, int], None] = (
-            lambda server, change: None
-        )  # what is outstanding
-        self.on_answer: Callable[[ClientRequest, str, int], None] = (
-            lambda request, result, retry_after: None
-        )  # each answer
+        self.on_outstanding_change: Callable[[AppServer, int], None] = lambda server, change: None
+        self.on_answer: Callable[[ClientRequest, str, int], None] = lambda request, result, retry_after: None
 
     # ---- arrivals --------------------------------------------------------------------------------------
 
     def start(self) -> None:
+        """Start generating requests."""
         self.clock.after(0, self.generate_request)
 
     def tenant_weights(self) -> Mapping[str, float]:
+        """Return the weight of each tenant's traffic, surges included."""
         return {
             name: share * self.surge_factors.get(name, 1.0)
             for name, (_, share) in self.traffic.tenants.items()
         }
 
     def generate_request(self) -> None:
-        """Drawn in the order in which the stand-in of the processes draws: one seed, the same arrivals."""
+        """Generate and send one request, and schedule the next one.
+
+        The random draws are in the order in which the router stand-in of the lab's processes makes them, so
+        that one seed generates the same requests in both.
+        """
         if self.stopped:
             return
         weights = self.tenant_weights()
@@ -184,13 +280,22 @@
         self.on_request(request)
         self.send(request)
 
-    # ---- tries -----------------------------------------------------------------------------------------
+    # ---- attempts --------------------------------------------------------------------------------------
 
     def open_attempts_to(self, server: AppServer) -> int:
+        """Return the number of attempts outstanding at an app server."""
         pool = self.pools.get(server)
         return pool.open_attempts if pool is not None else 0
 
     def select_server(self, tried_servers: list[str]) -> AppServer | None:
+        """Choose the app server for an attempt.
+
+        Args:
+            tried_servers: The app servers that were tried before; they are used only if no other is left.
+
+        Returns:
+            The app server, or `None` if there is none.
+        """
         now = self.clock.now
         candidates = self.list_servers(self.policy.uses_health_checks)
         if len(candidates) > SAMPLING_THRESHOLD:
@@ -211,12 +316,14 @@
         return self.policy.choose(at_home or untried, self.open_attempts_to, self.rng, self.turn)
 
     def select_from_many(self, candidates: list[AppServer], tried_servers: list[str]) -> AppServer | None:
-        """The same choice without a walk over all of them: drawn until they may be used, a few times."""
+        """Choose like `select_server` from a long list without filtering all of it.
+
+        A few app servers are drawn at random; the whole list is filtered only if none of them is eligible.
+        App servers that were tried before are not used.
+        """
         if candidates is not self.listed_servers:
-            self.listed_servers, self.home_servers = (
-                candidates,
-                [server for server in candidates if server.site == self.site],
-            )
+            self.listed_servers = candidates
+            self.home_servers = [server for server in candidates if server.site == self.site]
         preferred = (
             self.home_servers
             if self.policy.prefers_home_site and not tried_servers and self.home_servers
@@ -233,9 +340,11 @@
         return self.policy.choose(sampled[:2] or preferred[:0], self.open_attempts_to, self.rng, self.turn)
 
     def is_eligible(self, server: AppServer, tried_servers: list[str]) -> bool:
+        """Return whether an app server need not be avoided and was not tried before."""
         return self.avoid_until.get(server, 0) <= self.clock.now and server.name not in tried_servers
 
     def send(self, request: ClientRequest) -> None:
+        """Send an attempt of a request, or end the request if it is too late or already answered."""
         now = self.clock.now
         if (
             request.ended
@@ -279,7 +388,12 @@
         self.clock.after(wait, self.on_timeout, attempt)
 
     def ensure_connection(self, server: AppServer) -> bool:
-        """Whether there is a connection with room; a new one is opened where the best has much to carry."""
+        """Return whether there is a connection with room for an attempt, opening one if needed.
+
+        A new connection is opened when the existing ones are on average a quarter full, up to
+        `MAX_CONNECTIONS`; its handshake costs the app server core time. Connections to an earlier
+        incarnation are lost, and idle ones have been closed by the app server.
+        """
         pool = self.pools.get(server)
         if pool is None:
             pool = self.pools[server] = ConnectionPool()
@@ -305,12 +419,13 @@
         return pool.open_attempts < MAX_CONNECTIONS * MAX_ATTEMPTS_PER_CONNECTION
 
     def add_outstanding(self, server: AppServer, change: int) -> None:
+        """Change the number of attempts outstanding at an app server."""
         self.pools[server].open_attempts += change
         self.outstanding += change
         self.on_outstanding_change(server, change)
 
     def finish_attempt(self, attempt: Attempt) -> bool:
-        """Whether it was still open."""
+        """Mark an attempt as over, and return whether it was still open."""
         if attempt.is_over:
             return False
         attempt.is_over = True
@@ -323,16 +438,21 @@
         return True
 
     def on_timeout(self, attempt: Attempt) -> None:
+        """Handle an attempt that is unanswered at its hedge time or at its deadline.
+
+        At the hedge time a second attempt is made. The attempt is abandoned after its deadline.
+        """
         if attempt.is_over:
             return
         if self.clock.now < attempt.deadline:
-            if attempt.request.open_attempts < 2:
+            if attempt.request.open_attempts < MAX_CONCURRENT_ATTEMPTS:
                 self.retry(attempt.request, immediately=True)
             self.clock.at(attempt.deadline + ABANDON_GRACE, self.abandon, attempt)
         else:
             self.clock.after(ABANDON_GRACE, self.abandon, attempt)
 
     def abandon(self, attempt: Attempt) -> None:
+        """End an unanswered attempt and its request, and abort it at the app server."""
         if self.finish_attempt(attempt):
             attempt.request.ended = True
             self.counts["silent"] += 1
@@ -340,6 +460,7 @@
                 self.clock.after(self.link_delay, attempt.server.cancel, attempt)
 
     def retry(self, request: ClientRequest, immediately: bool = False) -> None:
+        """Schedule another attempt of a request unless it is over or has used all its attempts."""
         if request.ended or request.honoured_at >= 0 or request.attempt_count >= self.policy.max_attempts:
             request.ended = request.ended or request.attempt_count >= self.policy.max_attempts
             return
@@ -349,7 +470,16 @@
     # ---- answers ---------------------------------------------------------------------------------------
 
     def receive_answer(self, attempt: Attempt, result: str, retry_after: int, stop_retrying: bool) -> None:
-        """An answer on its way back has come."""
+        """Handle an answer, and retry the request if the policy allows.
+
+        A failed request with an idempotency key is not retried.
+
+        Args:
+            attempt: The attempt that is answered; ignored if it is over.
+            result: `honoured` for success, `written_off` for a failed run, otherwise a rejection.
+            retry_after: How long to avoid the app server if the advice is followed; 0 for no advice.
+            stop_retrying: Whether the answer asks not to retry at all.
+        """
         if not self.finish_attempt(attempt):
             return
         request = attempt.request
@@ -374,7 +504,7 @@
             self.retry(request)
 
     def on_connection_lost(self, attempt: Attempt) -> None:
-        """The link that it was on has broken."""
+        """Handle the loss of the connection on which an attempt was sent."""
         if self.finish_attempt(attempt):
             self.counts["cut"] += 1
             if not attempt.request.idempotency_key:
--- a/birchslip/lab/model/servers.py
+++ b/birchslip/lab/model/servers.py
@@ -1,7 +1,8 @@
-"""App servers of the model: the program's decisions, with what the program does around them played out.
+"""App servers of the emulated fleet: the program's own decisions, with what the program does around them.
 
-What a stage of the program does to a transaction is done here in the same order (`net/stages/`), with no
-link between them: labels are claimed, a run goes on the cores, a call goes below and comes back.
+Each step that a stage of the program (`net/stages/`) performs for a request is performed here in the same
+order and without network links: idempotency keys are stored, a run takes core time, a downstream call is
+made and ends. All times are in units of 0.1 ms.
 """
 
 from __future__ import annotations
@@ -45,12 +46,19 @@
 if TYPE_CHECKING:
     from .routers import Attempt
 
-DEFAULT_STOP_SPAN = 2 * SECOND  # from the notice to leave to the end, where nothing else is told
+DEFAULT_STOP_SPAN = 2 * SECOND  # from the start of a drain to the end of the process
 
 
 @dataclass(eq=False, slots=True)
 class KeyRecord:
-    """Of one label, for its window: who ran, and who waits for what comes of it."""
+    """What an app server stores for an idempotency key.
+
+    Attributes:
+        original: The request that runs, or ran, under the key.
+        expires_at: When the key is forgotten.
+        outcome: The outcome of the run; `None` before its end.
+        waiting_repeats: Requests with the same key that share the outcome when the run ends.
+    """
 
     original: Request
     expires_at: int
@@ -60,20 +68,60 @@
 
 @dataclass(eq=False, slots=True)
 class Run:
-    """A transaction on this side of the door, and what is left of its run."""
+    """The run of a request that an app server has read.
+
+    Attributes:
+        attempt: The attempt that delivered the request.
+        remaining_work: Core time that the run still needs, on one core.
+        calls_downstream: Whether the run calls the downstream service halfway.
+        has_started: Whether the run has started.
+        started_at: When it started.
+        is_over: Whether it has ended.
+        piece_number: Counts the starts and ends of pieces of work on the cores, so it is odd while one is
+            there. The end of a piece is ignored if the number has changed since its start.
+        call: The downstream call in flight, if there is one.
+    """
 
     attempt: Attempt
-    remaining_work: int  # of its work, on one core
+    remaining_work: int
     calls_downstream: bool
     has_started: bool = False
     started_at: int = 0
     is_over: bool = False
-    piece_number: int = 0  # of the piece that is on the cores: one that was stopped does not end
+    piece_number: int = 0
     call: DownstreamCall | None = None
 
 
 class AppServer:
-    """`deployment` is what each of its lives is told; `answer` hears each final answer once."""
+    """An app server over all its incarnations.
+
+    Attributes:
+        clock: The virtual clock.
+        name: Name of the app server.
+        site: Name of its site.
+        deployment: The admission settings of each incarnation.
+        cores: Speed of its cores.
+        downstream: The downstream service.
+        on_answer: Called once with the final answer to each attempt: the attempt, the result (`cut` if the
+            connection was lost), the Retry-After, and whether not to retry.
+        incarnation: Increases at each start and each crash.
+        is_up: Whether the process runs.
+        is_paused: Whether the process is suspended.
+        is_draining: Whether it no longer accepts requests and stops when it has answered all.
+        is_healthy: The health that it reports to health checks.
+        idle_timeout: Span after which it closes idle connections; negative before it was set.
+        counts: Number of runs started, downstream calls, and answers by result.
+        on_request: Called with each request that was read.
+        on_request_closed: Called with the request, the result and the run time, or -1 without a run.
+        before_event: Called before each event, so that expired quota leases take effect.
+        deferred: Callbacks that wait for the end of a pause, with the incarnation that they belong to.
+        driver: The admission driver; `None` while the process does not run.
+        key_records: The stored idempotency keys.
+        open_requests: The requests without a final answer, in the order of arrival.
+        on_cores: Number of pieces of work on the cores.
+        started_at: When the incarnation started.
+        ticks_suspended: Whether the timer is off because there is nothing to do.
+    """
 
     def __init__(
         self,
@@ -85,6 +133,17 @@
         downstream: DownstreamService,
         on_answer: Callable[[Attempt, str, int, bool], None],
     ) -> None:
+        """Create an app server that does not run before `start`.
+
+        Args:
+            clock: The virtual clock.
+            name: Name of the app server.
+            site: Name of its site.
+            deployment: The admission settings of each incarnation.
+            cores: Speed of its cores.
+            downstream: The downstream service.
+            on_answer: Called once with the final answer to each attempt.
+        """
         self.clock, self.name, self.site, self.deployment = clock, name, site, deployment
         self.cores, self.downstream, self.on_answer = cores, downstream, on_answer
         self.incarnation = 0
@@ -93,15 +152,18 @@
         self.counts: Counter[str] = Counter()
         self.on_request: Callable[[Request], None] = lambda request: None
         self.on_request_closed: Callable[[Request, str, int], None] = lambda request, result, run_time: None
-        self.before_event: Callable[[], None] = lambda: None  # each batch: leases that have ended bind
-        self.deferred: list[
-            tuple[int, Callable[[], None]]
-        ] = []  # while it is paused, with the life it is for
+        self.before_event: Callable[[], None] = lambda: None
+        self.deferred: list[tuple[int, Callable[[], None]]] = []
         self.driver: AdmissionDriver | None = None
 
-    # ---- lives -----------------------------------------------------------------------------------------
+    # ---- incarnations ----------------------------------------------------------------------------------
 
     def start(self, cold: bool) -> None:
+        """Start a new incarnation without requests.
+
+        Args:
+            cold: Whether the cores start cold.
+        """
         now = self.clock.now
         self.incarnation += 1
         self.is_up, self.is_paused, self.is_draining, self.is_healthy = True, False, False, True
@@ -119,7 +181,10 @@
         self.driver = AdmissionDriver(settings, now, self.perform_action, self.perform_server_action)
 
     def crash(self) -> None:
-        """At once: what it held is gone, and nobody hears of it but by the broken link."""
+        """End the process at once.
+
+        Its requests and stored keys are lost; routers learn of it only from the broken connections.
+        """
         self.is_up = self.is_paused = False
         self.incarnation += 1
         self.driver = None
@@ -130,9 +195,11 @@
         self.on_cores = 0
 
     def pause(self) -> None:
+        """Suspend the process."""
         self.is_paused = True
 
     def resume(self) -> None:
+        """Continue a suspended process, and run what was deferred."""
         self.is_paused = False
         deferred, self.deferred = self.deferred, []
         for incarnation, callback in deferred:
@@ -140,6 +207,11 @@
                 callback()
 
     def drain(self, stop_span: int = DEFAULT_STOP_SPAN) -> None:
+        """Stop accepting requests, and answer those that are open.
+
+        Args:
+            stop_span: Span until the end of the process.
+        """
         if self.driver is None or self.is_draining:
             return
         self.is_draining = True
@@ -149,16 +221,18 @@
 
     @property
     def is_warm(self) -> bool:
+        """Whether the process runs at full speed."""
         return self.is_up and (
             not self.cores.cold or self.clock.now - self.started_at >= self.cores.cold_span
         )
 
     @property
     def is_serving(self) -> bool:
+        """Whether the process runs and accepts requests."""
         return self.is_up and not self.is_paused and not self.is_draining
 
     def guard(self, callback: Callable[[], None]) -> Callable[[], None]:
-        """Nothing happens while it is paused, and nothing of an earlier life happens at all."""
+        """Wrap a callback so that it runs only in the current incarnation, and after any pause."""
         incarnation = self.incarnation
 
         def run_if_current() -> None:
@@ -171,16 +245,17 @@
 
         return run_if_current
 
-    # ---- what comes in ---------------------------------------------------------------------------------
+    # ---- arrivals --------------------------------------------------------------------------------------
 
     def receive(self, attempt: Attempt) -> None:
-        """What a router has sent; one that was on its way to an earlier life finds its link broken."""
+        """Receive an attempt; one that was sent to an earlier incarnation is cut off."""
         if attempt.incarnation != self.incarnation:
             self.on_answer(attempt, "cut", 0, False)
         else:
             self.guard(lambda: self.process_arrival(attempt))()
 
     def process_arrival(self, attempt: Attempt) -> None:
+        """Read an attempt and pass its request to the admission decisions."""
         now = self.clock.now
         if self.driver is None:
             return
@@ -211,7 +286,7 @@
         self.settle()
 
     def cancel(self, attempt: Attempt) -> None:
-        """Its caller waits no longer."""
+        """Handle the disconnection of a client that no longer waits for an attempt."""
         for request, run in self.open_requests.items():
             if run.attempt is attempt:
                 self.close_request(request, run, "gone")
@@ -219,23 +294,27 @@
                 return
 
     def begin_event(self) -> None:
+        """Bring quota leases and the driver's clock up to date before an event."""
         assert self.driver is not None
         self.before_event()
         self.driver.advance_clock(self.clock.now)
 
     def deliver_event(self, request: Request, event: Event) -> None:
+        """Pass an event of a request to the admission decisions."""
         if self.driver is not None:
             self.begin_event()
             self.driver.deliver(request, event)
             self.settle()
 
     def settle(self) -> None:
+        """Let the driver perform actions that are due."""
         if self.driver is not None:
             self.driver.settle()
 
-    # ---- what the decisions wish -----------------------------------------------------------------------
+    # ---- actions of the decisions ----------------------------------------------------------------------
 
     def perform_action(self, request: Request, action: Action) -> None:
+        """Perform an action of the admission decisions for a request."""
         run: Run = request.context
         match action:
             case StartRun():
@@ -261,6 +340,7 @@
                 self.send_answer(request, run, "written_off")
 
     def perform_server_action(self, action: ServerAction) -> None:
+        """Perform an action of the admission decisions for the whole app server."""
         match action:
             case SetTimer(at):
                 self.clock.at(at, self.tick, self.incarnation)
@@ -270,7 +350,14 @@
                 self.idle_timeout = timeout
 
     def tick(self, incarnation: int) -> None:
-        """One that has nothing in hand sleeps until something comes: its ticks would change nothing."""
+        """Run the periodic work of the admission decisions.
+
+        Without requests the ticks of a healthy app server would change nothing, so they are suspended until
+        the next request or plan.
+
+        Args:
+            incarnation: The incarnation that set the timer; ticks of an earlier one are ignored.
+        """
         if incarnation != self.incarnation or self.driver is None:
             return
         if self.is_paused:
@@ -287,6 +374,7 @@
     # ---- runs ------------------------------------------------------------------------------------------
 
     def start_run(self, request: Request, run: Run) -> None:
+        """Start a run: its first half if a downstream call follows, otherwise all of it."""
         run.has_started, run.started_at = True, self.clock.now
         self.counts["launched"] += 1
         if run.calls_downstream:
@@ -297,12 +385,20 @@
             self.run_remaining(request, run)
 
     def run_remaining(self, request: Request, run: Run) -> None:
+        """Run the rest of the work."""
         self.run_piece(request, run, run.remaining_work, self.on_work_done)
 
     def run_piece(
         self, request: Request, run: Run, work: int, on_done: Callable[[Request, Run], None]
     ) -> None:
-        """On the cores until it is over, as long as nobody stops it."""
+        """Run a piece of work on the cores.
+
+        Args:
+            request: The request.
+            run: Its run.
+            work: Core time of the piece.
+            on_done: Called at the end of the piece, unless the run was stopped.
+        """
         self.on_cores += 1
         run.piece_number += 1
         piece_number = run.piece_number
@@ -317,9 +413,11 @@
         self.clock.after(max(1, duration), self.guard(finish_piece))
 
     def request_call(self, request: Request, run: Run) -> None:
+        """Tell the admission decisions that a run needs its downstream call."""
         self.deliver_event(request, CallNeeded())
 
     def start_call(self, request: Request, run: Run, timeout: int) -> None:
+        """Start the downstream call of a run."""
         self.counts["called"] += 1
 
         def on_end(outcome: Outcome) -> None:
@@ -330,6 +428,7 @@
         run.call = self.downstream.start_call(self.name, timeout, on_end)
 
     def on_call_ended(self, request: Request, run: Run, outcome: Outcome) -> None:
+        """Report the end of a downstream call, and run the rest of the work if it was served."""
         if outcome is not Outcome.SERVED:
             self.counts["calls_bad"] += 1
         self.deliver_event(request, CallEnded(outcome, 0))
@@ -337,19 +436,21 @@
             self.run_remaining(request, run)
 
     def cancel_call(self, run: Run) -> None:
+        """Cancel the downstream call of a run, if there is one."""
         if run.call is not None:
             self.downstream.remove_call(run.call)
             run.call = None
 
     def on_work_done(self, request: Request, run: Run) -> None:
+        """End a run that has done all its work."""
         self.end_run(request, run, Outcome.SERVED)
 
     def end_run(self, request: Request, run: Run, outcome: Outcome) -> None:
-        """The run is over, however: all who wait for it hear what came of it."""
+        """End a run, and report its outcome to its request and to all repeats that wait for it."""
         if run.is_over:
             return
-        if run.piece_number % 2:
-            self.on_cores -= 1  # it was on them
+        if run.piece_number % 2:  # a piece is on the cores
+            self.on_cores -= 1
         run.is_over = True
         self.cancel_call(run)
         key_record = self.key_records.get(run.attempt.request.idempotency_key)
@@ -363,12 +464,13 @@
                 self.report_outcome(repeat, self.open_requests[repeat], outcome)
 
     def report_outcome(self, request: Request, run: Run, outcome: Outcome) -> None:
+        """Answer a request with the outcome of a run, and report it to the admission decisions."""
         is_served = outcome is Outcome.SERVED
         self.send_answer(request, run, "honoured" if is_served else "written_off")
         self.deliver_event(request, RunEnded(outcome, 0))
 
     def attach_to_original(self, request: Request, run: Run) -> None:
-        """It shares what the try that it repeats comes to, or has come to."""
+        """Give a repeat the outcome of the request whose key it repeats, now or when that ends."""
         key_record = self.key_records.get(run.attempt.request.idempotency_key)
         if key_record is None or key_record.outcome is not None:
             outcome = (
@@ -379,6 +481,7 @@
             key_record.waiting_repeats.append(request)
 
     def release_key(self, key: str, request: Request) -> None:
+        """Delete the key of a request that never ran; the repeats that wait for it fail."""
         key_record = self.key_records.get(key)
         if key_record is None or key_record.original is not request:
             return
@@ -394,11 +497,16 @@
     def send_answer(
         self, request: Request, run: Run, result: str, retry_after: int = 0, stop_retrying: bool = False
     ) -> None:
+        """Send the final answer to a request, unless it has one or its client has gone."""
         if self.close_request(request, run, result):
             self.on_answer(run.attempt, result, retry_after, stop_retrying)
 
     def close_request(self, request: Request, run: Run, result: str) -> bool:
-        """Whether this is the final answer: there is one, and none once the caller has gone."""
+        """Remove a request from the open ones and count its result.
+
+        Returns:
+            Whether the request was open, so that this is its final answer.
+        """
         if self.open_requests.pop(request, None) is None:
             return False
         self.counts[result] += 1
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -1,6 +1,7 @@
-"""The whole world of a play in virtual time: laid out from settings, driven by a script, watched throughout.
+"""The emulated world of one run in virtual time: built from settings, changed by a script, and recorded.
 
-Everything that happens comes of the settings, the script and the seed: one seed gives one play.
+A run depends only on the settings, the script and the seed, so that a run can be repeated exactly. All times
+are in units of 0.1 ms.
 """
 
 from __future__ import annotations
@@ -22,30 +23,39 @@
 from .routers import Attempt, ClientRequest, Router, Traffic
 from .servers import AppServer
 
-LIST_DELAY, LIST_INTERVAL = 8_000, 2_000  # the catalog's list is read so often, and reaches routers so late
-CATALOG_REPORT_LIFETIME = 30_000  # a report to the catalog stands for three seconds
-HEALTH_CHECK_INTERVAL, MAX_FAILED_CHECKS = 5_500, 2  # health checks, and how many must fail
+LIST_INTERVAL = 2_000  # how often the catalog's list is read
+LIST_DELAY = 8_000  # until routers use the list that was read
+CATALOG_REPORT_LIFETIME = 30_000  # the catalog lists an app server this long after its last report
+HEALTH_CHECK_INTERVAL = 5_500
+MAX_FAILED_CHECKS = 2  # in a row, until routers avoid an app server
 SAMPLE_INTERVAL = 500
-TRAFFIC_START = 2 * SECOND  # traffic: by then planners lead, and routers know who is listed
-COLD_START_DELAY = 5_000  # from the order to start to the first transaction
+DRAIN_CHECK_INTERVAL = 500
+TRAFFIC_START = 2 * SECOND  # by then the planner leads and routers know which app servers are listed
+COLD_START_DELAY = 5_000  # from the order to start an app server until it accepts requests
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Something done to the world at a moment: `what` to `whom`, with a figure where it has one.
+    """A scripted change of the world.
 
-    | what | whom | more |
+    | action | target | value |
     | --- | --- | --- |
-    | load | | of all cores |
-    | surge | tenant | times its usual |
+    | load | | fraction of the capacity |
+    | surge | tenant | factor on its usual traffic |
     | lose, restore | site | |
-    | kill, start, pause, resume, drain | app server | |
-    | slow | app server or site | times longer |
-    | shrink | | part of the fleet that is left |
+    | kill, start, pause, resume, drain | app server (pause, resume: or site) | |
+    | slow | app server or site | factor on the duration of work |
+    | shrink | | fraction of the fleet that remains |
     | below-down, below-up | | |
     | planners-gone, planners-back | | |
     | release | | |
-    | heed | | share of advice that routers follow |
+    | heed | | share of rejections whose advice routers follow |
+
+    Attributes:
+        at: When the change is made.
+        action: What is done.
+        target: The app server, site or tenant that it is done to, if any.
+        value: A number, for actions that need one.
     """
 
     at: int
@@ -54,21 +64,28 @@
     value: float = 0.0
 
     def describe(self) -> str:
-        """For people."""
+        """Return a description for reports."""
         value = f" {self.value:g}" if self.value else ""
         return f"{self.at / SECOND:.1f} s: {self.action}{' ' + self.target if self.target else ''}{value}"
 
 
 class Series:
-    """A figure over time, by its changes."""
+    """A value over time, stored as its changes.
+
+    Attributes:
+        times: When the value changed, in order.
+        values: The value from each of these times on.
+    """
 
     __slots__ = ("times", "values")
 
     def __init__(self) -> None:
+        """Create a series that is 0 from time 0."""
         self.times: list[int] = [0]
         self.values: list[float] = [0.0]
 
     def set(self, now: int, value: float) -> None:
+        """Set the value from the time `now` on, which must not be before the last change."""
         if self.times[-1] == now:
             self.values[-1] = value
         elif self.values[-1] != value:
@@ -76,7 +93,14 @@
             self.values.append(value)
 
     def within(self, span: tuple[int, int]) -> list[tuple[int, float]]:
-        """The value at its beginning, and each change within."""
+        """Return the value at the start of a span and each change before its end.
+
+        Args:
+            span: Start and end; the end is excluded.
+
+        Returns:
+            Pairs of (time, value); the first has the start as its time.
+        """
         first = bisect_right(self.times, span[0]) - 1
         last = bisect_left(self.times, span[1])
         return [(max(self.times[at], span[0]), self.values[at]) for at in range(max(0, first), last)]
@@ -84,7 +108,17 @@
 
 @dataclass(frozen=True)
 class Setting:
-    """What a play is laid out from. Without a fleet there is one site, `here`."""
+    """The settings that a world is built from.
+
+    Attributes:
+        deployment: The admission settings.
+        profiles: Names of the request classes, in the order of the settings.
+        tenants: Names of the tenants, in the order of the settings.
+        layout: The world file.
+        fleet: The fleet file; without one there is a single site named `here`.
+        planners: Whether the fleet has planners.
+        name: Name of the first app server if there is no fleet file.
+    """
 
     deployment: AdmissionSettings
     profiles: list[str]
@@ -95,17 +129,18 @@
     name: str = "here-1"
 
     def sites(self) -> dict[str, list[str]]:
+        """Return the names of the app servers of each site."""
         if self.fleet is not None:
             return {site.name: [member.name for member in site.members] for site in self.fleet.sites}
         count = self.layout.servers or self.deployment.fleet_size
         return {"here": [self.name, *(f"here-{n}" for n in range(2, count + 1))][:count]}
 
     def site_by_server(self) -> dict[str, str]:
-        """The site of each app server."""
+        """Return the site of each app server."""
         return {name: site for site, names in self.sites().items() for name in names}
 
     def routers(self) -> list[RouterTold]:
-        """As told; else those of the fleet file, or two for each site."""
+        """Return the routers of the world file, else of the fleet file, else two for each site."""
         if self.layout.routers:
             return self.layout.routers
         if self.fleet is not None and any(site.routers for site in self.fleet.sites):
@@ -121,13 +156,14 @@
         ]
 
     def capacity(self) -> float:
-        """Transactions a second that all cores can do, by the settings or as the world file has it."""
+        """Return the requests per second that all cores can serve, or that the world file states."""
         if self.layout.rate is not None:
             return self.layout.rate / self.layout.load
         count = sum(map(len, self.sites().values()))
         return count * self.deployment.cores * SECOND / self.traffic().mean_work
 
     def traffic(self) -> Traffic:
+        """Return the mix of requests, with the defaults for what the world file leaves out."""
         request_classes = []
         for name, request_class in zip(self.profiles, self.deployment.request_classes, strict=True):
             class_work = self.layout.profiles.get(name, Work())
@@ -151,10 +187,50 @@
 
 
 class World:
-    """One play. `run` plays the script; what is to be measured is read off afterwards."""
+    """One run: call `run` to run a script, then read the recorded attributes.
+
+    Attributes:
+        setting: The settings that the world was built from.
+        clock: The virtual clock.
+        layout: The world file.
+        deployment: The admission settings.
+        class_names: Names of the request classes.
+        tenant_names: Names of the tenants.
+        link_delay: Delay of a message in one direction.
+        downstream: The downstream service.
+        traffic: The mix of requests.
+        servers: All app servers.
+        sites: The names of the app servers of each site.
+        servers_by_name: All app servers by name.
+        capacity: Requests per second that loads are fractions of.
+        listed_servers: The app servers that routers know.
+        healthy_servers: Those of the listed app servers that pass health checks.
+        unhealthy: The app servers that fail health checks.
+        failed_checks: Number of health checks failed in a row, by app server.
+        listed_until: Until when an app server that has ended is still listed.
+        routers: The routers by number.
+        router_shares: The share of the traffic of each router.
+        planners: The planners, if the fleet has any.
+        requests: All requests, in the order of their start.
+        answers: All answers as (time, request, result, Retry-After).
+        notes: Events of the planners as (time, event, fields).
+        marks: Starts and ends of scripted conditions as (time, event, target).
+        outstanding: Attempts without an answer, by router number.
+        downstream_calls: Downstream calls in flight.
+        downstream_calls_by_server: Downstream calls in flight, by app server.
+        unavailable: 1 while an app server does not serve at full speed, otherwise 0, by app server.
+        core_use: Fraction of the cores in use, by app server.
+        outstanding_by_server: Attempts without an answer, by app server.
+    """
 
     def __init__(self, setting: Setting, seed: int, capacity: float = 0.0) -> None:
-        """`capacity` is what loads are parts of, in transactions a second: its own where none is told."""
+        """Build a world in which nothing runs yet.
+
+        Args:
+            setting: The settings.
+            seed: Seed of all random choices.
+            capacity: Requests per second that loads are fractions of; 0 for the capacity of the settings.
+        """
         self.setting = setting
         self.clock = Clock()
         rng = Random(seed)
@@ -216,19 +292,17 @@
         self.planners: Planners | None = None
         if setting.fleet is not None and setting.planners:
             self.planners = Planners(self, setting.fleet, rng.getrandbits(48))
-        # what is kept for whoever measures
+        # Recorded for measures.
         self.requests: list[ClientRequest] = []
         self.answers: list[tuple[int, ClientRequest, str, int]] = []
         self.notes: list[tuple[int, str, dict[str, object]]] = []
-        self.marks: list[tuple[int, str, str]] = []  # what has happened: begin and end of conditions
+        self.marks: list[tuple[int, str, str]] = []
         self.outstanding = {number: Series() for number in self.routers}
         self.downstream_calls = Series()
         self.downstream_calls_by_server = {name: Series() for name in self.servers_by_name}
         self.unavailable = {name: Series() for name in self.servers_by_name}
         self.core_use = {name: Series() for name in self.servers_by_name}
-        self.outstanding_by_server = {
-            name: Series() for name in self.servers_by_name
-        }  # outstanding at an app server
+        self.outstanding_by_server = {name: Series() for name in self.servers_by_name}
         for number, router in self.routers.items():
             router.on_request = self.requests.append
             router.on_outstanding_change = self.outstanding_recorder(router, self.outstanding[number])
@@ -236,6 +310,7 @@
         self.downstream.on_change = self.record_downstream_calls
 
     def outstanding_recorder(self, router: Router, series: Series) -> Callable[[AppServer, int], None]:
+        """Return a callback that records changes of a router's outstanding attempts."""
         outstanding_by_server, clock = self.outstanding_by_server, self.clock
 
         def record(server: AppServer, change: int) -> None:
@@ -245,9 +320,18 @@
 
         return record
 
-    # ---- the course ------------------------------------------------------------------------------------
+    # ---- run and records -------------------------------------------------------------------------------
 
     def run(self, steps: Iterable[Step], until: int) -> None:
+        """Run a script.
+
+        Args:
+            steps: The steps of the script.
+            until: When the run ends.
+
+        Raises:
+            ValueError: A step has an unknown action.
+        """
         for server in self.servers:
             self.start_server(server, cold=False)
         self.refresh_list()
@@ -265,10 +349,12 @@
         self.clock.run(until)
 
     def set_load(self, load: float) -> None:
+        """Set the traffic to a fraction of the capacity."""
         for number, router in self.routers.items():
             router.rate_per_s = load * self.capacity * self.router_shares[number]
 
     def sample(self) -> None:
+        """Record the availability and core use of all app servers."""
         now = self.clock.now
         for name, server in self.servers_by_name.items():
             self.unavailable[name].set(now, 0 if server.is_serving and server.is_warm else 1)
@@ -277,23 +363,28 @@
             )
 
     def record_downstream_calls(self, server: str) -> None:
+        """Record the downstream calls in flight after a change at an app server."""
         self.downstream_calls.set(self.clock.now, self.downstream.calls_in_flight)
         self.downstream_calls_by_server[server].set(
             self.clock.now, len(self.downstream.calls_by_server[server])
         )
 
     def record_answer(self, request: ClientRequest, result: str, retry_after: int) -> None:
+        """Record an answer to a request."""
         self.answers.append((self.clock.now, request, result, retry_after))
 
     def note(self, event: str, **fields: object) -> None:
+        """Record an event of the planners."""
         self.notes.append((self.clock.now, event, fields))
 
     def mark(self, event: str, target: str = "") -> None:
+        """Record the start or end of a scripted condition."""
         self.marks.append((self.clock.now, event, target))
 
-    # ---- app servers and who finds them ----------------------------------------------------------------
+    # ---- app servers and their listing -----------------------------------------------------------------
 
     def deliver_answer(self, attempt: Attempt, result: str, retry_after: int, stop_retrying: bool) -> None:
+        """Deliver an answer, or the loss of the connection, to the router after the link delay."""
         router = self.routers[attempt.router_number]
         if result == "cut":
             self.clock.after(self.link_delay, router.on_connection_lost, attempt)
@@ -303,12 +394,19 @@
             )
 
     def start_server(self, server: AppServer, cold: bool) -> None:
+        """Start an app server, and connect it to the planners."""
         server.start(cold)
         if self.planners is not None:
             self.planners.on_server_started(server)
 
     def kill(self, server: AppServer, announced: bool = False) -> None:
-        """`known`: it has told the catalog that it leaves."""
+        """End an app server at once.
+
+        Args:
+            server: The app server; ignored if it does not run.
+            announced: Whether it has told the catalog that it stops. Otherwise the catalog lists it until its
+                last report expires, which is taken to be half a second old.
+        """
         if not server.is_up:
             return
         incarnation = server.incarnation
@@ -320,13 +418,14 @@
             self.planners.on_connection_lost(server, incarnation)
 
     def refresh_list(self) -> None:
-        """Who is listed now; routers hear of it later."""
+        """Read the catalog's list, and pass it to the routers after their delay."""
         now = self.clock.now
         listed = [server for server in self.servers if self.is_listed(server, now)]
         self.clock.after(LIST_DELAY, self.apply_list, listed)
         self.clock.after(LIST_INTERVAL, self.refresh_list)
 
     def is_listed(self, server: AppServer, now: int) -> bool:
+        """Return whether the catalog lists an app server."""
         if not server.is_up:
             return now < self.listed_until.get(server, 0)
         if server.is_draining:
@@ -334,14 +433,16 @@
         return self.planners is None or self.planners.is_listed(server)
 
     def apply_list(self, listed: list[AppServer]) -> None:
+        """Make routers use a list of app servers."""
         self.listed_servers = listed
         self.healthy_servers = [server for server in listed if server not in self.unhealthy]
 
     def list_servers(self, uses_health_checks: bool) -> list[AppServer]:
+        """Return the app servers that a router may use."""
         return self.healthy_servers if uses_health_checks else self.listed_servers
 
     def check_health(self) -> None:
-        """Health checks of all routers, taken for one."""
+        """Check the health of all app servers, once on behalf of all routers."""
         for server in self.servers:
             is_healthy = server.is_up and not server.is_paused and server.is_healthy
             self.failed_checks[server] = 0 if is_healthy else self.failed_checks[server] + 1
@@ -355,10 +456,15 @@
     # ---- the script ------------------------------------------------------------------------------------
 
     def servers_of(self, target: str) -> list[AppServer]:
-        """A site's app servers, or the one of that name."""
+        """Return the app servers of a site, or the one with that name."""
         return [self.servers_by_name[name] for name in self.sites.get(target, [target])]
 
     def perform_step(self, step: Step) -> None:
+        """Perform a step of the script.
+
+        Raises:
+            ValueError: The action is unknown.
+        """
         target, value = step.target, step.value
         match step.action:
             case "load":
@@ -410,26 +516,32 @@
                 raise ValueError(f"no such step: {action}")
 
     def restart_server(self, server: AppServer) -> None:
+        """Start an app server cold, unless it runs."""
         if not server.is_up:
             self.start_server(server, cold=True)
 
     def drain_server(self, server: AppServer, on_drained: Callable[[], None] = lambda: None) -> None:
-        """It leaves, and ends once it has answered all; `then` hears of that."""
+        """Drain an app server, and once it has answered all requests call `on_drained` and end it."""
         if server.is_up:
             server.drain()
             self.await_drained(server, server.incarnation, on_drained)
 
     def await_drained(self, server: AppServer, incarnation: int, on_drained: Callable[[], None]) -> None:
+        """Call `on_drained` and end a draining app server once it has no open requests."""
         if server.incarnation != incarnation:
             return
         if server.open_requests:
-            self.clock.after(500, self.await_drained, server, incarnation, on_drained)
+            self.clock.after(DRAIN_CHECK_INTERVAL, self.await_drained, server, incarnation, on_drained)
         else:
             on_drained()
             self.kill(server, announced=True)
 
     def shrink(self, remaining_share: float) -> None:
-        """The last of each site in turn, one every quarter of a second; traffic falls with them."""
+        """Drain app servers until a share of the fleet remains.
+
+        The last app server of each site goes first, in turn, one every quarter of a second. The
+        traffic does not change.
+        """
         drained_count = int(round((1 - remaining_share) * len(self.servers)))
         order = [
             self.servers_by_name[names[-1 - position]]
@@ -443,6 +555,7 @@
         self.clock.after(max(1, len(order)) * SECOND // 4 + SECOND, self.mark, "shrunk")
 
     def start_release(self) -> None:
+        """Start a rollout, or note why it was refused."""
         refusal = "there are no planners"
         if self.planners is not None:
             refusal = self.planners.start_rollout(self.planners.rollout_spec())
@@ -453,21 +566,33 @@
         self.watch_release()
 
     def watch_release(self) -> None:
+        """Mark the end of the rollout."""
         assert self.planners is not None
         if self.planners.rollout_phase in ("running", "backing"):
             self.clock.after(SAMPLE_INTERVAL, self.watch_release)
         else:
             self.mark("released")
 
-    # ---- what came of it -------------------------------------------------------------------------------
+    # ---- results ---------------------------------------------------------------------------------------
 
     def requests_started(self, span: tuple[int, int]) -> list[ClientRequest]:
+        """Return the requests that started within a span; its end is excluded."""
         first = bisect_left(self.requests, span[0], key=lambda request: request.started_at)
         last = bisect_left(self.requests, span[1], key=lambda request: request.started_at)
         return self.requests[first:last]
 
     def service(self, span: tuple[int, int]) -> float:
-        """Payoff honoured within the latency goal over payoff asked for."""
+        """Return the share of payoff that was served in time.
+
+        The payoff of a request is the priority weight of its class. It counts as served in time if it was
+        answered with success within the latency objective.
+
+        Args:
+            span: Start and end of the span in which the requests started.
+
+        Returns:
+            A fraction; 1 without requests.
+        """
         requests = self.requests_started(span)
         total_weight = sum(request.request_class.priority_weight for request in requests)
         return (
@@ -478,5 +603,6 @@
         )
 
     def mean_attempts(self, span: tuple[int, int]) -> float:
+        """Return the mean number of attempts of the requests started in a span; 1 without requests."""
         requests = self.requests_started(span)
         return sum(request.attempt_count for request in requests) / len(requests) if requests else 1.0
