--- a/benchmarks/model_days.py
+++ b/benchmarks/model_days.py
@@ -1,8 +1,9 @@
-"""The model against the program: days of the lab with real processes, and the same days in virtual time.
+"""Compares the emulator with real processes: runs the lab's site-loss scenarios with both.
 
     python benchmarks/model_days.py --at-a-time 3 --out FOLDER
 
-A day is laid out from the very files that its processes were started with.
+Each emulated run is built from the very files that its processes were started with. For each part of a
+scenario the service of the processes, that of the emulator and the difference are printed.
 """
 
 import argparse
@@ -30,10 +31,11 @@
     ("flaps", 0.7, 10),
 ]
 ACTIONS = {"kill": "lose", "start": "restore", "pause": "pause", "resume": "resume", "slow": "slow"}
-TOLERANCE = 0.05
+TOLERANCE = 0.05  # of the service
 
 
 def start(scenario, folder):
+    """Start a scenario with real processes; its result goes to a JSON file in the folder."""
     fault, load, seed = scenario
     arguments = [
         "lab",
@@ -53,7 +55,7 @@
 
 
 def emulate(scenario, folder):
-    """The same day in virtual time: service in each of its parts."""
+    """Run the same scenario in virtual time; return the service and mean attempts of each of its parts."""
     fault, load, seed = scenario
     logs = folder / f"{fault}-{load}" / "fleet"
     first_server = f"{SITES[0]}-1"
@@ -96,11 +98,14 @@
 
 
 def main():
+    """Run all scenarios, print one row for each and how many parts agree."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--at-a-time", type=int, default=3)
     parser.add_argument("--out", type=Path, required=True)
     parser.add_argument(
-        "--again", action="store_true", help="the model alone, against what was played before"
+        "--again",
+        action="store_true",
+        help="run only the emulator, and compare with the results of an earlier run",
     )
     options = parser.parse_args()
     options.out.mkdir(parents=True, exist_ok=True)
--- a/benchmarks/model_size.py
+++ b/benchmarks/model_size.py
@@ -1,9 +1,9 @@
-"""How long the model takes at size: so many app servers for sixty virtual seconds, and how that grows.
+"""Measures the processor time of the emulator for 60 virtual seconds, by number of app servers.
 
     python benchmarks/model_size.py [LOAD] [COUNT ...]
 
-Each app server has one core and is asked for LOAD of what it can do, 2.5 transactions a second at 0.8; one in
-ten is lost half-way and comes back. No planners: their own sizes are measured by `fleet_size.py`.
+Each app server has one core and gets LOAD of its capacity, 2.5 requests a second at 0.8. One in ten crashes
+at 25 s and is started again at 35 s. There are no planners: `fleet_size.py` measures those.
 """
 
 import json
@@ -21,6 +21,7 @@
 
 
 def setting(count, load):
+    """Return the settings of a fleet of `count` app servers with one core each."""
     settings = json.loads(EXAMPLE.read_text())["settings"]
     settings["family_info"] |= {"cores": 1, "calls_out": 2.0}
     settings["group_size"] = count
@@ -40,6 +41,7 @@
 
 
 def main():
+    """Print the processor time of each fleet size."""
     load = float((sys.argv[1:] or ["0.8"])[0])
     for count in [int(word) for word in sys.argv[2:]] or [30, 100, 300, 1_000]:
         world = World(setting(count, load), 1)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The model of the world: one seed one play, the four rules, what faults do in it."""
+"""The emulated fleet: repeatable runs, invariants under faults, and the parts that it is built from."""
 
 from collections import Counter
 
@@ -29,7 +29,7 @@
     return [(request.started_at, request.tried_servers, request.honoured_at) for request in world.requests]
 
 
-def test_one_seed_gives_one_play_and_another_seed_another():
+def test_same_seed_repeats_run_and_other_seed_changes_it():
     a, b, c = (run_world(Step(60_000, "lose", "north"), seed=seed) for seed in (1, 1, 2))
     assert request_histories(a) == request_histories(b) != request_histories(c)
 
@@ -38,17 +38,19 @@
 @pytest.mark.parametrize(
     "fault", ["none", "lose", "pause", "drain", "slow", "below-down", "release", "shrink"]
 )
-def test_no_fault_breaks_a_rule(load, fault):
-    whom = {"lose": "north", "pause": "north", "drain": "toy-2", "slow": "south"}.get(fault, "")
-    steps = [] if fault == "none" else [Step(50_000, fault, whom, 0.5 if fault == "shrink" else 3.0)]
+def test_invariants_hold_under_faults(load, fault):
+    # Every attempt ends, unanswered only if its app server is paused; an incarnation runs an idempotency
+    # key at most once; downstream calls stay within the limit.
+    target = {"lose": "north", "pause": "north", "drain": "toy-2", "slow": "south"}.get(fault, "")
+    steps = [] if fault == "none" else [Step(50_000, fault, target, 0.5 if fault == "shrink" else 3.0)]
     if fault == "pause":
-        steps.append(Step(70_000, "resume", whom))
-    launched = Counter()
+        steps.append(Step(70_000, "resume", target))
+    run_counts = Counter()
     world = World(sources().setting, 3)
     for server in world.servers:
 
         def start_run(request, run, server=server, inner=server.start_run):
-            launched[server.name, server.incarnation, run.attempt.request.idempotency_key] += 1
+            run_counts[server.name, server.incarnation, run.attempt.request.idempotency_key] += 1
             inner(request, run)
 
         server.start_run = start_run
@@ -59,13 +61,13 @@
     assert [request for request in world.requests if request.open_attempts] == []
     silent = sum(router.counts["silent"] for router in world.routers.values())
     assert silent == 0 or fault == "pause"
-    assert max((count for (_, _, key), count in launched.items() if key), default=1) == 1
+    assert max((count for (_, _, key), count in run_counts.items() if key), default=1) == 1
     assert world.downstream.max_calls_in_flight <= 16
     assert not world.downstream.has_failed
     assert len(world.requests) > 100
 
 
-def test_a_lost_site_is_evacuated_and_comes_back_in_steps():
+def test_lost_site_is_evacuated_and_returns_in_steps():
     world = run_world(
         Step(50_000, "lose", "north"), Step(90_000, "restore", "north"), until=20 * SECOND, load=0.75
     )
@@ -77,18 +79,20 @@
     assert world.service((50_000, 60_000)) < 0.95 < world.service((17 * SECOND, 19 * SECOND))
 
 
-def test_a_release_goes_through_everybody_within_the_budget():
+def test_rollout_updates_all_members_within_disruption_budget():
     world = run_world(Step(50_000, "release"), until=50 * SECOND, load=0.4)
     assert world.planners.rollout_phase == "done"
     assert set(world.planners.versions.values()) == {"2"}
     assert [event for _, event, _ in world.marks] == ["load", "release", "released"]
-    out = Counter()
+    max_unavailable = Counter()
     for name, series in world.unavailable.items():
-        out[name] = max(value for at, value in zip(series.times, series.values, strict=True) if at > 40_000)
-    assert set(out.values()) == {1}
+        max_unavailable[name] = max(
+            value for at, value in zip(series.times, series.values, strict=True) if at > 40_000
+        )
+    assert set(max_unavailable.values()) == {1}
 
 
-def test_more_load_means_less_service_and_more_tries():
+def test_service_falls_as_load_rises():
     worlds = [run_world(load=load, until=10 * SECOND) for load in (0.5, 1.3, 2.5)]
     service = [world.service((50_000, 90_000)) for world in worlds]
     assert service == sorted(service, reverse=True)
@@ -97,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cores", "now", "span", "on", "took"),
+    ("cores", "now", "work", "on_cores", "expected"),
     [
         (Cores(2), 0, 100, 1, 100),
         (Cores(2), 0, 100, 2, 100),
@@ -109,11 +113,11 @@
         (Cores(2, crowd=4, loss=0.25), 0, 100, 6, 600),
     ],
 )
-def test_cores_take_longer_when_cold_slow_or_crowded(cores, now, span, on, took):
-    assert cores.took(now, span, on) == took
+def test_cores_take_longer_when_cold_slow_or_crowded(cores, now, work, on_cores, expected):
+    assert cores.took(now, work, on_cores) == expected
 
 
-def test_what_the_door_costs_slows_the_cores_for_a_second():
+def test_connection_cost_slows_cores_for_a_second():
     cores = Cores(2)
     cores.cost(0, SECOND)
     assert cores.took(0, 100, 1) == 200
@@ -130,7 +134,7 @@
         (7, 1_000, False, [(0, Outcome.CONNECTION_LOST)] * 7),
     ],
 )
-def test_the_service_below_slows_refuses_and_falls(call_count, timeout, down, expected):
+def test_downstream_service_slows_times_out_and_goes_down(call_count, timeout, down, expected):
     clock, results = Clock(), []
     downstream = DownstreamService(clock, FixedUniform(), 100, full_speed_limit=2, failure_limit=6)
     downstream.is_down = down
@@ -142,7 +146,7 @@
     assert downstream.has_failed is (call_count == 7)
 
 
-def test_calls_of_one_that_died_are_in_hand_no_more():
+def test_calls_of_crashed_server_are_removed_once():
     downstream = DownstreamService(Clock(), FixedUniform(), 100)
     call = downstream.start_call("a", 1_000, lambda outcome: None)
     downstream.start_call("b", 1_000, lambda outcome: None)
@@ -151,7 +155,7 @@
     assert downstream.calls_in_flight == 1
 
 
-def test_a_series_tells_what_was_so_within():
+def test_series_within_span_has_start_value_and_changes():
     series = Series()
     for at, value in ((10, 1.0), (20, 3.0), (20, 2.0), (30, 2.0), (40, 0.0)):
         series.set(at, value)
@@ -170,7 +174,7 @@
 @pytest.mark.parametrize(
     ("name", "chosen", "follows_advice"), [("usual", 3, True), ("turns", 2, True), ("blind", 3, False)]
 )
-def test_habits_pick_and_heed(name, chosen, follows_advice):
+def test_routing_policies_choose_follow_advice_and_back_off(name, chosen, follows_advice):
     policy = ROUTING_POLICIES[name]
     assert policy.choose([1, 2, 3], lambda server: server, FixedRandom(), 4) == chosen
     assert policy.follows_advice(FixedRandom()) is follows_advice
