--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -315,7 +315,7 @@
             name: ProcessReport(state=self.process_states[name], version=self.versions[name])
             for name in self.process_states
         }
-        services = {one.name: ProcessReport(state="up", start_count=1) for one in self.fleet.services}
+        services = {service.name: ProcessReport(state="up", start_count=1) for service in self.fleet.services}
         self.state.receive_inventory(Inventory(members, services), clock.now)
         for order in list(self.state.platform_orders(clock.now)):
             self.execute_order(order)
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -117,7 +117,7 @@
         layout: The world file.
         fleet: The fleet file; without one there is a single site named `here`.
         planners: Whether the fleet has planners.
-        name: Name of the first app server if there is no fleet file.
+        name: Name of the app server that the settings belong to; the first one if there is no fleet file.
     """
 
     deployment: AdmissionSettings
@@ -438,7 +438,7 @@
         self.healthy_servers = [server for server in listed if server not in self.unhealthy]
 
     def list_servers(self, uses_health_checks: bool) -> list[AppServer]:
-        """Return the app servers that a router may use."""
+        """Return the listed app servers, or only those that pass health checks."""
         return self.healthy_servers if uses_health_checks else self.listed_servers
 
     def check_health(self) -> None:
@@ -543,16 +543,16 @@
         traffic does not change.
         """
         drained_count = int(round((1 - remaining_share) * len(self.servers)))
-        order = [
+        drain_order = [
             self.servers_by_name[names[-1 - position]]
             for position in range(max(len(names) for names in self.sites.values()))
             for names in self.sites.values()
             if position < len(names)
         ][:drained_count]
         self.mark("shrinking")
-        for index, server in enumerate(order):
+        for index, server in enumerate(drain_order):
             self.clock.after(index * SECOND // 4, self.drain_server, server)
-        self.clock.after(max(1, len(order)) * SECOND // 4 + SECOND, self.mark, "shrunk")
+        self.clock.after(max(1, len(drain_order)) * SECOND // 4 + SECOND, self.mark, "shrunk")
 
     def start_release(self) -> None:
         """Start a rollout, or note why it was refused."""
