--- a/benchmarks/model_size.py
+++ b/benchmarks/model_size.py
@@ -1,9 +1,9 @@
-"""How long the model takes at size: so many app servers for sixty virtual seconds, and how that grows.
+"""Measures the processor time of the emulator for 60 virtual seconds, by number of app servers.
 
     python benchmarks/model_size.py [LOAD] [COUNT ...]
 
-Each app server has one core and is asked for LOAD of what it can do, 2.5 transactions a second at 0.8; one in
-ten is lost half-way and comes back. No planners: their own sizes are measured by `fleet_size.py`.
+Each app server has one core and gets LOAD of its capacity, 2.5 requests a second at 0.8. One in ten crashes
+at 25 s and is started again at 35 s. There are no planners: `fleet_size.py` measures those.
 """
 
 import json
@@ -17,16 +17,17 @@
 from birchslip.lab.model.world import Setting, Step, World
 
 EXAMPLE = Path(__file__).resolve().parent.parent / "examples" / "app-server.json"
-LONG = 60 * SECOND
+DURATION = 60 * SECOND
 
 
 def setting(count, load):
+    """Return the settings of a fleet of `count` app servers with one core each."""
     settings = json.loads(EXAMPLE.read_text())["settings"]
     settings["family_info"] |= {"cores": 1, "calls_out": 2.0}
     settings["group_size"] = count
     for tenant in settings["tenants"]:
         tenant["quota_per_s"] = count * 1.5
-    told = read_admission_settings(1, SettingsReader(flatten(settings)))
+    deployment = read_admission_settings(1, SettingsReader(flatten(settings)))
     layout = Layout(
         profiles={
             "lookup": Work(share=0.7, work_ms=300.0),
@@ -36,24 +37,26 @@
         servers=count,
         load=load,
     )
-    return Setting(told, ["lookup", "order"], ["blue", "green"], layout)
+    return Setting(deployment, ["lookup", "order"], ["blue", "green"], layout)
 
 
 def main():
+    """Print the processor time of each fleet size."""
     load = float((sys.argv[1:] or ["0.8"])[0])
     for count in [int(word) for word in sys.argv[2:]] or [30, 100, 300, 1_000]:
         world = World(setting(count, load), 1)
-        gone = [server.name for server in world.servers[::10]]
-        steps = [Step(25 * SECOND, "kill", name) for name in gone] + [
-            Step(35 * SECOND, "start", name) for name in gone
+        lost = [server.name for server in world.servers[::10]]
+        steps = [Step(25 * SECOND, "kill", name) for name in lost] + [
+            Step(35 * SECOND, "start", name) for name in lost
         ]
-        began = time.process_time()
-        world.run(steps, LONG)
-        took = time.process_time() - began
-        each = took / len(world.deeds) * 1e6
+        started_at = time.process_time()
+        world.run(steps, DURATION)
+        cpu_s = time.process_time() - started_at
+        us_per_request = cpu_s / len(world.requests) * 1e6
         print(
-            f"{count:5} app servers: {took:6.1f} s of processor for 60 virtual seconds, {len(world.deeds)} "
-            f"transactions, {each:4.0f} us each; service {world.service((0, LONG)):.3f}",
+            f"{count:5} app servers: {cpu_s:6.1f} s of processor for 60 virtual seconds, "
+            f"{len(world.requests)} transactions, {us_per_request:4.0f} us each; "
+            f"service {world.service((0, DURATION)):.3f}",
             flush=True,
         )
 
