--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -56,7 +56,7 @@
         self.state = state
         self.interval = interval
         self.connection: Connection | None = None
-        self.nap = InterruptibleSleep(scheduler)
+        self.poll_wait = InterruptibleSleep(scheduler)
 
     def run(self) -> None:
         """Run until the planner ends; does nothing while this planner does not lead."""
@@ -65,11 +65,11 @@
             if self.state.is_effective_leader(self.scheduler.update_clock()):
                 self._exchange()
             earliest = self.scheduler.now + self.interval // MIN_PAUSE_DIVISOR
-            self.nap.sleep(max(started_at + self.interval, earliest))
+            self.poll_wait.sleep(max(started_at + self.interval, earliest))
 
     def wake(self) -> None:
         """Start the next exchange now, without waiting for the interval."""
-        self.nap.wake()
+        self.poll_wait.wake()
 
     def _exchange(self) -> None:
         """Request the inventory and send orders; a failure is logged and closes the connection."""
