--- a/birchslip/net/buffer.py
+++ b/birchslip/net/buffer.py
@@ -38,7 +38,7 @@
 
         Raises:
             MalformedMessageError: If the buffer is full.
-            OSError: If the socket raises it, also if no data is there.
+            OSError: If the socket raises it; `BlockingIOError` if there is nothing to read.
         """
         self.make_room()
         with memoryview(self.data) as view, view[self.end :] as free:
@@ -47,7 +47,7 @@
         return count
 
     def feed(self, data: bytes) -> None:
-        """Appends data as if it had been read."""
+        """Appends data as if it had been read; it must fit within the bound."""
         while self.end + len(data) > len(self.data):
             self.make_room(len(data))
         self.data[self.end : self.end + len(data)] = data
@@ -75,7 +75,7 @@
             raise MalformedMessageError(f"{unread} bytes without a complete message")
 
     def skip(self, count: int) -> None:
-        """Consumes bytes."""
+        """Consumes bytes without copying them."""
         self.start += count
         self.scanned = 0
 
--- a/birchslip/net/catalog.py
+++ b/birchslip/net/catalog.py
@@ -43,7 +43,7 @@
         connector: Set while a connection is being opened.
         link: Connection to the catalog, or None.
         missed_reports: Number of reports missed since the last one that was answered.
-        report_wait: Wait between two reports.
+        report_wait: Sleep until the next report is due.
         is_report_requested: Whether the next report is due without a wait.
     """
 
@@ -68,7 +68,11 @@
         self.change_address(address)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Sends reports to another address from the next one on."""
+        """Sends the next report to another address.
+
+        The connection to the previous address is closed, and an attempt to connect to it is cancelled; a
+        report in progress thereby counts as missed.
+        """
         self.address, self.host = address, f"{address[0]}:{address[1]}"
         self.close_connection()
         if self.connector is not None:
@@ -151,7 +155,7 @@
         return not link.open or len(link.buffer) > 0
 
     def close_connection(self) -> None:
-        """Closes the connection, if there is one."""
+        """Closes the connection, if there is one; the next report opens another."""
         if self.link is not None:
             self.link.close("connection to the catalog closed")
             self.link = None
--- a/birchslip/net/connection.py
+++ b/birchslip/net/connection.py
@@ -1,4 +1,7 @@
-"""TCP connections: one task reads each; all writes of a scheduler pass are sent together at its end."""
+"""TCP connections: one task reads each; all writes of a scheduler pass are sent together at its end.
+
+All times are in tenths of a millisecond.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 MAX_PIECES_PER_SEND = 64
 LINGER_TIMEOUT = 10_000  # a graceful close waits 1 s at most for the peer to close its side
-MAX_DISCARDED_BYTES = 65_536  # and for so many bytes: a peer that sends more ignores the close
+MAX_DISCARDED_BYTES = 65_536  # during a graceful close; a peer that sends more ignores the close
 CONNECT_TIMEOUT = 10_000  # after 1 s an attempt counts as refused
 
 
@@ -30,19 +33,21 @@
 class Connection:
     """A connected socket with buffers for both directions.
 
-    A peer that reads too slowly, so that more than `max_unsent_bytes` wait for it, is disconnected.
+    A peer that reads too slowly is disconnected: when more than `max_unsent_bytes` remain unsent to it, or
+    when any do while all connections of the pool together exceed the limit of the pool.
 
     Attributes:
         buffer: Bytes that were read and not yet consumed.
         unsent: Writes that are still to be sent, `unsent_bytes` in all.
-        open: Whether the socket is open, possibly while a graceful close waits for the peer.
+        open: Whether the socket is open; it stays open during a graceful close.
         linger_timer: Set during a graceful close; data received from then on is discarded.
         discarded_bytes: Bytes received since a graceful close began.
         peer_closed: Whether the peer closed its side during a graceful close.
         close_reason: Why the connection was closed, or is being closed.
         malformed: Whether the peer has sent malformed data.
-        on_malformed: Called with the reason in place of `close` when data is malformed. Removed at the close:
-            the reference cycle would keep both objects in memory until the next garbage collection.
+        on_malformed: Called with the reason in place of `close` when data is malformed, for an owner that has
+            to do more than close. Removed at the close: the reference cycle would keep both objects and the
+            buffer in memory until the next garbage collection.
         last_activity_at: When bytes were last received or sent.
     """
 
@@ -130,7 +135,10 @@
         return count > 0 and self.linger_timer is None
 
     def discard(self, count: int) -> None:
-        """Counts bytes received during a graceful close; no response to them could be sent any more.
+        """Counts bytes that were received and dropped during a graceful close, and completes it when due.
+
+        The bytes are not processed, since no response to them could be sent any more. The connection is
+        closed once the peer has closed its side and nothing is unsent, or after `MAX_DISCARDED_BYTES`.
 
         Args:
             count: Number of bytes; 0 means that the peer has closed its side.
@@ -149,7 +157,7 @@
         self.schedule_flush()
 
     def schedule_flush(self) -> None:
-        """Sends what is unsent at the end of this pass."""
+        """Schedules one `flush` for the end of this pass."""
         if not self.flush_scheduled:
             self.flush_scheduled = True
             self.scheduler.at_pass_end(self.flush)
@@ -186,7 +194,7 @@
             self.scheduler.update_mask(self.descriptor, self.event_mask())
 
     def adjust_unsent_bytes(self, count: int) -> None:
-        """Adds to the number of unsent bytes, here and in the pool."""
+        """Adds `count`, which may be negative, to the number of unsent bytes here and in the pool."""
         self.unsent_bytes += count
         self.pool.unsent_bytes += count
 
@@ -196,9 +204,10 @@
         return (0 if self.peer_closed else READ) | (WRITE if self.unsent else 0)
 
     def close_gracefully(self, reason: str) -> None:
-        """Closes the connection after everything unsent was sent and the peer has closed its side too.
+        """Begins to close the connection, so that the peer receives all that was written; returns at once.
 
-        Received data is discarded meanwhile; time and bytes are bounded. An immediate close would drop what
+        What is unsent is sent, then the end of the stream. Received data is discarded until the peer closes
+        its side, for at most `LINGER_TIMEOUT` and `MAX_DISCARDED_BYTES`. An immediate close would drop what
         is unsent, and with received bytes unread it would send a reset, which can take responses in transit
         with it.
         """
@@ -210,7 +219,10 @@
             self.schedule_flush()
 
     def shut_down_writing(self) -> None:
-        """Sends the end of the stream, after all data; closes if the peer has closed its side already."""
+        """Sends the end of the stream, which the peer receives after all data.
+
+        Closes the connection if the peer has closed its side already.
+        """
         if self.peer_closed:
             self.close(self.close_reason)
             return
--- a/birchslip/net/messagepack.py
+++ b/birchslip/net/messagepack.py
@@ -11,7 +11,7 @@
 
 from .buffer import MalformedMessageError
 
-MAX_DEPTH = 8  # levels of nested arrays and maps
+MAX_DEPTH = 8  # arrays and maps that may contain a value, one inside the other
 MAX_VALUE_BYTES = 16_384  # of one string or binary value
 MAX_ITEMS = 64  # of one array, or pairs of one map
 
@@ -120,7 +120,7 @@
 
 
 def unpack_string(view: memoryview, offset: int, end: int, size: int) -> tuple[str, int]:
-    """Decodes a string of `size` bytes; returns it and the index after it.
+    """Decodes a UTF-8 string of `size` bytes at `offset`; returns it and the index after it.
 
     Raises:
         IncompleteMessageError: If the string continues past `end`.
--- a/birchslip/net/scheduler.py
+++ b/birchslip/net/scheduler.py
@@ -3,6 +3,8 @@
 A pass runs due timers, then tasks that are ready, then calls `on_pass_end` once, then runs the actions
 scheduled for its end. Nothing else blocks: only a ready descriptor, a due timer or a signal wakes an idle
 process.
+
+All times are in tenths of a millisecond unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 READ, WRITE = select.POLLIN, select.POLLOUT
 HANGUP_OR_ERROR = select.POLLHUP | select.POLLERR | select.POLLNVAL
 TASK_TIME_SLICE = 50  # after 5 ms of tasks a pass ends, so that timers are not late; the rest run in the next
-MIN_CANCELLED_TO_SWEEP = 64  # cancelled timers leave the heap once they are so many, and half of it
+MIN_CANCELLED_TO_SWEEP = 64  # cancelled timers; removed at this count if they are over half of the heap
 
 
 def unix_clock() -> int:
@@ -78,7 +80,10 @@
         ready_tasks: Tasks to resume, with the value that their wait returns.
         pass_end_actions: Actions for the end of this pass.
         timers: A heap of time, serial number and timer; timers of the same time run in the order of creation.
+        last_serial: Serial number of the newest timer.
+        cancelled_count: Number of cancelled timers that are still in the heap.
         poll_at_once: Whether the next pass does not wait for events.
+        stopped: Whether `run` returns after the current pass.
     """
 
     def __init__(
@@ -129,7 +134,7 @@
         return events
 
     def update_mask(self, descriptor: int, mask: int) -> None:
-        """Changes the events for which a waiting task is woken; no effect if none waits."""
+        """Changes the events for which the waiting task is woken; no effect if no task waits."""
         if descriptor in self.waiting_tasks:
             self.register_descriptor(descriptor, mask)
 
@@ -161,7 +166,7 @@
         self.hub.switch()
 
     def at(self, due: int, action: Callable[[], None]) -> Timer:
-        """Schedules an action for a time."""
+        """Schedules an action for a time; the returned timer can cancel it."""
         timer = Timer(self, action)
         self.last_serial += 1
         heapq.heappush(self.timers, (due, self.last_serial, timer))
@@ -221,7 +226,7 @@
         return max(0, -((self.clock() - self.timers[0][0]) // 10))
 
     def update_clock(self) -> int:
-        """Reads the clock into `now`, which never goes back, and returns it."""
+        """Sets `now` to the time of the clock, unless the clock went back, and returns `now`."""
         self.now = max(self.now, self.clock())
         return self.now
 
@@ -243,7 +248,7 @@
             self.on_error(name or getattr(action, "__qualname__", "action"), error)
 
     def on_timer_cancelled(self) -> None:
-        """Counts a cancelled timer, and removes them from the heap if there are too many."""
+        """Counts a cancelled timer; removes all cancelled timers from the heap if there are too many."""
         self.cancelled_count += 1
         if self.cancelled_count >= MIN_CANCELLED_TO_SWEEP and self.cancelled_count * 2 > len(self.timers):
             self.timers = [entry for entry in self.timers if entry[2].action is not None]
--- a/birchslip/net/servers.py
+++ b/birchslip/net/servers.py
@@ -52,11 +52,12 @@
 
 
 def parse_number(value: float | str) -> float:
-    """Converts a number in a message.
+    """Converts a number in a message of the agent, which may be given as text, to a finite float.
 
     Raises:
         ValueError: If it is not a finite number.
         TypeError: If it is neither a number nor a text.
+        OverflowError: If it is an integer too large for a float.
     """
     number = float(value)
     if not isfinite(number):
@@ -87,6 +88,7 @@
 
     Raises:
         ValueError: If it is not valid base64.
+        TypeError: If it is not a text.
     """
     return a2b_base64(message.get("body") or "", strict_mode=True)
 
@@ -340,10 +342,11 @@
                 raise ValueError(f"unknown op: {str(unknown)[:40]!r}")
 
     def handle_refusal(self, order: str, request_id: str) -> None:
-        """Handles an order that the agent did not carry out.
+        """Handles the agent's message that it did not carry out an order.
 
-        A refused launch means that the run never starts; a refusal of another order means that the agent no
-        longer knows the run.
+        After a refused `launch` the run never starts. After a refused `deliver` or `forgo` the agent no
+        longer knows the run, so its outcome stays unknown. A refusal of another order is only counted and
+        logged.
 
         Args:
             order: The `op` of the order.
@@ -384,7 +387,10 @@
         action: Callable[[], None],
         unknown_run_action: Callable[[], None] = lambda: None,
     ) -> None:
-        """Processes a notice, unless its number shows that it was processed before or that one is missing.
+        """Processes a notice once, by its number.
+
+        If notices before it are missing, a synchronized link is closed instead, and the agent repeats them on
+        the next connection. On a link that is not synchronized they are lost, and the notice is processed.
 
         Args:
             notice_number: Number of the notice.
@@ -415,13 +421,13 @@
         self.log.fault("agent_remark", text=text)
 
     def handle_call_request(self, request_id: str, notice_number: int, body: bytes) -> None:
-        """Handles the notice that a run needs a downstream call; it answers the pending orders of the run."""
+        """Handles the notice that a run needs a downstream call; the pending orders are thereby answered."""
         context = self.runs[request_id]
         context.pending_orders = b""
         self.on_call_needed(context, notice_number, body)
 
     def handle_outcome(self, request_id: str, outcome: Outcome, result: bytes, elapsed: int) -> None:
-        """Handles the notice that a run has ended; it answers the pending orders of the run."""
+        """Handles the notice that a run has ended; its pending orders are thereby answered."""
         context = self.runs.pop(request_id)
         context.pending_orders = b""
         self.on_run_ended(context, outcome, result, elapsed)
--- a/birchslip/net/site.py
+++ b/birchslip/net/site.py
@@ -95,7 +95,12 @@
 
 
 def parse_config(configuration: dict[str, Any], environment: Mapping[str, str]) -> ServerConfig:
-    """Validates a configuration; `PROXY_NAME` and `PROXY_LISTEN` of the environment take precedence.
+    """Validates a configuration.
+
+    Args:
+        configuration: The decoded JSON object; absent limits and `stop_ms` have defaults.
+        environment: Environment variables; `PROXY_NAME` and `PROXY_LISTEN` take precedence over `name` and
+            `listen`.
 
     Raises:
         InvalidInputError: If a value is absent or not valid.
@@ -138,7 +143,7 @@
     if not all(config.class_names) or not config.class_names:
         raise InvalidInputError("settings.classes has no names")
     for setting, names in (("classes", config.class_names), ("tenants", config.tenant_names)):
-        duplicate = next((name for place, name in enumerate(names) if name in names[:place]), None)
+        duplicate = next((name for index, name in enumerate(names) if name in names[:index]), None)
         if duplicate is not None:
             raise InvalidInputError(f"settings.{setting} names one twice: {duplicate[:40]!r}")
     return config
--- a/birchslip/net/vault.py
+++ b/birchslip/net/vault.py
@@ -227,9 +227,13 @@
             self.scheduler.at(self.idle_connections[0][0] + MAX_IDLE_TIME, self.close_expired)
 
     def take_idle(self) -> Connection | None:
-        """Returns the connection used last that is fresh and has received no data since; None if none is.
+        """Removes and returns an idle connection that can be reused, the most recently used first.
 
-        Connections that cannot be reused are closed.
+        A connection can be reused if it was idle for less than `MAX_IDLE_TIME`, and has received neither data
+        nor a close from the vault since its last reply. Others that are found on the way are closed.
+
+        Returns:
+            The connection, or None if none can be reused.
         """
         while self.idle_connections:
             idle_since, link = self.idle_connections.pop()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -189,8 +189,8 @@
         with pytest.raises(MalformedMessageError):
             parse_reply_line(line)
     else:
-        name, outcome, length = parse_reply_line(line)
-        assert (name, outcome.decode(), length) == expected
+        request_id, word, length = parse_reply_line(line)
+        assert (request_id, word.decode(), length) == expected
 
 
 SETTINGS = {
