--- a/birchslip/net/log.py
+++ b/birchslip/net/log.py
@@ -22,7 +22,7 @@
 
 MAX_LINE_BYTES = 2048  # well below PIPE_BUF, so that a pipe takes a line whole
 MAX_QUEUED_LINES = 256  # more are dropped and counted
-MAX_TRACE_CHARS = 1500
+MAX_TRACE_CHARS = 1500  # of the end of a traceback
 FAULT_INTERVAL = 10_000  # 1 s between lines of one event
 
 
@@ -79,7 +79,7 @@
 
 
 class Log:
-    """The log of a process; lines of errors are limited in rate."""
+    """The log of a process; warnings are limited in rate, since many of one kind can come at once."""
 
     def __init__(self, scheduler: Scheduler, name: str) -> None:
         """Configures structlog; each line has the process's name as `server`."""
@@ -116,7 +116,7 @@
         self.logger.warning(event, **fields, **({"passed_over": suppressed} if suppressed else {}))
 
     def trace(self, event: str, error: Exception, **fields: object) -> None:
-        """Logs a warning with the end of an exception's traceback as `trace`."""
+        """Logs a warning with the end of an exception's traceback, which has the error and its place."""
         self.fault(event, **fields, trace="".join(traceback.format_exception(error))[-MAX_TRACE_CHARS:])
 
 
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -18,9 +18,9 @@
 
 @pytest.fixture
 def clocked():
-    one = Clocked()
-    yield one
-    one.close()
+    harness = Clocked()
+    yield harness
+    harness.close()
 
 
 class RunContext:
@@ -36,8 +36,8 @@
     sockets = []
 
     class CountedSocket(socket.socket):
-        def __init__(self, *parts, **more):
-            super().__init__(*parts, **more)
+        def __init__(self, *args, **kwargs):
+            super().__init__(*args, **kwargs)
             sockets.append(self)
 
     monkeypatch.setattr(connection.socket, "socket", CountedSocket)
@@ -102,12 +102,12 @@
     assert clocked.hears(place, b"passing")
     place.say(b"HTTP/1.1 204 So\r\nConnection: close\r\n\r\n")
     clocked.passes()
-    deaf, free = clocked.there(deaf=True), clocked.there()
-    reporter.address = deaf.address  # the next two attempts to connect hang, the third succeeds
+    unresponsive, reachable = clocked.there(deaf=True), clocked.there()
+    reporter.address = unresponsive.address  # the next two attempts to connect hang, the third succeeds
     counts = clocked.parts[1].counts
     elapsed_ms = clocked.until(lambda: counts["catalog.missed"] == 2, 5000)
-    reporter.address = free.address
-    elapsed_ms += clocked.until(lambda: b"PUT" in free.said(), 5000)
+    reporter.address = reachable.address
+    elapsed_ms += clocked.until(lambda: b"PUT" in reachable.said(), 5000)
     assert elapsed_ms < ENTRY_LIFETIME_MS
 
 
@@ -118,8 +118,8 @@
     answer_times, last_reports, counts = {}, 0, clocked.parts[1].counts
     for ms in range(0, 9000, 10):
         place.said()
-        for link, said in place.links:
-            number = said.count(b"PUT")
+        for link, received in place.links:
+            number = received.count(b"PUT")
             answer_times.setdefault((link, number), ms + 700)
             if number and answer_times[(link, number)] == ms:
                 with suppress(OSError):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -27,7 +27,7 @@
     def __init__(self):
         self.time, self.events, self.errors = 1000, [], []
         self.scheduler = Scheduler(
-            lambda: self.events.append("settle"),
+            lambda: self.events.append("pass_end"),
             lambda name, error: self.errors.append((name, type(error).__name__)),
             self.clock,
         )
@@ -40,7 +40,7 @@
         self.events.clear()
         self.scheduler.poll_at_once = True  # polls without waiting
         self.scheduler.run_pass()
-        return [event for event in self.events if event != "settle"]
+        return [event for event in self.events if event != "pass_end"]
 
 
 @pytest.fixture
@@ -63,9 +63,9 @@
             timer.cancel()
             timer.cancel()  # the second call has no effect
     assert harness.pass_at(1009) == []
-    assert harness.events == ["settle"]
+    assert harness.events == ["pass_end"]
     assert harness.pass_at(1010) == ["early", "early too"]
-    assert harness.events[-1] == "settle"
+    assert harness.events[-1] == "pass_end"
     assert harness.pass_at(1100) == ["late"]
     assert not harness.scheduler.timers
 
--- a/tests/test_socket_wire_record.py
+++ b/tests/test_socket_wire_record.py
@@ -140,9 +140,7 @@
     assert (kind, number, method) == (0, 7, "lookup")
     request = decode_request(method, parameters)
     assert (request.request_id, request.class_name, request.body) == (NAME, "lookup", b"body")
-    assert (request.router_timestamp, request.timeout) == (
-        17_647_452_000_000,
-        25_000,
-    )  # tenths of a millisecond
+    # Tenths of a millisecond.
+    assert (request.router_timestamp, request.timeout) == (17_647_452_000_000, 25_000)
     assert (request.caller, request.tenant, request.size) == (3, "green", 1536)
     assert (request.is_retry, request.idempotency_key, request.has_subject) == (True, "f" * 32, False)
