--- a/benchmarks/keep_rate.py
+++ b/benchmarks/keep_rate.py
@@ -11,11 +11,11 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.lab.kept_play import KeptTold, play_once
+from birchslip.lab.kept_play import ResultStoreOptions, run_scenario
 
 CASES = {
-    "190 a second": {"labels": 3_000, "rate": 190.0, "work": 50},
-    "as many as it can": {"labels": 4_000, "rate": 4_000.0, "work": 20},
+    "190 a second": {"labels": 3_000, "arrival_rate": 190.0, "mean_work": 50},
+    "as many as it can": {"labels": 4_000, "arrival_rate": 4_000.0, "mean_work": 20},
 }
 
 
@@ -26,18 +26,18 @@
         for name, more in CASES.items():
             for pair in range(pairs):
                 for kept in (True, False):
-                    told = KeptTold(
+                    told = ResultStoreOptions(
                         seed=pair,
                         sites=1,
                         each=1,
                         planners=0,
                         fleet=False,
                         kills=0,
-                        again=0.0,
-                        kept=kept,
+                        repeat_fraction=0.0,
+                        has_result_store=kept,
                         **more,  # type: ignore[arg-type]
                     )
-                    made = play_once(told, folder / "play")
+                    made = run_scenario(told, folder / "play")
                     took, flush = made["took_ms"], made["flush_ms"]
                     cpu = made["program_cpu_s"] / max(1, made["labels"]) * 1e6
                     print(
--- a/benchmarks/model_days.py
+++ b/benchmarks/model_days.py
@@ -15,7 +15,7 @@
 from birchslip.lab.faults import schedule
 from birchslip.lab.model.world import BEGIN, Step, World
 from birchslip.lab.site_loss import Told, spans_of
-from birchslip.lab.world import PROFILES, SITES
+from birchslip.lab.world import REQUEST_CLASSES, SITES
 
 DAYS = [
     ("none", 0.9, 1),
@@ -59,8 +59,8 @@
     first = f"{SITES[0]}-1"
     world = {
         "profiles": {
-            one.name: {"share": one.share, "work_ms": one.work / 10, "calls": float(one.label)}
-            for one in PROFILES
+            one.name: {"share": one.share, "work_ms": one.mean_work / 10, "calls": float(one.is_keyed)}
+            for one in REQUEST_CLASSES
         },
         "below": {"took_ms": 20.0},
         "load": load,
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -15,7 +15,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from birchslip.lab.release_faults import FAULTS
-from birchslip.lab.versions import KINDS
+from birchslip.lab.versions import FAULT_KINDS
 
 ROOT = Path(__file__).resolve().parent.parent
 BAD_ONLY = ("back-fails",)  # needs a way back
@@ -24,9 +24,12 @@
 def schedules(plays: int) -> list[tuple[int, str, str]]:
     """Every fault with a good version, every bad version, then mixtures of both, in turns."""
     good = [("good", fault) for fault in FAULTS if fault not in BAD_ONLY]
-    bad = [(version, "none") for version in KINDS if version != "good"]
+    bad = [(version, "none") for version in FAULT_KINDS if version != "good"]
     both = [
-        (version, fault) for fault in FAULTS for version in KINDS if version != "good" and fault != "none"
+        (version, fault)
+        for fault in FAULTS
+        for version in FAULT_KINDS
+        if version != "good" and fault != "none"
     ]
     mixed = sorted(both, key=lambda one: hash_of(*one))
     made = [one for pair in zip(good, [*bad, *mixed], strict=False) for one in pair] + mixed[len(good) :]
@@ -94,7 +97,7 @@
 
 def summary(found: list[dict]) -> None:
     print(f"{len(found)} plays, {sum(bool(one['broken']) for one in found)} with something broken")
-    for version in KINDS:
+    for version in FAULT_KINDS:
         some = [one for one in found if one["version"] == version and "took_s" in one]
         if not some:
             continue
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -80,7 +80,7 @@
         self.moments: dict[str, float] = {}
         if late:
             for peer in (self.agent, self.catalog):
-                peer.deafen()
+                peer.stop_listening()
         self.began = time.perf_counter()
         self.process = subprocess.Popen(
             [sys.executable, "-m", "birchslip"],
@@ -110,12 +110,12 @@
                 router = Router(line.split("address=")[1].strip(), LIMIT)
                 router.answer(router.ping())
                 self.moments["checked"] = time.perf_counter() - self.began
-                router.link.close()
+                router.connection.close()
             elif "now=serving" in line:
                 self.moments["serving"] = now
 
     def wait_report(self) -> None:
-        self.catalog.seen.get(timeout=LIMIT)
+        self.catalog.received.get(timeout=LIMIT)
         self.moments["reported"] = time.perf_counter() - self.began
 
     def ready(self) -> float:
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -678,10 +678,10 @@
 def stand_up(servers: int, version: str, load: float, minutes: float, folder: Path) -> None:
     """Stand up a small fleet among stand-ins, for releases by hand from another shell."""
     from .lab.release_play import ReleaseTold, stand
-    from .lab.versions import KINDS
+    from .lab.versions import FAULT_KINDS
 
-    if version not in KINDS:
-        raise NotAsked(f"no version is named {version!r}; there are {', '.join(KINDS)}")
+    if version not in FAULT_KINDS:
+        raise NotAsked(f"no version is named {version!r}; there are {', '.join(FAULT_KINDS)}")
     if servers % 2:
         raise NotAsked(f"{servers} app servers can't be spread evenly over 2 sites")
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
@@ -743,12 +743,12 @@
     """A release through the fleet; exit code 1 where a rule or a budget is broken, or it is stuck."""
     from .lab.release_faults import FAULTS
     from .lab.release_play import ReleaseTold, play_release
-    from .lab.versions import KINDS
+    from .lab.versions import FAULT_KINDS
 
     if told["fault"] not in FAULTS:
         raise NotAsked(f"no fault is named {told['fault']!r}: see `lab faults`")
-    if told["version"] not in KINDS:
-        raise NotAsked(f"no version is named {told['version']!r}; there are {', '.join(KINDS)}")
+    if told["version"] not in FAULT_KINDS:
+        raise NotAsked(f"no version is named {told['version']!r}; there are {', '.join(FAULT_KINDS)}")
     servers, sites = told.pop("servers"), told["sites"]
     if servers % sites:
         raise NotAsked(f"{servers} app servers can't be spread evenly over {sites} sites")
@@ -775,12 +775,12 @@
 @click.option("--alone/--with-comparison", "alone", default=False, help="Not also without a store.")
 def play_kept_results(**told: Any) -> None:
     """Labels at an app server that is killed again and again; exit code 1 where one ran twice."""
-    from .lab.kept_play import FAULTS, KeptTold, play_kept
+    from .lab.kept_play import FAULTS, ResultStoreOptions, run_result_store_scenario
 
     if told["fault"] not in FAULTS:
         raise NotAsked(f"no fault is named {told['fault']!r}; there are {', '.join(FAULTS)}")
     out = told.pop("out")
-    report = play_kept(KeptTold(sites=1, each=1, planners=0, fleet=False, **told))
+    report = run_result_store_scenario(ResultStoreOptions(sites=1, each=1, planners=0, fleet=False, **told))
     text = json.dumps(report, indent=2)
     if out is None:
         click.echo(text)
--- a/birchslip/lab/clients.py
+++ b/birchslip/lab/clients.py
@@ -18,354 +18,439 @@
 from ..net.connection import Connection, connect
 from ..net.messagepack import pack
 from ..net.scheduler import Scheduler
-from .cores import HANDSHAKE, READING
-from .truth import SECOND, Deed, Truth, Try
-
-BOUND = 1 << 20
-TRIES = 4
-HEED = 0.6
-FIRST_WAIT = 500  # before a further try: 50 ms at first, twice as long each time, half of it by chance
-LINKS = 4  # to one app server
-OPEN_MOST = 24  # on one link
-NOWHERE = 3_000
-AWAY = 5_000  # one that can't be reached is left alone for half a second
-NEWS = 8_000  # the catalog's list reaches routers within 0.8 s
-PING = 5_000
-PING_LIMIT = 4_000
-
-
-class Profile:
+from .cores import HANDSHAKE_WORK, READ_WORK
+from .truth import SECOND, Attempt, HistoryChecker, Operation
+
+BUFFER_BYTES = 1 << 20
+MAX_ATTEMPTS = 4
+ADVICE_COMPLIANCE = 0.6
+FIRST_RETRY_DELAY = 500  # before a further try: 50 ms at first, twice as long each time, half of it by chance
+MAX_LINKS_PER_SERVER = 4  # to one app server
+MAX_PENDING_PER_LINK = 24  # on one link
+MAX_WAIT_WITHOUT_SERVER = 3_000
+UNREACHABLE_HOLDOFF = 5_000  # one that can't be reached is left alone for half a second
+LISTING_DELAY = 8_000  # the catalog's list reaches routers within 0.8 s
+HEALTH_CHECK_INTERVAL = 5_000
+HEALTH_CHECK_TIMEOUT = 4_000
+
+
+class RequestClass:
     """A kind of transaction: its work, spans and payoff."""
 
     def __init__(
-        self, name: str, share: float, work: int, goal: int, deadline: int, payoff: float, label: bool
+        self,
+        name: str,
+        share: float,
+        mean_work: int,
+        latency_objective: int,
+        deadline: int,
+        priority_weight: float,
+        is_keyed: bool,
     ) -> None:
-        self.name, self.share, self.work, self.goal, self.deadline = name, share, work, goal, deadline
-        self.payoff, self.label = payoff, label
+        self.name, self.share, self.mean_work, self.latency_objective, self.deadline = (
+            name,
+            share,
+            mean_work,
+            latency_objective,
+            deadline,
+        )
+        self.priority_weight, self.is_keyed = priority_weight, is_keyed
 
 
-class Server:
+class AppServer:
     """An app server as routers know it, with what really becomes of it."""
 
     def __init__(self, name: str, site: str, address: tuple[str, int]) -> None:
         self.name, self.site, self.address = name, site, address
-        self.life = 0
-        self.up = False  # whether its process is there and not paused
+        self.incarnation = 0
+        self.is_up = False  # whether its process is there and not paused
 
 
 class Link:
     """One connection of a router to one app server."""
 
-    def __init__(self, router: Router, server: Server, connection: Connection) -> None:
+    def __init__(self, router: Router, server: AppServer, connection: Connection) -> None:
         self.router, self.server, self.connection = router, server, connection
-        self.life = server.life
-        self.number = 0
-        self.open: dict[int, tuple[Deed, Try]] = {}
-        self.closing = False
-
-    def take(self, buffer: Buffer) -> None:
-        read, trouble = read_messages(buffer)
-        for message in read:
+        self.incarnation = server.incarnation
+        self.last_number = 0
+        self.pending: dict[int, tuple[Operation, Attempt]] = {}
+        self.is_closing = False
+
+    def on_data(self, buffer: Buffer) -> None:
+        messages, error_text = read_messages(buffer)
+        for message in messages:
             match message:
                 case [1, int(number), error, result]:
-                    self.router.answered(self, number, error, result)
+                    self.router.on_response(self, number, error, result)
                 case [2, "closing", []]:
-                    self.closing = True
+                    self.is_closing = True
                 case _:
                     raise MalformedMessageError("no message of an app server's")
-        if trouble:
-            raise MalformedMessageError(trouble)
+        if error_text:
+            raise MalformedMessageError(error_text)
 
     def serve(self) -> None:
-        why = self.connection.serve(self.take)
-        self.router.ended(self, why)
+        reason = self.connection.serve(self.on_data)
+        self.router.on_link_closed(self, reason)
 
 
 class Router:
     def __init__(
         self,
         scheduler: Scheduler,
-        truth: Truth,
-        number: int,
+        history: HistoryChecker,
+        router_id: int,
         site: str,
-        servers: list[Server],
-        profiles: list[Profile],
-        tenants: dict[str, float],
+        servers: list[AppServer],
+        request_classes: list[RequestClass],
+        tenant_shares: dict[str, float],
         seed: int,
-        written: dict[str, int],
+        written_at: dict[str, int],
     ) -> None:
-        self.scheduler, self.truth, self.number, self.site = scheduler, truth, number, site
-        self.servers, self.profiles, self.tenants, self.written = servers, profiles, tenants, written
-        self.chance = random.Random(seed)
-        self.asked = random.Random(seed + 1)  # arrivals are the same whatever becomes of them
-        self.heed = HEED
-        self.links: dict[Server, list[Link]] = {server: [] for server in servers}
-        self.away: dict[Server, int] = {}
-        self.listed: set[str] = set()
-        self.bad: set[Server] = set()
-        self.rate = 0.0
-        self.surge: dict[str, float] = {}
-        self.serial = 0
-        self.stopped = False
-        self.lost_sites: Callable[[], set[str]] = set
-        self.cost: Callable[[Server, int], None] = lambda server, span: None
+        self.scheduler, self.history, self.router_id, self.site = scheduler, history, router_id, site
+        self.servers, self.request_classes, self.tenant_shares, self.written_at = (
+            servers,
+            request_classes,
+            tenant_shares,
+            written_at,
+        )
+        self.random_source = random.Random(seed)
+        self.arrival_random = random.Random(seed + 1)  # arrivals are the same whatever becomes of them
+        self.advice_compliance = ADVICE_COMPLIANCE
+        self.links: dict[AppServer, list[Link]] = {server: [] for server in servers}
+        self.avoided_until: dict[AppServer, int] = {}
+        self.listed_servers: set[str] = set()
+        self.unhealthy_servers: set[AppServer] = set()
+        self.arrival_rate = 0.0
+        self.surge_factors: dict[str, float] = {}
+        self.operation_count = 0
+        self.is_stopped = False
+        self.get_lost_sites: Callable[[], set[str]] = set
+        self.charge_cores: Callable[[AppServer, int], None] = lambda server, span: None
 
     # ---- arrivals --------------------------------------------------------------------------------------
 
     def start(self, catalog: Callable[[], set[str]]) -> None:
-        self.learn(catalog)
+        self.refresh_listing(catalog)
         self.next_arrival = self.scheduler.now
-        self.scheduler.at(self.next_arrival, self.arrive)
+        self.scheduler.at(self.next_arrival, self.generate_request)
         for server in self.servers:
-            self.scheduler.spawn("pings", partial(self.keep_pinging, server))
+            self.scheduler.spawn("pings", partial(self.check_health_repeatedly, server))
 
-    def learn(self, catalog: Callable[[], set[str]]) -> None:
+    def refresh_listing(self, catalog: Callable[[], set[str]]) -> None:
         """The list, as late as news is."""
-        told = catalog()
-        self.scheduler.at(self.scheduler.now + NEWS, lambda: setattr(self, "listed", told))
-        if not self.stopped:
-            self.scheduler.at(self.scheduler.now + NEWS // 4, lambda: self.learn(catalog))
+        listed = catalog()
+        self.scheduler.at(self.scheduler.now + LISTING_DELAY, lambda: setattr(self, "listed_servers", listed))
+        if not self.is_stopped:
+            self.scheduler.at(self.scheduler.now + LISTING_DELAY // 4, lambda: self.refresh_listing(catalog))
 
-    def arrive(self) -> None:
-        if self.stopped:
+    def generate_request(self) -> None:
+        if self.is_stopped:
             return
-        weights = {name: share * self.surge.get(name, 1.0) for name, share in self.tenants.items()}
-        rate = self.rate * sum(weights.values())
-        gap = self.asked.expovariate(max(0.1, rate)) * SECOND
+        weights = {
+            name: share * self.surge_factors.get(name, 1.0) for name, share in self.tenant_shares.items()
+        }
+        rate = self.arrival_rate * sum(weights.values())
+        gap = self.arrival_random.expovariate(max(0.1, rate)) * SECOND
         self.next_arrival += int(gap)
-        self.scheduler.at(self.next_arrival, self.arrive)
+        self.scheduler.at(self.next_arrival, self.generate_request)
         if rate <= 0:
             return
-        tenant = self.asked.choices(list(weights), list(weights.values()))[0]
-        profile = self.asked.choices(self.profiles, [one.share for one in self.profiles])[0]
-        work = max(5, int(self.asked.gammavariate(4, profile.work / 4) / 10))
-        self.serial += 1
-        label = self.asked.randbytes(16).hex() if profile.label else ""
-        deed = Deed(
-            self.serial,
-            profile.name,
+        tenant = self.arrival_random.choices(list(weights), list(weights.values()))[0]
+        request_class = self.arrival_random.choices(
+            self.request_classes, [one.share for one in self.request_classes]
+        )[0]
+        work = max(5, int(self.arrival_random.gammavariate(4, request_class.mean_work / 4) / 10))
+        self.operation_count += 1
+        label = self.arrival_random.randbytes(16).hex() if request_class.is_keyed else ""
+        operation = Operation(
+            self.operation_count,
+            request_class.name,
             tenant,
             self.site,
-            profile.payoff,
-            profile.goal,
+            request_class.priority_weight,
+            request_class.latency_objective,
             self.scheduler.now,
             work * 10,
             label,
         )
-        self.truth.deeds.append(deed)
-        call = f" call L{label}" if profile.label else ""
-        self.send(deed, profile, f"{work}{call}".encode(), None)
+        self.history.operations.append(operation)
+        call = f" call L{label}" if request_class.is_keyed else ""
+        self.send(operation, request_class, f"{work}{call}".encode(), None)
 
     # ---- tries -----------------------------------------------------------------------------------------
 
-    def pick(self, but: set[str]) -> Server | None:
+    def select_server(self, tried: set[str]) -> AppServer | None:
         now = self.scheduler.now
-        able = [
+        available = [
             server
             for server in self.servers
-            if server.name in self.listed and self.away.get(server, 0) <= now and server not in self.bad
+            if server.name in self.listed_servers
+            and self.avoided_until.get(server, 0) <= now
+            and server not in self.unhealthy_servers
         ]
-        fresh = [server for server in able if server.name not in but] or able
-        own = [server for server in fresh if server.site == self.site]
+        untried = [server for server in available if server.name not in tried] or available
+        local = [server for server in untried if server.site == self.site]
         # Own app servers first; a further try goes wherever it has not been.
-        some = own if own and not but else fresh
-        if not some:
+        candidates = local if local and not tried else untried
+        if not candidates:
             return None
-        a, b = self.chance.choice(some), self.chance.choice(some)
-        return a if self.load(a) <= self.load(b) else b
+        a, b = self.random_source.choice(candidates), self.random_source.choice(candidates)
+        return a if self.count_pending(a) <= self.count_pending(b) else b
 
-    def load(self, server: Server) -> int:
-        return sum(len(link.open) for link in self.links[server])
+    def count_pending(self, server: AppServer) -> int:
+        return sum(len(link.pending) for link in self.links[server])
 
-    def send(self, deed: Deed, profile: Profile, body: bytes, same: Server | None) -> None:
+    def send(
+        self,
+        operation: Operation,
+        request_class: RequestClass,
+        body: bytes,
+        server_override: AppServer | None,
+    ) -> None:
         now = self.scheduler.now
-        if deed.ended or deed.honoured_at or now >= deed.born + profile.deadline - 500:
-            deed.ended = True
+        if (
+            operation.is_finished
+            or operation.honoured_at
+            or now >= operation.created_at + request_class.deadline - 500
+        ):
+            operation.is_finished = True
             return
-        server = same or self.pick({one.server for one in deed.tries})
+        server = server_override or self.select_server({one.server for one in operation.attempts})
         if server is None:
             # Nowhere to send it: it waits a moment at its router, and then its client hears that it can't be.
-            deed.ended = now - deed.born > NOWHERE
-            self.again(deed, profile, body, None)
+            operation.is_finished = now - operation.created_at > MAX_WAIT_WITHOUT_SERVER
+            self.retry(operation, request_class, body, None)
             return
-        link = self.link_to(server)
+        link = self.find_link(server)
         if link is None:
             # It is opened in a task of its own; the try goes out on it.
-            self.scheduler.spawn("router", partial(self.open, deed, profile, body, server))
+            self.scheduler.spawn("router", partial(self.open_link, operation, request_class, body, server))
             return
-        self.write(deed, profile, body, link)
-
-    def link_to(self, server: Server) -> Link | None:
-        links = [one for one in self.links[server] if one.connection.open and not one.closing]
-        best = min(links, key=lambda one: len(one.open), default=None)
-        if best is None or (len(best.open) >= OPEN_MOST // 4 and len(links) < LINKS):
+        self.write_attempt(operation, request_class, body, link)
+
+    def find_link(self, server: AppServer) -> Link | None:
+        links = [one for one in self.links[server] if one.connection.open and not one.is_closing]
+        best = min(links, key=lambda one: len(one.pending), default=None)
+        if best is None or (
+            len(best.pending) >= MAX_PENDING_PER_LINK // 4 and len(links) < MAX_LINKS_PER_SERVER
+        ):
             return None
-        return best if len(best.open) < OPEN_MOST else None
+        return best if len(best.pending) < MAX_PENDING_PER_LINK else None
 
-    def open(self, deed: Deed, profile: Profile, body: bytes, server: Server) -> None:
+    def open_link(
+        self, operation: Operation, request_class: RequestClass, body: bytes, server: AppServer
+    ) -> None:
         links = [one for one in self.links[server] if one.connection.open]
-        if len(links) >= LINKS:
-            self.again(deed, profile, body, None)
+        if len(links) >= MAX_LINKS_PER_SERVER:
+            self.retry(operation, request_class, body, None)
             return
         try:
             sock = connect(self.scheduler, server.address)
         except OSError:
-            self.away[server] = self.scheduler.now + AWAY
-            deed.tries.append(
-                Try(server.name, server.life, self.scheduler.now, 0, bool(deed.tries), excused="refused")
+            self.avoided_until[server] = self.scheduler.now + UNREACHABLE_HOLDOFF
+            operation.attempts.append(
+                Attempt(
+                    server.name,
+                    server.incarnation,
+                    self.scheduler.now,
+                    0,
+                    bool(operation.attempts),
+                    excuse="refused",
+                )
             )
-            self.again(deed, profile, body, None)
+            self.retry(operation, request_class, body, None)
             return
-        link = Link(self, server, Connection(self.scheduler, sock, BOUND, BOUND))
+        link = Link(self, server, Connection(self.scheduler, sock, BUFFER_BYTES, BUFFER_BYTES))
         self.links[server].append(link)
-        self.cost(server, HANDSHAKE)
+        self.charge_cores(server, HANDSHAKE_WORK)
         self.scheduler.spawn("link", link.serve)
-        self.write(deed, profile, body, link)
+        self.write_attempt(operation, request_class, body, link)
 
-    def write(self, deed: Deed, profile: Profile, body: bytes, link: Link) -> None:
+    def write_attempt(
+        self, operation: Operation, request_class: RequestClass, body: bytes, link: Link
+    ) -> None:
         now = self.scheduler.now
-        patience = min(profile.deadline, deed.born + profile.deadline - now)
-        one = Try(link.server.name, link.life, now, now + patience, bool(deed.tries))
-        deed.tries.append(one)
-        if not link.server.up:
-            one.excused = "down"
-        self.cost(link.server, READING)
-        link.number += 1
-        number = link.number
-        link.open[number] = (deed, one)
-        name = os.urandom(8).hex()
-        self.written[name] = now
+        timeout = min(request_class.deadline, operation.created_at + request_class.deadline - now)
+        attempt = Attempt(link.server.name, link.incarnation, now, now + timeout, bool(operation.attempts))
+        operation.attempts.append(attempt)
+        if not link.server.is_up:
+            attempt.excuse = "down"
+        self.charge_cores(link.server, READ_WORK)
+        link.last_number += 1
+        number = link.last_number
+        link.pending[number] = (operation, attempt)
+        request_id = os.urandom(8).hex()
+        self.written_at[request_id] = now
         fields = {
-            "req": name,
+            "req": request_id,
             "ts": str(now // 10),
-            "via": str(self.number),
-            "owner": deed.tenant,
-            "timeout": str(max(1, patience // 10)),
+            "via": str(self.router_id),
+            "owner": operation.tenant,
+            "timeout": str(max(1, timeout // 10)),
             "need": "10",
             "level": "0.5",
         }
-        if one.again:
+        if attempt.is_retry:
             fields["resent"] = "1"
-        if deed.label:
-            fields["opkey"] = deed.label
-        link.connection.write(pack([0, number, profile.name, [fields, body]]))
+        if operation.key:
+            fields["opkey"] = operation.key
+        link.connection.write(pack([0, number, request_class.name, [fields, body]]))
         # Of redoable ones a silent try is followed by another one elsewhere once half the goal is over.
-        wait = patience if deed.label else min(patience, profile.goal * 3 // 4)
-        self.scheduler.at(now + wait, lambda: self.overdue(deed, profile, body, link, number))
-        link.router.profile_of[deed] = (profile, body)
+        wait = timeout if operation.key else min(timeout, request_class.latency_objective * 3 // 4)
+        self.scheduler.at(now + wait, lambda: self.on_timeout(operation, request_class, body, link, number))
+        link.router.requests[operation] = (request_class, body)
 
-    profile_of: dict[Deed, tuple[Profile, bytes]] = {}  # noqa: RUF012
+    requests: dict[Operation, tuple[RequestClass, bytes]] = {}  # noqa: RUF012
 
-    def overdue(self, deed: Deed, profile: Profile, body: bytes, link: Link, number: int) -> None:
-        if number not in link.open:
+    def on_timeout(
+        self, operation: Operation, request_class: RequestClass, body: bytes, link: Link, number: int
+    ) -> None:
+        if number not in link.pending:
             return
-        _, one = link.open[number]
+        _, attempt = link.pending[number]
         now = self.scheduler.now
-        if now < one.due:
+        if now < attempt.deadline:
             # It may still come; the answer is owed until it is aborted.
-            if len([other for other in deed.tries if not other.answered and not other.excused]) < 2:
-                self.again(deed, profile, body, None, soon=True)
-            self.scheduler.at(one.due + 1_500, lambda: self.give_up(link, number))
+            if len([other for other in operation.attempts if not other.outcome and not other.excuse]) < 2:
+                self.retry(operation, request_class, body, None, immediately=True)
+            self.scheduler.at(attempt.deadline + 1_500, lambda: self.abandon(link, number))
             return
-        self.scheduler.at(one.due + 1_500, lambda: self.give_up(link, number))
+        self.scheduler.at(attempt.deadline + 1_500, lambda: self.abandon(link, number))
 
-    def give_up(self, link: Link, number: int) -> None:
+    def abandon(self, link: Link, number: int) -> None:
         """Past its time: an app server that was there all along should have answered."""
-        entry = link.open.pop(number, None)
+        entry = link.pending.pop(number, None)
         if entry is None:
             return
-        deed, one = entry
-        if not link.server.up or link.life != link.server.life or not link.connection.open:
-            one.excused = "down"
+        operation, attempt = entry
+        if not link.server.is_up or link.incarnation != link.server.incarnation or not link.connection.open:
+            attempt.excuse = "down"
         link.connection.write(pack([2, "abort", [number]]))
-        deed.ended = deed.ended or self.scheduler.now >= deed.born + self.profile_of[deed][0].deadline
+        operation.is_finished = (
+            operation.is_finished
+            or self.scheduler.now >= operation.created_at + self.requests[operation][0].deadline
+        )
 
-    def again(
-        self, deed: Deed, profile: Profile, body: bytes, same: Server | None, soon: bool = False
+    def retry(
+        self,
+        operation: Operation,
+        request_class: RequestClass,
+        body: bytes,
+        server_override: AppServer | None,
+        immediately: bool = False,
     ) -> None:
-        if deed.ended or deed.honoured_at or len(deed.tries) >= TRIES:
-            deed.ended = deed.ended or len(deed.tries) >= TRIES
+        if operation.is_finished or operation.honoured_at or len(operation.attempts) >= MAX_ATTEMPTS:
+            operation.is_finished = operation.is_finished or len(operation.attempts) >= MAX_ATTEMPTS
             return
-        wait = (
-            0 if soon else int(FIRST_WAIT * 2 ** max(0, len(deed.tries) - 1) * (0.5 + self.chance.random()))
+        delay = (
+            0
+            if immediately
+            else int(
+                FIRST_RETRY_DELAY
+                * 2 ** max(0, len(operation.attempts) - 1)
+                * (0.5 + self.random_source.random())
+            )
+        )
+        self.scheduler.at(
+            self.scheduler.now + delay, lambda: self.send(operation, request_class, body, server_override)
         )
-        self.scheduler.at(self.scheduler.now + wait, lambda: self.send(deed, profile, body, same))
 
     # ---- answers ---------------------------------------------------------------------------------------
 
-    def answered(self, link: Link, number: int, error: Any, result: Any) -> None:
-        entry = link.open.pop(number, None)
+    def on_response(self, link: Link, number: int, error: Any, result: Any) -> None:
+        entry = link.pending.pop(number, None)
         if entry is None:
             return
-        deed, one = entry
-        profile, body = self.profile_of[deed]
-        one.answers += 1
+        operation, attempt = entry
+        request_class, body = self.requests[operation]
+        attempt.response_count += 1
         now = self.scheduler.now
         if error is None:
-            one.answered = "honoured"
+            attempt.outcome = "honoured"
             if result[0][:8] != b"made of " or not result[0][8:].startswith(body):
-                self.truth.broken.append("an answer that no run made")
-            if not deed.honoured_at:
-                deed.honoured_at = now
+                self.history.broken_links.append("an answer that no run made")
+            if not operation.honoured_at:
+                operation.honoured_at = now
             return
-        word, fields = error
-        if word != "Overloaded":
-            one.answered = "written off"
-            if not deed.label:
-                self.again(deed, profile, body, None)
+        error_name, fields = error
+        if error_name != "Overloaded":
+            attempt.outcome = "written off"
+            if not operation.key:
+                self.retry(operation, request_class, body, None)
             return
-        one.answered = "shed"
-        lost = self.lost_sites()
-        kind = "again" if one.again else "visitor" if deed.home in lost else "home"
-        self.truth.sheds[kind] += 1
-        heeds = self.chance.random() < self.heed
-        if "holdoff" in fields and heeds:
-            self.away[link.server] = max(self.away.get(link.server, 0), now + int(fields["holdoff"]) * 10)
-        if "nomore" in fields and heeds:
-            deed.ended = True
+        attempt.outcome = "shed"
+        lost_sites = self.get_lost_sites()
+        caller_kind = (
+            "again" if attempt.is_retry else "visitor" if operation.home_site in lost_sites else "home"
+        )
+        self.history.shed_counts[caller_kind] += 1
+        complies = self.random_source.random() < self.advice_compliance
+        if "holdoff" in fields and complies:
+            self.avoided_until[link.server] = max(
+                self.avoided_until.get(link.server, 0), now + int(fields["holdoff"]) * 10
+            )
+        if "nomore" in fields and complies:
+            operation.is_finished = True
             return
-        self.again(deed, profile, body, None)
+        self.retry(operation, request_class, body, None)
 
-    def ended(self, link: Link, why: str) -> None:
+    def on_link_closed(self, link: Link, reason: str) -> None:
         if link in self.links[link.server]:
             self.links[link.server].remove(link)
-        if link.open and link.server.up and link.life == link.server.life and not self.stopped:
-            self.truth.broken.append(f"{link.server.name}: {why}")
-            self.truth.cut.append((link.server.name, link.life, [one for _, one in link.open.values()]))
+        if (
+            link.pending
+            and link.server.is_up
+            and link.incarnation == link.server.incarnation
+            and not self.is_stopped
+        ):
+            self.history.broken_links.append(f"{link.server.name}: {reason}")
+            self.history.broken_attempts.append(
+                (link.server.name, link.incarnation, [attempt for _, attempt in link.pending.values()])
+            )
         else:
-            for _, one in link.open.values():
-                one.excused = "down"
-        for deed, _ in list(link.open.values()):
-            profile, body = self.profile_of[deed]
-            if not deed.label:
-                self.again(deed, profile, body, None)
-        link.open.clear()
+            for _, attempt in link.pending.values():
+                attempt.excuse = "down"
+        for operation, _ in list(link.pending.values()):
+            request_class, body = self.requests[operation]
+            if not operation.key:
+                self.retry(operation, request_class, body, None)
+        link.pending.clear()
 
     # ---- health checks ---------------------------------------------------------------------------------
 
-    def keep_pinging(self, server: Server) -> None:
+    def check_health_repeatedly(self, server: AppServer) -> None:
         """A health check now and then, on a connection of its own."""
-        missed = 0
-        while not self.stopped:
-            good = self.ping(server)
-            missed = 0 if good else missed + 1
-            if missed >= 2:
-                self.bad.add(server)
-            elif good:
-                self.bad.discard(server)
-            self.scheduler.sleep(self.scheduler.now + PING + int(self.chance.random() * 1_000))
-
-    def ping(self, server: Server) -> bool:
+        missed_checks = 0
+        while not self.is_stopped:
+            is_healthy = self.check_health(server)
+            missed_checks = 0 if is_healthy else missed_checks + 1
+            if missed_checks >= 2:
+                self.unhealthy_servers.add(server)
+            elif is_healthy:
+                self.unhealthy_servers.discard(server)
+            self.scheduler.sleep(
+                self.scheduler.now + HEALTH_CHECK_INTERVAL + int(self.random_source.random() * 1_000)
+            )
+
+    def check_health(self, server: AppServer) -> bool:
         try:
-            link = Connection(self.scheduler, connect(self.scheduler, server.address), BOUND, BOUND)
+            link = Connection(
+                self.scheduler, connect(self.scheduler, server.address), BUFFER_BYTES, BUFFER_BYTES
+            )
         except OSError:
             return False
-        heard: list[Any] = []
+        responses: list[Any] = []
         try:
             link.write(pack([0, 1, "ping", [{}]]))
-            limit = self.scheduler.now + PING_LIMIT
-            while link.open and not heard and self.scheduler.now < limit:
-                link.step(lambda buffer: heard.extend(read_messages(buffer)[0]), limit)
+            limit = self.scheduler.now + HEALTH_CHECK_TIMEOUT
+            while link.open and not responses and self.scheduler.now < limit:
+                link.step(lambda buffer: responses.extend(read_messages(buffer)[0]), limit)
         finally:
             link.close("asked")
-        return bool(heard) and heard[0][0] == 1 and heard[0][2] is None and heard[0][3][0] is True
+        return (
+            bool(responses)
+            and responses[0][0] == 1
+            and responses[0][2] is None
+            and responses[0][3][0] is True
+        )
--- a/birchslip/lab/cores.py
+++ b/birchslip/lab/cores.py
@@ -9,8 +9,8 @@
 from ..admission.windows import WindowedCounter
 
 SECOND = 10_000
-FRONT_MOST = 0.9  # of the cores that connections and reading may take
-HANDSHAKE, READING = 200, 20  # 20 ms of a core for each new connection, 2 ms for each try that is read
+MAX_FRONT_FRACTION = 0.9  # of the cores that connections and reading may take
+HANDSHAKE_WORK, READ_WORK = 200, 20  # 20 ms of a core for each new connection, 2 ms for each try that is read
 
 
 @dataclass(slots=True)
@@ -22,33 +22,33 @@
     """
 
     count: int
-    cold_from: float = 1.0
-    cold_span: int = 0
-    crowd: int = 0
-    loss: float = 0.0
-    cold: bool = False
-    began: int = 0
-    slow: float = 1.0  # how many times longer everything takes just now
-    front: WindowedCounter = field(default_factory=lambda: WindowedCounter(10, SECOND // 10))
-
-    def start(self, now: int, cold: bool) -> None:
-        self.began, self.cold = now, cold
-
-    def cost(self, now: int, span: int) -> None:
+    cold_speed: float = 1.0
+    warm_up_span: int = 0
+    contention_threshold: int = 0
+    contention_loss: float = 0.0
+    is_cold: bool = False
+    started_at: int = 0
+    slowdown: float = 1.0  # how many times longer everything takes just now
+    front_work: WindowedCounter = field(default_factory=lambda: WindowedCounter(10, SECOND // 10))
+
+    def start(self, now: int, is_cold: bool) -> None:
+        self.started_at, self.is_cold = now, is_cold
+
+    def charge(self, now: int, work: int) -> None:
         """A connection or a try at the door: the cores pay, whatever becomes of it."""
-        self.front.add(now, span)
+        self.front_work.add(now, work)
 
     def speed(self, now: int) -> float:
-        taken = min(FRONT_MOST, self.front.total(now) / (self.count * SECOND))
-        whole = (1 - taken) / self.slow
-        if not self.cold:
-            return whole
-        grown = min(1.0, (now - self.began) / max(1, self.cold_span))
-        return (self.cold_from + (1 - self.cold_from) * grown) * whole
-
-    def took(self, now: int, span: int, on_cores: int) -> int:
+        front_fraction = min(MAX_FRONT_FRACTION, self.front_work.total(now) / (self.count * SECOND))
+        warm_speed = (1 - front_fraction) / self.slowdown
+        if not self.is_cold:
+            return warm_speed
+        warm_up_fraction = min(1.0, (now - self.started_at) / max(1, self.warm_up_span))
+        return (self.cold_speed + (1 - self.cold_speed) * warm_up_fraction) * warm_speed
+
+    def compute_duration(self, now: int, work: int, on_cores: int) -> int:
         """What a piece of `span` takes that begins now, itself among those on the cores."""
-        crowd = max(1.0, on_cores / self.count)
-        if self.crowd and on_cores > self.crowd:
-            crowd /= max(0.1, 1 - self.loss * (on_cores - self.crowd))
-        return int(span * crowd / self.speed(now))
+        sharing = max(1.0, on_cores / self.count)
+        if self.contention_threshold and on_cores > self.contention_threshold:
+            sharing /= max(0.1, 1 - self.contention_loss * (on_cores - self.contention_threshold))
+        return int(work * sharing / self.speed(now))
--- a/birchslip/lab/dying.py
+++ b/birchslip/lab/dying.py
@@ -22,7 +22,7 @@
 from collections.abc import Callable
 from typing import Any
 
-POINTS = {
+CRASH_POINTS = {
     "before-begun": ("birchslip.idempotency.result_store", "ResultStore", "record_start", True),
     "after-begun": ("birchslip.net.stages.run_dispatcher", "RunDispatcher", "on_start_recorded", True),
     "after-launch": ("birchslip.net.servers", "Agent", "launch", False),
@@ -33,47 +33,47 @@
 }
 
 
-def die_at(point: str, count: int) -> None:
+def install_crash_point(point: str, count: int) -> None:
     from importlib import import_module
 
-    where, kind, name, before = POINTS[point]
-    owner = getattr(import_module(where), kind)
-    inner: Callable[..., Any] = getattr(owner, name)
-    left = count
+    module_name, class_name, method_name, kills_before = CRASH_POINTS[point]
+    owner = getattr(import_module(module_name), class_name)
+    original: Callable[..., Any] = getattr(owner, method_name)
+    calls_left = count
 
-    def there(*words: Any, **more: Any) -> Any:
-        nonlocal left
-        left -= 1
-        if left <= 0 and before:
+    def crashing(*arguments: Any, **keywords: Any) -> Any:
+        nonlocal calls_left
+        calls_left -= 1
+        if calls_left <= 0 and kills_before:
             os.kill(os.getpid(), signal.SIGKILL)
-        made = inner(*words, **more)
-        if left <= 0:
+        result = original(*arguments, **keywords)
+        if calls_left <= 0:
             os.kill(os.getpid(), signal.SIGKILL)
-        return made
+        return result
 
-    setattr(owner, name, there)
+    setattr(owner, method_name, crashing)
 
 
-def slow_flush(milliseconds: int) -> None:
+def install_flush_delay(milliseconds: int) -> None:
     from ..idempotency.file_system import FileSystem
 
-    inner = FileSystem.flush
+    original = FileSystem.flush
 
     def flush(self: FileSystem, descriptor: int) -> None:
         time.sleep(milliseconds / 1000)
-        inner(self, descriptor)
+        original(self, descriptor)
 
     FileSystem.flush = flush  # type: ignore[method-assign]
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     from ..__main__ import main as program
 
-    point, count, flush = words[0], int(words[1]), int(words[2])
-    if point in POINTS:
-        die_at(point, count)
-    if flush:
-        slow_flush(flush)
+    point, count, flush_delay_ms = arguments[0], int(arguments[1]), int(arguments[2])
+    if point in CRASH_POINTS:
+        install_crash_point(point, count)
+    if flush_delay_ms:
+        install_flush_delay(flush_delay_ms)
     sys.argv[1:] = []
     return program()
 
--- a/birchslip/lab/model/routers.py
+++ b/birchslip/lab/model/routers.py
@@ -228,7 +228,7 @@
         deed.open += 1
         deed.been.append(server.name)
         self.count(server, 1)
-        server.cores.cost(now, self.reading)
+        server.cores.charge(now, self.reading)
         self.counts["tries"] += 1
         self.clock.after(self.delay, server.receive, one)
         labelled = bool(deed.label)
@@ -250,7 +250,7 @@
             return True
         if links.count < LINKS:
             links.count += 1
-            server.cores.cost(now, self.handshake)
+            server.cores.charge(now, self.handshake)
             return True
         return links.open < LINKS * OPEN_MOST
 
--- a/birchslip/lab/model/servers.py
+++ b/birchslip/lab/model/servers.py
@@ -144,7 +144,7 @@
 
     @property
     def warm(self) -> bool:
-        return self.up and (not self.cores.cold or self.clock.now - self.began >= self.cores.cold_span)
+        return self.up and (not self.cores.is_cold or self.clock.now - self.began >= self.cores.warm_up_span)
 
     @property
     def serving(self) -> bool:
@@ -297,7 +297,7 @@
         self.on_cores += 1
         run.number += 1
         number = run.number
-        took = self.cores.took(self.clock.now, span, self.on_cores)
+        took = self.cores.compute_duration(self.clock.now, span, self.on_cores)
 
         def over() -> None:
             if run.number == number and not run.over:
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -375,7 +375,7 @@
                 self.drain(self.by_name[whom])
             case "slow":
                 for server in self.some(whom):
-                    server.cores.slow = more
+                    server.cores.slowdown = more
             case "shrink":
                 self.shrink(more)
             case "below-down":
--- a/birchslip/lab/peers.py
+++ b/birchslip/lab/peers.py
@@ -19,13 +19,13 @@
 from ..net.connection import Connection
 from ..net.scheduler import Scheduler
 from .cores import Cores
-from .truth import Truth
-from .wires import let_in, listener
+from .truth import HistoryChecker
+from .wires import accept_connections, open_listener
 
-LINE = 65_536
-BOUND = 4 << 20
-REASONS = {200: "OK", 202: "Accepted", 204: "No Content", 404: "Not Found", 409: "Conflict"}
-LISTED = 30_000  # a report stands for three seconds
+MAX_LINE_BYTES = 65_536
+BUFFER_BYTES = 4 << 20
+REASON_PHRASES = {200: "OK", 202: "Accepted", 204: "No Content", 404: "Not Found", 409: "Conflict"}
+LISTING_LIFETIME = 30_000  # a report stands for three seconds
 
 
 class Peer:
@@ -33,59 +33,61 @@
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
-        self.listener = listener()
+        self.listener = open_listener()
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.links: dict[Connection, None] = {}
-        self.closed = False
-        scheduler.spawn(type(self).__name__, partial(let_in, scheduler, self.listener, self.take_in))
-
-    def take_in(self, sock: socket.socket) -> None:
-        if self.closed:
+        self.connections: dict[Connection, None] = {}
+        self.is_closed = False
+        scheduler.spawn(
+            type(self).__name__, partial(accept_connections, scheduler, self.listener, self.on_accept)
+        )
+
+    def on_accept(self, sock: socket.socket) -> None:
+        if self.is_closed:
             sock.close()
             return
-        link = Connection(self.scheduler, sock, BOUND, BOUND)
-        self.links[link] = None
-        self.scheduler.spawn("link", partial(self.keep, link))
+        connection = Connection(self.scheduler, sock, BUFFER_BYTES, BUFFER_BYTES)
+        self.connections[connection] = None
+        self.scheduler.spawn("link", partial(self.serve_connection, connection))
 
-    def keep(self, link: Connection) -> None:
-        take = self.begin(link)
+    def serve_connection(self, connection: Connection) -> None:
+        on_data = self.make_data_handler(connection)
         try:
-            link.serve(take)
+            connection.serve(on_data)
         finally:
-            link.close("ended")
-            self.links.pop(link, None)
-            self.gone(link)
+            connection.close("ended")
+            self.connections.pop(connection, None)
+            self.on_connection_closed(connection)
 
-    def begin(self, link: Connection) -> Callable[[Buffer], None]:
+    def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
         raise NotImplementedError
 
-    def gone(self, link: Connection) -> None:
+    def on_connection_closed(self, connection: Connection) -> None:
         """Its connection has ended."""
 
-    def drop(self) -> None:
-        for link in list(self.links):
-            link.close("dropped")
+    def close_connections(self) -> None:
+        for connection in list(self.connections):
+            connection.close("dropped")
 
-    def close(self) -> None:
+    def stop_accepting(self) -> None:
         """Gone for a while: what is open breaks, and nobody is let in."""
-        self.closed = True
-        self.drop()
+        self.is_closed = True
+        self.close_connections()
 
-    def open(self) -> None:
-        self.closed = False
+    def start_accepting(self) -> None:
+        self.is_closed = False
 
 
 class Run:
     """One run on the cores. A body's words: the work in milliseconds, `call`, and the label."""
 
-    def __init__(self, name: str, body: bytes) -> None:
+    def __init__(self, run_id: str, body: bytes) -> None:
         words = body.decode("ascii", "replace").split()
-        self.name, self.body = name, body
+        self.run_id, self.body = run_id, body
         self.work = next((int(word) for word in words if word.isdigit()), 10) * 10
-        self.calls = "call" in words
-        self.label = next((word[1:] for word in words if word.startswith("L")), "")
+        self.makes_call = "call" in words
+        self.key = next((word[1:] for word in words if word.startswith("L")), "")
         self.reply = b""
-        self.on_core = False
+        self.is_on_core = False
 
 
 class Agent(Peer):
@@ -94,245 +96,270 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        truth: Truth,
+        history: HistoryChecker,
         server: str,
         cores: int,
-        cold_from: float,
-        cold_span: int,
-        written: Callable[[str], int],
+        cold_speed: float,
+        warm_up_span: int,
+        get_written_at: Callable[[str], int],
     ) -> None:
-        self.truth, self.server, self.written = truth, server, written
-        self.cores = Cores(cores, cold_from, cold_span)
-        self.version = ""  # what is wrong with the runs of the version that it runs now
-        self.harmed: Callable[[], None] = lambda: None  # told when that has shown
-        self.life = 0
-        self.paused = False
-        self.held: deque[Callable[[], None]] = deque()
+        self.history, self.server, self.get_written_at = history, server, get_written_at
+        self.cores = Cores(cores, cold_speed, warm_up_span)
+        self.fault_kind = ""  # what is wrong with the runs of the version that it runs now
+        self.on_harm: Callable[[], None] = lambda: None  # told when that has shown
+        self.incarnation = 0
+        self.is_paused = False
+        self.deferred: deque[Callable[[], None]] = deque()
         super().__init__(scheduler)
-        self.start(cold=False)
+        self.start(is_cold=False)
 
-    def start(self, cold: bool) -> None:
+    def start(self, is_cold: bool) -> None:
         """Begun anew, from nothing."""
-        self.life += 1
-        self.cores.start(self.scheduler.now, cold)
+        self.incarnation += 1
+        self.cores.start(self.scheduler.now, is_cold)
         self.notices: list[dict[str, Any]] = []
         self.runs: dict[str, Run] = {}
-        self.over: set[str] = set()
-        self.out: Connection | None = None
-        self.paused = False
-        self.held.clear()
-        self.drop()
+        self.finished_run_ids: set[str] = set()
+        self.subscriber: Connection | None = None
+        self.is_paused = False
+        self.deferred.clear()
+        self.close_connections()
 
     def pause(self) -> None:
-        self.paused = True
+        self.is_paused = True
 
     def resume(self) -> None:
-        self.paused = False
-        while self.held:
-            self.held.popleft()()
+        self.is_paused = False
+        while self.deferred:
+            self.deferred.popleft()()
 
-    def cost(self, span: int) -> None:
+    def charge_cores(self, work: int) -> None:
         """A connection or a try at its app server: the cores pay, whatever becomes of it."""
-        self.cores.cost(self.scheduler.now, span)
+        self.cores.charge(self.scheduler.now, work)
 
     # ---- orders ----------------------------------------------------------------------------------------
 
-    def begin(self, link: Connection) -> Callable[[Buffer], None]:
-        def take(buffer: Buffer) -> None:
-            while (line := buffer.read_line(LINE)) is not None:
+    def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        def on_data(buffer: Buffer) -> None:
+            while (line := buffer.read_line(MAX_LINE_BYTES)) is not None:
                 order = json.loads(line)
-                self.when_awake(partial(self.obey, link, order))
+                self.run_unless_paused(partial(self.handle_order, connection, order))
 
-        return take
+        return on_data
 
-    def when_awake(self, act: Callable[[], None]) -> None:
+    def run_unless_paused(self, action: Callable[[], None]) -> None:
         """Nothing happens while it is paused, and nothing of an earlier life happens at all."""
-        life = self.life
+        incarnation = self.incarnation
 
         def guarded() -> None:
-            if life != self.life:
+            if incarnation != self.incarnation:
                 return
-            if self.paused:
-                self.held.append(guarded)
+            if self.is_paused:
+                self.deferred.append(guarded)
             else:
-                act()
+                action()
 
         guarded()
 
-    def obey(self, link: Connection, order: dict[str, Any]) -> None:
-        name = order.get("id", "")
-        run = self.runs.get(name)
+    def handle_order(self, connection: Connection, order: dict[str, Any]) -> None:
+        run_id = order.get("id", "")
+        run = self.runs.get(run_id)
         match order["op"]:
             case "subscribe":
-                self.out = link
-                age = (self.scheduler.now - self.cores.began) // 10
-                self.tell(op="greeting", end="fresh" if self.cores.cold else "seasoned", ms=age)
+                self.subscriber = connection
+                age = (self.scheduler.now - self.cores.started_at) // 10
+                self.send(op="greeting", end="fresh" if self.cores.is_cold else "seasoned", ms=age)
                 for notice in self.notices[order["seq"] :]:
-                    self.tell(**notice)
-            case "launch" if run is None and name not in self.over:
-                run = self.runs[name] = Run(name, b64decode(order["body"]))
-                self.truth.launched(self.server, self.life, run.label, self.written(name), self.scheduler.now)
-                self.work(run, run.work // 2 if run.calls else run.work, self.call if run.calls else self.end)
+                    self.send(**notice)
+            case "launch" if run is None and run_id not in self.finished_run_ids:
+                run = self.runs[run_id] = Run(run_id, b64decode(order["body"]))
+                self.history.record_launch(
+                    self.server, self.incarnation, run.key, self.get_written_at(run_id), self.scheduler.now
+                )
+                self.occupy_core(
+                    run,
+                    run.work // 2 if run.makes_call else run.work,
+                    self.request_call if run.makes_call else self.finish_run,
+                )
             case "launch":
                 pass
             case "freeze" if run is not None:
-                self.end(run, "aborted")
+                self.finish_run(run, "aborted")
             case "deliver" if run is not None:
                 run.reply = b64decode(order["body"])
-                self.work(run, run.work // 2, self.end)
+                self.occupy_core(run, run.work // 2, self.finish_run)
             case "forgo" if run is not None:
-                self.work(run, run.work // 2, self.end)
+                self.occupy_core(run, run.work // 2, self.finish_run)
             case "sample":
-                used = min(1.0, self.on_cores() / self.cores.count)
-                self.tell(op="sampled", tag=order["tag"], values=[used, len(self.runs), 0.1, 1])
+                core_use = min(1.0, self.count_on_cores() / self.cores.count)
+                self.send(op="sampled", tag=order["tag"], values=[core_use, len(self.runs), 0.1, 1])
             case kind:
-                self.tell(op="refusal", end=kind, id=name)
-
-    def on_cores(self) -> int:
-        return sum(1 for run in self.runs.values() if run.on_core)
-
-    def work(self, run: Run, span: int, then: Callable[[Run], None]) -> None:
-        run.on_core = True
-        took = self.cores.took(self.scheduler.now, span, self.on_cores())
-        if self.version == "slow" and self.on_cores() >= self.cores.count:
-            took = took * 3 // 2
-            self.harmed()
-        self.scheduler.at(self.scheduler.now + took, lambda: self.when_awake(partial(self.rest, run, then)))
-
-    def rest(self, run: Run, then: Callable[[Run], None]) -> None:
-        if self.runs.get(run.name) is run:
-            run.on_core = False
+                self.send(op="refusal", end=kind, id=run_id)
+
+    def count_on_cores(self) -> int:
+        return sum(1 for run in self.runs.values() if run.is_on_core)
+
+    def occupy_core(self, run: Run, work: int, then: Callable[[Run], None]) -> None:
+        run.is_on_core = True
+        duration = self.cores.compute_duration(self.scheduler.now, work, self.count_on_cores())
+        if self.fault_kind == "slow" and self.count_on_cores() >= self.cores.count:
+            duration = duration * 3 // 2
+            self.on_harm()
+        self.scheduler.at(
+            self.scheduler.now + duration, lambda: self.run_unless_paused(partial(self.leave_core, run, then))
+        )
+
+    def leave_core(self, run: Run, then: Callable[[Run], None]) -> None:
+        if self.runs.get(run.run_id) is run:
+            run.is_on_core = False
             then(run)
 
-    def call(self, run: Run) -> None:
-        self.note(op="request", id=run.name, body=b64encode(b"asked by " + run.name.encode()).decode())
-
-    def end(self, run: Run, how: str = "done") -> None:
-        if self.runs.pop(run.name, None) is run:
-            self.over.add(run.name)
-            if self.version == "profile" and run.label and how == "done":
-                how = "crashed"
-                self.harmed()
+    def request_call(self, run: Run) -> None:
+        self.append_notice(
+            op="request", id=run.run_id, body=b64encode(b"asked by " + run.run_id.encode()).decode()
+        )
+
+    def finish_run(self, run: Run, outcome: str = "done") -> None:
+        if self.runs.pop(run.run_id, None) is run:
+            self.finished_run_ids.add(run.run_id)
+            if self.fault_kind == "profile" and run.key and outcome == "done":
+                outcome = "crashed"
+                self.on_harm()
             result = b64encode(b"made of " + run.body + run.reply).decode()
-            self.note(op="outcome", id=run.name, end=how, ms=run.work // 10, body=result)
+            self.append_notice(op="outcome", id=run.run_id, end=outcome, ms=run.work // 10, body=result)
 
-    def note(self, **notice: Any) -> None:
+    def append_notice(self, **notice: Any) -> None:
         notice["seq"] = len(self.notices) + 1
         self.notices.append(notice)
-        self.tell(**notice)
+        self.send(**notice)
 
-    def tell(self, **line: Any) -> None:
-        if self.out is not None and self.out.open:
-            self.out.write(json.dumps(line, separators=(",", ":")).encode() + b"\n")
+    def send(self, **message: Any) -> None:
+        if self.subscriber is not None and self.subscriber.open:
+            self.subscriber.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
 
 
 class Vault(Peer):
     """Answers a call after `took`; each call counts from its message to its answer or the end of its link."""
 
-    def __init__(self, scheduler: Scheduler, truth: Truth, took: Callable[[], int]) -> None:
-        self.truth, self.took = truth, took
-        self.hands: dict[Connection, dict[bytes, None]] = {}
+    def __init__(
+        self, scheduler: Scheduler, history: HistoryChecker, draw_latency: Callable[[], int]
+    ) -> None:
+        self.history, self.draw_latency = history, draw_latency
+        self.open_calls: dict[Connection, dict[bytes, None]] = {}
         super().__init__(scheduler)
 
-    def begin(self, link: Connection) -> Callable[[Buffer], None]:
-        self.hands[link] = {}
-        head: list[list[bytes]] = []
+    def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        self.open_calls[connection] = {}
+        pending_asks: list[list[bytes]] = []
 
-        def take(buffer: Buffer) -> None:
+        def on_data(buffer: Buffer) -> None:
             while True:
-                if head:
-                    size = int(head[0][3]) + 2
+                if pending_asks:
+                    size = int(pending_asks[0][3]) + 2
                     if len(buffer) < size:
                         return
                     buffer.skip(size)
-                    self.ask(link, head.pop()[1])
-                line = buffer.read_line(LINE)
+                    self.start_call(connection, pending_asks.pop()[1])
+                line = buffer.read_line(MAX_LINE_BYTES)
                 if line is None:
                     return
                 words = line.split()
                 if words[:1] == [b"ask"] and len(words) == 4:
-                    head.append(words)
+                    pending_asks.append(words)
                 elif words[:1] == [b"unask"] and len(words) == 2:
-                    self.over(link, words[1])
+                    self.end_call(connection, words[1])
                 else:
                     raise MalformedMessageError("no message of a caller's")
 
-        return take
+        return on_data
 
-    def ask(self, link: Connection, name: bytes) -> None:
-        self.over(link, name)
-        self.hands[link][name] = None
-        self.truth.call("all", 1)
-        self.scheduler.at(self.scheduler.now + self.took(), lambda: self.answer(link, name))
+    def start_call(self, connection: Connection, call_name: bytes) -> None:
+        self.end_call(connection, call_name)
+        self.open_calls[connection][call_name] = None
+        self.history.record_call_change("all", 1)
+        self.scheduler.at(
+            self.scheduler.now + self.draw_latency(), lambda: self.answer_call(connection, call_name)
+        )
 
-    def answer(self, link: Connection, name: bytes) -> None:
-        if self.over(link, name):
-            link.write(name + b" yes 9\r\n and paid\r\n")
+    def answer_call(self, connection: Connection, call_name: bytes) -> None:
+        if self.end_call(connection, call_name):
+            connection.write(call_name + b" yes 9\r\n and paid\r\n")
 
-    def over(self, link: Connection, name: bytes) -> bool:
-        if name in self.hands.get(link, {}):
-            del self.hands[link][name]
-            self.truth.call("all", -1)
+    def end_call(self, connection: Connection, call_name: bytes) -> bool:
+        if call_name in self.open_calls.get(connection, {}):
+            del self.open_calls[connection][call_name]
+            self.history.record_call_change("all", -1)
             return True
         return False
 
-    def gone(self, link: Connection) -> None:
-        for name in list(self.hands.get(link, {})):
-            self.over(link, name)
-        self.hands.pop(link, None)
+    def on_connection_closed(self, connection: Connection) -> None:
+        for call_name in list(self.open_calls.get(connection, {})):
+            self.end_call(connection, call_name)
+        self.open_calls.pop(connection, None)
 
 
-class Web(Peer):
+class HttpPeer(Peer):
     """HTTP/1.1 as far as the program and its planners speak it."""
 
-    def begin(self, link: Connection) -> Callable[[Buffer], None]:
-        head: list[bytes] = []
+    def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        header_lines: list[bytes] = []
 
-        def take(buffer: Buffer) -> None:
+        def on_data(buffer: Buffer) -> None:
             while True:
-                if not head or head[-1]:
-                    line = buffer.read_line(LINE)
+                if not header_lines or header_lines[-1]:
+                    line = buffer.read_line(MAX_LINE_BYTES)
                     if line is None:
                         return
-                    head.append(line)
+                    header_lines.append(line)
                     continue
                 size = next(
-                    (int(one.split(b":")[1]) for one in head if one.lower().startswith(b"content-length")), 0
+                    (
+                        int(one.split(b":")[1])
+                        for one in header_lines
+                        if one.lower().startswith(b"content-length")
+                    ),
+                    0,
                 )
                 if len(buffer) < size:
                     return
-                verb, path = head[0].decode().split()[:2]
-                head.clear()
-                answer = self.serve(verb, path, buffer.take(size))
+                verb, path = header_lines[0].decode().split()[:2]
+                header_lines.clear()
+                answer = self.handle_request(verb, path, buffer.take(size))
                 if answer is not None:
                     status, body = answer
-                    said = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {len(body)}\r\n\r\n"
-                    link.write(said.encode() + body)
+                    head = (
+                        f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Length: {len(body)}\r\n\r\n"
+                    )
+                    connection.write(head.encode() + body)
 
-        return take
+        return on_data
 
-    def serve(self, verb: str, path: str, body: bytes) -> tuple[int, bytes] | None:
+    def handle_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes] | None:
         """Status and body; None where it never answers."""
         raise NotImplementedError
 
 
-class Catalog(Web):
+class Catalog(HttpPeer):
     """Keeps the list of app servers whose last good report is not older than three seconds."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.reports: dict[str, tuple[int, bool]] = {}
         super().__init__(scheduler)
 
-    def serve(self, verb: str, path: str, body: bytes) -> tuple[int, bytes] | None:
+    def handle_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes] | None:
         status = json.loads(body)["status"]
         self.reports[path.rpartition("/")[2]] = (self.scheduler.now, status == "passing")
         return 204, b""
 
-    def listed(self) -> set[str]:
+    def get_listed_servers(self) -> set[str]:
         now = self.scheduler.now
-        return {name for name, (at, good) in self.reports.items() if good and now - at <= LISTED}
+        return {
+            name
+            for name, (at, is_healthy) in self.reports.items()
+            if is_healthy and now - at <= LISTING_LIFETIME
+        }
 
-    def listed_since(self, name: str, at: int) -> bool:
+    def is_listed_since(self, name: str, at: int) -> bool:
         """Whether it has told of itself since then, and well."""
-        heard, good = self.reports.get(name, (-1, False))
-        return good and heard >= at
+        reported_at, is_healthy = self.reports.get(name, (-1, False))
+        return is_healthy and reported_at >= at
--- a/birchslip/lab/platform.py
+++ b/birchslip/lab/platform.py
@@ -15,328 +15,352 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 from ..cluster.disruption_types import BudgetGroup
-from .clients import Server
-from .peers import Vault, Web
+from .clients import AppServer
+from .peers import HttpPeer, Vault
 from .truth import SECOND
-from .versions import IN_PROCESS
-from .world import World
+from .versions import IN_PROCESS_KINDS
+from .world import Testbed
 
-TICK = 200
-AGAIN = SECOND  # before one that ended by itself is started again
-START_MOST = 20 * SECOND
-KNOWN = SECOND  # after so long planners should know that one is out that nobody let out
-OLD, NEW = "1", "2"
+POLL_INTERVAL = 200
+RESTART_DELAY = SECOND  # before one that ended by itself is started again
+MAX_START_SPAN = 20 * SECOND
+DETECTION_SPAN = SECOND  # after so long planners should know that one is out that nobody let out
+OLD_VERSION, NEW_VERSION = "1", "2"
 
 
 @dataclass(eq=False, slots=True)
 class Machine:
     """One app server's process, as the platform has it."""
 
-    server: Server
+    server: AppServer
     state: str = "up"
-    version: str = OLD
-    starts: int = 0
-    ends: int = 0
+    version: str = OLD_VERSION
+    failed_starts: int = 0
+    crashes: int = 0
     started_at: int = 0
-    coming: bool = False  # started, and not listed yet
-    again_at: int = 0  # one that ended by itself is started again then
-    broken: set[str] = field(default_factory=set)  # versions that it does not start in
+    is_starting: bool = False  # started, and not listed yet
+    restart_at: int = 0  # one that ended by itself is started again then
+    failing_versions: set[str] = field(default_factory=set)  # versions that it does not start in
 
 
-class Outs:
+class DisruptionLedger:
     """Who is out, by whose making, at every moment; and whether a budget was passed."""
 
     def __init__(self, groups: list[BudgetGroup], dependents: Mapping[str, list[str]]) -> None:
         self.groups = {group.name: group for group in groups}
         self.dependents = dependents
         self.causes: dict[str, dict[str, int]] = {}  # name: causes, and since when each
-        self.planned: set[str] = set()
-        self.most = dict.fromkeys(self.groups, 0)
+        self.planned_members: set[str] = set()
+        self.peak_unavailable = dict.fromkeys(self.groups, 0)
         self.breaches = dict.fromkeys(self.groups, 0)
-        self.said: list[str] = []
+        self.breach_descriptions: list[str] = []
 
-    def out(self, group: BudgetGroup) -> list[str]:
+    def find_unavailable(self, group: BudgetGroup) -> list[str]:
         return sorted(group.members & self.causes.keys())
 
-    def begin(self, name: str, cause: str, now: int, planned: bool = False) -> None:
+    def begin_disruption(self, name: str, cause: str, now: int, is_planned: bool = False) -> None:
         """A planned one that goes beside others is a breach where the budget was used up already: by planned
         ones at once, by others once planners should have known.
         """
-        for one, why in ((name, cause), *((other, name) for other in self.dependents.get(name, ()))):
-            self.causes.setdefault(one, {}).setdefault(why, now)
-            if planned:
-                self.planned.add(one)
+        for member, reason in (
+            (name, cause),
+            *((dependent, name) for dependent in self.dependents.get(name, ())),
+        ):
+            self.causes.setdefault(member, {}).setdefault(reason, now)
+            if is_planned:
+                self.planned_members.add(member)
         for group in self.groups.values():
-            out = self.out(group)
-            self.most[group.name] = max(self.most[group.name], len(out))
-            if not planned or not group.members & {name, *self.dependents.get(name, ())}:
+            unavailable = self.find_unavailable(group)
+            self.peak_unavailable[group.name] = max(self.peak_unavailable[group.name], len(unavailable))
+            if not is_planned or not group.members & {name, *self.dependents.get(name, ())}:
                 continue
-            known = [
-                one
-                for one in out
-                if one == name or one in self.planned or now - min(self.causes[one].values()) > KNOWN
+            known_members = [
+                member
+                for member in unavailable
+                if member == name
+                or member in self.planned_members
+                or now - min(self.causes[member].values()) > DETECTION_SPAN
             ]
-            if len(known) > group.disruptions_allowed:
+            if len(known_members) > group.disruptions_allowed:
                 self.breaches[group.name] += 1
-                self.said.append(f"{group.name}: {', '.join(known)} out, {group.disruptions_allowed} may be")
-
-    def end(self, name: str, cause: str) -> None:
-        for one, why in ((name, cause), *((other, name) for other in self.dependents.get(name, ()))):
-            causes = self.causes.get(one, {})
-            causes.pop(why, None)
+                self.breach_descriptions.append(
+                    f"{group.name}: {', '.join(known_members)} out, {group.disruptions_allowed} may be"
+                )
+
+    def end_disruption(self, name: str, cause: str) -> None:
+        for member, reason in (
+            (name, cause),
+            *((dependent, name) for dependent in self.dependents.get(name, ())),
+        ):
+            causes = self.causes.get(member, {})
+            causes.pop(reason, None)
             if not causes:
-                self.causes.pop(one, None)
-                self.planned.discard(one)
+                self.causes.pop(member, None)
+                self.planned_members.discard(member)
 
-    def told(self) -> dict[str, Any]:
+    def build_report(self) -> dict[str, Any]:
         return {
             name: {
                 "allowed": group.disruptions_allowed,
-                "most_out": self.most[name],
+                "most_out": self.peak_unavailable[name],
                 "breaches": self.breaches[name],
             }
             for name, group in self.groups.items()
         }
 
 
-class Platform(Web):
+class Platform(HttpPeer):
     def __init__(
         self,
-        world: World,
-        version: str,
+        testbed: Testbed,
+        fault_kind: str,
         groups: list[BudgetGroup],
-        needs: Mapping[str, list[str]],
+        required_services: Mapping[str, list[str]],
         crash_ms: int,
     ) -> None:
-        self.world, self.fault, self.crash_ms = world, version, crash_ms
-        self.machines = {server.name: Machine(server) for server in world.servers}
+        self.testbed, self.fault_kind, self.crash_ms = testbed, fault_kind, crash_ms
+        self.machines = {server.name: Machine(server) for server in testbed.servers}
         self.services: dict[str, Vault] = {}
         self.service_state: dict[str, tuple[str, int]] = {}  # state and life
         dependents: dict[str, list[str]] = {}
-        for name, services in needs.items():
+        for name, services in required_services.items():
             for service in services:
                 dependents.setdefault(service, []).append(name)
-        self.outs = Outs(groups, dependents)
+        self.disruptions = DisruptionLedger(groups, dependents)
         self.epoch = 0
-        self.carried: set[tuple[str, int]] = set()
-        self.drains: dict[tuple[str, str], int] = {}  # member and version to be: drains by order
-        self.exposed: set[str] = set()
-        self.first_harm: int | None = None
-        self.over = False
-        self.stale = 0  # orders of an epoch that is over
+        self.executed_drains: set[tuple[str, int]] = set()
+        self.drain_counts: dict[tuple[str, str], int] = {}  # member and version to be: drains by order
+        self.exposed_members: set[str] = set()
+        self.first_harm_at: int | None = None
+        self.is_over = False
+        self.stale_order_count = 0  # orders of an epoch that is over
         # What the schedule wants done as an order comes: "drop" leaves it undone and unanswered.
-        self.before: Callable[[str, str], str] = lambda what, name: ""
-        self.stopped: Callable[[str], None] = lambda name: None
-        super().__init__(world.scheduler)
-        for server in world.servers:
-            world.agents[server.name].harmed = lambda name=server.name: self.harm(name)  # type: ignore[misc]
+        self.before_order: Callable[[str, str], str] = lambda what, name: ""
+        self.on_member_stopped: Callable[[str], None] = lambda name: None
+        super().__init__(testbed.scheduler)
+        for server in testbed.servers:
+            testbed.agents[server.name].on_harm = lambda name=server.name: self.record_harm(name)  # type: ignore[misc]
 
     def add_service(self, name: str, vault: Vault) -> None:
         self.services[name] = vault
         self.service_state[name] = ("up", 1)
 
-    def watch(self) -> None:
+    def poll_machines(self) -> None:
         """From the first process on, to the end of the play."""
-        if self.over:
+        if self.is_over:
             return
         for machine in self.machines.values():
-            self.look(machine)
-        self.scheduler.at(self.scheduler.now + TICK, self.watch)
+            self.poll_machine(machine)
+        self.scheduler.at(self.scheduler.now + POLL_INTERVAL, self.poll_machines)
 
-    def harm(self, name: str) -> None:
+    def record_harm(self, name: str) -> None:
         """Something that a released member's users would mind has happened."""
-        if self.first_harm is None:
-            self.first_harm = self.scheduler.now
+        if self.first_harm_at is None:
+            self.first_harm_at = self.scheduler.now
 
     # ---- what it is asked ------------------------------------------------------------------------------
 
-    def serve(self, verb: str, path: str, body: bytes) -> tuple[int, bytes] | None:
-        where = urlsplit(path)
-        words = [unquote(word) for word in where.path.strip("/").split("/")]
-        if verb == "GET" and words == ["fleet", "members"]:
-            return self.list_all(int(parse_qs(where.query).get("epoch", ["0"])[0]))
-        if verb == "POST" and words[:2] == ["fleet", "members"] and len(words) == 4:
-            return self.order(words[3], words[2], json.loads(body))
+    def handle_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes] | None:
+        url = urlsplit(path)
+        segments = [unquote(word) for word in url.path.strip("/").split("/")]
+        if method == "GET" and segments == ["fleet", "members"]:
+            return self.list_members(int(parse_qs(url.query).get("epoch", ["0"])[0]))
+        if method == "POST" and segments[:2] == ["fleet", "members"] and len(segments) == 4:
+            return self.handle_order(segments[3], segments[2], json.loads(body))
         return 404, b""
 
-    def list_all(self, epoch: int) -> tuple[int, bytes]:
+    def list_members(self, epoch: int) -> tuple[int, bytes]:
         if epoch < self.epoch:
             return 409, b""
         self.epoch = epoch
         members = {
-            name: {"state": one.state, "version": one.version, "starts": one.starts, "ends": one.ends}
-            for name, one in self.machines.items()
+            name: {
+                "state": machine.state,
+                "version": machine.version,
+                "starts": machine.failed_starts,
+                "ends": machine.crashes,
+            }
+            for name, machine in self.machines.items()
         }
         services = {
-            name: {"state": state, "life": life} for name, (state, life) in self.service_state.items()
+            name: {"state": state, "life": incarnation}
+            for name, (state, incarnation) in self.service_state.items()
         }
         return 200, json.dumps({"members": members, "services": services}).encode()
 
-    def order(self, what: str, name: str, told: dict[str, Any]) -> tuple[int, bytes] | None:
+    def handle_order(self, action: str, name: str, order: dict[str, Any]) -> tuple[int, bytes] | None:
         machine = self.machines.get(name)
-        if machine is None or what not in ("drain", "start"):
+        if machine is None or action not in ("drain", "start"):
             return 404, b""
-        if told["epoch"] < self.epoch:
-            self.stale += 1
+        if order["epoch"] < self.epoch:
+            self.stale_order_count += 1
             return 409, b""
-        self.epoch = told["epoch"]
-        if self.before(what, name) == "drop":
+        self.epoch = order["epoch"]
+        if self.before_order(action, name) == "drop":
             return None
-        version = told["version"]
-        if what == "start":
-            if machine.state in ("stopped", "failed") and not machine.coming:
-                self.start(machine, version)
+        version = order["version"]
+        if action == "start":
+            if machine.state in ("stopped", "failed") and not machine.is_starting:
+                self.start_member(machine, version)
             return 204, b""
-        if (name, told["number"]) in self.carried or machine.state != "up" or machine.version == version:
+        if (
+            (name, order["number"]) in self.executed_drains
+            or machine.state != "up"
+            or machine.version == version
+        ):
             return 204, b""
-        self.carried.add((name, told["number"]))
-        if not self.world.members[name].running():
+        self.executed_drains.add((name, order["number"]))
+        if not self.testbed.members[name].is_running():
             return 204, b""  # it died this moment; it will be started again as one that ended by itself
-        self.drains[name, version] = self.drains.get((name, version), 0) + 1
-        self.drain(machine, planned=True)
+        self.drain_counts[name, version] = self.drain_counts.get((name, version), 0) + 1
+        self.drain_member(machine, is_planned=True)
         return 204, b""
 
     # ---- processes -------------------------------------------------------------------------------------
 
-    def drain(self, machine: Machine, planned: bool) -> None:
+    def drain_member(self, machine: Machine, is_planned: bool) -> None:
         machine.state = "draining"
-        self.outs.begin(machine.server.name, "own", self.scheduler.now, planned)
-        self.world.drain(machine.server)
+        self.disruptions.begin_disruption(machine.server.name, "own", self.scheduler.now, is_planned)
+        self.testbed.drain_server(machine.server)
 
-    def start(self, machine: Machine, version: str) -> None:
-        server, world = machine.server, self.world
+    def start_member(self, machine: Machine, version: str) -> None:
+        server, testbed = machine.server, self.testbed
         name = server.name
         if version != machine.version:
-            machine.starts = machine.ends = 0
+            machine.failed_starts = machine.crashes = 0
         machine.version, machine.state = version, "stopped"
-        machine.coming, machine.again_at = True, 0
+        machine.is_starting, machine.restart_at = True, 0
         machine.started_at = self.scheduler.now
-        member, agent = world.members[name], world.agents[name]
-        kind = self.fault if version == NEW else "good"
-        if version in machine.broken:
-            kind = "nostart"
-        apart = kind in IN_PROCESS
-        member.module = "birchslip.lab.versions" if apart else "birchslip"
-        member.words = [kind, str(self.crash_ms)] if apart else []
-        server.life += 1
-        agent.start(cold=True)
-        agent.version = kind
+        member, agent = testbed.members[name], testbed.agents[name]
+        fault_kind = self.fault_kind if version == NEW_VERSION else "good"
+        if version in machine.failing_versions:
+            fault_kind = "nostart"
+        is_in_process = fault_kind in IN_PROCESS_KINDS
+        member.module = "birchslip.lab.versions" if is_in_process else "birchslip"
+        member.arguments = [fault_kind, str(self.crash_ms)] if is_in_process else []
+        server.incarnation += 1
+        agent.start(is_cold=True)
+        agent.fault_kind = fault_kind
         member.start()
-        server.up = True
+        server.is_up = True
 
-    def look(self, machine: Machine) -> None:
+    def poll_machine(self, machine: Machine) -> None:
         """What has become of one process since the last look."""
         now, server = self.scheduler.now, machine.server
-        name, member = server.name, self.world.members[server.name]
-        running = member.running()
-        if machine.state == "draining" and not running:
+        name, member = server.name, self.testbed.members[server.name]
+        is_running = member.is_running()
+        if machine.state == "draining" and not is_running:
             machine.state = "stopped"
-            self.forgive(machine)
-            self.down(server)
-            self.stopped(name)
-        elif machine.coming:
-            if running and self.world.catalog.listed_since(name, machine.started_at):
-                self.came_up(machine)
-            elif not running or now - machine.started_at > START_MOST:
-                self.failed(machine)
-        elif machine.state == "up" and not running and not machine.again_at:
-            self.ended_by_itself(machine)
-        elif machine.state == "up" and machine.again_at and now >= machine.again_at:
-            version, ends, starts = machine.version, machine.ends, machine.starts
-            self.start(machine, version)
+            self.clear_expected_exits(machine)
+            self.mark_down(server)
+            self.on_member_stopped(name)
+        elif machine.is_starting:
+            if is_running and self.testbed.catalog.is_listed_since(name, machine.started_at):
+                self.on_listed(machine)
+            elif not is_running or now - machine.started_at > MAX_START_SPAN:
+                self.on_start_failed(machine)
+        elif machine.state == "up" and not is_running and not machine.restart_at:
+            self.on_crash(machine)
+        elif machine.state == "up" and machine.restart_at and now >= machine.restart_at:
+            version, crashes, failed_starts = machine.version, machine.crashes, machine.failed_starts
+            self.start_member(machine, version)
             # It counts as up to those who ask, as before: its silence tells them.
-            machine.state, machine.ends, machine.starts = "up", ends, starts
-
-    def came_up(self, machine: Machine) -> None:
-        name, world = machine.server.name, self.world
-        machine.coming, machine.state, machine.starts = False, "up", 0
-        if machine.version == NEW:
-            self.exposed.add(name)
-            if self.fault == "leak" and self.first_harm is None:
-                self.first_harm = self.scheduler.now + self.crash_ms * 10
-        warm_at = max(self.scheduler.now, machine.started_at + world.cold_span)
-        life = machine.server.life
-
-        def warm() -> None:
-            if machine.server.life == life and machine.state == "up" and world.members[name].running():
-                self.outs.end(name, "own")
-
-        self.scheduler.at(warm_at, warm)
-
-    def failed(self, machine: Machine) -> None:
+            machine.state, machine.crashes, machine.failed_starts = "up", crashes, failed_starts
+
+    def on_listed(self, machine: Machine) -> None:
+        name, testbed = machine.server.name, self.testbed
+        machine.is_starting, machine.state, machine.failed_starts = False, "up", 0
+        if machine.version == NEW_VERSION:
+            self.exposed_members.add(name)
+            if self.fault_kind == "leak" and self.first_harm_at is None:
+                self.first_harm_at = self.scheduler.now + self.crash_ms * 10
+        warm_at = max(self.scheduler.now, machine.started_at + testbed.warm_up_span)
+        incarnation = machine.server.incarnation
+
+        def end_warm_up() -> None:
+            if (
+                machine.server.incarnation == incarnation
+                and machine.state == "up"
+                and testbed.members[name].is_running()
+            ):
+                self.disruptions.end_disruption(name, "own")
+
+        self.scheduler.at(warm_at, end_warm_up)
+
+    def on_start_failed(self, machine: Machine) -> None:
         name = machine.server.name
-        machine.coming = False
-        self.down(machine.server)
-        self.forgive(machine)
-        self.world.members[name].kill()
+        machine.is_starting = False
+        self.mark_down(machine.server)
+        self.clear_expected_exits(machine)
+        self.testbed.members[name].kill()
         machine.state = "failed"
-        machine.starts += 1
-        if machine.version == NEW:
-            self.harm(name)
+        machine.failed_starts += 1
+        if machine.version == NEW_VERSION:
+            self.record_harm(name)
 
-    def ended_by_itself(self, machine: Machine) -> None:
+    def on_crash(self, machine: Machine) -> None:
         now, name = self.scheduler.now, machine.server.name
-        self.down(machine.server)
-        self.outs.begin(name, "own", now)
-        machine.again_at = now + AGAIN
-        if machine.version == NEW and self.fault in IN_PROCESS:
-            self.forgive(machine)
-            machine.ends += 1
-            self.harm(name)
-
-    def forgive(self, machine: Machine) -> None:
+        self.mark_down(machine.server)
+        self.disruptions.begin_disruption(name, "own", now)
+        machine.restart_at = now + RESTART_DELAY
+        if machine.version == NEW_VERSION and self.fault_kind in IN_PROCESS_KINDS:
+            self.clear_expected_exits(machine)
+            machine.crashes += 1
+            self.record_harm(name)
+
+    def clear_expected_exits(self, machine: Machine) -> None:
         """An end that its version is made for is none of the program's."""
-        made = machine.version == NEW and self.fault in IN_PROCESS
-        if made or machine.version in machine.broken:
-            self.world.members[machine.server.name].unexpected.clear()
+        is_expected = machine.version == NEW_VERSION and self.fault_kind in IN_PROCESS_KINDS
+        if is_expected or machine.version in machine.failing_versions:
+            self.testbed.members[machine.server.name].unexpected_exit_codes.clear()
 
-    def down(self, server: Server) -> None:
-        server.up = False
-        self.world.truth.died(server.name, server.life)
-        self.world.excuse(server)
-        self.world.agents[server.name].start(cold=True)
-        self.world.agents[server.name].pause()
+    def mark_down(self, server: AppServer) -> None:
+        server.is_up = False
+        self.testbed.history.excuse_broken_attempts(server.name, server.incarnation)
+        self.testbed.excuse_pending_attempts(server)
+        self.testbed.agents[server.name].start(is_cold=True)
+        self.testbed.agents[server.name].pause()
 
     # ---- what schedules do -----------------------------------------------------------------------------
 
-    def kill(self, name: str) -> None:
-        machine, member = self.machines[name], self.world.members[name]
-        if member.running():
-            self.down(machine.server)
+    def kill_member(self, name: str) -> None:
+        machine, member = self.machines[name], self.testbed.members[name]
+        if member.is_running():
+            self.mark_down(machine.server)
             member.kill()
             if machine.state == "up":
-                self.outs.begin(name, "own", self.scheduler.now)
-                machine.again_at, machine.coming = self.scheduler.now + AGAIN, False
+                self.disruptions.begin_disruption(name, "own", self.scheduler.now)
+                machine.restart_at, machine.is_starting = self.scheduler.now + RESTART_DELAY, False
 
-    def hold(self, name: str, until: int) -> None:
+    def pause_member(self, name: str, until: int) -> None:
         """The process is stopped where it is, and wakes up later with whatever it believed."""
-        member, agent = self.world.members[name], self.world.agents[name]
-        life = self.machines[name].server.life
-        self.world.excuse(self.machines[name].server)
-        self.outs.begin(name, "held", self.scheduler.now)
-        self.machines[name].server.up = False
+        member, agent = self.testbed.members[name], self.testbed.agents[name]
+        incarnation = self.machines[name].server.incarnation
+        self.testbed.excuse_pending_attempts(self.machines[name].server)
+        self.disruptions.begin_disruption(name, "held", self.scheduler.now)
+        self.machines[name].server.is_up = False
         member.pause()
         agent.pause()
 
         def wake() -> None:
-            self.outs.end(name, "held")
-            if self.machines[name].server.life == life and member.paused:
-                self.world.excuse(self.machines[name].server)
-                self.machines[name].server.up = True
+            self.disruptions.end_disruption(name, "held")
+            if self.machines[name].server.incarnation == incarnation and member.is_paused:
+                self.testbed.excuse_pending_attempts(self.machines[name].server)
+                self.machines[name].server.is_up = True
                 member.resume()
                 agent.resume()
 
         self.scheduler.at(until, wake)
 
-    def service_down(self, name: str, planned: bool = False) -> None:
+    def stop_service(self, name: str, is_planned: bool = False) -> None:
         self.service_state[name] = ("draining", self.service_state[name][1])
-        self.outs.begin(name, "own", self.scheduler.now, planned)
-        self.services[name].close()
+        self.disruptions.begin_disruption(name, "own", self.scheduler.now, is_planned)
+        self.services[name].stop_accepting()
 
-    def service_up(self, name: str) -> None:
-        self.services[name].open()
+    def start_service(self, name: str) -> None:
+        self.services[name].start_accepting()
         self.service_state[name] = ("up", self.service_state[name][1] + 1)
-        self.outs.end(name, "own")
+        self.disruptions.end_disruption(name, "own")
 
-    def all_up(self) -> bool:
-        return all(one.state == "up" and not one.coming for one in self.machines.values())
+    def is_all_up(self) -> bool:
+        return all(machine.state == "up" and not machine.is_starting for machine in self.machines.values())
--- a/birchslip/lab/processes.py
+++ b/birchslip/lab/processes.py
@@ -18,40 +18,42 @@
     making.
     """
 
-    def __init__(self, name: str, words: list[str], environment: dict[str, str], logs: Path) -> None:
-        self.name, self.words, self.environment = name, words, environment
+    def __init__(
+        self, name: str, arguments: list[str], environment: dict[str, str], log_folder: Path
+    ) -> None:
+        self.name, self.arguments, self.environment = name, arguments, environment
         self.module = "birchslip"
-        self.log = logs / f"{name}.log"
+        self.log_path = log_folder / f"{name}.log"
         self.process: subprocess.Popen[bytes] | None = None
-        self.paused = self.leaving = False
-        self.unexpected: list[int] = []  # codes of ends that were not of the schedule's making
+        self.is_paused = self.is_terminating = False
+        self.unexpected_exit_codes: list[int] = []  # codes of ends that were not of the schedule's making
 
     def start(self) -> None:
-        if self.running():
+        if self.is_running():
             return
-        with self.log.open("ab") as out:
+        with self.log_path.open("ab") as out:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", self.module, *self.words],
+                [sys.executable, "-m", self.module, *self.arguments],
                 cwd=ROOT,
                 env={**os.environ, **self.environment},
                 stdin=subprocess.DEVNULL,
                 stdout=out,
                 stderr=out,
             )
-        self.paused = self.leaving = False
+        self.is_paused = self.is_terminating = False
 
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         if self.process is None:
             return False
         code = self.process.poll()
         if code is not None:
-            if code or not self.leaving:
-                self.unexpected.append(code)
+            if code or not self.is_terminating:
+                self.unexpected_exit_codes.append(code)
             self.process = None
         return code is None
 
     def kill(self) -> None:
-        if self.process is not None and self.running():
+        if self.process is not None and self.is_running():
             self.process.kill()
             self.process.wait()
         self.process = None
@@ -59,18 +61,18 @@
     def pause(self) -> None:
         if self.process is not None:
             self.process.send_signal(signal.SIGSTOP)
-            self.paused = True
+            self.is_paused = True
 
     def resume(self) -> None:
         if self.process is not None:
             self.process.send_signal(signal.SIGCONT)
-            self.paused = False
+            self.is_paused = False
 
-    def leave(self) -> None:
-        if not self.leaving and self.process is not None and self.running():
+    def terminate(self) -> None:
+        if not self.is_terminating and self.process is not None and self.is_running():
             # Once: a second notice may find an interpreter that no longer listens, and kill it.
             self.resume()
-            self.leaving = True
+            self.is_terminating = True
             self.process.send_signal(signal.SIGTERM)
 
     def wait(self, seconds: float) -> None:
@@ -80,30 +82,30 @@
         try:
             code = self.process.wait(seconds)
             if code:
-                self.unexpected.append(code)
+                self.unexpected_exit_codes.append(code)
         except subprocess.TimeoutExpired:
-            self.unexpected.append(-1)
+            self.unexpected_exit_codes.append(-1)
             self.process.kill()
             self.process.wait()
         self.process = None
 
-    def hang_up(self) -> None:
+    def reload(self) -> None:
         """SIGHUP: its file has changed."""
-        if self.process is not None and self.running():
+        if self.process is not None and self.is_running():
             self.process.send_signal(signal.SIGHUP)
 
-    def fill_disk(self) -> None:
+    def forbid_file_growth(self) -> None:
         """No file of it may grow any more: what a full disk is to a process, without filling one."""
-        if self.process is not None and self.running():
+        if self.process is not None and self.is_running():
             _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (0, hard))
 
-    def empty_disk(self) -> None:
-        if self.process is not None and self.running():
+    def allow_file_growth(self) -> None:
+        if self.process is not None and self.is_running():
             _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (hard, hard))
 
-    def usage(self) -> tuple[float, int]:
+    def measure_usage(self) -> tuple[float, int]:
         """Seconds of processor time and resident KB of the life that runs."""
         if self.process is None:
             return 0.0, 0
@@ -113,14 +115,16 @@
         except OSError:
             return 0.0, 0
         ticks = int(fields[11]) + int(fields[12])
-        held = next((int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS:")), 0)
-        return ticks / os.sysconf("SC_CLK_TCK"), held
+        resident_kb = next(
+            (int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS:")), 0
+        )
+        return ticks / os.sysconf("SC_CLK_TCK"), resident_kb
 
-    def lines(self, part: str) -> list[tuple[int, str]]:
+    def find_log_lines(self, text: str) -> list[tuple[int, str]]:
         """Lines of its log that hold this, with their time in tenths of a millisecond."""
         found = []
-        for line in self.log.read_text(errors="replace").splitlines() if self.log.exists() else []:
-            if part in line and line.startswith("timestamp="):
+        for line in self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else []:
+            if text in line and line.startswith("timestamp="):
                 stamp = line.split(" ", 1)[0].removeprefix("timestamp=").strip('"')
                 at = datetime.fromisoformat(stamp.replace("Z", "+00:00")).timestamp()
                 found.append((int(at * 10_000), line))
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -27,15 +27,15 @@
 from ..cluster.rollout_messages import RolloutAction, RolloutCommand
 from ..cluster.rollout_types import RolloutSpec
 from ..cluster.transport import PeerConnection
-from .clients import Profile, Server
+from .clients import AppServer, RequestClass
 from .peers import Vault
-from .platform import NEW, OLD, Platform
+from .platform import NEW_VERSION, OLD_VERSION, Platform
 from .release_faults import STEPS, Step
 from .truth import SECOND
-from .world import WINDOW, Told, World
+from .world import RETENTION_WINDOW, ScenarioOptions, Testbed
 
-LOOKUP = Profile("lookup", 0.7, 1_400, SECOND * 3 // 2, 3 * SECOND, 1.0, False)
-ORDER = Profile("order", 0.3, 2_100, 2 * SECOND, 3 * SECOND, 1.5, True)
+LOOKUP = RequestClass("lookup", 0.7, 1_400, SECOND * 3 // 2, 3 * SECOND, 1.0, False)
+ORDER = RequestClass("order", 0.3, 2_100, 2 * SECOND, 3 * SECOND, 1.5, True)
 BEFORE, AFTER = 5 * SECOND, 3 * SECOND
 ASK = 4_000  # an operator waits for a planner's answer, and then asks the next one
 LONGEST = 240 * SECOND  # a release that has not come to its end by then is stuck
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class ReleaseTold(Told):
+class ReleaseTold(ScenarioOptions):
     """`without` holds what the schedule did to the world and when, for the play with no release."""
 
     version: str = "good"
@@ -54,9 +54,9 @@
     without: tuple[tuple[int, str, float], ...] | None = None
 
 
-class Play(World):
-    profiles = [LOOKUP, ORDER]  # noqa: RUF012
-    cold_span = 2 * SECOND
+class Play(Testbed):
+    request_classes = [LOOKUP, ORDER]  # noqa: RUF012
+    warm_up_span = 2 * SECOND
 
     def __init__(self, told: ReleaseTold, folder: Path) -> None:
         self.told = told
@@ -82,7 +82,9 @@
         self.fleet_most = max(2, int(FLEET_SHARE * len(whole)))
         self.groups = {
             site: BudgetGroup(
-                site, frozenset(self.of_site(site)), max_unavailable=min(SITE_MOST, self.lay.each - 1)
+                site,
+                frozenset(self.of_site(site)),
+                max_unavailable=min(SITE_MOST, self.base_options.each - 1),
             )
             for site in self.sites
         }
@@ -90,21 +92,23 @@
         stores = [f"store-{n + 1}" for n in range(len(self.sites))]
         self.groups["stores"] = BudgetGroup("stores", frozenset(stores), max_unavailable=1)
         self.store_of = dict(zip(self.sites, stores, strict=True))
-        self.vaults = {store: Vault(self.scheduler, self.truth, self.took) for store in stores}
+        self.vaults = {
+            store: Vault(self.scheduler, self.history, self.draw_vault_latency) for store in stores
+        }
         needs = {server.name: [self.store_of[server.site]] for server in self.servers}
         self.platform = Platform(self, self.told.version, list(self.groups.values()), needs, CRASH_MS)
         for store, vault in self.vaults.items():
             self.platform.add_service(store, vault)
-        self.platform.before, self.platform.stopped = self.before_order, self.member_stopped
+        self.platform.before_order, self.platform.on_member_stopped = self.before_order, self.member_stopped
         self.left: set[str] = set()  # of the fleet file
 
     def of_site(self, site: str) -> list[str]:
         return [server.name for server in self.servers if server.site == site]
 
-    def vault_of(self, server: Server) -> Vault:
+    def get_vault(self, server: AppServer) -> Vault:
         return self.vaults[self.store_of[server.site]]
 
-    def fleet_more(self, told: dict[str, Any], who: str) -> None:
+    def extend_fleet_file(self, told: dict[str, Any], who: str) -> None:
         told["platform"] = {"address": self.platform.address, "ask_ms": 200, "stale_ms": 2_000}
         told["services"] = [{"name": name, "kind": "store"} for name in self.vaults]
         told["groups"] = [
@@ -124,11 +128,11 @@
 
     def file_again(self) -> None:
         """A later fleet file for every planner."""
-        for name in self.names:
-            self.fleet_file(name)
-            self.planners[name].hang_up()
+        for name in self.planner_names:
+            self.write_fleet_file(name)
+            self.planners[name].reload()
 
-    def plan(self, sites: list[str], version: str = NEW, before: str = OLD) -> RolloutSpec:
+    def plan(self, sites: list[str], version: str = NEW_VERSION, before: str = OLD_VERSION) -> RolloutSpec:
         return RolloutSpec(
             version=version,
             previous_version=before,
@@ -151,8 +155,8 @@
             isinstance(record, OperatorCommand) and record.operation is OperatorOperation.SHOW
         )
         while self.scheduler.now < until:
-            for name in planners or self.names:
-                line = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
+            for name in planners or self.planner_names:
+                line = PeerConnection(self.scheduler, ("127.0.0.1", self.planner_ports[name]))
                 try:
                     raw = line.call(method, encode(record), self.scheduler.now + ASK)
                     answer: dict[str, Any] = json.loads(raw)
@@ -202,7 +206,7 @@
                 self.deed("kill", name)
             else:
                 # In this very moment: nobody hears what came of the order.
-                self.planners[self.leader()].kill()
+                self.planners[self.find_leader()].kill()
             return "drop"
         at = next((n for n, batch in enumerate(self.planned, 1) if name in batch), 0)
         self.mark(f"batch {at}")
@@ -212,15 +216,15 @@
 
     def member_stopped(self, name: str) -> None:
         if "stopped" not in self.marks and self.told.fault == "killed-draining":
-            self.planners[self.leader()].kill()
+            self.planners[self.find_leader()].kill()
         self.mark("stopped")
 
     # ---- the course ------------------------------------------------------------------------------------
 
     def direct(self) -> None:
         scheduler = self.scheduler
-        self.begin()
-        self.platform.watch()
+        self.start_all()
+        self.platform.poll_machines()
         scheduler.sleep(scheduler.now + BEFORE)
         if self.told.without is not None:
             self.direct_without(self.told.without)
@@ -228,8 +232,8 @@
             self.direct_release()
         scheduler.sleep(scheduler.now + AFTER)
         self.settle()
-        self.platform.over = True
-        self.end()
+        self.platform.is_over = True
+        self.drain_all()
 
     def direct_without(self, deeds: tuple[tuple[int, str, float], ...]) -> None:
         """The same schedule, and no release."""
@@ -294,13 +298,13 @@
     def after_halt(self, told: dict[str, Any]) -> bool:
         """Whether a person goes on: back where the version is bad, once everybody is up."""
         if not told["bad"] or self.backs >= 3:
-            return not self.platform.all_up() and self.backs < 3
+            return not self.platform.is_all_up() and self.backs < 3
         for name in told["left_out"]:
             machine = self.platform.machines[name]
             if machine.state == "failed":
-                machine.broken.clear()  # somebody has mended the machine
-                self.platform.start(machine, OLD)
-        if not self.platform.all_up():
+                machine.failing_versions.clear()  # somebody has mended the machine
+                self.platform.start_member(machine, OLD_VERSION)
+        if not self.platform.is_all_up():
             return True
         if told["left_out"]:
             return True  # until it is seen back
@@ -317,9 +321,11 @@
     def settle(self) -> None:
         """Nobody is left down, and nobody out but who was left out."""
         until = self.scheduler.now + 20 * SECOND
-        while self.scheduler.now < until and not (self.platform.all_up() and not self.platform.outs.causes):
+        while self.scheduler.now < until and not (
+            self.platform.is_all_up() and not self.platform.disruptions.causes
+        ):
             self.scheduler.sleep(self.scheduler.now + 1_000)
-        self.stuck = self.stuck or not self.platform.all_up()
+        self.stuck = self.stuck or not self.platform.is_all_up()
 
     # ---- the schedule ----------------------------------------------------------------------------------
 
@@ -336,7 +342,7 @@
             try:
                 self.do(step)
             except Exception as trouble:
-                self.fault(f"step {step.what}", trouble)
+                self.record_fault(f"step {step.what}", trouble)
             self.pending.pop(0)
 
     def deed(self, what: str, whom: str, more: float = 0.0) -> None:
@@ -345,30 +351,30 @@
             self.deeds.append((self.scheduler.now - self.release_began, f"{what} {whom}", more))
         match what:
             case "kill":
-                self.platform.kill(whom)
+                self.platform.kill_member(whom)
             case "hold":
-                self.platform.hold(whom, self.scheduler.now + int(more * SECOND))
+                self.platform.pause_member(whom, self.scheduler.now + int(more * SECOND))
             case "surge":
                 for router in self.routers:
-                    router.surge[whom] = more
+                    router.surge_factors[whom] = more
             case "service-down":
-                self.platform.service_down(whom)
+                self.platform.stop_service(whom)
             case "service-up":
-                self.platform.service_up(whom)
+                self.platform.start_service(whom)
             case "lose-site":
                 self.lose(whom)
             case "site-back":
-                self.out.discard(whom)
+                self.lost_sites.discard(whom)
                 for name in self.of_site(whom):
-                    self.platform.machines[name].again_at = self.scheduler.now
+                    self.platform.machines[name].restart_at = self.scheduler.now
 
     def lose(self, site: str) -> None:
-        self.out.add(site)
+        self.lost_sites.add(site)
         for name in self.of_site(site):
-            self.platform.kill(name)
+            self.platform.kill_member(name)
             machine = self.platform.machines[name]
             if machine.state == "up":
-                machine.again_at = self.scheduler.now + LONGEST
+                machine.restart_at = self.scheduler.now + LONGEST
 
     def do(self, step: Step) -> None:
         more = step.more
@@ -386,14 +392,14 @@
                 self.say("halt", reason="a rehearsal")
             case "halt-and-kill":
                 self.expect_halt = True
-                leader = self.leader()
+                leader = self.find_leader()
                 self.scheduler.at(self.scheduler.now + 20, self.planners[leader].kill)
                 self.say("halt", reason="a rehearsal")
             case "check-halted":
                 told = self.status()
-                drains = sum(self.platform.drains.values())
+                drains = sum(self.platform.drain_counts.values())
                 self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
-                if told.get("phase") != "halted" or sum(self.platform.drains.values()) != drains:
+                if told.get("phase") != "halted" or sum(self.platform.drain_counts.values()) != drains:
                     self.resumed_without_a_word += 1
             case "resume":
                 self.say("resume", number=1)
@@ -413,11 +419,12 @@
                 group = replace(self.groups["fleet"], max_unavailable=most)
                 self.groups["fleet"] = group
                 if step.what == "raise":
-                    self.platform.outs.groups["fleet"] = group
+                    self.platform.disruptions.groups["fleet"] = group
                 else:
                     # Planners read it within a moment; what they granted before stands.
                     self.scheduler.at(
-                        self.scheduler.now + 5_000, lambda: self.platform.outs.groups.update(fleet=group)
+                        self.scheduler.now + 5_000,
+                        lambda: self.platform.disruptions.groups.update(fleet=group),
                     )
                 self.file_again()
             case "leave":
@@ -429,17 +436,17 @@
                 self.deed("kill", name)
                 self.file_again()
             case "split":
-                self.turn_planners("cut", self.leader())
+                self.set_planner_proxies("cut", self.find_leader())
                 self.scheduler.spawn("asker", self.ask_both_sides)
             case "heal-planners":
-                for (who, _), wire in self.wires.items():
+                for (who, _), wire in self.proxies.items():
                     if who in self.planners:
-                        wire.turn("pass")
+                        wire.set_mode("pass")
             case "mute-holder" | "heal-holder":
                 mode = "mute" if step.what == "mute-holder" else "pass"
-                for (who, _), wire in self.wires.items():
+                for (who, _), wire in self.proxies.items():
                     if who == self.holder:
-                        wire.turn(mode)
+                        wire.set_mode(mode)
             case "crash-others":
                 machines = self.platform.machines
                 others = [one for one in self.of_site(self.sites[-1]) if machines[one].state == "up"]
@@ -451,7 +458,7 @@
                 self.deed("surge", "blue", more)
             case "break-old":
                 first = self.planned[0][0]
-                self.platform.machines[first].broken.add(OLD)
+                self.platform.machines[first].failing_versions.add(OLD_VERSION)
             case "lose-site":
                 self.expect_halt = True
                 self.deed("lose-site", self.sites[-1])
@@ -460,16 +467,18 @@
             case "wait-home":
                 self.wait_for(self.at_home, 60 * SECOND)
             case "fill-disk":
-                self.planners[self.leader()].fill_disk()
+                self.planners[self.find_leader()].forbid_file_growth()
             case "empty-disk":
                 for one in self.planners.values():
-                    one.empty_disk()
+                    one.allow_file_growth()
             case "empty-follower" | "cut-follower":
-                self.to_planners("kill-planner", "follower")
-                self.to_planners("disk-empty" if step.what == "empty-follower" else "disk-cut-short", "last")
+                self.apply_to_planners("kill-planner", "follower")
+                self.apply_to_planners(
+                    "disk-empty" if step.what == "empty-follower" else "disk-cut-short", "last"
+                )
             case "late":
-                for wire in self.wires.values():
-                    wire.turn("late", int(more))
+                for wire in self.proxies.values():
+                    wire.set_mode("late", int(more))
             case what:
                 raise RuntimeError(f"no such step: {what}")
 
@@ -487,17 +496,17 @@
         if machine.state != "up":
             return
         version = machine.version
-        self.platform.drain(machine, planned=True)
+        self.platform.drain_member(machine, is_planned=True)
         while machine.state == "draining":
             self.scheduler.sleep(self.scheduler.now + 500)
-        self.platform.start(machine, version)
+        self.platform.start_member(machine, version)
 
     def ask_both_sides(self) -> None:
         """While planners are split: whoever is cut off must not let anybody go."""
-        leader = self.leader()
+        leader = self.find_leader()
         name = self.of_site(self.sites[-1])[0]
         alone = self.permit(name, [leader])
-        others = self.permit(name, [one for one in self.names if one != leader])
+        others = self.permit(name, [one for one in self.planner_names if one != leader])
         self.operator_s.append(f"alone: {alone.get('granted')}; others: {others.get('granted')}")
         self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
         hand_back: Callable[[], dict[str, Any]] = partial(
@@ -521,21 +530,21 @@
             site = self.platform.machines[batch[0]].server.site
             may = min(self.groups[site].disruptions_allowed, self.groups["fleet"].disruptions_allowed)
             rounds += -(-len(batch) // may)
-        return (rounds * (LEAST + self.cold_span) + len(self.planned) * WATCH_MS * 10) / SECOND
+        return (rounds * (LEAST + self.warm_up_span) + len(self.planned) * WATCH_MS * 10) / SECOND
 
     def outcome(self) -> dict[str, Any]:
-        truth, platform = self.truth, self.platform
+        truth, platform = self.history, self.platform
         spans = {"during": (self.release_began, self.release_ended)}
         told: dict[str, Any] = {
-            "rules": truth.rules(self.scheduler.now, WINDOW),
-            "budgets": platform.outs.told(),
-            "service": {name: round(truth.service(span), 4) for name, span in spans.items()},
-            "attempts_each": round(truth.attempts(spans["during"]), 3),
-            "refused": dict(truth.sheds),
-            "broken_links": dict(Counter(truth.broken)),
-            "dead": self.dead(),
+            "rules": truth.check_rules(self.scheduler.now, RETENTION_WINDOW),
+            "budgets": platform.disruptions.build_report(),
+            "service": {name: round(truth.compute_service(span), 4) for name, span in spans.items()},
+            "attempts_each": round(truth.compute_attempts_per_operation(spans["during"]), 3),
+            "refused": dict(truth.shed_counts),
+            "broken_links": dict(Counter(truth.broken_links)),
+            "dead": self.list_unexpected_exits(),
             "trouble": self.faults[:5],
-            "transactions": len(truth.deeds),
+            "transactions": len(truth.operations),
             "took_s": round((self.release_ended - self.release_began) / SECOND, 1),
         }
         return told
@@ -543,21 +552,21 @@
     def of_release(self) -> dict[str, Any]:
         platform = self.platform
         halt = None
-        if self.halted_at is not None and platform.first_harm is not None:
-            halt = round((self.halted_at - platform.first_harm) / SECOND, 2)
+        if self.halted_at is not None and platform.first_harm_at is not None:
+            halt = round((self.halted_at - platform.first_harm_at) / SECOND, 2)
         return {
             "ended": self.ended,
             "why": self.why,
             "halt_s": halt,
-            "exposed": len(platform.exposed),
-            "drained_twice": sum(max(0, count - 1) for count in platform.drains.values()),
+            "exposed": len(platform.exposed_members),
+            "drained_twice": sum(max(0, count - 1) for count in platform.drain_counts.values()),
             "stuck": self.stuck,
             "resumed_without_a_word": self.resumed_without_a_word,
-            "stale_orders": platform.stale,
+            "stale_orders": platform.stale_order_count,
             "least_s": round(self.least(), 1),
             "batches": len(self.planned),
             "judged": self.judged,
-            "breaches": platform.outs.said[:5],
+            "breaches": platform.disruptions.breach_descriptions[:5],
             "operators": self.operator_s[:20],
             "versions": dict(Counter(one.version for one in platform.machines.values())),
         }
@@ -568,9 +577,9 @@
     folder.mkdir(parents=True)
     play = Play(told, folder)
     try:
-        play.play(play.direct)
+        play.run_director(play.direct)
     finally:
-        play.finish()
+        play.terminate_all()
     outcome = play.outcome()
     return (outcome | play.of_release() if told.without is None else outcome), play
 
@@ -617,27 +626,27 @@
         self.minutes, self.tell = minutes, say
 
     def direct(self) -> None:
-        self.begin()
-        self.platform.watch()
+        self.start_all()
+        self.platform.poll_machines()
         self.wait_for(self.known, 30 * SECOND)
-        fleet = self.fleet_file("operator")
+        fleet = self.write_fleet_file("operator")
         release = self.folder / "release.json"
         release.write_bytes(msgspec.json.format(encode(self.plan(self.sites)), indent=2))
         self.tell(f"up for {self.minutes:g} minutes; in another shell:")
         self.tell(f"  export BIRCHSLIP_FLEET={fleet}")
         self.tell(f"  python -m birchslip release start {release} --who you")
         self.scheduler.sleep(self.scheduler.now + int(self.minutes * 60 * SECOND))
-        self.platform.over = True
-        self.end()
+        self.platform.is_over = True
+        self.drain_all()
 
 
 def stand(told: ReleaseTold, folder: Path, minutes: float, say: Callable[[str], None]) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     made = Stand(told, folder, minutes, say)
     try:
-        made.play(made.direct)
+        made.run_director(made.direct)
     finally:
-        made.platform.over = True
-        made.finish()
+        made.platform.is_over = True
+        made.terminate_all()
     for trouble in made.faults:
         say(trouble)
--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import Any
 
-from .cores import READING
+from .cores import READ_WORK
 from .faults import Step, schedule
 from .truth import SECOND
-from .world import COLD_FROM, COLD_SPAN, CORES, WINDOW, World
-from .world import Told as Common
+from .world import COLD_SPEED, CORES_PER_SERVER, RETENTION_WINDOW, WARM_UP_SPAN, Testbed
+from .world import ScenarioOptions as Common
 
 MINUTE = "planners-gone-minute"  # whose loss lasts longer than the schedule's own span
 COSTS = ("member_cpu_s", "member_memory_kb")
@@ -45,7 +45,7 @@
     }
 
 
-class Play(World):
+class Play(Testbed):
     """One run of a schedule, with planners or without."""
 
     def __init__(self, told: Told, folder: Path) -> None:
@@ -61,28 +61,28 @@
 
     def run(self) -> None:
         told = self.told
-        steps = schedule(told.fault, told.seed, self.sites, self.names, told.lost)
+        steps = schedule(told.fault, told.seed, self.sites, self.planner_names, told.lost)
         self.spans = spans_of(told, steps)
         self.until = self.spans["after"][1]
-        self.play(lambda: self.direct(steps))
+        self.run_director(lambda: self.direct(steps))
 
     def direct(self, steps: list[Step]) -> None:
         scheduler = self.scheduler
-        self.begin()
-        zero = self.began + self.spans["before"][1]
+        self.start_all()
+        zero = self.started_at + self.spans["before"][1]
         self.sample()
         for step in steps:
             scheduler.sleep(max(scheduler.now, zero + step.at))
             self.carry_out(step)
-        scheduler.sleep(self.began + self.until)
-        self.costs = {name: one.usage() for name, one in self.members.items()}
-        self.end()
+        scheduler.sleep(self.started_at + self.until)
+        self.costs = {name: one.measure_usage() for name, one in self.members.items()}
+        self.drain_all()
 
     def sample(self) -> None:
         """A step that waits for a site's own step on its way back is due once the log tells of it."""
         self.scheduler.at(self.scheduler.now + 1_000, self.sample)
         for step in list(self.watch):
-            lines = [line for one in self.planners.values() for _, line in one.lines("stage=step")]
+            lines = [line for one in self.planners.values() for _, line in one.find_log_lines("stage=step")]
             # Without planners there are no steps: it dies about when it would have reached the second one.
             alone = not self.planners and self.returns and self.scheduler.now >= self.returns[-1] + 2 * SECOND
             if alone or (self.planners and len(lines) >= step.more):
@@ -101,51 +101,51 @@
                 self.watch.append(step)
             case "surge":
                 for router in self.routers:
-                    router.surge[step.whom] = step.more
+                    router.surge_factors[step.whom] = step.more
             case "heed":
                 for router in self.routers:
-                    router.heed = step.more
+                    router.advice_compliance = step.more
             case "slow":
                 for server in self.servers:
                     if server.site == step.whom:
-                        self.agents[server.name].cores.slow = step.more
+                        self.agents[server.name].cores.slowdown = step.more
                 self.spells.setdefault(step.whom, []).append((self.scheduler.now, step.more))
             case "cut" | "deaf" | "silent" | "heal":
                 mode = "mute" if step.what == "heal" else step.what
-                for (who, _), wire in self.wires.items():
+                for (who, _), wire in self.proxies.items():
                     if who.startswith(f"{step.whom}-"):
-                        wire.turn("pass" if step.what == "heal" else mode)
+                        wire.set_mode("pass" if step.what == "heal" else mode)
             case "late":
-                for wire in self.wires.values():
-                    wire.turn("late", int(step.more))
+                for wire in self.proxies.values():
+                    wire.set_mode("late", int(step.more))
             case "shake":
-                for place, wire in enumerate(self.wires.values()):
+                for place, wire in enumerate(self.proxies.values()):
                     if (place + step.at) % 3 == 0:
-                        wire.shake()
+                        wire.reset_connections()
             case "split":
-                self.turn_planners("cut", self.leader() if self.planners else "")
+                self.set_planner_proxies("cut", self.find_leader() if self.planners else "")
             case "heal-planners":
-                for (who, _), wire in self.wires.items():
+                for (who, _), wire in self.proxies.items():
                     if who in self.planners:
-                        wire.turn("pass")
+                        wire.set_mode("pass")
             case planners:
-                self.to_planners(planners, step.whom)
+                self.apply_to_planners(planners, step.whom)
 
     def down(self, site: str, how: str) -> None:
         now = self.scheduler.now
         if site == self.sites[0]:
             self.losses.append(now)
-        self.out.add(site)
-        self.truth.dark.setdefault(site, []).append((now, 1 << 60))
+        self.lost_sites.add(site)
+        self.history.site_outages.setdefault(site, []).append((now, 1 << 60))
         for server in self.servers:
             if server.site != site:
                 continue
-            server.up = False
-            self.excuse(server)
+            server.is_up = False
+            self.excuse_pending_attempts(server)
             agent = self.agents[server.name]
             if how == "kill":
                 self.members[server.name].kill()
-                agent.start(cold=True)
+                agent.start(is_cold=True)
                 agent.pause()
             else:
                 self.members[server.name].pause()
@@ -155,22 +155,22 @@
         now = self.scheduler.now
         if site == self.sites[0]:
             self.returns.append(now)
-        self.out.discard(site)
-        spans = self.truth.dark[site]
+        self.lost_sites.discard(site)
+        spans = self.history.site_outages[site]
         spans[-1] = (spans[-1][0], now)
         for server in self.servers:
             if server.site != site:
                 continue
             agent, member = self.agents[server.name], self.members[server.name]
-            if member.paused:
-                self.excuse(server)
+            if member.is_paused:
+                self.excuse_pending_attempts(server)
                 member.resume()
                 agent.resume()
             else:
-                server.life += 1
-                agent.start(cold=True)
+                server.incarnation += 1
+                agent.start(is_cold=True)
                 member.start()
-            server.up = True
+            server.is_up = True
 
     # ---- what is told of it ----------------------------------------------------------------------------
 
@@ -180,18 +180,20 @@
         """
         done, asked = 0.0, 0.0
         step = SECOND // 2  # a wait of half a second is still in time
-        deeds = sorted(self.truth.of(span), key=lambda deed: deed.born)
+        deeds = sorted(self.history.select_operations(span), key=lambda deed: deed.created_at)
         place = 0
         for at in range(span[0], span[1], step):
             room = 0.0
             for server in self.servers:
-                if any(since <= at < until for since, until in self.truth.dark.get(server.site, ())):
+                if any(
+                    since <= at < until for since, until in self.history.site_outages.get(server.site, ())
+                ):
                     continue
-                room += CORES * step * self.speed_then(server.site, at)
+                room += CORES_PER_SERVER * step * self.speed_then(server.site, at)
             work = reading = 0.0
-            while place < len(deeds) and deeds[place].born < at + step:
+            while place < len(deeds) and deeds[place].created_at < at + step:
                 work += deeds[place].work
-                reading += READING  # once each: more tries than that are what a plan may spare
+                reading += READ_WORK  # once each: more tries than that are what a plan may spare
                 place += 1
             asked += work
             done += min(work, room * work / (work + reading)) if work else 0.0
@@ -209,28 +211,32 @@
         ):
             began = max((one for one in self.returns if one <= at), default=0)
             if began:
-                return COLD_FROM + (1 - COLD_FROM) * min(1.0, (at - began) / COLD_SPAN)
+                return COLD_SPEED + (1 - COLD_SPEED) * min(1.0, (at - began) / WARM_UP_SPAN)
         return 1.0
 
     def outcome(self) -> dict[str, Any]:
         now = self.scheduler.now
-        truth = self.truth
+        truth = self.history
         told: dict[str, Any] = {
-            "rules": truth.rules(now, WINDOW),
+            "rules": truth.check_rules(now, RETENTION_WINDOW),
             "service": {
-                name: round(truth.service(self.span(name)), 4) for name in ("before", "during", "back")
+                name: round(truth.compute_service(self.get_span(name)), 4)
+                for name in ("before", "during", "back")
+            },
+            "ideal": {
+                name: round(self.ideal(self.get_span(name)), 4) for name in ("before", "during", "back")
             },
-            "ideal": {name: round(self.ideal(self.span(name)), 4) for name in ("before", "during", "back")},
             "attempts_each": {
-                name: round(truth.attempts(self.span(name)), 3) for name in ("before", "during", "after")
+                name: round(truth.compute_attempts_per_operation(self.get_span(name)), 3)
+                for name in ("before", "during", "after")
             },
-            "after": round(truth.service(self.span("after")), 4),
-            "refused": dict(truth.sheds),
-            "broken_links": dict(Counter(truth.broken)),
-            "dead": self.dead(),
+            "after": round(truth.compute_service(self.get_span("after")), 4),
+            "refused": dict(truth.shed_counts),
+            "broken_links": dict(Counter(truth.broken_links)),
+            "dead": self.list_unexpected_exits(),
             "trouble": self.faults[:5],
-            "transactions": len(truth.deeds),
-            "calls_most": truth.calls_most,
+            "transactions": len(truth.operations),
+            "calls_most": truth.peak_calls,
             **self.of_members(),
             "series": self.series(),
         }
@@ -251,38 +257,44 @@
         """Second by second from the loss: service, ideal and attempts for each transaction."""
         zero, made = self.spans["before"][1], []
         for at in range(0, self.until, SECOND):
-            span = (self.began + at, self.began + at + SECOND)
-            row = (self.truth.service(span), self.ideal(span), self.truth.attempts(span))
+            span = (self.started_at + at, self.started_at + at + SECOND)
+            row = (
+                self.history.compute_service(span),
+                self.ideal(span),
+                self.history.compute_attempts_per_operation(span),
+            )
             made.append([(at - zero) / SECOND, *(round(one, 3) for one in row)])
         return made
 
     def of_the_fleet(self) -> dict[str, Any]:
         """What the processes' own logs tell of plans: when, not whether, anything was right."""
-        zero = self.losses[0] if self.losses else self.began + self.spans["before"][1]
-        gone = {site for site in self.truth.dark}
+        zero = self.losses[0] if self.losses else self.started_at + self.spans["before"][1]
+        gone = {site for site in self.history.site_outages}
         held = []
         for server in self.servers:
             if server.site in gone:
                 continue
-            lines = self.members[server.name].lines("event=plan_applied")
+            lines = self.members[server.name].find_log_lines("event=plan_applied")
             times = [at for at, line in lines if at >= zero and "evacuated_callers=()" not in line]
             held.append(min(times) - zero if times else None)
         lost, home = [], []
         for one in self.planners.values():
-            for at, line in one.lines("event=site_lost"):
+            for at, line in one.find_log_lines("event=site_lost"):
                 site = next(word[5:] for word in line.split() if word.startswith("site="))
                 lost.append((at, site))
-            for at, line in one.lines("stage=home"):
+            for at, line in one.find_log_lines("stage=home"):
                 if f"site={self.sites[0]} " in line:
                     home.append(at)
         in_force = None if not held or None in held else max(one for one in held if one is not None) / SECOND
         back = [at for at in home if self.returns and at >= self.returns[-1]]
         return {
             "in_force_s": in_force,
-            "false_evacuations": sum(1 for at, site in lost if not self.truth.was_dark(site, at)),
+            "false_evacuations": sum(1 for at, site in lost if not self.history.was_site_out(site, at)),
             "evacuations": len(lost),
             "back_s": round((min(back) - self.returns[-1]) / SECOND, 2) if back else None,
-            "leaders": sum(len(one.lines("event=leadership_acquired")) for one in self.planners.values()),
+            "leaders": sum(
+                len(one.find_log_lines("event=leadership_acquired")) for one in self.planners.values()
+            ),
         }
 
 
@@ -293,7 +305,7 @@
     try:
         play.run()
     finally:
-        play.finish()
+        play.terminate_all()
     outcome = play.outcome()
     if told.fleet:
         outcome |= play.of_the_fleet()
--- a/birchslip/lab/toy.py
+++ b/birchslip/lab/toy.py
@@ -23,8 +23,8 @@
     """Listens, and serves each connection in a thread of its own. Port 0 takes any free one."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        self.links: list[socket.socket] = []
-        self.seen: queue.Queue[Any] = queue.Queue()
+        self.connections: list[socket.socket] = []
+        self.received: queue.Queue[Any] = queue.Queue()
         self.listen(host, port)
 
     def listen(self, host: str, port: int) -> None:
@@ -36,47 +36,47 @@
     def accept(self, listener: socket.socket) -> None:
         while True:
             try:
-                link, _ = listener.accept()
+                connection, _ = listener.accept()
             except OSError:
                 return
-            self.links.append(link)
-            threading.Thread(target=self.guarded, args=(link,), daemon=True).start()
+            self.connections.append(connection)
+            threading.Thread(target=self.serve_until_closed, args=(connection,), daemon=True).start()
 
-    def guarded(self, link: socket.socket) -> None:
+    def serve_until_closed(self, connection: socket.socket) -> None:
         try:
-            self.serve(link)
+            self.serve(connection)
         except OSError:
             pass  # the other side has gone
         finally:
-            link.close()
+            connection.close()
 
-    def serve(self, link: socket.socket) -> None:
+    def serve(self, connection: socket.socket) -> None:
         raise NotImplementedError
 
-    def drop(self) -> None:
+    def close_connections(self) -> None:
         """Break every connection; new ones are welcome."""
-        links, self.links = self.links, []
-        for link in links:
+        connections, self.connections = self.connections, []
+        for connection in connections:
             with suppress(OSError):
-                link.shutdown(socket.SHUT_RDWR)
+                connection.shutdown(socket.SHUT_RDWR)
 
-    def say(self, raw: bytes) -> None:
+    def send_raw(self, data: bytes) -> None:
         """Raw bytes on the newest connection."""
-        self.links[-1].sendall(raw)
+        self.connections[-1].sendall(data)
 
     def move(self) -> None:
         """The same peer at a new address; the old one takes nothing new, and its connections stay."""
-        self.deafen()
+        self.stop_listening()
         self.listen(self.host, 0)
 
-    def deafen(self) -> None:
+    def stop_listening(self) -> None:
         with suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)  # a thread that waits in accept would keep it open
         self.listener.close()
 
     def stop(self) -> None:
-        self.deafen()
-        self.drop()
+        self.stop_listening()
+        self.close_connections()
 
 
 class Agent(Peer):
@@ -85,130 +85,132 @@
     a number: so many milliseconds; `call`: a call half-way; `crash`: it fails; `hold`: it ends when told to.
     """
 
-    def __init__(self, host: str = "127.0.0.1", port: int = 0, greets: bool = True) -> None:
-        self.began = time.time()
-        self.greets = greets
-        self.unknown = False  # whether what is launched is none that it knows
+    def __init__(self, host: str = "127.0.0.1", port: int = 0, sends_greeting: bool = True) -> None:
+        self.started_at = time.time()
+        self.sends_greeting = sends_greeting
+        self.refuses_launches = False  # whether what is launched is none that it knows
         self.lock = threading.RLock()
         self.notices: list[dict[str, Any]] = []
         self.runs: dict[str, list[str]] = {}
         self.bodies: dict[str, bytes] = {}
         self.replies: dict[str, bytes] = {}
-        self.over: set[str] = set()
-        self.launched: list[str] = []
-        self.out: Any = None
+        self.finished_run_ids: set[str] = set()
+        self.launched_run_ids: list[str] = []
+        self.subscriber: Any = None
         super().__init__(host, port)
 
-    def serve(self, link: socket.socket) -> None:
-        for line in link.makefile("rb"):
+    def serve(self, connection: socket.socket) -> None:
+        for line in connection.makefile("rb"):
             order = json.loads(line)
             with self.lock:
-                self.obey(link, order)
-            self.seen.put(order)
+                self.handle_order(connection, order)
+            self.received.put(order)
 
-    def obey(self, link: socket.socket, order: dict[str, Any]) -> None:
-        name = order.get("id", "")
+    def handle_order(self, connection: socket.socket, order: dict[str, Any]) -> None:
+        run_id = order.get("id", "")
         match order["op"]:
             case "subscribe":
-                self.out = link
-                self.subscribed = order["seq"]
-                if self.greets:
-                    self.greet()
-            case "launch" if self.unknown:
-                self.tell(op="refusal", end="launch", id=name)
-            case "launch" if name not in self.runs and name not in self.over:
+                self.subscriber = connection
+                self.subscribed_from = order["seq"]
+                if self.sends_greeting:
+                    self.send_greeting()
+            case "launch" if self.refuses_launches:
+                self.send(op="refusal", end="launch", id=run_id)
+            case "launch" if run_id not in self.runs and run_id not in self.finished_run_ids:
                 body = b64decode(order["body"])
-                self.launched.append(name)
-                self.bodies[name] = body
-                self.runs[name] = body.decode("ascii", "replace").split()
-                self.work(name, "call" in self.runs[name])
+                self.launched_run_ids.append(run_id)
+                self.bodies[run_id] = body
+                self.runs[run_id] = body.decode("ascii", "replace").split()
+                self.schedule_end(run_id, "call" in self.runs[run_id])
             case "launch":
                 pass
-            case "freeze" if name in self.runs:
-                self.end(name, "aborted")
-            case "deliver" if name in self.runs:
-                self.replies[name] = b64decode(order["body"])
-                self.work(name, False)
-            case "forgo" if name in self.runs:
-                self.work(name, False)
+            case "freeze" if run_id in self.runs:
+                self.finish_run(run_id, "aborted")
+            case "deliver" if run_id in self.runs:
+                self.replies[run_id] = b64decode(order["body"])
+                self.schedule_end(run_id, False)
+            case "forgo" if run_id in self.runs:
+                self.schedule_end(run_id, False)
             case "sample":
-                used = min(1.0, len(self.runs) / 2)
-                self.tell(op="sampled", tag=order["tag"], values=[used, len(self.runs), 0.1, 1])
+                core_use = min(1.0, len(self.runs) / 2)
+                self.send(op="sampled", tag=order["tag"], values=[core_use, len(self.runs), 0.1, 1])
             case kind:
-                self.tell(op="refusal", end=kind, id=name)
+                self.send(op="refusal", end=kind, id=run_id)
 
-    def greet(self) -> None:
+    def send_greeting(self) -> None:
         """Say that the agent is up, and all that was missed."""
         with self.lock:
-            self.greets = True
-            self.tell(op="greeting", end="seasoned", ms=int((time.time() - self.began) * 1000))
-            for notice in self.notices[self.subscribed :]:
-                self.tell(**notice)
-
-    def work(self, name: str, calls: bool) -> None:
-        words = self.runs[name]
-        if "hold" in words and not calls:
+            self.sends_greeting = True
+            self.send(op="greeting", end="seasoned", ms=int((time.time() - self.started_at) * 1000))
+            for notice in self.notices[self.subscribed_from :]:
+                self.send(**notice)
+
+    def schedule_end(self, run_id: str, makes_call: bool) -> None:
+        words = self.runs[run_id]
+        if "hold" in words and not makes_call:
             return
-        span = next((int(word) for word in words if word.isdigit()), 10) / 1000
-        part = span / 2 if "call" in words else span
-        timer = threading.Timer(part, self.call if calls else self.end, (name,))
+        duration_s = next((int(word) for word in words if word.isdigit()), 10) / 1000
+        delay_s = duration_s / 2 if "call" in words else duration_s
+        timer = threading.Timer(delay_s, self.request_call if makes_call else self.finish_run, (run_id,))
         timer.daemon = True
         timer.start()
 
-    def call(self, name: str) -> None:
+    def request_call(self, run_id: str) -> None:
         with self.lock:
-            if name in self.runs:
-                self.note(op="request", id=name, body=b64encode(b"asked by " + name.encode()).decode())
+            if run_id in self.runs:
+                self.append_notice(
+                    op="request", id=run_id, body=b64encode(b"asked by " + run_id.encode()).decode()
+                )
 
-    def end(self, name: str, how: str = "") -> None:
+    def finish_run(self, run_id: str, outcome: str = "") -> None:
         with self.lock:
-            if name not in self.runs:
+            if run_id not in self.runs:
                 return
-            words = self.runs.pop(name)
-            how = how or ("crashed" if "crash" in words else "done")
-            result = b"made of " + self.bodies.pop(name) + self.replies.pop(name, b"")
-            self.over.add(name)
-            self.note(op="outcome", id=name, end=how, ms=10, body=b64encode(result).decode())
+            words = self.runs.pop(run_id)
+            outcome = outcome or ("crashed" if "crash" in words else "done")
+            result = b"made of " + self.bodies.pop(run_id) + self.replies.pop(run_id, b"")
+            self.finished_run_ids.add(run_id)
+            self.append_notice(op="outcome", id=run_id, end=outcome, ms=10, body=b64encode(result).decode())
 
-    def note(self, **notice: Any) -> None:
+    def append_notice(self, **notice: Any) -> None:
         notice["seq"] = len(self.notices) + 1
         self.notices.append(notice)
-        self.tell(**notice)
+        self.send(**notice)
 
-    def tell(self, **line: Any) -> None:
+    def send(self, **message: Any) -> None:
         try:
-            if self.out is not None:
-                self.out.sendall(json.dumps(line).encode() + b"\n")
+            if self.subscriber is not None:
+                self.subscriber.sendall(json.dumps(message).encode() + b"\n")
         except OSError:
-            self.out = None  # told again on the next link
+            self.subscriber = None  # told again on the next link
 
 
 class Vault(Peer):
     """Answers every call with `word`; `silent` answers none."""
 
-    def __init__(self, host: str = "127.0.0.1", port: int = 0, word: str = "yes") -> None:
-        self.word = word
-        self.ends: queue.Queue[socket.socket] = queue.Queue()
+    def __init__(self, host: str = "127.0.0.1", port: int = 0, answer_word: str = "yes") -> None:
+        self.answer_word = answer_word
+        self.closed_connections: queue.Queue[socket.socket] = queue.Queue()
         super().__init__(host, port)
 
-    def serve(self, link: socket.socket) -> None:
+    def serve(self, connection: socket.socket) -> None:
         try:
-            self.answer(link)
+            self.answer_calls(connection)
         finally:
-            self.ends.put(link)
+            self.closed_connections.put(connection)
 
-    def answer(self, link: socket.socket) -> None:
-        file = link.makefile("rb")
-        for line in file:
+    def answer_calls(self, connection: socket.socket) -> None:
+        stream = connection.makefile("rb")
+        for line in stream:
             words = line.split()
-            self.seen.put(words)
+            self.received.put(words)
             if words[0] != b"ask":
                 continue
-            file.read(int(words[3]) + 2)
-            if self.word == "yes":
-                link.sendall(words[1] + b" yes 9\r\n and paid\r\n")
-            elif self.word != "silent":
-                link.sendall(words[1] + b" " + self.word.encode() + b"\r\n")
+            stream.read(int(words[3]) + 2)
+            if self.answer_word == "yes":
+                connection.sendall(words[1] + b" yes 9\r\n and paid\r\n")
+            elif self.answer_word != "silent":
+                connection.sendall(words[1] + b" " + self.answer_word.encode() + b"\r\n")
 
 
 class Catalog(Peer):
@@ -218,32 +220,32 @@
         self.status = status
         super().__init__(host, port)
 
-    def serve(self, link: socket.socket) -> None:
-        file = link.makefile("rb")
-        while first := file.readline():
+    def serve(self, connection: socket.socket) -> None:
+        stream = connection.makefile("rb")
+        while request_line := stream.readline():
             length = 0
-            while (line := file.readline()) not in (b"\r\n", b""):
+            while (line := stream.readline()) not in (b"\r\n", b""):
                 name, _, value = line.partition(b":")
                 length = int(value) if name.lower() == b"content-length" else length
-            self.seen.put((first.split()[1].decode(), json.loads(file.read(length))))
-            link.sendall(f"HTTP/1.1 {self.status} So\r\nContent-Length: 0\r\n\r\n".encode())
+            self.received.put((request_line.split()[1].decode(), json.loads(stream.read(length))))
+            connection.sendall(f"HTTP/1.1 {self.status} So\r\nContent-Length: 0\r\n\r\n".encode())
 
 
 class Router:
     """One connection of a router; `answer` waits for what became of one transaction."""
 
-    def __init__(self, address: str, patience: float = 10.0) -> None:
+    def __init__(self, address: str, timeout_s: float = 10.0) -> None:
         host, _, port = address.rpartition(":")
-        self.link = socket.create_connection((host, int(port)), patience)
+        self.connection = socket.create_connection((host, int(port)), timeout_s)
         self.number = 0
-        self.read = b""
-        self.news: list[Any] = []
-        self.replies: dict[int, tuple[Any, Any]] = {}
+        self.unparsed = b""
+        self.notifications: list[Any] = []
+        self.responses: dict[int, tuple[Any, Any]] = {}
 
     def call(self, profile: str, body: bytes, **fields: str) -> int:
         """Send one transaction; its number."""
         self.number += 1
-        usual = {
+        default_fields = {
             "req": os.urandom(8).hex(),
             "ts": str(time.time_ns() // 1_000_000),
             "via": "1",
@@ -252,37 +254,37 @@
             "need": "10",
             "level": "0.5",
         }
-        self.link.sendall(pack([0, self.number, profile, [usual | fields, body]]))
+        self.connection.sendall(pack([0, self.number, profile, [default_fields | fields, body]]))
         return self.number
 
     def ping(self) -> int:
         self.number += 1
-        self.link.sendall(pack([0, self.number, "ping", [{}]]))
+        self.connection.sendall(pack([0, self.number, "ping", [{}]]))
         return self.number
 
     def abort(self, number: int) -> None:
-        self.link.sendall(pack([2, "abort", [number]]))
+        self.connection.sendall(pack([2, "abort", [number]]))
 
     def message(self) -> Any:
         """The next message; EOFError at the end of the connection."""
         while True:
             try:
-                message, end = unpack(memoryview(self.read), 0, len(self.read))
-                self.read = self.read[end:]
+                message, end = unpack(memoryview(self.unparsed), 0, len(self.unparsed))
+                self.unparsed = self.unparsed[end:]
                 return message
             except IncompleteMessageError:
-                more = self.link.recv(65536)
-                if not more:
+                data = self.connection.recv(65536)
+                if not data:
                     raise EOFError from None
-                self.read += more
+                self.unparsed += data
 
     def answer(self, number: int) -> tuple[Any, Any]:
         """The (error, result) of that transaction; others' are kept."""
-        while number not in self.replies:
+        while number not in self.responses:
             message = self.message()
             if message[0] == 1:
-                assert message[1] not in self.replies, "answered twice"
-                self.replies[message[1]] = (message[2], message[3])
+                assert message[1] not in self.responses, "answered twice"
+                self.responses[message[1]] = (message[2], message[3])
             else:
-                self.news.append(message)
-        return self.replies[number]
+                self.notifications.append(message)
+        return self.responses[number]
--- a/birchslip/lab/truth.py
+++ b/birchslip/lab/truth.py
@@ -9,123 +9,133 @@
 from itertools import pairwise
 
 SECOND = 10_000
-SLACK = 2_500  # a quarter of a second: the stand-ins and the machine have one core each for much
+TOLERANCE = 2_500  # a quarter of a second: the stand-ins and the machine have one core each for much
 
 
 @dataclass(eq=False, slots=True)
-class Try:
+class Attempt:
     """One try, as it was written to one app server."""
 
     server: str
-    life: int
-    at: int
-    due: int
-    again: bool
-    answered: str = ""  # honoured, shed, written off
-    answers: int = 0
-    excused: str = ""  # why no answer is owed
+    incarnation: int
+    sent_at: int
+    deadline: int
+    is_retry: bool
+    outcome: str = ""  # honoured, shed, written off
+    response_count: int = 0
+    excuse: str = ""  # why no answer is owed
 
 
 @dataclass(eq=False, slots=True)
-class Deed:
+class Operation:
     """One transaction of a client, over all its tries."""
 
     number: int
-    profile: str
+    request_class: str
     tenant: str
-    home: str
-    payoff: float
-    goal: int
-    born: int
+    home_site: str
+    priority_weight: float
+    latency_objective: int
+    created_at: int
     work: int  # on a core, tenths of a millisecond
-    label: str = ""
-    tries: list[Try] = field(default_factory=list)
+    key: str = ""
+    attempts: list[Attempt] = field(default_factory=list)
     honoured_at: int = 0
-    ended: bool = False
+    is_finished: bool = False
 
     @property
-    def in_time(self) -> bool:
-        return bool(self.honoured_at) and self.honoured_at - self.born <= self.goal
+    def met_objective(self) -> bool:
+        return bool(self.honoured_at) and self.honoured_at - self.created_at <= self.latency_objective
 
 
-class Truth:
+class HistoryChecker:
     def __init__(self) -> None:
-        self.deeds: list[Deed] = []
+        self.operations: list[Operation] = []
         self.launches: dict[tuple[str, int, str], list[int]] = {}  # server, life, label: when
-        self.drained: dict[tuple[str, int], int] = {}  # server, life: when its grace was over
-        self.late_after_drain = 0
-        self.calls: dict[str, int] = {}
-        self.calls_now = self.calls_most = self.vault_over = 0
-        self.vault_total = 0
-        self.sheds: Counter[str] = Counter()
-        self.dark: dict[str, list[tuple[int, int]]] = {}  # site: spans in which it was dead, paused or both
-        self.cut: list[tuple[str, int, list[Try]]] = []  # those of these links: server, life
-        self.broken: list[str] = []  # links that a living app server ended with a try open
-
-    def died(self, server: str, life: int) -> None:
+        self.drain_deadlines: dict[tuple[str, int], int] = {}  # server, life: when its grace was over
+        self.launches_after_drain = 0
+        self.open_calls: dict[str, int] = {}
+        self.open_call_total = self.peak_calls = self.vault_limit_breaches = 0
+        self.vault_limit = 0
+        self.shed_counts: Counter[str] = Counter()
+        self.site_outages: dict[
+            str, list[tuple[int, int]]
+        ] = {}  # site: spans in which it was dead, paused or both
+        self.broken_attempts: list[tuple[str, int, list[Attempt]]] = []  # those of these links: server, life
+        self.broken_links: list[str] = []  # links that a living app server ended with a try open
+
+    def excuse_broken_attempts(self, server: str, incarnation: int) -> None:
         """What its links held when they broke is owed no answer: nobody was there any more."""
-        for name, of, tries in self.cut:
-            if (name, of) == (server, life):
-                for one in tries:
-                    one.excused = one.excused or "down"
+        for broken_server, broken_incarnation, attempts in self.broken_attempts:
+            if (broken_server, broken_incarnation) == (server, incarnation):
+                for attempt in attempts:
+                    attempt.excuse = attempt.excuse or "down"
 
     # ---- the rules -------------------------------------------------------------------------------------
 
-    def launched(self, server: str, life: int, label: str, written: int, now: int) -> None:
-        if label:
-            self.launches.setdefault((server, life, label), []).append(now)
-        over = self.drained.get((server, life))
-        if over is not None and written > over + SLACK:
-            self.late_after_drain += 1
-
-    def call(self, server: str, more: int) -> None:
-        self.calls[server] = self.calls.get(server, 0) + more
-        self.calls_now += more
-        self.calls_most = max(self.calls_most, self.calls_now)
-        if more > 0 and self.calls_now > self.vault_total:
-            self.vault_over += 1
-
-    def lost(self, now: int) -> list[tuple[Deed, Try]]:
+    def record_launch(self, server: str, incarnation: int, key: str, written_at: int, now: int) -> None:
+        if key:
+            self.launches.setdefault((server, incarnation, key), []).append(now)
+        drain_deadline = self.drain_deadlines.get((server, incarnation))
+        if drain_deadline is not None and written_at > drain_deadline + TOLERANCE:
+            self.launches_after_drain += 1
+
+    def record_call_change(self, server: str, change: int) -> None:
+        self.open_calls[server] = self.open_calls.get(server, 0) + change
+        self.open_call_total += change
+        self.peak_calls = max(self.peak_calls, self.open_call_total)
+        if change > 0 and self.open_call_total > self.vault_limit:
+            self.vault_limit_breaches += 1
+
+    def find_lost_attempts(self, now: int) -> list[tuple[Operation, Attempt]]:
         """Tries that were owed an answer and never had one in their time."""
         return [
-            (deed, one)
-            for deed in self.deeds
-            for one in deed.tries
-            if not one.answered and not one.excused and one.due + SLACK < now
+            (operation, attempt)
+            for operation in self.operations
+            for attempt in operation.attempts
+            if not attempt.outcome and not attempt.excuse and attempt.deadline + TOLERANCE < now
         ]
 
-    def double_runs(self, window: int) -> int:
+    def count_double_runs(self, window: int) -> int:
         """Second launches of a label within its window, at one life of one app server."""
-        found = 0
-        for times in self.launches.values():
-            found += sum(1 for a, b in pairwise(times) if b - a <= window)
-        return found
+        count = 0
+        for launch_times in self.launches.values():
+            count += sum(1 for earlier, later in pairwise(launch_times) if later - earlier <= window)
+        return count
 
-    def answered_twice(self) -> int:
-        return sum(1 for deed in self.deeds for one in deed.tries if one.answers > 1)
+    def count_duplicate_responses(self) -> int:
+        return sum(
+            1 for operation in self.operations for attempt in operation.attempts if attempt.response_count > 1
+        )
 
-    def rules(self, now: int, window: int) -> dict[str, int]:
+    def check_rules(self, now: int, window: int) -> dict[str, int]:
         return {
-            "lost": len(self.lost(now)),
-            "double_runs": self.double_runs(window) + self.answered_twice(),
-            "late_after_drain": self.late_after_drain,
-            "vault_over": self.vault_over,
+            "lost": len(self.find_lost_attempts(now)),
+            "double_runs": self.count_double_runs(window) + self.count_duplicate_responses(),
+            "late_after_drain": self.launches_after_drain,
+            "vault_over": self.vault_limit_breaches,
         }
 
     # ---- service ---------------------------------------------------------------------------------------
 
-    def of(self, span: tuple[int, int]) -> list[Deed]:
-        return [deed for deed in self.deeds if span[0] <= deed.born < span[1]]
+    def select_operations(self, span: tuple[int, int]) -> list[Operation]:
+        return [operation for operation in self.operations if span[0] <= operation.created_at < span[1]]
 
-    def service(self, span: tuple[int, int]) -> float:
+    def compute_service(self, span: tuple[int, int]) -> float:
         """Payoff honoured within the latency goal over payoff asked for."""
-        deeds = self.of(span)
-        asked = sum(deed.payoff for deed in deeds)
-        return sum(deed.payoff for deed in deeds if deed.in_time) / asked if asked else 1.0
-
-    def attempts(self, span: tuple[int, int]) -> float:
-        deeds = self.of(span)
-        return sum(len(deed.tries) for deed in deeds) / len(deeds) if deeds else 1.0
-
-    def was_dark(self, site: str, at: int) -> bool:
-        return any(since <= at <= until for since, until in self.dark.get(site, ()))
+        operations = self.select_operations(span)
+        requested = sum(operation.priority_weight for operation in operations)
+        return (
+            sum(operation.priority_weight for operation in operations if operation.met_objective) / requested
+            if requested
+            else 1.0
+        )
+
+    def compute_attempts_per_operation(self, span: tuple[int, int]) -> float:
+        operations = self.select_operations(span)
+        return (
+            sum(len(operation.attempts) for operation in operations) / len(operations) if operations else 1.0
+        )
+
+    def was_site_out(self, site: str, time: int) -> bool:
+        return any(start <= time <= end for start, end in self.site_outages.get(site, ()))
--- a/birchslip/lab/versions.py
+++ b/birchslip/lab/versions.py
@@ -17,7 +17,7 @@
 import threading
 import time
 
-KINDS = {
+FAULT_KINDS = {
     "good": "as good as the one before",
     "slow": "runs take half as long again, and only while the cores are busy",
     "crash": "each process ends by itself a while after its start",
@@ -25,31 +25,33 @@
     "leak": "each process holds more and more memory",
     "profile": "no transaction of one profile is honoured",
 }
-IN_PROCESS = ("crash", "nostart", "leak")
-LEAK_MB, LEAK_EVERY, LEAK_MOST = 4, 0.1, 160  # MB a time, seconds between, MB in all
-CRASHED = 70
+IN_PROCESS_KINDS = ("crash", "nostart", "leak")
+LEAK_STEP_MB, LEAK_INTERVAL_S, MAX_LEAK_MB = 4, 0.1, 160  # MB a time, seconds between, MB in all
+CRASH_EXIT_CODE = 70
 
 
-def leak(after: float) -> None:
-    time.sleep(after)
-    held: list[bytes] = []
-    while len(held) * LEAK_MB < LEAK_MOST:
-        held.append(os.urandom(1 << 10) * (LEAK_MB << 10))
-        time.sleep(LEAK_EVERY)
+def leak_memory(delay_s: float) -> None:
+    time.sleep(delay_s)
+    chunks: list[bytes] = []
+    while len(chunks) * LEAK_STEP_MB < MAX_LEAK_MB:
+        chunks.append(os.urandom(1 << 10) * (LEAK_STEP_MB << 10))
+        time.sleep(LEAK_INTERVAL_S)
     threading.Event().wait()  # what is held stays held
 
 
-def crash(after: float) -> None:
-    time.sleep(after)
-    os._exit(CRASHED)
+def crash_after(delay_s: float) -> None:
+    time.sleep(delay_s)
+    os._exit(CRASH_EXIT_CODE)
 
 
-def main(words: list[str]) -> int:
-    kind, after = words[0], int(words[1]) / 1000
+def main(arguments: list[str]) -> int:
+    kind, delay_s = arguments[0], int(arguments[1]) / 1000
     if kind == "nostart":
         print("birchslip: this version does not start", file=sys.stderr)
         return 3
-    threading.Thread(target={"leak": leak, "crash": crash}[kind], args=(after,), daemon=True).start()
+    threading.Thread(
+        target={"leak": leak_memory, "crash": crash_after}[kind], args=(delay_s,), daemon=True
+    ).start()
     from ..__main__ import main as program
 
     sys.argv[1:] = []
--- a/birchslip/lab/wires.py
+++ b/birchslip/lab/wires.py
@@ -21,13 +21,13 @@
 from ..net.connection import Connection, connect
 from ..net.scheduler import READ, Scheduler
 
-BOUND = 4 << 20
-PORTS = (10_000, 32_000)
-CHANCE = random.Random()  # several plays may run at a time: each draws its own ports
-guards: list[socket.socket] = []
+BUFFER_BYTES = 4 << 20
+PORT_RANGE = (10_000, 32_000)
+PORT_RANDOM = random.Random()  # several plays may run at a time: each draws its own ports
+port_guards: list[socket.socket] = []
 
 
-def listener(port: int = 0) -> socket.socket:
+def open_listener(port: int = 0) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", port))
@@ -35,17 +35,19 @@
     return sock
 
 
-def let_in(scheduler: Scheduler, door: socket.socket, take: Callable[[socket.socket], None]) -> None:
+def accept_connections(
+    scheduler: Scheduler, listener: socket.socket, on_accept: Callable[[socket.socket], None]
+) -> None:
     """The task of a listening socket: who comes is passed on."""
     while True:
-        scheduler.wait(door.fileno(), READ)
+        scheduler.wait(listener.fileno(), READ)
         try:
-            sock, _ = door.accept()
+            sock, _ = listener.accept()
         except OSError:
             continue
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        take(sock)
+        on_accept(sock)
 
 
 def free_port() -> int:
@@ -55,7 +57,7 @@
     by then.
     """
     for _ in range(2_000):
-        port = CHANCE.randrange(*PORTS)
+        port = PORT_RANDOM.randrange(*PORT_RANGE)
         guard = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             # Held for as long as this process lives: other plays that run meanwhile pass it over.
@@ -65,73 +67,83 @@
         except OSError:
             guard.close()
             continue
-        guards.append(guard)
+        port_guards.append(guard)
         return port
     raise OSError("no free port")
 
 
-class Wire:
+class FaultProxy:
     """One way to one address. Its own address is `address`; change `mode` with `turn`."""
 
     def __init__(self, scheduler: Scheduler, target: tuple[str, int]) -> None:
         self.scheduler, self.target = scheduler, target
         self.mode, self.delay = "pass", 0
-        self.listener = listener()
+        self.listener = open_listener()
         self.port: int = self.listener.getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
         self.pairs: dict[tuple[Connection, Connection], bool] = {}  # whether bytes were lost on it
-        scheduler.spawn("wire", partial(let_in, scheduler, self.listener, self.take))
+        scheduler.spawn("wire", partial(accept_connections, scheduler, self.listener, self.on_accept))
 
-    def turn(self, mode: str, delay: int = 0) -> None:
+    def set_mode(self, mode: str, delay: int = 0) -> None:
         """Links on which something was lost can't go on: they break when the wire is whole again."""
         self.mode, self.delay = mode, delay
-        for pair, spoilt in list(self.pairs.items()):
-            if mode == "cut" or (spoilt and mode in ("pass", "late")):
-                self.end(pair, mode)
+        for pair, has_lost_bytes in list(self.pairs.items()):
+            if mode == "cut" or (has_lost_bytes and mode in ("pass", "late")):
+                self.close_pair(pair, mode)
 
-    def shake(self) -> None:
+    def reset_connections(self) -> None:
         """Break what is open; new links are welcome."""
         for pair in list(self.pairs):
-            self.end(pair, "shaken")
+            self.close_pair(pair, "shaken")
 
-    def take(self, sock: socket.socket) -> None:
+    def on_accept(self, sock: socket.socket) -> None:
         if self.mode == "cut":
             sock.close()
         else:
-            self.scheduler.spawn("wire", partial(self.begin, sock))
+            self.scheduler.spawn("wire", partial(self.open_pair, sock))
 
-    def begin(self, sock: socket.socket) -> None:
-        near = Connection(self.scheduler, sock, BOUND, BOUND)
+    def open_pair(self, sock: socket.socket) -> None:
+        client = Connection(self.scheduler, sock, BUFFER_BYTES, BUFFER_BYTES)
         try:
-            far = Connection(self.scheduler, connect(self.scheduler, self.target), BOUND, BOUND)
+            upstream = Connection(
+                self.scheduler, connect(self.scheduler, self.target), BUFFER_BYTES, BUFFER_BYTES
+            )
         except OSError:
-            near.close("refused there")
+            client.close("refused there")
             return
-        pair = (near, far)
+        pair = (client, upstream)
         self.pairs[pair] = False
-        self.scheduler.spawn("wire", partial(self.carry, pair, far, near, ("deaf", "silent")))
-        self.carry(pair, near, far, ("mute", "silent"))
-
-    def carry(
-        self, pair: tuple[Connection, Connection], a: Connection, b: Connection, lost: tuple[str, ...]
+        self.scheduler.spawn("wire", partial(self.relay, pair, upstream, client, ("deaf", "silent")))
+        self.relay(pair, client, upstream, ("mute", "silent"))
+
+    def relay(
+        self,
+        pair: tuple[Connection, Connection],
+        source: Connection,
+        destination: Connection,
+        dropping_modes: tuple[str, ...],
     ) -> None:
-        a.serve(lambda buffer: self.pass_on(pair, buffer, b, lost))
-        self.end(pair, a.close_reason)
-
-    def pass_on(
-        self, pair: tuple[Connection, Connection], buffer: Buffer, to: Connection, lost: tuple[str, ...]
+        source.serve(lambda buffer: self.forward(pair, buffer, destination, dropping_modes))
+        self.close_pair(pair, source.close_reason)
+
+    def forward(
+        self,
+        pair: tuple[Connection, Connection],
+        buffer: Buffer,
+        destination: Connection,
+        dropping_modes: tuple[str, ...],
     ) -> None:
-        piece = buffer.take(len(buffer))
-        if self.mode in lost:
+        data = buffer.take(len(buffer))
+        if self.mode in dropping_modes:
             self.pairs[pair] = True
         elif self.mode == "late" and self.delay:
-            self.scheduler.at(self.scheduler.now + self.delay, partial(to.write, piece))
+            self.scheduler.at(self.scheduler.now + self.delay, partial(destination.write, data))
         else:
-            to.write(piece)
+            destination.write(data)
 
-    def end(self, pair: tuple[Connection, Connection], why: str) -> None:
+    def close_pair(self, pair: tuple[Connection, Connection], reason: str) -> None:
         self.pairs.pop(pair, None)
         for side in pair:
             if side.open:
                 side.flush()
-                side.close(why)
+                side.close(reason)
--- a/birchslip/lab/world.py
+++ b/birchslip/lab/world.py
@@ -14,27 +14,27 @@
 from typing import Any
 
 from ..net.scheduler import Scheduler
-from .clients import Profile, Router, Server
+from .clients import AppServer, RequestClass, Router
 from .peers import Agent, Catalog, Vault
 from .processes import Process
-from .truth import SECOND, Truth
-from .wires import Wire, free_port
-
-CORES = 2
-COLD_FROM, COLD_SPAN = 0.4, 4 * SECOND
-LOOKUP = Profile("lookup", 0.7, 700, SECOND, 3 * SECOND, 1.0, False)
-ORDER = Profile("order", 0.3, 1_050, SECOND * 3 // 2, 3 * SECOND, 1.5, True)
-PROFILES = [LOOKUP, ORDER]
-WINDOW = 6 * SECOND
-TENANTS = {"blue": 0.5, "green": 0.3, "red": 0.2}
-CALLS_EACH = 3.0
+from .truth import SECOND, HistoryChecker
+from .wires import FaultProxy, free_port
+
+CORES_PER_SERVER = 2
+COLD_SPEED, WARM_UP_SPAN = 0.4, 4 * SECOND
+LOOKUP = RequestClass("lookup", 0.7, 700, SECOND, 3 * SECOND, 1.0, False)
+ORDER = RequestClass("order", 0.3, 1_050, SECOND * 3 // 2, 3 * SECOND, 1.5, True)
+REQUEST_CLASSES = [LOOKUP, ORDER]
+RETENTION_WINDOW = 6 * SECOND
+TENANT_SHARES = {"blue": 0.5, "green": 0.3, "red": 0.2}
+CALLS_PER_SERVER = 3.0
 STOP_MS = 2_000
 SITES = ("north", "south", "east", "west", "upper", "lower", "inner", "outer", "far")
-END = 3 * SECOND  # for what is open at the end of a play
+END_SPAN = 3 * SECOND  # for what is open at the end of a play
 
 
 @dataclass(frozen=True)
-class Told:
+class ScenarioOptions:
     """What every play is told."""
 
     seed: int
@@ -48,99 +48,104 @@
     fleet: bool = True  # whether there are planners
 
 
-class World:
+class Testbed:
     """`prepare` is called before processes are laid out, for what their files must name."""
 
-    profiles = PROFILES
-    cold_span = COLD_SPAN
-    window = WINDOW
+    request_classes = REQUEST_CLASSES
+    warm_up_span = WARM_UP_SPAN
+    retention_window = RETENTION_WINDOW
 
-    def __init__(self, told: Told, folder: Path) -> None:
-        self.lay, self.folder = told, folder
-        self.scheduler = Scheduler(lambda: None, self.fault)
+    def __init__(self, options: ScenarioOptions, folder: Path) -> None:
+        self.base_options, self.folder = options, folder
+        self.scheduler = Scheduler(lambda: None, self.record_fault)
         self.faults: list[str] = []
-        self.truth = Truth()
-        self.written: dict[str, int] = {}
-        self.sites = list(SITES[: told.sites])
+        self.history = HistoryChecker()
+        self.written_at: dict[str, int] = {}
+        self.sites = list(SITES[: options.sites])
         self.servers = [
-            Server(f"{site}-{n + 1}", site, ("127.0.0.1", free_port()))
+            AppServer(f"{site}-{n + 1}", site, ("127.0.0.1", free_port()))
             for site in self.sites
-            for n in range(told.each)
+            for n in range(options.each)
         ]
-        self.work = sum(one.share * one.work for one in self.profiles) / sum(
-            one.share for one in self.profiles
+        self.mean_work = sum(one.share * one.mean_work for one in self.request_classes) / sum(
+            one.share for one in self.request_classes
         )
-        self.capacity = len(self.servers) * CORES * SECOND / self.work
-        chance = random.Random(told.seed)
-        self.took = lambda: int(chance.uniform(150, 250))
-        self.vault = Vault(self.scheduler, self.truth, self.took)
-        self.truth.vault_total = int(CALLS_EACH * len(self.servers))
+        self.capacity = len(self.servers) * CORES_PER_SERVER * SECOND / self.mean_work
+        random_source = random.Random(options.seed)
+        self.draw_vault_latency = lambda: int(random_source.uniform(150, 250))
+        self.vault = Vault(self.scheduler, self.history, self.draw_vault_latency)
+        self.history.vault_limit = int(CALLS_PER_SERVER * len(self.servers))
         self.catalog = Catalog(self.scheduler)
-        self.agents = {server.name: self.lay_agent(server) for server in self.servers}
+        self.agents = {server.name: self.create_agent(server) for server in self.servers}
         self.routers = [
             Router(
                 self.scheduler,
-                self.truth,
+                self.history,
                 place + 1,
                 site,
                 self.servers,
-                self.profiles,
-                TENANTS,
-                told.seed * 64 + place,
-                self.written,
+                self.request_classes,
+                TENANT_SHARES,
+                options.seed * 64 + place,
+                self.written_at,
             )
             for place, site in enumerate(self.sites)
         ]
-        self.out: set[str] = set()  # sites that are dead or paused
+        self.lost_sites: set[str] = set()  # sites that are dead or paused
         for router in self.routers:
-            router.lost_sites = lambda: self.out
-            router.cost = lambda server, span: self.agents[server.name].cost(span)
-            router.rate = told.load * self.capacity / len(self.routers)
-        self.names = [f"planner-{n + 1}" for n in range(told.planners)]
-        self.ports = {name: free_port() for name in self.names}
-        self.wires: dict[tuple[str, str], Wire] = {}  # who dials, whom
+            router.get_lost_sites = lambda: self.lost_sites
+            router.charge_cores = lambda server, span: self.agents[server.name].charge_cores(span)
+            router.arrival_rate = options.load * self.capacity / len(self.routers)
+        self.planner_names = [f"planner-{n + 1}" for n in range(options.planners)]
+        self.planner_ports = {name: free_port() for name in self.planner_names}
+        self.proxies: dict[tuple[str, str], FaultProxy] = {}  # who dials, whom
         self.planners: dict[str, Process] = {}
-        self.last: list[str] = []
+        self.last_targets: list[str] = []
         self.spans: dict[str, tuple[int, int]] = {}
-        self.began = 0
+        self.started_at = 0
         self.prepare()
-        if told.fleet:
-            self.lay_planners()
-        self.members = {server.name: self.lay_member(server) for server in self.servers}
+        if options.fleet:
+            self.write_planner_files()
+        self.members = {server.name: self.write_member_files(server) for server in self.servers}
 
     def prepare(self) -> None:
         """Before the processes' files are written."""
 
-    def fault(self, name: str, trouble: Exception) -> None:
-        self.faults.append(f"{name}: {type(trouble).__name__}: {trouble}")
+    def record_fault(self, name: str, error: Exception) -> None:
+        self.faults.append(f"{name}: {type(error).__name__}: {error}")
 
     # ---- what is laid out ------------------------------------------------------------------------------
 
-    def lay_agent(self, server: Server) -> Agent:
+    def create_agent(self, server: AppServer) -> Agent:
         return Agent(
             self.scheduler,
-            self.truth,
+            self.history,
             server.name,
-            CORES,
-            COLD_FROM,
-            self.cold_span,
-            lambda name: self.written.get(name, self.scheduler.now),
+            CORES_PER_SERVER,
+            COLD_SPEED,
+            self.warm_up_span,
+            lambda name: self.written_at.get(name, self.scheduler.now),
         )
 
-    def wire(self, who: str, whom: str) -> str:
-        made = self.wires[who, whom] = Wire(self.scheduler, ("127.0.0.1", self.ports[whom]))
-        return made.address
+    def add_proxy(self, source: str, target: str) -> str:
+        proxy = self.proxies[source, target] = FaultProxy(
+            self.scheduler, ("127.0.0.1", self.planner_ports[target])
+        )
+        return proxy.address
 
-    def planner_address(self, who: str, whom: str) -> str:
-        if who == whom:
-            return f"127.0.0.1:{self.ports[whom]}"
-        wire = self.wires.get((who, whom))
-        return wire.address if wire is not None else self.wire(who, whom)
+    def planner_address(self, source: str, target: str) -> str:
+        if source == target:
+            return f"127.0.0.1:{self.planner_ports[target]}"
+        proxy = self.proxies.get((source, target))
+        return proxy.address if proxy is not None else self.add_proxy(source, target)
 
-    def fleet_file(self, who: str) -> Path:
+    def write_fleet_file(self, reader: str) -> Path:
         """The same fleet for all, but each reaches the others by wires of its own."""
-        told: dict[str, Any] = {
-            "planners": [{"name": one, "address": self.planner_address(who, one)} for one in self.names],
+        fleet: dict[str, Any] = {
+            "planners": [
+                {"name": planner, "address": self.planner_address(reader, planner)}
+                for planner in self.planner_names
+            ],
             "sites": [
                 {
                     "name": site,
@@ -153,135 +158,137 @@
                 }
                 for place, site in enumerate(self.sites)
             ],
-            "tenants": TENANTS,
-            "vault": {"total": CALLS_EACH * len(self.servers), "kept": 0.5, "lease_ms": 3_000},
+            "tenants": TENANT_SHARES,
+            "vault": {"total": CALLS_PER_SERVER * len(self.servers), "kept": 0.5, "lease_ms": 3_000},
         }
-        self.fleet_more(told, who)
-        path = self.folder / f"{who}.fleet.json"
-        path.write_text(json.dumps(told))
+        self.extend_fleet_file(fleet, reader)
+        path = self.folder / f"{reader}.fleet.json"
+        path.write_text(json.dumps(fleet))
         return path
 
-    def fleet_more(self, told: dict[str, Any], who: str) -> None:
+    def extend_fleet_file(self, fleet: dict[str, Any], reader: str) -> None:
         """What a play has besides."""
 
-    def lay_planners(self) -> None:
-        for name in self.names:
-            path = self.fleet_file(name)
+    def write_planner_files(self) -> None:
+        for name in self.planner_names:
+            path = self.write_fleet_file(name)
             folder = str(self.folder / name)
-            words = ["planner", "--fleet", str(path), "--name", name, "--folder", folder]
-            self.planners[name] = Process(name, words, {}, self.folder)
+            arguments = ["planner", "--fleet", str(path), "--name", name, "--folder", folder]
+            self.planners[name] = Process(name, arguments, {}, self.folder)
 
-    def vault_of(self, server: Server) -> Vault:
+    def get_vault(self, server: AppServer) -> Vault:
         return self.vault
 
-    def lay_member(self, server: Server) -> Process:
+    def write_member_files(self, server: AppServer) -> Process:
         settings = {
             "classes": [
                 {
                     "name": one.name,
-                    "effect": "by_key" if one.label else "repeatable",
-                    "aim_s": one.goal / SECOND,
+                    "effect": "by_key" if one.is_keyed else "repeatable",
+                    "aim_s": one.latency_objective / SECOND,
                     "hard_limit_s": one.deadline / SECOND,
-                    "window_s": self.window / SECOND,
-                    "credit": one.payoff,
+                    "window_s": self.retention_window / SECOND,
+                    "credit": one.priority_weight,
                 }
-                for one in self.profiles
+                for one in self.request_classes
             ],
             "tenants": [
-                {"name": name, "quota_per_s": share * self.capacity} for name, share in TENANTS.items()
+                {"name": name, "quota_per_s": share * self.capacity} for name, share in TENANT_SHARES.items()
             ],
             "group_size": len(self.servers),
             "ceilings": {"retry_after": True, "max_retry_after_s": 1.0},
             "contract": {
                 "fall_multiple": 8.0,
                 "drain_grace_s": 0.5,
-                "cold_from": COLD_FROM,
-                "cold_s": self.cold_span / SECOND,
+                "cold_from": COLD_SPEED,
+                "cold_s": self.warm_up_span / SECOND,
             },
             "family_info": {
-                "cores": CORES,
+                "cores": CORES_PER_SERVER,
                 "mem_limit_kb": 8000.0,
                 "run_factor": 4.0,
                 "key_kb": 1.0,
                 "halt": "drop",
                 "downstream": "shared",
-                "calls_out": CALLS_EACH,
+                "calls_out": CALLS_PER_SERVER,
                 "share_span_s": 5.0,
                 "linger_s": 0.0,
                 "class_skip_worth": [0.0, 0.0],
                 "gauges": ["core_use", "on_cores", "heap_share", "links"],
             },
         }
-        told = {
+        configuration = {
             "name": server.name,
             "listen": f"{server.address[0]}:{server.address[1]}",
             "agent": self.agents[server.name].address,
             "directory": self.catalog.address,
-            "vault": self.vault_of(server).address,
-            "seed": f"{self.lay.seed:x}",
+            "vault": self.get_vault(server).address,
+            "seed": f"{self.base_options.seed:x}",
             "stop_ms": STOP_MS,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
             "settings": settings,
         }
         path = self.folder / f"{server.name}.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(configuration))
         environment = {"PROXY_CONFIG": str(path)}
-        if self.lay.fleet:
-            environment["BIRCHSLIP_FLEET"] = str(self.fleet_file(server.name))
+        if self.base_options.fleet:
+            environment["BIRCHSLIP_FLEET"] = str(self.write_fleet_file(server.name))
         return Process(server.name, [], environment, self.folder)
 
     # ---- the course of a play --------------------------------------------------------------------------
 
-    def begin(self) -> None:
+    def start_all(self) -> None:
         """All processes up and listed, and load on them."""
         for process in self.planners.values():
             process.start()
         for server in self.servers:
             self.members[server.name].start()
-            server.life, server.up = 1, True
-        self.wait_for(lambda: len(self.catalog.listed()) == len(self.servers), 30 * SECOND)
+            server.incarnation, server.is_up = 1, True
+        self.wait_for(lambda: len(self.catalog.get_listed_servers()) == len(self.servers), 30 * SECOND)
         for router in self.routers:
-            router.listed = self.catalog.listed()
-            router.start(self.catalog.listed)
-        self.began = self.scheduler.now
+            router.listed_servers = self.catalog.get_listed_servers()
+            router.start(self.catalog.get_listed_servers)
+        self.started_at = self.scheduler.now
 
-    def end(self) -> None:
+    def drain_all(self) -> None:
         """No more load, what is open ends, and everybody leaves."""
         scheduler = self.scheduler
         for router in self.routers:
-            router.stopped = True
-        scheduler.sleep(scheduler.now + END + 2_000)
+            router.is_stopped = True
+        scheduler.sleep(scheduler.now + END_SPAN + 2_000)
         for server in self.servers:
-            self.drain(server)
-        scheduler.sleep(scheduler.now + END)
+            self.drain_server(server)
+        scheduler.sleep(scheduler.now + END_SPAN)
 
-    def drain(self, server: Server) -> None:
+    def drain_server(self, server: AppServer) -> None:
         """SIGTERM: from the end of its grace on it may launch nothing that came later."""
-        self.truth.drained[server.name, self.agents[server.name].life] = self.scheduler.now + 5_000
-        self.members[server.name].leave()
+        self.history.drain_deadlines[server.name, self.agents[server.name].incarnation] = (
+            self.scheduler.now + 5_000
+        )
+        self.members[server.name].terminate()
 
-    def excuse(self, server: Server) -> None:
+    def excuse_pending_attempts(self, server: AppServer) -> None:
         """It is killed, paused or woken: what is open there is owed no answer."""
         for router in self.routers:
             for link in router.links[server]:
-                for _, one in link.open.values():
-                    one.excused = "down"
+                for _, attempt in link.pending.values():
+                    attempt.excuse = "down"
 
-    def wait_for(self, holds: Callable[[], bool], longest: int) -> None:
-        until = self.scheduler.now + longest
-        while not holds() and self.scheduler.now < until:
+    def wait_for(self, condition: Callable[[], bool], timeout: int) -> None:
+        until = self.scheduler.now + timeout
+        while not condition() and self.scheduler.now < until:
             self.scheduler.sleep(self.scheduler.now + 500)
-        if not holds():
+        if not condition():
             raise RuntimeError("it did not come about in time")
 
-    def play(self, direct: Callable[[], None]) -> None:
+    def run_director(self, director: Callable[[], None]) -> None:
         """In a task of its own, to the end of the play, whatever becomes of it."""
 
         def guarded() -> None:
             try:
-                direct()
-            except Exception as trouble:
-                self.fault("director", trouble)
+                director()
+            except Exception as error:
+                self.record_fault("director", error)
             finally:
                 self.scheduler.stop()
 
@@ -290,83 +297,91 @@
 
     # ---- planners --------------------------------------------------------------------------------------
 
-    def leader(self) -> str:
+    def find_leader(self) -> str:
         """Whoever said last that it leads."""
         event = "event=leadership_acquired"
-        said = [(at, name) for name, one in self.planners.items() for at, _ in one.lines(event)]
-        return max(said)[1] if said else self.names[0]
+        announcements = [
+            (time, name)
+            for name, process in self.planners.items()
+            for time, _ in process.find_log_lines(event)
+        ]
+        return max(announcements)[1] if announcements else self.planner_names[0]
 
-    def named(self, whom: str) -> list[str]:
+    def resolve_planners(self, selector: str) -> list[str]:
         if not self.planners:
             return []
-        if whom == "all":
-            return list(self.names)
-        if whom == "last":
-            return self.last
-        leader = self.leader()
-        if whom == "leader":
+        if selector == "all":
+            return list(self.planner_names)
+        if selector == "last":
+            return self.last_targets
+        leader = self.find_leader()
+        if selector == "leader":
             return [leader]
-        others = [name for name in self.names if name != leader and name not in self.last]
-        return others[:1] or [name for name in self.names if name != leader][:1]
+        others = [name for name in self.planner_names if name != leader and name not in self.last_targets]
+        return others[:1] or [name for name in self.planner_names if name != leader][:1]
 
-    def to_planners(self, what: str, whom: str) -> None:
-        names = self.named(whom)
+    def apply_to_planners(self, action: str, selector: str) -> None:
+        names = self.resolve_planners(selector)
         for name in names:
-            one = self.planners[name]
+            process = self.planners[name]
             folder = self.folder / name
-            aside = self.folder / f"{name}.saved"
-            match what:
+            saved_folder = self.folder / f"{name}.saved"
+            match action:
                 case "kill-planner":
-                    one.kill()
+                    process.kill()
                 case "start-planner":
-                    one.start()
+                    process.start()
                 case "pause-planner":
-                    one.pause()
+                    process.pause()
                 case "resume-planner":
-                    one.resume()
+                    process.resume()
                 case "save-disk":
-                    shutil.copytree(folder, aside, dirs_exist_ok=True)
+                    shutil.copytree(folder, saved_folder, dirs_exist_ok=True)
                 case "disk-empty":
                     shutil.rmtree(folder)
                 case "disk-cut-short":
                     path = folder / f"{name}.planner"
-                    raw = path.read_bytes()
-                    path.write_bytes(raw[: len(raw) // 2 + 100])
-                    for tail in ("-wal", "-shm"):
-                        path.with_name(path.name + tail).unlink(missing_ok=True)
+                    content = path.read_bytes()
+                    path.write_bytes(content[: len(content) // 2 + 100])
+                    for suffix in ("-wal", "-shm"):
+                        path.with_name(path.name + suffix).unlink(missing_ok=True)
                 case "disk-full":
-                    one.fill_disk()
+                    process.forbid_file_growth()
                 case "disk-emptied":
-                    one.empty_disk()
-                case "disk-old" if aside.exists():
+                    process.allow_file_growth()
+                case "disk-old" if saved_folder.exists():
                     shutil.rmtree(folder)
-                    shutil.copytree(aside, folder)
-        self.last = names
+                    shutil.copytree(saved_folder, folder)
+        self.last_targets = names
 
-    def turn_planners(self, mode: str, leader: str) -> None:
+    def set_planner_proxies(self, mode: str, planner: str) -> None:
         """The wires between this planner and the others."""
-        for (who, whom), wire in self.wires.items():
-            if who in self.planners and leader in (who, whom):
-                wire.turn(mode)
+        for (source, target), proxy in self.proxies.items():
+            if source in self.planners and planner in (source, target):
+                proxy.set_mode(mode)
 
     # ---- the end ---------------------------------------------------------------------------------------
 
-    def finish(self) -> None:
+    def terminate_all(self) -> None:
         """End what still runs; each is waited for."""
         for member in self.members.values():
-            member.leave()
+            member.terminate()
         for member in self.members.values():
             member.wait(5)
         for planner in self.planners.values():
-            planner.leave()
+            planner.terminate()
         for planner in self.planners.values():
             planner.wait(5)
 
-    def span(self, name: str) -> tuple[int, int]:
-        a, b = self.spans[name]
-        return self.began + a, self.began + b
+    def get_span(self, name: str) -> tuple[int, int]:
+        start, end = self.spans[name]
+        return self.started_at + start, self.started_at + end
 
-    def dead(self) -> list[str]:
+    def list_unexpected_exits(self) -> list[str]:
         """Processes that ended by themselves, or with a code above 0."""
-        every = [*self.members.values(), *self.planners.values()]
-        return [f"{one.name}: {one.unexpected}" for one in every if one.unexpected]
+        processes = [*self.members.values(), *self.planners.values()]
+        return [
+            f"{process.name}: {process.unexpected_exit_codes}"
+            for process in processes
+            if process.unexpected_exit_codes
+        ]
--- a/tests/hall.py
+++ b/tests/hall.py
@@ -39,7 +39,7 @@
     def __init__(self, hall):
         self.hall = hall
         super().__init__(hall.address, PATIENCE)
-        self.link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # here when the next pass looks
+        self.connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # here when the next pass looks
 
     def call(self, profile, body, **fields):
         return super().call(profile, body, **({"ts": str(self.hall.time // 10)} | fields))
@@ -71,8 +71,8 @@
         """So many passes; the time that they take goes by before the first of them."""
         self.time += ms * 10
         for peer in self.peers:
-            if peer.link.fileno() >= 0:
-                arrived(peer.link)
+            if peer.connection.fileno() >= 0:
+                arrived(peer.connection)
         for _ in range(count):
             if not self.scheduler.stopped:
                 self.scheduler.poll_at_once = True  # look, and don't wait
@@ -86,9 +86,9 @@
         return self.peers[-1]
 
     def hang_up(self, router):
-        router.link.shutdown(socket.SHUT_WR)
-        arrived(router.link)
-        router.link.close()
+        router.connection.shutdown(socket.SHUT_WR)
+        arrived(router.connection)
+        router.connection.close()
         self.passes()
 
     def launched(self):
@@ -102,7 +102,7 @@
     def stop(self):
         self.clients.close_all()
         for peer in self.peers:
-            peer.link.close()
+            peer.connection.close()
         for end in (self.program.signals, self.program.wakeup):
             end.close()
 
