--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -65,9 +65,9 @@
     hall = begin()
     router = told_closing(hall)
     sent = []
-    router.link, link = type("Tap", (), {"sendall": sent.append})(), router.link
+    router.connection, link = type("Tap", (), {"sendall": sent.append})(), router.connection
     call = router.call("lookup", b"1", ts=str(hall.time // 10 + TOLD_MS))
-    router.link = link
+    router.connection = link
     raw = sent[0]
     link.sendall(raw[: len(raw) - cut])
     hall.passes(ms=TOLD_MS)
@@ -99,7 +99,7 @@
     hall = begin()
     router = hall.router()
     first = pack([0, 1, "ping", [{}]]) + pack([0, 2, "unheard", [{}, b""]])
-    router.link.sendall(first + rubbish + pack([0, 3, "ping", [{}]]))
+    router.connection.sendall(first + rubbish + pack([0, 3, "ping", [{}]]))
     hall.passes()
     answers = at_the_end(router)
     assert [message[1] for message in answers] == [1, 2]
@@ -112,7 +112,7 @@
     launched = router.call("lookup", b"1")
     hall.passes()
     held = [router.call("lookup", b"1", need="900") for _ in range(4)]
-    router.link.sendall(b"\xc1")
+    router.connection.sendall(b"\xc1")
     hall.passes()
     said = {message[1]: message[2][0] for message in at_the_end(router)}
     assert sorted(said) == [launched, *held]
@@ -127,7 +127,7 @@
     router = hall.router()
     call = router.call("lookup", b"1")
     hall.passes()
-    router.link.sendall(pack([0, 2, "ping", [{}]])[:3])
+    router.connection.sendall(pack([0, 2, "ping", [{}]])[:3])
     hall.passes()
     hall.passes(ms=(MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL) // 10)
     hall.end(hall.launched()[0], Outcome.SERVED)
@@ -167,7 +167,7 @@
     hall.passes()
     assert mute.answer(call) == (None, [b"made", {}])
     assert at_the_end(router) == []
-    assert other.link
+    assert other.connection
 
 
 def test_answers_are_not_cut_off_in_the_pass_that_ends_their_connection(begin):
@@ -245,7 +245,7 @@
         if how == "told closing":
             client.send_closing()
         elif how == "rubbish":
-            router.link.sendall(b"\xc1")
+            router.connection.sendall(b"\xc1")
         elif how == "the program's close":
             client.connection.close("dropped")
         del client
@@ -370,7 +370,7 @@
     again, new = other.call("order", b"1", opkey=KEY), other.call("order", b"1", opkey="2" * 32)
     hall.passes()
     assert other.answer(new)[0][0] == "Overloaded"
-    assert again not in other.replies
+    assert again not in other.responses
     hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert router.answer(first)[1] == other.answer(again)[1] == [b"made", {}]
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -102,22 +102,22 @@
         (Cores(2), 0, 100, 1, 100),
         (Cores(2), 0, 100, 2, 100),
         (Cores(2), 0, 100, 4, 200),
-        (Cores(2, slow=3.0), 0, 100, 1, 300),
-        (Cores(2, 0.5, 1_000, cold=True), 0, 100, 1, 200),
-        (Cores(2, 0.5, 1_000, cold=True), 500, 150, 1, 200),
-        (Cores(2, 0.5, 1_000, cold=True), 5_000, 100, 1, 100),
-        (Cores(2, crowd=4, loss=0.25), 0, 100, 6, 600),
+        (Cores(2, slowdown=3.0), 0, 100, 1, 300),
+        (Cores(2, 0.5, 1_000, is_cold=True), 0, 100, 1, 200),
+        (Cores(2, 0.5, 1_000, is_cold=True), 500, 150, 1, 200),
+        (Cores(2, 0.5, 1_000, is_cold=True), 5_000, 100, 1, 100),
+        (Cores(2, contention_threshold=4, contention_loss=0.25), 0, 100, 6, 600),
     ],
 )
 def test_cores_take_longer_when_cold_slow_or_crowded(cores, now, span, on, took):
-    assert cores.took(now, span, on) == took
+    assert cores.compute_duration(now, span, on) == took
 
 
 def test_what_the_door_costs_slows_the_cores_for_a_second():
     cores = Cores(2)
-    cores.cost(0, SECOND)
-    assert cores.took(0, 100, 1) == 200
-    assert cores.took(2 * SECOND, 100, 1) == 100
+    cores.charge(0, SECOND)
+    assert cores.compute_duration(0, 100, 1) == 200
+    assert cores.compute_duration(2 * SECOND, 100, 1) == 100
 
 
 @pytest.mark.parametrize(
--- a/tests/test_planner_transport.py
+++ b/tests/test_planner_transport.py
@@ -12,7 +12,7 @@
     RequestRefusedError,
 )
 from birchslip.errors import InvalidInputError
-from birchslip.lab.wires import Wire
+from birchslip.lab.wires import FaultProxy
 from birchslip.net.messagepack import pack
 from birchslip.net.scheduler import Scheduler
 
@@ -133,24 +133,24 @@
 
 def test_each_wire_mode_injects_its_fault():
     loopback = Loopback()
-    wire = Wire(loopback.scheduler, loopback.address)
+    wire = FaultProxy(loopback.scheduler, loopback.address)
     connection = PeerConnection(loopback.scheduler, ("127.0.0.1", wire.port))
     assert loopback.call(connection) == b"ABC"
-    wire.turn("late", 500)
+    wire.set_mode("late", 500)
     began = loopback.scheduler.clock()
     assert loopback.call(connection) == b"ABC"
     assert loopback.scheduler.clock() - began >= 1_000
     for mode, received in (("silent", 0), ("deaf", 1), ("mute", 0)):
-        wire.turn("pass")
+        wire.set_mode("pass")
         assert loopback.call(connection) == b"ABC"
-        wire.turn(mode)
+        wire.set_mode(mode)
         loopback.served.clear()
         with pytest.raises(OSError, match="no answer in time"):
             loopback.call(connection, wait=2_000)
         assert len(loopback.served) == received, mode
-    wire.turn("pass")
+    wire.set_mode("pass")
     assert loopback.call(connection) == b"ABC"
-    wire.turn("cut")
+    wire.set_mode("cut")
     with pytest.raises(OSError, match="ended by the peer"):
         loopback.call(connection)
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -29,7 +29,7 @@
     def __init__(
         self, folder, vault_up=True, greets=True, catalog_up=True, words=("-m", "birchslip"), **more
     ):
-        self.agent, self.vault, self.catalog = Agent(greets=greets), Vault(), Catalog()
+        self.agent, self.vault, self.catalog = Agent(sends_greeting=greets), Vault(), Catalog()
         if not vault_up:
             self.vault.stop()
         if not catalog_up:
@@ -93,7 +93,7 @@
     def order(self, op):
         """The next order of this kind that the agent gets."""
         until = time.monotonic() + PATIENCE  # gauges are asked for all the time: each is an order too
-        while (order := self.agent.seen.get(timeout=max(0.0, until - time.monotonic())))["op"] != op:
+        while (order := self.agent.received.get(timeout=max(0.0, until - time.monotonic())))["op"] != op:
             pass
         return order
 
@@ -126,14 +126,14 @@
     ping, slow = router.ping(), router.call("lookup", b"300 ms")
     quick, called = router.call("lookup", b"1 ms"), router.call("order", b"10 ms call", opkey=KEY1)
     assert router.answer(quick) == (None, [b"made of 1 ms", {}])
-    assert slow not in router.replies  # answers come as they are ready
+    assert slow not in router.responses  # answers come as they are ready
     assert router.answer(called) == (None, [b"made of 10 ms call and paid", {}])
     assert router.answer(slow)[0] is None
     assert router.answer(ping) == (None, [True, {}])
     seen = place.counters()
     assert (seen["take_in.taken"], seen["book.honoured"], seen["send.launched"]) == (3, 3, 3)
     assert (seen["relay.called"], seen["relay.honoured"], seen["clients.pings"]) == (1, 1, 1)
-    assert place.catalog.seen.get(timeout=PATIENCE) == ("/catalog/register/toy-1", {"status": "passing"})
+    assert place.catalog.received.get(timeout=PATIENCE) == ("/catalog/register/toy-1", {"status": "passing"})
 
 
 def test_what_cannot_be_held_is_shed_with_its_holdoff(start):
@@ -153,10 +153,10 @@
     repeat = other.call("order", b"hold", opkey=KEY1, resent="1")
     router.abort(first)  # its run goes on for the repeat
     assert other.answer(other.ping())[0] is None
-    place.agent.end(held)
+    place.agent.finish_run(held)
     assert other.answer(repeat) == (None, [b"made of hold", {}])
     assert other.answer(other.call("order", b"hold", opkey=KEY1, resent="1")) == (None, [b"made of hold", {}])
-    assert len(place.agent.launched) == 1
+    assert len(place.agent.launched_run_ids) == 1
     assert place.counters()["admit.repeats"] == 2
 
 
@@ -177,7 +177,7 @@
     router = place.router()
     router.call("lookup", b"hold")
     place.order("launch")
-    router.link.close()
+    router.connection.close()
     place.order("freeze")
     assert place.counters()["book.gone"] == 1
 
@@ -189,17 +189,17 @@
     launched = {order["class"]: order["id"] for order in (place.order("launch"), place.order("launch"))}
     first, second = launched["order"], launched["lookup"]
     with place.agent.lock:
-        place.agent.say(b'{"op":"outcome","seq":1,"id":"')  # cut inside a notice
-        place.agent.drop()
-        place.agent.out = None
-        place.agent.end(first)  # while there is no link: told again on the next
+        place.agent.send_raw(b'{"op":"outcome","seq":1,"id":"')  # cut inside a notice
+        place.agent.close_connections()
+        place.agent.subscriber = None
+        place.agent.finish_run(first)  # while there is no link: told again on the next
     assert place.order("subscribe")["seq"] == 0
     assert router.answer(ended)[0] is None
     again = place.order("launch")  # no notice has answered this one, and to launch what runs changes nothing
     assert again["id"] == second
-    place.agent.end(second)
+    place.agent.finish_run(second)
     assert router.answer(held)[0] is None
-    assert sorted(place.agent.launched) == sorted([first, second])
+    assert sorted(place.agent.launched_run_ids) == sorted([first, second])
     seen = place.counters()
     assert (seen["agent.links"], seen["agent.lost"], seen["book.honoured"]) == (2, 1, 2)
 
@@ -211,18 +211,18 @@
     aborted = router.call("lookup", b"hold")
     name = place.order("launch")["id"]
     with place.agent.lock:
-        place.agent.greets = False
-        place.agent.drop()
+        place.agent.sends_greeting = False
+        place.agent.close_connections()
     place.order("subscribe")
     router.abort(aborted)
     assert router.answer(router.ping())[0] is None
-    place.agent.greet()
+    place.agent.send_greeting()
     assert place.order("freeze")["id"] == name
     assert router.answer(router.call("lookup", b"1"))[0] is None
     seen = place.counters()
     assert (seen["book.gone"], seen["send.recalled"], seen["agent.links"]) == (1, 1, 2)
     assert not place.agent.runs
-    assert place.agent.launched.count(name) == 1
+    assert place.agent.launched_run_ids.count(name) == 1
 
 
 def test_a_notice_that_was_missed_is_told_again_on_a_new_link(start):
@@ -231,10 +231,10 @@
     first = router.call("lookup", b"hold")
     name = place.order("launch")["id"]
     with place.agent.lock:
-        out, place.agent.out = place.agent.out, None
-        place.agent.end(name)  # never arrives on this link
-        place.agent.out = out
-        place.agent.note(op="aside", end="news of no meaning")
+        out, place.agent.subscriber = place.agent.subscriber, None
+        place.agent.finish_run(name)  # never arrives on this link
+        place.agent.subscriber = out
+        place.agent.append_notice(op="aside", end="news of no meaning")
     assert router.answer(first) == (None, [b"made of hold", {}])
     seen = place.counters()
     assert (seen["agent.links"], seen["agent.gaps"], seen["agent.malformed"]) == (2, 1, 0)
@@ -246,21 +246,21 @@
     labelled = router.call("order", b"hold", opkey=KEY1)
     name = place.order("launch")["id"]
     with place.agent.lock:
-        place.agent.drop()
-        place.agent.out = None
-        place.agent.end(name)
-        place.agent.note(op="aside", end="news of no meaning")
+        place.agent.close_connections()
+        place.agent.subscriber = None
+        place.agent.finish_run(name)
+        place.agent.append_notice(op="aside", end="news of no meaning")
         place.agent.notices[0] = place.agent.notices[1]  # too many since then: it is gone for good
     assert router.answer(labelled)[0][0] == "Failed"
     assert router.answer(router.call("order", b"hold", opkey=KEY1, resent="1"))[0][0] == "Failed"
-    assert place.agent.launched == [name]
+    assert place.agent.launched_run_ids == [name]
     assert place.counters()["send.recalled"] == 1
 
 
 @pytest.mark.parametrize("vault", ["down", "notnow", "failed"])
 def test_a_call_that_fails_is_written_off_in_time(start, vault):
     place = start(vault_up=vault != "down")
-    place.vault.word = vault
+    place.vault.answer_word = vault
     router = place.router()
     error, _ = router.answer(router.call("order", b"1 call", opkey=KEY1, timeout="2000"))
     assert error[0] == "Failed"
@@ -273,7 +273,7 @@
     router = place.router()
     for label in (KEY1, KEY2):
         assert router.answer(router.call("order", b"1 call", opkey=label))[0] is None
-        assert place.vault.ends.get(timeout=PATIENCE)
+        assert place.vault.closed_connections.get(timeout=PATIENCE)
     seen = place.counters()
     assert (seen["vault.links"], seen["vault.lost"], seen["relay.honoured"]) == (2, 0, 2)
 
@@ -281,14 +281,14 @@
 def test_new_addresses_take_what_is_new_and_lose_nothing(start):
     place = start()
     router = place.router()
-    place.vault.word = "silent"
+    place.vault.answer_word = "silent"
     called, held = router.call("order", b"1 call", opkey=KEY1), router.call("lookup", b"hold")
-    first = place.vault.seen.get(timeout=PATIENCE)[1]
-    old = place.vault.links[0]
+    first = place.vault.received.get(timeout=PATIENCE)[1]
+    old = place.vault.connections[0]
     for peer in (place.agent, place.vault, place.catalog):
         peer.move()
-    while not place.catalog.seen.empty():
-        place.catalog.seen.get()
+    while not place.catalog.received.empty():
+        place.catalog.received.get()
     place.reload(stop_ms=2000)
     subscribed = place.order("subscribe")
     while subscribed["seq"] == 0:
@@ -296,12 +296,12 @@
     assert subscribed["seq"] == 1  # the wish for the call: notices go on where they stood
     old.sendall(first + b" yes 4\r\npaid\r\n")  # a call that is out ends on its own connection
     assert router.answer(called) == (None, [b"made of 1 callpaid", {}])
-    place.vault.word = "yes"
+    place.vault.answer_word = "yes"
     assert router.answer(router.call("order", b"1 call", opkey=KEY2))[0] is None
     (name,) = (name for name, words in place.agent.runs.items() if "hold" in words)
-    place.agent.end(name)
+    place.agent.finish_run(name)
     assert router.answer(held)[0] is None
-    assert place.catalog.seen.get(timeout=PATIENCE)[1] == {"status": "passing"}
+    assert place.catalog.received.get(timeout=PATIENCE)[1] == {"status": "passing"}
     seen = place.counters()
     assert (seen["program.reloads"], seen["agent.links"], seen["agent.lost"], seen["relay.severed"]) == (
         1,
@@ -363,11 +363,11 @@
 
 def test_a_call_without_a_reply_is_given_up(start):
     place = start()
-    place.vault.word = "silent"
+    place.vault.answer_word = "silent"
     router = place.router()
     assert router.answer(router.call("order", b"1 call", opkey=KEY1, timeout="600"))[0][0] == "Failed"
-    assert place.vault.seen.get(timeout=PATIENCE)[0] == b"ask"
-    assert place.vault.ends.get(timeout=PATIENCE)  # closing its connection gives the call up
+    assert place.vault.received.get(timeout=PATIENCE)[0] == b"ask"
+    assert place.vault.closed_connections.get(timeout=PATIENCE)  # closing its connection gives the call up
     assert place.counters()["vault.lost"] == 0
 
 
@@ -419,7 +419,7 @@
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
     late = router.call("order", b"1", opkey=KEY1, ts=stamp, timeout="1")
     assert router.answer(late)[0] is None
-    assert len(place.agent.launched) == 1
+    assert len(place.agent.launched_run_ids) == 1
 
 
 def test_an_id_that_is_open_and_a_label_with_another_body_share_no_outcome(start):
@@ -429,20 +429,20 @@
     name = place.order("launch")["id"]
     assert "open" in bad.answer(bad.call("lookup", b"hold", req="a" * 16))[0][0]
     assert bad.answer(bad.call("order", b"other", opkey=KEY1))[0][0] == "Failed"
-    place.agent.end(name)
+    place.agent.finish_run(name)
     assert good.answer(held) == (None, [b"made of hold", {}])
     assert bad.answer(bad.call("order", b"other", opkey=KEY1))[0][0] == "Failed"
-    assert place.agent.launched == [name]
+    assert place.agent.launched_run_ids == [name]
     assert place.counters()["admit.mislabelled"] == 2
 
 
 def test_a_launch_that_the_agent_refuses_is_over_at_once_and_its_label_is_free(start):
     place = start()
-    place.agent.unknown = True
+    place.agent.refuses_launches = True
     router = place.router()
     for call in (router.call("lookup", b"1"), router.call("order", b"1", opkey=KEY1)):
         assert router.answer(call)[0][0] == "Failed"
-    place.agent.unknown = False
+    place.agent.refuses_launches = False
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
     seen = place.counters()
     assert (seen["send.refused"], seen["send.moot"], seen["agent.declined"]) == (2, 2, 2)
@@ -453,7 +453,7 @@
     place = start()
     good, bad = place.router(), place.router()
     assert good.answer(good.ping())[0] is None
-    bad.link.sendall(part)
+    bad.connection.sendall(part)
     with pytest.raises((EOFError, ConnectionResetError)):
         bad.message()
     assert good.answer(good.ping())[0] is None  # one that has spoken may be silent
@@ -476,7 +476,7 @@
     place = start()
     good, bad = place.router(), place.router()
     held = good.call("lookup", b"50")
-    bad.link.sendall(raw)
+    bad.connection.sendall(raw)
     with pytest.raises(EOFError):  # and no reset, which would take with it what was answered before
         while True:
             assert bad.message()[2]  # an error: what could be read before the rubbish has its answer
@@ -499,7 +499,7 @@
     place.order("subscribe")
     held = router.call("lookup", b"100")
     place.order("launch")
-    place.agent.say(raw)
+    place.agent.send_raw(raw)
     place.order("subscribe")
     assert router.answer(held)[0] is None
     assert place.counters()["agent.malformed"] == 1
@@ -508,13 +508,13 @@
 def test_rubbish_from_the_vault_and_the_catalog_touches_no_transaction(start):
     place = start()
     router = place.router()
-    place.vault.word, place.catalog.status = "silent", 500
+    place.vault.answer_word, place.catalog.status = "silent", 500
     waiting = router.call("order", b"1 call", opkey=KEY1)
-    place.vault.seen.get(timeout=PATIENCE)
-    place.vault.say(b"what is this\r\n")
+    place.vault.received.get(timeout=PATIENCE)
+    place.vault.send_raw(b"what is this\r\n")
     assert router.answer(waiting)[0][0] == "Failed"
     place.line("report to the catalog missed")
-    place.vault.word, place.catalog.status = "yes", 204
+    place.vault.answer_word, place.catalog.status = "yes", 204
     assert router.answer(router.call("order", b"1 call", opkey=KEY2))[0] is None
     seen = place.counters()
     assert (seen["vault.malformed"], seen["relay.severed"]) == (1, 1)
@@ -534,15 +534,15 @@
     assert within.answer(within.call("lookup", b"1"))[0] is None
     assert within.answer(within.ping()) == (None, [False, {}])
     assert within.message() == [2, "closing", []]
-    within.link.close()
+    within.connection.close()
     assert idle.message() == [2, "closing", []]
     assert router.message() == [2, "closing", []]
     with pytest.raises(ConnectionRefusedError):
         place.router()
-    idle.link.close()
-    place.agent.end(name)
+    idle.connection.close()
+    place.agent.finish_run(name)
     assert router.answer(held)[0] is None
-    router.link.close()
+    router.connection.close()
     seen = place.read_counters()
     assert place.process.wait(PATIENCE) == 0
     assert seen["book.honoured"] == 2
@@ -561,7 +561,7 @@
         assert another.answer(another.ping())[0] is None
         with pytest.raises((EOFError, ConnectionResetError)):
             gone.message()
-    place.agent.end(name)
+    place.agent.finish_run(name)
     assert busy.answer(held)[0] is None
     seen = place.counters()
     assert (seen["clients.connections_most"], seen["clients.made_room"]) == (3, 2)
@@ -573,14 +573,14 @@
     most = 64
     place = start(limits={"sockets": most}, catalog_up=down == "later")
     if down == "later":
-        place.catalog.seen.get(timeout=PATIENCE)
+        place.catalog.received.get(timeout=PATIENCE)
         place.catalog.stop()
     place.line("report to the catalog missed")
     crowd = [socket.create_connection(place.router_address(), PATIENCE) for _ in range(3 * most)]
     held, names = [], os.listdir(f"/proc/{place.process.pid}/fd")
     assert len(names) <= most
     with place.agent.lock:
-        place.agent.drop()  # it has to open another link
+        place.agent.close_connections()  # it has to open another link
     place.order("subscribe")
     for number in range(8):  # a router with a transaction gets in, and its call gets a connection
         router = place.router()
@@ -592,7 +592,7 @@
         )
         assert len(os.listdir(f"/proc/{place.process.pid}/fd")) <= most
     place.catalog.listen(place.catalog.host, place.catalog.port)
-    assert place.catalog.seen.get(timeout=PATIENCE)[1] == {"status": "passing"}
+    assert place.catalog.received.get(timeout=PATIENCE)[1] == {"status": "passing"}
     seen = place.counters()
     assert seen["clients.turned_away"] == 0
     assert seen["clients.made_room"] > 0
@@ -614,10 +614,10 @@
     except EOFError:
         assert place.counters()["clients.made_room"] > made_room_before
         sent_again = True
-        router.link.close()
+        router.connection.close()
         router = place.router()
         error, _ = router.answer(router.call("lookup", b"1", timeout="5000"))
-    router.link.close()
+    router.connection.close()
     assert error is None or error[0] == "Overloaded"
     return sent_again
 
@@ -661,7 +661,7 @@
     assert place.process.poll() is None
     seen = place.counters()
     assert sent_again <= seen["clients.made_room"]
-    orders = [place.agent.seen.get_nowait() for _ in range(place.agent.seen.qsize())]
+    orders = [place.agent.received.get_nowait() for _ in range(place.agent.received.qsize())]
     honest = [order for order in orders if order["op"] == "launch" and b64decode(order["body"]) == b"1"]
     assert len(honest) <= 5  # what crossed a close has not run
     assert seen["process.memory_kb_most"] < 64 << 10
@@ -700,7 +700,7 @@
     held = router.call("lookup", b"hold")
     name = place.order("launch")["id"]
     place.process.send_signal(signal.SIGSTOP)
-    place.agent.end(name)
+    place.agent.finish_run(name)
     after = router.call("lookup", b"1")
     place.process.send_signal(signal.SIGCONT)
     assert router.answer(held)[0] is None
@@ -734,9 +734,9 @@
     place.line("now=draining")
     while place.order("subscribe")["seq"]:
         pass
-    place.agent.end(name)
+    place.agent.finish_run(name)
     assert router.answer(held)[0] is None
-    router.link.close()
+    router.connection.close()
     assert place.process.wait(PATIENCE) == 0
 
 
@@ -791,7 +791,7 @@
     assert router.answer(router.ping()) == (None, [True, {}])
     assert router.answer(router.call("lookup", b"1"))[0][0] == "Overloaded"
     place.order("subscribe")
-    place.agent.greet()
+    place.agent.send_greeting()
     place.line("now=serving")
     assert router.answer(router.call("lookup", b"1"))[0] is None
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -19,7 +19,7 @@
     decode_segment_header,
     encode_segment_header,
 )
-from birchslip.lab.power import Memory
+from birchslip.lab.power import SimulatedDisk
 
 from .result_records import (
     NOW,
@@ -174,7 +174,7 @@
 
     def __init__(self):
         super().__init__()
-        self.system, self.now = Memory(), NOW
+        self.system, self.now = SimulatedDisk(), NOW
         self.incarnation = Incarnation(self.system, self.now)
         self.ran = {}  # arrival of the last launched request of each key
         self.answers = {}  # answered result of each key, and its expiry
@@ -233,7 +233,7 @@
         if power_fails:
             self.system.cut_power(random.Random(seed))
         else:
-            self.system.kill()
+            self.system.kill_process()
         self.open.clear()
         self.incarnation = Incarnation(self.system, self.now)
 
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -14,7 +14,7 @@
 from birchslip.idempotency.record_format import RecordState
 from birchslip.idempotency.result_store import ResultStore
 from birchslip.idempotency.settings_file import StoreSettings
-from birchslip.lab.power import Memory
+from birchslip.lab.power import SimulatedDisk
 from birchslip.net.counters import Counters
 from birchslip.net.log import Log
 from birchslip.net.request_context import RequestContext, RunResult
@@ -29,7 +29,7 @@
     """A store on a simulated disk; `flush` does the work of the writer thread."""
 
     def __init__(self, folder, system=None, now=10**13, **settings):
-        self.system = system or Memory()
+        self.system = system or SimulatedDisk()
         self.now, self.flushed, self.resolved = now, [], []
         self.scheduler = Scheduler(lambda: None, self.raise_fault, lambda: self.now)
         settings = StoreSettings(folder=str(folder), **{"stall_ms": 100, "entries": 10} | settings)
@@ -78,7 +78,7 @@
     def restart(self):
         """Kills this incarnation and returns the next one, on the same disk."""
         self.store.files.close()
-        self.system.kill()
+        self.system.kill_process()
         return Incarnation(self.store.files.directory, self.system, self.now)
 
     def take_flushed(self):
@@ -103,9 +103,9 @@
 def test_concurrent_records_share_one_flush(first):
     for n in range(5):
         first.start(n)
-    before = first.system.flushes
+    before = first.system.flush_count
     first.flush()
-    assert first.system.flushes == before + 1
+    assert first.system.flush_count == before + 1
     assert len(first.flushed) == 5
 
 
@@ -132,12 +132,12 @@
 @pytest.mark.parametrize("failures", [1, 3])
 def test_a_failed_disk_changes_its_state_and_recovers_without_a_restart(first, failures):
     first.start(1)
-    first.system.fails = failures
+    first.system.failures_left = failures
     first.flush()
     assert first.take_flushed() == [(1, "started", False)]
     assert first.store.disk.state.value == "failed"
     assert first.store.capacity().remaining == 0
-    first.system.fails = 0
+    first.system.failures_left = 0
     first.flush()
     for _ in range(60):
         first.advance(0.5).flush()
@@ -153,12 +153,12 @@
 
 
 def test_a_full_disk_stops_keyed_requests_until_there_is_room(first):
-    first.system.room = sum(len(one.data) for one in first.system.files.values()) + 40
+    first.system.capacity_bytes = sum(len(one.data) for one in first.system.files.values()) + 40
     first.start(1)
     first.flush()
     assert first.take_flushed() == [(1, "started", False)]
     assert "space" in first.store.disk.reason
-    first.system.room = 1 << 30
+    first.system.capacity_bytes = 1 << 30
     first.advance(1).flush()
     assert first.store.disk.is_healthy
 
@@ -286,8 +286,8 @@
     with pytest.raises(InvalidInputError, match="keep: ") as error:
         Incarnation(path)
     assert "\n" not in str(error.value)
-    system = Memory()
-    system.room = 10
+    system = SimulatedDisk()
+    system.capacity_bytes = 10
     with pytest.raises(InvalidInputError, match="No space"):
         Incarnation(tmp_path / "full", system)
 
