--- a/benchmarks/model_days.py
+++ b/benchmarks/model_days.py
@@ -16,7 +16,7 @@
 from birchslip.lab.faults import schedule
 from birchslip.lab.model.world import TRAFFIC_START, Step, World
 from birchslip.lab.site_loss import Told, spans_of
-from birchslip.lab.world import PROFILES, SITES
+from birchslip.lab.world import REQUEST_CLASSES, SITES
 
 SCENARIOS = [
     ("none", 0.9, 1),
@@ -63,10 +63,10 @@
         "profiles": {
             profile.name: {
                 "share": profile.share,
-                "work_ms": profile.work / 10,
-                "calls": float(profile.label),
+                "work_ms": profile.mean_work / 10,
+                "calls": float(profile.is_keyed),
             }
-            for profile in PROFILES
+            for profile in REQUEST_CLASSES
         },
         "below": {"took_ms": 20.0},
         "load": load,
--- a/birchslip/lab/model/routers.py
+++ b/birchslip/lab/model/routers.py
@@ -376,7 +376,7 @@
         request.open_attempts += 1
         request.tried_servers.append(server.name)
         self.add_outstanding(server, 1)
-        server.cores.cost(now, self.read_cost)
+        server.cores.charge(now, self.read_cost)
         self.counts["tries"] += 1
         self.clock.after(self.link_delay, server.receive, attempt)
         has_key = bool(request.idempotency_key)
@@ -414,7 +414,7 @@
             return True
         if pool.connection_count < MAX_CONNECTIONS:
             pool.connection_count += 1
-            server.cores.cost(now, self.handshake_cost)
+            server.cores.charge(now, self.handshake_cost)
             return True
         return pool.open_attempts < MAX_CONNECTIONS * MAX_ATTEMPTS_PER_CONNECTION
 
--- a/birchslip/lab/model/servers.py
+++ b/birchslip/lab/model/servers.py
@@ -223,7 +223,7 @@
     def is_warm(self) -> bool:
         """Whether the process runs at full speed."""
         return self.is_up and (
-            not self.cores.cold or self.clock.now - self.started_at >= self.cores.cold_span
+            not self.cores.is_cold or self.clock.now - self.started_at >= self.cores.warm_up_span
         )
 
     @property
@@ -402,7 +402,7 @@
         self.on_cores += 1
         run.piece_number += 1
         piece_number = run.piece_number
-        duration = self.cores.took(self.clock.now, work, self.on_cores)
+        duration = self.cores.compute_duration(self.clock.now, work, self.on_cores)
 
         def finish_piece() -> None:
             if run.piece_number == piece_number and not run.is_over:
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -497,7 +497,7 @@
                 self.drain_server(self.servers_by_name[target])
             case "slow":
                 for server in self.servers_of(target):
-                    server.cores.slow = value
+                    server.cores.slowdown = value
             case "shrink":
                 self.shrink(value)
             case "below-down":
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -65,9 +65,9 @@
     hall = start()
     router = notified_router(hall)
     sent = []
-    router.link, link = type("Tap", (), {"sendall": sent.append})(), router.link
+    router.connection, link = type("Tap", (), {"sendall": sent.append})(), router.connection
     call = router.call("lookup", b"1", ts=str(hall.time // 10 + PAST_CLOSING_TIMEOUT_MS))
-    router.link = link
+    router.connection = link
     raw = sent[0]
     link.sendall(raw[: len(raw) - cut])
     hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)
@@ -99,7 +99,7 @@
     hall = start()
     router = hall.router()
     first = pack([0, 1, "ping", [{}]]) + pack([0, 2, "unheard", [{}, b""]])
-    router.link.sendall(first + malformed + pack([0, 3, "ping", [{}]]))
+    router.connection.sendall(first + malformed + pack([0, 3, "ping", [{}]]))
     hall.passes()
     responses = read_until_end(router)
     assert [message[1] for message in responses] == [1, 2]
@@ -112,7 +112,7 @@
     launched = router.call("lookup", b"1")
     hall.passes()
     held = [router.call("lookup", b"1", need="900") for _ in range(4)]
-    router.link.sendall(b"\xc1")
+    router.connection.sendall(b"\xc1")
     hall.passes()
     errors = {message[1]: message[2][0] for message in read_until_end(router)}
     assert sorted(errors) == [launched, *held]
@@ -127,7 +127,7 @@
     router = hall.router()
     call = router.call("lookup", b"1")
     hall.passes()
-    router.link.sendall(pack([0, 2, "ping", [{}]])[:3])
+    router.connection.sendall(pack([0, 2, "ping", [{}]])[:3])
     hall.passes()
     hall.passes(ms=(MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL) // 10)
     hall.end(hall.launched()[0], Outcome.SERVED)
@@ -167,7 +167,7 @@
     hall.passes()
     assert mute.answer(call) == (None, [b"made", {}])
     assert read_until_end(router) == []
-    assert other.link
+    assert other.connection
 
 
 def test_eviction_loses_no_responses_of_the_same_pass(start):
@@ -251,7 +251,7 @@
         if cause == "closing sent":
             client.send_closing()
         elif cause == "malformed data":
-            router.link.sendall(b"\xc1")
+            router.connection.sendall(b"\xc1")
         elif cause == "closed by the server":
             client.connection.close("dropped")
         del client
@@ -376,7 +376,7 @@
     again, new = other.call("order", b"1", opkey=KEY), other.call("order", b"1", opkey="2" * 32)
     hall.passes()
     assert other.answer(new)[0][0] == "Overloaded"
-    assert again not in other.replies
+    assert again not in other.responses
     hall.end(hall.launched()[0], Outcome.SERVED)
     hall.passes()
     assert router.answer(first)[1] == other.answer(again)[1] == [b"made", {}]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -29,7 +29,7 @@
     def __init__(
         self, folder, vault_up=True, greets=True, catalog_up=True, arguments=("-m", "birchslip"), **options
     ):
-        self.agent, self.vault, self.catalog = Agent(greets=greets), Vault(), Catalog()
+        self.agent, self.vault, self.catalog = Agent(sends_greeting=greets), Vault(), Catalog()
         if not vault_up:
             self.vault.stop()
         if not catalog_up:
@@ -93,7 +93,7 @@
     def next_order(self, op):
         """Returns the next order of this kind that the agent receives."""
         deadline = time.monotonic() + TIMEOUT_S  # gauges are requested all the time, with an order each
-        while (order := self.agent.seen.get(timeout=max(0.0, deadline - time.monotonic())))["op"] != op:
+        while (order := self.agent.received.get(timeout=max(0.0, deadline - time.monotonic())))["op"] != op:
             pass
         return order
 
@@ -126,14 +126,17 @@
     ping, slow = router.ping(), router.call("lookup", b"300 ms")
     quick, called = router.call("lookup", b"1 ms"), router.call("order", b"10 ms call", opkey=KEY1)
     assert router.answer(quick) == (None, [b"made of 1 ms", {}])
-    assert slow not in router.replies  # responses are sent as results arrive, in any order
+    assert slow not in router.responses  # responses are sent as results arrive, in any order
     assert router.answer(called) == (None, [b"made of 10 ms call and paid", {}])
     assert router.answer(slow)[0] is None
     assert router.answer(ping) == (None, [True, {}])
     seen = server.counters()
     assert (seen["take_in.taken"], seen["book.honoured"], seen["send.launched"]) == (3, 3, 3)
     assert (seen["relay.called"], seen["relay.honoured"], seen["clients.pings"]) == (1, 1, 1)
-    assert server.catalog.seen.get(timeout=TIMEOUT_S) == ("/catalog/register/toy-1", {"status": "passing"})
+    assert server.catalog.received.get(timeout=TIMEOUT_S) == (
+        "/catalog/register/toy-1",
+        {"status": "passing"},
+    )
 
 
 def test_rejects_request_beyond_memory_with_retry_after(start):
@@ -153,10 +156,10 @@
     repeat = other.call("order", b"hold", opkey=KEY1, resent="1")
     router.abort(first)  # its run continues for the repeat
     assert other.answer(other.ping())[0] is None
-    server.agent.end(held)
+    server.agent.finish_run(held)
     assert other.answer(repeat) == (None, [b"made of hold", {}])
     assert other.answer(other.call("order", b"hold", opkey=KEY1, resent="1")) == (None, [b"made of hold", {}])
-    assert len(server.agent.launched) == 1
+    assert len(server.agent.launched_run_ids) == 1
     assert server.counters()["admit.repeats"] == 2
 
 
@@ -177,7 +180,7 @@
     router = server.router()
     router.call("lookup", b"hold")
     server.next_order("launch")
-    router.link.close()
+    router.connection.close()
     server.next_order("freeze")
     assert server.counters()["book.gone"] == 1
 
@@ -191,17 +194,17 @@
     }
     first, second = launched["order"], launched["lookup"]
     with server.agent.lock:
-        server.agent.say(b'{"op":"outcome","seq":1,"id":"')  # ends inside a notice
-        server.agent.drop()
-        server.agent.out = None
-        server.agent.end(first)  # without a link: sent again on the next one
+        server.agent.send_raw(b'{"op":"outcome","seq":1,"id":"')  # ends inside a notice
+        server.agent.close_connections()
+        server.agent.subscriber = None
+        server.agent.finish_run(first)  # without a link: sent again on the next one
     assert server.next_order("subscribe")["seq"] == 0
     assert router.answer(ended)[0] is None
     again = server.next_order("launch")  # not acknowledged by a notice; a second launch has no effect
     assert again["id"] == second
-    server.agent.end(second)
+    server.agent.finish_run(second)
     assert router.answer(held)[0] is None
-    assert sorted(server.agent.launched) == sorted([first, second])
+    assert sorted(server.agent.launched_run_ids) == sorted([first, second])
     seen = server.counters()
     assert (seen["agent.links"], seen["agent.lost"], seen["book.honoured"]) == (2, 1, 2)
 
@@ -213,18 +216,18 @@
     aborted = router.call("lookup", b"hold")
     name = server.next_order("launch")["id"]
     with server.agent.lock:
-        server.agent.greets = False
-        server.agent.drop()
+        server.agent.sends_greeting = False
+        server.agent.close_connections()
     server.next_order("subscribe")
     router.abort(aborted)
     assert router.answer(router.ping())[0] is None
-    server.agent.greet()
+    server.agent.send_greeting()
     assert server.next_order("freeze")["id"] == name
     assert router.answer(router.call("lookup", b"1"))[0] is None
     seen = server.counters()
     assert (seen["book.gone"], seen["send.recalled"], seen["agent.links"]) == (1, 1, 2)
     assert not server.agent.runs
-    assert server.agent.launched.count(name) == 1
+    assert server.agent.launched_run_ids.count(name) == 1
 
 
 def test_missed_notice_is_sent_again_on_new_link(start):
@@ -233,10 +236,10 @@
     first = router.call("lookup", b"hold")
     name = server.next_order("launch")["id"]
     with server.agent.lock:
-        out, server.agent.out = server.agent.out, None
-        server.agent.end(name)  # never arrives on this link
-        server.agent.out = out
-        server.agent.note(op="aside", end="news of no meaning")
+        out, server.agent.subscriber = server.agent.subscriber, None
+        server.agent.finish_run(name)  # never arrives on this link
+        server.agent.subscriber = out
+        server.agent.append_notice(op="aside", end="news of no meaning")
     assert router.answer(first) == (None, [b"made of hold", {}])
     seen = server.counters()
     assert (seen["agent.links"], seen["agent.gaps"], seen["agent.malformed"]) == (2, 1, 0)
@@ -248,21 +251,21 @@
     labelled = router.call("order", b"hold", opkey=KEY1)
     name = server.next_order("launch")["id"]
     with server.agent.lock:
-        server.agent.drop()
-        server.agent.out = None
-        server.agent.end(name)
-        server.agent.note(op="aside", end="news of no meaning")
+        server.agent.close_connections()
+        server.agent.subscriber = None
+        server.agent.finish_run(name)
+        server.agent.append_notice(op="aside", end="news of no meaning")
         server.agent.notices[0] = server.agent.notices[1]  # the agent no longer has the notice
     assert router.answer(labelled)[0][0] == "Failed"
     assert router.answer(router.call("order", b"hold", opkey=KEY1, resent="1"))[0][0] == "Failed"
-    assert server.agent.launched == [name]
+    assert server.agent.launched_run_ids == [name]
     assert server.counters()["send.recalled"] == 1
 
 
 @pytest.mark.parametrize("vault", ["down", "notnow", "failed"])
 def test_failed_call_fails_request_before_timeout(start, vault):
     server = start(vault_up=vault != "down")
-    server.vault.word = vault
+    server.vault.answer_word = vault
     router = server.router()
     error, _ = router.answer(router.call("order", b"1 call", opkey=KEY1, timeout="2000"))
     assert error[0] == "Failed"
@@ -275,7 +278,7 @@
     router = server.router()
     for label in (KEY1, KEY2):
         assert router.answer(router.call("order", b"1 call", opkey=label))[0] is None
-        assert server.vault.ends.get(timeout=TIMEOUT_S)
+        assert server.vault.closed_connections.get(timeout=TIMEOUT_S)
     seen = server.counters()
     assert (seen["vault.links"], seen["vault.lost"], seen["relay.honoured"]) == (2, 0, 2)
 
@@ -283,14 +286,14 @@
 def test_reload_moves_peers_and_loses_nothing(start):
     server = start()
     router = server.router()
-    server.vault.word = "silent"
+    server.vault.answer_word = "silent"
     called, held = router.call("order", b"1 call", opkey=KEY1), router.call("lookup", b"hold")
-    first = server.vault.seen.get(timeout=TIMEOUT_S)[1]
-    old = server.vault.links[0]
+    first = server.vault.received.get(timeout=TIMEOUT_S)[1]
+    old = server.vault.connections[0]
     for peer in (server.agent, server.vault, server.catalog):
         peer.move()
-    while not server.catalog.seen.empty():
-        server.catalog.seen.get()
+    while not server.catalog.received.empty():
+        server.catalog.received.get()
     server.reload(stop_ms=2000)
     subscribed = server.next_order("subscribe")
     while subscribed["seq"] == 0:
@@ -298,12 +301,12 @@
     assert subscribed["seq"] == 1  # the notice that the run needs a call: notices continue after it
     old.sendall(first + b" yes 4\r\npaid\r\n")  # a call in flight ends on its own connection
     assert router.answer(called) == (None, [b"made of 1 callpaid", {}])
-    server.vault.word = "yes"
+    server.vault.answer_word = "yes"
     assert router.answer(router.call("order", b"1 call", opkey=KEY2))[0] is None
     (name,) = (name for name, arguments in server.agent.runs.items() if "hold" in arguments)
-    server.agent.end(name)
+    server.agent.finish_run(name)
     assert router.answer(held)[0] is None
-    assert server.catalog.seen.get(timeout=TIMEOUT_S)[1] == {"status": "passing"}
+    assert server.catalog.received.get(timeout=TIMEOUT_S)[1] == {"status": "passing"}
     seen = server.counters()
     assert (seen["program.reloads"], seen["agent.links"], seen["agent.lost"], seen["relay.severed"]) == (
         1,
@@ -363,11 +366,11 @@
 
 def test_cancels_call_without_reply(start):
     server = start()
-    server.vault.word = "silent"
+    server.vault.answer_word = "silent"
     router = server.router()
     assert router.answer(router.call("order", b"1 call", opkey=KEY1, timeout="600"))[0][0] == "Failed"
-    assert server.vault.seen.get(timeout=TIMEOUT_S)[0] == b"ask"
-    assert server.vault.ends.get(timeout=TIMEOUT_S)  # closing its connection cancels the call
+    assert server.vault.received.get(timeout=TIMEOUT_S)[0] == b"ask"
+    assert server.vault.closed_connections.get(timeout=TIMEOUT_S)  # closing its connection cancels the call
     assert server.counters()["vault.lost"] == 0
 
 
@@ -419,7 +422,7 @@
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
     late = router.call("order", b"1", opkey=KEY1, ts=stamp, timeout="1")
     assert router.answer(late)[0] is None
-    assert len(server.agent.launched) == 1
+    assert len(server.agent.launched_run_ids) == 1
 
 
 def test_reused_id_and_key_with_other_body_share_no_result(start):
@@ -429,20 +432,20 @@
     name = server.next_order("launch")["id"]
     assert "open" in bad.answer(bad.call("lookup", b"hold", req="a" * 16))[0][0]
     assert bad.answer(bad.call("order", b"other", opkey=KEY1))[0][0] == "Failed"
-    server.agent.end(name)
+    server.agent.finish_run(name)
     assert good.answer(held) == (None, [b"made of hold", {}])
     assert bad.answer(bad.call("order", b"other", opkey=KEY1))[0][0] == "Failed"
-    assert server.agent.launched == [name]
+    assert server.agent.launched_run_ids == [name]
     assert server.counters()["admit.mislabelled"] == 2
 
 
 def test_refused_launch_fails_at_once_and_releases_key(start):
     server = start()
-    server.agent.unknown = True
+    server.agent.refuses_launches = True
     router = server.router()
     for call in (router.call("lookup", b"1"), router.call("order", b"1", opkey=KEY1)):
         assert router.answer(call)[0][0] == "Failed"
-    server.agent.unknown = False
+    server.agent.refuses_launches = False
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
     seen = server.counters()
     assert (seen["send.refused"], seen["send.moot"], seen["agent.declined"]) == (2, 2, 2)
@@ -453,7 +456,7 @@
     server = start()
     good, bad = server.router(), server.router()
     assert good.answer(good.ping())[0] is None
-    bad.link.sendall(part)
+    bad.connection.sendall(part)
     with pytest.raises((EOFError, ConnectionResetError)):
         bad.message()
     assert good.answer(good.ping())[0] is None  # after a message a connection may be silent
@@ -476,7 +479,7 @@
     server = start()
     good, bad = server.router(), server.router()
     held = good.call("lookup", b"50")
-    bad.link.sendall(raw)
+    bad.connection.sendall(raw)
     with pytest.raises(EOFError):  # and no reset, which would drop earlier responses
         while True:
             assert bad.message()[2]  # an error: messages before the malformed data get a response
@@ -499,7 +502,7 @@
     server.next_order("subscribe")
     held = router.call("lookup", b"100")
     server.next_order("launch")
-    server.agent.say(raw)
+    server.agent.send_raw(raw)
     server.next_order("subscribe")
     assert router.answer(held)[0] is None
     assert server.counters()["agent.malformed"] == 1
@@ -508,13 +511,13 @@
 def test_malformed_replies_of_vault_and_catalog_affect_no_other_request(start):
     server = start()
     router = server.router()
-    server.vault.word, server.catalog.status = "silent", 500
+    server.vault.answer_word, server.catalog.status = "silent", 500
     waiting = router.call("order", b"1 call", opkey=KEY1)
-    server.vault.seen.get(timeout=TIMEOUT_S)
-    server.vault.say(b"what is this\r\n")
+    server.vault.received.get(timeout=TIMEOUT_S)
+    server.vault.send_raw(b"what is this\r\n")
     assert router.answer(waiting)[0][0] == "Failed"
     server.wait_for_line("catalog_report_failed")
-    server.vault.word, server.catalog.status = "yes", 204
+    server.vault.answer_word, server.catalog.status = "yes", 204
     assert router.answer(router.call("order", b"1 call", opkey=KEY2))[0] is None
     seen = server.counters()
     assert (seen["vault.malformed"], seen["relay.severed"]) == (1, 1)
@@ -534,15 +537,15 @@
     assert accepted_in_grace.answer(accepted_in_grace.call("lookup", b"1"))[0] is None
     assert accepted_in_grace.answer(accepted_in_grace.ping()) == (None, [False, {}])
     assert accepted_in_grace.message() == [2, "closing", []]
-    accepted_in_grace.link.close()
+    accepted_in_grace.connection.close()
     assert idle.message() == [2, "closing", []]
     assert router.message() == [2, "closing", []]
     with pytest.raises(ConnectionRefusedError):
         server.router()
-    idle.link.close()
-    server.agent.end(name)
+    idle.connection.close()
+    server.agent.finish_run(name)
     assert router.answer(held)[0] is None
-    router.link.close()
+    router.connection.close()
     seen = server.read_counters()
     assert server.process.wait(TIMEOUT_S) == 0
     assert seen["book.honoured"] == 2
@@ -561,7 +564,7 @@
         assert newcomer.answer(newcomer.ping())[0] is None
         with pytest.raises((EOFError, ConnectionResetError)):
             evicted.message()
-    server.agent.end(name)
+    server.agent.finish_run(name)
     assert busy.answer(held)[0] is None
     seen = server.counters()
     assert (seen["clients.connections_most"], seen["clients.made_room"]) == (3, 2)
@@ -573,14 +576,14 @@
     max_sockets = 64
     server = start(limits={"sockets": max_sockets}, catalog_up=catalog_down == "later")
     if catalog_down == "later":
-        server.catalog.seen.get(timeout=TIMEOUT_S)
+        server.catalog.received.get(timeout=TIMEOUT_S)
         server.catalog.stop()
     server.wait_for_line("catalog_report_failed")
     silent = [socket.create_connection(server.router_address(), TIMEOUT_S) for _ in range(3 * max_sockets)]
     held, names = [], os.listdir(f"/proc/{server.process.pid}/fd")
     assert len(names) <= max_sockets
     with server.agent.lock:
-        server.agent.drop()  # another link has to be opened
+        server.agent.close_connections()  # another link has to be opened
     server.next_order("subscribe")
     for number in range(8):  # a router with a request is accepted, and its call gets a connection
         router = server.router()
@@ -592,7 +595,7 @@
         )
         assert len(os.listdir(f"/proc/{server.process.pid}/fd")) <= max_sockets
     server.catalog.listen(server.catalog.host, server.catalog.port)
-    assert server.catalog.seen.get(timeout=TIMEOUT_S)[1] == {"status": "passing"}
+    assert server.catalog.received.get(timeout=TIMEOUT_S)[1] == {"status": "passing"}
     seen = server.counters()
     assert seen["clients.turned_away"] == 0
     assert seen["clients.made_room"] > 0
@@ -614,10 +617,10 @@
     except EOFError:
         assert server.counters()["clients.made_room"] > made_room_before
         sent_again = True
-        router.link.close()
+        router.connection.close()
         router = server.router()
         error, _ = router.answer(router.call("lookup", b"1", timeout="5000"))
-    router.link.close()
+    router.connection.close()
     assert error is None or error[0] == "Overloaded"
     return sent_again
 
@@ -661,7 +664,7 @@
     assert server.process.poll() is None
     seen = server.counters()
     assert sent_again <= seen["clients.made_room"]
-    orders = [server.agent.seen.get_nowait() for _ in range(server.agent.seen.qsize())]
+    orders = [server.agent.received.get_nowait() for _ in range(server.agent.received.qsize())]
     honest = [order for order in orders if order["op"] == "launch" and b64decode(order["body"]) == b"1"]
     assert len(honest) <= 5  # a request that crossed a close has not run
     assert seen["process.memory_kb_most"] < 64 << 10
@@ -700,7 +703,7 @@
     held = router.call("lookup", b"hold")
     name = server.next_order("launch")["id"]
     server.process.send_signal(signal.SIGSTOP)
-    server.agent.end(name)
+    server.agent.finish_run(name)
     after = router.call("lookup", b"1")
     server.process.send_signal(signal.SIGCONT)
     assert router.answer(held)[0] is None
@@ -734,9 +737,9 @@
     server.wait_for_line("now=draining")
     while server.next_order("subscribe")["seq"]:
         pass
-    server.agent.end(name)
+    server.agent.finish_run(name)
     assert router.answer(held)[0] is None
-    router.link.close()
+    router.connection.close()
     assert server.process.wait(TIMEOUT_S) == 0
 
 
@@ -793,7 +796,7 @@
     assert router.answer(router.ping()) == (None, [True, {}])
     assert router.answer(router.call("lookup", b"1"))[0][0] == "Overloaded"
     server.next_order("subscribe")
-    server.agent.greet()
+    server.agent.send_greeting()
     server.wait_for_line("now=serving")
     assert router.answer(router.call("lookup", b"1"))[0] is None
 
