--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -246,7 +246,9 @@
     pipeline, timestamp, timeout, arrived_at, deadline
 ):
     now = pipeline.clock.now
-    decoder = RequestDecoder(pipeline.clock, pipeline.counters, pipeline.log, site().settings, ["lookup"], [])
+    decoder = RequestDecoder(
+        pipeline.clock, pipeline.counters, pipeline.log, server_config().settings, ["lookup"], []
+    )
     decoder.is_id_in_use = lambda name: False
     decoded = DecodedRequest("a" * 16, "lookup", b"", now + timestamp, timeout, 1, "", 100, False, "")
     context = decoder.build_context(RecordingPeer(), 7, decoded)
@@ -458,7 +460,7 @@
         lambda notice: None,
         pipeline.response_recorder.handle_fault,
     )
-    pipeline.admission_stage.start(site().settings, pipeline.clock.now)
+    pipeline.admission_stage.start(server_config().settings, pipeline.clock.now)
     for context in contexts:
         pipeline.admission_stage.submit(context)
     pipeline.admission_stage.process_pending()
@@ -466,17 +468,15 @@
     assert pipeline.agent.calls == [("launch", "b")]
 
 
-def site():
+def server_config():
     here = ("127.0.0.1", 1)
-    deployment = AdmissionSettings([IDEMPOTENT], cores=2)
-    return ServerConfig(
-        "t", here, here, here, None, 3 * SECOND, 64, 192 << 20, deployment, ["lookup"], [], []
-    )
+    settings = AdmissionSettings([IDEMPOTENT], cores=2)
+    return ServerConfig("t", here, here, here, None, 3 * SECOND, 64, 192 << 20, settings, ["lookup"], [], [])
 
 
 @pytest.mark.parametrize("phase", Phase)
 def test_program_rejects_phase_changes_that_are_not_listed(phase):
-    program = Program(site())
+    program = Program(server_config())
     for target in Phase:
         program.phase = phase
         if target in PHASE_TRANSITIONS[phase]:
@@ -495,7 +495,7 @@
 
 
 def test_before_agent_greeting_rejects_requests_and_passes_health_checks():
-    program, pipeline = Program(site()), Pipeline()
+    program, pipeline = Program(server_config()), Pipeline()
     context = pipeline.make_context()
     program.admission_stage.submit(context)
     program.finish_pass()
@@ -507,7 +507,7 @@
 @pytest.mark.parametrize(("cold", "counted"), [(True, 20 * SECOND), (False, 0)])
 def test_age_of_agent_counts_only_for_warm_up(cold, counted):
     """Guards against a quota that applies to a warm agent before its quota windows were filled once."""
-    program = Program(site())
+    program = Program(server_config())
     program.on_agent_greeting(cold, program.scheduler.now - 20 * SECOND)
     controller = program.admission_stage.driver.controller
     assert (program.phase, controller.settings.starts_cold) == (Phase.SERVING, cold)
