--- a/birchslip/net/bounds.py
+++ b/birchslip/net/bounds.py
@@ -39,7 +39,10 @@
 
 
 def compute_bounds(memory_limit: int, own_memory: int, descriptors: int) -> Bounds:
-    """Divides the limits.
+    """Divides the limits of memory and descriptors among connections, calls and unsent bytes.
+
+    Of the available memory, three eighths are for connections with their unread bytes, at most a quarter is
+    for calls, and an eighth each is for unsent bytes to routers and to the agent.
 
     Args:
         memory_limit: Limit of the process's memory, in bytes.
--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -42,7 +42,7 @@
 MAX_BODY_BYTES = 2048
 MAX_FIELD_CHARS = 256  # tenant names may be long
 MAX_NEED_KB = 2000  # memory that a request reserves; exclusive
-MAX_TIMEOUT_MS = 3_600_000  # one hour; also used where a request names no timeout
+MAX_TIMEOUT_MS = 3_600_000  # no caller waits for an hour; also used where a request names no timeout
 MAX_OPEN_REQUESTS = 32  # per connection
 MAX_UNSENT_BYTES = MAX_OPEN_REQUESTS * 5_120  # a response of the largest size for each open request
 LISTEN_BACKLOG = 1024
@@ -167,7 +167,7 @@
 
     Attributes:
         open_requests: Requests without a response, by message id.
-        highest_message_id: Ids of requests increase on a connection.
+        highest_message_id: The highest id received; ids of requests must increase on a connection.
         closing_sent: Whether the router was notified that this connection closes.
     """
 
@@ -296,7 +296,8 @@
 
     Attributes:
         max_connections: Limit of `active`.
-        max_lingering: Limit of `lingering`, beyond free places in `active`.
+        max_lingering: Limit of `lingering` when `active` is full. `active` and `lingering` together are
+            limited to `max_connections + max_lingering`.
         active: Open connections that are not being closed.
         idle: Those without an open request, the least recently used first.
         awaiting_message: Those of which a complete message is due, and since when.
@@ -305,7 +306,8 @@
         listener_closes_at: When draining, the time from which the listener closes once its queue is empty.
         healthy: The result of health checks.
         health_details: Returns details for the response to a health check.
-        idle_timeout: Age at which idle connections are notified that they close; 0 is never.
+        idle_timeout: Time without activity after which idle connections are notified that they close; 0 is
+            never.
         on_request: Called with the connection, the message id and a function that decodes the request.
         on_disconnected: Called for each open request of a connection that has ended, and of an abort.
         on_abandoned: Called for each open request of a connection that this side closes.
@@ -347,10 +349,14 @@
         return host, port
 
     def accept(self) -> None:
-        """Accepts connections until the listener closes; runs as a task."""
+        """Accepts connections until the listener closes; runs as a task.
+
+        Without room for a connection, without a descriptor, and while draining, it retries every 20 ms.
+        """
         while self.listener is not None:
             if not self.has_room():
-                # New connections wait in the system's accept queue until one here ends.
+                # New connections wait in the system's accept queue until one here ends. Meanwhile the poller
+                # must not report the listener as readable in each pass.
                 self.scheduler.unregister(self.listener.fileno())
                 self.scheduler.sleep(self.scheduler.now + ACCEPT_RETRY_DELAY)
                 continue
@@ -390,7 +396,7 @@
         return True
 
     def close_listener(self) -> None:
-        """Closes the listener, if it is open."""
+        """Closes the listener, if it is open, which ends the `accept` task."""
         if self.listener is not None:
             self.scheduler.unregister(self.listener.fileno())
             self.listener.close()
--- a/birchslip/net/idempotency_table.py
+++ b/birchslip/net/idempotency_table.py
@@ -13,7 +13,8 @@
 from ..admission.types import MS, Outcome
 from .request_context import IdempotencyEntry, RequestContext, RunResult
 
-RETENTION_SLACK = 50 * MS  # on sockets, the protocol's time limits are this much longer
+# Added to each retention: on sockets, the protocol's time limits are this much longer.
+RETENTION_SLACK = 50 * MS
 
 
 class IdempotencyTable:
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -43,7 +43,7 @@
 
 GAUGES_LEAD = 50  # gauges are requested 5 ms before the tick that reads them
 CLOSE_LEAD = 800  # open requests get a response 80 ms before the process would be killed
-EXIT_LEAD = 250  # connections are closed 25 ms before that, even if a router has not read everything
+EXIT_LEAD = 250  # connections are closed 25 ms before the kill, even if a router has not read everything
 MAX_CLOSING_TIME = 10_000  # 1 s for routers to close their side, if the deadline allows
 SHUT_LEAD = 3_000  # routers are notified at least 300 ms before the deadline, even within the drain grace
 TASK_RESTART_DELAY = 1_000  # 100 ms between a task's exception and its restart
@@ -106,7 +106,7 @@
 
 
 class DurableResultStore(ResultKeeper, Protocol):
-    """The store of results of keyed requests that outlives the process; optional, by a settings file."""
+    """The store of results of keyed requests that outlives the process; only used if a file configures it."""
 
     def set_resolution_listener(self, listener: Callable[[IdempotencyEntry, RunResult], None]) -> None:
         """Sets the function called when the result of an earlier incarnation's run is known."""
@@ -175,7 +175,7 @@
         self.catalog = Catalog(scheduler, counters, log, config.catalog, config.name, self.is_passing)
         # stages
         self.idempotency_table = IdempotencyTable(
-            max(profile.deadline for profile in config.settings.request_classes)
+            max(request_class.deadline for request_class in config.settings.request_classes)
         )
         self.request_decoder = RequestDecoder(
             scheduler, counters, log, config.settings, config.class_names, config.tenant_names
@@ -291,7 +291,8 @@
         try:
             self.scheduler.run()
         finally:
-            for number in SIGNALS:  # the default actions would end this process with an exit code above 0
+            # The process exits already: the default action of a further signal would change its exit code.
+            for number in SIGNALS:
                 signal.signal(number, signal.SIG_IGN)
             if self.result_store is not None:
                 self.result_store.close()
@@ -315,8 +316,10 @@
     def on_agent_greeting(self, is_cold: bool, started_at: int) -> None:
         """Starts admission control, with empty state, on the agent's first greeting.
 
-        Only a cold agent's start time is used, for its slow start. With that of a warm one, quotas would bind
-        before their windows had been filled once.
+        Args:
+            is_cold: Whether the agent was cold when it started.
+            started_at: When the agent started. It is used for the slow start of a cold agent only: with the
+                start time of a warm agent, quotas would bind before their windows had been filled once.
         """
         if self.phase is Phase.STARTING:
             self.enter_phase(Phase.SERVING)
@@ -360,8 +363,8 @@
     def begin_close(self) -> None:
         """Sends a response to each open request and closes the connections gracefully.
 
-        No request runs afterwards. Called once no connection is left, and at the latest `CLOSE_LEAD` before
-        the deadline.
+        No request runs afterwards. Called once a drain has no connection left, at the latest `CLOSE_LEAD`
+        before the deadline, and at once on a second stop request or if the agent has not greeted yet.
         """
         if self.phase in (Phase.STARTING, Phase.DRAINING, Phase.SHUT):
             self.enter_phase(Phase.CLOSING)
@@ -496,7 +499,7 @@
         return request_id in self.response_recorder.open_request_ids or request_id in self.agent.runs
 
     def on_disconnected(self, context: RequestContext) -> None:
-        """Handles the loss of a request's caller."""
+        """Cancels the call of a request whose caller is gone, and closes it without a response."""
         self.downstream_caller.cancel_call(context)
         self.response_recorder.on_caller_gone(context)
 
@@ -508,6 +511,6 @@
         self.response_recorder.abandon(context)
 
     def on_task_error(self, name: str, error: Exception) -> None:
-        """Counts and logs an exception that a task or a timer raised."""
+        """Counts and logs an exception that a task or a timer raised; it ends only that task or timer."""
         self.counters.count("program.faults")
         self.log.trace("unhandled_exception", error, task=name)
--- a/birchslip/net/request_context.py
+++ b/birchslip/net/request_context.py
@@ -45,10 +45,10 @@
     Attributes:
         request_id: The id that all peers use for this request.
         class_name: The name of its request class.
-        body: What its run is given.
+        body: The body of the request, passed to its run.
         router_timestamp: When the router received it, by the router's clock.
         timeout: How long its caller waits, from `router_timestamp` on.
-        caller: The number of its caller.
+        caller: The number by which the router identifies its caller.
         tenant: The name of its tenant, or "".
         size: The memory that it needs, in bytes.
         is_retry: Whether the router sent it before.
@@ -78,7 +78,7 @@
         message_id: The id of its message on that connection.
         request_id: The id that all peers use for it.
         class_name: The name of its request class.
-        body: What its run is given.
+        body: The body of the request, passed to its run.
         request: The part that the admission decisions see.
         received_at: When the router received it, capped at the present time of this server's clock.
         idempotency_key: Its idempotency key, or "".
@@ -116,10 +116,10 @@
 
     @property
     def retention_start(self) -> int:
-        """When the retention of its key begins.
+        """When the retention of its idempotency key begins.
 
-        The later of the two clocks is used, which keeps the key longer: an early end of the retention would
-        allow a second run.
+        This is the later of the times by the router's clock and by this server's clock, which keeps the key
+        longer: an early end of the retention would allow a second run.
         """
         return max(self.received_at, self.router_timestamp)
 
--- a/birchslip/net/stages/__init__.py
+++ b/birchslip/net/stages/__init__.py
@@ -2,4 +2,5 @@
 
 Each stage counts its events under a prefix that operators know: `take_in.*` (request decoder), `admit.*`
 (admission stage), `send.*` (run dispatcher), `relay.*` (downstream caller) and `book.*` (response recorder).
+All times and spans are whole numbers of tenths of a millisecond.
 """
--- a/birchslip/net/stages/admission_stage.py
+++ b/birchslip/net/stages/admission_stage.py
@@ -30,10 +30,12 @@
         driver: The admission driver; None until `start`.
         pending_events: What the next batch processes; a request without an event is a new one.
         gauges: The gauges of a tick that the next batch processes.
-        rejects_new_requests: Whether requests that repeat no earlier one are answered as not ready.
+        rejects_new_requests: Whether only repeats of earlier requests are admitted, which holds once the
+            drain grace is over.
         perform: Performs an action for one request.
         announce: Performs an action for the app server as a whole.
-        on_not_ready: Called with each request that arrives while none may start.
+        on_not_ready: Called with each request that arrives before `start`, and with each new one while
+            `rejects_new_requests` is set.
         on_key_mismatch: Called with a request whose idempotency key was used with another class or body.
         on_fault: Called with a request and the exception that its processing raised.
     """
@@ -52,7 +54,7 @@
         self.on_fault: Callable[[RequestContext, Exception], None]
 
     def start(self, settings: AdmissionSettings, started_at: int) -> None:
-        """Start admitting requests, with quota windows and the warm-up counted from `started_at`."""
+        """Start admitting requests, with quota windows and the slow start counted from `started_at`."""
         self.driver = AdmissionDriver(settings, started_at, self.perform, self.announce, self.handle_fault)
 
     def submit(self, context: RequestContext) -> None:
@@ -76,11 +78,12 @@
     def process_pending(self) -> None:
         """Process one batch: pending requests and events, a tick if one is due, then waiting requests.
 
-        Events that this batch causes are left for the next one.
+        Events that this batch causes are left for the next one. Before `start`, each request is passed to
+        `on_not_ready` instead.
         """
         if self.driver is None:
-            # Also rejects repeats of keys of an earlier incarnation: this one has run nothing, so a retry is
-            # safe.
+            # Repeats of a key that an earlier incarnation ran are rejected too: this incarnation has run
+            # nothing, so a retry is safe.
             while self.pending_events:
                 self.on_not_ready(self.pending_events.popleft()[0])
             return
@@ -99,7 +102,11 @@
             self.scheduler.request_pass()
 
     def process(self, driver: AdmissionDriver, context: RequestContext, event: Event | None) -> None:
-        """Pass one event, or one new request, to the driver."""
+        """Pass one event to the driver, or one request if there is no event.
+
+        A request does not reach the driver if it was answered while it was queued, if it is new while
+        `rejects_new_requests` is set, or if its idempotency key was used with another class or body.
+        """
         request = context.request
         if event is not None:
             driver.deliver(request, event)
@@ -121,7 +128,10 @@
         driver.admit(request)
 
     def look_up_entry(self, context: RequestContext) -> None:
-        """Set the entry of a request's key, of this incarnation or an earlier one, if there is one."""
+        """Set `context.entry` to the entry of its idempotency key, if there is one.
+
+        The entries of this incarnation are searched first, then the stored runs of earlier incarnations.
+        """
         if context.idempotency_key and context.entry is None:
             entry = self.idempotency_table.find(context.idempotency_key, context.received_at)
             context.entry = entry or self.idempotency_table.find_earlier(context)
--- a/birchslip/net/stages/downstream_caller.py
+++ b/birchslip/net/stages/downstream_caller.py
@@ -37,14 +37,20 @@
         self.guarded_on_timeout: Callable[[RequestContext], None] = self.on_timeout
 
     def on_call_needed(self, context: RequestContext, notice_number: int, body: bytes) -> None:
-        """Queue a call that the agent's notice requested for a run."""
+        """Notify the decisions of a call that the agent's notice requested for a run."""
         self.counters.count("relay.wanted")
         self.cancel_call(context)  # the run no longer waits for a call that is still in progress
         context.call_notice_number, context.call_body = notice_number, body
         self.admission_stage.add_event(context, CallNeeded())
 
     def start_call(self, context: RequestContext, timeout: int) -> None:
-        """Start the call of a run, with a timeout."""
+        """Send the call that a run requested to the vault, and start its timeout.
+
+        Args:
+            context: The request; `call_body` is sent.
+            timeout: Tenths of a millisecond until the call is cancelled. The vault gets it in whole
+                milliseconds, at least 1.
+        """
         self.counters.count("relay.called")
         now = self.scheduler.now
         context.call_started_at = now
@@ -72,7 +78,7 @@
         )
 
     def cancel_call(self, context: RequestContext) -> None:
-        """Cancel the call that is in progress, if any: its request or its run is over."""
+        """Cancel the call that is in progress, if any, because its run no longer waits for it."""
         if context.call_timer is not None:
             self.counters.count("relay.dropped")
             self.stop_timer(context)
--- a/birchslip/net/stages/request_decoder.py
+++ b/birchslip/net/stages/request_decoder.py
@@ -15,7 +15,8 @@
 from ..request_context import DecodedRequest, RequestContext
 from ..scheduler import Scheduler
 
-MAX_CLOCK_SKEW = 60 * SECOND  # the router runs on the same machine, so on the same clock
+# The router runs on the same machine, so on the same clock: a larger difference is an invalid timestamp.
+MAX_CLOCK_SKEW = 60 * SECOND
 
 
 class RequestDecoder:
@@ -43,7 +44,7 @@
         Args:
             scheduler: Gives the present time.
             counters: Where requests are counted.
-            log: Where malformed requests are logged.
+            log: Where malformed requests and exceptions are logged.
             settings: The request classes and tenants.
             class_names: The names of the request classes, in the order of the settings.
             tenant_names: The names of the tenants, in the order of the settings.
@@ -56,7 +57,9 @@
         self.register: Callable[[RequestContext], None]
 
     def __call__(self, channel: Client, message_id: int, decode: Callable[[], DecodedRequest]) -> None:
-        """Decode, register and submit one request; a malformed one is answered with an error.
+        """Decode, register and submit one request.
+
+        A malformed request, or one whose decoding raises any other exception, is answered with an error.
 
         Args:
             channel: The connection that it arrived on.
@@ -99,7 +102,7 @@
             raise InvalidInputError("the id of one that is open")
         # The time of receipt is never in the future. For the decisions it is also never longer ago than the
         # deadline of the class, or a single wrong timestamp would look like a backlog. Repeats of a key are
-        # found by the uncapped time, however late they are processed.
+        # found by `received_at`, which has no such lower bound, however late they are processed.
         now = self.scheduler.now
         if abs(decoded.router_timestamp - now) > MAX_CLOCK_SKEW:
             raise InvalidInputError("it came at a time that can't be")
--- a/birchslip/net/stages/response_recorder.py
+++ b/birchslip/net/stages/response_recorder.py
@@ -20,7 +20,8 @@
 
     Attributes:
         open_request_ids: The ids of the requests that are not answered yet.
-        on_answered: Called with each answered request and its outcome, if set.
+        on_answered: Called with each request that is closed and its outcome; None unless the app server
+            belongs to a fleet.
     """
 
     def __init__(
@@ -30,7 +31,7 @@
         idempotency_table: IdempotencyTable,
         admission_stage: AdmissionStage,
     ) -> None:
-        """Begin without open requests."""
+        """Begin without open requests and without an `on_answered` callback."""
         self.counters, self.log, self.idempotency_table, self.admission_stage = (
             counters,
             log,
@@ -81,6 +82,11 @@
         """Answer that the request was rejected, which states that it never ran.
 
         A request that was launched is answered with an error instead.
+
+        Args:
+            context: The request.
+            retry_after: The advised delay before a retry, in tenths of a millisecond; 0 gives no advice.
+            stop_retrying: Whether the caller is asked not to retry on another app server.
         """
         if context.is_launched:
             self.log.fault("rejection_after_launch_prevented", id=context.request_id)
@@ -89,7 +95,10 @@
             context.channel.send_rejection(context.message_id, retry_after, stop_retrying)
 
     def on_caller_gone(self, context: RequestContext) -> None:
-        """Close a request whose caller waits no longer, or whose connection has ended."""
+        """Close a request without an answer, and report to the decisions that its caller is gone.
+
+        The caller waits no longer, or its connection has ended. Nothing happens if the request is closed.
+        """
         if self.close(context, "gone"):
             self.admission_stage.add_event(context, CallerGone())
 
@@ -129,7 +138,10 @@
         self.admission_stage.add_event(context, RunEnded(outcome))
 
     def resolve_entry(self, entry: IdempotencyEntry, run_result: RunResult) -> None:
-        """Set the result of a run of an earlier incarnation, and answer the repeats that wait for it."""
+        """Set the result of a run of an earlier incarnation, and answer the repeats that wait for it.
+
+        A repeat with another content than the request that ran gets an error.
+        """
         entry.result = run_result
         waiters, entry.waiters = entry.waiters, []
         for repeat in waiters:
@@ -159,7 +171,10 @@
         return run
 
     def handle_fault(self, context: RequestContext, error: Exception) -> None:
-        """Answer a request with an error because one of its stages raised an exception."""
+        """Answer a request with an error because one of its stages raised an exception.
+
+        No other request is affected.
+        """
         self.counters.count("book.faults")
         self.log.trace("request_stage_failed", error, id=context.request_id)
         self.send_error(context)
--- a/birchslip/net/stages/run_dispatcher.py
+++ b/birchslip/net/stages/run_dispatcher.py
@@ -122,7 +122,7 @@
             context: The request whose run ended.
             outcome: How the run ended.
             body: The response body that it produced.
-            elapsed: The time since its start.
+            elapsed: How long it ran, in tenths of a millisecond.
         """
         self.counters.count(f"send.{outcome.value}")
         self.downstream_caller.cancel_call(context)
