--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -89,11 +89,11 @@
         ...
 
     def record_arrival(self, context: RequestContext) -> None:
-        """Counts a request that was accepted."""
+        """Counts a request that was decoded and passed to admission control."""
         ...
 
     def record_answer(self, context: RequestContext, outcome: str) -> None:
-        """Counts a request that got its response."""
+        """Counts a request that got its response or lost its caller."""
         ...
 
     def apply_lease(self) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -252,7 +252,8 @@
         server.agent.out = None
         server.agent.end(name)
         server.agent.note(op="aside", end="news of no meaning")
-        server.agent.notices[0] = server.agent.notices[1]  # the agent no longer has the notice
+        # The agent no longer has the notice, as after too many later ones.
+        server.agent.notices[0] = server.agent.notices[1]
     assert router.answer(labelled)[0][0] == "Failed"
     assert router.answer(router.call("order", b"hold", opkey=KEY1, resent="1"))[0][0] == "Failed"
     assert server.agent.launched == [name]
@@ -530,7 +531,8 @@
     name = server.next_order("launch")["id"]
     server.process.send_signal(number)
     server.wait_for_line("now=draining")
-    accepted_in_grace = server.router()  # within the drain grace requests are still accepted
+    # Routers learn late of the drain: within the drain grace requests are still accepted.
+    accepted_in_grace = server.router()
     assert accepted_in_grace.answer(accepted_in_grace.call("lookup", b"1"))[0] is None
     assert accepted_in_grace.answer(accepted_in_grace.ping()) == (None, [False, {}])
     assert accepted_in_grace.message() == [2, "closing", []]
