--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -515,9 +515,9 @@
         """Closes one connection to make room for another.
 
         Silent connections must not keep routers out, and no request that has arrived unread may be lost.
-        Candidates are connections without a message that are older than `SILENT_EVICTION_AGE`, then idle ones,
-        the least recently used first, then younger ones without a message. Each is read before it is closed,
-        and stays if anything had arrived. If all stay, the first without an open request is closed.
+        Candidates are connections without a message that are older than `SILENT_EVICTION_AGE`, then idle
+        ones, the least recently used first, then younger ones without a message. Each is read before it is
+        closed, and stays if anything had arrived. If all stay, the first without an open request is closed.
         """
         silent = (
             client
