--- a/tests/desk.py
+++ b/tests/decision_harness.py
@@ -22,69 +22,69 @@
 SERVED = RunEnded(Outcome.SERVED)
 
 
-def profile(kind=Idempotency.IDEMPOTENT, latency_objective=1000, deadline=4000, **more):
-    return RequestClass(kind, latency_objective * MS, deadline * MS, **more)
+def make_request_class(kind=Idempotency.IDEMPOTENT, latency_objective=1000, deadline=4000, **fields):
+    return RequestClass(kind, latency_objective * MS, deadline * MS, **fields)
 
 
-class Desk:
+class DecisionHarness:
     """Times are given in milliseconds."""
 
-    def __init__(self, *profiles, **site):
-        self.profiles = profiles or (profile(),)
+    def __init__(self, *request_classes, **settings):
+        self.request_classes = request_classes or (make_request_class(),)
         self.actions, self.announcements, self.now = [], [], 0
-        site = {"cores": 2, "fleet_size": 1, **site}
+        settings = {"cores": 2, "fleet_size": 1, **settings}
         self.driver = AdmissionDriver(
-            AdmissionSettings(list(self.profiles), **site),
+            AdmissionSettings(list(self.request_classes), **settings),
             0,
             lambda request, action: self.actions.append((request, action)),
             self.announcements.append,
         )
         self.controller = self.driver.controller
 
-    def at(self, ms, *news, cpu=None, leave=None):
+    def process_at(self, ms, *events, cpu=None, drain_end=None):
         """One batch: requests read, (request, event) pairs, then perhaps a notice or a tick."""
         self.now = ms * MS
         self.driver.advance_clock(self.now)
-        for item in news:
+        for item in events:
             if isinstance(item, Request):
                 self.driver.admit(item)
             else:
                 self.driver.deliver(*item)
-        if leave is not None:
-            self.driver.drain(leave * MS)
+        if drain_end is not None:
+            self.driver.drain(drain_end * MS)
         if cpu is not None:
             self.driver.tick(Gauges(cpu))
         self.driver.settle()
         return self
 
-    def read(self, ms, which=0, caller=0, wait=None, size=1000, **more):
+    def make_request(self, ms, class_index=0, caller=0, caller_timeout=None, size=1000, **fields):
         """A request that reached the machine at `ms`; `wait` is how long its caller waits."""
-        kind = self.profiles[which]
-        due = ms * MS + (kind.deadline if wait is None else wait * MS)
-        return Request(kind, caller, ms * MS, due, size, **more)
+        request_class = self.request_classes[class_index]
+        deadline = ms * MS + (request_class.deadline if caller_timeout is None else caller_timeout * MS)
+        return Request(request_class, caller, ms * MS, deadline, size, **fields)
 
     def action_names(self, request):
         """The names of the actions for this request, waits left out."""
         return [
             type(action).__name__
-            for who, action in self.actions
-            if who is request and type(action).__name__ != "Wait"
+            for target, action in self.actions
+            if target is request and type(action).__name__ != "Wait"
         ]
 
-    def warm(self, took=300, until=12_000, which=0, cpu=0.5):
+    def warm_up(self, run_time=300, until=12_000, class_index=0, cpu=0.5):
         """Runs of `took` ms one after the other until `until`, so that the usual time is known."""
         ms = 0
-        while ms + took < until:
-            request = self.read(ms, which)
-            self.at(ms, request, cpu=cpu).at(ms + took, (request, SERVED), cpu=cpu)
-            ms += took
+        while ms + run_time < until:
+            request = self.make_request(ms, class_index)
+            self.process_at(ms, request, cpu=cpu).process_at(ms + run_time, (request, SERVED), cpu=cpu)
+            ms += run_time
         return self
 
 
-def command(*words, **environment):
+def run_command(*arguments, **environment):
     """Exit code, output and complaints of `python -m birchslip` with these words."""
     done = subprocess.run(
-        [sys.executable, "-m", "birchslip", *words],
+        [sys.executable, "-m", "birchslip", *arguments],
         cwd=ROOT,
         env=os.environ | environment,
         capture_output=True,
--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -15,7 +15,7 @@
 from birchslip.net.stages.downstream_caller import DownstreamCaller
 from birchslip.net.vault import Vault
 
-from .desk import profile
+from .decision_harness import make_request_class
 from .hall import Clocked, arrived
 
 TICK_MS = 50
@@ -62,7 +62,9 @@
 
     def launch(self, name):
         now = self.scheduler.now
-        context = RequestContext(None, 1, name, "lookup", b"", Request(profile(), 0, now, now + 9999, 1), now)
+        context = RequestContext(
+            None, 1, name, "lookup", b"", Request(make_request_class(), 0, now, now + 9999, 1), now
+        )
         self.agent.launch(context)
         self.passes()
         return context
--- a/tests/test_decision_modules.py
+++ b/tests/test_decision_modules.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from .desk import ROOT
+from .decision_harness import ROOT
 
 ADMISSION = ROOT / "birchslip" / "admission"
 PURE_LIBRARY = {"__future__", "bisect", "collections", "dataclasses", "enum", "heapq", "math", "typing"}
--- a/tests/test_expect_check.py
+++ b/tests/test_expect_check.py
@@ -19,7 +19,7 @@
 from birchslip.lab.model.layout import layout_schema
 
 from .broken import BROKEN
-from .desk import command
+from .decision_harness import run_command
 from .expectation_harness import EXAMPLES, EXPECTATIONS, ROOT, sources, statements
 
 SETTINGS_OPTIONS = [
@@ -108,14 +108,14 @@
 def test_failure_is_reported_with_history_and_responsible_setting(tmp_path):
     path = tmp_path / "a.expect"
     path.write_text("expect small: site south outstanding <= 5 while site north is lost\n")
-    code, output, _ = command("expect", "explain", "small", str(path), *SETTINGS_OPTIONS)
+    code, output, _ = run_command("expect", "explain", "small", str(path), *SETTINGS_OPTIONS)
     assert code == 1
     assert "a history that breaks it" in output
     assert "lose north" in output
     assert "the setting that bears most of it: fleet-server.json" in output
     assert "a.expect:1:1" in output
     json_report, junit_report = tmp_path / "r.json", tmp_path / "r.xml"
-    code, _, _ = command(
+    code, _, _ = run_command(
         "expect",
         "check",
         str(path),
@@ -141,7 +141,7 @@
     ],
 )
 def test_commands_print_result_and_exit_code_without_traceback(words, code, text):
-    got, out, error = command("expect", *words, *SETTINGS_OPTIONS)
+    got, out, error = run_command("expect", *words, *SETTINGS_OPTIONS)
     assert got == code
     assert text in out + error
     assert "Traceback" not in error
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -9,7 +9,7 @@
 from birchslip.cluster.release_file import read_release, release_schema
 from birchslip.errors import InvalidInputError
 
-from .desk import command
+from .decision_harness import run_command
 from .fleetdesk import fleet_document
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -182,7 +182,7 @@
     ],
 )
 def test_commands_exit_with_their_code_and_a_message_without_traceback(arguments, code, expected):
-    result = command(*arguments)
+    result = run_command(*arguments)
     assert result[0] == code
     assert expected in result[1] + result[2]
     assert "Traceback" not in result[2]
@@ -191,11 +191,11 @@
 def test_an_app_server_with_an_invalid_fleet_file_does_not_start(tmp_path):
     config = str(ROOT / "examples" / "app-server.json")
     path = write_fleet_file(tmp_path, fleet_document(colour="red"))
-    code, _, output = command(PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(path))
+    code, _, output = run_command(PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(path))
     assert code == 2
     assert "unknown field `colour`" in output
     assert "Traceback" not in output
-    code, _, output = command(
+    code, _, output = run_command(
         PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(write_fleet_file(tmp_path, fleet_document()))
     )
     assert code == 2
--- a/tests/test_idempotency_processes.py
+++ b/tests/test_idempotency_processes.py
@@ -24,7 +24,7 @@
 from birchslip.idempotency.segment_header import SEGMENT_HEADER
 from birchslip.idempotency.settings_file import store_settings_schema
 
-from .desk import command
+from .decision_harness import run_command
 
 pytestmark = pytest.mark.xdist_group("processes")
 ROOT = Path(__file__).resolve().parent.parent
@@ -121,7 +121,7 @@
     offset = SEGMENT_HEADER.size
     damaged = DamagedRecord(path.name, offset, RecordState.CORRUPT, len(raw) - offset)
     assert verify_store(tmp_path).damaged_records == [damaged]
-    assert command("keep", "verify", str(tmp_path))[0] == 1
+    assert run_command("keep", "verify", str(tmp_path))[0] == 1
     compaction = compact_store(tmp_path, NOW)
     assert compaction.keys == 3
     assert compaction.bytes_after < compaction.bytes_before
@@ -173,7 +173,7 @@
     path = tmp_path / "keep.json"
     path.write_text(settings)
     config = str(ROOT / "examples" / "app-server.json")
-    code, _, error_output = command(PROXY_CONFIG=config, BIRCHSLIP_KEEP=str(path))
+    code, _, error_output = run_command(PROXY_CONFIG=config, BIRCHSLIP_KEEP=str(path))
     assert code == 2
     assert message in error_output
     assert "Traceback" not in error_output
@@ -200,12 +200,12 @@
     try:
         while "listening" not in first.stderr.readline():
             assert first.poll() is None
-        code, _, error_output = command(**environment)
+        code, _, error_output = run_command(**environment)
         assert code == 2
         assert "another program has the store" in error_output
         assert "Traceback" not in error_output
-        assert command("keep", "show", str(tmp_path / "kept"))[0] == 0
-        assert command("keep", "compact", str(tmp_path / "kept"))[0] == 2
+        assert run_command("keep", "show", str(tmp_path / "kept"))[0] == 0
+        assert run_command("keep", "compact", str(tmp_path / "kept"))[0] == 2
     finally:
         first.send_signal(signal.SIGTERM)
         first.wait(TIMEOUT_S)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -39,7 +39,7 @@
 from birchslip.net.stages.run_dispatcher import RunDispatcher
 from birchslip.net.vault import CALL_OUTCOMES
 
-from .desk import profile
+from .decision_harness import make_request_class as profile
 
 KEYED = profile(Idempotency.KEYED, key_retention=5 * SECOND)
 IDEMPOTENT = profile()
