--- a/tests/decision_harness.py
+++ b/tests/decision_harness.py
@@ -1,4 +1,4 @@
-"""One app server without a wire: events are delivered by hand and actions are kept; a command line."""
+"""A harness that drives the admission decisions of one app server without sockets, and a command runner."""
 
 import os
 import subprocess
@@ -23,13 +23,22 @@
 
 
 def make_request_class(kind=Idempotency.IDEMPOTENT, latency_objective=1000, deadline=4000, **fields):
+    """Build a request class; `latency_objective` and `deadline` are in milliseconds."""
     return RequestClass(kind, latency_objective * MS, deadline * MS, **fields)
 
 
 class DecisionHarness:
-    """Times are given in milliseconds."""
+    """Delivers events to an `AdmissionDriver` and records the actions that it returns.
+
+    Arguments of the methods are in milliseconds; `now` is in tenths of a millisecond, as in the library.
+
+    Attributes:
+        actions: Pairs of a request and an action on it, in the order of the decisions.
+        announcements: Actions that concern no single request.
+    """
 
     def __init__(self, *request_classes, **settings):
+        """Create a driver at time 0; `settings` are fields of `AdmissionSettings`."""
         self.request_classes = request_classes or (make_request_class(),)
         self.actions, self.announcements, self.now = [], [], 0
         settings = {"cores": 2, "fleet_size": 1, **settings}
@@ -42,7 +51,14 @@
         self.controller = self.driver.controller
 
     def process_at(self, ms, *events, cpu=None, drain_end=None):
-        """One batch: requests read, (request, event) pairs, then perhaps a notice or a tick."""
+        """Advance the clock to `ms` and process one batch of events.
+
+        Args:
+            ms: Time of the batch.
+            *events: Requests to admit, or pairs of a request and an event of it.
+            cpu: Core utilization from 0 to 1 for a tick after the events; no tick if None.
+            drain_end: Time at which a drain that starts after the events ends; no drain if None.
+        """
         self.now = ms * MS
         self.driver.advance_clock(self.now)
         for item in events:
@@ -58,13 +74,16 @@
         return self
 
     def make_request(self, ms, class_index=0, caller=0, caller_timeout=None, size=1000, **fields):
-        """A request that reached the machine at `ms`; `wait` is how long its caller waits."""
+        """Build a request that arrives at `ms`, without admitting it.
+
+        Its deadline is `caller_timeout` after `ms`, or that of its request class if the argument is None.
+        """
         request_class = self.request_classes[class_index]
         deadline = ms * MS + (request_class.deadline if caller_timeout is None else caller_timeout * MS)
         return Request(request_class, caller, ms * MS, deadline, size, **fields)
 
     def action_names(self, request):
-        """The names of the actions for this request, waits left out."""
+        """Return the names of the actions on this request, without waits."""
         return [
             type(action).__name__
             for target, action in self.actions
@@ -72,7 +91,7 @@
         ]
 
     def warm_up(self, run_time=300, until=12_000, class_index=0, cpu=0.5):
-        """Runs of `took` ms one after the other until `until`, so that the usual time is known."""
+        """Serve requests one after another until `until`, so that the driver knows the usual run time."""
         ms = 0
         while ms + run_time < until:
             request = self.make_request(ms, class_index)
@@ -82,7 +101,7 @@
 
 
 def run_command(*arguments, **environment):
-    """Exit code, output and complaints of `python -m birchslip` with these words."""
+    """Run `python -m birchslip` and return its exit code, standard output and standard error."""
     done = subprocess.run(
         [sys.executable, "-m", "birchslip", *arguments],
         cwd=ROOT,
