--- a/tests/fleetdesk.py
+++ b/tests/planner_harness.py
@@ -12,8 +12,8 @@
 SECOND = 10_000
 
 
-def report(name="a-1", number=1, mark=1, site=None, probes=(), **more):
-    usual = {
+def make_report(name="a-1", sequence=1, nonce=1, site=None, probes=(), **fields):
+    defaults = {
         "address": "127.0.0.1:1",
         "uptime": 100 * SECOND,
         "is_serving": True,
@@ -36,54 +36,54 @@
     results = [ProbeResult(member=member, outcome=outcome) for member, outcome in probes]
     return MemberReport(
         name=name,
-        sequence=number,
+        sequence=sequence,
         site=site,
-        incarnation=Incarnation(nonce=mark),
+        incarnation=Incarnation(nonce=nonce),
         probes=results,
-        **usual | more,
+        **defaults | fields,
     )
 
 
-def fleet_document(sites=("a", "b", "c"), each=2, planners=1, **more):
-    told = {
+def make_fleet_document(sites=("a", "b", "c"), members_per_site=2, planners=1, **fields):
+    document = {
         "planners": [{"name": f"p{n}", "address": f"127.0.0.1:{100 + n}"} for n in range(planners)],
         "sites": [
             {
                 "name": site,
-                "routers": [place],
+                "routers": [index],
                 "members": [
-                    {"name": f"{site}-{n}", "address": f"127.0.0.1:{1000 + place * each + n}"}
-                    for n in range(each)
+                    {"name": f"{site}-{n}", "address": f"127.0.0.1:{1000 + index * members_per_site + n}"}
+                    for n in range(members_per_site)
                 ],
             }
-            for place, site in enumerate(sites)
+            for index, site in enumerate(sites)
         ],
         "tenants": {"blue": 0.5, "green": 0.5},
         "vault": {"total": 24, "kept": 0.5, "lease_ms": 3000},
     }
-    return told | more
+    return document | fields
 
 
-def fleet(folder, **more):
+def make_fleet(folder, **fields):
     path = folder / "fleet.json"
-    path.write_text(json.dumps(fleet_document(**more)))
+    path.write_text(json.dumps(make_fleet_document(**fields)))
     return read_fleet(path)
 
 
 class SimulatedPlanner:
     """One planner's state among members whose reports are made here, in virtual time; it leads at once."""
 
-    def __init__(self, folder, **more):
+    def __init__(self, folder, **fields):
         self.now = 0
-        self.fleet = fleet(folder, **more)
+        self.fleet = make_fleet(folder, **fields)
         election = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
         self.state = PlannerState(self.fleet, election, 0)
         self.names = [member.name for site in self.fleet.sites for member in site.members]
         self.incarnations = dict.fromkeys(self.names, 1)
         self.report_fields = {name: {} for name in self.names}
-        self.silent, self.report_number = set(), 0
+        self.silent_members, self.report_sequence = set(), 0
         self.replies = {}
-        self.probe_outcome = "refused"  # of a silent member
+        self.probe_outcome = "refused"
         self.events = []
 
     def advance(self, seconds):
@@ -116,33 +116,33 @@
             self.state.mark_replicated(request.state_number)
 
     def send_reports(self):
-        self.report_number += 1
+        self.report_sequence += 1
         for name in self.names:
-            if name not in self.silent:
+            if name not in self.silent_members:
                 self.send_report(name)
 
     def send_report(self, name):
         fields, probes = {}, []
-        before = self.replies.get(name)
-        if before is not None:
-            fields = {"lease_remaining": before.lease_span, "call_limit": before.call_limit}
+        last_reply = self.replies.get(name)
+        if last_reply is not None:
+            fields = {"lease_remaining": last_reply.lease_span, "call_limit": last_reply.call_limit}
             probes = [
-                (target, self.probe_outcome if target in self.silent else "answered")
-                for target in before.probe_addresses
+                (target, self.probe_outcome if target in self.silent_members else "answered")
+                for target in last_reply.probe_addresses
             ]
         fields |= self.report_fields[name]
-        sent = report(name, self.report_number, self.incarnations[name], probes=probes, **fields)
-        self.replies[name] = self.state.receive_report(sent, self.now)
+        report = make_report(name, self.report_sequence, self.incarnations[name], probes=probes, **fields)
+        self.replies[name] = self.state.receive_report(report, self.now)
 
     def lose_site(self, site):
-        self.silent |= {name for name in self.names if name.startswith(f"{site}-")}
-        for name in self.silent:
+        self.silent_members |= {name for name in self.names if name.startswith(f"{site}-")}
+        for name in self.silent_members:
             member = self.state.membership.members[name]
             self.state.membership.mark_disconnected(name, member.incarnation)
 
     def restore_site(self, site, **fields):
-        for name in [name for name in self.silent if name.startswith(f"{site}-")]:
-            self.silent.discard(name)
+        for name in [name for name in self.silent_members if name.startswith(f"{site}-")]:
+            self.silent_members.discard(name)
             self.incarnations[name] += 1
             self.report_fields[name] = fields
 
--- a/tests/test_election_store.py
+++ b/tests/test_election_store.py
@@ -12,7 +12,7 @@
 from birchslip.cluster.planner import Planner
 from birchslip.errors import StoreWriteError
 
-from .fleetdesk import fleet
+from .planner_harness import make_fleet
 
 SAVED_VOTE = DurableVote(3, 128, "p1", 77, 128, 4, b'{"sites":{}}', False, '{"p1":{"life":1,"mark":5}}')
 
@@ -94,7 +94,7 @@
 
 
 def test_a_leader_with_a_full_disk_is_not_counted_as_a_replica_of_its_own_state(tmp_path):
-    planner = Planner(fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
+    planner = Planner(make_fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
     sent = []
     for channel in planner.replicator.channels:
         channel.send = lambda method, request: sent.append((method, request))
@@ -119,7 +119,7 @@
 
 
 def test_a_vote_that_cannot_be_stored_is_not_granted(tmp_path):
-    planner = Planner(fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
+    planner = Planner(make_fleet(tmp_path, planners=3), "p0", tmp_path / "p0")
     planner.election.needs_flush = True
 
     def fail_on_full_disk(durable):
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -10,7 +10,7 @@
 from birchslip.errors import InvalidInputError
 
 from .decision_harness import run_command
-from .fleetdesk import fleet_document
+from .planner_harness import make_fleet_document
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -22,16 +22,16 @@
 
 
 def with_member(**fields):
-    document = fleet_document()
+    document = make_fleet_document()
     document["sites"][1]["members"][0] |= fields
     return document
 
 
 INVALID_DOCUMENTS = {
-    "an unknown key": (fleet_document(colour="red"), "unknown field `colour`"),
+    "an unknown key": (make_fleet_document(colour="red"), "unknown field `colour`"),
     "an unknown nested key": (with_member(weight=1), "`$.sites[1].members[0]`"),
     "a site without members": (
-        fleet_document(sites=("a", "b"), each=0),
+        make_fleet_document(sites=("a", "b"), members_per_site=0),
         "sites[0].members: site 'a' has none",
     ),
     "an address twice": (with_member(address="127.0.0.1:1000"), "sites[1].members[0].address"),
@@ -40,60 +40,66 @@
     "no such port": (with_member(address="127.0.0.1:70000"), "no such port"),
     "no address": (with_member(address="here"), "`$.sites[1].members[0].address`"),
     "an order that contradicts itself": (
-        fleet_document(refuse=["home", "visitor"]),
+        make_fleet_document(refuse=["home", "visitor"]),
         "refuse: what stands behind 'home'",
     ),
     "a kind of refusal twice": (
-        fleet_document(refuse=["again", "again", "home"]),
+        make_fleet_document(refuse=["again", "again", "home"]),
         "the kind 'again' stands there twice",
     ),
-    "no such kind": (fleet_document(refuse=["guests"]), "refuse[0]: no such kind of refusal as 'guests'"),
-    "a share above 1": (fleet_document(tenants={"blue": 1.5}), "`$.tenants[...]`"),
-    "shares that add up to more": (fleet_document(tenants={"blue": 0.7, "green": 0.5}), "add up to 1.200"),
-    "an unleased share above 1": (fleet_document(vault={"total": 9, "kept": 2}), "`$.vault.kept`"),
+    "no such kind": (
+        make_fleet_document(refuse=["guests"]),
+        "refuse[0]: no such kind of refusal as 'guests'",
+    ),
+    "a share above 1": (make_fleet_document(tenants={"blue": 1.5}), "`$.tenants[...]`"),
+    "shares that add up to more": (
+        make_fleet_document(tenants={"blue": 0.7, "green": 0.5}),
+        "add up to 1.200",
+    ),
+    "an unleased share above 1": (make_fleet_document(vault={"total": 9, "kept": 2}), "`$.vault.kept`"),
     "calls above the vault's": (with_member(calls=99.0), "vault.total: 24"),
     "a service that needs a platform": (
-        fleet_document(services=[{"name": "store-1", "kind": "store"}]),
+        make_fleet_document(services=[{"name": "store-1", "kind": "store"}]),
         "services: without a platform",
     ),
     "a required service that does not exist": (with_member(needs=["store-1"]), "needs 'store-1'"),
     "a kind that no service is of": (
-        fleet_document(groups=[{"name": "g", "kinds": ["store"], "most_out": 1}]),
+        make_fleet_document(groups=[{"name": "g", "kinds": ["store"], "most_out": 1}]),
         "groups[0].kinds: no service is of the kind 'store'",
     ),
     "a platform that is stale at once": (
-        fleet_document(platform={"address": "127.0.0.1:9", "ask_ms": 500, "stale_ms": 600}),
+        make_fleet_document(platform={"address": "127.0.0.1:9", "ask_ms": 500, "stale_ms": 600}),
         "platform.stale_ms: 600",
     ),
     "a link to an unknown site": (
-        fleet_document(links=[{"from": "a", "to": "z", "cost": 1}]),
+        make_fleet_document(links=[{"from": "a", "to": "z", "cost": 1}]),
         "links[0]: no site is named 'z'",
     ),
-    "a plan shorter than its reports": (fleet_document(plan_ms=500), "plan_ms: 500"),
-    "no planners": (fleet_document(planners=0), "planners: there is none"),
+    "a plan shorter than its reports": (make_fleet_document(plan_ms=500), "plan_ms: 500"),
+    "no planners": (make_fleet_document(planners=0), "planners: there is none"),
     "a router at two sites": (
-        fleet_document(sites=("a", "b"))
-        | {"sites": [dict(s, routers=[1]) for s in fleet_document()["sites"]]},
+        make_fleet_document(sites=("a", "b"))
+        | {"sites": [dict(s, routers=[1]) for s in make_fleet_document()["sites"]]},
         "router 1 is at home in 'a' too",
     ),
     "a group twice": (
-        fleet_document(groups=[{"name": "g", "all": True, "most_out": 1}] * 2),
+        make_fleet_document(groups=[{"name": "g", "all": True, "most_out": 1}] * 2),
         "the group 'g' stands there",
     ),
     "a group without members": (
-        fleet_document(groups=[{"name": "g", "most_out": 1}]),
+        make_fleet_document(groups=[{"name": "g", "most_out": 1}]),
         "groups[0]: group 'g' has no members",
     ),
     "a group that bounds nothing": (
-        fleet_document(groups=[{"name": "g", "all": True}]),
+        make_fleet_document(groups=[{"name": "g", "all": True}]),
         "group 'g' bounds nothing",
     ),
     "a group of no such site": (
-        fleet_document(groups=[{"name": "g", "sites": ["z"], "most_out": 1}]),
+        make_fleet_document(groups=[{"name": "g", "sites": ["z"], "most_out": 1}]),
         "groups[0].sites: no site is named 'z'",
     ),
     "a group of no such member": (
-        fleet_document(groups=[{"name": "g", "members": ["z-1"], "share_out": 0.5}]),
+        make_fleet_document(groups=[{"name": "g", "members": ["z-1"], "share_out": 0.5}]),
         "groups[0].members: no member is named 'z-1'",
     ),
     "no JSON": ("{", "fleet.json"),
@@ -190,13 +196,13 @@
 
 def test_an_app_server_with_an_invalid_fleet_file_does_not_start(tmp_path):
     config = str(ROOT / "examples" / "app-server.json")
-    path = write_fleet_file(tmp_path, fleet_document(colour="red"))
+    path = write_fleet_file(tmp_path, make_fleet_document(colour="red"))
     code, _, output = run_command(PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(path))
     assert code == 2
     assert "unknown field `colour`" in output
     assert "Traceback" not in output
     code, _, output = run_command(
-        PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(write_fleet_file(tmp_path, fleet_document()))
+        PROXY_CONFIG=config, BIRCHSLIP_FLEET=str(write_fleet_file(tmp_path, make_fleet_document()))
     )
     assert code == 2
     assert "no member is named 'toy-1'" in output
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -7,7 +7,7 @@
 from birchslip.cluster.leadership import Leadership, LeadershipChange
 from birchslip.cluster.planner_events import MAX_BUFFERED_EVENTS, EventBuffer
 
-from .fleetdesk import SECOND
+from .planner_harness import SECOND
 
 
 def elected_leadership(now=3 * SECOND):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from birchslip.cluster.membership import MemberLiveness, Membership, SiteVerdict
 from birchslip.cluster.phi_accrual import PhiAccrualDetector
 
-from .fleetdesk import SECOND, report
+from .planner_harness import SECOND, make_report
 
 REPORT_INTERVAL = 2_000
 
@@ -15,7 +15,7 @@
     for now in range(0, until + 1, REPORT_INTERVAL):
         for site in sites:
             for n in range(members_per_site):
-                membership.receive_report(report(f"{site}-{n}", number=now + 1, site=site), now)
+                membership.receive_report(make_report(f"{site}-{n}", sequence=now + 1, site=site), now)
     return membership
 
 
@@ -43,28 +43,29 @@
 @pytest.mark.parametrize(
     ("fields", "is_accepted"),
     [
-        ({"number": 10**6}, True),
-        ({"number": 1}, False),
-        ({"number": SECOND + 1}, False),
-        ({"number": 1, "mark": 2}, True),
-        ({"number": 10**6, "site": "nowhere"}, False),
+        ({"sequence": 10**6}, True),
+        ({"sequence": 1}, False),
+        ({"sequence": SECOND + 1}, False),
+        ({"sequence": 1, "nonce": 2}, True),
+        ({"sequence": 10**6, "site": "nowhere"}, False),
     ],
     ids=["next", "late", "duplicate", "new incarnation", "unknown site"],
 )
 def test_only_a_new_report_is_accepted(fields, is_accepted):
     assert (
-        membership_of().receive_report(report("a-0", **{"site": "a", **fields}), SECOND + 10) is is_accepted
+        membership_of().receive_report(make_report("a-0", **{"site": "a", **fields}), SECOND + 10)
+        is is_accepted
     )
 
 
 def test_a_late_report_of_an_earlier_incarnation_changes_nothing():
     membership = membership_of()
-    membership.receive_report(report("a-0", 1, mark=2), SECOND + 10)
-    assert not membership.receive_report(report("a-0", 10**6, mark=1), SECOND + 20)
+    membership.receive_report(make_report("a-0", 1, nonce=2), SECOND + 10)
+    assert not membership.receive_report(make_report("a-0", 10**6, nonce=1), SECOND + 20)
     member = membership.members["a-0"]
     assert member.incarnation.nonce == 2
     assert member.restarts == 1
-    membership.mark_disconnected("a-0", report(mark=1).incarnation)  # connection of the earlier one
+    membership.mark_disconnected("a-0", make_report(nonce=1).incarnation)  # connection of the earlier one
     assert member.liveness(SECOND + 30, REPORT_INTERVAL) is MemberLiveness.ALIVE
 
 
@@ -73,7 +74,7 @@
     for now in range(SECOND + REPORT_INTERVAL, until + 1, REPORT_INTERVAL):
         for name, member in membership.members.items():
             if member.site != site or name in reporting:
-                membership.receive_report(report(name, number=now + 1, site=member.site), now)
+                membership.receive_report(make_report(name, sequence=now + 1, site=member.site), now)
 
 
 PROBES = [("b-0", "a-0"), ("c-0", "a-1")]
@@ -129,12 +130,12 @@
 def test_slow_and_restarting_sites_are_distinguished_from_lost_ones():
     membership = membership_of(members_per_site=4)
     for n in range(3):
-        membership.receive_report(report(f"a-{n}", 10**6, slowdown=2.5), SECOND + 10)
+        membership.receive_report(make_report(f"a-{n}", 10**6, slowdown=2.5), SECOND + 10)
     for n in range(3):
-        membership.receive_report(report(f"b-{n}", 1, mark=2), SECOND + 10)
+        membership.receive_report(make_report(f"b-{n}", 1, nonce=2), SECOND + 10)
     assert membership.verdict("a", SECOND + 20) is SiteVerdict.SLOW
     assert membership.verdict("b", SECOND + 20) is SiteVerdict.RESTARTING
-    membership.receive_report(report("c-0", 10**6, is_draining=True), SECOND + 10)
+    membership.receive_report(make_report("c-0", 10**6, is_draining=True), SECOND + 10)
     assert membership.members["c-0"].liveness(SECOND + 20, REPORT_INTERVAL) is MemberLiveness.LEFT
     assert membership.verdict("c", SECOND + 20) is SiteVerdict.REACHABLE
 
--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -27,7 +27,7 @@
 from birchslip.net.clients import read_messages
 from birchslip.net.messagepack import pack
 
-from .fleetdesk import fleet_document, report
+from .planner_harness import make_fleet_document, make_report
 
 pytestmark = pytest.mark.xdist_group("processes")
 ROOT = Path(__file__).resolve().parent.parent
@@ -54,7 +54,7 @@
         buffer = Buffer(1 << 20)
         while not self.stopped.wait(0.1):
             self.number += 1
-            raw = encode(report(self.member, self.number, self.nonce))
+            raw = encode(make_report(self.member, self.number, self.nonce))
             connection.sendall(pack([0, self.number, "report", [raw]]))
             while not read_messages(buffer)[0]:
                 if not buffer.fill(connection):
@@ -66,7 +66,7 @@
 
     def __init__(self, folder):
         self.folder = folder
-        document = fleet_document(sites=("a", "b"), planners=3)
+        document = make_fleet_document(sites=("a", "b"), planners=3)
         for planner in document["planners"]:
             planner["address"] = f"127.0.0.1:{free_port()}"
         document["groups"] = [{"name": "fleet", "all": True, "most_out": 1}]
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -25,7 +25,7 @@
 from birchslip.net.site import read_config
 from examples.toy import CONFIGURATION
 
-from .fleetdesk import SECOND, fleet, report
+from .planner_harness import SECOND, make_fleet, make_report
 
 LEADER_INCARNATION = Incarnation(generation=1, nonce=7)
 
@@ -46,7 +46,7 @@
             scheduler,
             Counters(),
             Log(scheduler, "a-0"),
-            fleet(folder),
+            make_fleet(folder),
             "a-0",
             self.settings,
             ["blue"],
@@ -140,7 +140,7 @@
         rates.record_arrival(SECOND, tenant, is_local, is_retry)
     rates.record_answers(SECOND, 3, 2)
     linked.link.scheduler.now = SECOND
-    decoded = decode(encode(linked.link.build_report(SECOND)), type(report()))
+    decoded = decode(encode(linked.link.build_report(SECOND)), type(make_report()))
     assert (decoded.local_load, decoded.evacuated_load, decoded.retries) == ({"blue": 2.0}, 0.5, 0.5)
     assert (decoded.served, decoded.rejected, decoded.call_limit, decoded.capacity) == (1.5, 1.0, 2.0, 0.0)
 
@@ -179,14 +179,16 @@
         b"{}",
         b"[]",
         b'{"epoch": -1}',
-        encode(report())[:-9],
-        encode(report()).replace(b"100.0", b"-1.0"),
+        encode(make_report())[:-9],
+        encode(make_report()).replace(b"100.0", b"-1.0"),
         "text",
     ],
 )
 def test_a_malformed_message_is_refused_with_a_reason(raw):
     with pytest.raises(InvalidInputError, match="Re"):
-        decode(raw, type(report()) if b"name" in (raw if isinstance(raw, bytes) else b"") else ReportReply)
+        decode(
+            raw, type(make_report()) if b"name" in (raw if isinstance(raw, bytes) else b"") else ReportReply
+        )
 
 
 def test_a_fault_of_the_planner_link_affects_no_request(tmp_path, monkeypatch):
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -14,7 +14,7 @@
 from birchslip.cluster.site_plan import plan_sites
 from birchslip.lab.months import play_month
 
-from .fleetdesk import SECOND, SimulatedPlanner, fleet, report
+from .planner_harness import SECOND, SimulatedPlanner, make_fleet, make_report
 
 
 def serving_fractions(planner, site):
@@ -130,9 +130,9 @@
 @pytest.mark.parametrize(
     "invalid_report",
     [
-        report("a-0", number=10**9, site="b"),
-        report("nobody-7", site="a"),
-        report("a-0", number=1, mark=1),
+        make_report("a-0", sequence=10**9, site="b"),
+        make_report("nobody-7", site="a"),
+        make_report("a-0", sequence=1, nonce=1),
     ],
     ids=["another site", "unknown member", "late"],
 )
@@ -241,5 +241,5 @@
 def test_replies_carry_the_incarnation_of_the_planner(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
     assert planner.replies["a-0"].planner == Incarnation(generation=1, nonce=1)
-    assert fleet(tmp_path).shedding_order[0].value == "beyond"
+    assert make_fleet(tmp_path).shedding_order[0].value == "beyond"
     assert planner.now == 4 * SECOND
--- a/tests/test_recovery_ramp.py
+++ b/tests/test_recovery_ramp.py
@@ -6,13 +6,13 @@
 
 from birchslip.cluster.recovery_ramp import STEP_FRACTIONS, RecoveryRamp, RecoveryStage
 
-from .fleetdesk import SECOND, report
+from .planner_harness import SECOND, make_report
 
 EVALUATION_INTERVAL = 1_000
 
 
 def reports(count=4, **fields):
-    return [report(f"a-{n}", **fields) for n in range(count)]
+    return [make_report(f"a-{n}", **fields) for n in range(count)]
 
 
 def evaluate_until(ramp, member_reports, now, until, usual_load=200.0):
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -22,7 +22,7 @@
 from birchslip.cluster.rollout_messages import RolloutAction, RolloutCommand, RolloutStates
 from birchslip.cluster.rollout_types import RolloutSpec
 
-from .fleetdesk import SimulatedPlanner, fleet_document, report
+from .planner_harness import SimulatedPlanner, make_fleet_document, make_report
 
 PARTS = {"a": ["a-0", "a-1"], "b": ["b-0", "b-1"]}
 NAMES = [name for names in PARTS.values() for name in names]
@@ -62,7 +62,7 @@
         )
 
     def step(self, now=2, lost_sites=()):
-        reports = {name: report(name, now) for name in NAMES}
+        reports = {name: make_report(name, now) for name in NAMES}
         self.budget.reconcile(self.observations)
         self.controller.step(self.observations, reports, lost_sites, now)
         return [(order.action.value, order.member) for order in self.controller.orders]
@@ -237,7 +237,7 @@
     reader = SampleReader()
 
     def read_sample(number, nonce, bad, total):
-        member_report = report(
+        member_report = make_report(
             "a-0", number, nonce, metrics={"late:order": (bad, total)}, resident_memory_kb=7
         )
         return reader.read({"a-0": member_report})["a-0"]
@@ -332,7 +332,7 @@
 
 
 def test_a_member_is_unavailable_with_the_service_it_depends_on(tmp_path):
-    document = fleet_document(sites=("a", "b"), planners=1)
+    document = make_fleet_document(sites=("a", "b"), planners=1)
     document["sites"][0]["members"][0]["needs"] = ["store-1"]
     planner = leader(tmp_path)
     path = tmp_path / "later.json"
@@ -345,7 +345,7 @@
 
 
 def apply_changed_fleet(planner, folder, change):
-    document = fleet_document(sites=("a", "b"), planners=1) | deepcopy(
+    document = make_fleet_document(sites=("a", "b"), planners=1) | deepcopy(
         {"groups": GROUPS, "platform": PLATFORM}
     )
     for site in document["sites"]:
@@ -407,7 +407,7 @@
     assert apply_changed_fleet(planner, tmp_path, lambda document: None) == []
     planner.incarnations["a-0"] = 2
     planner.advance(1)
-    late_report = report("a-0", 10**6, mark=1)  # of the incarnation before it left
+    late_report = make_report("a-0", 10**6, nonce=1)  # of the incarnation before it left
     assert not planner.state.membership.receive_report(late_report, planner.now)
     assert planner.state.observations(planner.now)["a-0"].incarnation.nonce == 2
 
--- a/tests/test_stored_rollout.py
+++ b/tests/test_stored_rollout.py
@@ -25,7 +25,7 @@
 from birchslip.cluster.rollout_messages import CommandResult, RolloutCommand, RolloutStates
 from birchslip.cluster.rollout_types import InstanceStatus, RolloutPhase, RolloutSpec
 
-from .fleetdesk import report
+from .planner_harness import make_report
 
 STORED_ROLLOUTS = (
     b'{"number":4,"courses":[{"plan":{"version":"2","before":"1","sites":["a"],"groups":[],"canaries":1,"b'
@@ -201,7 +201,7 @@
     observed = observations()
     restored.budget.reconcile(observed)
     reports = {
-        name: report(
+        name: make_report(
             name, NOW, metrics={"late:order": (39, 1_560)}, latency_histograms={"order": [1_560, 390]}
         )
         for name in SITE_OF
