--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -1,4 +1,7 @@
-"""Messages and documents of a fleet with defaults for what a test does not set, and a planner to test."""
+"""Builders of member reports, fleet documents and fleets with defaults, and a planner in virtual time.
+
+Times are in tenths of a millisecond unless stated otherwise.
+"""
 
 import json
 import random
@@ -13,6 +16,16 @@
 
 
 def make_report(name="a-1", sequence=1, nonce=1, site=None, probes=(), **fields):
+    """Build a report of a healthy member, with `fields` in place of the defaults.
+
+    Args:
+        name: Name of the member.
+        sequence: Number of the report within the member's incarnation.
+        nonce: Nonce of the member's incarnation.
+        site: Site of the member; by default the part of the name before the last hyphen.
+        probes: Pairs of a probed member and the outcome.
+        **fields: Other fields of the report.
+    """
     defaults = {
         "address": "127.0.0.1:1",
         "uptime": 100 * SECOND,
@@ -45,6 +58,7 @@
 
 
 def make_fleet_document(sites=("a", "b", "c"), members_per_site=2, planners=1, **fields):
+    """Build the content of a fleet file; `fields` replace or extend its top-level keys."""
     document = {
         "planners": [{"name": f"p{n}", "address": f"127.0.0.1:{100 + n}"} for n in range(planners)],
         "sites": [
@@ -65,15 +79,27 @@
 
 
 def make_fleet(folder, **fields):
+    """Write the document of `make_fleet_document` to `fleet.json` in the folder and read it as a fleet."""
     path = folder / "fleet.json"
     path.write_text(json.dumps(make_fleet_document(**fields)))
     return read_fleet(path)
 
 
 class SimulatedPlanner:
-    """One planner's state among members whose reports are made here, in virtual time; it leads at once."""
+    """The state of a single planner and simulated members that report to it, in virtual time.
+
+    The planner votes for itself, so it becomes the leader without delay.
+
+    Attributes:
+        report_fields: Fields that replace the defaults in the reports of each member.
+        silent_members: Members that send no reports.
+        replies: The last reply to each member.
+        probe_outcome: Outcome that other members report for a probe of a silent member.
+        events: Time, name and fields of each event that the planner logged.
+    """
 
     def __init__(self, folder, **fields):
+        """Create the planner at time 0 with a fleet of `make_fleet(folder, **fields)`."""
         self.now = 0
         self.fleet = make_fleet(folder, **fields)
         election = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
@@ -87,7 +113,7 @@
         self.events = []
 
     def advance(self, seconds):
-        """Reports arrive five times a second, ticks come ten times a second."""
+        """Advance the time in evaluation intervals; members report at every second one."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += EVALUATION_INTERVAL
@@ -100,6 +126,7 @@
         return self
 
     def vote(self):
+        """Answer the planner's vote request, if there is one, with its own vote."""
         election = self.state.election
         request = election.next_vote_request(self.now)
         if request is not None:
@@ -108,6 +135,7 @@
             )
 
     def replicate(self):
+        """Store the state that the planner wants replicated, if any, on the planner itself."""
         election = self.state.election
         request = self.state.replication_request()
         if request is not None and election.handle_replication_response(
@@ -116,12 +144,14 @@
             self.state.mark_replicated(request.state_number)
 
     def send_reports(self):
+        """Send a report of each member that is not silent."""
         self.report_sequence += 1
         for name in self.names:
             if name not in self.silent_members:
                 self.send_report(name)
 
     def send_report(self, name):
+        """Send a report of one member that follows the last reply: its lease, quota and probes."""
         fields, probes = {}, []
         last_reply = self.replies.get(name)
         if last_reply is not None:
@@ -135,16 +165,19 @@
         self.replies[name] = self.state.receive_report(report, self.now)
 
     def lose_site(self, site):
+        """Silence all members of a site and close their connections to the planner."""
         self.silent_members |= {name for name in self.names if name.startswith(f"{site}-")}
         for name in self.silent_members:
             member = self.state.membership.members[name]
             self.state.membership.mark_disconnected(name, member.incarnation)
 
     def restore_site(self, site, **fields):
+        """Start new incarnations of the silent members of a site, with these fields in their reports."""
         for name in [name for name in self.silent_members if name.startswith(f"{site}-")]:
             self.silent_members.discard(name)
             self.incarnations[name] += 1
             self.report_fields[name] = fields
 
     def events_named(self, name):
+        """Return the time in seconds and the fields of each event of this name."""
         return [(at / SECOND, fields) for at, event, fields in self.events if event == name]
