--- a/benchmarks/expect_broken.py
+++ b/benchmarks/expect_broken.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from tests.broken import BROKEN
+from tests.broken_settings import BROKEN_SETTINGS
 from tests.expectation_harness import sources
 from tests.test_expect_check import check_result, with_setting
 
 
 def main():
     found, slowest = 0, 0.0
-    for name, which, path, value, expected, words in BROKEN:
+    for name, which, path, value, expected, words in BROKEN_SETTINGS:
         intact_code = check_result(sources(), expected)[0] if expected and name != "a contradiction" else 0
         started = time.monotonic()
         code, reason = check_result(with_setting(which, path, value), expected)
@@ -28,7 +28,7 @@
             f"{name}: {line.strip()[:150]}",
             flush=True,
         )
-    print(f"{found} of {len(BROKEN)} found with their reason, the slowest in {slowest:.1f} s")
+    print(f"{found} of {len(BROKEN_SETTINGS)} found with their reason, the slowest in {slowest:.1f} s")
 
 
 if __name__ == "__main__":
--- a/tests/broken.py
+++ b/tests/broken_settings.py
@@ -1,6 +1,7 @@
 """Thirty settings that are broken on purpose: the wrong value, what is expected, and who is to be named."""
 
-BROKEN = [  # name, file, path, value, expectations, words of the reason: the guilty setting, or the statement
+# name, file, path, value, expectations, words of the reason: the guilty setting, or the statement
+BROKEN_SETTINGS = [
     ("shares past one", "fleet", ("tenants", "blue"), 2.0, [], "tenants"),
     ("a share of the vault past one", "fleet", ("vault", "kept"), 2.0, [], "vault.kept"),
     ("a budget of no site", "fleet", ("groups", 1, "sites", 0), "nort", [], "groups[1].sites"),
--- a/tests/test_expect_check.py
+++ b/tests/test_expect_check.py
@@ -18,7 +18,7 @@
 from birchslip.expect.search import Change
 from birchslip.lab.model.layout import layout_schema
 
-from .broken import BROKEN
+from .broken_settings import BROKEN_SETTINGS
 from .decision_harness import run_command
 from .expectation_harness import EXAMPLES, EXPECTATIONS, ROOT, sources, statements
 
@@ -69,7 +69,9 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "which", "path", "value", "expected", "words"), BROKEN, ids=[one[0] for one in BROKEN]
+    ("name", "which", "path", "value", "expected", "words"),
+    BROKEN_SETTINGS,
+    ids=[one[0] for one in BROKEN_SETTINGS],
 )
 def test_reports_broken_settings_with_reason_and_passes_intact_ones(
     name, which, path, value, expected, words
