--- a/tests/broken_settings.py
+++ b/tests/broken_settings.py
@@ -1,6 +1,8 @@
-"""Thirty settings that are broken on purpose: the wrong value, what is expected, and who is to be named."""
+"""Thirty settings, each with one wrong value, that a check of expectations must report."""
 
-# name, file, path, value, expectations, words of the reason: the guilty setting, or the statement
+# Each entry: name of the case; the file that holds the setting ("config", "fleet" or "world"); path to the
+# value; the wrong value; statements to check; text that the reported reason must contain, which names the
+# setting at fault or the failed statement.
 BROKEN_SETTINGS = [
     ("shares past one", "fleet", ("tenants", "blue"), 2.0, [], "tenants"),
     ("a share of the vault past one", "fleet", ("vault", "kept"), 2.0, [], "vault.kept"),
