--- a/tests/hall.py
+++ b/tests/socket_harness.py
@@ -19,172 +19,174 @@
 from birchslip.net.site import parse_config
 from examples.toy import CONFIGURATION
 
-PATIENCE = 5.0
+TIMEOUT_S = 5.0
 
 
-def arrived(link):
+def wait_until_delivered(link):
     """A barrier: all that was sent on it lies with the other side, where the next look finds it."""
     poll = select.poll()
     poll.register(link, 0)
     for _ in range(1_000_000):
         if poll.poll(0) or not int.from_bytes(fcntl.ioctl(link, termios.TIOCOUTQ, bytes(4)), "little"):
-            return  # or it was reset
+            return
         os.sched_yield()
-    raise AssertionError("what was sent does not arrive")
+    raise AssertionError("the sent data does not arrive")
 
 
-class Caller(Router):
+class HarnessRouter(Router):
     """A router whose clock is the hall's."""
 
-    def __init__(self, hall):
-        self.hall = hall
-        super().__init__(hall.address, PATIENCE)
-        self.link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # here when the next pass looks
+    def __init__(self, harness):
+        self.harness = harness
+        super().__init__(harness.address, TIMEOUT_S)
+        # Without TCP_NODELAY, the kernel could hold data back past the next pass.
+        self.link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def call(self, profile, body, **fields):
-        return super().call(profile, body, **({"ts": str(self.hall.time // 10)} | fields))
+        return super().call(profile, body, **({"ts": str(self.harness.time // 10)} | fields))
 
 
-class Hall:
+class ProgramHarness:
     """Its time stands still but for `passes`; the agent is the test, which sees the orders it would get."""
 
-    def __init__(self, greets=True, most=None, **more):
-        told = json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0", **more}
-        self.program = program = Program(parse_config(told, {}))
+    def __init__(self, agent_greets=True, max_connections=None, **config):
+        document = json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0", **config}
+        self.program = program = Program(parse_config(document, {}))
         self.scheduler = program.scheduler
         self.time = self.scheduler.now
         self.scheduler.clock = lambda: self.time
         self.orders = []
         program.agent.send_order = lambda **parts: self.orders.append(parts) or b""
         self.clients = program.clients
-        if most is not None:
-            self.clients.max_connections = most
+        if max_connections is not None:
+            self.clients.max_connections = max_connections
         host, port = self.clients.listen(program.config.listen)
         self.address = f"{host}:{port}"
         program.spawn_supervised("listener", self.clients.accept)
-        if greets:
+        if agent_greets:
             program.on_agent_greeting(False, 0)
         self.peers = []
-        self.passes()
+        self.run_passes()
 
-    def passes(self, count=4, ms=0):
+    def run_passes(self, count=4, ms=0):
         """So many passes; the time that they take goes by before the first of them."""
         self.time += ms * 10
         for peer in self.peers:
             if peer.link.fileno() >= 0:
-                arrived(peer.link)
+                wait_until_delivered(peer.link)
         for _ in range(count):
             if not self.scheduler.stopped:
-                self.scheduler.poll_at_once = True  # look, and don't wait
+                self.scheduler.poll_at_once = True  # the pass polls the sockets without waiting
                 self.scheduler.run_pass()
         return self
 
-    def router(self):
-        self.peers.append(Caller(self))
+    def connect_router(self):
+        self.peers.append(HarnessRouter(self))
         if self.clients.listener is not None:
-            assert select.select([self.clients.listener], [], [], PATIENCE)[0]
+            assert select.select([self.clients.listener], [], [], TIMEOUT_S)[0]
         return self.peers[-1]
 
-    def hang_up(self, router):
+    def disconnect(self, router):
         router.link.shutdown(socket.SHUT_WR)
-        arrived(router.link)
+        wait_until_delivered(router.link)
         router.link.close()
-        self.passes()
+        self.run_passes()
 
-    def launched(self):
+    def launched_runs(self):
         return [order["id"] for order in self.orders if order["op"] == "launch"]
 
-    def end(self, name, outcome, result=b"made"):
+    def end_run(self, run_id, outcome, result=b"made"):
         """The agent tells how a run ended."""
-        context = self.program.agent.runs.pop(name)
+        context = self.program.agent.runs.pop(run_id)
         self.program.agent.on_run_ended(context, outcome, result, 10)
 
-    def stop(self):
+    def close(self):
         self.clients.close_all()
         for peer in self.peers:
             peer.link.close()
-        for end in (self.program.signals, self.program.wakeup):
-            end.close()
+        for sock in (self.program.signals, self.program.wakeup):
+            sock.close()
 
 
-class There:
+class FakeServer:
     """A listening address; deaf, it answers no opening, as its queue is full."""
 
-    def __init__(self, deaf=False):
+    def __init__(self, is_queue_full=False):
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
-        self.listener.listen(0 if deaf else 8)
+        self.listener.listen(0 if is_queue_full else 8)
         self.address = self.listener.getsockname()
         self.links, self.fillers = [], []
-        while deaf:
+        while is_queue_full:
             filler = socket.socket()
             filler.setblocking(False)
             self.fillers.append(filler)
-            deaf = filler.connect_ex(self.address) in (0, 115) and len(self.fillers) < 4
+            # 115 is EINPROGRESS: the attempt got no answer yet.
+            is_queue_full = filler.connect_ex(self.address) in (0, 115) and len(self.fillers) < 4
         self.listener.setblocking(False)
 
-    def said(self):
+    def receive_all(self):
         """All that has been said here so far."""
         with suppress(BlockingIOError):
             while True:
                 link, _ = self.listener.accept()
                 link.setblocking(False)
                 self.links.append((link, bytearray()))
-        for link, said in self.links:
+        for link, data in self.links:
             with suppress(BlockingIOError):
-                said += link.recv(65536)
-        return b"".join(bytes(said) for _, said in self.links)
+                data += link.recv(65536)
+        return b"".join(bytes(data) for _, data in self.links)
 
-    def say(self, raw):
+    def send(self, raw):
         for link, _ in self.links:
             link.sendall(raw)
-            arrived(link)
+            wait_until_delivered(link)
 
     def close(self):
-        for one in (self.listener, *self.fillers, *(link for link, _ in self.links)):
-            one.close()
+        for sock in (self.listener, *self.fillers, *(link for link, _ in self.links)):
+            sock.close()
 
 
-class Clocked:
+class SchedulerHarness:
     """A scheduler whose time the test moves on."""
 
     def __init__(self):
         self.time = 10_000_000
-        self.scheduler = Scheduler(lambda: None, self.fault, lambda: self.time)
-        self.parts = self.scheduler, Counters(), Log(self.scheduler, "t")
-        self.places = []
+        self.scheduler = Scheduler(lambda: None, self.raise_fault, lambda: self.time)
+        self.components = self.scheduler, Counters(), Log(self.scheduler, "t")
+        self.servers = []
 
-    def fault(self, name, trouble):
-        raise trouble
+    def raise_fault(self, name, error):
+        raise error
 
-    def there(self, **how):
-        self.places.append(There(**how))
-        return self.places[-1]
+    def start_server(self, **options):
+        self.servers.append(FakeServer(**options))
+        return self.servers[-1]
 
-    def passes(self, ms=0, count=4):
+    def run_passes(self, ms=0, count=4):
         self.time += ms * MS
         for _ in range(count):
             self.scheduler.poll_at_once = True
             self.scheduler.run_pass()
 
-    def hears(self, place, part):
+    def wait_for_data(self, server, expected):
         """Whether that is said there, at this very time."""
         for _ in range(100):
-            if part in place.said():
+            if expected in server.receive_all():
                 return True
-            self.passes()
-            links = [place.listener, *(link for link, _ in place.links)]
-            select.select(links, [], [], PATIENCE / 100)
+            self.run_passes()
+            links = [server.listener, *(link for link, _ in server.links)]
+            select.select(links, [], [], TIMEOUT_S / 100)
         return False
 
-    def until(self, happened, most):
+    def wait_until(self, condition, max_ms):
         """How many ms went by until then, looked at every 10 of them."""
-        for ms in range(0, most, 10):
-            if happened():
+        for ms in range(0, max_ms, 10):
+            if condition():
                 return ms
-            self.passes(ms=10)
-        return most
+            self.run_passes(ms=10)
+        return max_ms
 
     def close(self):
-        for place in self.places:
-            place.close()
+        for server in self.servers:
+            server.close()
--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -16,7 +16,7 @@
 from birchslip.net.vault import Vault
 
 from .decision_harness import make_request_class
-from .hall import Clocked, arrived
+from .socket_harness import SchedulerHarness, wait_until_delivered
 
 TICK_MS = 50
 
@@ -25,13 +25,13 @@
     return json.dumps(parts).encode() + b"\n"
 
 
-class LinkedAgent(Clocked):
+class LinkedAgent(SchedulerHarness):
     """An `Agent` whose link is established: it was greeted, and missed notices were delivered."""
 
     def __init__(self):
         super().__init__()
-        self.place, self.agent_started_at = self.there(), self.time - 1000 * MS
-        self.agent = Agent(*self.parts, self.place.address, ["core_use"], 1 << 20)
+        self.server, self.agent_started_at = self.start_server(), self.time - 1000 * MS
+        self.agent = Agent(*self.components, self.server.address, ["core_use"], 1 << 20)
         self.ends = []
         self.agent.on_handshake = lambda cold, began: None
         self.agent.on_call_needed = lambda context, number, body: None
@@ -45,20 +45,20 @@
 
     def greet(self):
         """Send the greeting on the newest link, and answer the agent client's fence."""
-        links = len(self.place.links)
-        self.until(lambda: self.place.said() and len(self.place.links) > links, 3000)
-        assert len(self.place.links) > links, "no new link"
+        links = len(self.server.links)
+        self.wait_until(lambda: self.server.receive_all() and len(self.server.links) > links, 3000)
+        assert len(self.server.links) > links, "no new link"
         self.send_line(line(op="greeting", end="seasoned", ms=(self.time - self.agent_started_at) // MS))
         fence = f"fence-{self.agent.fence_number + 1}"
-        assert self.hears(self.place, fence.encode())
+        assert self.wait_for_data(self.server, fence.encode())
         self.send_line(line(op="sampled", tag=fence, values=[0.5]))
-        self.passes()
+        self.run_passes()
         assert self.agent.is_synchronized
 
     def send_line(self, raw):
-        link, _ = self.place.links[-1]
+        link, _ = self.server.links[-1]
         link.sendall(raw)
-        arrived(link)
+        wait_until_delivered(link)
 
     def launch(self, name):
         now = self.scheduler.now
@@ -66,18 +66,18 @@
             None, 1, name, "lookup", b"", Request(make_request_class(), 0, now, now + 9999, 1), now
         )
         self.agent.launch(context)
-        self.passes()
+        self.run_passes()
         return context
 
     def sample_repeatedly(self, count, answered=False):
         for _ in range(count):
             self.agent.request_gauges()
-            self.passes(ms=TICK_MS)
+            self.run_passes(ms=TICK_MS)
             if answered:
                 self.send_line(line(op="sampled", tag="tick", values=[0.5]))
 
     def count(self, name):
-        return self.parts[1].counts[name]
+        return self.components[1].counts[name]
 
 
 @pytest.fixture
@@ -97,9 +97,9 @@
     linked.greet()
     assert linked.count("agent.links") == 2
     assert linked.count("agent.silent") == 1
-    assert linked.hears(linked.place, b'"launch","id":"a1"')  # the launch is ordered again
+    assert linked.wait_for_data(linked.server, b'"launch","id":"a1"')  # the launch is ordered again
     linked.send_line(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
-    linked.passes()
+    linked.run_passes()
     assert linked.ends == [("a1", Outcome.SERVED)]
 
 
@@ -109,7 +109,7 @@
     linked.send_line(line(op="sampled", tag="tick", values=[0.5]))
     linked.time += 600_000 * MS
     linked.agent.request_gauges()
-    linked.passes()
+    linked.run_passes()
     assert linked.count("agent.links") == 1
     assert linked.count("agent.silent") == 0
 
@@ -129,28 +129,28 @@
 def test_malformed_message_closes_link_and_affects_no_run(linked, raw):
     linked.launch("a1")
     linked.send_line(raw)
-    linked.passes(count=20)
+    linked.run_passes(count=20)
     assert linked.count("agent.malformed") == 1
     assert linked.ends == []
     linked.greet()
     linked.send_line(line(op="outcome", seq=1, id="a1", end="done", ms=5, body=""))
-    linked.passes()
+    linked.run_passes()
     assert linked.ends == [("a1", Outcome.SERVED)]
     assert linked.agent.last_notice == 1
 
 
 def test_second_call_notice_cancels_call_in_progress(linked):
-    vault_server = linked.there()
-    vault = Vault(*linked.parts, vault_server.address, 8)
-    admission_stage = AdmissionStage(linked.scheduler, linked.parts[1], IdempotencyTable(1000))
-    caller = DownstreamCaller(linked.scheduler, linked.parts[1], linked.agent, vault, admission_stage)
+    vault_server = linked.start_server()
+    vault = Vault(*linked.components, vault_server.address, 8)
+    admission_stage = AdmissionStage(linked.scheduler, linked.components[1], IdempotencyTable(1000))
+    caller = DownstreamCaller(linked.scheduler, linked.components[1], linked.agent, vault, admission_stage)
     vault.on_call_ended, caller.guarded_on_timeout = caller.on_call_ended, caller.on_timeout
     context = linked.launch("a1")
     for number in (1, 2):
         caller.on_call_needed(context, number, b"ask")
         caller.start_call(context, 2000 * MS if number == 2 else 300 * MS)
-        assert linked.hears(vault_server, b"ask a1 " + (b"2000" if number == 2 else b"300"))
-    linked.passes(ms=400)  # past the timeout of the first call
+        assert linked.wait_for_data(vault_server, b"ask a1 " + (b"2000" if number == 2 else b"300"))
+    linked.run_passes(ms=400)  # past the timeout of the first call
     assert linked.count("relay.overdue") == 0
     assert list(vault.calls) == ["a1"]
     first = vault_server.links[0][0]
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -19,7 +19,7 @@
 from birchslip.net.program import Phase
 from birchslip.net.request_context import IdempotencyEntry
 
-from .hall import Hall
+from .socket_harness import ProgramHarness
 
 KEY = "1" * 32
 PAST_CLOSING_TIMEOUT_MS = CLOSING_TIMEOUT // 10 + 1
@@ -27,15 +27,15 @@
 
 @pytest.fixture
 def start():
-    halls = []
+    harnesses = []
 
     def build(**options):
-        halls.append(Hall(**options))
-        return halls[-1]
+        harnesses.append(ProgramHarness(**options))
+        return harnesses[-1]
 
     yield build
-    for hall in halls:
-        hall.stop()
+    for harness in harnesses:
+        harness.close()
 
 
 def read_until_end(router):
@@ -47,124 +47,124 @@
     return messages
 
 
-def notified_router(hall):
+def notified_router(harness):
     """Returns a router with an idle connection on which `closing` was sent."""
-    router = hall.router()
+    router = harness.connect_router()
     ping = router.ping()
-    hall.passes()
+    harness.run_passes()
     assert router.answer(ping)[0] is None
-    for client in hall.clients.active:
+    for client in harness.clients.active:
         client.send_closing()
-    hall.passes()
+    harness.run_passes()
     return router
 
 
 @pytest.mark.parametrize("cut", [0, 1, 20])
 def test_serves_request_that_arrives_as_idle_connection_closes(start, cut):
     """The request has arrived unread, in whole or in part, when the idle timeout passes."""
-    hall = start()
-    router = notified_router(hall)
+    harness = start()
+    router = notified_router(harness)
     sent = []
     router.link, link = type("Tap", (), {"sendall": sent.append})(), router.link
-    call = router.call("lookup", b"1", ts=str(hall.time // 10 + PAST_CLOSING_TIMEOUT_MS))
+    call = router.call("lookup", b"1", ts=str(harness.time // 10 + PAST_CLOSING_TIMEOUT_MS))
     router.link = link
     raw = sent[0]
     link.sendall(raw[: len(raw) - cut])
-    hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)
+    harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)
     link.sendall(raw[len(raw) - cut :])
-    hall.passes()
-    (name,) = hall.launched()
-    hall.end(name, Outcome.SERVED)
-    hall.passes()
+    harness.run_passes()
+    (name,) = harness.launched_runs()
+    harness.end_run(name, Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
-    hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)  # without an open request it is closed
+    harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)  # without an open request it is closed
     assert read_until_end(router) == []
 
 
 def test_discards_request_after_close_without_reset(start):
-    hall = start()
-    router = notified_router(hall)
-    hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)
+    harness = start()
+    router = notified_router(harness)
+    harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)
     router.call("lookup", b"1")
-    hall.passes()
+    harness.run_passes()
     assert read_until_end(router) == [[2, "closing", []]]
-    assert hall.launched() == []
-    hall.hang_up(router)
-    assert not hall.clients.active
-    assert not hall.clients.lingering
+    assert harness.launched_runs() == []
+    harness.disconnect(router)
+    assert not harness.clients.active
+    assert not harness.clients.lingering
 
 
 @pytest.mark.parametrize("malformed", [b"\xc1", pack([0, 1, "ping", [{}]])])
 def test_malformed_data_loses_no_responses_of_the_same_pass(start, malformed):
-    hall = start()
-    router = hall.router()
+    harness = start()
+    router = harness.connect_router()
     first = pack([0, 1, "ping", [{}]]) + pack([0, 2, "unheard", [{}, b""]])
     router.link.sendall(first + malformed + pack([0, 3, "ping", [{}]]))
-    hall.passes()
+    harness.run_passes()
     responses = read_until_end(router)
     assert [message[1] for message in responses] == [1, 2]
-    assert hall.clients.counters.counts["clients.malformed"]
+    assert harness.clients.counters.counts["clients.malformed"]
 
 
 def test_malformed_data_leaves_one_response_to_each_open_request(start):
-    hall = start()
-    router = hall.router()
+    harness = start()
+    router = harness.connect_router()
     launched = router.call("lookup", b"1")
-    hall.passes()
+    harness.run_passes()
     held = [router.call("lookup", b"1", need="900") for _ in range(4)]
     router.link.sendall(b"\xc1")
-    hall.passes()
+    harness.run_passes()
     errors = {message[1]: message[2][0] for message in read_until_end(router)}
     assert sorted(errors) == [launched, *held]
     assert errors[launched] == "Failed"
-    assert hall.orders[-1]["op"] == "freeze" or hall.orders[-2]["op"] == "freeze"  # its caller is gone
-    assert len(hall.launched()) == 1  # a rejected request never runs
+    assert harness.orders[-1]["op"] == "freeze" or harness.orders[-2]["op"] == "freeze"  # its caller is gone
+    assert len(harness.launched_runs()) == 1  # a rejected request never runs
     assert set(errors[number] for number in held) == {"Overloaded"}
 
 
 def test_message_timeout_waits_for_open_requests(start):
-    hall = start()
-    router = hall.router()
+    harness = start()
+    router = harness.connect_router()
     call = router.call("lookup", b"1")
-    hall.passes()
+    harness.run_passes()
     router.link.sendall(pack([0, 2, "ping", [{}]])[:3])
-    hall.passes()
-    hall.passes(ms=(MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL) // 10)
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    harness.run_passes()
+    harness.run_passes(ms=(MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL) // 10)
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
-    hall.passes(ms=MESSAGE_CHECK_INTERVAL // 10)  # now the incomplete message has timed out
+    harness.run_passes(ms=MESSAGE_CHECK_INTERVAL // 10)  # now the incomplete message has timed out
     assert read_until_end(router) == []
-    assert hall.clients.counters.counts["clients.silent"] == 1
+    assert harness.clients.counters.counts["clients.silent"] == 1
 
 
 def test_request_is_served_among_many_silent_connections(start):
     """All are accepted in one pass, above the limit, before any of them is read."""
-    hall = start(most=3)
-    router = hall.router()
+    harness = start(max_connections=3)
+    router = harness.connect_router()
     call = router.call("lookup", b"1")
-    crowd = [hall.router() for _ in range(20)]
-    hall.passes()
+    crowd = [harness.connect_router() for _ in range(20)]
+    harness.run_passes()
     for _ in range(10):
-        hall.passes(ms=MIN_EVICTION_AGE // 10)
-    hall.passes(ms=100)
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+        harness.run_passes(ms=MIN_EVICTION_AGE // 10)
+    harness.run_passes(ms=100)
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
     assert len(crowd) == 20
-    assert len(hall.clients.active) <= 3
+    assert len(harness.clients.active) <= 3
 
 
 def test_reads_connection_before_evicting_it(start):
-    hall = start(most=2)
-    mute, router = hall.router(), hall.router()
-    hall.passes()
-    hall.passes(ms=300)
+    harness = start(max_connections=2)
+    mute, router = harness.connect_router(), harness.connect_router()
+    harness.run_passes()
+    harness.run_passes(ms=300)
     call = mute.call("lookup", b"1")  # the candidate for eviction has just sent a request
-    other = hall.router()
-    hall.passes()
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    other = harness.connect_router()
+    harness.run_passes()
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert mute.answer(call) == (None, [b"made", {}])
     assert read_until_end(router) == []
     assert other.link
@@ -172,61 +172,61 @@
 
 def test_eviction_loses_no_responses_of_the_same_pass(start):
     """At the limit, every connection has just sent a message when as many new ones arrive in one pass."""
-    hall = start(most=12)
-    hall.clients.max_lingering = 4
-    old = [hall.router() for _ in range(12)]
+    harness = start(max_connections=12)
+    harness.clients.max_lingering = 4
+    old = [harness.connect_router() for _ in range(12)]
     for router in old:
         ping = router.ping()
-        hall.passes()
+        harness.run_passes()
         assert router.answer(ping)[0] is None
-    hall.passes(ms=200)  # the listener is polled again
+    harness.run_passes(ms=200)  # the listener is polled again
     pings = [router.ping() for router in old]
-    new = [hall.router() for _ in range(12)]
+    new = [harness.connect_router() for _ in range(12)]
     for _ in range(100):
-        hall.passes(ms=10)
-        assert len(hall.clients.active) + len(hall.clients.lingering) <= 16
+        harness.run_passes(ms=10)
+        assert len(harness.clients.active) + len(harness.clients.lingering) <= 16
     for router, ping in zip(old, pings, strict=True):
         assert router.answer(ping) == (None, [True, {}])
     assert len(new) == 12
-    assert hall.clients.counters.counts["clients.made_room"] >= 12
+    assert harness.clients.counters.counts["clients.made_room"] >= 12
 
 
 def test_lingering_peer_that_reads_nothing_is_evicted(start):
     """At the limit, when the only connection is already being closed."""
-    hall = start(most=1)
-    hall.clients.max_lingering = 1
-    first = hall.router()
+    harness = start(max_connections=1)
+    harness.clients.max_lingering = 1
+    first = harness.connect_router()
     ping = first.ping()
-    hall.passes()
+    harness.run_passes()
     assert first.answer(ping)[0] is None
-    (client,) = hall.clients.active
+    (client,) = harness.clients.active
     client.connection.flush = lambda: None  # the socket takes nothing more
     first.ping()
-    hall.passes()
-    second, third = hall.router(), hall.router()
+    harness.run_passes()
+    second, third = harness.connect_router(), harness.connect_router()
     call = third.ping()
     second.ping()
     for _ in range(30):
-        hall.passes(ms=10)
-    assert len(hall.clients.active) + len(hall.clients.lingering) <= 2
+        harness.run_passes(ms=10)
+    assert len(harness.clients.active) + len(harness.clients.lingering) <= 2
     assert third.answer(call) == (None, [True, {}])
 
 
 def test_listener_closes_once_its_queue_is_accepted(start):
-    hall = start(most=1)
-    router = hall.router()
+    harness = start(max_connections=1)
+    router = harness.connect_router()
     call = router.call("lookup", b"1")
-    hall.passes()
-    end_drain_grace(hall)
-    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)  # no room to accept
-    assert hall.clients.listener is not None
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    harness.run_passes()
+    end_drain_grace(harness)
+    harness.run_passes(ms=FINAL_ACCEPT_DELAY // 10)  # no room to accept
+    assert harness.clients.listener is not None
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
-    hall.hang_up(router)
+    harness.disconnect(router)
     for _ in range(10):
-        hall.passes(ms=10)
-    assert hall.program.phase is Phase.ENDED
+        harness.run_passes(ms=10)
+    assert harness.program.phase is Phase.ENDED
 
 
 @pytest.mark.parametrize(
@@ -234,15 +234,15 @@
 )
 def test_closed_connection_is_freed_without_garbage_collection(start, cause):
     """A reference cycle would keep each connection in memory until the next garbage collection."""
-    hall = start()
+    harness = start()
     gc.collect()
     gc.disable()
     try:
-        router = hall.router()
+        router = harness.connect_router()
         ping = router.ping()
-        hall.passes()
+        harness.run_passes()
         assert router.answer(ping)[0] is None
-        (client,) = hall.clients.active
+        (client,) = harness.clients.active
         references = [
             weakref.ref(client),
             weakref.ref(client.connection),
@@ -255,38 +255,38 @@
         elif cause == "closed by the server":
             client.connection.close("dropped")
         del client
-        hall.passes()
-        hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)
-        hall.hang_up(router)
-        hall.passes(ms=PAST_CLOSING_TIMEOUT_MS)
+        harness.run_passes()
+        harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)
+        harness.disconnect(router)
+        harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)
         assert [reference() for reference in references] == [None] * 3
     finally:
         gc.enable()
 
 
-def end_drain_grace(hall):
-    hall.program.begin_drain()
-    hall.passes(ms=hall.program.config.settings.drain_grace // 10 + 1)
-    assert hall.program.phase in (Phase.SHUT, Phase.CLOSING, Phase.ENDED)
+def end_drain_grace(harness):
+    harness.program.begin_drain()
+    harness.run_passes(ms=harness.program.config.settings.drain_grace // 10 + 1)
+    assert harness.program.phase in (Phase.SHUT, Phase.CLOSING, Phase.ENDED)
 
 
 def test_connection_in_accept_queue_at_drain_gets_response(start):
     """At the limit without an idle connection: the listener stays open until the queue is empty."""
-    hall = start(most=1)
-    first = hall.router()
+    harness = start(max_connections=1)
+    first = harness.connect_router()
     running = first.call("lookup", b"1")
-    hall.passes()
-    second = hall.router()
+    harness.run_passes()
+    second = harness.connect_router()
     waiting = second.call("lookup", b"1")
-    end_drain_grace(hall)
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    end_drain_grace(harness)
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert first.answer(running) == (None, [b"made", {}])
-    hall.hang_up(first)
-    hall.passes(ms=100)
-    hall.passes(ms=100)
+    harness.disconnect(first)
+    harness.run_passes(ms=100)
+    harness.run_passes(ms=100)
     assert second.answer(waiting)[0][0] == "Overloaded"
-    assert len(hall.launched()) == 1
+    assert len(harness.launched_runs()) == 1
 
 
 class LateListener:
@@ -315,14 +315,14 @@
 
 
 def test_connection_opened_as_listener_closes_is_not_reset(start):
-    hall = start()
-    listener = LateListener(hall.clients.listener, hall.address, pack([0, 1, "ping", [{}]]))
-    hall.clients.listener = listener
-    hall.program.begin_drain()
-    hall.passes(count=1, ms=hall.program.config.settings.drain_grace // 10 + 1)
-    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
-    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
-    assert hall.clients.listener is None
+    harness = start()
+    listener = LateListener(harness.clients.listener, harness.address, pack([0, 1, "ping", [{}]]))
+    harness.clients.listener = listener
+    harness.program.begin_drain()
+    harness.run_passes(count=1, ms=harness.program.config.settings.drain_grace // 10 + 1)
+    harness.run_passes(ms=FINAL_ACCEPT_DELAY // 10)
+    harness.run_passes(ms=FINAL_ACCEPT_DELAY // 10)
+    assert harness.clients.listener is None
     assert len(listener.late_sockets) > 1
     for link in listener.late_sockets:
         if select.select([], [link], [], 0)[1]:  # it was accepted, so it was notified
@@ -332,113 +332,113 @@
 
 @pytest.mark.parametrize("greets", [True, False])
 def test_request_unread_at_exit_is_rejected_and_never_runs(start, greets):
-    hall = start(greets=greets)
-    router = hall.router()
+    harness = start(agent_greets=greets)
+    router = harness.connect_router()
     ping = router.ping()
-    hall.passes()
+    harness.run_passes()
     assert router.answer(ping)[0] is None
     call = router.call("lookup", b"1")
-    hall.program.begin_drain()
-    hall.program.begin_close()
+    harness.program.begin_drain()
+    harness.program.begin_close()
     late = router.call("lookup", b"1")  # the connection is already being closed
-    hall.passes()
+    harness.run_passes()
     messages = read_until_end(router)
     assert [message[2][0] for message in messages if message[0] == 1] == ["Overloaded"]
     assert late > call
-    assert not hall.launched()
-    hall.hang_up(router)
-    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
-    hall.passes(ms=1)
-    assert hall.program.phase is Phase.ENDED
+    assert not harness.launched_runs()
+    harness.disconnect(router)
+    harness.run_passes(ms=FINAL_ACCEPT_DELAY // 10)
+    harness.run_passes(ms=1)
+    assert harness.program.phase is Phase.ENDED
 
 
 def test_rejects_repeat_of_earlier_incarnation_before_agent_greets(start):
     """It must not fail as unknown: its result may be stored, and available a moment later."""
-    hall = start(greets=False)
-    hall.program.idempotency_table.find_earlier = lambda context: IdempotencyEntry(
+    harness = start(agent_greets=False)
+    harness.program.idempotency_table.find_earlier = lambda context: IdempotencyEntry(
         context.idempotency_key, context, context.received_at, context, matches_earlier_run=lambda other: True
     )
-    router = hall.router()
+    router = harness.connect_router()
     call = router.call("order", b"1", opkey=KEY)
-    hall.passes()
+    harness.run_passes()
     assert router.answer(call)[0][0] == "Overloaded"
 
 
 def test_accepts_only_repeats_of_running_requests_after_drain_grace(start):
-    hall = start()
-    router = hall.router()
+    harness = start()
+    router = harness.connect_router()
     first = router.call("order", b"1", opkey=KEY)
-    hall.passes()
-    other = hall.router()
-    hall.passes()
-    end_drain_grace(hall)
+    harness.run_passes()
+    other = harness.connect_router()
+    harness.run_passes()
+    end_drain_grace(harness)
     # both were sent before the router received `closing`
     again, new = other.call("order", b"1", opkey=KEY), other.call("order", b"1", opkey="2" * 32)
-    hall.passes()
+    harness.run_passes()
     assert other.answer(new)[0][0] == "Overloaded"
     assert again not in other.replies
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(first)[1] == other.answer(again)[1] == [b"made", {}]
-    assert len(hall.launched()) == 1
+    assert len(harness.launched_runs()) == 1
 
 
 def test_repeat_read_at_exit_fails_and_is_not_rejected(start):
-    hall = start()
-    router, other = hall.router(), hall.router()
+    harness = start()
+    router, other = harness.connect_router(), harness.connect_router()
     first = router.call("order", b"1", opkey=KEY)
-    hall.passes()
+    harness.run_passes()
     again = other.call("order", b"1", opkey=KEY)
-    hall.program.begin_drain()
-    hall.program.begin_drain()  # the second request ends the drain
-    hall.passes()
+    harness.program.begin_drain()
+    harness.program.begin_drain()  # the second request ends the drain
+    harness.run_passes()
     assert router.answer(first)[0][0] == other.answer(again)[0][0] == "Failed"
-    assert len(hall.launched()) == 1
+    assert len(harness.launched_runs()) == 1
 
 
 def test_no_request_starts_after_its_response_at_exit(start):
-    hall = start()
-    router = hall.router()
+    harness = start()
+    router = harness.connect_router()
     calls = [router.call("lookup", b"1", need="400") for _ in range(6)]
-    hall.passes()
-    started = len(hall.launched())
+    harness.run_passes()
+    started = len(harness.launched_runs())
     assert 0 < started < 6
-    hall.program.begin_drain()
-    hall.program.begin_close()
-    for name in hall.launched():
-        hall.end(name, Outcome.CANCELLED)  # the next request could start
-    hall.passes()
+    harness.program.begin_drain()
+    harness.program.begin_close()
+    for name in harness.launched_runs():
+        harness.end_run(name, Outcome.CANCELLED)  # the next request could start
+    harness.run_passes()
     words = [router.answer(call)[0][0] for call in calls]
     assert sorted(words) == ["Failed"] * started + ["Overloaded"] * (6 - started)
-    assert len(hall.launched()) == started
+    assert len(harness.launched_runs()) == started
 
 
 def test_stop_in_same_pass_as_result_loses_no_response(start):
-    hall = start()
-    router = hall.router()
+    harness = start()
+    router = harness.connect_router()
     call = router.call("lookup", b"1")
-    hall.passes()
-    hall.program.begin_drain()
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.program.begin_drain()  # at once the second
-    hall.passes()
+    harness.run_passes()
+    harness.program.begin_drain()
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.program.begin_drain()  # at once the second
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
 
 
 def test_stop_timeout_shorter_than_drain_grace_leaves_no_request_without_response(start):
-    hall = start(stop_ms=500)
-    router = hall.router()
+    harness = start(stop_ms=500)
+    router = harness.connect_router()
     running = router.call("order", b"1", opkey=KEY)
-    hall.passes()
+    harness.run_passes()
     held = router.call("lookup", b"1", need="900")
-    hall.program.begin_drain()
-    hall.passes(ms=150)
+    harness.program.begin_drain()
+    harness.run_passes(ms=150)
     within = router.call("lookup", b"1", need="900")
     for _ in range(50):
-        if hall.program.phase is not Phase.ENDED:
-            hall.passes(ms=10)
+        if harness.program.phase is not Phase.ENDED:
+            harness.run_passes(ms=10)
     words = [router.answer(call)[0][0] for call in (running, held, within)]
     assert words[0] == "Failed"
     assert set(words[1:]) <= {"Overloaded", "Failed"}
-    assert hall.program.phase is Phase.ENDED
-    assert hall.time - hall.program.stop_deadline < 0
+    assert harness.program.phase is Phase.ENDED
+    assert harness.time - harness.program.stop_deadline < 0
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -39,10 +39,10 @@
 from birchslip.net.stages.run_dispatcher import RunDispatcher
 from birchslip.net.vault import CALL_OUTCOMES
 
-from .decision_harness import make_request_class as profile
+from .decision_harness import make_request_class
 
-KEYED = profile(Idempotency.KEYED, key_retention=5 * SECOND)
-IDEMPOTENT = profile()
+KEYED = make_request_class(Idempotency.KEYED, key_retention=5 * SECOND)
+IDEMPOTENT = make_request_class()
 
 
 class RecordingPeer:
