--- a/tests/socket_harness.py
+++ b/tests/socket_harness.py
@@ -1,5 +1,7 @@
-"""A whole program on a real listener, or one peer's side of it at a real address, moved on pass by pass: what
-happens between two lines is the test's.
+"""Harnesses that run the program, or one of its parts, on real sockets in time that the test controls.
+
+The scheduler runs only when a test asks for passes of its loop, so a test decides what happens between any
+two passes. Times are in tenths of a millisecond, unless a name ends in `ms` (milliseconds) or `_S` (seconds).
 """
 
 import fcntl
@@ -23,7 +25,10 @@
 
 
 def wait_until_delivered(link):
-    """A barrier: all that was sent on it lies with the other side, where the next look finds it."""
+    """Wait until the peer's socket holds all data sent on the link, where the next poll finds it.
+
+    A reset link ends the wait too.
+    """
     poll = select.poll()
     poll.register(link, 0)
     for _ in range(1_000_000):
@@ -34,22 +39,37 @@
 
 
 class HarnessRouter(Router):
-    """A router whose clock is the hall's."""
+    """A router connection whose timestamps are taken from the harness's clock."""
 
     def __init__(self, harness):
+        """Connect to the harness's listener."""
         self.harness = harness
         super().__init__(harness.address, TIMEOUT_S)
         # Without TCP_NODELAY, the kernel could hold data back past the next pass.
         self.link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def call(self, profile, body, **fields):
+        """Send a request and return its number."""
         return super().call(profile, body, **({"ts": str(self.harness.time // 10)} | fields))
 
 
 class ProgramHarness:
-    """Its time stands still but for `passes`; the agent is the test, which sees the orders it would get."""
+    """A whole program with a real listener; the test takes the place of the agent.
+
+    Attributes:
+        time: The program's time; only `run_passes` advances it.
+        orders: The orders that the program sent to the agent.
+        peers: The routers that were connected.
+    """
 
     def __init__(self, agent_greets=True, max_connections=None, **config):
+        """Start the program on a free port.
+
+        Args:
+            agent_greets: Whether the agent's greeting is delivered at the start.
+            max_connections: Limit of the router connections; None keeps the configured one.
+            **config: Values that replace those of the example configuration.
+        """
         document = json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0", **config}
         self.program = program = Program(parse_config(document, {}))
         self.scheduler = program.scheduler
@@ -69,7 +89,7 @@
         self.run_passes()
 
     def run_passes(self, count=4, ms=0):
-        """So many passes; the time that they take goes by before the first of them."""
+        """Advance the time by `ms`, wait for data that routers have sent, then run `count` passes."""
         self.time += ms * 10
         for peer in self.peers:
             if peer.link.fileno() >= 0:
@@ -81,26 +101,30 @@
         return self
 
     def connect_router(self):
+        """Connect a router and wait until the listener is ready to accept it."""
         self.peers.append(HarnessRouter(self))
         if self.clients.listener is not None:
             assert select.select([self.clients.listener], [], [], TIMEOUT_S)[0]
         return self.peers[-1]
 
     def disconnect(self, router):
+        """Close a router's connection and let the program notice it."""
         router.link.shutdown(socket.SHUT_WR)
         wait_until_delivered(router.link)
         router.link.close()
         self.run_passes()
 
     def launched_runs(self):
+        """Return the ids of the runs that the program ordered the agent to launch."""
         return [order["id"] for order in self.orders if order["op"] == "launch"]
 
     def end_run(self, run_id, outcome, result=b"made"):
-        """The agent tells how a run ended."""
+        """Deliver the agent's notice that a run has ended."""
         context = self.program.agent.runs.pop(run_id)
         self.program.agent.on_run_ended(context, outcome, result, 10)
 
     def close(self):
+        """Close all sockets of the program and of its routers."""
         self.clients.close_all()
         for peer in self.peers:
             peer.link.close()
@@ -109,9 +133,18 @@
 
 
 class FakeServer:
-    """A listening address; deaf, it answers no opening, as its queue is full."""
+    """A listening socket that records what each accepted connection receives.
+
+    Attributes:
+        links: Pairs of an accepted connection and the data received on it.
+    """
 
     def __init__(self, is_queue_full=False):
+        """Listen on a free port.
+
+        Args:
+            is_queue_full: Whether to fill the accept queue, so that attempts to connect get no answer.
+        """
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(0 if is_queue_full else 8)
@@ -126,7 +159,7 @@
         self.listener.setblocking(False)
 
     def receive_all(self):
-        """All that has been said here so far."""
+        """Accept waiting connections and return all data received so far, on all connections."""
         with suppress(BlockingIOError):
             while True:
                 link, _ = self.listener.accept()
@@ -138,39 +171,54 @@
         return b"".join(bytes(data) for _, data in self.links)
 
     def send(self, raw):
+        """Send data on every accepted connection."""
         for link, _ in self.links:
             link.sendall(raw)
             wait_until_delivered(link)
 
     def close(self):
+        """Close the listener and all connections."""
         for sock in (self.listener, *self.fillers, *(link for link, _ in self.links)):
             sock.close()
 
 
 class SchedulerHarness:
-    """A scheduler whose time the test moves on."""
+    """A scheduler in time that the test advances, and servers for its connections.
+
+    Attributes:
+        time: The scheduler's time.
+        components: Scheduler, counters and log, the first arguments of each peer's class.
+    """
 
     def __init__(self):
+        """Create the scheduler, without tasks."""
         self.time = 10_000_000
         self.scheduler = Scheduler(lambda: None, self.raise_fault, lambda: self.time)
         self.components = self.scheduler, Counters(), Log(self.scheduler, "t")
         self.servers = []
 
     def raise_fault(self, name, error):
+        """Fail the test with an error that a task did not handle."""
         raise error
 
     def start_server(self, **options):
+        """Start a `FakeServer` that is closed with the harness."""
         self.servers.append(FakeServer(**options))
         return self.servers[-1]
 
     def run_passes(self, ms=0, count=4):
+        """Advance the time by `ms`, then run `count` passes."""
         self.time += ms * MS
         for _ in range(count):
             self.scheduler.poll_at_once = True
             self.scheduler.run_pass()
 
     def wait_for_data(self, server, expected):
-        """Whether that is said there, at this very time."""
+        """Run passes without advancing the time until the server has received the expected data.
+
+        Returns:
+            False if the data does not arrive within about `TIMEOUT_S` of real time.
+        """
         for _ in range(100):
             if expected in server.receive_all():
                 return True
@@ -180,7 +228,11 @@
         return False
 
     def wait_until(self, condition, max_ms):
-        """How many ms went by until then, looked at every 10 of them."""
+        """Advance the time in steps of 10 ms until the condition holds.
+
+        Returns:
+            The time that this took in milliseconds, or `max_ms` if the condition does not hold by then.
+        """
         for ms in range(0, max_ms, 10):
             if condition():
                 return ms
@@ -188,5 +240,6 @@
         return max_ms
 
     def close(self):
+        """Close all servers."""
         for server in self.servers:
             server.close()
