--- a/birchslip/expect/consistency.py
+++ b/birchslip/expect/consistency.py
@@ -79,25 +79,28 @@
     for name, profile in zip(
         context.setting.profiles, context.setting.deployment.request_classes, strict=True
     ):
-        objective, deadline = (
+        objective_path, deadline_path = (
             context.config_path(f"classes[{name}].aim_s"),
             context.config_path(f"classes[{name}].hard_limit_s"),
         )
         if profile.latency_objective > profile.deadline:
-            yield Conflict((objective, deadline), "its callers give up before its latency goal")
+            yield Conflict((objective_path, deadline_path), "its callers give up before its latency goal")
         if profile.idempotency is Idempotency.KEYED and profile.key_retention < profile.deadline:
-            window = context.config_path(f"classes[{name}].window_s")
-            yield Conflict((window, deadline), "its label is forgotten while its callers may still try again")
+            retention_path = context.config_path(f"classes[{name}].window_s")
+            yield Conflict(
+                (retention_path, deadline_path),
+                "its label is forgotten while its callers may still try again",
+            )
         if profile.idempotency is not Idempotency.IDEMPOTENT and profile.weight_without_call > 0:
-            worth = context.config_path("family_info.class_skip_worth")
+            weight_path = context.config_path("family_info.class_skip_worth")
             yield Conflict(
-                (worth, context.config_path(f"classes[{name}].effect")), "an effect is not had in part"
+                (weight_path, context.config_path(f"classes[{name}].effect")), "an effect is not had in part"
             )
 
 
 def check_drain_grace(context: CheckContext) -> Iterator[Conflict]:
     """Check that the process is not stopped before its drain grace ends."""
-    if context.setting.deployment.drain_grace > context.sources.site.stop_timeout:
+    if context.setting.deployment.drain_grace > context.sources.server_config.stop_timeout:
         setting_paths = (
             context.config_path("contract.drain_grace_s"),
             f"{context.sources.file_labels[0]}: stop_ms",
@@ -147,12 +150,14 @@
 
 def check_downstream_calls(context: CheckContext) -> Iterator[Conflict]:
     """Check that calls are made only if there is a downstream service, and its quota window."""
-    deployment, stated = context.setting.deployment, context.setting.layout.profiles
-    callers = [name for name in context.setting.profiles if stated.get(name, Work()).calls > 0]
-    if deployment.downstream is Downstream.NONE and callers:
+    deployment, works_by_profile = context.setting.deployment, context.setting.layout.profiles
+    calling_profiles = [
+        name for name in context.setting.profiles if works_by_profile.get(name, Work()).calls > 0
+    ]
+    if deployment.downstream is Downstream.NONE and calling_profiles:
         setting_paths = (
             context.config_path("family_info.downstream"),
-            context.world_path(f"profiles[{callers[0]}].calls"),
+            context.world_path(f"profiles[{calling_profiles[0]}].calls"),
         )
         yield Conflict(setting_paths, "nothing lies below, and calls are made")
     if (
@@ -165,7 +170,11 @@
         )
         yield Conflict(setting_paths, "an abandoned call counts for longer than the span of the share")
     for name, profile in zip(context.setting.profiles, deployment.request_classes, strict=True):
-        if profile.weight_without_call > 0 and context.sources.world is not None and name not in callers:
+        if (
+            profile.weight_without_call > 0
+            and context.sources.world is not None
+            and name not in calling_profiles
+        ):
             setting_paths = (
                 context.config_path("family_info.class_skip_worth"),
                 context.world_path(f"profiles[{name}].calls"),
@@ -234,17 +243,17 @@
     if context.fleet is None or context.fleet.vault is None:
         return
     deployment = context.setting.deployment
-    vault = context.fleet_path("vault.total")
+    vault_path = context.fleet_path("vault.total")
     if deployment.downstream is not Downstream.SHARED:
         yield Conflict(
-            (context.config_path("family_info.downstream"), vault), "only one knows a service below"
+            (context.config_path("family_info.downstream"), vault_path), "only one knows a service below"
         )
         return
-    base = context.fleet.base_calls().get(context.setting.name)
-    if base is not None and abs(base - deployment.downstream_quota) > 0.01 * max(base, 1.0):
-        setting_paths = (context.config_path("family_info.calls_out"), vault)
+    base_calls = context.fleet.base_calls().get(context.setting.name)
+    if base_calls is not None and abs(base_calls - deployment.downstream_quota) > 0.01 * max(base_calls, 1.0):
+        setting_paths = (context.config_path("family_info.calls_out"), vault_path)
         yield Conflict(
-            setting_paths, f"{deployment.downstream_quota:g} and {base:g} calls of an app server's own"
+            setting_paths, f"{deployment.downstream_quota:g} and {base_calls:g} calls of an app server's own"
         )
 
 
@@ -277,8 +286,8 @@
         if homes and home is None:
             yield Conflict((setting_path, context.fleet_path("sites")), "it is at home nowhere")
         elif home is not None and router.site is not None and router.site != home:
-            where = context.fleet_path(f"sites[{home}].routers")
-            yield Conflict((f"{setting_path}.site", where), f"at home in {router.site} and in {home}")
+            routers_path = context.fleet_path(f"sites[{home}].routers")
+            yield Conflict((f"{setting_path}.site", routers_path), f"at home in {router.site} and in {home}")
 
 
 RULES: Sequence[Rule] = (
--- a/birchslip/expect/judge.py
+++ b/birchslip/expect/judge.py
@@ -155,14 +155,23 @@
 
 def evaluate_order(first: Subject, then: Subject, measure: MeasureFunction) -> Evaluation:
     """Evaluate an order of refusals; undecided if neither subject was refused anything."""
-    a, b = (measure(subject, Measure.REFUSED, Comparison.AT_MOST) for subject in (first, then))
-    if a is None or b is None:
-        unmeasured = first if a is None else then
+    first_refused, then_refused = (
+        measure(subject, Measure.REFUSED, Comparison.AT_MOST) for subject in (first, then)
+    )
+    if first_refused is None or then_refused is None:
+        unmeasured = first if first_refused is None else then
         return Evaluation(None, f"{unmeasured.describe()}: there was nothing to measure of refused")
-    if not a.value and not b.value:
+    if not first_refused.value and not then_refused.value:
         return Evaluation(None, f"neither {first.describe()} nor {then.describe()} was refused anything")
-    text = f"{first.describe()} refused {a.value:.1%}, {then.describe()} {b.value:.1%}"
-    return Evaluation(b.value <= a.value, text, b.value, a.value, 0, b.value - a.value)
+    text = f"{first.describe()} refused {first_refused.value:.1%}, {then.describe()} {then_refused.value:.1%}"
+    return Evaluation(
+        then_refused.value <= first_refused.value,
+        text,
+        then_refused.value,
+        first_refused.value,
+        0,
+        then_refused.value - first_refused.value,
+    )
 
 
 @dataclass(slots=True)
--- a/birchslip/expect/measures.py
+++ b/birchslip/expect/measures.py
@@ -171,8 +171,8 @@
     """
     names = member_names(world, subject)
     samples: list[tuple[int, float]] = []
-    for a, b in spans:
-        for at in range(a, b - UTILIZATION_WINDOW + 1, UTILIZATION_WINDOW):
+    for begin, end in spans:
+        for at in range(begin, end - UTILIZATION_WINDOW + 1, UTILIZATION_WINDOW):
             window = (at, at + UTILIZATION_WINDOW)
             available = [
                 name for name in names if time_average(world.unavailable[name], window) < MAX_OUT_SHARE
@@ -207,9 +207,9 @@
     """Return the extreme wait that rejections advised; rejections without advice do not count."""
     matches = request_filter(subject)
     samples = []
-    for a, b in spans:
-        first = bisect_left(world.answers, a, key=lambda answer: answer[0])
-        last = bisect_right(world.answers, b, key=lambda answer: answer[0])
+    for begin, end in spans:
+        first = bisect_left(world.answers, begin, key=lambda answer: answer[0])
+        last = bisect_right(world.answers, end, key=lambda answer: answer[0])
         samples += [
             (at, wait) for at, request, _, wait in world.answers[first:last] if wait and matches(request)
         ]
--- a/birchslip/expect/reason.py
+++ b/birchslip/expect/reason.py
@@ -258,20 +258,22 @@
                     if tighter or (previous is not None and value == previous.value and strict):
                         bounds[key] = TightestBound(value, strict, statement)
     reported: set[tuple[Statement, ...]] = set()
-    for key, most in above.items():
-        least = below.get(key)
-        if least is None or least.value < most.value:
+    for key, tightest_upper in above.items():
+        tightest_lower = below.get(key)
+        if tightest_lower is None or tightest_lower.value < tightest_upper.value:
             continue
-        if least.value == most.value and not (least.strict or most.strict):
+        if tightest_lower.value == tightest_upper.value and not (
+            tightest_lower.strict or tightest_upper.strict
+        ):
             continue
-        assert isinstance(most.origin, Statement)
-        assert isinstance(least.origin, Statement)
-        pair = tuple(dict.fromkeys((most.origin, least.origin)))
+        assert isinstance(tightest_upper.origin, Statement)
+        assert isinstance(tightest_lower.origin, Statement)
+        pair = tuple(dict.fromkeys((tightest_upper.origin, tightest_lower.origin)))
         if pair not in reported:
             reported.add(pair)
-            upper_bound = Bound(key[0], key[1], Comparison.AT_MOST, most.value)
+            upper_bound = Bound(key[0], key[1], Comparison.AT_MOST, tightest_upper.value)
             yield Contradiction(
-                pair, (), f"{upper_bound.describe()} and at least {least.value:g} can't both be"
+                pair, (), f"{upper_bound.describe()} and at least {tightest_lower.value:g} can't both be"
             )
 
 
@@ -286,19 +288,19 @@
         self.variables: dict[FigureKey, Any] = {}
         self.origins: dict[str, Statement | str] = {}
 
-    def figure(self, subject: Subject, measure: Measure, condition: Condition, most: bool) -> Any:
+    def figure(self, subject: Subject, measure: Measure, condition: Condition, is_maximum: bool) -> Any:
         """Return the variable of a figure; created on first use with the constraints on its range."""
-        key = (subject, measure, condition, most)
+        key = (subject, measure, condition, is_maximum)
         if key not in self.variables:
             self.variables[key] = z3.Real(f"v{len(self.variables)}")
-            other = self.figure(subject, measure, condition, not most)
+            other = self.figure(subject, measure, condition, not is_maximum)
             variable = self.variables[key]
             # A mean has one value; the minimum of an instantaneous measure is at most its maximum.
             self.solver.add(
                 variable == other
                 if not measure.definition.is_instantaneous
                 else other <= variable
-                if most
+                if is_maximum
                 else variable <= other
             )
             self.solver.add(variable >= 0)
@@ -337,10 +339,12 @@
     def bound_term(self, bound: Bound, condition: Condition) -> Any:
         """Return the formula of a bound on one subject."""
         terms = []
-        for (subject, measure, figure_condition, most), value, _, strict in bounded_figures(bound, condition):
-            figure = self.figure(subject, measure, figure_condition, most)
+        for (subject, measure, figure_condition, is_maximum), value, _, strict in bounded_figures(
+            bound, condition
+        ):
+            figure = self.figure(subject, measure, figure_condition, is_maximum)
             number = z3.RealVal(repr(value))
-            if most:
+            if is_maximum:
                 terms.append(figure < number if strict else figure <= number)
             else:
                 terms.append(figure > number if strict else figure >= number)
@@ -366,21 +370,21 @@
         self, whole: Subject, parts: list[Subject], measure: Measure, condition: Condition
     ) -> None:
         """Add the constraints between the figures of a whole and of its parts."""
-        most = self.figure(whole, measure, condition, True)
-        least = self.figure(whole, measure, condition, False)
+        whole_maximum = self.figure(whole, measure, condition, True)
+        whole_minimum = self.figure(whole, measure, condition, False)
         part_maxima = [self.figure(part, measure, condition, True) for part in parts]
         part_minima = [self.figure(part, measure, condition, False) for part in parts]
         add = self.solver.add
         if measure in (Measure.OUTSTANDING, Measure.CALLS, Measure.OUT):
-            add(most <= z3.Sum(part_maxima), least >= z3.Sum(part_minima))
-            add(*[maximum <= most for maximum in part_maxima])
+            add(whole_maximum <= z3.Sum(part_maxima), whole_minimum >= z3.Sum(part_minima))
+            add(*[maximum <= whole_maximum for maximum in part_maxima])
         elif measure is Measure.ADVISED:
-            add(*[maximum <= most for maximum in part_maxima])
+            add(*[maximum <= whole_maximum for maximum in part_maxima])
         else:
             # The share of the whole lies between the shares of its parts.
             add(
-                z3.Or([most <= maximum for maximum in part_maxima]),
-                z3.Or([least >= minimum for minimum in part_minima]),
+                z3.Or([whole_maximum <= maximum for maximum in part_maxima]),
+                z3.Or([whole_minimum >= minimum for minimum in part_minima]),
             )
 
     def add_condition_constraints(self) -> None:
@@ -403,10 +407,10 @@
 
     def add_share_constraints(self) -> None:
         """Add that refused and served shares of a subject sum to at most 1."""
-        for subject, measure, condition, most in list(self.variables):
+        for subject, measure, condition, is_maximum in list(self.variables):
             if (
                 measure is Measure.REFUSED
-                and most
+                and is_maximum
                 and (subject, Measure.SERVED, condition, True) in self.variables
             ):
                 refused = self.figure(subject, measure, condition, True)
@@ -457,9 +461,9 @@
             continue
         for condition in conditions:
             if fact.condition is None or covers(fact.condition, condition):
-                most = solver.figure(fact.subject, fact.measure, condition, True)
+                maximum = solver.figure(fact.subject, fact.measure, condition, True)
                 assertions.append(
-                    (solver.assertion(fact.setting_path), most <= z3.RealVal(repr(float(fact.high))))
+                    (solver.assertion(fact.setting_path), maximum <= z3.RealVal(repr(float(fact.high))))
                 )
     solver.add_constraints()
     core = solver.minimal_core(assertions)
--- a/birchslip/expect/sources.py
+++ b/birchslip/expect/sources.py
@@ -48,7 +48,7 @@
     file_labels: tuple[str, str, str] = ("configuration", "fleet file", "world file")
 
     @cached_property
-    def site(self) -> ServerConfig:
+    def server_config(self) -> ServerConfig:
         """The parsed configuration.
 
         Raises:
@@ -90,11 +90,18 @@
         Raises:
             InvalidInputError: A file is invalid, or the world file refers to an unknown name.
         """
-        site = self.site
+        server_config = self.server_config
         result = Setting(
-            site.settings, site.class_names, site.tenant_names, self.layout, self.parsed_fleet, name=site.name
+            server_config.settings,
+            server_config.class_names,
+            server_config.tenant_names,
+            self.layout,
+            self.parsed_fleet,
+            name=server_config.name,
+        )
+        errors = self.layout.validation_errors(
+            server_config.class_names, server_config.tenant_names, list(result.sites())
         )
-        errors = self.layout.validation_errors(site.class_names, site.tenant_names, list(result.sites()))
         if errors:
             raise InvalidInputError(f"{self.file_labels[2]}: {errors[0]}")
         return result
--- a/birchslip/lab/model/routers.py
+++ b/birchslip/lab/model/routers.py
@@ -257,7 +257,7 @@
             return
         traffic, rng = self.traffic, self.arrival_rng
         tenant_name = rng.choices(traffic.tenant_names, list(weights.values()))[0]
-        class_name, request_class, _, work, mean_calls = rng.choices(
+        class_name, request_class, _, work, call_share = rng.choices(
             traffic.request_classes, traffic.class_weights
         )[0]
         work_ms = max(5, int(rng.gammavariate(4, work / 4) / 10))
@@ -273,7 +273,7 @@
             self.number,
             self.clock.now,
             work_ms * 10,
-            mean_calls >= 1 or (mean_calls > 0 and rng.random() < mean_calls),
+            call_share >= 1 or (call_share > 0 and rng.random() < call_share),
             traffic.size,
             idempotency_key,
         )
--- a/tests/test_expect_check.py
+++ b/tests/test_expect_check.py
@@ -43,13 +43,13 @@
 """
 
 
-def with_setting(which, path, value):
-    contents = copy.deepcopy(getattr(sources(), which))
+def with_setting(file_kind, path, value):
+    contents = copy.deepcopy(getattr(sources(), file_kind))
     node = contents
     for key in path[:-1]:
         node = node.setdefault(key, {}) if isinstance(node, dict) else node[key]
     node[path[-1]] = value
-    return replace(sources(), **{which: contents})
+    return replace(sources(), **{file_kind: contents})
 
 
 def check_result(settings, expected, **options):
@@ -69,16 +69,16 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "which", "path", "value", "expected", "words"), BROKEN, ids=[one[0] for one in BROKEN]
+    ("name", "file_kind", "path", "value", "expected", "words"), BROKEN, ids=[one[0] for one in BROKEN]
 )
 def test_reports_broken_settings_with_reason_and_passes_intact_ones(
-    name, which, path, value, expected, words
+    name, file_kind, path, value, expected, words
 ):
     is_contradiction = name == "a contradiction"
     if expected and not is_contradiction:
         assert check_result(sources(), expected, search=False)[0] == 0
     # The search is needed only in cases that expect the name of the responsible setting.
-    code, reason = check_result(with_setting(which, path, value), expected, search=words not in "xy")
+    code, reason = check_result(with_setting(file_kind, path, value), expected, search=words not in "xy")
     assert code != 0
     assert words in reason
 
--- a/tests/test_expect_consistency.py
+++ b/tests/test_expect_consistency.py
@@ -65,9 +65,9 @@
 ]
 
 
-@pytest.mark.parametrize(("which", "path", "value", "setting_paths"), CASES)
-def test_conflict_names_contradicting_settings(which, path, value, setting_paths):
-    conflicts = find_conflicts(with_setting(which, path, value))
+@pytest.mark.parametrize(("file_kind", "path", "value", "setting_paths"), CASES)
+def test_conflict_names_contradicting_settings(file_kind, path, value, setting_paths):
+    conflicts = find_conflicts(with_setting(file_kind, path, value))
     assert conflicts
     assert len(conflicts[0].setting_paths) == len(setting_paths)
     assert all(
