--- a/birchslip/expect/check.py
+++ b/birchslip/expect/check.py
@@ -58,7 +58,7 @@
 
 
 def expectation_files(paths: Iterable[str | Path]) -> list[Path]:
-    """Return the files to read; a folder stands for its `*.expect` files, sorted by name.
+    """Return the files to read, each once; a folder stands for all `*.expect` files below it, sorted by path.
 
     Raises:
         InvalidInputError: A folder holds no such file.
--- a/birchslip/expect/consistency.py
+++ b/birchslip/expect/consistency.py
@@ -72,7 +72,7 @@
 
 
 def check_profile_spans(context: CheckContext) -> Iterator[Conflict]:
-    """Check latency objective, deadline and key retention of each profile.
+    """Check that no profile has a deadline before its latency objective or after its key retention.
 
     Also check that only idempotent profiles earn weight without their call.
     """
@@ -109,7 +109,7 @@
 
 
 def check_speed(context: CheckContext) -> Iterator[Conflict]:
-    """Check the speed after a cold start and the load at which the app server fails."""
+    """Check that the speed after a cold start is a share above 0, and that a run on each core is survived."""
     deployment = context.setting.deployment
     if not 0 < deployment.cold_start_speed <= 1:
         yield Conflict(
@@ -120,7 +120,10 @@
 
 
 def check_memory(context: CheckContext) -> Iterator[Conflict]:
-    """Check that a run on each core fits into the memory limit."""
+    """Check the memory of runs.
+
+    A run needs at least the memory of its request, and a run on each core must fit into the memory limit.
+    """
     deployment, size = context.setting.deployment, context.setting.layout.size
     if deployment.running_memory_factor < 1:
         yield Conflict(
@@ -149,7 +152,11 @@
 
 
 def check_downstream_calls(context: CheckContext) -> Iterator[Conflict]:
-    """Check that calls are made only if there is a downstream service, and its quota window."""
+    """Check the settings of downstream calls.
+
+    Calls need a downstream service, an abandoned call must not count for longer than the quota window, and
+    a profile earns weight without its call only if it makes calls.
+    """
     deployment, works_by_profile = context.setting.deployment, context.setting.layout.profiles
     calling_profiles = [
         name for name in context.setting.profiles if works_by_profile.get(name, Work()).calls > 0
@@ -186,7 +193,7 @@
 
 
 def check_fleet_size(context: CheckContext) -> Iterator[Conflict]:
-    """Check the number of app servers and that the fleet file names this one."""
+    """Check that `group_size` is the number of members in the fleet file, which must name this app server."""
     if context.fleet is None:
         return
     members = sum(len(site.members) for site in context.fleet.sites)
@@ -204,7 +211,7 @@
 def check_tenant_shares(context: CheckContext) -> Iterator[Conflict]:
     """Check that the share of each tenant is the same wherever it is given.
 
-    It follows from `share`, from the fleet file and from the quotas.
+    It may be given as `share` of the tenant and in the fleet file, and follows from the tenants' quotas.
     """
     tenants = context.settings.get("tenants", [])
     quotas = {tenant.get("name"): float(tenant.get("quota_per_s") or 0.0) for tenant in tenants}
@@ -239,7 +246,11 @@
 
 
 def check_vault_quota(context: CheckContext) -> Iterator[Conflict]:
-    """Check that fleet file and configuration agree on the downstream quota."""
+    """Check that fleet file and configuration agree on the downstream service and its quota.
+
+    If the fleet file has a vault, the downstream service must be shared, and the quota of this app server
+    must be the same in both files to within one percent.
+    """
     if context.fleet is None or context.fleet.vault is None:
         return
     deployment = context.setting.deployment
@@ -261,7 +272,10 @@
 
 
 def check_disruption_budgets(context: CheckContext) -> Iterator[Conflict]:
-    """Check that no budget allows all members of a group, or none, to be out."""
+    """Check that no budget allows all members of a group to be out.
+
+    With a platform, a budget that allows none to be out is a conflict too, because releases would wait.
+    """
     if context.fleet is None:
         return
     for group in context.fleet.budget_groups():
--- a/birchslip/expect/judge.py
+++ b/birchslip/expect/judge.py
@@ -139,7 +139,7 @@
         Comparison.OVER: value > bound.value,
         Comparison.EXACTLY: value == bound.value,
     }[bound.compare]
-    scale = max(abs(bound.value), 0.01)
+    scale = max(abs(bound.value), 0.01)  # not 0 for a bound of 0
     deviation = (value - bound.value) / scale
     excess = (
         deviation
@@ -154,7 +154,10 @@
 
 
 def evaluate_order(first: Subject, then: Subject, measure: MeasureFunction) -> Evaluation:
-    """Evaluate an order of refusals; undecided if neither subject was refused anything."""
+    """Evaluate an order of refusals.
+
+    It is undecided if neither subject was refused anything, or if one had nothing to measure.
+    """
     first_refused, then_refused = (
         measure(subject, Measure.REFUSED, Comparison.AT_MOST) for subject in (first, then)
     )
@@ -200,7 +203,13 @@
 
 
 def combine_seeds(evaluations: Sequence[tuple[int, Evaluation]]) -> Verdict:
-    """Combine the evaluations of a claim over all seeds, as (seed, evaluation)."""
+    """Combine the evaluations of a claim over all seeds into a verdict.
+
+    The claim holds or fails if it does so with every seed, and is undecided otherwise.
+
+    Args:
+        evaluations: Pairs of (seed, evaluation).
+    """
     if all(evaluation.held for _, evaluation in evaluations):
         seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
         return Verdict(Outcome.HOLDS, "play", worst.reason, worst.value, worst.bound, seed)
--- a/birchslip/expect/reason.py
+++ b/birchslip/expect/reason.py
@@ -144,7 +144,7 @@
         return None
 
     def decide_claim(self, claim: Claim, condition: Condition, names: KnownNames) -> tuple[bool, str] | None:
-        """Decide a bound for all its subjects; `None` for any other claim."""
+        """Return whether a bound holds for all its subjects, and why; `None` if it depends or is no bound."""
         if not isinstance(claim, Bound):
             return None
         reasons = []
@@ -156,7 +156,11 @@
         return True, "; ".join(dict.fromkeys(reasons))
 
     def decide_bound(self, bound: Bound, condition: Condition) -> tuple[bool, str] | None:
-        """Decide a bound on one subject from the first fact that settles it."""
+        """Decide a bound on one subject by the first fact that settles it.
+
+        Returns:
+            Whether the bound holds (or else fails) in every run, and why; `None` if no fact settles it.
+        """
         for fact in self.facts_for(bound.subject, bound.measure, condition):
             low, high, value = fact.low, fact.high, bound.value
             match bound.compare:
--- a/birchslip/expect/search.py
+++ b/birchslip/expect/search.py
@@ -289,6 +289,7 @@
     )
     best: tuple[Change, Evaluation] | None = None
     for change, changed in zip(changes, evaluations, strict=True):
+        # A difference of no more than 1e-9 is a rounding error.
         if changed is None or changed.held is None or changed.excess >= evaluation.excess - 1e-9:
             continue
         if best is None or (changed.held, -changed.excess) > (best[1].held, -best[1].excess):
--- a/birchslip/expect/situations.py
+++ b/birchslip/expect/situations.py
@@ -1,8 +1,8 @@
 """Scripts that bring about the condition of a statement, and the spans of a run in which it held.
 
 The spans follow from the events recorded during a run. Absent planners and an outage of the downstream
-service record no event, so that their spans follow from the script. The module performs no I/O and reads no
-clock.
+service record no event, so that their spans follow from the script, as does that of a load. The module
+performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 LOAD_RAMP = SECOND  # a load is applied this long before it is measured
 COOL_DOWN = SECOND  # after the measured span, so that open requests can end
 SITE_RETURN_TIME = 6 * SECOND  # what a lost site needs to return
-RELEASE_TIME = 40 * SECOND
+RELEASE_TIME = 40 * SECOND  # what is measured of a run with a release lasts at least this long
 Span = tuple[int, int]
 
 
@@ -39,10 +39,14 @@
 def build_script(condition: Condition, setting: Setting, shrink_step_s: float = 0.25) -> Script:
     """Return the script that brings about a condition.
 
+    The load is set `LOAD_RAMP` before `SITUATION_BEGIN`, and everything else begins then; a site that is to
+    return is restored `SITUATION_LENGTH` later. The script ends `COOL_DOWN` after the span to be measured.
+
     Args:
         condition: The condition to bring about.
         setting: The settings, for the size of the fleet.
-        shrink_step_s: Seconds between two steps of a shrinking fleet.
+        shrink_step_s: Seconds between the drains of two app servers while the fleet shrinks, as in
+            `World.shrink`.
     """
     steps: list[Step] = []
     at, length = SITUATION_BEGIN, SITUATION_LENGTH + condition.settled
--- a/birchslip/expect/words.py
+++ b/birchslip/expect/words.py
@@ -170,7 +170,8 @@
 class RefusalOrder:
     """A claim that requests of `first` are refused before those of `then`.
 
-    The claim holds if the refused share of `then` is at most that of `first`.
+    The claim holds if the refused share of `then` is at most that of `first`; so `then` must not be refused
+    anything if `first` is not.
     """
 
     first: Subject
@@ -201,7 +202,7 @@
     depth: int = 1
 
     def describe(self) -> str:
-        """Return the claim as it is written in a statement, with alternatives in parentheses."""
+        """Return the claim as it is written in a statement, with each `or` within it in parentheses."""
         return " and ".join(
             f"({inner.describe()})" if isinstance(inner, AnyOf) else inner.describe() for inner in self.claims
         )
--- a/birchslip/lab/model/habits.py
+++ b/birchslip/lab/model/habits.py
@@ -20,7 +20,7 @@
 
     Attributes:
         max_attempts: Maximum number of attempts for one request, including the first.
-        advice_compliance: Share of rejections whose advice (Retry-After, no retry elsewhere) is followed.
+        advice_compliance: Share of rejections whose advice (Retry-After, no further retry) is followed.
         hedge_fraction: Fraction of the latency objective after which an unanswered attempt of a request
             without idempotency key is followed by a second one.
         uses_health_checks: Whether app servers that fail health checks are avoided.
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -115,7 +115,11 @@
         clock.after(SAMPLE_INTERVAL, self.sample)
 
     def apply_downstream_quota(self) -> None:
-        """Give the driver the current downstream quota, so that an expired lease takes effect."""
+        """Give the driver the member's current downstream quota if it has changed.
+
+        Called before each event of the app server, so that an expired quota lease takes effect before the
+        next downstream call. Without a vault in the fleet file the driver keeps its configured quota.
+        """
         if self.planners.fleet.vault is None or self.server.driver is None:
             return
         quota = self.subscription.allowed_calls(self.planners.world.clock.now)
--- a/birchslip/lab/model/routers.py
+++ b/birchslip/lab/model/routers.py
@@ -290,8 +290,13 @@
     def select_server(self, tried_servers: list[str]) -> AppServer | None:
         """Choose the app server for an attempt.
 
+        App servers that have to be avoided are left out. The first attempt goes to the home site if the
+        policy prefers it and an app server there can be used. Lists longer than `SAMPLING_THRESHOLD` are left
+        to `select_from_many`.
+
         Args:
-            tried_servers: The app servers that were tried before; they are used only if no other is left.
+            tried_servers: The app servers that were tried before. Of a short list they are used only if no
+                other is left, of a long list never.
 
         Returns:
             The app server, or `None` if there is none.
@@ -319,7 +324,8 @@
         """Choose like `select_server` from a long list without filtering all of it.
 
         A few app servers are drawn at random; the whole list is filtered only if none of them is eligible.
-        App servers that were tried before are not used.
+        Unlike in `select_server`, app servers that were tried before are never used, and a first attempt that
+        prefers the home site gets none if all listed app servers of that site have to be avoided.
         """
         if candidates is not self.listed_servers:
             self.listed_servers = candidates
@@ -344,7 +350,10 @@
         return self.avoid_until.get(server, 0) <= self.clock.now and server.name not in tried_servers
 
     def send(self, request: ClientRequest) -> None:
-        """Send an attempt of a request, or end the request if it is too late or already answered."""
+        """Send an attempt of a request, or end the request if it is too late or already answered.
+
+        Only an attempt without an idempotency key is followed by a second one if it stays unanswered.
+        """
         now = self.clock.now
         if (
             request.ended
--- a/birchslip/lab/model/servers.py
+++ b/birchslip/lab/model/servers.py
@@ -113,7 +113,8 @@
         counts: Number of runs started, downstream calls, and answers by result.
         on_request: Called with each request that was read.
         on_request_closed: Called with the request, the result and the run time, or -1 without a run.
-        before_event: Called before each event, so that expired quota leases take effect.
+        before_event: Called before each event, so that an expired quota lease takes effect before the next
+            downstream call.
         deferred: Callbacks that wait for the end of a pause, with the incarnation that they belong to.
         driver: The admission driver; `None` while the process does not run.
         key_records: The stored idempotency keys.
@@ -175,6 +176,7 @@
         self.started_at = now
         self.ticks_suspended = False
         self.deferred.clear()
+        # Each incarnation has a seed of its own.
         settings = replace(
             self.deployment, starts_cold=cold, seed=self.deployment.seed + 7919 * self.incarnation
         )
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -31,7 +31,7 @@
 SAMPLE_INTERVAL = 500
 DRAIN_CHECK_INTERVAL = 500
 TRAFFIC_START = 2 * SECOND  # by then the planner leads and routers know which app servers are listed
-COLD_START_DELAY = 5_000  # from the order to start an app server until it accepts requests
+COLD_START_DELAY = 5_000  # from the `restore` of a site until its app servers start and accept requests
 
 
 @dataclass(frozen=True, slots=True)
@@ -521,7 +521,10 @@
             self.start_server(server, cold=True)
 
     def drain_server(self, server: AppServer, on_drained: Callable[[], None] = lambda: None) -> None:
-        """Drain an app server, and once it has answered all requests call `on_drained` and end it."""
+        """Drain an app server; one that is not up is left alone.
+
+        Once it has answered all requests, `on_drained` is called and the app server ends.
+        """
         if server.is_up:
             server.drain()
             self.await_drained(server, server.incarnation, on_drained)
--- a/tests/expectation_harness.py
+++ b/tests/expectation_harness.py
@@ -13,8 +13,10 @@
 
 @cache
 def sources():
+    """Read the example settings; they are read once and must not be changed."""
     return read_sources(EXAMPLES / "fleet-server.json", EXAMPLES / "fleet.json", EXAMPLES / "world.json")
 
 
 def statements(*lines):
+    """Parse lines without their `expect` into statements."""
     return parse("\n".join(f"expect {line}" for line in lines), "t.expect")
