--- a/birchslip/expect/facts.py
+++ b/birchslip/expect/facts.py
@@ -64,6 +64,7 @@
         vault, base_calls = setting.fleet.vault, setting.fleet.base_calls()
         yield Fact(THE_FLEET, Measure.CALLS, 0, vault.total_calls, f"{fleet}: vault.total")
         if not setting.planners:
+            # Without planners no quota lease is granted.
             for name in servers:
                 yield Fact(
                     Subject(SubjectKind.SERVER, name),
@@ -73,7 +74,7 @@
                     f"{fleet}: vault.kept",
                 )
     elif deployment.downstream is Downstream.SHARED:
-        calls_per_server = max(1.0, deployment.downstream_quota)
+        calls_per_server = max(1.0, deployment.downstream_quota)  # one call is allowed whatever the quota
         setting_path = f"{config}: settings.family_info.calls_out"
         yield Fact(THE_FLEET, Measure.CALLS, 0, calls_per_server * len(servers), setting_path)
         for name in servers:
--- a/birchslip/expect/mutate.py
+++ b/birchslip/expect/mutate.py
@@ -72,7 +72,11 @@
 
 
 def mutations(sources: Sources) -> Iterator[Change]:
-    """Yield all single mutations of values that affect routing, in the order of the files."""
+    """Yield all single mutations of values that affect routing, in the order of the files.
+
+    The world file is not mutated, because it describes only the surroundings. The shedding order `refuse` is
+    mutated once: reversed but for its last entry, because no entry may stand behind `home`.
+    """
     for file_kind, path, value in sources.values():
         if file_kind == "world" or is_ignored(file_kind, path):
             continue
@@ -91,7 +95,10 @@
 
 
 def mutated_values(path: ValuePath, value: object) -> list[object]:
-    """Return the values that replace a value."""
+    """Return the values that replace a value, one for each mutation.
+
+    These are larger and smaller numbers, the negation of a switch and another word; a name has none.
+    """
     if isinstance(value, bool):
         return [not value]
     if isinstance(value, int):
--- a/birchslip/expect/parse.py
+++ b/birchslip/expect/parse.py
@@ -138,6 +138,8 @@
     def statement(self, children: list[Any]) -> tuple[Token | None, Claim, dict[str, Any]]:
         """Return the label, the claim and the fields of the condition.
 
+        Several situations may each say how long they must have lasted; the last one counts.
+
         Raises:
             TokenError: The same part of the condition is given twice.
         """
--- a/birchslip/expect/search.py
+++ b/birchslip/expect/search.py
@@ -103,7 +103,7 @@
 
 
 def without_routers(case: Case, named: set[str]) -> Iterator[Case]:
-    """Yield the case without one router that the statement does not name."""
+    """Yield, for each router that the statement does not name, the case without it."""
     routers = case.setting.routers()
     if len(routers) <= 1 or "*" in named:
         return
@@ -115,7 +115,7 @@
 
 
 def without_tenants(case: Case, named: set[str]) -> Iterator[Case]:
-    """Yield the case without the traffic of one tenant that the statement does not name."""
+    """Yield, for each tenant that the statement does not name, the case without its traffic."""
     tenants = case.setting.traffic().tenants
     present = [name for name, (_, share) in tenants.items() if share > 0 and name]
     if len(present) <= 1 or "*" in named:
@@ -128,7 +128,7 @@
 
 
 def without_profiles(case: Case, named: set[str]) -> Iterator[Case]:
-    """Yield the case without the traffic of one profile that the statement does not name."""
+    """Yield, for each profile that the statement does not name, the case without its traffic."""
     works_by_name = case.setting.layout.profiles
     works = {name: works_by_name.get(name, Work()) for name in case.setting.profiles}
     present = [name for name, work in works.items() if work.share > 0]
@@ -154,7 +154,7 @@
 ) -> list[str]:
     """Describe a failing case line by line.
 
-    The lines tell the seed and the size of the fleet, what was taken out, what was done to the world, what
+    The lines give the seed and the size of the fleet, what was taken out, what was done to the world, what
     the fleet did, and the figure that broke the bound.
     """
     lines = [
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -542,8 +542,8 @@
     def shrink(self, remaining_share: float) -> None:
         """Drain app servers until a share of the fleet remains.
 
-        The last app server of each site goes first, in turn, one every quarter of a second. The
-        traffic does not change.
+        The last app server of each site goes first, in turn, one every quarter of a second. The mark `shrunk`
+        follows one second after the last of these intervals. The traffic does not change.
         """
         drained_count = int(round((1 - remaining_share) * len(self.servers)))
         drain_order = [
@@ -569,7 +569,7 @@
         self.watch_release()
 
     def watch_release(self) -> None:
-        """Mark the end of the rollout."""
+        """Check at an interval whether the rollout is over, and mark its end."""
         assert self.planners is not None
         if self.planners.rollout_phase in ("running", "backing"):
             self.clock.after(SAMPLE_INTERVAL, self.watch_release)
