--- a/birchslip/expect/reason.py
+++ b/birchslip/expect/reason.py
@@ -240,7 +240,8 @@
 def bound_contradictions(statements: Sequence[Statement], names: KnownNames) -> Iterator[Contradiction]:
     """Yield the contradictions between bounds on the same figure.
 
-    A contradiction exists if the tightest upper bound is below the tightest lower bound.
+    A contradiction exists if the tightest upper bound is below the tightest lower bound, or equal to it while
+    one of the two is strict.
     """
     above: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
     below: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
