--- a/birchslip/expect/judge.py
+++ b/birchslip/expect/judge.py
@@ -139,7 +139,7 @@
         Comparison.OVER: value > bound.value,
         Comparison.EXACTLY: value == bound.value,
     }[bound.compare]
-    scale = max(abs(bound.value), 0.01)
+    scale = max(abs(bound.value), 0.01)  # not 0 for a bound of 0
     deviation = (value - bound.value) / scale
     excess = (
         deviation
@@ -154,15 +154,27 @@
 
 
 def evaluate_order(first: Subject, then: Subject, measure: MeasureFunction) -> Evaluation:
-    """Evaluate an order of refusals; undecided if neither subject was refused anything."""
-    a, b = (measure(subject, Measure.REFUSED, Comparison.AT_MOST) for subject in (first, then))
-    if a is None or b is None:
-        unmeasured = first if a is None else then
+    """Evaluate an order of refusals.
+
+    It is undecided if neither subject was refused anything, or if one had nothing to measure.
+    """
+    first_refused, then_refused = (
+        measure(subject, Measure.REFUSED, Comparison.AT_MOST) for subject in (first, then)
+    )
+    if first_refused is None or then_refused is None:
+        unmeasured = first if first_refused is None else then
         return Evaluation(None, f"{unmeasured.describe()}: there was nothing to measure of refused")
-    if not a.value and not b.value:
+    if not first_refused.value and not then_refused.value:
         return Evaluation(None, f"neither {first.describe()} nor {then.describe()} was refused anything")
-    text = f"{first.describe()} refused {a.value:.1%}, {then.describe()} {b.value:.1%}"
-    return Evaluation(b.value <= a.value, text, b.value, a.value, 0, b.value - a.value)
+    text = f"{first.describe()} refused {first_refused.value:.1%}, {then.describe()} {then_refused.value:.1%}"
+    return Evaluation(
+        then_refused.value <= first_refused.value,
+        text,
+        then_refused.value,
+        first_refused.value,
+        0,
+        then_refused.value - first_refused.value,
+    )
 
 
 @dataclass(slots=True)
@@ -191,7 +203,13 @@
 
 
 def combine_seeds(evaluations: Sequence[tuple[int, Evaluation]]) -> Verdict:
-    """Combine the evaluations of a claim over all seeds, as (seed, evaluation)."""
+    """Combine the evaluations of a claim over all seeds into a verdict.
+
+    The claim holds or fails if it does so with every seed, and is undecided otherwise.
+
+    Args:
+        evaluations: Pairs of (seed, evaluation).
+    """
     if all(evaluation.held for _, evaluation in evaluations):
         seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
         return Verdict(Outcome.HOLDS, "play", worst.reason, worst.value, worst.bound, seed)
