--- a/benchmarks/keep_engines.py
+++ b/benchmarks/keep_engines.py
@@ -1,8 +1,9 @@
-"""Stored results: a row of checked records against SQLite in WAL mode, both with group commit, on this disk.
+"""Storage engines for results: segment files against SQLite in WAL mode, with group commit on this disk.
 
     python benchmarks/keep_engines.py [COMMITS]
 
-Each commit flushes so many keys' records (what has come while the flush before was under way).
+Each commit flushes the records of a group of keys, as arrive while the previous flush is in progress. Then
+the time and memory of a recovery are measured.
 """
 
 import os
@@ -24,12 +25,13 @@
 NOW, RETENTION = time.time_ns() // 100_000, 170_000
 
 
-def records(count: int) -> list[tuple[bytes, bytes]]:
-    made = []
+def make_records(count: int) -> list[tuple[bytes, bytes]]:
+    """Return keys with encoded records, alternately started and completed."""
+    records = []
     for n in range(count):
         key = os.urandom(16)
-        first = ResultRecord(RecordKind.STARTED, key, NOW, RETENTION, f"{n:016x}", request_digest=b"d" * 16)
-        last = ResultRecord(
+        started = ResultRecord(RecordKind.STARTED, key, NOW, RETENTION, f"{n:016x}", request_digest=b"d" * 16)
+        completed = ResultRecord(
             RecordKind.COMPLETED,
             key,
             NOW,
@@ -38,70 +40,77 @@
             outcome=Outcome.SERVED,
             result=b"r" * 400,
         )
-        made.append((key, encode(first if n % 2 else last)))
-    return made
+        records.append((key, encode(started if n % 2 else completed)))
+    return records
 
 
-def timed(commits: int, act: Callable[[int], None]) -> list[float]:
-    took = []
+def measure_latencies(commits: int, commit: Callable[[int], None]) -> list[float]:
+    """Return the sorted latencies of the commits in milliseconds."""
+    latencies_ms = []
     for n in range(commits):
-        began = time.perf_counter()
-        act(n)
-        took.append((time.perf_counter() - began) * 1000)
-    return sorted(took)
+        started_at = time.perf_counter()
+        commit(n)
+        latencies_ms.append((time.perf_counter() - started_at) * 1000)
+    return sorted(latencies_ms)
 
 
 def main() -> None:
+    """Measure commits of both engines and recoveries of the segment files."""
     commits = int((sys.argv[1:] or ["400"])[0])
     folder = Path(tempfile.mkdtemp(prefix="birchslip-engines-"))
     try:
         for group in (1, 8, 64):
-            some = records(commits * group)
+            records = make_records(commits * group)
             files = SegmentFiles(folder / f"log-{group}", "x")
             files.lock()
             files.create_segment(1)
 
-            def by_log(n: int, files: SegmentFiles = files, some: list = some, group: int = group) -> None:
-                for _, raw in some[n * group : (n + 1) * group]:
+            def commit_to_segments(
+                n: int, files: SegmentFiles = files, records: list = records, group: int = group
+            ) -> None:
+                for _, raw in records[n * group : (n + 1) * group]:
                     files.append(raw)
                 files.flush()
 
-            base = sqlite3.connect(folder / f"{group}.db", isolation_level=None)
-            base.execute("pragma journal_mode = wal")
-            base.execute("pragma synchronous = full")
-            base.execute("create table kept (key blob primary key, until integer, raw blob) without rowid")
+            database = sqlite3.connect(folder / f"{group}.db", isolation_level=None)
+            database.execute("pragma journal_mode = wal")
+            database.execute("pragma synchronous = full")
+            database.execute(
+                "create table kept (key blob primary key, until integer, raw blob) without rowid"
+            )
 
-            def by_sqlite(
-                n: int, base: sqlite3.Connection = base, some: list = some, group: int = group
+            def commit_to_sqlite(
+                n: int, database: sqlite3.Connection = database, records: list = records, group: int = group
             ) -> None:
-                base.execute("begin immediate")
-                rows = [(key, NOW, raw) for key, raw in some[n * group : (n + 1) * group]]
-                base.executemany("insert or replace into kept values (?, ?, ?)", rows)
-                base.execute("commit")
-
-            for name, act in (("records", by_log), ("sqlite", by_sqlite)):
-                took = timed(commits, act)
-                whole = sum(took) / 1000
+                database.execute("begin immediate")
+                rows = [(key, NOW, raw) for key, raw in records[n * group : (n + 1) * group]]
+                database.executemany("insert or replace into kept values (?, ?, ?)", rows)
+                database.execute("commit")
+
+            for name, commit in (("records", commit_to_segments), ("sqlite", commit_to_sqlite)):
+                latencies_ms = measure_latencies(commits, commit)
+                total_s = sum(latencies_ms) / 1000
                 print(
-                    f"{group:3} a commit, {name:8} {commits * group / whole:9.0f} records a second, commit "
-                    f"median {took[commits // 2]:6.2f} ms, p99 {took[int(0.99 * commits)]:6.2f} ms"
+                    f"{group:3} a commit, {name:8} {commits * group / total_s:9.0f} records a second, commit "
+                    f"median {latencies_ms[commits // 2]:6.2f} ms, "
+                    f"p99 {latencies_ms[int(0.99 * commits)]:6.2f} ms"
                 )
             files.close()
         for count in (1_000, 100_000):
-            some = records(2 * count)
+            records = make_records(2 * count)
             files = SegmentFiles(folder / f"many-{count}", "x")
             files.lock()
             files.create_segment(1)
-            for _, raw in some:
+            for _, raw in records:
                 files.append(raw)
             files.flush()
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             segments = list(files.read_segments())
             budget = RetentionBudget(1 << 30, 1 << 40, 0)
             store = recover(segments, budget, NOW, RETENTION, segments[-1].serial)
             segment_mb = len(segments[0].raw) / 1e6
             print(
-                f"{len(store.index)} keys read in {time.perf_counter() - began:.2f} s, "
+                f"{len(store.index)} keys read in {time.perf_counter() - started_at:.2f} s, "
                 f"index of {store.index.memory_bytes / 1e6:.1f} MB, file of {segment_mb:.1f} MB"
             )
             files.close()
--- a/benchmarks/keep_index.py
+++ b/benchmarks/keep_index.py
@@ -1,4 +1,4 @@
-"""Keys of earlier incarnations: the table over arrays against a dict, and bounds by seconds against a heap.
+"""Index of stored keys: a table over arrays against a dict, and expiry counts by second against a heap.
 
 python benchmarks/keep_index.py
 """
@@ -20,41 +20,46 @@
 RETENTION = 17 * SECOND
 
 
-def measured(act: Callable[[], Any]) -> tuple[Any, float, float]:
-    began = time.perf_counter()
-    act()
-    took = time.perf_counter() - began
+def measure(build: Callable[[], Any]) -> tuple[Any, float, float]:
+    """Return what `build` returns, its seconds, and the MB that it keeps allocated."""
+    started_at = time.perf_counter()
+    build()
+    duration_s = time.perf_counter() - started_at
     tracemalloc.start()
-    made = act()
-    held = tracemalloc.get_traced_memory()[0] / 1e6
+    result = build()
+    memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
-    return made, took, held
+    return result, duration_s, memory_mb
 
 
 def main() -> None:
+    """Measure both indexes and both expiry structures at several sizes."""
     for count in (1_000, 100_000, 1_000_000):
         raw = os.urandom(16 * count)
 
-        def by_index(raw: bytes = raw, count: int = count) -> KeyIndex:
-            made = KeyIndex()
-            made.reserve(count)
+        def build_table(raw: bytes = raw, count: int = count) -> KeyIndex:
+            index = KeyIndex()
+            index.reserve(count)
             for n in range(count):
-                made.put(raw[16 * n : 16 * n + 16], RETENTION, n)
-            return made
+                index.put(raw[16 * n : 16 * n + 16], RETENTION, n)
+            return index
 
-        def by_dict(raw: bytes = raw, count: int = count) -> dict[bytes, tuple[int, int]]:
+        def build_dict(raw: bytes = raw, count: int = count) -> dict[bytes, tuple[int, int]]:
             return {raw[16 * n : 16 * n + 16]: (RETENTION, n) for n in range(count)}
 
-        for name, act in (("table", by_index), ("dict", by_dict)):
-            made, took, held = measured(act)
-            asked = [raw[16 * n : 16 * n + 16] for n in range(0, count, max(1, count // 20_000))]
-            began = time.perf_counter()
-            for key in asked:
-                made.get(key, 0) if name == "table" else made.get(key)
-            each = (time.perf_counter() - began) / len(asked) * 1e6
-            print(f"{count:8} keys, {name:6} made in {took:6.3f} s, {held:7.2f} MB, found in {each:.2f} us")
-
-        def by_seconds(count: int = count) -> Any:
+        for name, build in (("table", build_table), ("dict", build_dict)):
+            index, duration_s, memory_mb = measure(build)
+            keys = [raw[16 * n : 16 * n + 16] for n in range(0, count, max(1, count // 20_000))]
+            started_at = time.perf_counter()
+            for key in keys:
+                index.get(key, 0) if name == "table" else index.get(key)
+            lookup_us = (time.perf_counter() - started_at) / len(keys) * 1e6
+            print(
+                f"{count:8} keys, {name:6} made in {duration_s:6.3f} s, {memory_mb:7.2f} MB, "
+                f"found in {lookup_us:.2f} us"
+            )
+
+        def build_counts(count: int = count) -> Any:
             budget = RetentionBudget(1 << 30, 1 << 40, 0)
             for n in range(count):
                 budget.add_entry(n * RETENTION // count)
@@ -62,17 +67,17 @@
                     budget.remove_expired_entries(n * RETENTION // count - RETENTION // 2)
             return budget
 
-        def by_heap(count: int = count) -> Any:
-            ends: list[int] = []
+        def build_heap(count: int = count) -> Any:
+            expiries: list[int] = []
             for n in range(count):
-                heapq.heappush(ends, n * RETENTION // count)
-                while not n % 100 and ends[0] < n * RETENTION // count - RETENTION // 2:
-                    heapq.heappop(ends)
-            return ends
-
-        for name, act in (("seconds", by_seconds), ("heap", by_heap)):
-            _, took, held = measured(act)
-            print(f"{count:8} ends,   {name:7} {took / count * 1e6:5.2f} us each, {held:7.2f} MB")
+                heapq.heappush(expiries, n * RETENTION // count)
+                while not n % 100 and expiries[0] < n * RETENTION // count - RETENTION // 2:
+                    heapq.heappop(expiries)
+            return expiries
+
+        for name, build in (("seconds", build_counts), ("heap", build_heap)):
+            _, duration_s, memory_mb = measure(build)
+            print(f"{count:8} ends,   {name:7} {duration_s / count * 1e6:5.2f} us each, {memory_mb:7.2f} MB")
 
 
 if __name__ == "__main__":
--- a/benchmarks/keep_memory.py
+++ b/benchmarks/keep_memory.py
@@ -1,4 +1,4 @@
-"""Memory of the whole program with so many live keys of an earlier incarnation in its store, and with none.
+"""Memory of the whole program with unexpired keys of an earlier incarnation in its store, and without any.
 
 python benchmarks/keep_memory.py [KEYS]
 """
@@ -19,12 +19,12 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 RETENTION = 6_000_000
-RESULT = os.urandom(400)  # which no compression makes smaller
+RESULT = os.urandom(400)  # random, so that it can't be compressed
 KEYS_PER_SEGMENT = 25_000
 
 
 def fill(folder, name, keys):
-    """Started and completed just now, as a program that was killed leaves them."""
+    """Write started and completed records of `keys` keys, as a killed program leaves them."""
     now = time.time_ns() // 100_000
     with SegmentFiles(folder, name) as files:
         files.lock()
@@ -42,7 +42,7 @@
 
 
 def start(folder, keys):
-    """Resident KB once it listens, and how long that took."""
+    """Return current and peak resident KB once the program listens, and the seconds until then."""
     config = json.loads((ROOT / "examples" / "app-server.json").read_text()) | {"listen": "127.0.0.1:0"}
     config["settings"]["classes"][1]["window_s"] = 600.0
     (folder / "config.json").write_text(json.dumps(config))
@@ -52,30 +52,34 @@
         keep = {"folder": str(folder / "kept"), "bytes": 256 << 20, "entries": 1_000_000}
         (folder / "keep.json").write_text(json.dumps(keep))
         environment["BIRCHSLIP_KEEP"] = str(folder / "keep.json")
-    began = time.monotonic()
+    started_at = time.monotonic()
     process = subprocess.Popen(
         [sys.executable, "-m", "birchslip"], cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True
     )
     while "listening" not in process.stderr.readline():
         if process.poll() is not None:
-            raise RuntimeError("it did not start")
-    took = time.monotonic() - began
+            raise RuntimeError("the program exited before it listened")
+    duration_s = time.monotonic() - started_at
     status = Path(f"/proc/{process.pid}/status").read_text().split("\n")
-    told = {line.split(":")[0]: line.split()[1] for line in status if line.startswith(("VmRSS", "VmHWM"))}
+    memory_kb = {
+        line.split(":")[0]: line.split()[1] for line in status if line.startswith(("VmRSS", "VmHWM"))
+    }
     process.send_signal(signal.SIGTERM)
     process.wait(20)
     process.stderr.close()
-    return int(told["VmRSS"]), int(told["VmHWM"]), took
+    return int(memory_kb["VmRSS"]), int(memory_kb["VmHWM"]), duration_s
 
 
 def main():
+    """Measure the program without a store, with an empty one and with a filled one."""
     keys = int((sys.argv[1:] or ["100000"])[0])
     for name, count in (("no store", -1), ("an empty store", 0), (f"{keys} live keys", keys)):
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "kept").mkdir()
-            held, most, took = start(Path(folder), count)
+            resident_kb, peak_kb, duration_s = start(Path(folder), count)
             print(
-                f"{name:22} {held / 1024:6.1f} MB held, {most / 1024:6.1f} MB at most, up in {took:.2f} s",
+                f"{name:22} {resident_kb / 1024:6.1f} MB held, {peak_kb / 1024:6.1f} MB at most, "
+                f"up in {duration_s:.2f} s",
                 flush=True,
             )
 
--- a/benchmarks/keep_rate.py
+++ b/benchmarks/keep_rate.py
@@ -1,8 +1,8 @@
-"""Labelled transactions with kept results and without: the rate that is sustained, and what a flush adds.
+"""Keyed requests with a result store and without: the sustained rate, and the latency that flushes add.
 
     python benchmarks/keep_rate.py [PAIRS]
 
-One app server, its agent and client stand-ins, on this disk; each pair is played one after the other.
+One app server with a stand-in agent and client, on this disk; the two runs of a pair follow one another.
 """
 
 import shutil
@@ -20,13 +20,14 @@
 
 
 def main() -> None:
+    """Run each case with and without a result store and print its figures."""
     pairs = int((sys.argv[1:] or ["2"])[0])
     folder = Path(tempfile.mkdtemp(prefix="birchslip-rate-"))
     try:
-        for name, more in CASES.items():
+        for name, case in CASES.items():
             for pair in range(pairs):
-                for kept in (True, False):
-                    told = ResultStoreOptions(
+                for has_result_store in (True, False):
+                    options = ResultStoreOptions(
                         seed=pair,
                         sites=1,
                         each=1,
@@ -34,16 +35,18 @@
                         fleet=False,
                         kills=0,
                         repeat_fraction=0.0,
-                        has_result_store=kept,
-                        **more,  # type: ignore[arg-type]
+                        has_result_store=has_result_store,
+                        **case,  # type: ignore[arg-type]
                     )
-                    made = run_scenario(told, folder / "play")
-                    took, flush = made["took_ms"], made["flush_ms"]
-                    cpu = made["program_cpu_s"] / max(1, made["labels"]) * 1e6
+                    report = run_scenario(options, folder / "run")
+                    latency, flush = report["took_ms"], report["flush_ms"]
+                    cpu = report["program_cpu_s"] / max(1, report["labels"]) * 1e6
                     print(
-                        f"{name:18} {'kept' if kept else 'not kept':8} {made['rate']:7.1f} a second, p50 "
-                        f"{took['p50']:6.1f} ms, p99 {took['p99']:6.1f} ms, {cpu:5.0f} us of processor each, "
-                        f"flush p50 {flush['p50']} p99 {flush['p99']} ms {made['trouble'] or ''}",
+                        f"{name:18} {'kept' if has_result_store else 'not kept':8} "
+                        f"{report['rate']:7.1f} a second, p50 "
+                        f"{latency['p50']:6.1f} ms, p99 {latency['p99']:6.1f} ms, "
+                        f"{cpu:5.0f} us of processor each, "
+                        f"flush p50 {flush['p50']} p99 {flush['p99']} ms {report['trouble'] or ''}",
                         flush=True,
                     )
     finally:
--- a/birchslip/lab/__init__.py
+++ b/birchslip/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals: real processes of the program on loopback, among stand-ins, with faults between them."""
+"""Testbed: real processes of the program on loopback among stand-ins, with fault injection."""
--- a/birchslip/lab/clients.py
+++ b/birchslip/lab/clients.py
@@ -1,8 +1,8 @@
-"""Stand-ins for routers and the clients behind them: one router a site, with habits of its own.
+"""Stand-ins for routers and the clients behind them, one router per site.
 
-A router sends to listed app servers of its own site, and to the others only where there is none. What was
-shed, refused or cut is tried again elsewhere, up to `TRIES` times, marked as a further try. `heed` is the
-share of advice that it follows: when to come back, and not to try elsewhere.
+A router sends to the listed app servers of its own site first. A request that was shed, refused or cut off is
+retried elsewhere, up to `MAX_ATTEMPTS` attempts in all, and marked as a retry. Routers follow the advice in
+rejections (when to come back, and not to try elsewhere) with a given probability.
 """
 
 from __future__ import annotations
@@ -21,21 +21,26 @@
 from .cores import HANDSHAKE_WORK, READ_WORK
 from .truth import SECOND, Attempt, HistoryChecker, Operation
 
+# Times are tenths of a millisecond.
 BUFFER_BYTES = 1 << 20
 MAX_ATTEMPTS = 4
-ADVICE_COMPLIANCE = 0.6
-FIRST_RETRY_DELAY = 500  # before a further try: 50 ms at first, twice as long each time, half of it by chance
-MAX_LINKS_PER_SERVER = 4  # to one app server
-MAX_PENDING_PER_LINK = 24  # on one link
+ADVICE_COMPLIANCE = 0.6  # probability that a client follows the advice in a rejection
+FIRST_RETRY_DELAY = 500  # doubled for each further retry, and jittered by half
+MAX_LINKS_PER_SERVER = 4
+MAX_PENDING_PER_LINK = 24
 MAX_WAIT_WITHOUT_SERVER = 3_000
-UNREACHABLE_HOLDOFF = 5_000  # one that can't be reached is left alone for half a second
+UNREACHABLE_HOLDOFF = 5_000  # an app server that refuses a connection gets no attempts for this time
 LISTING_DELAY = 8_000  # the catalog's list reaches routers within 0.8 s
 HEALTH_CHECK_INTERVAL = 5_000
 HEALTH_CHECK_TIMEOUT = 4_000
+MAX_MISSED_CHECKS = 2
+MAX_OPEN_ATTEMPTS = 2  # of one operation at a time, for a retry on timeout
+MIN_TIME_LEFT = 500  # an attempt with less time before the deadline is not sent
+ABORT_DELAY = 1_500  # between the deadline of an attempt and its abort
 
 
 class RequestClass:
-    """A kind of transaction: its work, spans and payoff."""
+    """A request class: its mean work, latency objective, deadline and priority weight."""
 
     def __init__(
         self,
@@ -47,29 +52,37 @@
         priority_weight: float,
         is_keyed: bool,
     ) -> None:
-        self.name, self.share, self.mean_work, self.latency_objective, self.deadline = (
-            name,
-            share,
-            mean_work,
-            latency_objective,
-            deadline,
-        )
+        """Describe a request class; times are tenths of a millisecond.
+
+        Args:
+            name: Name of the class, also the method name in requests.
+            share: Relative frequency among all requests.
+            mean_work: Mean core time of a run.
+            latency_objective: Time within which a response counts as in time.
+            deadline: Time after which the client no longer waits.
+            priority_weight: Weight of one request in the service figure.
+            is_keyed: Whether requests have an idempotency key and make a downstream call.
+        """
+        self.name, self.share, self.mean_work = name, share, mean_work
+        self.latency_objective, self.deadline = latency_objective, deadline
         self.priority_weight, self.is_keyed = priority_weight, is_keyed
 
 
 class AppServer:
-    """An app server as routers know it, with what really becomes of it."""
+    """An app server: its address for routers, and the real state of its process for the checks."""
 
     def __init__(self, name: str, site: str, address: tuple[str, int]) -> None:
+        """Describe an app server that is not running yet."""
         self.name, self.site, self.address = name, site, address
         self.incarnation = 0
-        self.is_up = False  # whether its process is there and not paused
+        self.is_up = False  # whether its process runs and is not paused
 
 
 class Link:
-    """One connection of a router to one app server."""
+    """One connection of a router to one app server, with its pending attempts by number."""
 
     def __init__(self, router: Router, server: AppServer, connection: Connection) -> None:
+        """Wrap an open connection to the present incarnation of `server`."""
         self.router, self.server, self.connection = router, server, connection
         self.incarnation = server.incarnation
         self.last_number = 0
@@ -77,6 +90,11 @@
         self.is_closing = False
 
     def on_data(self, buffer: Buffer) -> None:
+        """Handle responses and the notice that the app server closes the connection.
+
+        Raises:
+            MalformedMessageError: The data is no message that an app server sends.
+        """
         messages, error_text = read_messages(buffer)
         for message in messages:
             match message:
@@ -85,16 +103,31 @@
                 case [2, "closing", []]:
                     self.is_closing = True
                 case _:
-                    raise MalformedMessageError("no message of an app server's")
+                    raise MalformedMessageError("unexpected message from an app server")
         if error_text:
             raise MalformedMessageError(error_text)
 
     def serve(self) -> None:
+        """Read from the connection until it closes, then report that to the router."""
         reason = self.connection.serve(self.on_data)
         self.router.on_link_closed(self, reason)
 
 
 class Router:
+    """One router with its clients: generates requests, sends and retries them, and checks health.
+
+    Times are tenths of a millisecond. Arrivals have a random generator of their own, so that one seed gives
+    the same arrivals whatever happens to the requests.
+
+    Attributes:
+        arrival_rate: Requests per second before surges.
+        surge_factors: Factor on the arrivals of a tenant, by its name.
+        advice_compliance: Probability that advice in a rejection is followed.
+        avoided_until: Time until which an app server gets no attempts.
+        get_lost_sites: Returns the sites that are dead or paused.
+        charge_cores: Charges core time to an app server.
+    """
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -107,15 +140,24 @@
         seed: int,
         written_at: dict[str, int],
     ) -> None:
+        """Create a router that is not started.
+
+        Args:
+            scheduler: Scheduler of the testbed.
+            history: Where operations and violations are recorded.
+            router_id: Number of the router in requests.
+            site: The router's site.
+            servers: All app servers.
+            request_classes: Classes of the generated requests.
+            tenant_shares: Share of the arrivals by tenant.
+            seed: Seed of the random generators.
+            written_at: Shared record of when each request id was written to an app server.
+        """
         self.scheduler, self.history, self.router_id, self.site = scheduler, history, router_id, site
-        self.servers, self.request_classes, self.tenant_shares, self.written_at = (
-            servers,
-            request_classes,
-            tenant_shares,
-            written_at,
-        )
+        self.servers, self.request_classes = servers, request_classes
+        self.tenant_shares, self.written_at = tenant_shares, written_at
         self.random_source = random.Random(seed)
-        self.arrival_random = random.Random(seed + 1)  # arrivals are the same whatever becomes of them
+        self.arrival_random = random.Random(seed + 1)
         self.advice_compliance = ADVICE_COMPLIANCE
         self.links: dict[AppServer, list[Link]] = {server: [] for server in servers}
         self.avoided_until: dict[AppServer, int] = {}
@@ -131,6 +173,7 @@
     # ---- arrivals --------------------------------------------------------------------------------------
 
     def start(self, catalog: Callable[[], set[str]]) -> None:
+        """Begin to send requests, poll the catalog and check the health of the app servers."""
         self.refresh_listing(catalog)
         self.next_arrival = self.scheduler.now
         self.scheduler.at(self.next_arrival, self.generate_request)
@@ -138,13 +181,14 @@
             self.scheduler.spawn("pings", partial(self.check_health_repeatedly, server))
 
     def refresh_listing(self, catalog: Callable[[], set[str]]) -> None:
-        """The list, as late as news is."""
+        """Poll the catalog; the list takes effect `LISTING_DELAY` later."""
         listed = catalog()
         self.scheduler.at(self.scheduler.now + LISTING_DELAY, lambda: setattr(self, "listed_servers", listed))
         if not self.is_stopped:
             self.scheduler.at(self.scheduler.now + LISTING_DELAY // 4, lambda: self.refresh_listing(catalog))
 
     def generate_request(self) -> None:
+        """Create and send one request, and schedule the next arrival."""
         if self.is_stopped:
             return
         weights = {
@@ -162,7 +206,7 @@
         )[0]
         work = max(5, int(self.arrival_random.gammavariate(4, request_class.mean_work / 4) / 10))
         self.operation_count += 1
-        label = self.arrival_random.randbytes(16).hex() if request_class.is_keyed else ""
+        key = self.arrival_random.randbytes(16).hex() if request_class.is_keyed else ""
         operation = Operation(
             self.operation_count,
             request_class.name,
@@ -172,15 +216,22 @@
             request_class.latency_objective,
             self.scheduler.now,
             work * 10,
-            label,
+            key,
         )
         self.history.operations.append(operation)
-        call = f" call L{label}" if request_class.is_keyed else ""
+        call = f" call L{key}" if request_class.is_keyed else ""
         self.send(operation, request_class, f"{work}{call}".encode(), None)
 
-    # ---- tries -----------------------------------------------------------------------------------------
+    # ---- attempts --------------------------------------------------------------------------------------
 
     def select_server(self, tried: set[str]) -> AppServer | None:
+        """Choose an app server for an attempt; None if no server is available.
+
+        Of two random candidates the one with fewer pending attempts is taken.
+
+        Args:
+            tried: Names of the servers of earlier attempts.
+        """
         now = self.scheduler.now
         available = [
             server
@@ -191,7 +242,7 @@
         ]
         untried = [server for server in available if server.name not in tried] or available
         local = [server for server in untried if server.site == self.site]
-        # Own app servers first; a further try goes wherever it has not been.
+        # The first attempt prefers app servers of the own site; a retry goes to any untried one.
         candidates = local if local and not tried else untried
         if not candidates:
             return None
@@ -199,6 +250,7 @@
         return a if self.count_pending(a) <= self.count_pending(b) else b
 
     def count_pending(self, server: AppServer) -> int:
+        """Count the pending attempts at an app server."""
         return sum(len(link.pending) for link in self.links[server])
 
     def send(
@@ -208,28 +260,30 @@
         body: bytes,
         server_override: AppServer | None,
     ) -> None:
+        """Send an attempt of the operation, unless it is finished or too close to its deadline."""
         now = self.scheduler.now
         if (
             operation.is_finished
             or operation.honoured_at
-            or now >= operation.created_at + request_class.deadline - 500
+            or now >= operation.created_at + request_class.deadline - MIN_TIME_LEFT
         ):
             operation.is_finished = True
             return
         server = server_override or self.select_server({one.server for one in operation.attempts})
         if server is None:
-            # Nowhere to send it: it waits a moment at its router, and then its client hears that it can't be.
+            # The operation waits at its router for a server and fails after the maximum wait.
             operation.is_finished = now - operation.created_at > MAX_WAIT_WITHOUT_SERVER
             self.retry(operation, request_class, body, None)
             return
         link = self.find_link(server)
         if link is None:
-            # It is opened in a task of its own; the try goes out on it.
+            # Connecting blocks the task, so it gets one of its own that also sends the attempt.
             self.scheduler.spawn("router", partial(self.open_link, operation, request_class, body, server))
             return
         self.write_attempt(operation, request_class, body, link)
 
     def find_link(self, server: AppServer) -> Link | None:
+        """Return the open connection with the fewest pending attempts; None if a new one should be opened."""
         links = [one for one in self.links[server] if one.connection.open and not one.is_closing]
         best = min(links, key=lambda one: len(one.pending), default=None)
         if best is None or (
@@ -241,6 +295,7 @@
     def open_link(
         self, operation: Operation, request_class: RequestClass, body: bytes, server: AppServer
     ) -> None:
+        """Open a connection to the app server and send the attempt on it."""
         links = [one for one in self.links[server] if one.connection.open]
         if len(links) >= MAX_LINKS_PER_SERVER:
             self.retry(operation, request_class, body, None)
@@ -270,6 +325,7 @@
     def write_attempt(
         self, operation: Operation, request_class: RequestClass, body: bytes, link: Link
     ) -> None:
+        """Write an attempt to a connection and schedule its timeout."""
         now = self.scheduler.now
         timeout = min(request_class.deadline, operation.created_at + request_class.deadline - now)
         attempt = Attempt(link.server.name, link.incarnation, now, now + timeout, bool(operation.attempts))
@@ -296,30 +352,35 @@
         if operation.key:
             fields["opkey"] = operation.key
         link.connection.write(pack([0, number, request_class.name, [fields, body]]))
-        # Of redoable ones a silent try is followed by another one elsewhere once half the goal is over.
+        # Without a key a retry is safe: it is sent once three quarters of the objective have passed.
         wait = timeout if operation.key else min(timeout, request_class.latency_objective * 3 // 4)
         self.scheduler.at(now + wait, lambda: self.on_timeout(operation, request_class, body, link, number))
         link.router.requests[operation] = (request_class, body)
 
-    requests: dict[Operation, tuple[RequestClass, bytes]] = {}  # noqa: RUF012
+    requests: dict[Operation, tuple[RequestClass, bytes]] = {}  # noqa: RUF012 - shared by all routers
 
     def on_timeout(
         self, operation: Operation, request_class: RequestClass, body: bytes, link: Link, number: int
     ) -> None:
+        """Retry an attempt without response elsewhere, and schedule its abandonment after the deadline."""
         if number not in link.pending:
             return
         _, attempt = link.pending[number]
         now = self.scheduler.now
         if now < attempt.deadline:
-            # It may still come; the answer is owed until it is aborted.
-            if len([other for other in operation.attempts if not other.outcome and not other.excuse]) < 2:
+            # The response may still arrive: it is owed until the attempt is aborted.
+            open_attempts = [other for other in operation.attempts if not other.outcome and not other.excuse]
+            if len(open_attempts) < MAX_OPEN_ATTEMPTS:
                 self.retry(operation, request_class, body, None, immediately=True)
-            self.scheduler.at(attempt.deadline + 1_500, lambda: self.abandon(link, number))
+            self.scheduler.at(attempt.deadline + ABORT_DELAY, lambda: self.abandon(link, number))
             return
-        self.scheduler.at(attempt.deadline + 1_500, lambda: self.abandon(link, number))
+        self.scheduler.at(attempt.deadline + ABORT_DELAY, lambda: self.abandon(link, number))
 
     def abandon(self, link: Link, number: int) -> None:
-        """Past its time: an app server that was there all along should have answered."""
+        """Abort an attempt whose deadline has passed.
+
+        A response was owed only by an app server that was running and connected all along.
+        """
         entry = link.pending.pop(number, None)
         if entry is None:
             return
@@ -340,6 +401,7 @@
         server_override: AppServer | None,
         immediately: bool = False,
     ) -> None:
+        """Schedule a further attempt, with exponential backoff unless `immediately`."""
         if operation.is_finished or operation.honoured_at or len(operation.attempts) >= MAX_ATTEMPTS:
             operation.is_finished = operation.is_finished or len(operation.attempts) >= MAX_ATTEMPTS
             return
@@ -356,9 +418,17 @@
             self.scheduler.now + delay, lambda: self.send(operation, request_class, body, server_override)
         )
 
-    # ---- answers ---------------------------------------------------------------------------------------
+    # ---- responses -------------------------------------------------------------------------------------
 
-    def on_response(self, link: Link, number: int, error: Any, result: Any) -> None:
+    def on_response(self, link: Link, number: int, error: list[Any] | None, result: list[bytes]) -> None:
+        """Record a response and retry the operation where it failed.
+
+        Args:
+            link: Connection that the response came on.
+            number: Number of the attempt on that connection.
+            error: Name and fields of the error; None on success.
+            result: Response body as a list of one item, on success.
+        """
         entry = link.pending.pop(number, None)
         if entry is None:
             return
@@ -396,6 +466,11 @@
         self.retry(operation, request_class, body, None)
 
     def on_link_closed(self, link: Link, reason: str) -> None:
+        """Record a closed connection and retry its pending operations without key.
+
+        Pending attempts are excused if the app server had stopped; otherwise the break is recorded as a fault
+        of the app server.
+        """
         if link in self.links[link.server]:
             self.links[link.server].remove(link)
         if (
@@ -420,12 +495,12 @@
     # ---- health checks ---------------------------------------------------------------------------------
 
     def check_health_repeatedly(self, server: AppServer) -> None:
-        """A health check now and then, on a connection of its own."""
+        """Check the health of one app server until the router stops; two failures make it unhealthy."""
         missed_checks = 0
         while not self.is_stopped:
             is_healthy = self.check_health(server)
             missed_checks = 0 if is_healthy else missed_checks + 1
-            if missed_checks >= 2:
+            if missed_checks >= MAX_MISSED_CHECKS:
                 self.unhealthy_servers.add(server)
             elif is_healthy:
                 self.unhealthy_servers.discard(server)
@@ -434,6 +509,7 @@
             )
 
     def check_health(self, server: AppServer) -> bool:
+        """Send a ping on a connection of its own and return whether the app server reports healthy."""
         try:
             link = Connection(
                 self.scheduler, connect(self.scheduler, server.address), BUFFER_BYTES, BUFFER_BYTES
--- a/birchslip/lab/dying.py
+++ b/birchslip/lab/dying.py
@@ -1,16 +1,18 @@
-"""The program, killed by itself at a chosen point: `python -m birchslip.lab.dying POINT COUNT FLUSH_MS`.
+"""The program with a crash point: `python -m birchslip.lab.dying POINT COUNT FLUSH_MS`.
 
-| point | where in the path of a labelled transaction |
+The process kills itself with SIGKILL at a chosen point in the handling of a request with an idempotency key.
+
+| point | state of the request |
 | --- | --- |
 | before-begun | it may run; nothing is written yet |
-| after-begun | that it begins is flushed; it is not launched yet |
+| after-begun | the start record is flushed; it is not launched yet |
 | after-launch | the launch has been ordered |
-| before-concluded | its outcome has come; nothing is written of it yet |
-| after-concluded | what came of it is flushed; it is not answered yet |
-| after-answer | the answer is on its way |
-| compacting | a file whose windows are over is about to be dropped |
+| before-concluded | its outcome has arrived; no completion record is written yet |
+| after-concluded | the completion record is flushed; it is not answered yet |
+| after-answer | the answer is being sent |
+| compacting | an expired segment is about to be deleted |
 
-COUNT is which time it is there. FLUSH_MS is what each flush of the store takes longer.
+COUNT is the pass through the point at which the process dies. FLUSH_MS is added to each flush of the store.
 """
 
 from __future__ import annotations
@@ -22,6 +24,7 @@
 from collections.abc import Callable
 from typing import Any
 
+# Module, class and method of each point, and whether the process dies before or after the call.
 CRASH_POINTS = {
     "before-begun": ("birchslip.idempotency.result_store", "ResultStore", "record_start", True),
     "after-begun": ("birchslip.net.stages.run_dispatcher", "RunDispatcher", "on_start_recorded", True),
@@ -34,6 +37,7 @@
 
 
 def install_crash_point(point: str, count: int) -> None:
+    """Patch the method of a crash point to kill the process at its `count`-th call."""
     from importlib import import_module
 
     module_name, class_name, method_name, kills_before = CRASH_POINTS[point]
@@ -41,7 +45,7 @@
     original: Callable[..., Any] = getattr(owner, method_name)
     calls_left = count
 
-    def crashing(*arguments: Any, **keywords: Any) -> Any:
+    def crashing(*arguments: object, **keywords: object) -> object:
         nonlocal calls_left
         calls_left -= 1
         if calls_left <= 0 and kills_before:
@@ -55,6 +59,7 @@
 
 
 def install_flush_delay(milliseconds: int) -> None:
+    """Patch the file system of the store so that each flush takes longer."""
     from ..idempotency.file_system import FileSystem
 
     original = FileSystem.flush
@@ -67,6 +72,7 @@
 
 
 def main(arguments: list[str]) -> int:
+    """Run the program with the crash point and flush delay given, and return its exit code."""
     from ..__main__ import main as program
 
     point, count, flush_delay_ms = arguments[0], int(arguments[1]), int(arguments[2])
--- a/birchslip/lab/kept_play.py
+++ b/birchslip/lab/kept_play.py
@@ -1,7 +1,7 @@
-"""`lab play kept`: labelled transactions at an app server that is killed again and again, with its store.
+"""`lab play kept`: keyed requests to an app server with a result store that is killed repeatedly.
 
-A client asks for each label until it has its answer, asks some again, and after each kill asks again for what
-was under way. The truth is the agent's: a label that was launched twice had its effect twice.
+A client retries each key until it has an answer, repeats some answered keys, and after each kill retries the
+requests that were in flight. The agent records the truth: a key that was launched twice took effect twice.
 """
 
 from __future__ import annotations
@@ -29,61 +29,85 @@
 
 ORDER = RequestClass("order", 1.0, 150, SECOND, 2 * SECOND, 1.0, True)
 RETENTION_WINDOW = 8 * SECOND
-REPEAT_FRACTION = 0.25  # of the answered ones are asked for again
+REPEAT_FRACTION = 0.25  # share of the answered requests that are repeated
 BUFFER_BYTES = 1 << 20
-MAX_REQUEST_AGE = RETENTION_WINDOW - SECOND  # after its first try no label is asked for any more
+MAX_REQUEST_AGE = RETENTION_WINDOW - SECOND  # no attempt of a key is sent later than this
 MAX_STALL = 2 * SECOND
-SURGE_FACTOR, SMALL_STORE_ENTRIES = (
-    6.0,
-    700,
-)  # times its usual that an account asks; labels that its store holds
+SURGE_FACTOR = 6.0  # factor on the arrivals of the surging tenant
+SURGE_START, SURGE_END = 0.2, 0.8  # shares of all keys sent between which the surge lasts
 SURGING_TENANT = "blue"
-LIFETIME_RANGE = (2_000, 12_000)  # between a start and its kill
-CRASH_POINT_FRACTION = 0.5  # of the kills are at a chosen point
+SMALL_STORE_ENTRIES, STORE_ENTRIES = 700, 20_000
+LIFETIME_RANGE = (2_000, 12_000)  # between a start and its kill, in tenths of a millisecond
+CRASH_POINT_FRACTION = 0.5  # share of the kills that are at a crash point
+MAX_WAITING_CLIENTS = 120  # unfinished requests past which no new one is created
+RECENT_REQUESTS = 400  # last requests that are searched for unfinished or in-flight ones
+MAX_PENDING = 24
 
 FAULTS = {
-    "none": "kills at random and at chosen points; the agent outlives the program",
-    "agent-too": "the agent dies with the program each time: what was under way stays unknown",
+    "none": "kills at random times and at crash points; the agent keeps running",
+    "agent-too": "the agent is killed with the program: the outcome of running requests stays unknown",
     "slow-disk": "each flush takes 30 ms longer",
-    "stalled-disk": "each flush takes 600 ms longer: labelled transactions are shed, and none is lost",
-    "full-disk": "the disk takes nothing for a second at a time",
-    "filling": "one account asks six times its usual for half of the time, and a small store fills",
-    "notices": "SIGHUP and notices to leave take turns with kills",
+    "stalled-disk": "each flush takes 600 ms longer: keyed requests are shed, and none is lost",
+    "full-disk": "the disk is full for half a second in each incarnation",
+    "filling": "one tenant sends six times its usual load for a part of the run, and a small store fills up",
+    "notices": "SIGHUP followed by SIGTERM takes turns with kills",
 }
 
 
 @dataclass(frozen=True)
 class ResultStoreOptions(ScenarioOptions):
+    """Options of a result store scenario.
+
+    Attributes:
+        labels: Number of idempotency keys.
+        kills: Number of kills of the app server.
+        arrival_rate: New keys per second.
+        has_result_store: Whether the app server has a result store.
+        mean_work: Mean core time of a run, in tenths of a millisecond.
+        repeat_fraction: Share of the answered requests that are repeated.
+    """
+
     labels: int = 10_000
     kills: int = 200
-    arrival_rate: float = 60.0  # new labels a second
+    arrival_rate: float = 60.0
     has_result_store: bool = True
-    mean_work: int = ORDER.mean_work  # tenths of a millisecond on a core, in the mean
-    repeat_fraction: float = REPEAT_FRACTION  # of the answered ones are asked for again
+    mean_work: int = ORDER.mean_work
+    repeat_fraction: float = REPEAT_FRACTION
 
 
 @dataclass(eq=False)
 class KeyedRequest:
-    """One label as its client knows it."""
+    """One request with an idempotency key, as its client knows it.
+
+    Times are tenths of a millisecond.
+
+    Attributes:
+        is_in_surge: Whether it was created during the surge.
+        first_incarnation: Incarnation of the app server that it was first sent to.
+        was_in_flight_at_kill: Whether it was sent and unanswered at a kill.
+        is_unknown: Whether a later incarnation answered that its outcome is unknown.
+    """
 
     key: str
     body: bytes
     created_at: int
     tenant: str = "blue"
-    is_in_surge: bool = False  # whether the surge was on when it was asked for
+    is_in_surge: bool = False
     attempt_count: int = 0
     pending_attempts: int = 0
     result: bytes | None = None
     answered_at: int = 0
-    first_incarnation: int = 0  # in which it was asked for first
-    was_in_flight_at_kill: bool = False  # at a kill, sent and not answered
-    is_unknown: bool = False  # a try was written off in a later life
+    first_incarnation: int = 0
+    was_in_flight_at_kill: bool = False
+    is_unknown: bool = False
     shed_at: int = 0
     is_finished: bool = False
 
 
 @dataclass(eq=False)
 class Attempt:
+    """One attempt of a request; no response is owed if it is excused."""
+
     request: KeyedRequest
     sent_at: int
     outcome: str = ""
@@ -92,6 +116,8 @@
 
 @dataclass(eq=False)
 class Tally:
+    """Attempts and irregular answers of one scenario run."""
+
     attempts: list[Attempt] = field(default_factory=list)
     identical_repeat_answers: int = 0
     different_repeat_answers: int = 0
@@ -99,10 +125,19 @@
 
 
 class ResultStoreScenarioRun(Testbed):
+    """One run of the result store scenario: one app server, one client connection.
+
+    Attributes:
+        connection: The client connection while it is open.
+        pending: Unanswered attempts by message number.
+        kills_by_point: Number of kills by crash point, or "random".
+    """
+
     request_classes = [ORDER]  # noqa: RUF012
     retention_window = RETENTION_WINDOW
 
     def __init__(self, options: ResultStoreOptions, folder: Path) -> None:
+        """Create the testbed of one run in `folder`."""
         self.options = options
         super().__init__(options, folder)
         self.random_source = random.Random(options.seed)
@@ -118,32 +153,37 @@
         self.cpu_s = 0.0
 
     def write_member_files(self, server: AppServer) -> Process:
+        """Add the result store and the crash points to the files of the app server."""
         member = super().write_member_files(server)
         if self.options.has_result_store:
             path = self.folder / "keep.json"
-            entries = SMALL_STORE_ENTRIES if self.options.fault == "filling" else 20_000
+            entries = SMALL_STORE_ENTRIES if self.options.fault == "filling" else STORE_ENTRIES
             store_configuration = {"folder": str(self.folder / "kept"), "bytes": 4 << 20, "entries": entries}
             path.write_text(json.dumps(store_configuration))
             member.environment["BIRCHSLIP_KEEP"] = str(path)
         member.module = "birchslip.lab.dying"
         return member
 
-    # ---- the process -----------------------------------------------------------------------------------
+    # ---- process ---------------------------------------------------------------------------------------
 
     def start(self, point: str, count: int) -> None:
-        flush = {"slow-disk": 30, "stalled-disk": 600}.get(self.options.fault, 0)
-        self.member.arguments = [point, str(count), str(flush)]
+        """Start an incarnation that dies at the `count`-th pass through a crash point."""
+        flush_delay_ms = {"slow-disk": 30, "stalled-disk": 600}.get(self.options.fault, 0)
+        self.member.arguments = [point, str(count), str(flush_delay_ms)]
         self.incarnation_count += 1
         self.server.incarnation += 1
         self.member.start()
         self.server.is_up = True
 
     def run_incarnations(self) -> None:
-        """One life after the other, until all kills are done and all labels asked for."""
+        """Run one incarnation after another until the run is finished.
+
+        Each ends at its crash point or is killed after a random lifetime, until all kills are done.
+        """
         while not self.is_finished:
-            fault, at_crash_point = (
-                self.options.fault,
-                self.random_source.random() < CRASH_POINT_FRACTION and self.kill_count < self.options.kills,
+            fault = self.options.fault
+            at_crash_point = (
+                self.random_source.random() < CRASH_POINT_FRACTION and self.kill_count < self.options.kills
             )
             point = self.random_source.choice(list(CRASH_POINTS)) if at_crash_point else "none"
             self.start(point, self.random_source.randint(1, 40))
@@ -170,27 +210,29 @@
                 self.on_process_killed(point if at_crash_point else "random")
 
     def on_process_killed(self, point: str) -> None:
+        """Excuse the attempts in flight and close the connection after a kill."""
         self.kill_count += 1
         self.kills_by_point[point] += 1
         self.member.unexpected_exit_codes.clear()
         self.server.is_up = False
         if self.options.fault == "agent-too":
             self.agent.start(is_cold=False)
-        # What was on its way is asked for again; nothing is owed on links of the dead.
+        # A dead process owes no responses; `keep_connected` retries the requests in flight.
         for attempt in list(self.pending.values()):
             attempt.is_excused = True
             attempt.request.was_in_flight_at_kill = True
-        for request in self.requests[-400:]:
-            # Shed as the disk stalled: that it never ran may be on its way to the disk still.
+        for request in self.requests[-RECENT_REQUESTS:]:
+            # Shed during a disk stall: the record that it never ran may not be flushed yet.
             request.was_in_flight_at_kill = (
                 request.was_in_flight_at_kill or self.scheduler.now - request.shed_at < MAX_STALL
             )
         if self.connection is not None:
             self.connection.close("dead")
 
-    # ---- the client ------------------------------------------------------------------------------------
+    # ---- client ----------------------------------------------------------------------------------------
 
     def keep_connected(self) -> None:
+        """Keep a connection to the app server open and retry what a lost connection left unanswered."""
         while not self.is_finished:
             try:
                 connection = Connection(
@@ -210,6 +252,11 @@
                 self.send_later(attempt.request, self.random_source.randint(0, 2_000))
 
     def on_data(self, buffer: Buffer) -> None:
+        """Handle responses on the client connection.
+
+        Raises:
+            MalformedMessageError: The data is no message that an app server sends.
+        """
         messages, error_text = read_messages(buffer)
         for message in messages:
             match message:
@@ -218,15 +265,16 @@
                 case [2, "closing", []]:
                     pass
                 case _:
-                    raise MalformedMessageError("no message of an app server's")
+                    raise MalformedMessageError("unexpected message from an app server")
         if error_text:
             raise MalformedMessageError(error_text)
 
     def generate_request(self) -> None:
+        """Create and send one request, and schedule the next arrival."""
         if self.is_finished or len(self.requests) >= self.options.labels:
             return
         is_filling = self.options.fault == "filling"
-        is_in_surge = is_filling and 0.2 < len(self.requests) / self.options.labels < 0.8
+        is_in_surge = is_filling and SURGE_START < len(self.requests) / self.options.labels < SURGE_END
         weights = {
             name: share * (SURGE_FACTOR if is_in_surge and name == SURGING_TENANT else 1.0)
             for name, share in TENANT_SHARES.items()
@@ -236,8 +284,12 @@
             + 1
         )
         self.scheduler.at(self.scheduler.now + gap, self.generate_request)
-        # No more than a life has room for waits meanwhile: the clients of a dead app server wait as well.
-        if not is_filling and sum(1 for one in self.requests[-400:] if not one.is_finished) > 120:
+        # Clients of a dead app server wait too, so the backlog stays within what one incarnation can serve.
+        if (
+            not is_filling
+            and sum(1 for request in self.requests[-RECENT_REQUESTS:] if not request.is_finished)
+            > MAX_WAITING_CLIENTS
+        ):
             return
         tenant = (
             self.random_source.choices(list(weights), list(weights.values()))[0]
@@ -245,22 +297,24 @@
             else SURGING_TENANT
         )
         key = self.random_source.randbytes(16).hex()
-        # Where a store is to fill, the cores are not what is short.
+        # While the store fills up, the cores must not be the bottleneck.
         mean_work = self.options.mean_work / (3 if is_filling else 1)
         work = max(1, int(self.random_source.gammavariate(4, mean_work / 4) / 10))
         request = KeyedRequest(key, f"{work} L{key}".encode(), self.scheduler.now, tenant, is_in_surge)
         self.requests.append(request)
         self.send(request)
 
-    def send_later(self, request: KeyedRequest, wait: int) -> None:
-        self.scheduler.at(self.scheduler.now + wait, partial(self.send, request))
+    def send_later(self, request: KeyedRequest, delay: int) -> None:
+        """Schedule an attempt after `delay`, in tenths of a millisecond."""
+        self.scheduler.at(self.scheduler.now + delay, partial(self.send, request))
 
     def send(self, request: KeyedRequest) -> None:
+        """Send an attempt, or give the request up if it is too old."""
         now = self.scheduler.now
         if self.is_finished or now - request.created_at > MAX_REQUEST_AGE:
             request.is_finished = True
             return
-        if self.connection is None or not self.connection.open or len(self.pending) >= 24:
+        if self.connection is None or not self.connection.open or len(self.pending) >= MAX_PENDING:
             self.send_later(request, 500)
             return
         self.last_number += 1
@@ -283,7 +337,8 @@
         request.pending_attempts += 1
         self.connection.write(pack([0, self.last_number, ORDER.name, [fields, request.body]]))
 
-    def on_response(self, number: int, error: Any, result: Any) -> None:
+    def on_response(self, number: int, error: list[Any] | None, result: list[bytes]) -> None:
+        """Record a response and schedule a retry or a repeat of the request."""
         attempt = self.pending.pop(number, None)
         if attempt is None:
             self.tally.unexpected_messages["an answer to nobody"] += 1
@@ -313,9 +368,10 @@
             request.is_unknown = request.is_unknown or self.incarnation_count > request.first_incarnation
             self.send_later(request, self.random_source.randint(2_000, SECOND))
 
-    # ---- the course ------------------------------------------------------------------------------------
+    # ---- course of the run -----------------------------------------------------------------------------
 
     def run_schedule(self) -> None:
+        """Run the client and the kills until all requests are finished or time is up."""
         self.scheduler.spawn("lives", self.run_incarnations)
         self.scheduler.spawn("link", self.keep_connected)
         self.wait_for(lambda: self.server.name in self.catalog.get_listed_servers(), 15 * SECOND)
@@ -330,19 +386,20 @@
             self.scheduler.sleep(self.scheduler.now + SECOND // 2)
         self.cpu_s = self.member.measure_usage()[0]
         if not self.is_complete():
-            self.faults.append("it did not come to its end in time")
+            self.faults.append("the run did not finish in time")
         self.scheduler.sleep(self.scheduler.now + 2 * ORDER.deadline)
         self.is_finished = True
         self.scheduler.sleep(self.scheduler.now + SECOND)
 
     def is_complete(self) -> bool:
+        """Return whether all kills are done and all requests sent and finished."""
         all_sent = len(self.requests) >= self.options.labels and self.kill_count >= self.options.kills
-        return all_sent and all(one.is_finished for one in self.requests[-500:])
+        return all_sent and all(request.is_finished for request in self.requests[-500:])
 
-    # ---- what is told of it ----------------------------------------------------------------------------
+    # ---- report ----------------------------------------------------------------------------------------
 
     def compute_timely_fractions(self) -> dict[str, float]:
-        """Of each account's labels of the surge: honoured within the latency goal."""
+        """Return, by tenant, the share of surge requests honoured within the latency objective."""
         fractions = {}
         for tenant in TENANT_SHARES:
             requests = [
@@ -359,7 +416,7 @@
         return fractions
 
     def compute_sheds_per_request(self) -> dict[str, float]:
-        """Of each account's labels of the surge: how often one was shed in the mean."""
+        """Return, by tenant, how often a surge request was shed on average."""
         request_counts: Counter[str] = Counter()
         shed_counts: Counter[str] = Counter()
         for request in self.requests:
@@ -374,7 +431,10 @@
         }
 
     def summarize_flushes(self) -> dict[str, Any]:
-        """As the program logged them, every 256."""
+        """Return the number of flushes and the medians of their latency percentiles.
+
+        They are taken from the log lines that the program writes every 256 flushes.
+        """
         lines = [line for _, line in self.member.find_log_lines("event=store_flush_latency")]
         reports = [dict(word.split("=", 1) for word in line.split() if "=" in word) for line in lines]
         latencies = {name: sorted(float(report[name]) for report in reports) for name in ("p50_ms", "p99_ms")}
@@ -387,18 +447,21 @@
         }
 
     def build_report(self) -> dict[str, Any]:
-        launches = Counter(label for (_, _, label), times in self.history.launches.items() for _ in times)
+        """Return the figures of the run."""
+        launches = Counter(key for (_, _, key), times in self.history.launches.items() for _ in times)
         now = self.scheduler.now
         unanswered = [
-            item
-            for item in self.tally.attempts
-            if not item.outcome and not item.is_excused and now - item.sent_at > ORDER.deadline + SECOND // 2
+            attempt
+            for attempt in self.tally.attempts
+            if not attempt.outcome
+            and not attempt.is_excused
+            and now - attempt.sent_at > ORDER.deadline + SECOND // 2
         ]
-        unknown = [item for item in self.requests if item.is_unknown]
-        honoured = [item for item in self.requests if item.result is not None]
-        latencies_ms = sorted((item.answered_at - item.created_at) / 10 for item in honoured)
-        span = max((item.answered_at for item in honoured), default=0) - min(
-            (item.created_at for item in honoured), default=0
+        unknown = [request for request in self.requests if request.is_unknown]
+        honoured = [request for request in self.requests if request.result is not None]
+        latencies_ms = sorted((request.answered_at - request.created_at) / 10 for request in honoured)
+        span = max((request.answered_at for request in honoured), default=0) - min(
+            (request.created_at for request in honoured), default=0
         )
         return {
             "labels": len(self.requests),
@@ -411,7 +474,7 @@
             "other_answer": self.tally.different_repeat_answers,
             "strange": dict(self.tally.unexpected_messages),
             "unknown": len(unknown),
-            "unknown_beyond": sum(1 for item in unknown if not item.was_in_flight_at_kill),
+            "unknown_beyond": sum(1 for request in unknown if not request.was_in_flight_at_kill),
             "service": round(len(honoured) / max(1, len(self.requests)), 4),
             "took_ms": {
                 f"p{part}": latencies_ms[len(latencies_ms) * part // 100] if latencies_ms else None
@@ -419,7 +482,7 @@
             },
             "rate": round(len(honoured) / max(1, span) * SECOND, 1),
             "program_cpu_s": round(self.cpu_s, 2),
-            "tries": dict(Counter(item.outcome or "cut" for item in self.tally.attempts)),
+            "tries": dict(Counter(attempt.outcome or "cut" for attempt in self.tally.attempts)),
             "in_time": self.compute_timely_fractions(),
             "sheds_each": self.compute_sheds_per_request(),
             "trouble": self.faults[:5],
@@ -429,6 +492,7 @@
 
 
 def run_scenario(options: ResultStoreOptions, folder: Path) -> dict[str, Any]:
+    """Run the scenario once in an empty `folder` and return its report."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     run = ResultStoreScenarioRun(options, folder)
@@ -445,7 +509,10 @@
 
 
 def run_result_store_scenario(options: ResultStoreOptions) -> dict[str, Any]:
-    """The report of the command; without a store the same schedule shows what one is for."""
+    """Run the scenario and return the report of the command.
+
+    Unless `alone`, the same schedule is run without a result store for comparison.
+    """
     log_folder = options.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
     try:
         report = {"seed": options.seed, "fault": options.fault, **run_scenario(options, log_folder / "kept")}
@@ -455,7 +522,7 @@
     finally:
         if options.logs is None:
             shutil.rmtree(log_folder, ignore_errors=True)
-    # On a disk that takes nothing an answer goes out unkept: killed then, its label is unknown.
+    # Without disk space an answer is sent before it is stored, and its key is unknown after a kill.
     tolerated = ("unknown_beyond",) if options.fault in UNSTORED_ANSWER_FAULTS else ()
     report["broken"] = [
         f"{name}: {report[name]}" for name in VIOLATIONS if report[name] and name not in tolerated
--- a/birchslip/lab/peers.py
+++ b/birchslip/lab/peers.py
@@ -1,8 +1,8 @@
-"""Stand-ins for what stands around app servers, on the program's own scheduler: agents, vault and catalog.
+"""Stand-ins for the systems around app servers, run on the program's own scheduler: agents, vault, catalog.
 
-They speak the published protocols as far as an app server sees them. An agent models cores: a run takes its
-work, longer while more run than there are cores, and longer while it is cold. The vault counts the calls in
-hand.
+They speak the published protocols as far as an app server uses them. The agent models cores: a run takes its
+work, longer while more runs are active than there are cores, and longer while the cores are cold. The vault
+counts open calls.
 """
 
 from __future__ import annotations
@@ -25,13 +25,15 @@
 MAX_LINE_BYTES = 65_536
 BUFFER_BYTES = 4 << 20
 REASON_PHRASES = {200: "OK", 202: "Accepted", 204: "No Content", 404: "Not Found", 409: "Conflict"}
-LISTING_LIFETIME = 30_000  # a report stands for three seconds
+LISTING_LIFETIME = 30_000  # three seconds, in tenths of a millisecond
+ASK_WORDS, UNASK_WORDS = 4, 2  # words in the lines that open and cancel a call
 
 
 class Peer:
-    """Listens on loopback and serves each connection in a task of its own."""
+    """A server on loopback that serves each connection in a task of its own."""
 
     def __init__(self, scheduler: Scheduler) -> None:
+        """Listen on a free loopback port."""
         self.scheduler = scheduler
         self.listener = open_listener()
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
@@ -42,6 +44,7 @@
         )
 
     def on_accept(self, sock: socket.socket) -> None:
+        """Serve a new connection, or close it if the peer does not accept any."""
         if self.is_closed:
             sock.close()
             return
@@ -50,6 +53,7 @@
         self.scheduler.spawn("link", partial(self.serve_connection, connection))
 
     def serve_connection(self, connection: Connection) -> None:
+        """Read from the connection until it closes."""
         on_data = self.make_data_handler(connection)
         try:
             connection.serve(on_data)
@@ -59,28 +63,36 @@
             self.on_connection_closed(connection)
 
     def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        """Return the function that handles the data received on this connection."""
         raise NotImplementedError
 
     def on_connection_closed(self, connection: Connection) -> None:
-        """Its connection has ended."""
+        """Handle the end of a connection; does nothing by default."""
 
     def close_connections(self) -> None:
+        """Close all open connections; new ones are still accepted."""
         for connection in list(self.connections):
             connection.close("dropped")
 
     def stop_accepting(self) -> None:
-        """Gone for a while: what is open breaks, and nobody is let in."""
+        """Close all connections and refuse new ones, as if the peer were down."""
         self.is_closed = True
         self.close_connections()
 
     def start_accepting(self) -> None:
+        """Accept connections again."""
         self.is_closed = False
 
 
 class Run:
-    """One run on the cores. A body's words: the work in milliseconds, `call`, and the label."""
+    """One run at an agent.
+
+    The request body holds words: the work in milliseconds, `call` for a downstream call halfway, and the
+    idempotency key after an `L`.
+    """
 
     def __init__(self, run_id: str, body: bytes) -> None:
+        """Parse the work, the call and the key out of the request body."""
         words = body.decode("ascii", "replace").split()
         self.run_id, self.body = run_id, body
         self.work = next((int(word) for word in words if word.isdigit()), 10) * 10
@@ -91,7 +103,15 @@
 
 
 class Agent(Peer):
-    """One agent and its cores. `written` tells when a try of that name was written to its app server."""
+    """One agent and its cores; it executes the runs of one app server.
+
+    Attributes:
+        fault_kind: Kind of fault in the runs of the installed version; see `versions.FAULT_KINDS`.
+        on_harm: Called when that fault has affected a run.
+        incarnation: Number of starts so far.
+        deferred: Actions that came up while paused.
+        notices: Notices sent so far, replayed to a new subscriber.
+    """
 
     def __init__(
         self,
@@ -103,10 +123,21 @@
         warm_up_span: int,
         get_written_at: Callable[[str], int],
     ) -> None:
+        """Create a started, warm agent.
+
+        Args:
+            scheduler: Scheduler of the testbed.
+            history: Where launches are recorded.
+            server: Name of the app server.
+            cores: Number of cores.
+            cold_speed: Share of the full speed at a cold start.
+            warm_up_span: Time until full speed, in tenths of a millisecond.
+            get_written_at: Returns when a request id was written to the app server.
+        """
         self.history, self.server, self.get_written_at = history, server, get_written_at
         self.cores = Cores(cores, cold_speed, warm_up_span)
-        self.fault_kind = ""  # what is wrong with the runs of the version that it runs now
-        self.on_harm: Callable[[], None] = lambda: None  # told when that has shown
+        self.fault_kind = ""
+        self.on_harm: Callable[[], None] = lambda: None
         self.incarnation = 0
         self.is_paused = False
         self.deferred: deque[Callable[[], None]] = deque()
@@ -114,7 +145,7 @@
         self.start(is_cold=False)
 
     def start(self, is_cold: bool) -> None:
-        """Begun anew, from nothing."""
+        """Start a new incarnation without any runs or notices, and close all connections."""
         self.incarnation += 1
         self.cores.start(self.scheduler.now, is_cold)
         self.notices: list[dict[str, Any]] = []
@@ -126,20 +157,27 @@
         self.close_connections()
 
     def pause(self) -> None:
+        """Defer all activity until `resume`."""
         self.is_paused = True
 
     def resume(self) -> None:
+        """Carry out the deferred actions and continue."""
         self.is_paused = False
         while self.deferred:
             self.deferred.popleft()()
 
     def charge_cores(self, work: int) -> None:
-        """A connection or a try at its app server: the cores pay, whatever becomes of it."""
+        """Charge core time for a connection or for reading a request at the app server.
+
+        It is charged even if the request is then rejected.
+        """
         self.cores.charge(self.scheduler.now, work)
 
     # ---- orders ----------------------------------------------------------------------------------------
 
     def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        """Return the handler of order lines on this connection."""
+
         def on_data(buffer: Buffer) -> None:
             while (line := buffer.read_line(MAX_LINE_BYTES)) is not None:
                 order = json.loads(line)
@@ -148,7 +186,7 @@
         return on_data
 
     def run_unless_paused(self, action: Callable[[], None]) -> None:
-        """Nothing happens while it is paused, and nothing of an earlier life happens at all."""
+        """Run the action, after `resume` if paused; drop it if a new incarnation has started."""
         incarnation = self.incarnation
 
         def guarded() -> None:
@@ -162,6 +200,10 @@
         guarded()
 
     def handle_order(self, connection: Connection, order: dict[str, Any]) -> None:
+        """Carry out one order of the app server.
+
+        An order that fits no run is answered with a refusal, except a repeated launch, which is ignored.
+        """
         run_id = order.get("id", "")
         run = self.runs.get(run_id)
         match order["op"]:
@@ -197,9 +239,11 @@
                 self.send(op="refusal", end=kind, id=run_id)
 
     def count_on_cores(self) -> int:
+        """Count the runs that occupy a core."""
         return sum(1 for run in self.runs.values() if run.is_on_core)
 
     def occupy_core(self, run: Run, work: int, then: Callable[[Run], None]) -> None:
+        """Let a run occupy a core for `work`, then call `then`."""
         run.is_on_core = True
         duration = self.cores.compute_duration(self.scheduler.now, work, self.count_on_cores())
         if self.fault_kind == "slow" and self.count_on_cores() >= self.cores.count:
@@ -210,16 +254,22 @@
         )
 
     def leave_core(self, run: Run, then: Callable[[Run], None]) -> None:
+        """Free the core of a run that still exists and call `then`."""
         if self.runs.get(run.run_id) is run:
             run.is_on_core = False
             then(run)
 
     def request_call(self, run: Run) -> None:
+        """Ask the app server for the downstream call of a run."""
         self.append_notice(
             op="request", id=run.run_id, body=b64encode(b"asked by " + run.run_id.encode()).decode()
         )
 
     def finish_run(self, run: Run, outcome: str = "done") -> None:
+        """End a run and notify the app server of its outcome.
+
+        The fault kind "profile" makes runs with an idempotency key crash.
+        """
         if self.runs.pop(run.run_id, None) is run:
             self.finished_run_ids.add(run.run_id)
             if self.fault_kind == "profile" and run.key and outcome == "done":
@@ -228,27 +278,40 @@
             result = b64encode(b"made of " + run.body + run.reply).decode()
             self.append_notice(op="outcome", id=run.run_id, end=outcome, ms=run.work // 10, body=result)
 
-    def append_notice(self, **notice: Any) -> None:
+    def append_notice(self, **notice: object) -> None:
+        """Number a notice, keep it for replay and send it."""
         notice["seq"] = len(self.notices) + 1
         self.notices.append(notice)
         self.send(**notice)
 
-    def send(self, **message: Any) -> None:
+    def send(self, **message: object) -> None:
+        """Send a message to the subscriber, if it is connected."""
         if self.subscriber is not None and self.subscriber.open:
             self.subscriber.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
 
 
 class Vault(Peer):
-    """Answers a call after `took`; each call counts from its message to its answer or the end of its link."""
+    """A downstream service; a call is open from its message until its answer or the end of its connection."""
 
     def __init__(
         self, scheduler: Scheduler, history: HistoryChecker, draw_latency: Callable[[], int]
     ) -> None:
+        """Create a vault.
+
+        Args:
+            scheduler: Scheduler of the testbed.
+            history: Where open calls are counted.
+            draw_latency: Returns the latency of one call, in tenths of a millisecond.
+        """
         self.history, self.draw_latency = history, draw_latency
         self.open_calls: dict[Connection, dict[bytes, None]] = {}
         super().__init__(scheduler)
 
     def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        """Return the handler of calls and cancellations on this connection.
+
+        The handler raises MalformedMessageError for anything else.
+        """
         self.open_calls[connection] = {}
         pending_asks: list[list[bytes]] = []
 
@@ -264,16 +327,17 @@
                 if line is None:
                     return
                 words = line.split()
-                if words[:1] == [b"ask"] and len(words) == 4:
+                if words[:1] == [b"ask"] and len(words) == ASK_WORDS:
                     pending_asks.append(words)
-                elif words[:1] == [b"unask"] and len(words) == 2:
+                elif words[:1] == [b"unask"] and len(words) == UNASK_WORDS:
                     self.end_call(connection, words[1])
                 else:
-                    raise MalformedMessageError("no message of a caller's")
+                    raise MalformedMessageError("unexpected message from a caller")
 
         return on_data
 
     def start_call(self, connection: Connection, call_name: bytes) -> None:
+        """Open a call and schedule its answer; a call of the same name on this connection is replaced."""
         self.end_call(connection, call_name)
         self.open_calls[connection][call_name] = None
         self.history.record_call_change("all", 1)
@@ -282,10 +346,12 @@
         )
 
     def answer_call(self, connection: Connection, call_name: bytes) -> None:
+        """Answer a call that is still open."""
         if self.end_call(connection, call_name):
             connection.write(call_name + b" yes 9\r\n and paid\r\n")
 
     def end_call(self, connection: Connection, call_name: bytes) -> bool:
+        """Close a call and return whether it was open."""
         if call_name in self.open_calls.get(connection, {}):
             del self.open_calls[connection][call_name]
             self.history.record_call_change("all", -1)
@@ -293,15 +359,17 @@
         return False
 
     def on_connection_closed(self, connection: Connection) -> None:
+        """End all calls of the connection."""
         for call_name in list(self.open_calls.get(connection, {})):
             self.end_call(connection, call_name)
         self.open_calls.pop(connection, None)
 
 
 class HttpPeer(Peer):
-    """HTTP/1.1 as far as the program and its planners speak it."""
+    """An HTTP/1.1 server, as far as the program and its planners need it."""
 
     def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        """Return the handler of HTTP requests on this connection."""
         header_lines: list[bytes] = []
 
         def on_data(buffer: Buffer) -> None:
@@ -314,17 +382,17 @@
                     continue
                 size = next(
                     (
-                        int(one.split(b":")[1])
-                        for one in header_lines
-                        if one.lower().startswith(b"content-length")
+                        int(header.split(b":")[1])
+                        for header in header_lines
+                        if header.lower().startswith(b"content-length")
                     ),
                     0,
                 )
                 if len(buffer) < size:
                     return
-                verb, path = header_lines[0].decode().split()[:2]
+                method, path = header_lines[0].decode().split()[:2]
                 header_lines.clear()
-                answer = self.handle_request(verb, path, buffer.take(size))
+                answer = self.handle_request(method, path, buffer.take(size))
                 if answer is not None:
                     status, body = answer
                     head = (
@@ -335,31 +403,34 @@
         return on_data
 
     def handle_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes] | None:
-        """Status and body; None where it never answers."""
+        """Return status and body of the response; None to send no response."""
         raise NotImplementedError
 
 
 class Catalog(HttpPeer):
-    """Keeps the list of app servers whose last good report is not older than three seconds."""
+    """Lists the app servers whose last report was passing and is at most three seconds old."""
 
     def __init__(self, scheduler: Scheduler) -> None:
+        """Create a catalog without reports."""
         self.reports: dict[str, tuple[int, bool]] = {}
         super().__init__(scheduler)
 
     def handle_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes] | None:
+        """Record the status report of an app server."""
         status = json.loads(body)["status"]
         self.reports[path.rpartition("/")[2]] = (self.scheduler.now, status == "passing")
         return 204, b""
 
     def get_listed_servers(self) -> set[str]:
+        """Return the names of the listed app servers."""
         now = self.scheduler.now
         return {
             name
-            for name, (at, is_healthy) in self.reports.items()
-            if is_healthy and now - at <= LISTING_LIFETIME
+            for name, (reported_at, is_healthy) in self.reports.items()
+            if is_healthy and now - reported_at <= LISTING_LIFETIME
         }
 
     def is_listed_since(self, name: str, at: int) -> bool:
-        """Whether it has told of itself since then, and well."""
+        """Return whether the last report of an app server is passing and not older than `at`."""
         reported_at, is_healthy = self.reports.get(name, (-1, False))
         return is_healthy and reported_at >= at
--- a/birchslip/lab/platform.py
+++ b/birchslip/lab/platform.py
@@ -1,9 +1,8 @@
-"""The platform's stand-in: it starts and stops real processes of the program, in two versions, as planners
-order; and it alone keeps the truth of who was out when.
+"""Stand-in for the platform: starts and drains real app servers, in two versions, as planners order.
 
-It speaks the protocol of `fleet/platform_link.py`: a drain is SIGTERM and waits for the process to end by
-itself, a start is over once the catalog has heard of the new process. A process that ends by itself is
-started again in its version, as platforms do, whatever anybody has ordered.
+It speaks the protocol of `cluster/platform_link.py`. A drain sends SIGTERM and waits for the process to exit;
+a start is complete once the catalog has a report of the new process. A process that exits by itself is
+restarted in its version without an order. The platform alone records which members were unavailable when.
 """
 
 from __future__ import annotations
@@ -21,16 +20,28 @@
 from .versions import IN_PROCESS_KINDS
 from .world import Testbed
 
+# Times are tenths of a millisecond.
 POLL_INTERVAL = 200
-RESTART_DELAY = SECOND  # before one that ended by itself is started again
+RESTART_DELAY = SECOND  # between the exit of a process by itself and its restart
 MAX_START_SPAN = 20 * SECOND
-DETECTION_SPAN = SECOND  # after so long planners should know that one is out that nobody let out
+DETECTION_SPAN = SECOND  # planners should know of an unplanned disruption by then
+ORDER_SEGMENTS = 4  # path segments of an order: fleet, members, member, action
 OLD_VERSION, NEW_VERSION = "1", "2"
 
 
 @dataclass(eq=False, slots=True)
 class Machine:
-    """One app server's process, as the platform has it."""
+    """State of the process of one app server.
+
+    Times are tenths of a millisecond.
+
+    Attributes:
+        failed_starts: Starts of the present version that failed, since the last that succeeded.
+        crashes: Times that the present version exited by itself.
+        is_starting: Whether the process was started and is not listed yet.
+        restart_at: When a process that exited by itself is restarted; 0 for none.
+        failing_versions: Versions that do not start on this machine.
+    """
 
     server: AppServer
     state: str = "up"
@@ -38,29 +49,47 @@
     failed_starts: int = 0
     crashes: int = 0
     started_at: int = 0
-    is_starting: bool = False  # started, and not listed yet
-    restart_at: int = 0  # one that ended by itself is started again then
-    failing_versions: set[str] = field(default_factory=set)  # versions that it does not start in
+    is_starting: bool = False
+    restart_at: int = 0
+    failing_versions: set[str] = field(default_factory=set)
 
 
 class DisruptionLedger:
-    """Who is out, by whose making, at every moment; and whether a budget was passed."""
+    """Which members are unavailable, since when and why, and breaches of disruption budgets.
+
+    Attributes:
+        dependents: Members that need a service, by its name.
+        causes: Start times of the causes by unavailable member.
+        planned_members: Members that a drain made unavailable.
+        peak_unavailable: Most members of each group that were unavailable at once.
+        breaches: Number of budget breaches by group.
+    """
 
     def __init__(self, groups: list[BudgetGroup], dependents: Mapping[str, list[str]]) -> None:
+        """Create a ledger without disruptions."""
         self.groups = {group.name: group for group in groups}
         self.dependents = dependents
-        self.causes: dict[str, dict[str, int]] = {}  # name: causes, and since when each
+        self.causes: dict[str, dict[str, int]] = {}
         self.planned_members: set[str] = set()
         self.peak_unavailable = dict.fromkeys(self.groups, 0)
         self.breaches = dict.fromkeys(self.groups, 0)
         self.breach_descriptions: list[str] = []
 
     def find_unavailable(self, group: BudgetGroup) -> list[str]:
+        """Return the names of the unavailable members of a group."""
         return sorted(group.members & self.causes.keys())
 
     def begin_disruption(self, name: str, cause: str, now: int, is_planned: bool = False) -> None:
-        """A planned one that goes beside others is a breach where the budget was used up already: by planned
-        ones at once, by others once planners should have known.
+        """Record a disruption of a member or service and of its dependents.
+
+        A planned disruption is a breach if it takes a group past its budget. Other planned disruptions count
+        at once, unplanned ones only after `DETECTION_SPAN`, when planners should know of them.
+
+        Args:
+            name: Member or service.
+            cause: Cause of the disruption; `end_disruption` takes the same one.
+            now: Present time.
+            is_planned: Whether a drain caused it.
         """
         for member, reason in (
             (name, cause),
@@ -84,10 +113,11 @@
             if len(known_members) > group.disruptions_allowed:
                 self.breaches[group.name] += 1
                 self.breach_descriptions.append(
-                    f"{group.name}: {', '.join(known_members)} out, {group.disruptions_allowed} may be"
+                    f"{group.name}: {', '.join(known_members)} out, {group.disruptions_allowed} allowed"
                 )
 
     def end_disruption(self, name: str, cause: str) -> None:
+        """Remove one cause of a member or service and of its dependents."""
         for member, reason in (
             (name, cause),
             *((dependent, name) for dependent in self.dependents.get(name, ())),
@@ -99,6 +129,7 @@
                 self.planned_members.discard(member)
 
     def build_report(self) -> dict[str, Any]:
+        """Return budget, peak and breaches by group."""
         return {
             name: {
                 "allowed": group.disruptions_allowed,
@@ -110,6 +141,21 @@
 
 
 class Platform(HttpPeer):
+    """HTTP stand-in of the platform that manages the app server processes of a testbed.
+
+    Attributes:
+        fault_kind: Kind of fault in the new version; see `versions.FAULT_KINDS`.
+        service_state: State and incarnation by service.
+        executed_drains: Member and permit number of each drain that was carried out.
+        drain_counts: Ordered drains by member and target version.
+        exposed_members: Members that ran the new version.
+        first_harm_at: When the new version first harmed a request or failed; None if it never did.
+        stale_order_count: Orders of an epoch that is over.
+        before_order: Called with action and member before an order is carried out; "drop" leaves the order
+            undone and unanswered.
+        on_member_stopped: Called with the member once a drained process has exited.
+    """
+
     def __init__(
         self,
         testbed: Testbed,
@@ -118,10 +164,19 @@
         required_services: Mapping[str, list[str]],
         crash_ms: int,
     ) -> None:
+        """Create a platform for all app servers of a testbed.
+
+        Args:
+            testbed: The testbed.
+            fault_kind: Kind of fault in the new version.
+            groups: Groups with disruption budgets.
+            required_services: Services that each member needs.
+            crash_ms: When a version of kind "crash" or "leak" fails, after its start.
+        """
         self.testbed, self.fault_kind, self.crash_ms = testbed, fault_kind, crash_ms
         self.machines = {server.name: Machine(server) for server in testbed.servers}
         self.services: dict[str, Vault] = {}
-        self.service_state: dict[str, tuple[str, int]] = {}  # state and life
+        self.service_state: dict[str, tuple[str, int]] = {}
         dependents: dict[str, list[str]] = {}
         for name, services in required_services.items():
             for service in services:
@@ -129,24 +184,24 @@
         self.disruptions = DisruptionLedger(groups, dependents)
         self.epoch = 0
         self.executed_drains: set[tuple[str, int]] = set()
-        self.drain_counts: dict[tuple[str, str], int] = {}  # member and version to be: drains by order
+        self.drain_counts: dict[tuple[str, str], int] = {}
         self.exposed_members: set[str] = set()
         self.first_harm_at: int | None = None
         self.is_over = False
-        self.stale_order_count = 0  # orders of an epoch that is over
-        # What the schedule wants done as an order comes: "drop" leaves it undone and unanswered.
-        self.before_order: Callable[[str, str], str] = lambda what, name: ""
+        self.stale_order_count = 0
+        self.before_order: Callable[[str, str], str] = lambda action, name: ""
         self.on_member_stopped: Callable[[str], None] = lambda name: None
         super().__init__(testbed.scheduler)
         for server in testbed.servers:
             testbed.agents[server.name].on_harm = lambda name=server.name: self.record_harm(name)  # type: ignore[misc]
 
     def add_service(self, name: str, vault: Vault) -> None:
+        """Add a downstream service that is up."""
         self.services[name] = vault
         self.service_state[name] = ("up", 1)
 
     def poll_machines(self) -> None:
-        """From the first process on, to the end of the play."""
+        """Poll the state of all processes, periodically until the run is over."""
         if self.is_over:
             return
         for machine in self.machines.values():
@@ -154,22 +209,24 @@
         self.scheduler.at(self.scheduler.now + POLL_INTERVAL, self.poll_machines)
 
     def record_harm(self, name: str) -> None:
-        """Something that a released member's users would mind has happened."""
+        """Record the time at which the new version first did harm."""
         if self.first_harm_at is None:
             self.first_harm_at = self.scheduler.now
 
-    # ---- what it is asked ------------------------------------------------------------------------------
+    # ---- requests of planners --------------------------------------------------------------------------
 
     def handle_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes] | None:
+        """Handle a request of a planner: list the members, or drain or start one."""
         url = urlsplit(path)
         segments = [unquote(word) for word in url.path.strip("/").split("/")]
         if method == "GET" and segments == ["fleet", "members"]:
             return self.list_members(int(parse_qs(url.query).get("epoch", ["0"])[0]))
-        if method == "POST" and segments[:2] == ["fleet", "members"] and len(segments) == 4:
+        if method == "POST" and segments[:2] == ["fleet", "members"] and len(segments) == ORDER_SEGMENTS:
             return self.handle_order(segments[3], segments[2], json.loads(body))
         return 404, b""
 
     def list_members(self, epoch: int) -> tuple[int, bytes]:
+        """Return the state of members and services; a conflict for a stale epoch."""
         if epoch < self.epoch:
             return 409, b""
         self.epoch = epoch
@@ -189,6 +246,11 @@
         return 200, json.dumps({"members": members, "services": services}).encode()
 
     def handle_order(self, action: str, name: str, order: dict[str, Any]) -> tuple[int, bytes] | None:
+        """Carry out an order to drain or start a member, at most once.
+
+        Returns:
+            Status and body of the response; None if the schedule drops the order.
+        """
         machine = self.machines.get(name)
         if machine is None or action not in ("drain", "start"):
             return 404, b""
@@ -211,7 +273,7 @@
             return 204, b""
         self.executed_drains.add((name, order["number"]))
         if not self.testbed.members[name].is_running():
-            return 204, b""  # it died this moment; it will be started again as one that ended by itself
+            return 204, b""  # it has just died; `poll_machine` will notice that and restart it
         self.drain_counts[name, version] = self.drain_counts.get((name, version), 0) + 1
         self.drain_member(machine, is_planned=True)
         return 204, b""
@@ -219,11 +281,13 @@
     # ---- processes -------------------------------------------------------------------------------------
 
     def drain_member(self, machine: Machine, is_planned: bool) -> None:
+        """Drain a member and record its disruption."""
         machine.state = "draining"
         self.disruptions.begin_disruption(machine.server.name, "own", self.scheduler.now, is_planned)
         self.testbed.drain_server(machine.server)
 
     def start_member(self, machine: Machine, version: str) -> None:
+        """Start a member in a version, with the fault of that version."""
         server, testbed = machine.server, self.testbed
         name = server.name
         if version != machine.version:
@@ -245,7 +309,7 @@
         server.is_up = True
 
     def poll_machine(self, machine: Machine) -> None:
-        """What has become of one process since the last look."""
+        """Update the state of one machine from its process and its listing."""
         now, server = self.scheduler.now, machine.server
         name, member = server.name, self.testbed.members[server.name]
         is_running = member.is_running()
@@ -264,10 +328,11 @@
         elif machine.state == "up" and machine.restart_at and now >= machine.restart_at:
             version, crashes, failed_starts = machine.version, machine.crashes, machine.failed_starts
             self.start_member(machine, version)
-            # It counts as up to those who ask, as before: its silence tells them.
+            # Its listed state stays "up"; planners detect the outage from its missing reports.
             machine.state, machine.crashes, machine.failed_starts = "up", crashes, failed_starts
 
     def on_listed(self, machine: Machine) -> None:
+        """Mark a started member as up; its disruption ends once it is warm."""
         name, testbed = machine.server.name, self.testbed
         machine.is_starting, machine.state, machine.failed_starts = False, "up", 0
         if machine.version == NEW_VERSION:
@@ -288,6 +353,7 @@
         self.scheduler.at(warm_at, end_warm_up)
 
     def on_start_failed(self, machine: Machine) -> None:
+        """Mark a start as failed and kill the process."""
         name = machine.server.name
         machine.is_starting = False
         self.mark_down(machine.server)
@@ -299,6 +365,7 @@
             self.record_harm(name)
 
     def on_crash(self, machine: Machine) -> None:
+        """Record that a process exited by itself and schedule its restart."""
         now, name = self.scheduler.now, machine.server.name
         self.mark_down(machine.server)
         self.disruptions.begin_disruption(name, "own", now)
@@ -309,21 +376,23 @@
             self.record_harm(name)
 
     def clear_expected_exits(self, machine: Machine) -> None:
-        """An end that its version is made for is none of the program's."""
+        """Forget exit codes that the fault of the version explains."""
         is_expected = machine.version == NEW_VERSION and self.fault_kind in IN_PROCESS_KINDS
         if is_expected or machine.version in machine.failing_versions:
             self.testbed.members[machine.server.name].unexpected_exit_codes.clear()
 
     def mark_down(self, server: AppServer) -> None:
+        """Mark an app server as down, excuse its attempts and reset its agent."""
         server.is_up = False
         self.testbed.history.excuse_broken_attempts(server.name, server.incarnation)
         self.testbed.excuse_pending_attempts(server)
         self.testbed.agents[server.name].start(is_cold=True)
         self.testbed.agents[server.name].pause()
 
-    # ---- what schedules do -----------------------------------------------------------------------------
+    # ---- actions of fault schedules --------------------------------------------------------------------
 
     def kill_member(self, name: str) -> None:
+        """Kill the process of a member; it is restarted after `RESTART_DELAY`."""
         machine, member = self.machines[name], self.testbed.members[name]
         if member.is_running():
             self.mark_down(machine.server)
@@ -333,7 +402,7 @@
                 machine.restart_at, machine.is_starting = self.scheduler.now + RESTART_DELAY, False
 
     def pause_member(self, name: str, until: int) -> None:
-        """The process is stopped where it is, and wakes up later with whatever it believed."""
+        """Pause a process until a given time; it then resumes with outdated state."""
         member, agent = self.testbed.members[name], self.testbed.agents[name]
         incarnation = self.machines[name].server.incarnation
         self.testbed.excuse_pending_attempts(self.machines[name].server)
@@ -353,14 +422,17 @@
         self.scheduler.at(until, wake)
 
     def stop_service(self, name: str, is_planned: bool = False) -> None:
+        """Stop a downstream service and record the disruption of its dependents."""
         self.service_state[name] = ("draining", self.service_state[name][1])
         self.disruptions.begin_disruption(name, "own", self.scheduler.now, is_planned)
         self.services[name].stop_accepting()
 
     def start_service(self, name: str) -> None:
+        """Start a downstream service in a new incarnation."""
         self.services[name].start_accepting()
         self.service_state[name] = ("up", self.service_state[name][1] + 1)
         self.disruptions.end_disruption(name, "own")
 
     def is_all_up(self) -> bool:
+        """Return whether all members are up and listed."""
         return all(machine.state == "up" and not machine.is_starting for machine in self.machines.values())
--- a/birchslip/lab/processes.py
+++ b/birchslip/lab/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of the program: started, stopped, paused and ended by id, with their logs in files."""
+"""Child processes of the program: started, signalled and ended by process id, with their logs in files."""
 
 from __future__ import annotations
 
@@ -14,21 +14,35 @@
 
 
 class Process:
-    """One process that may live several times. `expected` says whether its end was of the schedule's
-    making.
+    """One process of the program, which may be started several times.
+
+    Attributes:
+        module: Python module that is run.
+        is_paused: Whether the process was stopped by SIGSTOP.
+        is_terminating: Whether SIGTERM was sent, so that exit code 0 is expected.
+        unexpected_exit_codes: Exit codes of ends that the schedule did not cause.
     """
 
     def __init__(
         self, name: str, arguments: list[str], environment: dict[str, str], log_folder: Path
     ) -> None:
+        """Describe the process; `start` starts it.
+
+        Args:
+            name: Name of the process, also of its log file.
+            arguments: Command line arguments after the module.
+            environment: Environment variables beside those of this process.
+            log_folder: Folder of the log file.
+        """
         self.name, self.arguments, self.environment = name, arguments, environment
         self.module = "birchslip"
         self.log_path = log_folder / f"{name}.log"
         self.process: subprocess.Popen[bytes] | None = None
         self.is_paused = self.is_terminating = False
-        self.unexpected_exit_codes: list[int] = []  # codes of ends that were not of the schedule's making
+        self.unexpected_exit_codes: list[int] = []
 
     def start(self) -> None:
+        """Start the process if it is not running; its output is appended to the log file."""
         if self.is_running():
             return
         with self.log_path.open("ab") as out:
@@ -43,6 +57,10 @@
         self.is_paused = self.is_terminating = False
 
     def is_running(self) -> bool:
+        """Return whether the process runs.
+
+        An end is recorded as unexpected unless the process was asked to terminate and exited with code 0.
+        """
         if self.process is None:
             return False
         code = self.process.poll()
@@ -53,30 +71,34 @@
         return code is None
 
     def kill(self) -> None:
+        """Kill the process with SIGKILL and wait for its end."""
         if self.process is not None and self.is_running():
             self.process.kill()
             self.process.wait()
         self.process = None
 
     def pause(self) -> None:
+        """Stop the process with SIGSTOP."""
         if self.process is not None:
             self.process.send_signal(signal.SIGSTOP)
             self.is_paused = True
 
     def resume(self) -> None:
+        """Continue a stopped process with SIGCONT."""
         if self.process is not None:
             self.process.send_signal(signal.SIGCONT)
             self.is_paused = False
 
     def terminate(self) -> None:
+        """Ask the process to drain and exit, once, with SIGTERM."""
         if not self.is_terminating and self.process is not None and self.is_running():
-            # Once: a second notice may find an interpreter that no longer listens, and kill it.
+            # Only once: a second SIGTERM during interpreter shutdown would kill the process.
             self.resume()
             self.is_terminating = True
             self.process.send_signal(signal.SIGTERM)
 
     def wait(self, seconds: float) -> None:
-        """After `leave`: its end is expected now."""
+        """Wait for the end after `terminate`; kill the process after `seconds` and record -1."""
         if self.process is None:
             return
         try:
@@ -90,23 +112,27 @@
         self.process = None
 
     def reload(self) -> None:
-        """SIGHUP: its file has changed."""
+        """Send SIGHUP, which makes the process read its file again."""
         if self.process is not None and self.is_running():
             self.process.send_signal(signal.SIGHUP)
 
     def forbid_file_growth(self) -> None:
-        """No file of it may grow any more: what a full disk is to a process, without filling one."""
+        """Set the file size limit of the process to 0, so that no file of it can grow.
+
+        To the process this looks like a full disk, and the machine's disk need not be filled.
+        """
         if self.process is not None and self.is_running():
             _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (0, hard))
 
     def allow_file_growth(self) -> None:
+        """Lift the limit set by `forbid_file_growth`."""
         if self.process is not None and self.is_running():
             _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (hard, hard))
 
     def measure_usage(self) -> tuple[float, int]:
-        """Seconds of processor time and resident KB of the life that runs."""
+        """Return CPU seconds and resident KB of the running process; zeros if there is none."""
         if self.process is None:
             return 0.0, 0
         try:
@@ -121,7 +147,7 @@
         return ticks / os.sysconf("SC_CLK_TCK"), resident_kb
 
     def find_log_lines(self, text: str) -> list[tuple[int, str]]:
-        """Lines of its log that hold this, with their time in tenths of a millisecond."""
+        """Return log lines that contain `text`, with their times in tenths of a millisecond."""
         found = []
         for line in self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else []:
             if text in line and line.startswith("timestamp="):
--- a/birchslip/lab/toy.py
+++ b/birchslip/lab/toy.py
@@ -1,7 +1,7 @@
-"""Stand-ins in threads, for a test or a person who speaks to one app server: each can be told what to do.
+"""Threaded stand-ins around a single app server, for tests and for trying the program out by hand.
 
-They speak the same protocols as those in `peers.py`, which model cores and serve many app servers at a
-time, and nothing more. A run here is a sleep.
+They speak the same protocols as those in `peers.py`, but serve one app server and model no cores: a run is a
+sleep. A test controls each of them through its attributes.
 """
 
 from __future__ import annotations
@@ -20,20 +20,23 @@
 
 
 class Peer:
-    """Listens, and serves each connection in a thread of its own. Port 0 takes any free one."""
+    """A server that serves each connection in a thread of its own; port 0 takes any free port."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
+        """Listen at the address."""
         self.connections: list[socket.socket] = []
         self.received: queue.Queue[Any] = queue.Queue()
         self.listen(host, port)
 
     def listen(self, host: str, port: int) -> None:
+        """Listen at the address and accept connections in a thread."""
         self.listener = socket.create_server((host, port))
         self.host, self.port = self.listener.getsockname()
         self.address = f"{self.host}:{self.port}"
         threading.Thread(target=self.accept, args=(self.listener,), daemon=True).start()
 
     def accept(self, listener: socket.socket) -> None:
+        """Accept connections until the listener is closed."""
         while True:
             try:
                 connection, _ = listener.accept()
@@ -43,52 +46,65 @@
             threading.Thread(target=self.serve_until_closed, args=(connection,), daemon=True).start()
 
     def serve_until_closed(self, connection: socket.socket) -> None:
+        """Serve a connection until either side closes it."""
         try:
             self.serve(connection)
         except OSError:
-            pass  # the other side has gone
+            pass  # the client closed the connection
         finally:
             connection.close()
 
     def serve(self, connection: socket.socket) -> None:
+        """Serve one connection."""
         raise NotImplementedError
 
     def close_connections(self) -> None:
-        """Break every connection; new ones are welcome."""
+        """Close all connections; new ones are accepted."""
         connections, self.connections = self.connections, []
         for connection in connections:
             with suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
 
     def send_raw(self, data: bytes) -> None:
-        """Raw bytes on the newest connection."""
+        """Send raw bytes on the newest connection."""
         self.connections[-1].sendall(data)
 
     def move(self) -> None:
-        """The same peer at a new address; the old one takes nothing new, and its connections stay."""
+        """Listen at a new address; the old one accepts nothing, and open connections stay."""
         self.stop_listening()
         self.listen(self.host, 0)
 
     def stop_listening(self) -> None:
+        """Close the listener; open connections stay."""
         with suppress(OSError):
-            self.listener.shutdown(socket.SHUT_RDWR)  # a thread that waits in accept would keep it open
+            self.listener.shutdown(socket.SHUT_RDWR)  # a thread blocked in accept would keep it open
         self.listener.close()
 
     def stop(self) -> None:
+        """Close the listener and all connections."""
         self.stop_listening()
         self.close_connections()
 
 
 class Agent(Peer):
-    """Runs are sleeps. The words of a body say what a run does:
+    """An agent whose runs are sleeps.
 
-    a number: so many milliseconds; `call`: a call half-way; `crash`: it fails; `hold`: it ends when told to.
+    The words of a request body say what a run does: a number is its duration in milliseconds, `call` makes a
+    downstream call halfway, `crash` makes it fail, and `hold` keeps it open until `finish_run`.
+
+    Attributes:
+        received: Orders received so far.
+        sends_greeting: Whether a subscriber gets a greeting at once, or only by `send_greeting`.
+        refuses_launches: Whether each launch is refused as unknown.
+        launched_run_ids: Runs in the order of their launches.
+        subscriber: Connection that notices are sent on; None without one.
     """
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0, sends_greeting: bool = True) -> None:
+        """Listen at the address; with `sends_greeting` each subscriber is greeted at once."""
         self.started_at = time.time()
         self.sends_greeting = sends_greeting
-        self.refuses_launches = False  # whether what is launched is none that it knows
+        self.refuses_launches = False
         self.lock = threading.RLock()
         self.notices: list[dict[str, Any]] = []
         self.runs: dict[str, list[str]] = {}
@@ -100,6 +116,7 @@
         super().__init__(host, port)
 
     def serve(self, connection: socket.socket) -> None:
+        """Carry out the orders on one connection."""
         for line in connection.makefile("rb"):
             order = json.loads(line)
             with self.lock:
@@ -107,6 +124,7 @@
             self.received.put(order)
 
     def handle_order(self, connection: socket.socket, order: dict[str, Any]) -> None:
+        """Carry out one order; the caller holds the lock."""
         run_id = order.get("id", "")
         match order["op"]:
             case "subscribe":
@@ -138,7 +156,7 @@
                 self.send(op="refusal", end=kind, id=run_id)
 
     def send_greeting(self) -> None:
-        """Say that the agent is up, and all that was missed."""
+        """Send the greeting and replay the notices that the subscriber has not seen."""
         with self.lock:
             self.sends_greeting = True
             self.send(op="greeting", end="seasoned", ms=int((time.time() - self.started_at) * 1000))
@@ -146,6 +164,7 @@
                 self.send(**notice)
 
     def schedule_end(self, run_id: str, makes_call: bool) -> None:
+        """Schedule the next step of a run: its downstream call or its end."""
         words = self.runs[run_id]
         if "hold" in words and not makes_call:
             return
@@ -156,6 +175,7 @@
         timer.start()
 
     def request_call(self, run_id: str) -> None:
+        """Ask the app server for the downstream call of a run."""
         with self.lock:
             if run_id in self.runs:
                 self.append_notice(
@@ -163,6 +183,7 @@
                 )
 
     def finish_run(self, run_id: str, outcome: str = "") -> None:
+        """End a run and notify the app server of its outcome."""
         with self.lock:
             if run_id not in self.runs:
                 return
@@ -172,34 +193,39 @@
             self.finished_run_ids.add(run_id)
             self.append_notice(op="outcome", id=run_id, end=outcome, ms=10, body=b64encode(result).decode())
 
-    def append_notice(self, **notice: Any) -> None:
+    def append_notice(self, **notice: object) -> None:
+        """Number a notice, keep it for replay and send it."""
         notice["seq"] = len(self.notices) + 1
         self.notices.append(notice)
         self.send(**notice)
 
-    def send(self, **message: Any) -> None:
+    def send(self, **message: object) -> None:
+        """Send a message to the subscriber, if there is one."""
         try:
             if self.subscriber is not None:
                 self.subscriber.sendall(json.dumps(message).encode() + b"\n")
         except OSError:
-            self.subscriber = None  # told again on the next link
+            self.subscriber = None  # replayed to the next subscriber
 
 
 class Vault(Peer):
-    """Answers every call with `word`; `silent` answers none."""
+    """A downstream service that answers every call with `answer_word`; "silent" answers none."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0, answer_word: str = "yes") -> None:
+        """Listen at the address."""
         self.answer_word = answer_word
         self.closed_connections: queue.Queue[socket.socket] = queue.Queue()
         super().__init__(host, port)
 
     def serve(self, connection: socket.socket) -> None:
+        """Answer the calls on one connection and record its end."""
         try:
             self.answer_calls(connection)
         finally:
             self.closed_connections.put(connection)
 
     def answer_calls(self, connection: socket.socket) -> None:
+        """Answer the calls on one connection until it closes."""
         stream = connection.makefile("rb")
         for line in stream:
             words = line.split()
@@ -214,13 +240,15 @@
 
 
 class Catalog(Peer):
-    """Takes reports."""
+    """A catalog that records reports and answers each with `status`."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0, status: int = 204) -> None:
+        """Listen at the address."""
         self.status = status
         super().__init__(host, port)
 
     def serve(self, connection: socket.socket) -> None:
+        """Record the reports on one connection and answer them."""
         stream = connection.makefile("rb")
         while request_line := stream.readline():
             length = 0
@@ -232,9 +260,15 @@
 
 
 class Router:
-    """One connection of a router; `answer` waits for what became of one transaction."""
+    """A client connection to an app server, as a router has it.
+
+    Attributes:
+        notifications: Messages received that are no responses.
+        responses: Error and result by request number.
+    """
 
     def __init__(self, address: str, timeout_s: float = 10.0) -> None:
+        """Connect to HOST:PORT; reads time out after `timeout_s`."""
         host, _, port = address.rpartition(":")
         self.connection = socket.create_connection((host, int(port)), timeout_s)
         self.number = 0
@@ -243,7 +277,13 @@
         self.responses: dict[int, tuple[Any, Any]] = {}
 
     def call(self, profile: str, body: bytes, **fields: str) -> int:
-        """Send one transaction; its number."""
+        """Send one request and return its number.
+
+        Args:
+            profile: Name of the request class.
+            body: Request body.
+            fields: Fields that replace the default ones.
+        """
         self.number += 1
         default_fields = {
             "req": os.urandom(8).hex(),
@@ -258,15 +298,21 @@
         return self.number
 
     def ping(self) -> int:
+        """Send a health check and return its number."""
         self.number += 1
         self.connection.sendall(pack([0, self.number, "ping", [{}]]))
         return self.number
 
     def abort(self, number: int) -> None:
+        """Abort a request."""
         self.connection.sendall(pack([2, "abort", [number]]))
 
     def message(self) -> Any:
-        """The next message; EOFError at the end of the connection."""
+        """Return the next message.
+
+        Raises:
+            EOFError: The app server closed the connection.
+        """
         while True:
             try:
                 message, end = unpack(memoryview(self.unparsed), 0, len(self.unparsed))
@@ -279,7 +325,7 @@
                 self.unparsed += data
 
     def answer(self, number: int) -> tuple[Any, Any]:
-        """The (error, result) of that transaction; others' are kept."""
+        """Return error and result of a request; other responses are kept."""
         while number not in self.responses:
             message = self.message()
             if message[0] == 1:
--- a/birchslip/lab/versions.py
+++ b/birchslip/lab/versions.py
@@ -1,13 +1,13 @@
-"""The program in another version, with a fault to choose: `python -m birchslip.lab.versions KIND AFTER_MS`.
+"""The program in another version with a chosen fault: `python -m birchslip.lab.versions KIND AFTER_MS`.
 
-| kind | what it does |
+| kind | fault of the process |
 | --- | --- |
-| nostart | ends before it listens |
-| crash | ends by itself, without a word, some time after its start |
-| leak | holds more and more memory, up to a bound |
+| nostart | exits before it listens |
+| crash | exits by itself, without a log line, AFTER_MS after its start |
+| leak | allocates more and more memory from then on, up to a bound |
 
-What is wrong in the runs themselves (slow only under load, one profile that is never honoured) is in the
-stand-in of the agent, which does the runs.
+Faults in the runs themselves (slow under load, one request class that always fails) are injected by the
+stand-in agent, which executes the runs.
 """
 
 from __future__ import annotations
@@ -18,33 +18,36 @@
 import time
 
 FAULT_KINDS = {
-    "good": "as good as the one before",
+    "good": "as good as the previous version",
     "slow": "runs take half as long again, and only while the cores are busy",
-    "crash": "each process ends by itself a while after its start",
+    "crash": "each process exits by itself a while after its start",
     "nostart": "no process comes up",
     "leak": "each process holds more and more memory",
-    "profile": "no transaction of one profile is honoured",
+    "profile": "no request of one request class is honoured",
 }
 IN_PROCESS_KINDS = ("crash", "nostart", "leak")
-LEAK_STEP_MB, LEAK_INTERVAL_S, MAX_LEAK_MB = 4, 0.1, 160  # MB a time, seconds between, MB in all
+LEAK_STEP_MB, LEAK_INTERVAL_S, MAX_LEAK_MB = 4, 0.1, 160
 CRASH_EXIT_CODE = 70
 
 
 def leak_memory(delay_s: float) -> None:
+    """Allocate memory step by step after a delay and hold it."""
     time.sleep(delay_s)
     chunks: list[bytes] = []
     while len(chunks) * LEAK_STEP_MB < MAX_LEAK_MB:
         chunks.append(os.urandom(1 << 10) * (LEAK_STEP_MB << 10))
         time.sleep(LEAK_INTERVAL_S)
-    threading.Event().wait()  # what is held stays held
+    threading.Event().wait()  # keep the memory allocated
 
 
 def crash_after(delay_s: float) -> None:
+    """Exit without cleanup after a delay."""
     time.sleep(delay_s)
     os._exit(CRASH_EXIT_CODE)
 
 
 def main(arguments: list[str]) -> int:
+    """Run the program with the given fault and return its exit code."""
     kind, delay_s = arguments[0], int(arguments[1]) / 1000
     if kind == "nostart":
         print("birchslip: this version does not start", file=sys.stderr)
--- a/birchslip/lab/wires.py
+++ b/birchslip/lab/wires.py
@@ -1,13 +1,13 @@
-"""Links between processes that can be made to fail: a relay on loopback for each pair that talks.
+"""Proxies on loopback that inject network faults between two processes.
 
-| mode | what passes |
+| mode | what is forwarded |
 | --- | --- |
 | pass | everything |
-| cut | nothing: links break, new ones are refused |
-| silent | nothing, and nobody is told: links stay half open |
-| deaf | only what goes from the caller to the called |
-| mute | only what comes back |
-| late | everything, `delay` later |
+| cut | nothing: connections are closed and new ones refused |
+| silent | nothing, without closing: connections stay half open |
+| deaf | only data from the client to the target |
+| mute | only data from the target to the client |
+| late | everything, after `delay` |
 """
 
 from __future__ import annotations
@@ -23,11 +23,12 @@
 
 BUFFER_BYTES = 4 << 20
 PORT_RANGE = (10_000, 32_000)
-PORT_RANDOM = random.Random()  # several plays may run at a time: each draws its own ports
+PORT_RANDOM = random.Random()  # unseeded, so that runs at the same time draw different ports
 port_guards: list[socket.socket] = []
 
 
 def open_listener(port: int = 0) -> socket.socket:
+    """Open a listening TCP socket on loopback; port 0 takes any free port."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", port))
@@ -38,7 +39,7 @@
 def accept_connections(
     scheduler: Scheduler, listener: socket.socket, on_accept: Callable[[socket.socket], None]
 ) -> None:
-    """The task of a listening socket: who comes is passed on."""
+    """Accept connections forever, as a task of the scheduler, and hand each socket to `on_accept`."""
     while True:
         scheduler.wait(listener.fileno(), READ)
         try:
@@ -51,16 +52,22 @@
 
 
 def free_port() -> int:
-    """One that nobody listens on, below those that the system gives to links, and not given here before.
+    """Reserve a free port below the range from which the system gives ports to outgoing connections.
 
-    A process that is started again comes back at its port: one of the system's own range may be some link's
-    by then.
+    A restarted process listens on its old port again; a port of the system's range could belong to an
+    outgoing connection by then.
+
+    Returns:
+        A port that no listener holds and that neither this process nor another run has reserved.
+
+    Raises:
+        OSError: No free port was found.
     """
     for _ in range(2_000):
         port = PORT_RANDOM.randrange(*PORT_RANGE)
         guard = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            # Held for as long as this process lives: other plays that run meanwhile pass it over.
+            # Other runs on this machine skip the port while this process holds the UDP socket.
             guard.bind(("127.0.0.1", port))
             with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
                 sock.bind(("127.0.0.1", port))
@@ -73,43 +80,56 @@
 
 
 class FaultProxy:
-    """One way to one address. Its own address is `address`; change `mode` with `turn`."""
+    """Forwards connections to one target and injects a fault chosen by `set_mode`.
+
+    Attributes:
+        address: HOST:PORT at which the proxy listens.
+        mode: The present fault mode; see the module's table.
+        delay: Delay in mode "late", in tenths of a millisecond.
+        pairs: The client and target connections of each open pair, and whether data was dropped between them.
+    """
 
     def __init__(self, scheduler: Scheduler, target: tuple[str, int]) -> None:
+        """Listen on a free loopback port and forward to `target`."""
         self.scheduler, self.target = scheduler, target
         self.mode, self.delay = "pass", 0
         self.listener = open_listener()
         self.port: int = self.listener.getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
-        self.pairs: dict[tuple[Connection, Connection], bool] = {}  # whether bytes were lost on it
+        self.pairs: dict[tuple[Connection, Connection], bool] = {}
         scheduler.spawn("wire", partial(accept_connections, scheduler, self.listener, self.on_accept))
 
     def set_mode(self, mode: str, delay: int = 0) -> None:
-        """Links on which something was lost can't go on: they break when the wire is whole again."""
+        """Change the fault mode.
+
+        Connections that lost data are closed when forwarding resumes, because their byte streams have gaps.
+        """
         self.mode, self.delay = mode, delay
         for pair, has_lost_bytes in list(self.pairs.items()):
             if mode == "cut" or (has_lost_bytes and mode in ("pass", "late")):
                 self.close_pair(pair, mode)
 
     def reset_connections(self) -> None:
-        """Break what is open; new links are welcome."""
+        """Close all open connections; new ones are accepted."""
         for pair in list(self.pairs):
             self.close_pair(pair, "shaken")
 
     def on_accept(self, sock: socket.socket) -> None:
+        """Refuse the connection in mode "cut", otherwise serve it in a task."""
         if self.mode == "cut":
             sock.close()
         else:
             self.scheduler.spawn("wire", partial(self.open_pair, sock))
 
     def open_pair(self, sock: socket.socket) -> None:
+        """Connect to the target and forward both directions until one side closes."""
         client = Connection(self.scheduler, sock, BUFFER_BYTES, BUFFER_BYTES)
         try:
             upstream = Connection(
                 self.scheduler, connect(self.scheduler, self.target), BUFFER_BYTES, BUFFER_BYTES
             )
         except OSError:
-            client.close("refused there")
+            client.close("target unreachable")
             return
         pair = (client, upstream)
         self.pairs[pair] = False
@@ -123,6 +143,14 @@
         destination: Connection,
         dropping_modes: tuple[str, ...],
     ) -> None:
+        """Forward one direction until its source closes, then close the pair.
+
+        Args:
+            pair: Both connections.
+            source: Connection to read from.
+            destination: Connection to write to.
+            dropping_modes: Modes in which this direction drops data.
+        """
         source.serve(lambda buffer: self.forward(pair, buffer, destination, dropping_modes))
         self.close_pair(pair, source.close_reason)
 
@@ -133,6 +161,7 @@
         destination: Connection,
         dropping_modes: tuple[str, ...],
     ) -> None:
+        """Forward, delay or drop the buffered data, depending on the mode."""
         data = buffer.take(len(buffer))
         if self.mode in dropping_modes:
             self.pairs[pair] = True
@@ -142,6 +171,7 @@
             destination.write(data)
 
     def close_pair(self, pair: tuple[Connection, Connection], reason: str) -> None:
+        """Flush and close both connections of the pair."""
         self.pairs.pop(pair, None)
         for side in pair:
             if side.open:
--- a/birchslip/lab/world.py
+++ b/birchslip/lab/world.py
@@ -1,6 +1,6 @@
-"""What every play has: app servers and planners as real processes, and stand-ins for all else around them.
+"""Base of all scenario runs: app servers and planners as real processes, everything else as stand-ins.
 
-The truth of what happened is kept here, outside the program, and never asked of it.
+The history of what happened is recorded here, outside the program, and never taken from the program.
 """
 
 from __future__ import annotations
@@ -30,12 +30,26 @@
 CALLS_PER_SERVER = 3.0
 STOP_MS = 2_000
 SITES = ("north", "south", "east", "west", "upper", "lower", "inner", "outer", "far")
-END_SPAN = 3 * SECOND  # for what is open at the end of a play
+END_SPAN = 3 * SECOND  # for open requests, and then for the drains, at the end of a run
+END_TOLERANCE = 2_000
+DRAIN_GRACE = 5_000  # `drain_grace_s` of the configuration below
 
 
 @dataclass(frozen=True)
 class ScenarioOptions:
-    """What every play is told."""
+    """Options of every scenario run.
+
+    Attributes:
+        seed: Seed of arrivals, schedules and latencies.
+        sites: Number of sites.
+        each: App servers per site.
+        planners: Number of planners.
+        load: Arrival rate as a share of the capacity.
+        fault: Name of the fault schedule.
+        logs: Folder that keeps files and logs; a temporary one if None.
+        alone: Whether the run for comparison is left out.
+        fleet: Whether there are planners.
+    """
 
     seed: int
     sites: int = 3
@@ -45,17 +59,31 @@
     fault: str = "kill"
     logs: Path | None = None
     alone: bool = False
-    fleet: bool = True  # whether there are planners
+    fleet: bool = True
 
 
 class Testbed:
-    """`prepare` is called before processes are laid out, for what their files must name."""
+    """Processes and stand-ins of one scenario run, and the actions that schedules take on them.
+
+    Times are tenths of a millisecond. Subclasses override `prepare` to create what the files of the processes
+    must name, and `extend_fleet_file` and `get_vault` to change these files.
+
+    Attributes:
+        history: Record of what happened.
+        written_at: When each request id was written to an app server.
+        capacity: Requests per second that all cores can serve.
+        lost_sites: Sites that are dead or paused.
+        proxies: Fault proxies by the names of the process that connects and of the planner it connects to.
+        last_targets: Planners that the last planner action applied to.
+        spans: Named parts of the run, relative to `started_at`.
+    """
 
     request_classes = REQUEST_CLASSES
     warm_up_span = WARM_UP_SPAN
     retention_window = RETENTION_WINDOW
 
     def __init__(self, options: ScenarioOptions, folder: Path) -> None:
+        """Create the stand-ins and write the files of all processes into `folder`."""
         self.base_options, self.folder = options, folder
         self.scheduler = Scheduler(lambda: None, self.record_fault)
         self.faults: list[str] = []
@@ -91,14 +119,14 @@
             )
             for place, site in enumerate(self.sites)
         ]
-        self.lost_sites: set[str] = set()  # sites that are dead or paused
+        self.lost_sites: set[str] = set()
         for router in self.routers:
             router.get_lost_sites = lambda: self.lost_sites
             router.charge_cores = lambda server, span: self.agents[server.name].charge_cores(span)
             router.arrival_rate = options.load * self.capacity / len(self.routers)
         self.planner_names = [f"planner-{n + 1}" for n in range(options.planners)]
         self.planner_ports = {name: free_port() for name in self.planner_names}
-        self.proxies: dict[tuple[str, str], FaultProxy] = {}  # who dials, whom
+        self.proxies: dict[tuple[str, str], FaultProxy] = {}
         self.planners: dict[str, Process] = {}
         self.last_targets: list[str] = []
         self.spans: dict[str, tuple[int, int]] = {}
@@ -109,14 +137,16 @@
         self.members = {server.name: self.write_member_files(server) for server in self.servers}
 
     def prepare(self) -> None:
-        """Before the processes' files are written."""
+        """Create what the files of the processes must name; called before they are written."""
 
     def record_fault(self, name: str, error: Exception) -> None:
+        """Record an exception of a task of the testbed."""
         self.faults.append(f"{name}: {type(error).__name__}: {error}")
 
-    # ---- what is laid out ------------------------------------------------------------------------------
+    # ---- files and processes ---------------------------------------------------------------------------
 
     def create_agent(self, server: AppServer) -> Agent:
+        """Create the agent of an app server."""
         return Agent(
             self.scheduler,
             self.history,
@@ -128,19 +158,24 @@
         )
 
     def add_proxy(self, source: str, target: str) -> str:
+        """Put a fault proxy between a process and a planner and return its address."""
         proxy = self.proxies[source, target] = FaultProxy(
             self.scheduler, ("127.0.0.1", self.planner_ports[target])
         )
         return proxy.address
 
     def planner_address(self, source: str, target: str) -> str:
+        """Return the address at which `source` reaches the planner: its own, or that of a proxy."""
         if source == target:
             return f"127.0.0.1:{self.planner_ports[target]}"
         proxy = self.proxies.get((source, target))
         return proxy.address if proxy is not None else self.add_proxy(source, target)
 
     def write_fleet_file(self, reader: str) -> Path:
-        """The same fleet for all, but each reaches the others by wires of its own."""
+        """Write the fleet file of one process and return its path.
+
+        The fleet is the same for all processes, but each reaches the planners through proxies of its own.
+        """
         fleet: dict[str, Any] = {
             "planners": [
                 {"name": planner, "address": self.planner_address(reader, planner)}
@@ -167,9 +202,10 @@
         return path
 
     def extend_fleet_file(self, fleet: dict[str, Any], reader: str) -> None:
-        """What a play has besides."""
+        """Add what a scenario needs beside the base fleet; does nothing by default."""
 
     def write_planner_files(self) -> None:
+        """Write the fleet files of all planners and create their processes."""
         for name in self.planner_names:
             path = self.write_fleet_file(name)
             folder = str(self.folder / name)
@@ -177,9 +213,11 @@
             self.planners[name] = Process(name, arguments, {}, self.folder)
 
     def get_vault(self, server: AppServer) -> Vault:
+        """Return the vault that an app server calls."""
         return self.vault
 
     def write_member_files(self, server: AppServer) -> Process:
+        """Write the configuration of an app server and create its process."""
         settings = {
             "classes": [
                 {
@@ -199,7 +237,7 @@
             "ceilings": {"retry_after": True, "max_retry_after_s": 1.0},
             "contract": {
                 "fall_multiple": 8.0,
-                "drain_grace_s": 0.5,
+                "drain_grace_s": DRAIN_GRACE / SECOND,
                 "cold_from": COLD_SPEED,
                 "cold_s": self.warm_up_span / SECOND,
             },
@@ -235,10 +273,10 @@
             environment["BIRCHSLIP_FLEET"] = str(self.write_fleet_file(server.name))
         return Process(server.name, [], environment, self.folder)
 
-    # ---- the course of a play --------------------------------------------------------------------------
+    # ---- course of a run -------------------------------------------------------------------------------
 
     def start_all(self) -> None:
-        """All processes up and listed, and load on them."""
+        """Start all processes, wait until all app servers are listed, and start the load."""
         for process in self.planners.values():
             process.start()
         for server in self.servers:
@@ -251,38 +289,46 @@
         self.started_at = self.scheduler.now
 
     def drain_all(self) -> None:
-        """No more load, what is open ends, and everybody leaves."""
+        """Stop the load, let open requests end and drain all app servers."""
         scheduler = self.scheduler
         for router in self.routers:
             router.is_stopped = True
-        scheduler.sleep(scheduler.now + END_SPAN + 2_000)
+        scheduler.sleep(scheduler.now + END_SPAN + END_TOLERANCE)
         for server in self.servers:
             self.drain_server(server)
         scheduler.sleep(scheduler.now + END_SPAN)
 
     def drain_server(self, server: AppServer) -> None:
-        """SIGTERM: from the end of its grace on it may launch nothing that came later."""
+        """Send SIGTERM; after its drain grace the app server may launch no request that was written later."""
         self.history.drain_deadlines[server.name, self.agents[server.name].incarnation] = (
-            self.scheduler.now + 5_000
+            self.scheduler.now + DRAIN_GRACE
         )
         self.members[server.name].terminate()
 
     def excuse_pending_attempts(self, server: AppServer) -> None:
-        """It is killed, paused or woken: what is open there is owed no answer."""
+        """Excuse all attempts at an app server that is killed, paused or resumed."""
         for router in self.routers:
             for link in router.links[server]:
                 for _, attempt in link.pending.values():
                     attempt.excuse = "down"
 
     def wait_for(self, condition: Callable[[], bool], timeout: int) -> None:
+        """Wait until the condition holds.
+
+        Raises:
+            RuntimeError: It did not hold within the timeout.
+        """
         until = self.scheduler.now + timeout
         while not condition() and self.scheduler.now < until:
             self.scheduler.sleep(self.scheduler.now + 500)
         if not condition():
-            raise RuntimeError("it did not come about in time")
+            raise RuntimeError(f"condition not met within {timeout / SECOND:g} s")
 
     def run_director(self, director: Callable[[], None]) -> None:
-        """In a task of its own, to the end of the play, whatever becomes of it."""
+        """Run `director` in a task and the scheduler until it ends.
+
+        An exception of the director is recorded as a fault.
+        """
 
         def guarded() -> None:
             try:
@@ -298,7 +344,7 @@
     # ---- planners --------------------------------------------------------------------------------------
 
     def find_leader(self) -> str:
-        """Whoever said last that it leads."""
+        """Return the planner whose log has the latest leadership acquisition."""
         event = "event=leadership_acquired"
         announcements = [
             (time, name)
@@ -308,6 +354,12 @@
         return max(announcements)[1] if announcements else self.planner_names[0]
 
     def resolve_planners(self, selector: str) -> list[str]:
+        """Return the names of the planners that a selector means.
+
+        Args:
+            selector: "all", "leader", or "last" for those of the last action; anything else for a follower,
+                if possible one that the last action did not apply to.
+        """
         if not self.planners:
             return []
         if selector == "all":
@@ -321,6 +373,7 @@
         return others[:1] or [name for name in self.planner_names if name != leader][:1]
 
     def apply_to_planners(self, action: str, selector: str) -> None:
+        """Apply a fault or repair action to the selected planners."""
         names = self.resolve_planners(selector)
         for name in names:
             process = self.planners[name]
@@ -355,15 +408,15 @@
         self.last_targets = names
 
     def set_planner_proxies(self, mode: str, planner: str) -> None:
-        """The wires between this planner and the others."""
+        """Set the mode of all proxies between this planner and the other planners."""
         for (source, target), proxy in self.proxies.items():
             if source in self.planners and planner in (source, target):
                 proxy.set_mode(mode)
 
-    # ---- the end ---------------------------------------------------------------------------------------
+    # ---- end of a run ----------------------------------------------------------------------------------
 
     def terminate_all(self) -> None:
-        """End what still runs; each is waited for."""
+        """Terminate all processes and wait for each."""
         for member in self.members.values():
             member.terminate()
         for member in self.members.values():
@@ -374,11 +427,12 @@
             planner.wait(5)
 
     def get_span(self, name: str) -> tuple[int, int]:
+        """Return a named part of the run as absolute start and end times."""
         start, end = self.spans[name]
         return self.started_at + start, self.started_at + end
 
     def list_unexpected_exits(self) -> list[str]:
-        """Processes that ended by themselves, or with a code above 0."""
+        """Return descriptions of processes that exited by themselves or with a nonzero code."""
         processes = [*self.members.values(), *self.planners.values()]
         return [
             f"{process.name}: {process.unexpected_exit_codes}"
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cores", "now", "span", "on", "took"),
+    ("cores", "now", "work", "on_cores", "duration"),
     [
         (Cores(2), 0, 100, 1, 100),
         (Cores(2), 0, 100, 2, 100),
@@ -109,11 +109,11 @@
         (Cores(2, contention_threshold=4, contention_loss=0.25), 0, 100, 6, 600),
     ],
 )
-def test_cores_take_longer_when_cold_slow_or_crowded(cores, now, span, on, took):
-    assert cores.compute_duration(now, span, on) == took
+def test_work_takes_longer_on_cold_slowed_or_contended_cores(cores, now, work, on_cores, duration):
+    assert cores.compute_duration(now, work, on_cores) == duration
 
 
-def test_what_the_door_costs_slows_the_cores_for_a_second():
+def test_connections_and_reads_slow_the_cores_for_a_second():
     cores = Cores(2)
     cores.charge(0, SECOND)
     assert cores.compute_duration(0, 100, 1) == 200
--- a/tests/test_planner_transport.py
+++ b/tests/test_planner_transport.py
@@ -131,26 +131,26 @@
     listener.close()
 
 
-def test_each_wire_mode_injects_its_fault():
+def test_each_proxy_mode_injects_its_fault():
     loopback = Loopback()
-    wire = FaultProxy(loopback.scheduler, loopback.address)
-    connection = PeerConnection(loopback.scheduler, ("127.0.0.1", wire.port))
+    proxy = FaultProxy(loopback.scheduler, loopback.address)
+    connection = PeerConnection(loopback.scheduler, ("127.0.0.1", proxy.port))
     assert loopback.call(connection) == b"ABC"
-    wire.set_mode("late", 500)
-    began = loopback.scheduler.clock()
+    proxy.set_mode("late", 500)
+    started_at = loopback.scheduler.clock()
     assert loopback.call(connection) == b"ABC"
-    assert loopback.scheduler.clock() - began >= 1_000
+    assert loopback.scheduler.clock() - started_at >= 1_000
     for mode, received in (("silent", 0), ("deaf", 1), ("mute", 0)):
-        wire.set_mode("pass")
+        proxy.set_mode("pass")
         assert loopback.call(connection) == b"ABC"
-        wire.set_mode(mode)
+        proxy.set_mode(mode)
         loopback.served.clear()
         with pytest.raises(OSError, match="no answer in time"):
             loopback.call(connection, wait=2_000)
         assert len(loopback.served) == received, mode
-    wire.set_mode("pass")
+    proxy.set_mode("pass")
     assert loopback.call(connection) == b"ABC"
-    wire.set_mode("cut")
+    proxy.set_mode("cut")
     with pytest.raises(OSError, match="ended by the peer"):
         loopback.call(connection)
 
