--- a/birchslip/lab/clients.py
+++ b/birchslip/lab/clients.py
@@ -178,7 +178,7 @@
         self.next_arrival = self.scheduler.now
         self.scheduler.at(self.next_arrival, self.generate_request)
         for server in self.servers:
-            self.scheduler.spawn("pings", partial(self.check_health_repeatedly, server))
+            self.scheduler.spawn("health checks", partial(self.check_health_repeatedly, server))
 
     def refresh_listing(self, catalog: Callable[[], set[str]]) -> None:
         """Poll the catalog; the list takes effect `LISTING_DELAY` later."""
--- a/birchslip/lab/kept_play.py
+++ b/birchslip/lab/kept_play.py
@@ -115,7 +115,7 @@
 
 
 @dataclass(eq=False)
-class Tally:
+class ClientHistory:
     """Attempts and irregular answers of one scenario run."""
 
     attempts: list[Attempt] = field(default_factory=list)
@@ -144,7 +144,7 @@
         self.server, self.member = self.servers[0], self.members[self.servers[0].name]
         self.agent = self.agents[self.server.name]
         self.requests: list[KeyedRequest] = []
-        self.tally = Tally()
+        self.client_history = ClientHistory()
         self.connection: Connection | None = None
         self.pending: dict[int, Attempt] = {}
         self.last_number = self.kill_count = self.incarnation_count = 0
@@ -319,7 +319,7 @@
             return
         self.last_number += 1
         attempt = self.pending[self.last_number] = Attempt(request, now)
-        self.tally.attempts.append(attempt)
+        self.client_history.attempts.append(attempt)
         fields = {
             "req": os.urandom(8).hex(),
             "ts": str(now // 10),
@@ -341,7 +341,7 @@
         """Record a response and schedule a retry or a repeat of the request."""
         attempt = self.pending.pop(number, None)
         if attempt is None:
-            self.tally.unexpected_messages["an answer to nobody"] += 1
+            self.client_history.unexpected_messages["an answer to nobody"] += 1
             return
         request, now = attempt.request, self.scheduler.now
         request.pending_attempts -= 1
@@ -350,11 +350,11 @@
             if request.result is None:
                 request.result, request.answered_at = result[0], now
                 if not result[0].startswith(b"made of " + request.body):
-                    self.tally.unexpected_messages["a result of another label"] += 1
+                    self.client_history.unexpected_messages["a result of another label"] += 1
             elif request.result == result[0]:
-                self.tally.identical_repeat_answers += 1
+                self.client_history.identical_repeat_answers += 1
             else:
-                self.tally.different_repeat_answers += 1
+                self.client_history.different_repeat_answers += 1
             if self.random_source.random() < self.options.repeat_fraction:
                 self.send_later(request, self.random_source.randint(0, 2 * SECOND))
             else:
@@ -372,8 +372,8 @@
 
     def run_schedule(self) -> None:
         """Run the client and the kills until all requests are finished or time is up."""
-        self.scheduler.spawn("lives", self.run_incarnations)
-        self.scheduler.spawn("link", self.keep_connected)
+        self.scheduler.spawn("incarnations", self.run_incarnations)
+        self.scheduler.spawn("client", self.keep_connected)
         self.wait_for(lambda: self.server.name in self.catalog.get_listed_servers(), 15 * SECOND)
         self.scheduler.at(self.scheduler.now, self.generate_request)
         timeout = (
@@ -422,7 +422,7 @@
         for request in self.requests:
             if request.is_in_surge:
                 request_counts[request.tenant] += 1
-        for attempt in self.tally.attempts:
+        for attempt in self.client_history.attempts:
             if attempt.request.is_in_surge and attempt.outcome == "shed":
                 shed_counts[attempt.request.tenant] += 1
         return {
@@ -452,7 +452,7 @@
         now = self.scheduler.now
         unanswered = [
             attempt
-            for attempt in self.tally.attempts
+            for attempt in self.client_history.attempts
             if not attempt.outcome
             and not attempt.is_excused
             and now - attempt.sent_at > ORDER.deadline + SECOND // 2
@@ -470,9 +470,9 @@
             "killed_at": dict(self.kills_by_point),
             "double_runs": sum(1 for count in launches.values() if count > 1),
             "unanswered": len(unanswered),
-            "first_answer_again": self.tally.identical_repeat_answers,
-            "other_answer": self.tally.different_repeat_answers,
-            "strange": dict(self.tally.unexpected_messages),
+            "first_answer_again": self.client_history.identical_repeat_answers,
+            "other_answer": self.client_history.different_repeat_answers,
+            "strange": dict(self.client_history.unexpected_messages),
             "unknown": len(unknown),
             "unknown_beyond": sum(1 for request in unknown if not request.was_in_flight_at_kill),
             "service": round(len(honoured) / max(1, len(self.requests)), 4),
@@ -482,7 +482,7 @@
             },
             "rate": round(len(honoured) / max(1, span) * SECOND, 1),
             "program_cpu_s": round(self.cpu_s, 2),
-            "tries": dict(Counter(attempt.outcome or "cut" for attempt in self.tally.attempts)),
+            "tries": dict(Counter(attempt.outcome or "cut" for attempt in self.client_history.attempts)),
             "in_time": self.compute_timely_fractions(),
             "sheds_each": self.compute_sheds_per_request(),
             "trouble": self.faults[:5],
--- a/birchslip/lab/peers.py
+++ b/birchslip/lab/peers.py
@@ -430,7 +430,7 @@
             if is_healthy and now - reported_at <= LISTING_LIFETIME
         }
 
-    def is_listed_since(self, name: str, at: int) -> bool:
-        """Return whether the last report of an app server is passing and not older than `at`."""
+    def is_listed_since(self, name: str, since: int) -> bool:
+        """Return whether the last report of an app server is passing and not older than `since`."""
         reported_at, is_healthy = self.reports.get(name, (-1, False))
-        return is_healthy and reported_at >= at
+        return is_healthy and reported_at >= since
--- a/birchslip/lab/processes.py
+++ b/birchslip/lab/processes.py
@@ -151,7 +151,7 @@
         found = []
         for line in self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else []:
             if text in line and line.startswith("timestamp="):
-                stamp = line.split(" ", 1)[0].removeprefix("timestamp=").strip('"')
-                at = datetime.fromisoformat(stamp.replace("Z", "+00:00")).timestamp()
-                found.append((int(at * 10_000), line))
+                timestamp = line.split(" ", 1)[0].removeprefix("timestamp=").strip('"')
+                logged_at = datetime.fromisoformat(timestamp.replace("Z", "+00:00")).timestamp()
+                found.append((int(logged_at * 10_000), line))
         return found
--- a/birchslip/lab/toy.py
+++ b/birchslip/lab/toy.py
@@ -276,11 +276,11 @@
         self.notifications: list[Any] = []
         self.responses: dict[int, tuple[Any, Any]] = {}
 
-    def call(self, profile: str, body: bytes, **fields: str) -> int:
+    def call(self, request_class: str, body: bytes, **fields: str) -> int:
         """Send one request and return its number.
 
         Args:
-            profile: Name of the request class.
+            request_class: Name of the request class.
             body: Request body.
             fields: Fields that replace the default ones.
         """
@@ -294,7 +294,7 @@
             "need": "10",
             "level": "0.5",
         }
-        self.connection.sendall(pack([0, self.number, profile, [default_fields | fields, body]]))
+        self.connection.sendall(pack([0, self.number, request_class, [default_fields | fields, body]]))
         return self.number
 
     def ping(self) -> int:
@@ -325,7 +325,7 @@
                 self.unparsed += data
 
     def answer(self, number: int) -> tuple[Any, Any]:
-        """Return error and result of a request; other responses are kept."""
+        """Wait for the response to a request and return its error and result; keep other responses."""
         while number not in self.responses:
             message = self.message()
             if message[0] == 1:
--- a/birchslip/lab/wires.py
+++ b/birchslip/lab/wires.py
@@ -97,7 +97,7 @@
         self.port: int = self.listener.getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
         self.pairs: dict[tuple[Connection, Connection], bool] = {}
-        scheduler.spawn("wire", partial(accept_connections, scheduler, self.listener, self.on_accept))
+        scheduler.spawn("proxy", partial(accept_connections, scheduler, self.listener, self.on_accept))
 
     def set_mode(self, mode: str, delay: int = 0) -> None:
         """Change the fault mode.
@@ -119,7 +119,7 @@
         if self.mode == "cut":
             sock.close()
         else:
-            self.scheduler.spawn("wire", partial(self.open_pair, sock))
+            self.scheduler.spawn("proxy", partial(self.open_pair, sock))
 
     def open_pair(self, sock: socket.socket) -> None:
         """Connect to the target and forward both directions until one side closes."""
@@ -133,7 +133,7 @@
             return
         pair = (client, upstream)
         self.pairs[pair] = False
-        self.scheduler.spawn("wire", partial(self.relay, pair, upstream, client, ("deaf", "silent")))
+        self.scheduler.spawn("proxy", partial(self.relay, pair, upstream, client, ("deaf", "silent")))
         self.relay(pair, client, upstream, ("mute", "silent"))
 
     def relay(
--- a/birchslip/lab/world.py
+++ b/birchslip/lab/world.py
@@ -109,15 +109,15 @@
             Router(
                 self.scheduler,
                 self.history,
-                place + 1,
+                index + 1,
                 site,
                 self.servers,
                 self.request_classes,
                 TENANT_SHARES,
-                options.seed * 64 + place,
+                options.seed * 64 + index,
                 self.written_at,
             )
-            for place, site in enumerate(self.sites)
+            for index, site in enumerate(self.sites)
         ]
         self.lost_sites: set[str] = set()
         for router in self.routers:
@@ -184,14 +184,14 @@
             "sites": [
                 {
                     "name": site,
-                    "routers": [place + 1],
+                    "routers": [index + 1],
                     "members": [
                         {"name": server.name, "address": f"{server.address[0]}:{server.address[1]}"}
                         for server in self.servers
                         if server.site == site
                     ],
                 }
-                for place, site in enumerate(self.sites)
+                for index, site in enumerate(self.sites)
             ],
             "tenants": TENANT_SHARES,
             "vault": {"total": CALLS_PER_SERVER * len(self.servers), "kept": 0.5, "lease_ms": 3_000},
