--- a/birchslip/lab/peers.py
+++ b/birchslip/lab/peers.py
@@ -145,7 +145,10 @@
         self.start(is_cold=False)
 
     def start(self, is_cold: bool) -> None:
-        """Start a new incarnation without any runs or notices, and close all connections."""
+        """Start a new, unpaused incarnation without runs, notices and deferred actions.
+
+        All connections are closed. The cores start at reduced speed if `is_cold`, otherwise at full speed.
+        """
         self.incarnation += 1
         self.cores.start(self.scheduler.now, is_cold)
         self.notices: list[dict[str, Any]] = []
@@ -266,9 +269,9 @@
         )
 
     def finish_run(self, run: Run, outcome: str = "done") -> None:
-        """End a run and notify the app server of its outcome.
+        """End a run that still exists and notify the app server of its outcome and result.
 
-        The fault kind "profile" makes runs with an idempotency key crash.
+        The fault kind "profile" turns the outcome "done" of a run with an idempotency key into "crashed".
         """
         if self.runs.pop(run.run_id, None) is run:
             self.finished_run_ids.add(run.run_id)
--- a/birchslip/lab/platform.py
+++ b/birchslip/lab/platform.py
@@ -2,7 +2,8 @@
 
 It speaks the protocol of `cluster/platform_link.py`. A drain sends SIGTERM and waits for the process to exit;
 a start is complete once the catalog has a report of the new process. A process that exits by itself is
-restarted in its version without an order. The platform alone records which members were unavailable when.
+restarted in its version, as real platforms do, whatever the planners have ordered. The platform alone records
+which members were unavailable when.
 """
 
 from __future__ import annotations
@@ -36,8 +37,9 @@
     Times are tenths of a millisecond.
 
     Attributes:
+        state: "up", "draining", "stopped" or "failed", as listed for planners.
         failed_starts: Starts of the present version that failed, since the last that succeeded.
-        crashes: Times that the present version exited by itself.
+        crashes: Exits of the present version by itself that its injected fault explains.
         is_starting: Whether the process was started and is not listed yet.
         restart_at: When a process that exited by itself is restarted; 0 for none.
         failing_versions: Versions that do not start on this machine.
@@ -171,7 +173,7 @@
             fault_kind: Kind of fault in the new version.
             groups: Groups with disruption budgets.
             required_services: Services that each member needs.
-            crash_ms: When a version of kind "crash" or "leak" fails, after its start.
+            crash_ms: Milliseconds from a process's start to its fault, for the kinds "crash" and "leak".
         """
         self.testbed, self.fault_kind, self.crash_ms = testbed, fault_kind, crash_ms
         self.machines = {server.name: Machine(server) for server in testbed.servers}
--- a/birchslip/lab/power.py
+++ b/birchslip/lab/power.py
@@ -33,7 +33,7 @@
 
     Attributes:
         capacity_bytes: Bytes that fit on the disk.
-        failures_left: Number of coming operations that fail with EIO; negative for all.
+        failures_left: Number of coming creations, writes and flushes that fail with EIO; negative for all.
         flush_count: Number of flushes so far.
     """
 
--- a/birchslip/lab/processes.py
+++ b/birchslip/lab/processes.py
@@ -98,7 +98,10 @@
             self.process.send_signal(signal.SIGTERM)
 
     def wait(self, seconds: float) -> None:
-        """Wait for the end after `terminate`; kill the process after `seconds` and record -1."""
+        """Wait for the process to exit after `terminate`, and kill it if it has not after `seconds`.
+
+        A nonzero exit code is recorded as unexpected, and -1 if the process had to be killed.
+        """
         if self.process is None:
             return
         try:
--- a/birchslip/lab/truth.py
+++ b/birchslip/lab/truth.py
@@ -12,7 +12,7 @@
 from itertools import pairwise
 
 SECOND = 10_000
-# A quarter of a second, because the stand-ins and all processes share the cores of one machine.
+# A quarter of a second, because all stand-ins share one core and all processes the cores of one machine.
 TOLERANCE = 2_500
 
 
--- a/birchslip/lab/versions.py
+++ b/birchslip/lab/versions.py
@@ -4,7 +4,7 @@
 | --- | --- |
 | nostart | exits before it listens |
 | crash | exits by itself, without a log line, AFTER_MS after its start |
-| leak | allocates more and more memory from then on, up to a bound |
+| leak | allocates more and more memory from AFTER_MS after its start on, up to a bound |
 
 Faults in the runs themselves (slow under load, one request class that always fails) are injected by the
 stand-in agent, which executes the runs.
