--- a/birchslip/lab/clients.py
+++ b/birchslip/lab/clients.py
@@ -1,8 +1,9 @@
 """Stand-ins for routers and the clients behind them, one router per site.
 
-A router sends to the listed app servers of its own site first. A request that was shed, refused or cut off is
-retried elsewhere, up to `MAX_ATTEMPTS` attempts in all, and marked as a retry. Routers follow the advice in
-rejections (when to come back, and not to try elsewhere) with a given probability.
+A router sends a first attempt to a listed app server of its own site, and to another site only if its own
+has none available. A request that was shed, refused or cut off is retried elsewhere, up to `MAX_ATTEMPTS`
+attempts in all, and marked as a retry. Routers follow the advice in rejections (when to come back, and not to
+try elsewhere) with a given probability.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 BUFFER_BYTES = 1 << 20
 MAX_ATTEMPTS = 4
 ADVICE_COMPLIANCE = 0.6  # probability that a client follows the advice in a rejection
-FIRST_RETRY_DELAY = 500  # doubled for each further retry, and jittered by half
+FIRST_RETRY_DELAY = 500  # 50 ms, doubled for each further retry and varied at random by up to half
 MAX_LINKS_PER_SERVER = 4
 MAX_PENDING_PER_LINK = 24
 MAX_WAIT_WITHOUT_SERVER = 3_000
@@ -168,7 +169,7 @@
         self.operation_count = 0
         self.is_stopped = False
         self.get_lost_sites: Callable[[], set[str]] = set
-        self.charge_cores: Callable[[AppServer, int], None] = lambda server, span: None
+        self.charge_cores: Callable[[AppServer, int], None] = lambda server, work: None
 
     # ---- arrivals --------------------------------------------------------------------------------------
 
@@ -246,8 +247,8 @@
         candidates = local if local and not tried else untried
         if not candidates:
             return None
-        a, b = self.random_source.choice(candidates), self.random_source.choice(candidates)
-        return a if self.count_pending(a) <= self.count_pending(b) else b
+        first, second = self.random_source.choice(candidates), self.random_source.choice(candidates)
+        return first if self.count_pending(first) <= self.count_pending(second) else second
 
     def count_pending(self, server: AppServer) -> int:
         """Count the pending attempts at an app server."""
@@ -269,7 +270,7 @@
         ):
             operation.is_finished = True
             return
-        server = server_override or self.select_server({one.server for one in operation.attempts})
+        server = server_override or self.select_server({attempt.server for attempt in operation.attempts})
         if server is None:
             # The operation waits at its router for a server and fails after the maximum wait.
             operation.is_finished = now - operation.created_at > MAX_WAIT_WITHOUT_SERVER
@@ -283,9 +284,13 @@
         self.write_attempt(operation, request_class, body, link)
 
     def find_link(self, server: AppServer) -> Link | None:
-        """Return the open connection with the fewest pending attempts; None if a new one should be opened."""
-        links = [one for one in self.links[server] if one.connection.open and not one.is_closing]
-        best = min(links, key=lambda one: len(one.pending), default=None)
+        """Return the open connection with the fewest pending attempts.
+
+        None means that `open_link` is to be tried: no connection is open, even this one has a quarter of its
+        maximum pending and more connections are allowed, or all connections are full.
+        """
+        links = [link for link in self.links[server] if link.connection.open and not link.is_closing]
+        best = min(links, key=lambda link: len(link.pending), default=None)
         if best is None or (
             len(best.pending) >= MAX_PENDING_PER_LINK // 4 and len(links) < MAX_LINKS_PER_SERVER
         ):
@@ -295,8 +300,11 @@
     def open_link(
         self, operation: Operation, request_class: RequestClass, body: bytes, server: AppServer
     ) -> None:
-        """Open a connection to the app server and send the attempt on it."""
-        links = [one for one in self.links[server] if one.connection.open]
+        """Open a connection to the app server and send the attempt on it.
+
+        The operation is retried if the maximum number of connections is open or the server is unreachable.
+        """
+        links = [link for link in self.links[server] if link.connection.open]
         if len(links) >= MAX_LINKS_PER_SERVER:
             self.retry(operation, request_class, body, None)
             return
@@ -362,7 +370,10 @@
     def on_timeout(
         self, operation: Operation, request_class: RequestClass, body: bytes, link: Link, number: int
     ) -> None:
-        """Retry an attempt without response elsewhere, and schedule its abandonment after the deadline."""
+        """Schedule the abandonment of an attempt that has no response yet, `ABORT_DELAY` after its deadline.
+
+        Before the deadline, the operation is also retried at once unless `MAX_OPEN_ATTEMPTS` are open.
+        """
         if number not in link.pending:
             return
         _, attempt = link.pending[number]
--- a/birchslip/lab/kept_play.py
+++ b/birchslip/lab/kept_play.py
@@ -31,7 +31,8 @@
 RETENTION_WINDOW = 8 * SECOND
 REPEAT_FRACTION = 0.25  # share of the answered requests that are repeated
 BUFFER_BYTES = 1 << 20
-MAX_REQUEST_AGE = RETENTION_WINDOW - SECOND  # no attempt of a key is sent later than this
+# No attempt of a key is sent later after its creation, so that all fall within the retention window.
+MAX_REQUEST_AGE = RETENTION_WINDOW - SECOND
 MAX_STALL = 2 * SECOND
 SURGE_FACTOR = 6.0  # factor on the arrivals of the surging tenant
 SURGE_START, SURGE_END = 0.2, 0.8  # shares of all keys sent between which the surge lasts
@@ -178,7 +179,8 @@
     def run_incarnations(self) -> None:
         """Run one incarnation after another until the run is finished.
 
-        Each ends at its crash point or is killed after a random lifetime, until all kills are done.
+        Each ends at its crash point, or is killed (with fault "notices" sometimes drained) after a random
+        lifetime. Once all kills are done, the last incarnation keeps running.
         """
         while not self.is_finished:
             fault = self.options.fault
@@ -189,14 +191,14 @@
             self.start(point, self.random_source.randint(1, 40))
             started_at = self.scheduler.now
             lifetime = self.random_source.randint(*LIFETIME_RANGE)
-            is_disk_full = False
+            was_disk_filled = False
             while self.member.is_running() and not self.is_finished:
                 self.scheduler.sleep(self.scheduler.now + 100)
                 elapsed = self.scheduler.now - started_at
                 if self.kill_count >= self.options.kills:
                     continue
-                if fault == "full-disk" and not is_disk_full and elapsed > lifetime // 3:
-                    is_disk_full = True
+                if fault == "full-disk" and not was_disk_filled and elapsed > lifetime // 3:
+                    was_disk_filled = True
                     self.member.forbid_file_growth()
                     self.scheduler.at(self.scheduler.now + SECOND // 2, self.member.allow_file_growth)
                 if fault == "notices" and self.kill_count % 3 == 1 and elapsed > lifetime // 2:
@@ -210,7 +212,7 @@
                 self.on_process_killed(point if at_crash_point else "random")
 
     def on_process_killed(self, point: str) -> None:
-        """Excuse the attempts in flight and close the connection after a kill."""
+        """Count a kill at `point`, excuse the attempts in flight and close the connection."""
         self.kill_count += 1
         self.kills_by_point[point] += 1
         self.member.unexpected_exit_codes.clear()
@@ -492,7 +494,10 @@
 
 
 def run_scenario(options: ResultStoreOptions, folder: Path) -> dict[str, Any]:
-    """Run the scenario once in an empty `folder` and return its report."""
+    """Run the scenario once, end all its processes and return the report.
+
+    An existing `folder` is deleted first, so that the run starts without files of an earlier one.
+    """
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     run = ResultStoreScenarioRun(options, folder)
@@ -522,7 +527,7 @@
     finally:
         if options.logs is None:
             shutil.rmtree(log_folder, ignore_errors=True)
-    # Without disk space an answer is sent before it is stored, and its key is unknown after a kill.
+    # While the disk takes no data an answer is sent without being stored: after a kill its key is unknown.
     tolerated = ("unknown_beyond",) if options.fault in UNSTORED_ANSWER_FAULTS else ()
     report["broken"] = [
         f"{name}: {report[name]}" for name in VIOLATIONS if report[name] and name not in tolerated
--- a/birchslip/lab/world.py
+++ b/birchslip/lab/world.py
@@ -31,7 +31,7 @@
 STOP_MS = 2_000
 SITES = ("north", "south", "east", "west", "upper", "lower", "inner", "outer", "far")
 END_SPAN = 3 * SECOND  # for open requests, and then for the drains, at the end of a run
-END_TOLERANCE = 2_000
+END_TOLERANCE = 2_000  # above `ABORT_DELAY` of the routers, so that overdue attempts are aborted by then
 DRAIN_GRACE = 5_000  # `drain_grace_s` of the configuration below
 
 
@@ -95,9 +95,9 @@
             for site in self.sites
             for n in range(options.each)
         ]
-        self.mean_work = sum(one.share * one.mean_work for one in self.request_classes) / sum(
-            one.share for one in self.request_classes
-        )
+        self.mean_work = sum(
+            request_class.share * request_class.mean_work for request_class in self.request_classes
+        ) / sum(request_class.share for request_class in self.request_classes)
         self.capacity = len(self.servers) * CORES_PER_SERVER * SECOND / self.mean_work
         random_source = random.Random(options.seed)
         self.draw_vault_latency = lambda: int(random_source.uniform(150, 250))
@@ -122,7 +122,7 @@
         self.lost_sites: set[str] = set()
         for router in self.routers:
             router.get_lost_sites = lambda: self.lost_sites
-            router.charge_cores = lambda server, span: self.agents[server.name].charge_cores(span)
+            router.charge_cores = lambda server, work: self.agents[server.name].charge_cores(work)
             router.arrival_rate = options.load * self.capacity / len(self.routers)
         self.planner_names = [f"planner-{n + 1}" for n in range(options.planners)]
         self.planner_ports = {name: free_port() for name in self.planner_names}
@@ -221,14 +221,14 @@
         settings = {
             "classes": [
                 {
-                    "name": one.name,
-                    "effect": "by_key" if one.is_keyed else "repeatable",
-                    "aim_s": one.latency_objective / SECOND,
-                    "hard_limit_s": one.deadline / SECOND,
+                    "name": request_class.name,
+                    "effect": "by_key" if request_class.is_keyed else "repeatable",
+                    "aim_s": request_class.latency_objective / SECOND,
+                    "hard_limit_s": request_class.deadline / SECOND,
                     "window_s": self.retention_window / SECOND,
-                    "credit": one.priority_weight,
+                    "credit": request_class.priority_weight,
                 }
-                for one in self.request_classes
+                for request_class in self.request_classes
             ],
             "tenants": [
                 {"name": name, "quota_per_s": share * self.capacity} for name, share in TENANT_SHARES.items()
@@ -313,10 +313,10 @@
                     attempt.excuse = "down"
 
     def wait_for(self, condition: Callable[[], bool], timeout: int) -> None:
-        """Wait until the condition holds.
+        """Wait in the calling task until the condition holds; it is checked every 50 ms.
 
         Raises:
-            RuntimeError: It did not hold within the timeout.
+            RuntimeError: The condition did not hold within the timeout.
         """
         until = self.scheduler.now + timeout
         while not condition() and self.scheduler.now < until:
