--- a/birchslip/lab/peers.py
+++ b/birchslip/lab/peers.py
@@ -25,7 +25,7 @@
 MAX_LINE_BYTES = 65_536
 BUFFER_BYTES = 4 << 20
 REASON_PHRASES = {200: "OK", 202: "Accepted", 204: "No Content", 404: "Not Found", 409: "Conflict"}
-LISTING_LIFETIME = 30_000  # three seconds, in tenths of a millisecond
+LISTING_LIFETIME = 30_000  # a report counts for three seconds; in tenths of a millisecond
 ASK_WORDS, UNASK_WORDS = 4, 2  # words in the lines that open and cancel a call
 
 
