--- a/birchslip/lab/clients.py
+++ b/birchslip/lab/clients.py
@@ -62,8 +62,8 @@
             latency_objective: Time within which a response counts as in time.
             deadline: Time after which the client no longer waits.
             priority_weight: Weight of one request in the service figure.
-            is_keyed: Whether requests have an idempotency key; those of a `Router` then also make a downstream
-                call.
+            is_keyed: Whether requests have an idempotency key; those of a `Router` then also make a
+                downstream call.
         """
         self.name, self.share, self.mean_work = name, share, mean_work
         self.latency_objective, self.deadline = latency_objective, deadline
