--- a/benchmarks/explore_vote.py
+++ b/benchmarks/explore_vote.py
@@ -11,5 +11,5 @@
 from birchslip.lab.explore import explore
 
 count, steps, first = (int(word) for word in [*sys.argv[1:], "0"][:3])
-began = time.monotonic()
-print(explore(range(first, first + count), steps), f"{time.monotonic() - began:.0f} s")
+started_at = time.monotonic()
+print(explore(range(first, first + count), steps), f"{time.monotonic() - started_at:.0f} s")
--- a/benchmarks/fleet_month.py
+++ b/benchmarks/fleet_month.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.lab.months import play_month
+from birchslip.lab.months import simulate_days
 
 days, seed = float((sys.argv[1:] or ["30"])[0]), int((sys.argv[2:] or ["1"])[0])
-began = time.monotonic()
-print(days, "days, seed", seed, play_month(days, seed), f"{time.monotonic() - began:.0f} s")
+started_at = time.monotonic()
+print(days, "days, seed", seed, simulate_days(days, seed), f"{time.monotonic() - started_at:.0f} s")
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -24,14 +24,14 @@
 SECOND = 10_000
 
 
-def took(act: Callable[[], object], times: int = 5) -> float:
+def median_ms(action: Callable[[], object], rounds: int = 5) -> float:
     """Median milliseconds."""
-    found = []
-    for _ in range(times):
-        began = time.perf_counter()
-        act()
-        found.append((time.perf_counter() - began) * 1000)
-    return statistics.median(found)
+    times_ms = []
+    for _ in range(rounds):
+        started_at = time.perf_counter()
+        action()
+        times_ms.append((time.perf_counter() - started_at) * 1000)
+    return statistics.median(times_ms)
 
 
 def report(name: str, site: str, number: int) -> MemberReport:
@@ -65,7 +65,7 @@
     print("members  plan ms  per n log n  look ms  report us (decoded, heard, encoded)")
     for members in (10, 100, 1_000, 10_000):
         sites = min(9, members)
-        told = [
+        fleet_sites = [
             Site(
                 name=f"s{n}",
                 routers=[n],
@@ -77,37 +77,40 @@
         ]
         fleet = Fleet(
             planners=[Planner(name="p0", address="127.0.0.1:1")],
-            sites=told,
+            sites=fleet_sites,
             vault=Vault(total_calls=float(members)),
             tenant_shares={f"t{n}": 0.125 for n in range(8)},
         )
-        ballot = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
-        state = PlannerState(fleet, ballot, 0)
+        election = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
+        state = PlannerState(fleet, election, 0)
         now = 3 * SECOND
-        names = [(member.name, site.name) for site in told for member in site.members]
+        names = [(member.name, site.name) for site in fleet_sites for member in site.members]
         for step in range(8):
             now += state.report_interval()
-            ask = ballot.next_vote_request(now)
-            if ask is not None:
-                ballot.handle_vote_response(ballot.handle_vote_request(ask, now), ask.term, now, now)
+            vote_request = election.next_vote_request(now)
+            if vote_request is not None:
+                election.handle_vote_response(
+                    election.handle_vote_request(vote_request, now), vote_request.term, now, now
+                )
             for name, site in names:
                 state.receive_report(report(name, site, step + 1), now)
             state.tick(now)
-            keep = state.replication_request()
-            if keep is not None and ballot.handle_replication_response(
-                ballot.handle_replication_request(keep, now), keep.state_number
+            replication_request = state.replication_request()
+            if replication_request is not None and election.handle_replication_response(
+                election.handle_replication_request(replication_request, now),
+                replication_request.state_number,
             ):
-                state.mark_replicated(keep.state_number)
+                state.mark_replicated(replication_request.state_number)
         state.evacuate_site("s0", "bench", "bench", now)
-        planned = took(partial(state.replan, now))
-        looked = took(partial(state.tick, now))
-        raws = [encode(report(name, site, 100)) for name, site in names[:500]]
-        began = time.perf_counter()
-        for raw in raws:
-            encode(state.receive_report(decode(raw, MemberReport), now))
-        each = (time.perf_counter() - began) / len(raws) * 1e6
-        scale = planned / (members * log2(members)) * 1e3
-        print(f"{members:7} {planned:8.2f} {scale:12.3f} {looked:8.2f} {each:10.0f}")
+        plan_ms = median_ms(partial(state.replan, now))
+        tick_ms = median_ms(partial(state.tick, now))
+        encoded_reports = [encode(report(name, site, 100)) for name, site in names[:500]]
+        started_at = time.perf_counter()
+        for encoded in encoded_reports:
+            encode(state.receive_report(decode(encoded, MemberReport), now))
+        report_us = (time.perf_counter() - started_at) / len(encoded_reports) * 1e6
+        per_n_log_n = plan_ms / (members * log2(members)) * 1e3
+        print(f"{members:7} {plan_ms:8.2f} {per_n_log_n:12.3f} {tick_ms:8.2f} {report_us:10.0f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/model_days.py
+++ b/benchmarks/model_days.py
@@ -14,7 +14,7 @@
 from birchslip.expect.sources import Sources, read_json
 from birchslip.lab.faults import schedule
 from birchslip.lab.model.world import BEGIN, Step, World
-from birchslip.lab.site_loss import Told, spans_of
+from birchslip.lab.site_loss import SiteLossOptions, schedule_spans
 from birchslip.lab.world import PROFILES, SITES
 
 DAYS = [
@@ -67,11 +67,11 @@
         "size": 60,
     }
     sources = Sources(read_json(logs / f"{first}.json"), read_json(logs / f"{first}.fleet.json"), world)
-    told = Told(seed=seed, fault=fault, load=load)
-    steps = schedule(fault, seed, list(SITES[:3]), ["planner-1", "planner-2", "planner-3"], told.lost)
-    spans = spans_of(told, steps)
+    told = SiteLossOptions(seed=seed, fault=fault, load=load)
+    steps = schedule(fault, seed, list(SITES[:3]), ["planner-1", "planner-2", "planner-3"], told.outage_span)
+    spans = schedule_spans(told, steps)
     zero = BEGIN + spans["before"][1]
-    script = [Step(zero + one.at, WORDS.get(one.what, one.what), one.whom, one.more) for one in steps]
+    script = [Step(zero + one.at, WORDS.get(one.action, one.action), one.target, one.value) for one in steps]
     played = World(sources.setting, seed)
     played.run(script, BEGIN + spans["after"][1] + 20_000)
     return {
--- a/benchmarks/permit_grants.py
+++ b/benchmarks/permit_grants.py
@@ -12,39 +12,44 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from birchslip.cli import ask
+from birchslip.cli import call_planner
 from birchslip.cluster.messages import EvictionOperation, EvictionRequest
 from tests.test_permit_processes import PlannerCluster
 
 
 def main() -> None:
-    asks = int((sys.argv[1:] or ["300"])[0])
-    place = PlannerCluster(Path(tempfile.mkdtemp(prefix="birchslip-grants-")))
+    request_count = int((sys.argv[1:] or ["300"])[0])
+    cluster = PlannerCluster(Path(tempfile.mkdtemp(prefix="birchslip-grants-")))
     try:
-        leader = place.leader()
-        address = next(one.address for one in place.fleet.planners if one.name == leader)
-        took = []
-        for _ in range(asks):
-            began = time.perf_counter()
-            told = ask(
+        leader = cluster.leader()
+        address = next(planner.address for planner in cluster.fleet.planners if planner.name == leader)
+        times_ms = []
+        for _ in range(request_count):
+            started_at = time.perf_counter()
+            answer = call_planner(
                 address,
                 EvictionRequest(
                     operation=EvictionOperation.REQUEST_PERMIT, holder="a-0", reason="a measurement"
                 ),
             )
-            took.append((time.perf_counter() - began) * 1000)
-            assert told["granted"], told
-            ask(address, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder="a-0"))
-        took.sort()
-        p99 = took[int(0.99 * len(took))]
-        median = statistics.median(took)
-        print(f"{asks} grants: median {median:.1f} ms, p99 {p99:.1f} ms, worst {took[-1]:.1f} ms")
-        began = time.monotonic()
-        place.kill(leader)
-        place.evict("a-0")
-        print(f"granted again {time.monotonic() - began:.2f} s after the leader's death (asked every 50 ms)")
+            times_ms.append((time.perf_counter() - started_at) * 1000)
+            assert answer["granted"], answer
+            call_planner(address, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder="a-0"))
+        times_ms.sort()
+        p99 = times_ms[int(0.99 * len(times_ms))]
+        median = statistics.median(times_ms)
+        print(
+            f"{request_count} grants: median {median:.1f} ms, p99 {p99:.1f} ms, worst {times_ms[-1]:.1f} ms"
+        )
+        started_at = time.monotonic()
+        cluster.kill(leader)
+        cluster.evict("a-0")
+        print(
+            f"granted again {time.monotonic() - started_at:.2f} s after the leader's death "
+            "(asked every 50 ms)"
+        )
     finally:
-        place.stop()
+        cluster.stop()
 
 
 if __name__ == "__main__":
--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -33,16 +33,16 @@
 SITES = 10
 
 
-NUMBER = 10**9  # stands in a report until it is sent: this process has a thousand members to be
+SEQUENCE_PLACEHOLDER = 10**9  # stands in a report until it is sent: this process has a thousand members to be
 
 
-def report_of(name: str, site: str) -> bytes:
-    figures = {f"{kind}:{one}": (9, 9_000) for kind in ("late", "shed", "written_off") for one in "abc"}
-    told = MemberReport(
+def make_report(name: str, site: str) -> bytes:
+    metrics = {f"{kind}:{tenant}": (9, 9_000) for kind in ("late", "shed", "written_off") for tenant in "abc"}
+    report = MemberReport(
         name=name,
         site=site,
         incarnation=Incarnation(nonce=1),
-        sequence=NUMBER,
+        sequence=SEQUENCE_PLACEHOLDER,
         address="127.0.0.1:1",
         uptime=10**6,
         is_serving=True,
@@ -60,33 +60,33 @@
         lease_remaining=0,
         plan_term=0,
         plan_number=0,
-        metrics=figures,
-        latency_histograms={one: [7] * 20 for one in "abc"},
+        metrics=metrics,
+        latency_histograms={tenant: [7] * 20 for tenant in "abc"},
         resident_memory_kb=30_000,
     )
-    return encode(told)
+    return encode(report)
 
 
-def words_of(path: Path, folder: Path) -> list[str]:
-    return ["planner", "--fleet", str(path), "--name", "p", "--folder", str(folder / "p")]
+def planner_arguments(fleet_path: Path, folder: Path) -> list[str]:
+    return ["planner", "--fleet", str(fleet_path), "--name", "p", "--folder", str(folder / "p")]
 
 
 def main() -> None:
-    words = [int(word) for word in sys.argv[1:]] + [1_000, 10, 20][len(sys.argv) - 1 :]
-    count, asks, seconds = words
+    arguments = [int(argument) for argument in sys.argv[1:]] + [1_000, 10, 20][len(sys.argv) - 1 :]
+    count, requests_per_s, seconds = arguments
     raise_descriptor_limit()  # one for each member here too
     folder = Path(tempfile.mkdtemp(prefix="birchslip-size-"))
     port = free_port()
-    homes = {f"m{n}": f"site-{n % SITES}" for n in range(count)}
-    told = {
+    site_by_member = {f"m{n}": f"site-{n % SITES}" for n in range(count)}
+    fleet = {
         "planners": [{"name": "p", "address": f"127.0.0.1:{port}"}],
         "sites": [
             {
                 "name": f"site-{site}",
                 "members": [
                     {"name": name, "address": f"127.0.0.2:{1 + int(name[1:])}"}
-                    for name, home in homes.items()
-                    if home == f"site-{site}"
+                    for name, site in site_by_member.items()
+                    if site == f"site-{site}"
                 ],
             }
             for site in range(SITES)
@@ -96,46 +96,47 @@
             *({"name": f"site-{site}", "sites": [f"site-{site}"], "share_out": 0.2} for site in range(SITES)),
         ],
     }
-    path = folder / "fleet.json"
-    path.write_text(json.dumps(told))
-    with (folder / "planner.log").open("w") as out:
+    fleet_path = folder / "fleet.json"
+    fleet_path.write_text(json.dumps(fleet))
+    with (folder / "planner.log").open("w") as log:
         planner = subprocess.Popen(
-            [sys.executable, "-m", "birchslip", *words_of(path, folder)],
+            [sys.executable, "-m", "birchslip", *planner_arguments(fleet_path, folder)],
             cwd=ROOT,
-            stdout=out,
-            stderr=out,
+            stdout=log,
+            stderr=log,
         )
     faults: list[str] = []
-    scheduler = Scheduler(lambda: None, lambda name, trouble: faults.append(f"{name}: {trouble}"))
-    took: list[float] = []
-    chance = random.Random(1)
+    scheduler = Scheduler(lambda: None, lambda name, error: faults.append(f"{name}: {error}"))
+    times_ms: list[float] = []
+    rng = random.Random(1)
     usage: dict[str, float] = {}
 
-    def cpu() -> float:
+    def cpu_seconds() -> float:
         fields = Path(f"/proc/{planner.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def member(name: str) -> None:
-        line, number, every = PeerConnection(scheduler, ("127.0.0.1", port)), NUMBER, 5_000
-        head, tail = report_of(name, homes[name]).split(str(NUMBER).encode())
-        scheduler.sleep(scheduler.now + chance.randrange(5_000))
+    def run_member(name: str) -> None:
+        connection = PeerConnection(scheduler, ("127.0.0.1", port))
+        sequence, report_interval = SEQUENCE_PLACEHOLDER, 5_000
+        head, tail = make_report(name, site_by_member[name]).split(str(SEQUENCE_PLACEHOLDER).encode())
+        scheduler.sleep(scheduler.now + rng.randrange(5_000))
         while True:
-            number += 1
-            began = scheduler.update_clock()
+            sequence += 1
+            started_at = scheduler.update_clock()
             try:
-                raw = line.call("report", head + str(number).encode() + tail, began + SECOND)
-                if every == 5_000:
-                    every = json.loads(raw)["every"]
-            except OSError as trouble:
-                faults.append(str(trouble))
-                line.close()
-            scheduler.sleep(max(scheduler.now + 100, began + every))
-
-    def ask(name: str) -> None:
-        line = PeerConnection(scheduler, ("127.0.0.1", port))
-        began = time.perf_counter()
+                answer = connection.call("report", head + str(sequence).encode() + tail, started_at + SECOND)
+                if report_interval == 5_000:
+                    report_interval = json.loads(answer)["every"]
+            except OSError as error:
+                faults.append(str(error))
+                connection.close()
+            scheduler.sleep(max(scheduler.now + 100, started_at + report_interval))
+
+    def request_permit(name: str) -> None:
+        connection = PeerConnection(scheduler, ("127.0.0.1", port))
+        started_at = time.perf_counter()
         try:
-            line.call(
+            connection.call(
                 "want",
                 encode(
                     EvictionRequest(
@@ -144,45 +145,47 @@
                 ),
                 scheduler.now + SECOND,
             )
-            took.append((time.perf_counter() - began) * 1000)
+            times_ms.append((time.perf_counter() - started_at) * 1000)
             scheduler.sleep(scheduler.now + 10 * SECOND)  # it stays out, or waits, for ten seconds
-            line.call(
+            connection.call(
                 "want",
                 encode(EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name)),
                 scheduler.now + SECOND,
             )
-        except OSError as trouble:
-            faults.append(str(trouble))
+        except OSError as error:
+            faults.append(str(error))
         finally:
-            line.close()
+            connection.close()
 
-    def direct() -> None:
-        for name in homes:
-            scheduler.spawn(name, lambda name=name: member(name))  # type: ignore[misc]
+    def run_schedule() -> None:
+        for name in site_by_member:
+            scheduler.spawn(name, lambda name=name: run_member(name))  # type: ignore[misc]
         scheduler.sleep(scheduler.now + 8 * SECOND)
         faults.clear()
-        usage["cpu"] = cpu()
-        began = scheduler.now
-        for n in range(asks * seconds):
-            scheduler.sleep(max(scheduler.now, began + n * SECOND // asks))
-            name = chance.choice(list(homes))
-            scheduler.spawn("ask", lambda name=name: ask(name))  # type: ignore[misc]
-        usage["share"] = (cpu() - usage["cpu"]) / ((scheduler.update_clock() - began) / SECOND)
+        usage["cpu"] = cpu_seconds()
+        started_at = scheduler.now
+        for n in range(requests_per_s * seconds):
+            scheduler.sleep(max(scheduler.now, started_at + n * SECOND // requests_per_s))
+            name = rng.choice(list(site_by_member))
+            scheduler.spawn("ask", lambda name=name: request_permit(name))  # type: ignore[misc]
+        usage["share"] = (cpu_seconds() - usage["cpu"]) / ((scheduler.update_clock() - started_at) / SECOND)
         status = Path(f"/proc/{planner.pid}/status").read_text()
         usage["kb"] = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
         scheduler.stop()
 
-    scheduler.spawn("director", direct)
+    scheduler.spawn("director", run_schedule)
     try:
         scheduler.run()
     finally:
         planner.terminate()
         planner.wait(10)
-    took.sort()
+    times_ms.sort()
     print(
-        f"{count} members, {asks} asks a second for {seconds} s: {usage['share']:.2f} of a core, "
-        f"{usage['kb'] / 1024:.0f} MB; {len(took)} answers, median {took[len(took) // 2]:.1f} ms, "
-        f"p99 {took[int(0.99 * len(took))]:.1f} ms, worst {took[-1]:.1f} ms; faults: {faults[:1] or 'none'}"
+        f"{count} members, {requests_per_s} asks a second for {seconds} s: {usage['share']:.2f} of a core, "
+        f"{usage['kb'] / 1024:.0f} MB; {len(times_ms)} answers, "
+        f"median {times_ms[len(times_ms) // 2]:.1f} ms, "
+        f"p99 {times_ms[int(0.99 * len(times_ms))]:.1f} ms, worst {times_ms[-1]:.1f} ms; "
+        f"faults: {faults[:1] or 'none'}"
     )
 
 
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -18,26 +18,28 @@
 from birchslip.lab.versions import KINDS
 
 ROOT = Path(__file__).resolve().parent.parent
-BAD_ONLY = ("back-fails",)  # needs a way back
+BAD_VERSION_FAULTS = ("back-fails",)  # needs a way back
 
 
-def schedules(plays: int) -> list[tuple[int, str, str]]:
+def schedules(run_count: int) -> list[tuple[int, str, str]]:
     """Every fault with a good version, every bad version, then mixtures of both, in turns."""
-    good = [("good", fault) for fault in FAULTS if fault not in BAD_ONLY]
-    bad = [(version, "none") for version in KINDS if version != "good"]
-    both = [
+    good_runs = [("good", fault) for fault in FAULTS if fault not in BAD_VERSION_FAULTS]
+    bad_runs = [(version, "none") for version in KINDS if version != "good"]
+    combinations = [
         (version, fault) for fault in FAULTS for version in KINDS if version != "good" and fault != "none"
     ]
-    mixed = sorted(both, key=lambda one: hash_of(*one))
-    made = [one for pair in zip(good, [*bad, *mixed], strict=False) for one in pair] + mixed[len(good) :]
-    while len(made) < plays:
-        made += made
-    return [(seed, *one) for seed, one in enumerate(made[:plays], 1)]
+    mixed = sorted(combinations, key=lambda run: stable_hash(*run))
+    schedule = [run for pair in zip(good_runs, [*bad_runs, *mixed], strict=False) for run in pair] + mixed[
+        len(good_runs) :
+    ]
+    while len(schedule) < run_count:
+        schedule += schedule
+    return [(seed, *run) for seed, run in enumerate(schedule[:run_count], 1)]
 
 
-def hash_of(version: str, fault: str) -> int:
+def stable_hash(version: str, fault: str) -> int:
     """The same order in every run."""
-    return sum(ord(letter) * (place + 7) ** 3 for place, letter in enumerate(version + fault)) % 9973
+    return sum(ord(letter) * (index + 7) ** 3 for index, letter in enumerate(version + fault)) % 9973
 
 
 def main() -> None:
@@ -50,62 +52,76 @@
     parser.add_argument("--compare", action="store_true", help="Each also without a release.")
     parser.add_argument("--only", default="", help="VERSION/FAULT,... instead")
     parser.add_argument("--out", type=Path, required=True)
-    told = parser.parse_args()
-    told.out.mkdir(parents=True, exist_ok=True)
-    waiting = schedules(told.first + told.plays - 1)[told.first - 1 :]
-    if told.only:
-        waiting = [(told.first + n, *one.split("/")) for n, one in enumerate(told.only.split(","))]
+    arguments = parser.parse_args()
+    arguments.out.mkdir(parents=True, exist_ok=True)
+    pending = schedules(arguments.first + arguments.plays - 1)[arguments.first - 1 :]
+    if arguments.only:
+        pending = [(arguments.first + n, *run.split("/")) for n, run in enumerate(arguments.only.split(","))]
     running: dict[subprocess.Popen[bytes], tuple[int, str, str]] = {}
-    found: list[dict] = []
-    while waiting or running:
-        while waiting and len(running) < told.at_a_time:
-            seed, version, fault = waiting.pop(0)
+    reports: list[dict] = []
+    while pending or running:
+        while pending and len(running) < arguments.at_a_time:
+            seed, version, fault = pending.pop(0)
             name = f"{seed:03}-{version}-{fault}"
-            words = [sys.executable, "-m", "birchslip", "lab", "play", "release", "--seed", str(seed)]
-            words += ["--servers", str(told.servers), "--load", str(told.load), "--version", version]
-            words += ["--fault", fault, "--json", str(told.out / f"{name}.json")]
-            words += ["--logs", str(told.out / name)] + ([] if told.compare else ["--alone"])
-            with (told.out / f"{name}.out").open("w") as out:
-                running[subprocess.Popen(words, cwd=ROOT, stdout=out, stderr=out)] = (seed, version, fault)
+            command = [sys.executable, "-m", "birchslip", "lab", "play", "release", "--seed", str(seed)]
+            command += [
+                "--servers",
+                str(arguments.servers),
+                "--load",
+                str(arguments.load),
+                "--version",
+                version,
+            ]
+            command += ["--fault", fault, "--json", str(arguments.out / f"{name}.json")]
+            command += ["--logs", str(arguments.out / name)] + ([] if arguments.compare else ["--alone"])
+            with (arguments.out / f"{name}.out").open("w") as out:
+                running[subprocess.Popen(command, cwd=ROOT, stdout=out, stderr=out)] = (seed, version, fault)
         time.sleep(0.5)
-        for process in [one for one in running if one.poll() is not None]:
+        for process in [process for process in running if process.poll() is not None]:
             seed, version, fault = running.pop(process)
-            path = told.out / f"{seed:03}-{version}-{fault}.json"
+            path = arguments.out / f"{seed:03}-{version}-{fault}.json"
             report = json.loads(path.read_text()) if path.exists() else None
             if report is None:
                 print(
                     f"{seed:3} {version:8} {fault:16} no report, exit code {process.returncode}", flush=True
                 )
-                found.append(
+                reports.append(
                     {"ended": "no report", "broken": ["no report"], "version": version, "fault": fault}
                 )
                 continue
-            found.append(report)
-            without = report.get("without", {}).get("service", {}).get("during", "")
+            reports.append(report)
+            service_without_rollout = report.get("without", {}).get("service", {}).get("during", "")
             print(
                 f"{seed:3} {version:8} {fault:16} {report['ended']:7} took {report['took_s']:6} least "
                 f"{report['least_s']:5} halt {report['halt_s']!s:6} exposed {report['exposed']:2} "
-                f"service {report['service']['during']} {without} {report['broken'] or ''} "
+                f"service {report['service']['during']} {service_without_rollout} {report['broken'] or ''} "
                 f"{report['why'] if report['ended'] not in ('done', 'back') else ''}",
                 flush=True,
             )
-    summary(found)
+    print_summary(reports)
 
 
-def summary(found: list[dict]) -> None:
-    print(f"{len(found)} plays, {sum(bool(one['broken']) for one in found)} with something broken")
+def print_summary(reports: list[dict]) -> None:
+    print(f"{len(reports)} plays, {sum(bool(report['broken']) for report in reports)} with something broken")
     for version in KINDS:
-        some = [one for one in found if one["version"] == version and "took_s" in one]
-        if not some:
+        version_reports = [
+            report for report in reports if report["version"] == version and "took_s" in report
+        ]
+        if not version_reports:
             continue
-        halts = sorted(one["halt_s"] for one in some if one["halt_s"] is not None)
-        ends = dict(Counter(one["ended"] for one in some))
-        line = f"{version:8} {ends}, exposed {max(one['exposed'] for one in some)} at most"
-        if halts:
-            line += f", halt median {halts[len(halts) // 2]} s, worst {halts[-1]} s"
+        halt_times = sorted(report["halt_s"] for report in version_reports if report["halt_s"] is not None)
+        end_counts = dict(Counter(report["ended"] for report in version_reports))
+        max_exposed = max(report["exposed"] for report in version_reports)
+        line = f"{version:8} {end_counts}, exposed {max_exposed} at most"
+        if halt_times:
+            line += f", halt median {halt_times[len(halt_times) // 2]} s, worst {halt_times[-1]} s"
         if version == "good":
-            calm = [one["took_s"] / one["least_s"] for one in some if one["fault"] == "none"]
-            line += f", took over least {max(calm, default=0):.2f} where nothing failed"
+            ratios = [
+                report["took_s"] / report["least_s"]
+                for report in version_reports
+                if report["fault"] == "none"
+            ]
+            line += f", took over least {max(ratios, default=0):.2f} where nothing failed"
         print(line)
 
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -26,8 +26,8 @@
 from birchslip.lab.toy import Agent, Catalog, Router, Vault  # noqa: E402
 from examples.toy import CONFIGURATION  # noqa: E402
 
-LIMIT = 60.0
-PARTS = """
+TIMEOUT_S = 60.0
+STARTUP_SCRIPT = """
 import time, sys, os
 began = time.perf_counter()
 import birchslip.__main__ as main
@@ -40,35 +40,37 @@
 """
 
 
-def parts(folder: Path) -> dict[str, float]:
+def measure_startup(folder: Path) -> dict[str, float]:
     """Medians of ten: the bare interpreter, the imports, the configuration, the program's own making."""
-    told = folder / "parts.json"
-    told.write_text(json.dumps(json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0"}))
-    bare, rest = [], []
+    configuration = folder / "parts.json"
+    configuration.write_text(json.dumps(json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0"}))
+    interpreter_times, samples = [], []
     for _ in range(10):
         began = time.perf_counter()
         subprocess.run([sys.executable, "-c", "pass"], check=True, cwd=ROOT)
-        bare.append(time.perf_counter() - began)
-        done = subprocess.run(
-            [sys.executable, "-c", PARTS],
+        interpreter_times.append(time.perf_counter() - began)
+        finished = subprocess.run(
+            [sys.executable, "-c", STARTUP_SCRIPT],
             check=True,
             cwd=ROOT,
-            env=os.environ | {"PROXY_CONFIG": str(told)},
+            env=os.environ | {"PROXY_CONFIG": str(configuration)},
             capture_output=True,
             text=True,
         )
-        rest.append([float(word) for word in done.stdout.split()])
-    names = ("imports", "configuration", "making")
-    medians = {name: statistics.median(one[place] for one in rest) for place, name in enumerate(names)}
-    return {"interpreter": statistics.median(bare)} | medians
+        samples.append([float(word) for word in finished.stdout.split()])
+    part_names = ("imports", "configuration", "making")
+    medians = {
+        name: statistics.median(sample[index] for sample in samples) for index, name in enumerate(part_names)
+    }
+    return {"interpreter": statistics.median(interpreter_times)} | medians
 
 
-class One:
+class AppServerUnderTest:
     """One app server with peers of its own, and the moments of its start in seconds after it was begun."""
 
-    def __init__(self, folder: Path, number: int, late: float, core: int) -> None:
+    def __init__(self, folder: Path, number: int, peer_delay_s: float, core: int) -> None:
         self.agent, self.vault, self.catalog = Agent(), Vault(), Catalog()
-        told = json.loads(CONFIGURATION.read_text()) | {
+        configuration = json.loads(CONFIGURATION.read_text()) | {
             "listen": "127.0.0.1:0",
             "name": f"n{number}",
             "agent": self.agent.address,
@@ -76,9 +78,9 @@
             "directory": self.catalog.address,
         }
         path = folder / f"{number}.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(configuration))
         self.moments: dict[str, float] = {}
-        if late:
+        if peer_delay_s:
             for peer in (self.agent, self.catalog):
                 peer.deafen()
         self.began = time.perf_counter()
@@ -90,68 +92,73 @@
             text=True,
             preexec_fn=lambda: os.sched_setaffinity(0, {core}),
         )
-        self.threads = [threading.Thread(target=work, daemon=True) for work in (self.read, self.wait_report)]
-        if late:
-            self.threads.append(threading.Thread(target=self.hear, args=(late,), daemon=True))
+        self.threads = [
+            threading.Thread(target=work, daemon=True) for work in (self.read_log, self.wait_for_report)
+        ]
+        if peer_delay_s:
+            self.threads.append(
+                threading.Thread(target=self.restore_peers, args=(peer_delay_s,), daemon=True)
+            )
         for thread in self.threads:
             thread.start()
 
-    def hear(self, late: float) -> None:
-        time.sleep(late)
+    def restore_peers(self, peer_delay_s: float) -> None:
+        time.sleep(peer_delay_s)
         for peer in (self.agent, self.catalog):
             peer.listen(peer.host, peer.port)
         self.moments["peers"] = time.perf_counter() - self.began
 
-    def read(self) -> None:
+    def read_log(self) -> None:
         for line in self.process.stderr or ():
             now = time.perf_counter() - self.began
             if "event=listening" in line:
                 self.moments["listening"] = now
-                router = Router(line.split("address=")[1].strip(), LIMIT)
+                router = Router(line.split("address=")[1].strip(), TIMEOUT_S)
                 router.answer(router.ping())
                 self.moments["checked"] = time.perf_counter() - self.began
                 router.link.close()
             elif "now=serving" in line:
                 self.moments["serving"] = now
 
-    def wait_report(self) -> None:
-        self.catalog.seen.get(timeout=LIMIT)
+    def wait_for_report(self) -> None:
+        self.catalog.seen.get(timeout=TIMEOUT_S)
         self.moments["reported"] = time.perf_counter() - self.began
 
-    def ready(self) -> float:
-        wanted = {"listening", "checked", "serving", "reported"}
-        until = time.perf_counter() + LIMIT
-        while not wanted <= self.moments.keys() and time.perf_counter() < until:
+    def wait_until_ready(self) -> float:
+        expected_moments = {"listening", "checked", "serving", "reported"}
+        give_up_at = time.perf_counter() + TIMEOUT_S
+        while not expected_moments <= self.moments.keys() and time.perf_counter() < give_up_at:
             time.sleep(0.01)
-        return max(self.moments.get(name, float("inf")) for name in wanted)
+        return max(self.moments.get(name, float("inf")) for name in expected_moments)
 
     def stop(self) -> None:
         self.process.send_signal(signal.SIGTERM)
-        self.process.wait(LIMIT)
+        self.process.wait(TIMEOUT_S)
         for peer in (self.agent, self.vault, self.catalog):
             peer.stop()
 
 
-def play(folder: Path, processes: int, rounds: int, late: float) -> None:
+def measure_restarts(folder: Path, processes: int, rounds: int, peer_delay_s: float) -> None:
     core = min(os.sched_getaffinity(0))
     ready: list[float] = []
     moments: dict[str, list[float]] = {}
     for _ in range(rounds):
-        some = [One(folder, number, late, core) for number in range(processes)]
-        for one in some:
-            ready.append(one.ready())
-            for name, moment in one.moments.items():
+        servers = [AppServerUnderTest(folder, number, peer_delay_s, core) for number in range(processes)]
+        for server in servers:
+            ready.append(server.wait_until_ready())
+            for name, moment in server.moments.items():
                 moments.setdefault(name, []).append(moment)
-        for one in some:
-            one.stop()
+        for server in servers:
+            server.stop()
     ready.sort()
-    ninth = ready[int(0.9 * len(ready))]
+    ninth_decile = ready[int(0.9 * len(ready))]
     print(
-        f"{len(ready)} restarts, {processes} together on one core, peers {late:g} s late: ready median "
-        f"{statistics.median(ready):.2f} s, nine in ten {ninth:.2f} s, most {ready[-1]:.2f} s"
+        f"{len(ready)} restarts, {processes} together on one core, peers {peer_delay_s:g} s late: "
+        f"ready median {statistics.median(ready):.2f} s, nine in ten {ninth_decile:.2f} s, "
+        f"most {ready[-1]:.2f} s"
     )
-    for name, some_moments in moments.items():
-        print(f"  {name}: median {statistics.median(some_moments):.2f} s, most {max(some_moments):.2f} s")
+    for name, times in moments.items():
+        print(f"  {name}: median {statistics.median(times):.2f} s, most {max(times):.2f} s")
 
 
 def main() -> None:
@@ -159,10 +166,12 @@
     rounds = int(sys.argv[2]) if len(sys.argv) > 2 else 4
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        print(*(f"{part} {1000 * span:.0f} ms" for part, span in parts(folder).items()), sep=", ")
-        play(folder, 1, 4 * rounds, 0.0)
-        play(folder, processes, rounds, 0.0)
-        play(folder, processes, rounds, 5.0)
+        print(
+            *(f"{part} {1000 * span_s:.0f} ms" for part, span_s in measure_startup(folder).items()), sep=", "
+        )
+        measure_restarts(folder, 1, 4 * rounds, 0.0)
+        measure_restarts(folder, processes, rounds, 0.0)
+        measure_restarts(folder, processes, rounds, 5.0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -13,19 +13,21 @@
 
 count = int((sys.argv[1:] or ["200"])[0])
 for version in VERSIONS:
-    began, ended, halts = time.monotonic(), Counter(), []
-    broken, exposed, took = Counter(), 0, 0.0
+    started_at, end_counts, halt_times = time.monotonic(), Counter(), []
+    violations, max_exposed, max_took_s = Counter(), 0, 0.0
     for seed in range(count if version != "good" else 5 * count):
-        told = RolloutScenario(seed, version).run(longest=600).told()
-        ended[told["ended"]] += 1
-        broken["breaches"] += bool(told["breaches"])
-        broken["drained twice"] += bool(told["drained_twice"])
-        broken["stuck"] += bool(told["stuck"])
-        exposed, took = max(exposed, told["exposed"]), max(took, told["took_s"])
-        halts += [told["halt_s"]] if told["halt_s"] is not None else []
-    halts.sort()
-    halted = f"halt median {halts[len(halts) // 2]} s, worst {halts[-1]} s, " if halts else ""
+        report = RolloutScenario(seed, version).run(timeout_s=600).report()
+        end_counts[report["ended"]] += 1
+        violations["breaches"] += bool(report["breaches"])
+        violations["drained twice"] += bool(report["drained_twice"])
+        violations["stuck"] += bool(report["stuck"])
+        max_exposed, max_took_s = max(max_exposed, report["exposed"]), max(max_took_s, report["took_s"])
+        halt_times += [report["halt_s"]] if report["halt_s"] is not None else []
+    halt_times.sort()
+    halt_text = (
+        f"halt median {halt_times[len(halt_times) // 2]} s, worst {halt_times[-1]} s, " if halt_times else ""
+    )
     print(
-        f"{version:8} {dict(ended)} {dict(broken)} {halted}"
-        f"exposed {exposed} at most, longest {took} s, {time.monotonic() - began:.0f} s"
+        f"{version:8} {dict(end_counts)} {dict(violations)} {halt_text}"
+        f"exposed {max_exposed} at most, longest {max_took_s} s, {time.monotonic() - started_at:.0f} s"
     )
--- a/benchmarks/site_loss.py
+++ b/benchmarks/site_loss.py
@@ -21,28 +21,29 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def play(seed: int, fault: str, out: Path) -> dict[str, Any] | None:
+def run_fault(seed: int, fault: str, out: Path) -> dict[str, Any] | None:
     path = out / f"{fault}-{seed}.json"
-    words = ["lab", "play", "site-loss", "--seed", str(seed), "--fault", fault, "--json", str(path)]
-    done = subprocess.run(
-        [sys.executable, "-m", "birchslip", *words], cwd=ROOT, capture_output=True, text=True
+    arguments = ["lab", "play", "site-loss", "--seed", str(seed), "--fault", fault, "--json", str(path)]
+    finished = subprocess.run(
+        [sys.executable, "-m", "birchslip", *arguments], cwd=ROOT, capture_output=True, text=True
     )
     if not path.exists():
-        print(f"{fault} {seed}: exit {done.returncode}: {done.stderr[-300:]}", flush=True)
+        print(f"{fault} {seed}: exit {finished.returncode}: {finished.stderr[-300:]}", flush=True)
         return None
-    told: dict[str, Any] = json.loads(path.read_text())
-    service, single = told["service"], told["single_level"]["service"]
-    tries = told["attempts_each"]
+    report: dict[str, Any] = json.loads(path.read_text())
+    service, single_level = report["service"], report["single_level"]["service"]
+    attempts = report["attempts_each"]
     print(
-        f"{fault:18} {seed:3} exit {done.returncode} rules {sum(told['rules'].values())}"
-        f" during {service['during']:.3f} single {single['during']:.3f} ideal {told['ideal']['during']:.3f}"
-        f" back {service['back']:.3f} single {single['back']:.3f}"
-        f" tries {tries['before']:.2f} {tries['during']:.2f} {tries['after']:.2f}"
-        f" in force {told['in_force_s']} back_s {told['back_s']} false {told['false_evacuations']}"
-        f" dead {len(told['dead'])}",
+        f"{fault:18} {seed:3} exit {finished.returncode} rules {sum(report['rules'].values())}"
+        f" during {service['during']:.3f} single {single_level['during']:.3f}"
+        f" ideal {report['ideal']['during']:.3f}"
+        f" back {service['back']:.3f} single {single_level['back']:.3f}"
+        f" tries {attempts['before']:.2f} {attempts['during']:.2f} {attempts['after']:.2f}"
+        f" in force {report['in_force_s']} back_s {report['back_s']} false {report['false_evacuations']}"
+        f" dead {len(report['dead'])}",
         flush=True,
     )
-    return told
+    return report
 
 
 @click.command()
@@ -54,24 +55,35 @@
     """Each seed plays the next named fault, so that all come up in turn."""
     out.mkdir(parents=True, exist_ok=True)
     names = [name for name in FAULTS if name != "none"]
-    with ThreadPoolExecutor(at_a_time) as some:
-        plays = list(some.map(lambda n: play(first + n, names[n % len(names)], out), range(seeds)))
-    told = [one for one in plays if one is not None]
-    forces = [one["in_force_s"] for one in told if one["in_force_s"] is not None]
-    losses = [one for one in told if one["evacuations"]]
-    ratios = [one["service"]["during"] / one["ideal"]["during"] for one in losses]
-    above = [one["service"]["during"] - one["single_level"]["service"]["during"] for one in losses]
-    storms = [one["attempts_each"]["after"] / one["attempts_each"]["before"] for one in told]
-    backs = [one["back_s"] for one in losses if one["back_s"] is not None]
-    print(f"plays {len(told)} of {seeds}, rules broken {sum(sum(one['rules'].values()) for one in told)}")
+    with ThreadPoolExecutor(at_a_time) as pool:
+        results = list(pool.map(lambda n: run_fault(first + n, names[n % len(names)], out), range(seeds)))
+    reports = [report for report in results if report is not None]
+    in_force_times = [report["in_force_s"] for report in reports if report["in_force_s"] is not None]
+    losses = [report for report in reports if report["evacuations"]]
+    ratios = [report["service"]["during"] / report["ideal"]["during"] for report in losses]
+    gains = [report["service"]["during"] - report["single_level"]["service"]["during"] for report in losses]
+    attempt_ratios = [
+        report["attempts_each"]["after"] / report["attempts_each"]["before"] for report in reports
+    ]
+    return_times = [report["back_s"] for report in losses if report["back_s"] is not None]
     print(
-        f"dead {sum(len(one['dead']) for one in told)}, false {sum(one['false_evacuations'] for one in told)}"
+        f"plays {len(reports)} of {seeds}, "
+        f"rules broken {sum(sum(report['rules'].values()) for report in reports)}"
+    )
+    print(
+        f"dead {sum(len(report['dead']) for report in reports)}, "
+        f"false {sum(report['false_evacuations'] for report in reports)}"
     )
     if losses:
-        print(f"in force: median {statistics.median(forces):.2f} s, worst {max(forces):.2f} s")
+        print(
+            f"in force: median {statistics.median(in_force_times):.2f} s, worst {max(in_force_times):.2f} s"
+        )
         print(f"during over ideal: least {min(ratios):.3f}, median {statistics.median(ratios):.3f}")
-        print(f"during above single: least {min(above):+.3f}, median {statistics.median(above):+.3f}")
-        print(f"tries after over before: worst {max(storms):.3f}; back at home: worst {max(backs):.2f} s")
+        print(f"during above single: least {min(gains):+.3f}, median {statistics.median(gains):+.3f}")
+        print(
+            f"tries after over before: worst {max(attempt_ratios):.3f}; "
+            f"back at home: worst {max(return_times):.2f} s"
+        )
 
 
 if __name__ == "__main__":
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -36,45 +36,45 @@
 from .net.clients import read_messages
 from .net.messagepack import pack
 
-PATIENCE = 2.0  # seconds for one planner
-FLEET = click.option(
+PLANNER_TIMEOUT_S = 2.0  # seconds for one planner
+FLEET_OPTION = click.option(
     "--fleet", "path", type=click.Path(), envvar="BIRCHSLIP_FLEET", required=True, help="The fleet file."
 )
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
 Command = TypeVar("Command", bound=Callable[..., Any])
 
 
-class NotAsked(click.ClickException):
+class CommandError(click.ClickException):
     """It could not be asked, or not be started."""
 
     exit_code = 2
 
 
-def fleet_of(path: str) -> Fleet:
+def load_fleet(path: str) -> Fleet:
     try:
         return read_fleet(path)
-    except (InvalidInputError, OSError) as trouble:
-        raise NotAsked(str(trouble)) from None
+    except (InvalidInputError, OSError) as error:
+        raise CommandError(str(error)) from None
 
 
-METHODS = {OperatorCommand: "wish", EvictionRequest: "want", RolloutCommand: "release"}
+RPC_METHODS = {OperatorCommand: "wish", EvictionRequest: "want", RolloutCommand: "release"}
 
 
-def ask(address: str, wish: OperatorCommand | EvictionRequest | RolloutCommand) -> Any:
+def call_planner(address: str, request: OperatorCommand | EvictionRequest | RolloutCommand) -> Any:
     """One question to one planner; OSError or Malformed says why there is no answer."""
     host, _, port = address.rpartition(":")
-    with socket.create_connection((host, int(port)), PATIENCE) as link:
-        link.settimeout(PATIENCE)
-        link.sendall(pack([0, 1, METHODS[type(wish)], [encode(wish)]]))
+    with socket.create_connection((host, int(port)), PLANNER_TIMEOUT_S) as connection:
+        connection.settimeout(PLANNER_TIMEOUT_S)
+        connection.sendall(pack([0, 1, RPC_METHODS[type(request)], [encode(request)]]))
         buffer = Buffer(1 << 22)
-        until = time.monotonic() + PATIENCE
-        while time.monotonic() < until:
-            if not buffer.fill(link):
+        give_up_at = time.monotonic() + PLANNER_TIMEOUT_S
+        while time.monotonic() < give_up_at:
+            if not buffer.fill(connection):
                 raise OSError("ended by the planner")
-            read, trouble = read_messages(buffer)
-            if trouble:
-                raise OSError(trouble)
-            for message in read:
+            messages, problem = read_messages(buffer)
+            if problem:
+                raise OSError(problem)
+            for message in messages:
                 _, _, error, result = message
                 if error is not None:
                     raise InvalidInputError(str(error))
@@ -82,27 +82,29 @@
         raise OSError("no answer in time")
 
 
-def ask_any(fleet: Fleet, wish: OperatorCommand | EvictionRequest | RolloutCommand, planner: str = "") -> Any:
+def call_leader(
+    fleet: Fleet, request: OperatorCommand | EvictionRequest | RolloutCommand, planner_name: str = ""
+) -> Any:
     """The leader where it can be found, else whoever answers; wishes that change something want the
     leader.
     """
-    planners = [one for one in fleet.planners if planner in ("", one.name)]
+    planners = [planner for planner in fleet.planners if planner_name in ("", planner.name)]
     if not planners:
-        raise NotAsked(f"no planner is named {planner!r}")
-    operation = wish.action if isinstance(wish, RolloutCommand) else wish.operation
+        raise CommandError(f"no planner is named {planner_name!r}")
+    operation = request.action if isinstance(request, RolloutCommand) else request.operation
     shows_only = operation is OperatorOperation.SHOW or operation in READ_ACTIONS
-    answers, troubles = [], []
-    for one in planners:
+    answers, errors = [], []
+    for planner in planners:
         try:
-            answer = ask(one.address, wish)
-            if not shows_only or answer.get("leads") or planner:
+            answer = call_planner(planner.address, request)
+            if not shows_only or answer.get("leads") or planner_name:
                 return answer
             answers.append(answer)
-        except (OSError, ValueError) as trouble:
-            troubles.append(f"{one.name} at {one.address}: {trouble}")
+        except (OSError, ValueError) as error:
+            errors.append(f"{planner.name} at {planner.address}: {error}")
     if answers:
         return answers[0]
-    raise NotAsked("no planner could be asked\n" + "\n".join(troubles))
+    raise CommandError("no planner could be asked\n" + "\n".join(errors))
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -111,7 +113,7 @@
 
 
 @cli.command()
-@FLEET
+@FLEET_OPTION
 @click.option("--name", required=True, help="Which planner of the fleet file this is.")
 @click.option("--folder", type=click.Path(path_type=Path), required=True, help="For what must survive.")
 def planner(path: str, name: str, folder: Path) -> None:
@@ -119,9 +121,9 @@
     from .cluster.planner import run_planner
 
     try:
-        run_planner(fleet_of(path), name, folder, path=path)
-    except (InvalidInputError, OSError) as trouble:
-        raise NotAsked(str(trouble)) from None
+        run_planner(load_fleet(path), name, folder, path=path)
+    except (InvalidInputError, OSError) as error:
+        raise CommandError(str(error)) from None
 
 
 @cli.group()
@@ -131,15 +133,17 @@
 
 @fleet.command()
 @click.argument("path", type=click.Path())
-@AS_JSON
+@JSON_OPTION
 def check(path: str, as_json: bool) -> None:
     """Check a fleet file whole; a line for each trouble and exit code 2."""
-    told = fleet_of(path)
-    members = sum(len(site.members) for site in told.sites)
+    loaded = load_fleet(path)
+    members = sum(len(site.members) for site in loaded.sites)
     if as_json:
-        click.echo(json.dumps({"planners": len(told.planners), "sites": len(told.sites), "members": members}))
+        click.echo(
+            json.dumps({"planners": len(loaded.planners), "sites": len(loaded.sites), "members": members})
+        )
     else:
-        click.echo(f"good: {len(told.planners)} planners, {len(told.sites)} sites, {members} members")
+        click.echo(f"good: {len(loaded.planners)} planners, {len(loaded.sites)} sites, {members} members")
 
 
 @fleet.command("schema")
@@ -149,54 +153,54 @@
 
 
 @fleet.command()
-@FLEET
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.option("--planner", "name", default="", help="Ask this one; else the leader.")
 def show(path: str, as_json: bool, name: str) -> None:
     """Members, sites, epoch, the plan in force and why."""
-    told = ask_any(fleet_of(path), OperatorCommand(operation=OperatorOperation.SHOW), name)
+    answer = call_leader(load_fleet(path), OperatorCommand(operation=OperatorOperation.SHOW), name)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(answer))
         return
     from .cluster.tables import show_fleet
 
-    show_fleet(told)
+    show_fleet(answer)
 
 
 @fleet.command("what-if")
-@FLEET
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.option("--lose", required=True, help="The site that is lost.")
-def foresee(path: str, as_json: bool, lose: str) -> None:
+def show_site_loss(path: str, as_json: bool, lose: str) -> None:
     """What the loss of a site would mean today; exit code 1 where load would be refused."""
-    told = ask_any(fleet_of(path), OperatorCommand(operation=OperatorOperation.WHAT_IF, site=lose))
+    answer = call_leader(load_fleet(path), OperatorCommand(operation=OperatorOperation.WHAT_IF, site=lose))
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(answer))
     else:
         from .cluster.tables import show_loss
 
-        show_loss(told)
-    if told["short_by"] > 0 or told.get("vault", {}).get("short_by", 0) > 0:
+        show_loss(answer)
+    if answer["short_by"] > 0 or answer.get("vault", {}).get("short_by", 0) > 0:
         raise SystemExit(1)
 
 
-def by_hand(path: str, as_json: bool, wish: OperatorCommand) -> None:
-    told = ask_any(fleet_of(path), wish)
-    done = "done" if told["done"] else "nothing to do"
-    click.echo(json.dumps(told) if as_json else f"{wish.operation} {wish.site}: {done}")
-    if not told["done"]:
+def submit_site_command(path: str, as_json: bool, command: OperatorCommand) -> None:
+    answer = call_leader(load_fleet(path), command)
+    outcome = "done" if answer["done"] else "nothing to do"
+    click.echo(json.dumps(answer) if as_json else f"{command.operation} {command.site}: {outcome}")
+    if not answer["done"]:
         raise SystemExit(1)
 
 
 @fleet.command()
-@FLEET
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.argument("site")
 @click.option("--who", required=True)
 @click.option("--why", required=True)
 def evacuate(path: str, as_json: bool, site: str, who: str, why: str) -> None:
     """Send a site's load elsewhere by hand; only `return` lets it back."""
-    by_hand(
+    submit_site_command(
         path,
         as_json,
         OperatorCommand(operation=OperatorOperation.EVACUATE, site=site, operator=who, reason=why),
@@ -204,80 +208,88 @@
 
 
 @fleet.command("return")
-@FLEET
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.argument("site")
 @click.option("--who", required=True)
-def give_back(path: str, as_json: bool, site: str, who: str) -> None:
+def return_site(path: str, as_json: bool, site: str, who: str) -> None:
     """Let a site back that was evacuated by hand, in the usual steps."""
-    by_hand(path, as_json, OperatorCommand(operation=OperatorOperation.RESTORE, site=site, operator=who))
+    submit_site_command(
+        path, as_json, OperatorCommand(operation=OperatorOperation.RESTORE, site=site, operator=who)
+    )
 
 
-def wanted(path: str, as_json: bool, want: EvictionRequest) -> None:
+def submit_eviction_request(path: str, as_json: bool, request: EvictionRequest) -> None:
     """Exit code 1 where it is not granted."""
-    told = ask_any(fleet_of(path), want)
+    answer = call_leader(load_fleet(path), request)
     if as_json:
-        click.echo(json.dumps(told))
-    elif told["granted"]:
+        click.echo(json.dumps(answer))
+    elif answer["granted"]:
         click.echo(
-            f"{want.operation} {want.holder}: granted"
-            + (f", permit {told['number']}" if told["number"] else "")
+            f"{request.operation} {request.holder}: granted"
+            + (f", permit {answer['number']}" if answer["number"] else "")
         )
     else:
-        place = f", place {told['place']}" if told["place"] else ""
-        click.echo(f"{want.operation} {want.holder}: not granted{place}: {told['why']}")
-    if not told["granted"]:
+        position = f", place {answer['place']}" if answer["place"] else ""
+        click.echo(f"{request.operation} {request.holder}: not granted{position}: {answer['why']}")
+    if not answer["granted"]:
         raise SystemExit(1)
 
 
 @fleet.command()
-@FLEET
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.argument("member")
 @click.option("--why", required=True)
 @click.option("--past", is_flag=True, help="Past the budgets, by an override that stands.")
 def permit(path: str, as_json: bool, member: str, why: str, past: bool) -> None:
     """Ask that a member may be out; asking again keeps its place, or tells of the same permit."""
     operation = EvictionOperation.BYPASS_BUDGET if past else EvictionOperation.REQUEST_PERMIT
-    wanted(path, as_json, EvictionRequest(operation=operation, holder=member, reason=why))
+    submit_eviction_request(path, as_json, EvictionRequest(operation=operation, holder=member, reason=why))
 
 
 @fleet.command("hand-back")
-@FLEET
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.argument("member")
 def hand_back(path: str, as_json: bool, member: str) -> None:
     """A member that has not gone out will not go; one that has is seen back by itself."""
-    wanted(path, as_json, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=member))
+    submit_eviction_request(
+        path, as_json, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=member)
+    )
 
 
 @fleet.command()
-@FLEET
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.argument("member")
 @click.option("--who", required=True)
 def strike(path: str, as_json: bool, member: str, who: str) -> None:
     """A member will not come back: its permit ends."""
-    wanted(
+    submit_eviction_request(
         path, as_json, EvictionRequest(operation=EvictionOperation.REVOKE_PERMIT, holder=member, operator=who)
     )
 
 
 @fleet.command()
-@FLEET
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.option("--who", required=True)
 @click.option("--why", required=True)
 @click.option("--count", type=click.IntRange(1, 3), default=1, show_default=True)
 @click.option("--minutes", type=click.IntRange(1, 60), default=10, show_default=True)
 def override(path: str, as_json: bool, who: str, why: str, count: int, minutes: int) -> None:
     """In an emergency: let so many out past the budgets. It stands in the record."""
-    span = minutes * 60 * 10_000
-    wanted(
+    override_span = minutes * 60 * 10_000
+    submit_eviction_request(
         path,
         as_json,
         EvictionRequest(
-            operation=EvictionOperation.GRANT_OVERRIDE, operator=who, reason=why, count=count, span=span
+            operation=EvictionOperation.GRANT_OVERRIDE,
+            operator=who,
+            reason=why,
+            count=count,
+            span=override_span,
         ),
     )
 
@@ -288,21 +300,21 @@
 
 
 @release.command("check")
-@FLEET
-@AS_JSON
+@FLEET_OPTION
+@JSON_OPTION
 @click.argument("file", type=click.Path())
 def check_release(path: str, as_json: bool, file: str) -> None:
     """Check a release file against the fleet file, and say who goes when; nothing is begun."""
-    plan, parts = plan_of(file), fleet_of(path).rollout_scopes()
-    stranger = find_unknown_part(plan, parts)
-    if stranger:
-        raise NotAsked(f"{file}: {stranger}")
-    batches = plan_batches(plan, parts)
+    spec, scopes = load_release(file), load_fleet(path).rollout_scopes()
+    unknown_part = find_unknown_part(spec, scopes)
+    if unknown_part:
+        raise CommandError(f"{file}: {unknown_part}")
+    batches = plan_batches(spec, scopes)
     if as_json:
         click.echo(json.dumps({"batches": batches}))
     else:
-        for place, batch in enumerate(batches):
-            click.echo(f"{'canaries' if not place else f'batch {place}'}: {', '.join(batch)}")
+        for index, batch in enumerate(batches):
+            click.echo(f"{'canaries' if not index else f'batch {index}'}: {', '.join(batch)}")
 
 
 @release.command("schema")
@@ -311,89 +323,97 @@
     click.echo(json.dumps(release_schema(), indent=2))
 
 
-def plan_of(file: str) -> RolloutSpec:
+def load_release(file: str) -> RolloutSpec:
     try:
         return read_release(file)
-    except (InvalidInputError, OSError) as trouble:
-        raise NotAsked(str(trouble)) from None
+    except (InvalidInputError, OSError) as error:
+        raise CommandError(str(error)) from None
 
 
-def word(path: str, as_json: bool, told: RolloutCommand) -> None:
+def submit_rollout_command(path: str, as_json: bool, command: RolloutCommand) -> None:
     """Exit code 1 where nothing came of it."""
-    said = ask_any(fleet_of(path), told)
+    answer = call_leader(load_fleet(path), command)
     if as_json:
-        click.echo(json.dumps(said))
+        click.echo(json.dumps(answer))
     else:
-        number = f" {said['number']}" if said["number"] else ""
+        number = f" {answer['number']}" if answer["number"] else ""
         click.echo(
-            f"{told.action.value}{number}: done"
-            if said["done"]
-            else f"{told.action.value}{number}: no: {said['why']}"
+            f"{command.action.value}{number}: done"
+            if answer["done"]
+            else f"{command.action.value}{number}: no: {answer['why']}"
         )
-    if not said["done"]:
+    if not answer["done"]:
         raise SystemExit(1)
 
 
-NUMBER = click.option("--number", type=int, default=0, help="Which release, where there are several.")
-WHO = click.option("--who", required=True)
+NUMBER_OPTION = click.option("--number", type=int, default=0, help="Which release, where there are several.")
+OPERATOR_OPTION = click.option("--who", required=True)
 
 
 @release.command("start")
-@FLEET
-@AS_JSON
-@WHO
+@FLEET_OPTION
+@JSON_OPTION
+@OPERATOR_OPTION
 @click.argument("file", type=click.Path())
 def start_release(path: str, as_json: bool, who: str, file: str) -> None:
     """Begin a release; it is checked whole before the first drain."""
-    word(path, as_json, RolloutCommand(action=RolloutAction.START, operator=who, spec=plan_of(file)))
+    submit_rollout_command(
+        path, as_json, RolloutCommand(action=RolloutAction.START, operator=who, spec=load_release(file))
+    )
 
 
 @release.command()
-@FLEET
-@AS_JSON
-@NUMBER
-@WHO
+@FLEET_OPTION
+@JSON_OPTION
+@NUMBER_OPTION
+@OPERATOR_OPTION
 @click.option("--why", default="")
 def halt(path: str, as_json: bool, number: int, who: str, why: str) -> None:
     """No drain begins any more; all that run are meant where no number is told."""
-    word(path, as_json, RolloutCommand(action=RolloutAction.HALT, number=number, operator=who, reason=why))
+    submit_rollout_command(
+        path, as_json, RolloutCommand(action=RolloutAction.HALT, number=number, operator=who, reason=why)
+    )
 
 
 @release.command()
-@FLEET
-@AS_JSON
-@NUMBER
-@WHO
+@FLEET_OPTION
+@JSON_OPTION
+@NUMBER_OPTION
+@OPERATOR_OPTION
 def resume(path: str, as_json: bool, number: int, who: str) -> None:
     """Go on with a release that was halted, and not because its version is bad."""
-    word(path, as_json, RolloutCommand(action=RolloutAction.RESUME, number=number, operator=who))
+    submit_rollout_command(
+        path, as_json, RolloutCommand(action=RolloutAction.RESUME, number=number, operator=who)
+    )
 
 
 @release.command()
-@FLEET
-@AS_JSON
-@NUMBER
-@WHO
+@FLEET_OPTION
+@JSON_OPTION
+@NUMBER_OPTION
+@OPERATOR_OPTION
 def back(path: str, as_json: bool, number: int, who: str) -> None:
     """Take every released member back to the version before, the newest batch first."""
-    word(path, as_json, RolloutCommand(action=RolloutAction.ROLL_BACK, number=number, operator=who))
+    submit_rollout_command(
+        path, as_json, RolloutCommand(action=RolloutAction.ROLL_BACK, number=number, operator=who)
+    )
 
 
 @release.command()
-@FLEET
-@AS_JSON
-@NUMBER
+@FLEET_OPTION
+@JSON_OPTION
+@NUMBER_OPTION
 @click.option("--follow", is_flag=True, help="Until nothing runs any more; exit code 1 unless all is done.")
 def status(path: str, as_json: bool, number: int, follow: bool) -> None:
     """Where each release stands, what it waits for, and the figures that it is judged by."""
-    told = fleet_of(path)
-    asked = RolloutCommand(action=RolloutAction.STATUS, number=number)
+    loaded = load_fleet(path)
+    command = RolloutCommand(action=RolloutAction.STATUS, number=number)
     if follow:
         from .cluster.tables import follow_rollouts
 
-        phases = follow_rollouts(lambda: ask_any(told, asked)["releases"], as_json)
+        phases = follow_rollouts(lambda: call_leader(loaded, command)["releases"], as_json)
         raise SystemExit(0 if set(phases) <= {"done", "back"} else 1)
-    answer = ask_any(told, asked)
+    answer = call_leader(loaded, command)
     if as_json:
         click.echo(json.dumps(answer))
     else:
@@ -403,18 +423,18 @@
 
 
 @release.command()
-@FLEET
-@AS_JSON
-@NUMBER
+@FLEET_OPTION
+@JSON_OPTION
+@NUMBER_OPTION
 def history(path: str, as_json: bool, number: int) -> None:
     """What became of each release, line by line, from its start."""
-    answer = ask_any(fleet_of(path), RolloutCommand(action=RolloutAction.HISTORY, number=number))
+    answer = call_leader(load_fleet(path), RolloutCommand(action=RolloutAction.HISTORY, number=number))
     if as_json:
         click.echo(json.dumps(answer))
         return
-    for one in reversed(answer["releases"]):
-        click.echo(f"release {one['number']} of {one['version']}: {one['phase']}")
-        for line in one["history"]:
+    for rollout in reversed(answer["releases"]):
+        click.echo(f"release {rollout['number']} of {rollout['version']}: {rollout['phase']}")
+        for line in rollout["history"]:
             click.echo(f"  {line}")
 
 
@@ -423,56 +443,56 @@
     """Kept results of labelled transactions: a store looked at from outside."""
 
 
-FOLDER = click.argument("folder", type=click.Path(path_type=Path))
+FOLDER_ARGUMENT = click.argument("folder", type=click.Path(path_type=Path))
 
 
-def of_store(act: Callable[[], msgspec.Struct], as_json: bool) -> dict[str, Any]:
+def print_store_report(operation: Callable[[], msgspec.Struct], as_json: bool) -> dict[str, Any]:
     try:
-        told: dict[str, Any] = msgspec.to_builtins(act())
-    except (ValueError, OSError) as trouble:
-        raise NotAsked(str(trouble)) from None
+        report: dict[str, Any] = msgspec.to_builtins(operation())
+    except (ValueError, OSError) as error:
+        raise CommandError(str(error)) from None
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(report))
     else:
-        for name, value in told.items():
+        for name, value in report.items():
             click.echo(f"{name:14} {value}")
-    return told
+    return report
 
 
-def unix_now() -> int:
+def unix_time_now() -> int:
     return time.time_ns() // 100_000
 
 
 @keep.command("show")
-@FOLDER
-@AS_JSON
+@FOLDER_ARGUMENT
+@JSON_OPTION
 def show_kept(folder: Path, as_json: bool) -> None:
     """Entries, ages, bytes, unknown and torn ones; also while a program has the store."""
     from .idempotency.maintenance import show_store
 
-    of_store(lambda: show_store(folder, unix_now()), as_json)
+    print_store_report(lambda: show_store(folder, unix_time_now()), as_json)
 
 
 @keep.command("verify")
-@FOLDER
-@AS_JSON
+@FOLDER_ARGUMENT
+@JSON_OPTION
 def verify_kept(folder: Path, as_json: bool) -> None:
     """Read every record whole; exit code 1 where one can't be."""
     from .idempotency.maintenance import verify_store
 
-    told = of_store(lambda: verify_store(folder), as_json)
-    if told["troubles"] or not told["heads"]:
+    report = print_store_report(lambda: verify_store(folder), as_json)
+    if report["troubles"] or not report["heads"]:
         raise SystemExit(1)
 
 
 @keep.command("compact")
-@FOLDER
-@AS_JSON
+@FOLDER_ARGUMENT
+@JSON_OPTION
 def compact_kept(folder: Path, as_json: bool) -> None:
     """What is in its window, in one file; only while no program has the store."""
     from .idempotency.maintenance import compact_store
 
-    of_store(lambda: compact_store(folder, unix_now()), as_json)
+    print_store_report(lambda: compact_store(folder, unix_time_now()), as_json)
 
 
 @keep.command("schema")
@@ -488,19 +508,19 @@
     """Expectations of routing, written beside the configuration and checked with no traffic."""
 
 
-PATHS = click.argument("paths", nargs=-1, type=click.Path())  # this folder where none is told
-SEED = click.option("--seed", type=int, default=1, show_default=True)
+PATHS_ARGUMENT = click.argument("paths", nargs=-1, type=click.Path())  # this folder where none is told
+SEED_OPTION = click.option("--seed", type=int, default=1, show_default=True)
 
 
-def against(act: Command) -> Command:
+def with_source_options(command: Command) -> Command:
     """The files that expectations are held against."""
     for option in (
         click.option("--world", type=click.Path(), default=None, help="What is around: a world file."),
         click.option("--fleet", type=click.Path(), envvar="BIRCHSLIP_FLEET", default=None),
         click.option("--config", type=click.Path(), envvar="PROXY_CONFIG", required=True),
     ):
-        act = option(act)
-    return act
+        command = option(command)
+    return command
 
 
 def read_expectations(paths: tuple[str, ...], config: str, fleet: str | None, world: str | None) -> Any:
@@ -511,14 +531,14 @@
     try:
         sources = read_sources(config, fleet, world)
         return sources, *read_statements(paths or (".",), sources)
-    except (InvalidInputError, OSError) as trouble:
-        raise NotAsked(str(trouble)) from None
+    except (InvalidInputError, OSError) as error:
+        raise CommandError(str(error)) from None
 
 
 @expect.command("check")
-@PATHS
-@against
-@SEED
+@PATHS_ARGUMENT
+@with_source_options
+@SEED_OPTION
 @click.option(
     "--seeds", type=click.IntRange(1, 64), default=3, show_default=True, help="Plays of each situation."
 )
@@ -557,22 +577,22 @@
 
 
 @expect.command("list")
-@PATHS
-@against
+@PATHS_ARGUMENT
+@with_source_options
 def list_expectations(paths: tuple[str, ...], config: str, fleet: str | None, world: str | None) -> None:
     """Every statement with its place, as it was understood."""
     _, statements, empty = read_expectations(paths, config, fleet, world)
-    for one in statements:
-        click.echo(f"{one.name:28} {one.location.describe()}: {one.describe()}")
+    for statement in statements:
+        click.echo(f"{statement.name:28} {statement.location.describe()}: {statement.describe()}")
     for name in empty:
         click.echo(f"{name}: nothing is expected there")
 
 
 @expect.command("explain")
 @click.argument("name")
-@PATHS
-@against
-@SEED
+@PATHS_ARGUMENT
+@with_source_options
+@SEED_OPTION
 def explain_expectation(
     name: str, paths: tuple[str, ...], config: str, fleet: str | None, world: str | None, seed: int
 ) -> None:
@@ -581,22 +601,24 @@
     from .expect.report import explain_statement
 
     sources, statements, _ = read_expectations(paths, config, fleet, world)
-    some = [one for one in statements if one.name == name]
-    if not some:
+    matching = [statement for statement in statements if statement.name == name]
+    if not matching:
         from difflib import get_close_matches
 
-        near = get_close_matches(name, [one.name for one in statements], 1, 0.5)
-        raise NotAsked(f"nothing is named {name!r}" + (f", was {near[0]!r} meant?" if near else ""))
-    report = Check(sources, some, seed).run()
-    for line in explain_statement(some[0], report, sources):
+        close_names = get_close_matches(name, [statement.name for statement in statements], 1, 0.5)
+        raise CommandError(
+            f"nothing is named {name!r}" + (f", was {close_names[0]!r} meant?" if close_names else "")
+        )
+    report = Check(sources, matching, seed).run()
+    for line in explain_statement(matching[0], report, sources):
         click.echo(line)
     raise SystemExit(report.exit_code)
 
 
 @expect.command("mutate")
-@PATHS
-@against
-@SEED
+@PATHS_ARGUMENT
+@with_source_options
+@SEED_OPTION
 @click.option("--seeds", type=click.IntRange(1, 64), default=1, show_default=True)
 @click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="Where the report goes.")
 def mutate_settings(
@@ -613,29 +635,30 @@
 
     sources, statements, _ = read_expectations(paths, config, fleet, world)
 
-    def tell(one: Any) -> None:
-        by = f": {one.detected_by}" if one.detected_by else ""
-        mark = "seen" if one.is_detected else "NOT "
+    def print_mutation(mutation: Any) -> None:
+        detector = f": {mutation.detected_by}" if mutation.detected_by else ""
+        verdict = "seen" if mutation.is_detected else "NOT "
         click.echo(
-            f"{mark}  {one.path_label}: {one.change.old} -> {one.change.new}: {one.detection.value}{by}"
+            f"{verdict}  {mutation.path_label}: {mutation.change.old} -> {mutation.change.new}: "
+            f"{mutation.detection.value}{detector}"
         )
 
-    found = mutate(sources, statements, seed, seeds, tell)
-    seen = sum(1 for one in found if one.is_detected)
-    click.echo(f"{seen} of {len(found)} breaks are seen")
+    mutations = mutate(sources, statements, seed, seeds, print_mutation)
+    seen = sum(1 for mutation in mutations if mutation.is_detected)
+    click.echo(f"{seen} of {len(mutations)} breaks are seen")
     if out is not None:
         rows = [
             {
-                "place": one.path_label,
-                "was": one.change.old,
-                "then": one.change.new,
-                "seen": one.detection.value,
-                "by": one.detected_by,
+                "place": mutation.path_label,
+                "was": mutation.change.old,
+                "then": mutation.change.new,
+                "seen": mutation.detection.value,
+                "by": mutation.detected_by,
             }
-            for one in found
+            for mutation in mutations
         ]
-        out.write_text(json.dumps({"breaks": rows, "seen": seen, "of": len(found)}, indent=2) + "\n")
-    if seen < 0.9 * len(found):
+        out.write_text(json.dumps({"breaks": rows, "seen": seen, "of": len(mutations)}, indent=2) + "\n")
+    if seen < 0.9 * len(mutations):
         raise SystemExit(1)
 
 
@@ -653,20 +676,20 @@
 
 
 @lab.command("faults")
-@AS_JSON
+@JSON_OPTION
 def faults(as_json: bool) -> None:
     """The names that --fault takes."""
     from .lab.faults import FAULTS
     from .lab.kept_play import FAULTS as KEPT_FAULTS
     from .lab.release_faults import FAULTS as RELEASE_FAULTS
 
-    told = {"site-loss": FAULTS, "release": RELEASE_FAULTS, "kept": KEPT_FAULTS}
+    faults_by_scenario = {"site-loss": FAULTS, "release": RELEASE_FAULTS, "kept": KEPT_FAULTS}
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(faults_by_scenario))
         return
-    for play_of, some in told.items():
-        for name, what in some.items():
-            click.echo(f"{play_of:10} {name:24} {what}")
+    for scenario, descriptions in faults_by_scenario.items():
+        for name, description in descriptions.items():
+            click.echo(f"{scenario:10} {name:24} {description}")
 
 
 @lab.command("stand")
@@ -675,18 +698,18 @@
 @click.option("--load", type=click.FloatRange(0.05, 3.0), default=0.5, show_default=True)
 @click.option("--minutes", type=click.FloatRange(0.1, 120), default=10, show_default=True)
 @click.option("--folder", type=click.Path(path_type=Path), required=True, help="Logs and files; kept.")
-def stand_up(servers: int, version: str, load: float, minutes: float, folder: Path) -> None:
+def run_interactive_fleet(servers: int, version: str, load: float, minutes: float, folder: Path) -> None:
     """Stand up a small fleet among stand-ins, for releases by hand from another shell."""
-    from .lab.release_play import ReleaseTold, stand
+    from .lab.release_play import ReleaseOptions, run_interactive
     from .lab.versions import KINDS
 
     if version not in KINDS:
-        raise NotAsked(f"no version is named {version!r}; there are {', '.join(KINDS)}")
+        raise CommandError(f"no version is named {version!r}; there are {', '.join(KINDS)}")
     if servers % 2:
-        raise NotAsked(f"{servers} app servers can't be spread evenly over 2 sites")
+        raise CommandError(f"{servers} app servers can't be spread evenly over 2 sites")
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
-    told = ReleaseTold(seed=1, sites=2, each=servers // 2, load=load, version=version, fault="none")
-    stand(told, folder, minutes, click.echo)
+    options = ReleaseOptions(seed=1, sites=2, each=servers // 2, load=load, version=version, fault="none")
+    run_interactive(options, folder, minutes, click.echo)
 
 
 @lab.group()
@@ -707,22 +730,22 @@
 @click.option("--logs", type=click.Path(path_type=Path), default=None, help="Keep the processes' logs here.")
 @click.option("--alone/--with-single-level", "alone", default=False, help="Without the comparison.")
 @click.option("--pace", type=click.FloatRange(0.3, 4.0), default=1.0, help="Lengths of the schedule's parts.")
-def site_loss(**told: Any) -> None:
+def run_site_loss_scenario(**options: Any) -> None:
     """The loss of a site and its return; exit code 1 where a rule is broken."""
     from .lab.faults import FAULTS
-    from .lab.site_loss import Told, play_site_loss
+    from .lab.site_loss import SiteLossOptions, run_site_loss
 
-    if told["fault"] not in FAULTS:
-        raise NotAsked(f"no fault is named {told['fault']!r}: see `lab faults`")
-    out = told.pop("out")
-    report = play_site_loss(Told(**told))
+    if options["fault"] not in FAULTS:
+        raise CommandError(f"no fault is named {options['fault']!r}: see `lab faults`")
+    report_path = options.pop("out")
+    report = run_site_loss(SiteLossOptions(**options))
     text = json.dumps(report, indent=2)
-    if out is None:
+    if report_path is None:
         click.echo(text)
     else:
-        out.write_text(text + "\n")
-        told = {name: report[name] for name in ("rules", "service", "dead")}
-        click.echo(json.dumps(told))
+        report_path.write_text(text + "\n")
+        summary = {name: report[name] for name in ("rules", "service", "dead")}
+        click.echo(json.dumps(summary))
     if any(report["rules"].values()) or report["dead"]:
         raise SystemExit(1)
 
@@ -739,26 +762,26 @@
 @click.option("--logs", type=click.Path(path_type=Path), default=None, help="Keep the processes' logs here.")
 @click.option("--alone/--with-comparison", "alone", default=False, help="Not also without the release.")
 @click.option("--margins", type=click.FloatRange(0.1, 20), default=1.0, help="Times the usual margins.")
-def play_a_release(**told: Any) -> None:
+def run_release_scenario(**options: Any) -> None:
     """A release through the fleet; exit code 1 where a rule or a budget is broken, or it is stuck."""
     from .lab.release_faults import FAULTS
-    from .lab.release_play import ReleaseTold, play_release
+    from .lab.release_play import ReleaseOptions, run_release
     from .lab.versions import KINDS
 
-    if told["fault"] not in FAULTS:
-        raise NotAsked(f"no fault is named {told['fault']!r}: see `lab faults`")
-    if told["version"] not in KINDS:
-        raise NotAsked(f"no version is named {told['version']!r}; there are {', '.join(KINDS)}")
-    servers, sites = told.pop("servers"), told["sites"]
+    if options["fault"] not in FAULTS:
+        raise CommandError(f"no fault is named {options['fault']!r}: see `lab faults`")
+    if options["version"] not in KINDS:
+        raise CommandError(f"no version is named {options['version']!r}; there are {', '.join(KINDS)}")
+    servers, sites = options.pop("servers"), options["sites"]
     if servers % sites:
-        raise NotAsked(f"{servers} app servers can't be spread evenly over {sites} sites")
-    out = told.pop("out")
-    report = play_release(ReleaseTold(each=servers // sites, **told))
+        raise CommandError(f"{servers} app servers can't be spread evenly over {sites} sites")
+    report_path = options.pop("out")
+    report = run_release(ReleaseOptions(each=servers // sites, **options))
     text = json.dumps(report, indent=2)
-    if out is None:
+    if report_path is None:
         click.echo(text)
     else:
-        out.write_text(text + "\n")
+        report_path.write_text(text + "\n")
         names = ("ended", "why", "halt_s", "exposed", "service", "took_s", "least_s", "broken")
         click.echo(json.dumps({name: report[name] for name in names}))
     if report["broken"]:
@@ -773,19 +796,19 @@
 @click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="Where the report goes.")
 @click.option("--logs", type=click.Path(path_type=Path), default=None, help="Keep the store and logs here.")
 @click.option("--alone/--with-comparison", "alone", default=False, help="Not also without a store.")
-def play_kept_results(**told: Any) -> None:
+def run_kept_scenario(**options: Any) -> None:
     """Labels at an app server that is killed again and again; exit code 1 where one ran twice."""
     from .lab.kept_play import FAULTS, KeptTold, play_kept
 
-    if told["fault"] not in FAULTS:
-        raise NotAsked(f"no fault is named {told['fault']!r}; there are {', '.join(FAULTS)}")
-    out = told.pop("out")
-    report = play_kept(KeptTold(sites=1, each=1, planners=0, fleet=False, **told))
+    if options["fault"] not in FAULTS:
+        raise CommandError(f"no fault is named {options['fault']!r}; there are {', '.join(FAULTS)}")
+    report_path = options.pop("out")
+    report = play_kept(KeptTold(sites=1, each=1, planners=0, fleet=False, **options))
     text = json.dumps(report, indent=2)
-    if out is None:
+    if report_path is None:
         click.echo(text)
     else:
-        out.write_text(text + "\n")
+        report_path.write_text(text + "\n")
         names = ("labels", "kills", "double_runs", "unanswered", "first_answer_again", "unknown", "broken")
         click.echo(json.dumps({name: report[name] for name in names}))
     if report["broken"]:
@@ -795,11 +818,11 @@
 def main() -> int:
     try:
         cli.main(prog_name="python -m birchslip", standalone_mode=False)
-    except click.ClickException as trouble:
-        trouble.show(sys.stderr)
-        return 2 if isinstance(trouble, click.UsageError) else trouble.exit_code
+    except click.ClickException as error:
+        error.show(sys.stderr)
+        return 2 if isinstance(error, click.UsageError) else error.exit_code
     except (click.Abort, KeyboardInterrupt):
         return 2
-    except SystemExit as end:
-        return int(end.code or 0)
+    except SystemExit as exit_request:
+        return int(exit_request.code or 0)
     return 0
--- a/birchslip/lab/explore.py
+++ b/birchslip/lab/explore.py
@@ -34,52 +34,52 @@
 from ..cluster.quota_leases import QuotaLeases
 
 SECOND = 10_000
-SPAN = 20_000  # of a share's lease
-PLAN_SPAN = 40_000
-TOTAL, KEPT_PART = 12.0, 0.5
-SKEW = 0.004  # clocks differ by less than this, either way
+CALL_LEASE_SPAN = 20_000  # of a share's lease
+PLAN_VALIDITY_SPAN = 40_000
+TOTAL_CALLS, UNLEASED_FRACTION = 12.0, 0.5
+MAX_CLOCK_SKEW = 0.004  # clocks differ by less than this, either way
 
 
-class Fault(AssertionError):
+class GuaranteeViolationError(AssertionError):
     """What must not be: the text says what and where."""
 
 
 @dataclass(eq=False)
-class Node:
+class PlannerNode:
     """One planner, with its clock and its disk."""
 
     name: str
-    offset: int
-    rate: float
-    ballot: Election
-    disk: DurableVote
-    older: DurableVote
-    up: bool = True
+    clock_offset: int
+    clock_rate: float
+    election: Election
+    flushed_vote: DurableVote
+    older_vote: DurableVote
+    is_up: bool = True
     paused_until: int = 0
-    shares: QuotaLeases | None = None
-    reign: int = 0
-    number: int = 0
-    kept_number: int = 0
+    quota_leases: QuotaLeases | None = None
+    leading_term: int = 0
+    state_number: int = 0
+    replicated_number: int = 0
     inbox: list[Callable[[], None]] = field(default_factory=list)
 
-    def clock(self, true: int) -> int:
-        return self.offset + int(true * self.rate)
+    def local_time(self, true_time: int) -> int:
+        return self.clock_offset + int(true_time * self.clock_rate)
 
 
 @dataclass(eq=False)
-class Seat:
+class MemberNode:
     """One member: what it obeys and may use."""
 
     name: str
-    offset: int
-    rate: float
-    obey: PlanSubscription
-    base: float
-    history: list[tuple[int, int]] = field(default_factory=list)
+    clock_offset: int
+    clock_rate: float
+    plan_subscription: PlanSubscription
+    base_calls: float
+    accepted_plans: list[tuple[int, int]] = field(default_factory=list)
     paused_until: int = 0
 
-    def clock(self, true: int) -> int:
-        return self.offset + int(true * self.rate)
+    def local_time(self, true_time: int) -> int:
+        return self.clock_offset + int(true_time * self.clock_rate)
 
 
 class Explorer:
@@ -90,166 +90,210 @@
     def __init__(
         self,
         seed: int,
-        planners: int = 3,
-        members: int = 3,
-        ballot: type[Election] = Election,
-        obedience: type[PlanSubscription] = PlanSubscription,
-        forgetful: bool = False,
+        planner_count: int = 3,
+        member_count: int = 3,
+        election_class: type[Election] = Election,
+        subscription_class: type[PlanSubscription] = PlanSubscription,
+        skips_flush: bool = False,
     ) -> None:
-        self.chance = random.Random(seed)
-        self.seed, self.true, self.steps = seed, 0, 0
-        self.ballot_kind, self.forgetful = ballot, forgetful
-        self.names = [f"p{n}" for n in range(planners)]
-        self.flight: list[tuple[int, Callable[[], None]]] = []
+        self.rng = random.Random(seed)
+        self.seed, self.true_time, self.steps = seed, 0, 0
+        self.election_class, self.skips_flush = election_class, skips_flush
+        self.planner_names = [f"p{n}" for n in range(planner_count)]
+        self.in_flight: list[tuple[int, Callable[[], None]]] = []
         self.serial = 0
-        self.nodes = {name: self.node(name) for name in self.names}
-        bases = {f"m{n}": TOTAL / members for n in range(members)}
-        self.bases = bases
-        self.seats = {}
-        for name, base in bases.items():
-            offset = self.chance.randrange(1 << 30)
-            obey = obedience(KEPT_PART * base, SECOND, offset)
-            self.seats[name] = Seat(name, offset, self.skew(), obey, base)
-        self.agreed = (0, 0)  # the newest that a majority kept
-        self.calm_until = 0
-        self.reigns = 0
-        self.most = 0.0
-
-    def skew(self) -> float:
-        return 1 + self.chance.uniform(-SKEW, SKEW)
-
-    def node(self, name: str) -> Node:
-        offset, rate = self.chance.randrange(1 << 30), self.skew()
-        durable = DurableVote()
-        ballot = self.made(name, durable, offset + int(self.true * rate))
-        return Node(name, offset, rate, ballot, deepcopy(ballot.durable), deepcopy(ballot.durable))
-
-    def made(self, name: str, durable: DurableVote, now: int) -> Election:
-        chance = random.Random(self.chance.getrandbits(64))
-        return self.ballot_kind(name, self.names, durable, self.chance.getrandbits(48), now, chance)
+        self.planners = {name: self.create_planner(name) for name in self.planner_names}
+        base_calls_by_member = {f"m{n}": TOTAL_CALLS / member_count for n in range(member_count)}
+        self.base_calls_by_member = base_calls_by_member
+        self.members = {}
+        for name, calls in base_calls_by_member.items():
+            clock_offset = self.rng.randrange(1 << 30)
+            plan_subscription = subscription_class(UNLEASED_FRACTION * calls, SECOND, clock_offset)
+            self.members[name] = MemberNode(
+                name, clock_offset, self.draw_clock_rate(), plan_subscription, calls
+            )
+        self.majority_state = (0, 0)  # the newest that a majority kept
+        self.no_fault_until = 0
+        self.leadership_count = 0
+        self.max_calls = 0.0
+
+    def draw_clock_rate(self) -> float:
+        return 1 + self.rng.uniform(-MAX_CLOCK_SKEW, MAX_CLOCK_SKEW)
+
+    def create_planner(self, name: str) -> PlannerNode:
+        clock_offset, clock_rate = self.rng.randrange(1 << 30), self.draw_clock_rate()
+        vote = DurableVote()
+        election = self.create_election(name, vote, clock_offset + int(self.true_time * clock_rate))
+        return PlannerNode(
+            name, clock_offset, clock_rate, election, deepcopy(election.durable), deepcopy(election.durable)
+        )
+
+    def create_election(self, name: str, vote: DurableVote, now: int) -> Election:
+        rng = random.Random(self.rng.getrandbits(64))
+        return self.election_class(name, self.planner_names, vote, self.rng.getrandbits(48), now, rng)
 
     # ---- messages --------------------------------------------------------------------------------------
 
-    def post(self, act: Callable[[], None]) -> None:
+    def post_message(self, action: Callable[[], None]) -> None:
         """Lost, doubled, late or in time."""
-        draw = self.chance.random()
+        draw = self.rng.random()
         if draw < 0.12:
             return
         for _ in range(2 if draw > 0.92 else 1):
-            late = self.chance.random()
-            delay = self.chance.randrange(20, 400) if late < 0.85 else self.chance.randrange(400, 12_000)
-            self.flight.append((self.true + delay, act))
+            delay_draw = self.rng.random()
+            delay = self.rng.randrange(20, 400) if delay_draw < 0.85 else self.rng.randrange(400, 12_000)
+            self.in_flight.append((self.true_time + delay, action))
 
-    def to_node(self, node: Node, act: Callable[[], None]) -> None:
+    def send_to_planner(self, planner: PlannerNode, action: Callable[[], None]) -> None:
         """What reaches one that is paused waits for it; one that is down never hears it."""
-        life = node.ballot
+        election = planner.election
 
-        def guarded() -> None:
-            if not node.up or node.ballot is not life:
+        def deliver() -> None:
+            if not planner.is_up or planner.election is not election:
                 return
-            if self.true < node.paused_until:
-                node.inbox.append(guarded)
+            if self.true_time < planner.paused_until:
+                planner.inbox.append(deliver)
             else:
-                act()
-
-        self.post(guarded)
-
-    def flush(self, node: Node) -> None:
-        if node.ballot.needs_flush and not self.forgetful:
-            if self.chance.random() < 0.1:
-                node.older = deepcopy(node.disk)
-            node.disk = deepcopy(node.ballot.durable)
-        node.ballot.needs_flush = False
-
-    def send(self, node: Node, record: Message) -> None:
-        sent = node.clock(self.true)
-        for other in self.nodes.values():
-            if other is not node:
-                self.to_node(other, partial(self.take, other, node, record, sent))
-
-    def take(self, node: Node, sender: Node, record: Message, sent: int) -> None:
-        now = node.clock(self.true)
+                action()
+
+        self.post_message(deliver)
+
+    def flush(self, planner: PlannerNode) -> None:
+        if planner.election.needs_flush and not self.skips_flush:
+            if self.rng.random() < 0.1:
+                planner.older_vote = deepcopy(planner.flushed_vote)
+            planner.flushed_vote = deepcopy(planner.election.durable)
+        planner.election.needs_flush = False
+
+    def broadcast(self, planner: PlannerNode, record: Message) -> None:
+        sent_at = planner.local_time(self.true_time)
+        for recipient in self.planners.values():
+            if recipient is not planner:
+                self.send_to_planner(
+                    recipient, partial(self.handle_message, recipient, planner, record, sent_at)
+                )
+
+    def handle_message(
+        self, planner: PlannerNode, sender: PlannerNode, record: Message, sent_at: int
+    ) -> None:
+        now = planner.local_time(self.true_time)
         if isinstance(record, VoteRequest):
-            answer = node.ballot.handle_vote_request(record, now)
-            answer.observations = deepcopy(answer.observations)
-            self.flush(node)
-            self.to_node(sender, lambda: self.answered(sender, answer, record.term, sent))
+            vote_response = planner.election.handle_vote_request(record, now)
+            vote_response.observations = deepcopy(vote_response.observations)
+            self.flush(planner)
+            self.send_to_planner(
+                sender, lambda: self.handle_vote_response(sender, vote_response, record.term, sent_at)
+            )
         elif isinstance(record, ReplicationRequest):
-            kept = node.ballot.handle_replication_request(record, now)
-            self.flush(node)
-            self.to_node(sender, lambda: self.kept(sender, kept, record))
+            replication_response = planner.election.handle_replication_request(record, now)
+            self.flush(planner)
+            self.send_to_planner(
+                sender, lambda: self.handle_replication_response(sender, replication_response, record)
+            )
 
-    def answered(self, node: Node, answer: VoteResponse, epoch: int, sent: int) -> None:
-        node.ballot.handle_vote_response(answer, epoch, sent, node.clock(self.true))
-        self.flush(node)
+    def handle_vote_response(
+        self, planner: PlannerNode, response: VoteResponse, term: int, sent_at: int
+    ) -> None:
+        planner.election.handle_vote_response(response, term, sent_at, planner.local_time(self.true_time))
+        self.flush(planner)
 
-    def kept(self, node: Node, kept: ReplicationResponse, told: ReplicationRequest) -> None:
-        if told.term == node.reign and node.ballot.handle_replication_response(kept, told.state_number):
-            node.kept_number = max(node.kept_number, told.state_number)
-            self.agreed = max(self.agreed, (told.term, told.state_number))
+    def handle_replication_response(
+        self, planner: PlannerNode, response: ReplicationResponse, request: ReplicationRequest
+    ) -> None:
+        if request.term == planner.leading_term and planner.election.handle_replication_response(
+            response, request.state_number
+        ):
+            planner.replicated_number = max(planner.replicated_number, request.state_number)
+            self.majority_state = max(self.majority_state, (request.term, request.state_number))
 
     # ---- planners act ----------------------------------------------------------------------------------
 
-    def act(self, node: Node) -> None:
-        now = node.clock(self.true)
-        ask = node.ballot.next_vote_request(now)
-        if ask is not None:
-            ask.observations = deepcopy(ask.observations)
-            own = node.ballot.handle_vote_request(ask, now)
-            self.flush(node)
-            node.ballot.handle_vote_response(own, ask.term, now, now)
-            self.send(node, ask)
-        if not node.ballot.is_leading(now):
-            node.reign = 0
+    def run_planner(self, planner: PlannerNode) -> None:
+        now = planner.local_time(self.true_time)
+        vote_request = planner.election.next_vote_request(now)
+        if vote_request is not None:
+            vote_request.observations = deepcopy(vote_request.observations)
+            own_vote = planner.election.handle_vote_request(vote_request, now)
+            self.flush(planner)
+            planner.election.handle_vote_response(own_vote, vote_request.term, now, now)
+            self.broadcast(planner, vote_request)
+        if not planner.election.is_leading(now):
+            planner.leading_term = 0
             return
-        if node.reign != node.ballot.term:
-            node.reign, node.number, node.kept_number = node.ballot.term, 1, 0
-            node.shares = QuotaLeases(self.bases, TOTAL, KEPT_PART, SPAN, now)
-            self.reigns += 1
-            found = node.ballot.newest_state[:2]
-            if found < self.agreed:
-                raise Fault(f"{node.name} leads with {found}, and a majority kept {self.agreed}")
-        elif self.chance.random() < 0.02:
-            node.number += 1
-        if node.kept_number < node.number and self.chance.random() < 0.3:
-            told = ReplicationRequest(
-                term=node.reign,
-                state_number=node.number,
-                leader=node.name,
-                incarnation=node.ballot.incarnation,
-                state=b"%d" % node.number,
+        if planner.leading_term != planner.election.term:
+            planner.leading_term, planner.state_number, planner.replicated_number = (
+                planner.election.term,
+                1,
+                0,
             )
-            own_kept = node.ballot.handle_replication_request(told, now)
-            self.flush(node)
-            self.kept(node, own_kept, told)
-            self.send(node, told)
+            planner.quota_leases = QuotaLeases(
+                self.base_calls_by_member, TOTAL_CALLS, UNLEASED_FRACTION, CALL_LEASE_SPAN, now
+            )
+            self.leadership_count += 1
+            recovered_state = planner.election.newest_state[:2]
+            if recovered_state < self.majority_state:
+                raise GuaranteeViolationError(
+                    f"{planner.name} leads with {recovered_state}, and a majority kept {self.majority_state}"
+                )
+        elif self.rng.random() < 0.02:
+            planner.state_number += 1
+        if planner.replicated_number < planner.state_number and self.rng.random() < 0.3:
+            request = ReplicationRequest(
+                term=planner.leading_term,
+                state_number=planner.state_number,
+                leader=planner.name,
+                incarnation=planner.election.incarnation,
+                state=b"%d" % planner.state_number,
+            )
+            own_response = planner.election.handle_replication_request(request, now)
+            self.flush(planner)
+            self.handle_replication_response(planner, own_response, request)
+            self.broadcast(planner, request)
 
     # ---- members ---------------------------------------------------------------------------------------
 
-    def report(self, seat: Seat) -> None:
-        node = self.nodes[self.chance.choice(self.names)]
-        sent = seat.clock(self.true)
-        held = (
-            max(0.0, seat.obey.allowed_calls(sent) - seat.obey.unleased_calls)
-            if seat.obey.lease_remaining(sent)
+    def send_report(self, member: MemberNode) -> None:
+        planner = self.planners[self.rng.choice(self.planner_names)]
+        sent_at = member.local_time(self.true_time)
+        leased_calls = (
+            max(
+                0.0, member.plan_subscription.allowed_calls(sent_at) - member.plan_subscription.unleased_calls
+            )
+            if member.plan_subscription.lease_remaining(sent_at)
             else 0.0
         )
-        wanted = self.chance.choice((0.0, 0.5, 1.0, 2.0, 6.0))
-        epoch = seat.obey.term
-        self.to_node(node, lambda: self.heard(node, seat, held, wanted, epoch, sent))
-
-    def heard(self, node: Node, seat: Seat, held: float, wanted: float, epoch: int, sent: int) -> None:
-        now = node.clock(self.true)
-        if epoch > node.ballot.highest_term:
-            node.ballot.observe_term(epoch)
-        if not node.ballot.is_leading(now) or node.reign != node.ballot.term or not node.kept_number:
+        wanted_calls = self.rng.choice((0.0, 0.5, 1.0, 2.0, 6.0))
+        term = member.plan_subscription.term
+        self.send_to_planner(
+            planner, lambda: self.handle_report(planner, member, leased_calls, wanted_calls, term, sent_at)
+        )
+
+    def handle_report(
+        self,
+        planner: PlannerNode,
+        member: MemberNode,
+        leased_calls: float,
+        wanted_calls: float,
+        term: int,
+        sent_at: int,
+    ) -> None:
+        now = planner.local_time(self.true_time)
+        if term > planner.election.highest_term:
+            planner.election.observe_term(term)
+        if (
+            not planner.election.is_leading(now)
+            or planner.leading_term != planner.election.term
+            or not planner.replicated_number
+        ):
             return
-        assert node.shares is not None
-        share = KEPT_PART * seat.base + node.shares.grant(seat.name, wanted, held, now)
-        tell = PlanAssignment(
-            term=node.reign,
-            number=node.kept_number,
-            validity_span=PLAN_SPAN,
+        assert planner.quota_leases is not None
+        call_limit = UNLEASED_FRACTION * member.base_calls + planner.quota_leases.grant(
+            member.name, wanted_calls, leased_calls, now
+        )
+        assignment = PlanAssignment(
+            term=planner.leading_term,
+            number=planner.replicated_number,
+            validity_span=PLAN_VALIDITY_SPAN,
             fade_span=SECOND,
             quotas={},
             evacuated_callers=[],
@@ -260,55 +304,58 @@
             is_capacity_short=False,
         )
         reply = ReportReply(
-            term=node.reign,
-            planner=node.ballot.incarnation,
+            term=planner.leading_term,
+            planner=planner.election.incarnation,
             is_leading=True,
-            assignment=tell,
-            call_limit=share,
-            lease_span=SPAN,
+            assignment=assignment,
+            call_limit=call_limit,
+            lease_span=CALL_LEASE_SPAN,
         )
-        self.post(lambda: self.obeyed(seat, reply, sent))
+        self.post_message(lambda: self.handle_reply(member, reply, sent_at))
 
-    def obeyed(self, seat: Seat, reply: ReportReply, sent: int) -> None:
-        if self.true < seat.paused_until:
-            self.flight.append((seat.paused_until, lambda: self.obeyed(seat, reply, sent)))
+    def handle_reply(self, member: MemberNode, reply: ReportReply, sent_at: int) -> None:
+        if self.true_time < member.paused_until:
+            self.in_flight.append((member.paused_until, lambda: self.handle_reply(member, reply, sent_at)))
             return
-        if seat.obey.accept(reply, sent, seat.clock(self.true)):
-            seat.history.append((reply.term, reply.planner.nonce))
+        if member.plan_subscription.accept(reply, sent_at, member.local_time(self.true_time)):
+            member.accepted_plans.append((reply.term, reply.planner.nonce))
 
     # ---- trouble ---------------------------------------------------------------------------------------
 
-    def trouble(self) -> None:
-        node = self.nodes[self.chance.choice(self.names)]
-        draw = self.chance.random()
-        if not node.up:
+    def inject_fault(self) -> None:
+        planner = self.planners[self.rng.choice(self.planner_names)]
+        draw = self.rng.random()
+        if not planner.is_up:
             if draw < 0.5:
-                self.start(node)
+                self.restart_planner(planner)
         elif draw < 0.35:
-            node.up = False
-            node.inbox.clear()
+            planner.is_up = False
+            planner.inbox.clear()
         elif draw < 0.7:
-            node.paused_until = self.true + self.chance.randrange(500, 40_000)
+            planner.paused_until = self.true_time + self.rng.randrange(500, 40_000)
         else:
-            seat = self.seats[self.chance.choice(list(self.seats))]
-            seat.paused_until = self.true + self.chance.randrange(500, 60_000)
+            member = self.members[self.rng.choice(list(self.members))]
+            member.paused_until = self.true_time + self.rng.randrange(500, 60_000)
 
-    def start(self, node: Node) -> None:
+    def restart_planner(self, planner: PlannerNode) -> None:
         """With the disk as it was flushed; now and then an older one, or none, if the others' are whole."""
-        draw = self.chance.random()
-        others = [one for one in self.nodes.values() if one is not node]
-        whole = all(
-            one.up and not one.ballot.durable.is_blank and one.paused_until < self.true for one in others
+        draw = self.rng.random()
+        others = [other for other in self.planners.values() if other is not planner]
+        others_are_intact = all(
+            other.is_up and not other.election.durable.is_blank and other.paused_until < self.true_time
+            for other in others
         )
-        if draw < 0.6 and whole:
+        if draw < 0.6 and others_are_intact:
             # One disk at a time: nothing else fails until it had the time to hear of it.
-            node.disk = DurableVote() if draw < 0.2 else deepcopy(node.older)
-            self.calm_until = self.true + 4 * SECOND
-        node.up = True
-        node.ballot = self.made(node.name, deepcopy(node.disk), node.clock(self.true))
-        node.reign = node.kept_number = 0
-        node.paused_until = 0
-        self.flush(node)
+            planner.flushed_vote = DurableVote() if draw < 0.2 else deepcopy(planner.older_vote)
+            self.no_fault_until = self.true_time + 4 * SECOND
+        planner.is_up = True
+        planner.election = self.create_election(
+            planner.name, deepcopy(planner.flushed_vote), planner.local_time(self.true_time)
+        )
+        planner.leading_term = planner.replicated_number = 0
+        planner.paused_until = 0
+        self.flush(planner)
 
     # ---- one history -----------------------------------------------------------------------------------
 
@@ -319,56 +366,67 @@
 
     def step(self) -> None:
         self.steps += 1
-        self.true += self.chance.randrange(10, 300)
-        due = [entry for entry in self.flight if entry[0] <= self.true]
-        self.flight = [entry for entry in self.flight if entry[0] > self.true]
-        self.chance.shuffle(due)
-        for _, act in due:
-            act()
-        for node in self.nodes.values():
-            if node.up and self.true >= node.paused_until:
-                waiting, node.inbox = node.inbox, []
-                for act in waiting:
-                    act()
-                self.act(node)
-        for seat in self.seats.values():
-            if self.true >= seat.paused_until and self.chance.random() < 0.3:
-                self.report(seat)
-        if self.true >= self.calm_until and self.chance.random() < 0.01:
-            self.trouble()
-        self.check()
-
-    def check(self) -> None:
-        lead = [
-            one.name for one in self.nodes.values() if one.up and one.ballot.is_leading(one.clock(self.true))
+        self.true_time += self.rng.randrange(10, 300)
+        due = [entry for entry in self.in_flight if entry[0] <= self.true_time]
+        self.in_flight = [entry for entry in self.in_flight if entry[0] > self.true_time]
+        self.rng.shuffle(due)
+        for _, action in due:
+            action()
+        for planner in self.planners.values():
+            if planner.is_up and self.true_time >= planner.paused_until:
+                waiting, planner.inbox = planner.inbox, []
+                for action in waiting:
+                    action()
+                self.run_planner(planner)
+        for member in self.members.values():
+            if self.true_time >= member.paused_until and self.rng.random() < 0.3:
+                self.send_report(member)
+        if self.true_time >= self.no_fault_until and self.rng.random() < 0.01:
+            self.inject_fault()
+        self.check_guarantees()
+
+    def check_guarantees(self) -> None:
+        leaders = [
+            planner.name
+            for planner in self.planners.values()
+            if planner.is_up and planner.election.is_leading(planner.local_time(self.true_time))
         ]
-        if len(lead) > 1:
-            raise Fault(f"seed {self.seed}, step {self.steps}: {lead} lead at once")
-        used = sum(seat.obey.allowed_calls(seat.clock(self.true)) for seat in self.seats.values())
-        self.most = max(self.most, used)
-        if used > TOTAL + 1e-6:
-            raise Fault(f"seed {self.seed}, step {self.steps}: {used:.2f} calls of {TOTAL:g} may be in hand")
-        authors: dict[int, int] = {}
-        for seat in self.seats.values():
-            for (a, _), (b, _) in pairwise(seat.history):
-                if b < a:
-                    raise Fault(
-                        f"seed {self.seed}, step {self.steps}: {seat.name} went from epoch {a} to {b}"
+        if len(leaders) > 1:
+            raise GuaranteeViolationError(f"seed {self.seed}, step {self.steps}: {leaders} lead at once")
+        allowed_calls = sum(
+            member.plan_subscription.allowed_calls(member.local_time(self.true_time))
+            for member in self.members.values()
+        )
+        self.max_calls = max(self.max_calls, allowed_calls)
+        if allowed_calls > TOTAL_CALLS + 1e-6:
+            raise GuaranteeViolationError(
+                f"seed {self.seed}, step {self.steps}: "
+                f"{allowed_calls:.2f} calls of {TOTAL_CALLS:g} may be in hand"
+            )
+        leader_by_term: dict[int, int] = {}
+        for member in self.members.values():
+            for (earlier, _), (later, _) in pairwise(member.accepted_plans):
+                if later < earlier:
+                    raise GuaranteeViolationError(
+                        f"seed {self.seed}, step {self.steps}: "
+                        f"{member.name} went from epoch {earlier} to {later}"
+                    )
+            for term, incarnation in member.accepted_plans:
+                if leader_by_term.setdefault(term, incarnation) != incarnation:
+                    raise GuaranteeViolationError(
+                        f"seed {self.seed}, step {self.steps}: two are obeyed in epoch {term}"
                     )
-            for epoch, mark in seat.history:
-                if authors.setdefault(epoch, mark) != mark:
-                    raise Fault(f"seed {self.seed}, step {self.steps}: two are obeyed in epoch {epoch}")
-            seat.history = seat.history[-2:]
+            member.accepted_plans = member.accepted_plans[-2:]
 
 
-def explore(seeds: range, steps: int, **more: object) -> dict[str, int]:
+def explore(seeds: range, steps: int, **explorer_options: object) -> dict[str, int]:
     """Histories one after the other; how many steps and reigns they had. Fault at the first that must not
     be.
     """
-    total = {"histories": 0, "steps": 0, "reigns": 0}
+    totals = {"histories": 0, "steps": 0, "reigns": 0}
     for seed in seeds:
-        done = Explorer(seed, **more).run(steps)  # type: ignore[arg-type]
-        total["histories"] += 1
-        total["steps"] += done.steps
-        total["reigns"] += done.reigns
-    return total
+        explorer = Explorer(seed, **explorer_options).run(steps)  # type: ignore[arg-type]
+        totals["histories"] += 1
+        totals["steps"] += explorer.steps
+        totals["reigns"] += explorer.leadership_count
+    return totals
--- a/birchslip/lab/faults.py
+++ b/birchslip/lab/faults.py
@@ -44,89 +44,103 @@
     """`what` is done to `whom` at a time; `more` is its figure, where it has one."""
 
     at: int
-    what: str
-    whom: str = ""
-    more: float = 0.0
+    action: str
+    target: str = ""
+    value: float = 0.0
 
 
-def schedule(fault: str, seed: int, sites: list[str], planners: list[str], lost: int) -> list[Step]:
+def schedule(fault: str, seed: int, sites: list[str], planners: list[str], outage_span: int) -> list[Step]:
     """The steps in order of time. The names `leader` and `other` are of planners, as they stand at that
     moment.
     """
-    chance = random.Random(seed)
-    a, b = sites[0], sites[1]
-    jitter = int(chance.random() * 2_000)
+    rng = random.Random(seed)
+    first_site, second_site = sites[0], sites[1]
+    jitter = int(rng.random() * 2_000)
 
-    def out(site: str, at: int, until: int, how: str = "kill") -> list[Step]:
-        back = {"kill": "start", "pause": "resume"}[how]
-        return [Step(at, how, site), Step(until, back, site)]
+    def outage(site: str, at: int, until: int, action: str = "kill") -> list[Step]:
+        end_action = {"kill": "start", "pause": "resume"}[action]
+        return [Step(at, action, site), Step(until, end_action, site)]
 
     steps = {
         "none": [],
-        "kill": out(a, 0, lost),
+        "kill": outage(first_site, 0, outage_span),
         "kill-surge": [
             Step(-10_000, "surge", "blue", 2.5),
-            *out(a, 0, lost),
+            *outage(first_site, 0, outage_span),
             Step(25_000, "surge", "blue", 1.0),
         ],
         "kill-slow-second": [
-            *out(a, 0, lost),
-            Step(8_000, "slow", b, 1.8),
-            Step(lost * 2 // 3, "slow", b, 1.0),
+            *outage(first_site, 0, outage_span),
+            Step(8_000, "slow", second_site, 1.8),
+            Step(outage_span * 2 // 3, "slow", second_site, 1.0),
         ],
-        "kill-two": [*out(a, 0, lost), *out(b, jitter, lost)],
-        "pause": out(a, 0, lost, "pause"),
-        "cut": [Step(0, "cut", a), Step(lost, "heal", a)],
-        "cut-one-way": [Step(0, "deaf", a), Step(lost, "heal", a)],
+        "kill-two": [*outage(first_site, 0, outage_span), *outage(second_site, jitter, outage_span)],
+        "pause": outage(first_site, 0, outage_span, "pause"),
+        "cut": [Step(0, "cut", first_site), Step(outage_span, "heal", first_site)],
+        "cut-one-way": [Step(0, "deaf", first_site), Step(outage_span, "heal", first_site)],
         "cut-heals": [
-            *out(a, 0, 12_000 + jitter, "pause"),
-            Step(0, "silent", a),
-            Step(12_000 + jitter, "heal", a),
+            *outage(first_site, 0, 12_000 + jitter, "pause"),
+            Step(0, "silent", first_site),
+            Step(12_000 + jitter, "heal", first_site),
         ],
         "leader-killed": [
-            *out(a, 0, lost),
+            *outage(first_site, 0, outage_span),
             Step(2_000 + jitter, "kill-planner", "leader"),
-            Step(lost, "start-planner", "last"),
+            Step(outage_span, "start-planner", "last"),
         ],
         "leader-paused": [
-            *out(a, 0, lost),
+            *outage(first_site, 0, outage_span),
             Step(1_000, "pause-planner", "leader"),
-            Step(lost * 2 // 3, "resume-planner", "last"),
+            Step(outage_span * 2 // 3, "resume-planner", "last"),
         ],
         "planners-gone": [
-            *out(a, 0, lost),
+            *outage(first_site, 0, outage_span),
             Step(10_000, "kill-planner", "all"),
-            Step(lost * 2 // 3, "start-planner", "all"),
+            Step(outage_span * 2 // 3, "start-planner", "all"),
         ],
         "planners-gone-minute": [
-            *out(a, 0, MINUTE + 50_000),
+            *outage(first_site, 0, MINUTE + 50_000),
             Step(10_000, "kill-planner", "all"),
             Step(10_000 + MINUTE, "start-planner", "all"),
         ],
-        "planner-empty": planner_with(a, lost, "empty"),
-        "planner-cut-short": planner_with(a, lost, "cut-short"),
-        "planner-old": [Step(-30_000, "save-disk", "follower"), *planner_with(a, lost, "old")],
-        "planners-split": [*out(a, 0, lost), Step(-1_000, "split", "leader"), Step(lost, "heal-planners")],
-        "rush": [*out(a, 0, lost), Step(lost - 1_000, "heed", "", 0.0)],
+        "planner-empty": planner_restart_steps(first_site, outage_span, "empty"),
+        "planner-cut-short": planner_restart_steps(first_site, outage_span, "cut-short"),
+        "planner-old": [
+            Step(-30_000, "save-disk", "follower"),
+            *planner_restart_steps(first_site, outage_span, "old"),
+        ],
+        "planners-split": [
+            *outage(first_site, 0, outage_span),
+            Step(-1_000, "split", "leader"),
+            Step(outage_span, "heal-planners"),
+        ],
+        "rush": [*outage(first_site, 0, outage_span), Step(outage_span - 1_000, "heed", "", 0.0)],
         "dies-again": [
-            *out(a, 0, lost),
-            Step(0, "on-step", a, 2),
+            *outage(first_site, 0, outage_span),
+            Step(0, "on-step", first_site, 2),
+        ],
+        "flaps": [step for n in range(5) for step in outage(first_site, n * 25_000, n * 25_000 + 12_000)],
+        "late-links": [Step(-20_000, "late", "", 1_200), *outage(first_site, 0, outage_span)],
+        "shaken-links": [
+            *outage(first_site, 0, outage_span),
+            *(Step(at, "shake") for at in range(-20_000, outage_span, 7_000)),
+        ],
+        "half-open": [
+            Step(0, "silent", first_site),
+            *outage(first_site, 0, outage_span, "pause"),
+            Step(outage_span, "heal", first_site),
         ],
-        "flaps": [step for n in range(5) for step in out(a, n * 25_000, n * 25_000 + 12_000)],
-        "late-links": [Step(-20_000, "late", "", 1_200), *out(a, 0, lost)],
-        "shaken-links": [*out(a, 0, lost), *(Step(at, "shake") for at in range(-20_000, lost, 7_000))],
-        "half-open": [Step(0, "silent", a), *out(a, 0, lost, "pause"), Step(lost, "heal", a)],
     }[fault]
     return sorted(steps, key=lambda step: step.at)
 
 
-def planner_with(site: str, lost: int, disk: str) -> list[Step]:
+def planner_restart_steps(site: str, outage_span: int, disk_state: str) -> list[Step]:
     return [
         Step(-20_000, "kill-planner", "follower"),
-        Step(-19_000, f"disk-{disk}", "last"),
+        Step(-19_000, f"disk-{disk_state}", "last"),
         Step(-18_000, "start-planner", "last"),
         Step(0, "kill", site),
         Step(5_000, "kill-planner", "other"),
-        Step(lost, "start-planner", "last"),
-        Step(lost, "start", site),
+        Step(outage_span, "start-planner", "last"),
+        Step(outage_span, "start", site),
     ]
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -21,90 +21,95 @@
 DAY = 86_400 * SECOND
 
 
-class Life:
+class SimulatedMember:
     """One member and what it goes through. While it is `dead` its door is shut, while `stopped` it is
     silent.
     """
 
-    def __init__(self, name: str, site: str, place: int) -> None:
-        self.name, self.site, self.place = name, site, place
-        self.mark = self.number = 0
-        self.dead_until = self.stopped_until = self.slow_until = 0
-        self.knocks: dict[str, str] = {}
+    def __init__(self, name: str, site: str, index: int) -> None:
+        self.name, self.site, self.index = name, site, index
+        self.incarnation = self.sequence = 0
+        self.down_until = self.paused_until = self.slow_until = 0
+        self.probe_outcomes: dict[str, str] = {}
 
 
-class Month:
+class LongRun:
     """`every` is how often members report; a long play reports seldomer, which suspicion follows."""
 
-    def __init__(self, seed: int, sites: int, each: int, every: int) -> None:
-        self.chance = random.Random(seed)
+    def __init__(self, seed: int, sites: int, members_per_site: int, report_interval: int) -> None:
+        self.rng = random.Random(seed)
         names = [f"s{n}" for n in range(sites)]
-        told = [
+        fleet_sites = [
             Site(
                 name=site,
-                members=[Member(name=f"{site}-{n}", address=f"127.0.0.1:{1 + n}") for n in range(each)],
+                members=[
+                    Member(name=f"{site}-{n}", address=f"127.0.0.1:{1 + n}") for n in range(members_per_site)
+                ],
             )
             for site in names
         ]
-        self.every = every
+        self.report_interval = report_interval
         self.fleet = Fleet(
-            planners=[Planner(name="p0", address="127.0.0.1:1")], sites=told, report_ms=every // 10
+            planners=[Planner(name="p0", address="127.0.0.1:1")],
+            sites=fleet_sites,
+            report_ms=report_interval // 10,
         )
         self.now = 0
-        self.mind = PlannerState(
+        self.planner_state = PlannerState(
             self.fleet, Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(seed)), 0
         )
-        self.lives = {
-            one.name: Life(one.name, site.name, place)
-            for site in told
-            for place, one in enumerate(site.members)
+        self.members = {
+            member.name: SimulatedMember(member.name, site.name, index)
+            for site in fleet_sites
+            for index, member in enumerate(site.members)
         }
-        self.due: list[tuple[int, int, Callable[[], None]]] = []
-        self.serial = 0
-        self.count = {"restarts": 0, "pauses": 0, "slow": 0, "evacuations": 0, "false_evacuations": 0}
+        self.event_queue: list[tuple[int, int, Callable[[], None]]] = []
+        self.event_number = 0
+        self.counts = {"restarts": 0, "pauses": 0, "slow": 0, "evacuations": 0, "false_evacuations": 0}
 
-    def at(self, when: int, act: Callable[[], None]) -> None:
-        self.serial += 1
-        heapq.heappush(self.due, (when, self.serial, act))
+    def schedule(self, when: int, action: Callable[[], None]) -> None:
+        self.event_number += 1
+        heapq.heappush(self.event_queue, (when, self.event_number, action))
 
     def run(self, until: int) -> dict[str, int]:
-        for life in self.lives.values():
-            self.at(self.chance.randrange(self.every), lambda life=life: self.report(life))  # type: ignore[misc]
-        self.at(EVALUATION_INTERVAL, self.look)
-        self.at(10 * SECOND, self.trouble)
-        while self.due and self.due[0][0] <= until:
-            self.now, _, act = heapq.heappop(self.due)
-            act()
-        return self.count
+        for member in self.members.values():
+            first_report_at = self.rng.randrange(self.report_interval)
+            self.schedule(first_report_at, lambda member=member: self.send_report(member))  # type: ignore[misc]
+        self.schedule(EVALUATION_INTERVAL, self.tick)
+        self.schedule(10 * SECOND, self.inject_fault)
+        while self.event_queue and self.event_queue[0][0] <= until:
+            self.now, _, action = heapq.heappop(self.event_queue)
+            action()
+        return self.counts
 
     # ---- members ---------------------------------------------------------------------------------------
 
-    def report(self, life: Life) -> None:
-        gap = int(self.every * self.chance.uniform(0.9, 1.15))
-        self.at(self.now + gap, lambda: self.report(life))
-        if self.now < life.dead_until or self.now < life.stopped_until:
+    def send_report(self, member: SimulatedMember) -> None:
+        interval = int(self.report_interval * self.rng.uniform(0.9, 1.15))
+        self.schedule(self.now + interval, lambda: self.send_report(member))
+        if self.now < member.down_until or self.now < member.paused_until:
             return
-        slow = self.now < life.slow_until
-        delay = int(self.every * self.chance.expovariate(10 if not slow else 2))
-        self.at(self.now + delay, lambda: self.arrive(life))
+        slow = self.now < member.slow_until
+        delay = int(self.report_interval * self.rng.expovariate(10 if not slow else 2))
+        self.schedule(self.now + delay, lambda: self.deliver_report(member))
 
-    def arrive(self, life: Life) -> None:
-        if self.now < life.dead_until:
+    def deliver_report(self, member: SimulatedMember) -> None:
+        if self.now < member.down_until:
             return
-        life.number += 1
-        told = MemberReport(
-            name=life.name,
-            site=life.site,
-            incarnation=Incarnation(nonce=life.mark),
-            sequence=life.number,
+        member.sequence += 1
+        report = MemberReport(
+            name=member.name,
+            site=member.site,
+            incarnation=Incarnation(nonce=member.incarnation),
+            sequence=member.sequence,
             address="127.0.0.1:1",
             uptime=SECOND,
             is_serving=True,
             is_draining=False,
             is_warm=True,
             capacity=100.0,
-            slowdown=1.0 if self.now >= life.slow_until else 2.2,
-            local_load={"blue": self.chance.uniform(30, 60)},
+            slowdown=1.0 if self.now >= member.slow_until else 2.2,
+            local_load={"blue": self.rng.uniform(30, 60)},
             evacuated_load=0.0,
             retries=0.0,
             served=45.0,
@@ -114,73 +119,78 @@
             lease_remaining=0,
             plan_term=0,
             plan_number=0,
-            probes=[ProbeResult(member=name, outcome=ProbeOutcome(met)) for name, met in life.knocks.items()][
-                :8
-            ],
+            probes=[
+                ProbeResult(member=name, outcome=ProbeOutcome(outcome))
+                for name, outcome in member.probe_outcomes.items()
+            ][:8],
         )
-        reply = self.mind.receive_report(told, self.now)
-        life.knocks = {name: self.met(name) for name in reply.probe_addresses}
+        reply = self.planner_state.receive_report(report, self.now)
+        member.probe_outcomes = {name: self.probe_outcome(name) for name in reply.probe_addresses}
 
-    def met(self, name: str) -> str:
-        life = self.lives[name]
-        if self.now < life.dead_until:
+    def probe_outcome(self, name: str) -> str:
+        member = self.members[name]
+        if self.now < member.down_until:
             return "refused"
-        return "silent" if self.now < life.stopped_until else "answered"
+        return "silent" if self.now < member.paused_until else "answered"
 
     # ---- time ------------------------------------------------------------------------------------------
 
-    def look(self) -> None:
-        self.at(self.now + max(EVALUATION_INTERVAL, self.every // 2), self.look)
-        mind = self.mind
-        ask = mind.election.next_vote_request(self.now)
-        if ask is not None:
-            mind.election.handle_vote_response(
-                mind.election.handle_vote_request(ask, self.now), ask.term, self.now, self.now
+    def tick(self) -> None:
+        self.schedule(self.now + max(EVALUATION_INTERVAL, self.report_interval // 2), self.tick)
+        planner_state = self.planner_state
+        vote_request = planner_state.election.next_vote_request(self.now)
+        if vote_request is not None:
+            planner_state.election.handle_vote_response(
+                planner_state.election.handle_vote_request(vote_request, self.now),
+                vote_request.term,
+                self.now,
+                self.now,
             )
-        mind.tick(self.now)
-        told = mind.replication_request()
-        if told is not None and mind.election.handle_replication_response(
-            mind.election.handle_replication_request(told, self.now), told.state_number
+        planner_state.tick(self.now)
+        replication_request = planner_state.replication_request()
+        if replication_request is not None and planner_state.election.handle_replication_response(
+            planner_state.election.handle_replication_request(replication_request, self.now),
+            replication_request.state_number,
         ):
-            mind.mark_replicated(told.state_number)
-        for event, more in mind.drain_events():
+            planner_state.mark_replicated(replication_request.state_number)
+        for event, fields in planner_state.drain_events():
             if event == SITE_LOST_EVENT:
-                self.count["evacuations"] += 1
-                if not self.dark(str(more["site"])):
-                    self.count["false_evacuations"] += 1
+                self.counts["evacuations"] += 1
+                if not self.is_site_down(str(fields["site"])):
+                    self.counts["false_evacuations"] += 1
 
-    def dark(self, site: str) -> bool:
-        lives = [life for life in self.lives.values() if life.site == site]
-        return all(self.now < max(life.dead_until, life.stopped_until) for life in lives)
+    def is_site_down(self, site: str) -> bool:
+        members = [member for member in self.members.values() if member.site == site]
+        return all(self.now < max(member.down_until, member.paused_until) for member in members)
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         """Something small every few minutes: a restart, a pause, a slow spell, or a short one of a whole
         site.
         """
-        self.at(self.now + int(self.chance.expovariate(1 / 300) * SECOND), self.trouble)
-        life = self.lives[self.chance.choice(list(self.lives))]
-        draw = self.chance.random()
+        self.schedule(self.now + int(self.rng.expovariate(1 / 300) * SECOND), self.inject_fault)
+        member = self.members[self.rng.choice(list(self.members))]
+        draw = self.rng.random()
         if draw < 0.35:
-            life.dead_until = self.now + self.chance.randrange(SECOND, 20 * SECOND)
-            life.mark += 1
-            life.number = 0
-            self.count["restarts"] += 1
-            member = self.mind.membership.members.get(life.name)
-            if member is not None:
-                self.mind.membership.mark_disconnected(life.name, member.incarnation)
+            member.down_until = self.now + self.rng.randrange(SECOND, 20 * SECOND)
+            member.incarnation += 1
+            member.sequence = 0
+            self.counts["restarts"] += 1
+            registered = self.planner_state.membership.members.get(member.name)
+            if registered is not None:
+                self.planner_state.membership.mark_disconnected(member.name, registered.incarnation)
         elif draw < 0.7:
-            life.stopped_until = self.now + self.chance.randrange(SECOND // 10, 10 * SECOND)
-            self.count["pauses"] += 1
+            member.paused_until = self.now + self.rng.randrange(SECOND // 10, 10 * SECOND)
+            self.counts["pauses"] += 1
         else:
-            spell = self.now + self.chance.randrange(SECOND, 60 * SECOND)
-            some = [one for one in self.lives.values() if draw < 0.85 or one.site == life.site]
-            for one in some if draw >= 0.85 else [life]:
-                one.slow_until = spell
-            self.count["slow"] += 1
+            slow_until = self.now + self.rng.randrange(SECOND, 60 * SECOND)
+            affected = [other for other in self.members.values() if draw < 0.85 or other.site == member.site]
+            for other in affected if draw >= 0.85 else [member]:
+                other.slow_until = slow_until
+            self.counts["slow"] += 1
 
 
-def play_month(
-    days: float, seed: int, sites: int = 3, each: int = 3, every: int = 5 * SECOND
+def simulate_days(
+    days: float, seed: int, sites: int = 3, members_per_site: int = 3, report_interval: int = 5 * SECOND
 ) -> dict[str, int]:
     """What happened in so many days of virtual time."""
-    return Month(seed, sites, each, every).run(int(days * DAY))
+    return LongRun(seed, sites, members_per_site, report_interval).run(int(days * DAY))
--- a/birchslip/lab/release_faults.py
+++ b/birchslip/lab/release_faults.py
@@ -47,8 +47,8 @@
     """`wait` is the moment, or a time after the step before, in tenths of a millisecond."""
 
     wait: str | int
-    what: str
-    more: float = 0.0
+    action: str
+    value: float = 0.0
 
 
 STEPS = {
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -36,17 +36,17 @@
 
 LOOKUP = Profile("lookup", 0.7, 1_400, SECOND * 3 // 2, 3 * SECOND, 1.0, False)
 ORDER = Profile("order", 0.3, 2_100, 2 * SECOND, 3 * SECOND, 1.5, True)
-BEFORE, AFTER = 5 * SECOND, 3 * SECOND
-ASK = 4_000  # an operator waits for a planner's answer, and then asks the next one
-LONGEST = 240 * SECOND  # a release that has not come to its end by then is stuck
-SITE_MOST, FLEET_SHARE, LOWERED = 2, 0.17, 1
-WATCH_MS, WATCH_MOST_MS, CRASH_MS = 6_000, 40_000, 2_500
+LEAD_IN_SPAN, LEAD_OUT_SPAN = 5 * SECOND, 3 * SECOND
+ANSWER_TIMEOUT = 4_000  # an operator waits for a planner's answer, and then asks the next one
+STUCK_AFTER = 240 * SECOND  # a release that has not come to its end by then is stuck
+MAX_OUT_PER_SITE, FLEET_OUT_FRACTION, LOWERED_MAX_OUT = 2, 0.17, 1
+MIN_WATCH_MS, MAX_WATCH_MS, CRASH_AFTER_MS = 6_000, 40_000, 2_500
 MARGINS = {"late": 0.08, "slow": 0.2, "shed": 0.08, "written_off": 0.08, "calls": 0.15}
-LEAST = 2 * SECOND  # of a drain, a stop and a start: what no release can be quicker than
+MIN_RESTART_SPAN = 2 * SECOND  # of a drain, a stop and a start: what no release can be quicker than
 
 
 @dataclass(frozen=True)
-class ReleaseTold(Told):
+class ReleaseOptions(Told):
     """`without` holds what the schedule did to the world and when, for the play with no release."""
 
     version: str = "good"
@@ -54,131 +54,145 @@
     without: tuple[tuple[int, str, float], ...] | None = None
 
 
-class Play(World):
+class ReleaseRun(World):
     profiles = [LOOKUP, ORDER]  # noqa: RUF012
     cold_span = 2 * SECOND
 
-    def __init__(self, told: ReleaseTold, folder: Path) -> None:
-        self.told = told
-        super().__init__(told, folder)
-        self.planned = plan_batches(self.plan(self.sites), {site: self.of_site(site) for site in self.sites})
-        self.deeds: list[tuple[int, str, float]] = []  # what was done to the world, and when
-        self.marks: dict[str, int] = {}  # moments of the release
+    def __init__(self, options: ReleaseOptions, folder: Path) -> None:
+        self.release_options = options
+        super().__init__(options, folder)
+        self.planned_batches = plan_batches(
+            self.make_spec(self.sites), {site: self.member_names(site) for site in self.sites}
+        )
+        self.applied_actions: list[tuple[int, str, float]] = []  # what was done to the world, and when
+        self.reached_moments: dict[str, int] = {}  # moments of the release
         self.batches = 0
-        self.holder = ""
-        self.operator_s: list[str] = []  # what operators were told
+        self.permit_holder = ""
+        self.operator_log: list[str] = []  # what operators were told
         self.halted_at: int | None = None
-        self.ended, self.stuck, self.why = "", False, ""
-        self.resumed_without_a_word = 0
-        self.backs = 0
-        self.judged: list[dict[str, Any]] = []  # the figures of the last watch that was seen
-        self.expect_halt = False
-        self.pending: list[Step] = list(STEPS[told.fault])
+        self.final_phase, self.is_stuck, self.final_reason = "", False, ""
+        self.unexpected_resumes = 0
+        self.rollback_count = 0
+        self.last_figures: list[dict[str, Any]] = []  # the figures of the last watch that was seen
+        self.is_halt_expected = False
+        self.pending_steps: list[Step] = list(STEPS[options.fault])
 
     # ---- what is laid out ------------------------------------------------------------------------------
 
     def prepare(self) -> None:
-        whole = [server.name for server in self.servers]
-        self.fleet_most = max(2, int(FLEET_SHARE * len(whole)))
-        self.groups = {
+        member_names = [server.name for server in self.servers]
+        self.fleet_max_out = max(2, int(FLEET_OUT_FRACTION * len(member_names)))
+        self.budget_groups = {
             site: BudgetGroup(
-                site, frozenset(self.of_site(site)), max_unavailable=min(SITE_MOST, self.lay.each - 1)
+                site,
+                frozenset(self.member_names(site)),
+                max_unavailable=min(MAX_OUT_PER_SITE, self.lay.each - 1),
             )
             for site in self.sites
         }
-        self.groups["fleet"] = BudgetGroup("fleet", frozenset(whole), max_unavailable=self.fleet_most)
+        self.budget_groups["fleet"] = BudgetGroup(
+            "fleet", frozenset(member_names), max_unavailable=self.fleet_max_out
+        )
         stores = [f"store-{n + 1}" for n in range(len(self.sites))]
-        self.groups["stores"] = BudgetGroup("stores", frozenset(stores), max_unavailable=1)
-        self.store_of = dict(zip(self.sites, stores, strict=True))
+        self.budget_groups["stores"] = BudgetGroup("stores", frozenset(stores), max_unavailable=1)
+        self.store_by_site = dict(zip(self.sites, stores, strict=True))
         self.vaults = {store: Vault(self.scheduler, self.truth, self.took) for store in stores}
-        needs = {server.name: [self.store_of[server.site]] for server in self.servers}
-        self.platform = Platform(self, self.told.version, list(self.groups.values()), needs, CRASH_MS)
+        needs = {server.name: [self.store_by_site[server.site]] for server in self.servers}
+        self.platform = Platform(
+            self, self.release_options.version, list(self.budget_groups.values()), needs, CRASH_AFTER_MS
+        )
         for store, vault in self.vaults.items():
             self.platform.add_service(store, vault)
-        self.platform.before, self.platform.stopped = self.before_order, self.member_stopped
-        self.left: set[str] = set()  # of the fleet file
+        self.platform.before, self.platform.stopped = self.before_platform_order, self.on_member_stopped
+        self.delisted_members: set[str] = set()  # of the fleet file
 
-    def of_site(self, site: str) -> list[str]:
+    def member_names(self, site: str) -> list[str]:
         return [server.name for server in self.servers if server.site == site]
 
     def vault_of(self, server: Server) -> Vault:
-        return self.vaults[self.store_of[server.site]]
+        return self.vaults[self.store_by_site[server.site]]
 
     def fleet_more(self, told: dict[str, Any], who: str) -> None:
         told["platform"] = {"address": self.platform.address, "ask_ms": 200, "stale_ms": 2_000}
         told["services"] = [{"name": name, "kind": "store"} for name in self.vaults]
         told["groups"] = [
             *(
-                {"name": site, "sites": [site], "most_out": self.groups[site].max_unavailable}
+                {"name": site, "sites": [site], "most_out": self.budget_groups[site].max_unavailable}
                 for site in self.sites
             ),
-            {"name": "fleet", "all": True, "most_out": self.groups["fleet"].max_unavailable},
+            {"name": "fleet", "all": True, "most_out": self.budget_groups["fleet"].max_unavailable},
             {"name": "stores", "kinds": ["store"], "most_out": 1},
         ]
         calls = told["vault"]["total"] / len(self.servers)
         for site in told["sites"]:
-            site["members"] = [one for one in site["members"] if one["name"] not in self.left]
+            site["members"] = [
+                member for member in site["members"] if member["name"] not in self.delisted_members
+            ]
             for member in site["members"]:
-                member["needs"] = [self.store_of[site["name"]]]
+                member["needs"] = [self.store_by_site[site["name"]]]
                 member["calls"] = calls
 
-    def file_again(self) -> None:
+    def rewrite_fleet_files(self) -> None:
         """A later fleet file for every planner."""
         for name in self.names:
             self.fleet_file(name)
             self.planners[name].hang_up()
 
-    def plan(self, sites: list[str], version: str = NEW, before: str = OLD) -> RolloutSpec:
+    def make_spec(self, sites: list[str], version: str = NEW, previous_version: str = OLD) -> RolloutSpec:
         return RolloutSpec(
             version=version,
-            previous_version=before,
+            previous_version=previous_version,
             sites=sites,
             canaries=max(2, len(self.servers) // 12),
             batch_size=8,
-            min_watch_ms=WATCH_MS,
-            max_watch_ms=WATCH_MOST_MS,
-            margins={name: min(0.95, part * self.told.margins) for name, part in MARGINS.items()},
+            min_watch_ms=MIN_WATCH_MS,
+            max_watch_ms=MAX_WATCH_MS,
+            margins={
+                name: min(0.95, margin * self.release_options.margins) for name, margin in MARGINS.items()
+            },
             stall_timeout_ms=60_000,
         )
 
     # ---- operators -------------------------------------------------------------------------------------
 
-    def ask(self, record: Message, method: str, planners: list[str] | None = None) -> dict[str, Any]:
+    def ask_planners(self, record: Message, method: str, planners: list[str] | None = None) -> dict[str, Any]:
         """Whoever leads answers; asked until somebody does."""
-        until = self.scheduler.now + 20 * SECOND
-        trouble = ""
+        give_up_at = self.scheduler.now + 20 * SECOND
+        last_error = ""
         is_query = (isinstance(record, RolloutCommand) and record.action is RolloutAction.STATUS) or (
             isinstance(record, OperatorCommand) and record.operation is OperatorOperation.SHOW
         )
-        while self.scheduler.now < until:
+        while self.scheduler.now < give_up_at:
             for name in planners or self.names:
-                line = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
+                connection = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
                 try:
-                    raw = line.call(method, encode(record), self.scheduler.now + ASK)
+                    raw = connection.call(method, encode(record), self.scheduler.now + ANSWER_TIMEOUT)
                     answer: dict[str, Any] = json.loads(raw)
                     if is_query and not answer["leads"]:
                         continue
                     return answer
-                except OSError as why:
-                    trouble = str(why)
+                except OSError as error:
+                    last_error = str(error)
                 finally:
-                    line.close()
+                    connection.close()
             if planners:
                 break
             self.scheduler.sleep(self.scheduler.now + 1_000)
-        return {"done": False, "granted": False, "releases": [], "trouble": trouble}
+        return {"done": False, "granted": False, "releases": [], "trouble": last_error}
 
-    def say(self, what: str, **more: Any) -> dict[str, Any]:
-        answer = self.ask(RolloutCommand(action=RolloutAction(what), operator="the play", **more), "release")
-        self.operator_s.append(f"{what}: {answer.get('why') or answer.get('trouble') or 'done'}")
+    def send_command(self, action: str, **fields: Any) -> dict[str, Any]:
+        answer = self.ask_planners(
+            RolloutCommand(action=RolloutAction(action), operator="the play", **fields), "release"
+        )
+        self.operator_log.append(f"{action}: {answer.get('why') or answer.get('trouble') or 'done'}")
         return answer
 
-    def status(self, number: int = 1) -> dict[str, Any]:
-        answer = self.ask(RolloutCommand(action=RolloutAction.STATUS, number=number), "release")
+    def rollout_status(self, number: int = 1) -> dict[str, Any]:
+        answer = self.ask_planners(RolloutCommand(action=RolloutAction.STATUS, number=number), "release")
         return answer["releases"][0] if answer["releases"] else {}
 
-    def permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
-        return self.ask(
+    def request_permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
+        return self.ask_planners(
             EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder=holder, reason="by hand"),
             "want",
             planners,
@@ -186,302 +200,316 @@
 
     # ---- moments ---------------------------------------------------------------------------------------
 
-    def mark(self, name: str) -> None:
-        self.marks.setdefault(name, self.scheduler.now)
+    def record_moment(self, name: str) -> None:
+        self.reached_moments.setdefault(name, self.scheduler.now)
 
-    def before_order(self, what: str, name: str) -> str:
+    def before_platform_order(self, action: str, name: str) -> str:
         """The platform has got an order; whether it is to be left undone."""
-        if what != "drain" or self.platform.machines[name].state != "up":
+        if action != "drain" or self.platform.machines[name].state != "up":
             return ""
-        first = "granted" not in self.marks
-        self.mark("granted")
-        if first:
-            self.holder = name
-        if first and self.told.fault in ("killed-granted", "holder-dies"):
-            if self.told.fault == "holder-dies":
-                self.deed("kill", name)
+        is_first = "granted" not in self.reached_moments
+        self.record_moment("granted")
+        if is_first:
+            self.permit_holder = name
+        if is_first and self.release_options.fault in ("killed-granted", "holder-dies"):
+            if self.release_options.fault == "holder-dies":
+                self.apply_action("kill", name)
             else:
                 # In this very moment: nobody hears what came of the order.
                 self.planners[self.leader()].kill()
             return "drop"
-        at = next((n for n, batch in enumerate(self.planned, 1) if name in batch), 0)
-        self.mark(f"batch {at}")
-        if first:
-            self.scheduler.at(self.scheduler.now + 1, lambda: self.mark("drained"))
+        batch_number = next(
+            (number for number, batch in enumerate(self.planned_batches, 1) if name in batch), 0
+        )
+        self.record_moment(f"batch {batch_number}")
+        if is_first:
+            self.scheduler.at(self.scheduler.now + 1, lambda: self.record_moment("drained"))
         return ""
 
-    def member_stopped(self, name: str) -> None:
-        if "stopped" not in self.marks and self.told.fault == "killed-draining":
+    def on_member_stopped(self, name: str) -> None:
+        if "stopped" not in self.reached_moments and self.release_options.fault == "killed-draining":
             self.planners[self.leader()].kill()
-        self.mark("stopped")
+        self.record_moment("stopped")
 
     # ---- the course ------------------------------------------------------------------------------------
 
-    def direct(self) -> None:
+    def execute_schedule(self) -> None:
         scheduler = self.scheduler
         self.begin()
         self.platform.watch()
-        scheduler.sleep(scheduler.now + BEFORE)
-        if self.told.without is not None:
-            self.direct_without(self.told.without)
+        scheduler.sleep(scheduler.now + LEAD_IN_SPAN)
+        if self.release_options.without is not None:
+            self.replay_actions(self.release_options.without)
         else:
-            self.direct_release()
-        scheduler.sleep(scheduler.now + AFTER)
-        self.settle()
+            self.run_rollout()
+        scheduler.sleep(scheduler.now + LEAD_OUT_SPAN)
+        self.wait_until_settled()
         self.platform.over = True
         self.end()
 
-    def direct_without(self, deeds: tuple[tuple[int, str, float], ...]) -> None:
+    def replay_actions(self, actions: tuple[tuple[int, str, float], ...]) -> None:
         """The same schedule, and no release."""
-        self.release_began = self.scheduler.now
-        for at, what, more in deeds:
-            self.scheduler.sleep(max(self.scheduler.now, self.release_began + at))
-            if what != "end":
-                name, _, whom = what.partition(" ")
-                self.deed(name, whom, more)
-        self.release_ended = self.scheduler.now
-
-    def direct_release(self) -> None:
+        self.rollout_started_at = self.scheduler.now
+        for at, action, value in actions:
+            self.scheduler.sleep(max(self.scheduler.now, self.rollout_started_at + at))
+            if action != "end":
+                name, _, target = action.partition(" ")
+                self.apply_action(name, target, value)
+        self.rollout_ended_at = self.scheduler.now
+
+    def run_rollout(self) -> None:
         scheduler = self.scheduler
-        self.wait_for(self.known, 30 * SECOND)
-        sites = self.sites[:-1] if self.told.fault == "two-releases" and len(self.sites) > 1 else self.sites
-        plan = self.plan(sites)
-        self.planned = plan_batches(plan, {site: self.of_site(site) for site in self.sites})
-        self.release_began = scheduler.now
-        said = self.say("start", spec=plan)
-        if not said["done"]:
-            raise RuntimeError(f"not begun: {said}")
-        self.mark("start")
-        if self.pending:
-            scheduler.spawn("schedule", self.carry_out)
-        self.follow()
-        self.release_ended = scheduler.now
-        self.deeds.append((self.release_ended - self.release_began, "end", 0.0))
-
-    def known(self) -> bool:
+        self.wait_for(self.is_fleet_known, 30 * SECOND)
+        sites = (
+            self.sites[:-1]
+            if self.release_options.fault == "two-releases" and len(self.sites) > 1
+            else self.sites
+        )
+        spec = self.make_spec(sites)
+        self.planned_batches = plan_batches(spec, {site: self.member_names(site) for site in self.sites})
+        self.rollout_started_at = scheduler.now
+        answer = self.send_command("start", spec=spec)
+        if not answer["done"]:
+            raise RuntimeError(f"not begun: {answer}")
+        self.record_moment("start")
+        if self.pending_steps:
+            scheduler.spawn("schedule", self.apply_steps)
+        self.follow_rollout()
+        self.rollout_ended_at = scheduler.now
+        self.applied_actions.append((self.rollout_ended_at - self.rollout_started_at, "end", 0.0))
+
+    def is_fleet_known(self) -> bool:
         """The leader hears all members, warm, and nobody is out."""
-        shown = self.ask(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
-        return len(shown.get("members", ())) == len(self.servers) and not shown["out"]
+        fleet = self.ask_planners(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
+        return len(fleet.get("members", ())) == len(self.servers) and not fleet["out"]
 
-    def follow(self) -> None:
+    def follow_rollout(self) -> None:
         """Until the release has come to its end; a person takes a bad one back."""
-        until = self.scheduler.now + LONGEST
-        while self.scheduler.now < until:
-            told = self.status()
-            phase = told.get("phase", "")
-            if any(one["of"][0] for one in told.get("figures", ())):
-                self.judged = told["figures"]
-            if phase == "halted" and self.halted_at is None and not self.expect_halt:
+        give_up_at = self.scheduler.now + STUCK_AFTER
+        while self.scheduler.now < give_up_at:
+            status = self.rollout_status()
+            phase = status.get("phase", "")
+            if any(figure["of"][0] for figure in status.get("figures", ())):
+                self.last_figures = status["figures"]
+            if phase == "halted" and self.halted_at is None and not self.is_halt_expected:
                 self.halted_at = self.scheduler.now
-            if phase in ("done", "back") and not self.pending and self.second_over():
-                self.ended, self.why = phase, told["why"]
+            if phase in ("done", "back") and not self.pending_steps and self.is_second_rollout_over():
+                self.final_phase, self.final_reason = phase, status["why"]
                 return
-            waits = self.pending[0].wait if self.pending else 0
+            awaited = self.pending_steps[0].wait if self.pending_steps else 0
             if (
                 phase == "halted"
-                and not self.expect_halt
-                and isinstance(waits, str)
-                and waits not in self.marks
+                and not self.is_halt_expected
+                and isinstance(awaited, str)
+                and awaited not in self.reached_moments
             ):
-                self.pending.clear()  # it has halted by itself: that moment will not come
-            rests = phase == "halted" and not self.pending and not self.expect_halt
-            if rests and not self.after_halt(told):
-                self.ended, self.why = phase, told["why"]
+                self.pending_steps.clear()  # it has halted by itself: that moment will not come
+            is_at_rest = phase == "halted" and not self.pending_steps and not self.is_halt_expected
+            if is_at_rest and not self.continue_after_halt(status):
+                self.final_phase, self.final_reason = phase, status["why"]
                 return
             self.scheduler.sleep(self.scheduler.now + 1_500)
-        self.ended, self.stuck, self.why = phase, True, told.get("doing", "")
+        self.final_phase, self.is_stuck, self.final_reason = phase, True, status.get("doing", "")
 
-    def after_halt(self, told: dict[str, Any]) -> bool:
+    def continue_after_halt(self, status: dict[str, Any]) -> bool:
         """Whether a person goes on: back where the version is bad, once everybody is up."""
-        if not told["bad"] or self.backs >= 3:
-            return not self.platform.all_up() and self.backs < 3
-        for name in told["left_out"]:
+        if not status["bad"] or self.rollback_count >= 3:
+            return not self.platform.all_up() and self.rollback_count < 3
+        for name in status["left_out"]:
             machine = self.platform.machines[name]
             if machine.state == "failed":
                 machine.broken.clear()  # somebody has mended the machine
                 self.platform.start(machine, OLD)
         if not self.platform.all_up():
             return True
-        if told["left_out"]:
+        if status["left_out"]:
             return True  # until it is seen back
-        self.backs += 1
-        self.say("back", number=1)
+        self.rollback_count += 1
+        self.send_command("back", number=1)
         return True
 
-    def second_over(self) -> bool:
-        if self.told.fault != "two-releases":
+    def is_second_rollout_over(self) -> bool:
+        if self.release_options.fault != "two-releases":
             return True
-        second = self.status(2)
-        return bool(second) and second["phase"] in ("done", "back", "halted")
+        status = self.rollout_status(2)
+        return bool(status) and status["phase"] in ("done", "back", "halted")
 
-    def settle(self) -> None:
+    def wait_until_settled(self) -> None:
         """Nobody is left down, and nobody out but who was left out."""
-        until = self.scheduler.now + 20 * SECOND
-        while self.scheduler.now < until and not (self.platform.all_up() and not self.platform.outs.causes):
+        give_up_at = self.scheduler.now + 20 * SECOND
+        while self.scheduler.now < give_up_at and not (
+            self.platform.all_up() and not self.platform.outs.causes
+        ):
             self.scheduler.sleep(self.scheduler.now + 1_000)
-        self.stuck = self.stuck or not self.platform.all_up()
+        self.is_stuck = self.is_stuck or not self.platform.all_up()
 
     # ---- the schedule ----------------------------------------------------------------------------------
 
-    def carry_out(self) -> None:
-        while self.pending:
-            step = self.pending[0]
+    def apply_steps(self) -> None:
+        while self.pending_steps:
+            step = self.pending_steps[0]
             if isinstance(step.wait, int):
                 self.scheduler.sleep(self.scheduler.now + step.wait)
             else:
-                while step.wait not in self.marks and self.pending and not self.ended:
+                while step.wait not in self.reached_moments and self.pending_steps and not self.final_phase:
                     self.scheduler.sleep(self.scheduler.now + 100)
-            if self.ended or not self.pending:
+            if self.final_phase or not self.pending_steps:
                 return
             try:
-                self.do(step)
-            except Exception as trouble:
-                self.fault(f"step {step.what}", trouble)
-            self.pending.pop(0)
+                self.apply_step(step)
+            except Exception as error:
+                self.fault(f"step {step.action}", error)
+            self.pending_steps.pop(0)
 
-    def deed(self, what: str, whom: str, more: float = 0.0) -> None:
+    def apply_action(self, action: str, target: str, value: float = 0.0) -> None:
         """Something that is done to the world, and done in the play without a release too."""
-        if self.told.without is None:
-            self.deeds.append((self.scheduler.now - self.release_began, f"{what} {whom}", more))
-        match what:
+        if self.release_options.without is None:
+            self.applied_actions.append(
+                (self.scheduler.now - self.rollout_started_at, f"{action} {target}", value)
+            )
+        match action:
             case "kill":
-                self.platform.kill(whom)
+                self.platform.kill(target)
             case "hold":
-                self.platform.hold(whom, self.scheduler.now + int(more * SECOND))
+                self.platform.hold(target, self.scheduler.now + int(value * SECOND))
             case "surge":
                 for router in self.routers:
-                    router.surge[whom] = more
+                    router.surge[target] = value
             case "service-down":
-                self.platform.service_down(whom)
+                self.platform.service_down(target)
             case "service-up":
-                self.platform.service_up(whom)
+                self.platform.service_up(target)
             case "lose-site":
-                self.lose(whom)
+                self.lose_site(target)
             case "site-back":
-                self.out.discard(whom)
-                for name in self.of_site(whom):
+                self.out.discard(target)
+                for name in self.member_names(target):
                     self.platform.machines[name].again_at = self.scheduler.now
 
-    def lose(self, site: str) -> None:
+    def lose_site(self, site: str) -> None:
         self.out.add(site)
-        for name in self.of_site(site):
+        for name in self.member_names(site):
             self.platform.kill(name)
             machine = self.platform.machines[name]
             if machine.state == "up":
-                machine.again_at = self.scheduler.now + LONGEST
+                machine.again_at = self.scheduler.now + STUCK_AFTER
 
-    def do(self, step: Step) -> None:
-        more = step.more
-        match step.what:
+    def apply_step(self, step: Step) -> None:
+        value = step.value
+        match step.action:
             case "kill-leader" | "kill-holder":
                 pass  # done in the moment itself
             case "kill-planners":
-                for one in self.planners.values():
-                    one.kill()
+                for planner in self.planners.values():
+                    planner.kill()
             case "start-planners":
-                for one in self.planners.values():
-                    one.start()
+                for planner in self.planners.values():
+                    planner.start()
             case "halt":
-                self.expect_halt = True
-                self.say("halt", reason="a rehearsal")
+                self.is_halt_expected = True
+                self.send_command("halt", reason="a rehearsal")
             case "halt-and-kill":
-                self.expect_halt = True
+                self.is_halt_expected = True
                 leader = self.leader()
                 self.scheduler.at(self.scheduler.now + 20, self.planners[leader].kill)
-                self.say("halt", reason="a rehearsal")
+                self.send_command("halt", reason="a rehearsal")
             case "check-halted":
-                told = self.status()
+                status = self.rollout_status()
                 drains = sum(self.platform.drains.values())
                 self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
-                if told.get("phase") != "halted" or sum(self.platform.drains.values()) != drains:
-                    self.resumed_without_a_word += 1
+                if status.get("phase") != "halted" or sum(self.platform.drains.values()) != drains:
+                    self.unexpected_resumes += 1
             case "resume":
-                self.say("resume", number=1)
-                self.expect_halt = False
+                self.send_command("resume", number=1)
+                self.is_halt_expected = False
             case "pause-holder":
-                self.deed("hold", self.holder, more)
+                self.apply_action("hold", self.permit_holder, value)
             case "second-release":
-                said = self.say("start", spec=self.plan([self.sites[-1]]))
-                self.operator_s.append(f"second: {said['done']}")
-                again = self.say("start", spec=self.plan(self.sites))
-                if again["done"]:
+                answer = self.send_command("start", spec=self.make_spec([self.sites[-1]]))
+                self.operator_log.append(f"second: {answer['done']}")
+                overlapping = self.send_command("start", spec=self.make_spec(self.sites))
+                if overlapping["done"]:
                     self.faults.append("a release that shares members with another was begun")
             case "drain-by-hand":
-                self.scheduler.spawn("by hand", self.by_hand)
+                self.scheduler.spawn("by hand", self.drain_by_hand)
             case "lower" | "raise":
-                most = LOWERED if step.what == "lower" else self.fleet_most
-                group = replace(self.groups["fleet"], max_unavailable=most)
-                self.groups["fleet"] = group
-                if step.what == "raise":
+                max_out = LOWERED_MAX_OUT if step.action == "lower" else self.fleet_max_out
+                group = replace(self.budget_groups["fleet"], max_unavailable=max_out)
+                self.budget_groups["fleet"] = group
+                if step.action == "raise":
                     self.platform.outs.groups["fleet"] = group
                 else:
                     # Planners read it within a moment; what they granted before stands.
                     self.scheduler.at(
                         self.scheduler.now + 5_000, lambda: self.platform.outs.groups.update(fleet=group)
                     )
-                self.file_again()
+                self.rewrite_fleet_files()
             case "leave":
-                self.left = {self.of_site(self.sites[-1])[-1]}
-                self.file_again()
+                self.delisted_members = {self.member_names(self.sites[-1])[-1]}
+                self.rewrite_fleet_files()
             case "rejoin":
-                name = min(self.left)
-                self.left = set()
-                self.deed("kill", name)
-                self.file_again()
+                name = min(self.delisted_members)
+                self.delisted_members = set()
+                self.apply_action("kill", name)
+                self.rewrite_fleet_files()
             case "split":
                 self.turn_planners("cut", self.leader())
-                self.scheduler.spawn("asker", self.ask_both_sides)
+                self.scheduler.spawn("asker", self.request_permit_on_both_sides)
             case "heal-planners":
-                for (who, _), wire in self.wires.items():
-                    if who in self.planners:
+                for (source, _), wire in self.wires.items():
+                    if source in self.planners:
                         wire.turn("pass")
             case "mute-holder" | "heal-holder":
-                mode = "mute" if step.what == "mute-holder" else "pass"
-                for (who, _), wire in self.wires.items():
-                    if who == self.holder:
+                mode = "mute" if step.action == "mute-holder" else "pass"
+                for (source, _), wire in self.wires.items():
+                    if source == self.permit_holder:
                         wire.turn(mode)
             case "crash-others":
                 machines = self.platform.machines
-                others = [one for one in self.of_site(self.sites[-1]) if machines[one].state == "up"]
-                for name in others[: int(more)]:
-                    self.deed("kill", name)
+                running_members = [
+                    member for member in self.member_names(self.sites[-1]) if machines[member].state == "up"
+                ]
+                for name in running_members[: int(value)]:
+                    self.apply_action("kill", name)
             case "service-down" | "service-up":
-                self.deed(step.what, self.store_of[self.sites[0]])
+                self.apply_action(step.action, self.store_by_site[self.sites[0]])
             case "surge":
-                self.deed("surge", "blue", more)
+                self.apply_action("surge", "blue", value)
             case "break-old":
-                first = self.planned[0][0]
-                self.platform.machines[first].broken.add(OLD)
+                first_member = self.planned_batches[0][0]
+                self.platform.machines[first_member].broken.add(OLD)
             case "lose-site":
-                self.expect_halt = True
-                self.deed("lose-site", self.sites[-1])
+                self.is_halt_expected = True
+                self.apply_action("lose-site", self.sites[-1])
             case "site-back":
-                self.deed("site-back", self.sites[-1])
+                self.apply_action("site-back", self.sites[-1])
             case "wait-home":
-                self.wait_for(self.at_home, 60 * SECOND)
+                self.wait_for(self.are_sites_home, 60 * SECOND)
             case "fill-disk":
                 self.planners[self.leader()].fill_disk()
             case "empty-disk":
-                for one in self.planners.values():
-                    one.empty_disk()
+                for planner in self.planners.values():
+                    planner.empty_disk()
             case "empty-follower" | "cut-follower":
                 self.to_planners("kill-planner", "follower")
-                self.to_planners("disk-empty" if step.what == "empty-follower" else "disk-cut-short", "last")
+                self.to_planners(
+                    "disk-empty" if step.action == "empty-follower" else "disk-cut-short", "last"
+                )
             case "late":
                 for wire in self.wires.values():
-                    wire.turn("late", int(more))
-            case what:
-                raise RuntimeError(f"no such step: {what}")
+                    wire.turn("late", int(value))
+            case unknown_action:
+                raise RuntimeError(f"no such step: {unknown_action}")
 
-    def at_home(self) -> bool:
-        shown = self.ask(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
-        return bool(shown.get("sites")) and all(site["stage"] == "home" for site in shown["sites"])
+    def are_sites_home(self) -> bool:
+        fleet = self.ask_planners(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
+        return bool(fleet.get("sites")) and all(site["stage"] == "home" for site in fleet["sites"])
 
-    def by_hand(self) -> None:
+    def drain_by_hand(self) -> None:
         """Somebody's shell loop: it asks for a permit, drains the member itself and starts it again."""
-        name = self.of_site(self.sites[-1])[-1]
-        until = self.scheduler.now + 120 * SECOND
-        while self.scheduler.now < until and not self.permit(name)["granted"]:
+        name = self.member_names(self.sites[-1])[-1]
+        give_up_at = self.scheduler.now + 120 * SECOND
+        while self.scheduler.now < give_up_at and not self.request_permit(name)["granted"]:
             self.scheduler.sleep(self.scheduler.now + 3_000)
         machine = self.platform.machines[name]
         if machine.state != "up":
@@ -492,41 +520,47 @@
             self.scheduler.sleep(self.scheduler.now + 500)
         self.platform.start(machine, version)
 
-    def ask_both_sides(self) -> None:
+    def request_permit_on_both_sides(self) -> None:
         """While planners are split: whoever is cut off must not let anybody go."""
         leader = self.leader()
-        name = self.of_site(self.sites[-1])[0]
-        alone = self.permit(name, [leader])
-        others = self.permit(name, [one for one in self.names if one != leader])
-        self.operator_s.append(f"alone: {alone.get('granted')}; others: {others.get('granted')}")
+        name = self.member_names(self.sites[-1])[0]
+        leader_answer = self.request_permit(name, [leader])
+        others_answer = self.request_permit(name, [planner for planner in self.names if planner != leader])
+        self.operator_log.append(
+            f"alone: {leader_answer.get('granted')}; others: {others_answer.get('granted')}"
+        )
         self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
         hand_back: Callable[[], dict[str, Any]] = partial(
-            self.ask, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name), "want"
+            self.ask_planners, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name), "want"
         )
-        until = self.scheduler.now + 60 * SECOND
+        give_up_at = self.scheduler.now + 60 * SECOND
         # Granted in the end or not, it does not go: its place is given back.
-        while self.scheduler.now < until:
-            granted = self.permit(name)
-            if granted.get("granted"):
+        while self.scheduler.now < give_up_at:
+            answer = self.request_permit(name)
+            if answer.get("granted"):
                 hand_back()
                 return
             self.scheduler.sleep(self.scheduler.now + 3_000)
 
     # ---- what is told of it ----------------------------------------------------------------------------
 
-    def least(self) -> float:
+    def min_span_s(self) -> float:
         """Seconds that the budgets and watches alone take: batches in rounds of as many as may be out."""
         rounds = 0
-        for batch in self.planned:
+        for batch in self.planned_batches:
             site = self.platform.machines[batch[0]].server.site
-            may = min(self.groups[site].disruptions_allowed, self.groups["fleet"].disruptions_allowed)
-            rounds += -(-len(batch) // may)
-        return (rounds * (LEAST + self.cold_span) + len(self.planned) * WATCH_MS * 10) / SECOND
+            max_out = min(
+                self.budget_groups[site].disruptions_allowed, self.budget_groups["fleet"].disruptions_allowed
+            )
+            rounds += -(-len(batch) // max_out)
+        return (
+            rounds * (MIN_RESTART_SPAN + self.cold_span) + len(self.planned_batches) * MIN_WATCH_MS * 10
+        ) / SECOND
 
-    def outcome(self) -> dict[str, Any]:
+    def build_report(self) -> dict[str, Any]:
         truth, platform = self.truth, self.platform
-        spans = {"during": (self.release_began, self.release_ended)}
-        told: dict[str, Any] = {
+        spans = {"during": (self.rollout_started_at, self.rollout_ended_at)}
+        report: dict[str, Any] = {
             "rules": truth.rules(self.scheduler.now, WINDOW),
             "budgets": platform.outs.told(),
             "service": {name: round(truth.service(span), 4) for name, span in spans.items()},
@@ -536,108 +570,114 @@
             "dead": self.dead(),
             "trouble": self.faults[:5],
             "transactions": len(truth.deeds),
-            "took_s": round((self.release_ended - self.release_began) / SECOND, 1),
+            "took_s": round((self.rollout_ended_at - self.rollout_started_at) / SECOND, 1),
         }
-        return told
+        return report
 
-    def of_release(self) -> dict[str, Any]:
+    def rollout_report(self) -> dict[str, Any]:
         platform = self.platform
-        halt = None
+        halt_s = None
         if self.halted_at is not None and platform.first_harm is not None:
-            halt = round((self.halted_at - platform.first_harm) / SECOND, 2)
+            halt_s = round((self.halted_at - platform.first_harm) / SECOND, 2)
         return {
-            "ended": self.ended,
-            "why": self.why,
-            "halt_s": halt,
+            "ended": self.final_phase,
+            "why": self.final_reason,
+            "halt_s": halt_s,
             "exposed": len(platform.exposed),
             "drained_twice": sum(max(0, count - 1) for count in platform.drains.values()),
-            "stuck": self.stuck,
-            "resumed_without_a_word": self.resumed_without_a_word,
+            "stuck": self.is_stuck,
+            "resumed_without_a_word": self.unexpected_resumes,
             "stale_orders": platform.stale,
-            "least_s": round(self.least(), 1),
-            "batches": len(self.planned),
-            "judged": self.judged,
+            "least_s": round(self.min_span_s(), 1),
+            "batches": len(self.planned_batches),
+            "judged": self.last_figures,
             "breaches": platform.outs.said[:5],
-            "operators": self.operator_s[:20],
-            "versions": dict(Counter(one.version for one in platform.machines.values())),
+            "operators": self.operator_log[:20],
+            "versions": dict(Counter(machine.version for machine in platform.machines.values())),
         }
 
 
-def play_once(told: ReleaseTold, folder: Path) -> tuple[dict[str, Any], Play]:
+def run_once(options: ReleaseOptions, folder: Path) -> tuple[dict[str, Any], ReleaseRun]:
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
-    play = Play(told, folder)
+    run = ReleaseRun(options, folder)
     try:
-        play.play(play.direct)
+        run.play(run.execute_schedule)
     finally:
-        play.finish()
-    outcome = play.outcome()
-    return (outcome | play.of_release() if told.without is None else outcome), play
+        run.finish()
+    report = run.build_report()
+    return (report | run.rollout_report() if options.without is None else report), run
 
 
-def broken(report: dict[str, Any]) -> list[str]:
+def find_violations(report: dict[str, Any]) -> list[str]:
     """What must not be, of one report."""
-    found = [f"rule {name}: {count}" for name, count in report["rules"].items() if count]
-    found += [f"budget {name}" for name, one in report["budgets"].items() if one["breaches"]]
-    bad = ("drained_twice", "resumed_without_a_word", "dead", "trouble")
-    found += [f"{name}: {report[name]}" for name in bad if report[name]]
-    return found + (["stuck"] if report["stuck"] else [])
+    violations = [f"rule {name}: {count}" for name, count in report["rules"].items() if count]
+    violations += [f"budget {name}" for name, budget in report["budgets"].items() if budget["breaches"]]
+    counted = ("drained_twice", "resumed_without_a_word", "dead", "trouble")
+    violations += [f"{name}: {report[name]}" for name in counted if report[name]]
+    return violations + (["stuck"] if report["stuck"] else [])
 
 
-def play_release(told: ReleaseTold) -> dict[str, Any]:
+def run_release(options: ReleaseOptions) -> dict[str, Any]:
     """The report of the command: the release, and the same schedule without one."""
-    kept = told.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
+    logs_folder = options.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
     try:
-        outcome, play = play_once(told, kept / "release")
+        measured, run = run_once(options, logs_folder / "release")
         report: dict[str, Any] = {
-            "seed": told.seed,
-            "version": told.version,
-            "fault": told.fault,
-            "servers": told.sites * told.each,
-            "planners": told.planners,
-            "load": told.load,
-            **outcome,
+            "seed": options.seed,
+            "version": options.version,
+            "fault": options.fault,
+            "servers": options.sites * options.each,
+            "planners": options.planners,
+            "load": options.load,
+            **measured,
         }
-        if not told.alone:
-            single, _ = play_once(replace(told, without=tuple(play.deeds)), kept / "without")
+        if not options.alone:
+            without_rollout, _ = run_once(
+                replace(options, without=tuple(run.applied_actions)), logs_folder / "without"
+            )
             names = ("rules", "service", "attempts_each", "refused", "dead")
-            report["without"] = {name: single[name] for name in names}
+            report["without"] = {name: without_rollout[name] for name in names}
     finally:
-        if told.logs is None:
-            shutil.rmtree(kept, ignore_errors=True)
-    report["broken"] = broken(report)
+        if options.logs is None:
+            shutil.rmtree(logs_folder, ignore_errors=True)
+    report["broken"] = find_violations(report)
     return report
 
 
-class Stand(Play):
+class InteractiveRun(ReleaseRun):
     """The same world with no schedule, for a person to release through it by the command line."""
 
-    def __init__(self, told: ReleaseTold, folder: Path, minutes: float, say: Callable[[str], None]) -> None:
-        super().__init__(told, folder)
-        self.minutes, self.tell = minutes, say
+    def __init__(
+        self, options: ReleaseOptions, folder: Path, minutes: float, print_line: Callable[[str], None]
+    ) -> None:
+        super().__init__(options, folder)
+        self.minutes, self.print_line = minutes, print_line
 
-    def direct(self) -> None:
+    def execute_schedule(self) -> None:
         self.begin()
         self.platform.watch()
-        self.wait_for(self.known, 30 * SECOND)
-        fleet = self.fleet_file("operator")
-        release = self.folder / "release.json"
-        release.write_bytes(msgspec.json.format(encode(self.plan(self.sites)), indent=2))
-        self.tell(f"up for {self.minutes:g} minutes; in another shell:")
-        self.tell(f"  export BIRCHSLIP_FLEET={fleet}")
-        self.tell(f"  python -m birchslip release start {release} --who you")
+        self.wait_for(self.is_fleet_known, 30 * SECOND)
+        fleet_path = self.fleet_file("operator")
+        spec_path = self.folder / "release.json"
+        spec_path.write_bytes(msgspec.json.format(encode(self.make_spec(self.sites)), indent=2))
+        self.print_line(f"up for {self.minutes:g} minutes; in another shell:")
+        self.print_line(f"  export BIRCHSLIP_FLEET={fleet_path}")
+        self.print_line(f"  python -m birchslip release start {spec_path} --who you")
         self.scheduler.sleep(self.scheduler.now + int(self.minutes * 60 * SECOND))
         self.platform.over = True
         self.end()
 
 
-def stand(told: ReleaseTold, folder: Path, minutes: float, say: Callable[[str], None]) -> None:
+def run_interactive(
+    options: ReleaseOptions, folder: Path, minutes: float, print_line: Callable[[str], None]
+) -> None:
     folder.mkdir(parents=True, exist_ok=True)
-    made = Stand(told, folder, minutes, say)
+    run = InteractiveRun(options, folder, minutes, print_line)
     try:
-        made.play(made.direct)
+        run.play(run.execute_schedule)
     finally:
-        made.platform.over = True
-        made.finish()
-    for trouble in made.faults:
-        say(trouble)
+        run.platform.over = True
+        run.finish()
+    for error in run.faults:
+        print_line(error)
--- a/birchslip/lab/rollouts.py
+++ b/birchslip/lab/rollouts.py
@@ -35,28 +35,28 @@
 )
 
 SECOND = 10_000
-LOOK = SECOND // 2
+TICK_INTERVAL = SECOND // 2
 VERSIONS = ("good", "slow", "crash", "nostart", "profile")
-DRAIN, START, WARM = 2 * SECOND, SECOND, 4 * SECOND
+DRAIN_SPAN, START_SPAN, WARMUP_SPAN = 2 * SECOND, SECOND, 4 * SECOND
 
 
 @dataclass(eq=False)
-class Machine:
+class Instance:
     """One member's process, as the platform has it."""
 
     name: str
     state: InstanceStatus = InstanceStatus.UP
     version: str = "old"
-    life: int = 1
-    until: int = 0  # of what it is doing
+    incarnation: int = 1
+    state_until: int = 0  # of what it is doing
     warm_at: int = 0
-    failed: int = 0
-    ends: int = 0
-    drains: list[int] = field(default_factory=list)  # by permit
-    dead_until: int = 0  # a crash that nobody asked for
+    failed_starts: int = 0
+    crash_count: int = 0
+    drain_permits: list[int] = field(default_factory=list)  # by permit
+    down_until: int = 0  # a crash that nobody asked for
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         return self.state is InstanceStatus.UP
 
 
@@ -69,202 +69,230 @@
         self,
         seed: int,
         version: str,
-        sites: int = 3,
-        each: int = 4,
-        trouble: float = 0.02,
-        deaths: float = 0.02,
+        site_count: int = 3,
+        members_per_site: int = 4,
+        fault_rate: float = 0.02,
+        takeover_rate: float = 0.02,
     ) -> None:
-        self.chance = random.Random(seed)
-        self.version, self.trouble, self.deaths = version, trouble, deaths
-        self.sites = {f"s{n}": [f"s{n}-{m}" for m in range(each)] for n in range(sites)}
-        self.machines = {name: Machine(name) for names in self.sites.values() for name in names}
-        whole = frozenset(self.machines)
+        self.rng = random.Random(seed)
+        self.version, self.fault_rate, self.takeover_rate = version, fault_rate, takeover_rate
+        self.sites = {f"s{n}": [f"s{n}-{m}" for m in range(members_per_site)] for n in range(site_count)}
+        self.instances = {name: Instance(name) for names in self.sites.values() for name in names}
+        all_members = frozenset(self.instances)
         self.groups = [
             *(BudgetGroup(site, frozenset(names), max_unavailable=1) for site, names in self.sites.items()),
-            BudgetGroup("fleet", whole, max_unavailable=2),
+            BudgetGroup("fleet", all_members, max_unavailable=2),
         ]
-        plan = RolloutSpec(
+        spec = RolloutSpec(
             version="new", previous_version="old", canaries=1, batch_size=2, min_watch_ms=6_000
         )
-        self.kept = msgspec.json.encode(RolloutRecord(spec=plan, batches=plan_batches(plan, self.sites)))
-        self.book = msgspec.json.encode(BudgetState())
+        self.stored_record = msgspec.json.encode(
+            RolloutRecord(spec=spec, batches=plan_batches(spec, self.sites))
+        )
+        self.stored_budget = msgspec.json.encode(BudgetState())
         self.now = 0
-        self.begin()
-        self.carried: set[tuple[str, str, int, str]] = set()
+        self.take_over()
+        self.executed_orders: set[tuple[str, str, int, str]] = set()
         self.surge_until = 0
-        self.slow: dict[str, int] = {}  # machines that are slow by themselves, and until when
-        self.breaches = self.drained_twice = self.conductors = 0
-        self.exposed: set[str] = set()
-        self.harm_at: int | None = None
+        self.slow_until: dict[str, int] = {}  # machines that are slow by themselves, and until when
+        self.budget_breaches = self.repeated_drains = self.takeover_count = 0
+        self.exposed_members: set[str] = set()
+        self.first_failure_at: int | None = None
         self.halted_at: int | None = None
 
-    def begin(self) -> None:
+    def take_over(self) -> None:
         """A conductor takes over, with what was kept."""
-        permits = DisruptionBudget(self.groups)
-        permits.restore(self.book)
-        self.release = Rollout(msgspec.json.decode(self.kept, type=RolloutRecord), permits)
+        budget = DisruptionBudget(self.groups)
+        budget.restore(self.stored_budget)
+        self.rollout = Rollout(msgspec.json.decode(self.stored_record, type=RolloutRecord), budget)
 
     # ---- the world -------------------------------------------------------------------------------------
 
-    def seen(self) -> dict[str, MemberObservation]:
-        found = {}
-        for name, one in self.machines.items():
-            why = None
-            if not one.up or self.now < one.dead_until:
-                why = (
+    def observations(self) -> dict[str, MemberObservation]:
+        observations = {}
+        for name, instance in self.instances.items():
+            reason = None
+            if not instance.is_up or self.now < instance.down_until:
+                reason = (
                     UnavailabilityReason.DRAINING
-                    if one.state is InstanceStatus.DRAINING
+                    if instance.state is InstanceStatus.DRAINING
                     else UnavailabilityReason.SILENT
                 )
-            elif self.now < one.warm_at:
-                why = UnavailabilityReason.COLD
-            found[name] = MemberObservation(Incarnation(nonce=one.life), 10.0, why)
-        return found
+            elif self.now < instance.warm_at:
+                reason = UnavailabilityReason.COLD
+            observations[name] = MemberObservation(Incarnation(nonce=instance.incarnation), 10.0, reason)
+        return observations
 
-    def platform(self) -> dict[str, InstanceView]:
+    def instance_views(self) -> dict[str, InstanceView]:
         return {
-            name: InstanceView(one.state, one.version, one.failed, one.ends)
-            for name, one in self.machines.items()
+            name: InstanceView(instance.state, instance.version, instance.failed_starts, instance.crash_count)
+            for name, instance in self.instances.items()
         }
 
-    def shown(self) -> dict[str, MemberSample]:
+    def metric_samples(self) -> dict[str, MemberSample]:
         """What each member's answers of the last look came to."""
-        found = {}
-        for name, one in self.machines.items():
-            if not one.up or self.now < one.dead_until:
+        samples = {}
+        for name, instance in self.instances.items():
+            if not instance.is_up or self.now < instance.down_until:
                 continue
-            base = 0.03 + (0.2 if self.now < self.surge_until else 0.0)
-            base += 0.1 if self.now < self.slow.get(name, 0) else 0.0
-            off = 0.0
-            if one.version == "new":
-                self.exposed.add(name)
-                off = {"slow": 0.35, "profile": 0.0}.get(self.version, 0.0)
-                if self.version in ("slow", "profile") and self.harm_at is None and self.now >= one.warm_at:
-                    self.harm_at = self.now
-            count = self.chance.randrange(12, 20)
-            late = sum(self.chance.random() < min(1.0, base + off) for _ in range(count))
+            late_rate = 0.03 + (0.2 if self.now < self.surge_until else 0.0)
+            late_rate += 0.1 if self.now < self.slow_until.get(name, 0) else 0.0
+            extra_late_rate = 0.0
+            if instance.version == "new":
+                self.exposed_members.add(name)
+                extra_late_rate = {"slow": 0.35, "profile": 0.0}.get(self.version, 0.0)
+                if (
+                    self.version in ("slow", "profile")
+                    and self.first_failure_at is None
+                    and self.now >= instance.warm_at
+                ):
+                    self.first_failure_at = self.now
+            request_count = self.rng.randrange(12, 20)
+            late_count = sum(
+                self.rng.random() < min(1.0, late_rate + extra_late_rate) for _ in range(request_count)
+            )
             # One profile in five is never honoured.
-            broken = one.version == "new" and self.version == "profile"
-            lost = sum(self.chance.random() < (0.2 if broken else 0.002) for _ in range(count))
-            figures = {"late": (late, count), "shed": (0, count), "written_off": (lost, count)}
-            found[name] = MemberSample(self.now >= one.warm_at, figures)
-        return found
+            is_faulty_profile = instance.version == "new" and self.version == "profile"
+            lost_count = sum(
+                self.rng.random() < (0.2 if is_faulty_profile else 0.002) for _ in range(request_count)
+            )
+            figures = {
+                "late": (late_count, request_count),
+                "shed": (0, request_count),
+                "written_off": (lost_count, request_count),
+            }
+            samples[name] = MemberSample(self.now >= instance.warm_at, figures)
+        return samples
 
-    def pass_time(self) -> None:
-        self.now += LOOK
-        for one in self.machines.values():
-            if one.state is InstanceStatus.DRAINING and self.now >= one.until:
-                one.state, one.until = InstanceStatus.STOPPED, 0
-            elif one.state is InstanceStatus.STOPPED and one.until and self.now >= one.until:
-                one.until = 0
-                self.come_up(one)
+    def advance_time(self) -> None:
+        self.now += TICK_INTERVAL
+        for instance in self.instances.values():
+            if instance.state is InstanceStatus.DRAINING and self.now >= instance.state_until:
+                instance.state, instance.state_until = InstanceStatus.STOPPED, 0
+            elif (
+                instance.state is InstanceStatus.STOPPED
+                and instance.state_until
+                and self.now >= instance.state_until
+            ):
+                instance.state_until = 0
+                self.finish_start(instance)
             crashes = (
-                one.up
-                and one.version == "new"
+                instance.is_up
+                and instance.version == "new"
                 and self.version == "crash"
-                and self.now >= one.warm_at + 3 * SECOND
+                and self.now >= instance.warm_at + 3 * SECOND
             )
-            if crashes and self.now >= one.dead_until and self.chance.random() < 0.2:
-                one.dead_until = self.now + 2 * SECOND
-                one.life += 1
-                one.warm_at = one.dead_until + WARM
-                self.harm_at = self.now if self.harm_at is None else self.harm_at
-                one.ends += 1
-        if self.chance.random() < self.trouble * LOOK / SECOND:
-            one = self.chance.choice(list(self.machines.values()))
-            if one.up and one.version == "old":
-                one.dead_until = self.now + self.chance.randrange(SECOND, 8 * SECOND)
-                one.life += 1
-                one.warm_at = one.dead_until + WARM
-        if self.chance.random() < self.trouble * LOOK / SECOND:
+            if crashes and self.now >= instance.down_until and self.rng.random() < 0.2:
+                instance.down_until = self.now + 2 * SECOND
+                instance.incarnation += 1
+                instance.warm_at = instance.down_until + WARMUP_SPAN
+                self.first_failure_at = self.now if self.first_failure_at is None else self.first_failure_at
+                instance.crash_count += 1
+        if self.rng.random() < self.fault_rate * TICK_INTERVAL / SECOND:
+            instance = self.rng.choice(list(self.instances.values()))
+            if instance.is_up and instance.version == "old":
+                instance.down_until = self.now + self.rng.randrange(SECOND, 8 * SECOND)
+                instance.incarnation += 1
+                instance.warm_at = instance.down_until + WARMUP_SPAN
+        if self.rng.random() < self.fault_rate * TICK_INTERVAL / SECOND:
             self.surge_until = self.now + 15 * SECOND
-        if self.chance.random() < self.trouble * LOOK / SECOND:
-            self.slow[self.chance.choice(list(self.machines))] = self.now + 8 * SECOND
+        if self.rng.random() < self.fault_rate * TICK_INTERVAL / SECOND:
+            self.slow_until[self.rng.choice(list(self.instances))] = self.now + 8 * SECOND
 
-    def come_up(self, one: Machine) -> None:
-        if one.version == "new" and self.version == "nostart":
-            one.state = InstanceStatus.FAILED
-            one.failed += 1
+    def finish_start(self, instance: Instance) -> None:
+        if instance.version == "new" and self.version == "nostart":
+            instance.state = InstanceStatus.FAILED
+            instance.failed_starts += 1
             return
-        one.state, one.failed = InstanceStatus.UP, 0
-        one.life += 1
-        one.warm_at = self.now + WARM
+        instance.state, instance.failed_starts = InstanceStatus.UP, 0
+        instance.incarnation += 1
+        instance.warm_at = self.now + WARMUP_SPAN
 
     # ---- orders ----------------------------------------------------------------------------------------
 
-    def carry(self, order: PlatformOrder) -> None:
+    def execute_order(self, order: PlatformOrder) -> None:
         """The platform: an order that was carried out before is passed over; a message may be lost or
         doubled.
         """
-        draw = self.chance.random()
+        draw = self.rng.random()
         for _ in range(0 if draw < 0.1 else 2 if draw > 0.9 else 1):
-            one = self.machines[order.member]
+            instance = self.instances[order.member]
             if order.action is OrderAction.DRAIN:
-                mark = (order.member, "drain", order.permit_number, "")
-                if mark in self.carried or not one.up:
+                order_key = (order.member, "drain", order.permit_number, "")
+                if order_key in self.executed_orders or not instance.is_up:
                     continue
-                self.carried.add(mark)
-                self.drained_twice += order.permit_number in one.drains
-                one.drains.append(order.permit_number)
-                one.state, one.until = InstanceStatus.DRAINING, self.now + DRAIN
-            elif one.state in (InstanceStatus.STOPPED, InstanceStatus.FAILED) and not (
-                one.state is InstanceStatus.STOPPED and one.until
+                self.executed_orders.add(order_key)
+                self.repeated_drains += order.permit_number in instance.drain_permits
+                instance.drain_permits.append(order.permit_number)
+                instance.state, instance.state_until = InstanceStatus.DRAINING, self.now + DRAIN_SPAN
+            elif instance.state in (InstanceStatus.STOPPED, InstanceStatus.FAILED) and not (
+                instance.state is InstanceStatus.STOPPED and instance.state_until
             ):
-                if one.version != order.version:
-                    one.failed = one.ends = 0
-                one.state, one.version, one.until = InstanceStatus.STOPPED, order.version, self.now + START
+                if instance.version != order.version:
+                    instance.failed_starts = instance.crash_count = 0
+                instance.state, instance.version, instance.state_until = (
+                    InstanceStatus.STOPPED,
+                    order.version,
+                    self.now + START_SPAN,
+                )
 
     def step(self) -> None:
-        self.pass_time()
-        if self.chance.random() < self.deaths:
-            self.conductors += 1
-            self.begin()
-        phase = self.release.phase
-        self.release.budget.reconcile(self.seen())
-        view = FleetView(self.platform(), self.seen(), self.shown(), [])
-        orders = self.release.step(view, self.now)
+        self.advance_time()
+        if self.rng.random() < self.takeover_rate:
+            self.takeover_count += 1
+            self.take_over()
+        previous_phase = self.rollout.phase
+        self.rollout.budget.reconcile(self.observations())
+        view = FleetView(self.instance_views(), self.observations(), self.metric_samples(), [])
+        orders = self.rollout.step(view, self.now)
         # Kept before anything is asked: a conductor that dies here leaves no order that nobody knows of.
-        self.kept = msgspec.json.encode(self.release.record)
-        self.book = self.release.budget.encode()
+        self.stored_record = msgspec.json.encode(self.rollout.record)
+        self.stored_budget = self.rollout.budget.encode()
         for order in orders:
-            self.carry(order)
-        if self.release.phase is RolloutPhase.HALTED and phase is not RolloutPhase.HALTED:
+            self.execute_order(order)
+        if self.rollout.phase is RolloutPhase.HALTED and previous_phase is not RolloutPhase.HALTED:
             self.halted_at = self.now
-        self.count()
+        self.count_breaches()
 
-    def count(self) -> None:
+    def count_breaches(self) -> None:
         """By what is so, not by what was decided: planned ones that are out, in each group."""
         for group in self.groups:
-            out = [name for name in group.members if self.machines[name].state is not InstanceStatus.UP]
+            out = [name for name in group.members if self.instances[name].state is not InstanceStatus.UP]
             if len(out) > group.disruptions_allowed:
-                self.breaches += 1
+                self.budget_breaches += 1
 
-    def run(self, back: bool = True, longest: int = 1_200) -> RolloutScenario:
+    def run(self, rolls_back: bool = True, timeout_s: int = 1_200) -> RolloutScenario:
         """To its end; where it halts on a bad version, the way back is taken."""
-        for _ in range(longest * SECOND // LOOK):
+        for _ in range(timeout_s * SECOND // TICK_INTERVAL):
             self.step()
-            if self.release.phase in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK):
+            if self.rollout.phase in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK):
                 break
-            if self.release.phase is RolloutPhase.HALTED and self.settled():
-                if not (back and self.release.record.version_is_bad and not self.release.record.excluded):
+            if self.rollout.phase is RolloutPhase.HALTED and self.all_in_service():
+                if not (
+                    rolls_back and self.rollout.record.version_is_bad and not self.rollout.record.excluded
+                ):
                     break
-                self.release.roll_back("the play")
+                self.rollout.roll_back("the play")
         return self
 
-    def settled(self) -> bool:
-        return all(one.up for one in self.machines.values() if one.name not in self.release.record.excluded)
+    def all_in_service(self) -> bool:
+        return all(
+            instance.is_up
+            for instance in self.instances.values()
+            if instance.name not in self.rollout.record.excluded
+        )
 
-    def told(self) -> dict[str, object]:
+    def report(self) -> dict[str, object]:
         return {
-            "ended": self.release.phase.value,
-            "breaches": self.breaches,
-            "drained_twice": self.drained_twice,
-            "exposed": len(self.exposed),
-            "stuck": self.release.phase in (RolloutPhase.RUNNING, RolloutPhase.ROLLING_BACK),
-            "conductors": self.conductors,
+            "ended": self.rollout.phase.value,
+            "breaches": self.budget_breaches,
+            "drained_twice": self.repeated_drains,
+            "exposed": len(self.exposed_members),
+            "stuck": self.rollout.phase in (RolloutPhase.RUNNING, RolloutPhase.ROLLING_BACK),
+            "conductors": self.takeover_count,
             "halt_s": None
-            if self.halted_at is None or self.harm_at is None
-            else (self.halted_at - self.harm_at) / SECOND,
+            if self.halted_at is None or self.first_failure_at is None
+            else (self.halted_at - self.first_failure_at) / SECOND,
             "took_s": self.now / SECOND,
-            "why": self.release.record.reason,
+            "why": self.rollout.record.reason,
         }
