--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -15,126 +15,133 @@
 from .faults import Step, schedule
 from .truth import SECOND
 from .world import COLD_FROM, COLD_SPAN, CORES, WINDOW, World
-from .world import Told as Common
+from .world import Told as ScenarioOptions
 
-MINUTE = "planners-gone-minute"  # whose loss lasts longer than the schedule's own span
-COSTS = ("member_cpu_s", "member_memory_kb")
+LONG_OUTAGE_FAULT = "planners-gone-minute"  # whose loss lasts longer than the schedule's own span
+USAGE_KEYS = ("member_cpu_s", "member_memory_kb")
 
 
 @dataclass(frozen=True)
-class Told(Common):
+class SiteLossOptions(ScenarioOptions):
     """`pace` stretches the parts of the schedule."""
 
     pace: float = 1.0
 
     @property
-    def lost(self) -> int:
+    def outage_span(self) -> int:
         """How long the first site is out."""
         return int(8 * self.pace * SECOND)
 
 
-def spans_of(told: Told, steps: list[Step]) -> dict[str, tuple[int, int]]:
+def schedule_spans(options: SiteLossOptions, steps: list[Step]) -> dict[str, tuple[int, int]]:
     """The parts of a play that figures are told of, from the first transaction on."""
-    before, back, after = (int(span * told.pace * SECOND) for span in (6, 12, 4))
-    lost, last = told.lost, max((step.at for step in steps), default=0)
+    before, back, after = (int(span * options.pace * SECOND) for span in (6, 12, 4))
+    outage_span, last = options.outage_span, max((step.at for step in steps), default=0)
     return {
         "before": (before // 2, before),
-        "during": (before + 15_000, before + max(lost, last if told.fault == MINUTE else 30_000)),
-        "back": (before + max(lost, last), before + max(lost, last) + back),
-        "after": (before + max(lost, last) + back, before + max(lost, last) + back + after),
+        "during": (
+            before + 15_000,
+            before + max(outage_span, last if options.fault == LONG_OUTAGE_FAULT else 30_000),
+        ),
+        "back": (before + max(outage_span, last), before + max(outage_span, last) + back),
+        "after": (before + max(outage_span, last) + back, before + max(outage_span, last) + back + after),
     }
 
 
-class Play(World):
+class SiteLossRun(World):
     """One run of a schedule, with planners or without."""
 
-    def __init__(self, told: Told, folder: Path) -> None:
-        super().__init__(told, folder)
-        self.told = told
-        self.watch: list[Step] = []
-        self.spells: dict[str, list[tuple[int, float]]] = {}  # site: since when, how slow
-        self.returns: list[int] = []
-        self.losses: list[int] = []
-        self.costs: dict[str, tuple[float, int]] = {}
+    def __init__(self, options: SiteLossOptions, folder: Path) -> None:
+        super().__init__(options, folder)
+        self.site_loss_options = options
+        self.pending_site_steps: list[Step] = []
+        self.slowdowns: dict[str, list[tuple[int, float]]] = {}  # site: since when, how slow
+        self.return_times: list[int] = []
+        self.loss_times: list[int] = []
+        self.member_usage: dict[str, tuple[float, int]] = {}
 
     # ---- the play --------------------------------------------------------------------------------------
 
     def run(self) -> None:
-        told = self.told
-        steps = schedule(told.fault, told.seed, self.sites, self.names, told.lost)
-        self.spans = spans_of(told, steps)
-        self.until = self.spans["after"][1]
-        self.play(lambda: self.direct(steps))
+        options = self.site_loss_options
+        steps = schedule(options.fault, options.seed, self.sites, self.names, options.outage_span)
+        self.spans = schedule_spans(options, steps)
+        self.end_offset = self.spans["after"][1]
+        self.play(lambda: self.execute_schedule(steps))
 
-    def direct(self, steps: list[Step]) -> None:
+    def execute_schedule(self, steps: list[Step]) -> None:
         scheduler = self.scheduler
         self.begin()
-        zero = self.began + self.spans["before"][1]
-        self.sample()
+        loss_at = self.began + self.spans["before"][1]
+        self.watch_site_steps()
         for step in steps:
-            scheduler.sleep(max(scheduler.now, zero + step.at))
-            self.carry_out(step)
-        scheduler.sleep(self.began + self.until)
-        self.costs = {name: one.usage() for name, one in self.members.items()}
+            scheduler.sleep(max(scheduler.now, loss_at + step.at))
+            self.apply_step(step)
+        scheduler.sleep(self.began + self.end_offset)
+        self.member_usage = {name: process.usage() for name, process in self.members.items()}
         self.end()
 
-    def sample(self) -> None:
+    def watch_site_steps(self) -> None:
         """A step that waits for a site's own step on its way back is due once the log tells of it."""
-        self.scheduler.at(self.scheduler.now + 1_000, self.sample)
-        for step in list(self.watch):
-            lines = [line for one in self.planners.values() for _, line in one.lines("stage=step")]
+        self.scheduler.at(self.scheduler.now + 1_000, self.watch_site_steps)
+        for step in list(self.pending_site_steps):
+            lines = [line for planner in self.planners.values() for _, line in planner.lines("stage=step")]
             # Without planners there are no steps: it dies about when it would have reached the second one.
-            alone = not self.planners and self.returns and self.scheduler.now >= self.returns[-1] + 2 * SECOND
-            if alone or (self.planners and len(lines) >= step.more):
-                self.watch.remove(step)
-                self.down(step.whom, "kill")
-                again = self.scheduler.now + 2 * SECOND
-                self.scheduler.at(again, lambda site=step.whom: self.up(site))  # type: ignore[misc]
-
-    def carry_out(self, step: Step) -> None:
-        match step.what:
+            due_without_planners = (
+                not self.planners
+                and self.return_times
+                and self.scheduler.now >= self.return_times[-1] + 2 * SECOND
+            )
+            if due_without_planners or (self.planners and len(lines) >= step.value):
+                self.pending_site_steps.remove(step)
+                self.take_site_down(step.target, "kill")
+                restart_at = self.scheduler.now + 2 * SECOND
+                self.scheduler.at(restart_at, lambda site=step.target: self.bring_site_up(site))  # type: ignore[misc]
+
+    def apply_step(self, step: Step) -> None:
+        match step.action:
             case "kill" | "pause":
-                self.down(step.whom, step.what)
+                self.take_site_down(step.target, step.action)
             case "start" | "resume":
-                self.up(step.whom)
+                self.bring_site_up(step.target)
             case "on-step":
-                self.watch.append(step)
+                self.pending_site_steps.append(step)
             case "surge":
                 for router in self.routers:
-                    router.surge[step.whom] = step.more
+                    router.surge[step.target] = step.value
             case "heed":
                 for router in self.routers:
-                    router.heed = step.more
+                    router.heed = step.value
             case "slow":
                 for server in self.servers:
-                    if server.site == step.whom:
-                        self.agents[server.name].cores.slow = step.more
-                self.spells.setdefault(step.whom, []).append((self.scheduler.now, step.more))
+                    if server.site == step.target:
+                        self.agents[server.name].cores.slow = step.value
+                self.slowdowns.setdefault(step.target, []).append((self.scheduler.now, step.value))
             case "cut" | "deaf" | "silent" | "heal":
-                mode = "mute" if step.what == "heal" else step.what
-                for (who, _), wire in self.wires.items():
-                    if who.startswith(f"{step.whom}-"):
-                        wire.turn("pass" if step.what == "heal" else mode)
+                mode = "mute" if step.action == "heal" else step.action
+                for (source, _), wire in self.wires.items():
+                    if source.startswith(f"{step.target}-"):
+                        wire.turn("pass" if step.action == "heal" else mode)
             case "late":
                 for wire in self.wires.values():
-                    wire.turn("late", int(step.more))
+                    wire.turn("late", int(step.value))
             case "shake":
-                for place, wire in enumerate(self.wires.values()):
-                    if (place + step.at) % 3 == 0:
+                for index, wire in enumerate(self.wires.values()):
+                    if (index + step.at) % 3 == 0:
                         wire.shake()
             case "split":
                 self.turn_planners("cut", self.leader() if self.planners else "")
             case "heal-planners":
-                for (who, _), wire in self.wires.items():
-                    if who in self.planners:
+                for (source, _), wire in self.wires.items():
+                    if source in self.planners:
                         wire.turn("pass")
-            case planners:
-                self.to_planners(planners, step.whom)
+            case planner_action:
+                self.to_planners(planner_action, step.target)
 
-    def down(self, site: str, how: str) -> None:
+    def take_site_down(self, site: str, action: str) -> None:
         now = self.scheduler.now
         if site == self.sites[0]:
-            self.losses.append(now)
+            self.loss_times.append(now)
         self.out.add(site)
         self.truth.dark.setdefault(site, []).append((now, 1 << 60))
         for server in self.servers:
@@ -143,7 +150,7 @@
             server.up = False
             self.excuse(server)
             agent = self.agents[server.name]
-            if how == "kill":
+            if action == "kill":
                 self.members[server.name].kill()
                 agent.start(cold=True)
                 agent.pause()
@@ -151,13 +158,13 @@
                 self.members[server.name].pause()
                 agent.pause()
 
-    def up(self, site: str) -> None:
+    def bring_site_up(self, site: str) -> None:
         now = self.scheduler.now
         if site == self.sites[0]:
-            self.returns.append(now)
+            self.return_times.append(now)
         self.out.discard(site)
-        spans = self.truth.dark[site]
-        spans[-1] = (spans[-1][0], now)
+        dark_spans = self.truth.dark[site]
+        dark_spans[-1] = (dark_spans[-1][0], now)
         for server in self.servers:
             if server.site != site:
                 continue
@@ -174,53 +181,55 @@
 
     # ---- what is told of it ----------------------------------------------------------------------------
 
-    def ideal(self, span: tuple[int, int]) -> float:
+    def ideal_service(self, span: tuple[int, int]) -> float:
         """What capacity was left for, of the payoff asked: cores that were up, each as fast as it then
         was.
         """
-        done, asked = 0.0, 0.0
-        step = SECOND // 2  # a wait of half a second is still in time
-        deeds = sorted(self.truth.of(span), key=lambda deed: deed.born)
-        place = 0
-        for at in range(span[0], span[1], step):
-            room = 0.0
+        served, asked = 0.0, 0.0
+        interval = SECOND // 2  # a wait of half a second is still in time
+        requests = sorted(self.truth.of(span), key=lambda request: request.born)
+        index = 0
+        for at in range(span[0], span[1], interval):
+            capacity = 0.0
             for server in self.servers:
                 if any(since <= at < until for since, until in self.truth.dark.get(server.site, ())):
                     continue
-                room += CORES * step * self.speed_then(server.site, at)
-            work = reading = 0.0
-            while place < len(deeds) and deeds[place].born < at + step:
-                work += deeds[place].work
-                reading += READING  # once each: more tries than that are what a plan may spare
-                place += 1
+                capacity += CORES * interval * self.speed_at(server.site, at)
+            work = reading_work = 0.0
+            while index < len(requests) and requests[index].born < at + interval:
+                work += requests[index].work
+                reading_work += READING  # once each: more tries than that are what a plan may spare
+                index += 1
             asked += work
-            done += min(work, room * work / (work + reading)) if work else 0.0
-        return done / asked if asked else 1.0
+            served += min(work, capacity * work / (work + reading_work)) if work else 0.0
+        return served / asked if asked else 1.0
 
-    def speed_then(self, site: str, at: int) -> float:
-        spells = [slow for since, slow in self.spells.get(site, ()) if since <= at]
-        return self.warmth_then(site, at) / (spells[-1] if spells else 1.0)
+    def speed_at(self, site: str, at: int) -> float:
+        slowdowns = [slow for since, slow in self.slowdowns.get(site, ()) if since <= at]
+        return self.warmup_speed_at(site, at) / (slowdowns[-1] if slowdowns else 1.0)
 
-    def warmth_then(self, site: str, at: int) -> float:
+    def warmup_speed_at(self, site: str, at: int) -> float:
         if (
             site == self.sites[0]
-            and self.returns
-            and self.told.fault not in ("pause", "cut-heals", "half-open")
+            and self.return_times
+            and self.site_loss_options.fault not in ("pause", "cut-heals", "half-open")
         ):
-            began = max((one for one in self.returns if one <= at), default=0)
-            if began:
-                return COLD_FROM + (1 - COLD_FROM) * min(1.0, (at - began) / COLD_SPAN)
+            returned_at = max((moment for moment in self.return_times if moment <= at), default=0)
+            if returned_at:
+                return COLD_FROM + (1 - COLD_FROM) * min(1.0, (at - returned_at) / COLD_SPAN)
         return 1.0
 
-    def outcome(self) -> dict[str, Any]:
+    def build_report(self) -> dict[str, Any]:
         now = self.scheduler.now
         truth = self.truth
-        told: dict[str, Any] = {
+        report: dict[str, Any] = {
             "rules": truth.rules(now, WINDOW),
             "service": {
                 name: round(truth.service(self.span(name)), 4) for name in ("before", "during", "back")
             },
-            "ideal": {name: round(self.ideal(self.span(name)), 4) for name in ("before", "during", "back")},
+            "ideal": {
+                name: round(self.ideal_service(self.span(name)), 4) for name in ("before", "during", "back")
+            },
             "attempts_each": {
                 name: round(truth.attempts(self.span(name)), 3) for name in ("before", "during", "after")
             },
@@ -231,93 +240,101 @@
             "trouble": self.faults[:5],
             "transactions": len(truth.deeds),
             "calls_most": truth.calls_most,
-            **self.of_members(),
-            "series": self.series(),
+            **self.usage_report(),
+            "series": self.service_series(),
         }
-        return told
+        return report
 
-    def of_members(self) -> dict[str, Any]:
+    def usage_report(self) -> dict[str, Any]:
         """What a survivor took of the machine: seconds of processor time in the mean, and memory at the
         end.
         """
-        costs = [used for name, used in self.costs.items() if not name.startswith(f"{self.sites[0]}-")]
+        usages = [
+            used for name, used in self.member_usage.items() if not name.startswith(f"{self.sites[0]}-")
+        ]
         return {
-            "member_cpu_s": round(sum(cpu for cpu, _ in costs) / max(1, len(costs)), 3),
-            "member_memory_kb": max((memory for _, memory in costs), default=0),
-            "played_s": round(self.until / SECOND, 1),
+            "member_cpu_s": round(sum(cpu for cpu, _ in usages) / max(1, len(usages)), 3),
+            "member_memory_kb": max((memory for _, memory in usages), default=0),
+            "played_s": round(self.end_offset / SECOND, 1),
         }
 
-    def series(self) -> list[list[float]]:
+    def service_series(self) -> list[list[float]]:
         """Second by second from the loss: service, ideal and attempts for each transaction."""
-        zero, made = self.spans["before"][1], []
-        for at in range(0, self.until, SECOND):
+        loss_offset, rows = self.spans["before"][1], []
+        for at in range(0, self.end_offset, SECOND):
             span = (self.began + at, self.began + at + SECOND)
-            row = (self.truth.service(span), self.ideal(span), self.truth.attempts(span))
-            made.append([(at - zero) / SECOND, *(round(one, 3) for one in row)])
-        return made
+            row = (self.truth.service(span), self.ideal_service(span), self.truth.attempts(span))
+            rows.append([(at - loss_offset) / SECOND, *(round(figure, 3) for figure in row)])
+        return rows
 
-    def of_the_fleet(self) -> dict[str, Any]:
+    def fleet_report(self) -> dict[str, Any]:
         """What the processes' own logs tell of plans: when, not whether, anything was right."""
-        zero = self.losses[0] if self.losses else self.began + self.spans["before"][1]
-        gone = {site for site in self.truth.dark}
-        held = []
+        loss_at = self.loss_times[0] if self.loss_times else self.began + self.spans["before"][1]
+        lost_sites = {site for site in self.truth.dark}
+        plan_delays = []
         for server in self.servers:
-            if server.site in gone:
+            if server.site in lost_sites:
                 continue
             lines = self.members[server.name].lines("event=plan_applied")
-            times = [at for at, line in lines if at >= zero and "evacuated_callers=()" not in line]
-            held.append(min(times) - zero if times else None)
-        lost, home = [], []
-        for one in self.planners.values():
-            for at, line in one.lines("event=site_lost"):
+            times = [at for at, line in lines if at >= loss_at and "evacuated_callers=()" not in line]
+            plan_delays.append(min(times) - loss_at if times else None)
+        reported_losses, home_times = [], []
+        for planner in self.planners.values():
+            for at, line in planner.lines("event=site_lost"):
                 site = next(word[5:] for word in line.split() if word.startswith("site="))
-                lost.append((at, site))
-            for at, line in one.lines("stage=home"):
+                reported_losses.append((at, site))
+            for at, line in planner.lines("stage=home"):
                 if f"site={self.sites[0]} " in line:
-                    home.append(at)
-        in_force = None if not held or None in held else max(one for one in held if one is not None) / SECOND
-        back = [at for at in home if self.returns and at >= self.returns[-1]]
+                    home_times.append(at)
+        in_force = (
+            None
+            if not plan_delays or None in plan_delays
+            else max(delay for delay in plan_delays if delay is not None) / SECOND
+        )
+        back = [at for at in home_times if self.return_times and at >= self.return_times[-1]]
         return {
             "in_force_s": in_force,
-            "false_evacuations": sum(1 for at, site in lost if not self.truth.was_dark(site, at)),
-            "evacuations": len(lost),
-            "back_s": round((min(back) - self.returns[-1]) / SECOND, 2) if back else None,
-            "leaders": sum(len(one.lines("event=leadership_acquired")) for one in self.planners.values()),
+            "false_evacuations": sum(1 for at, site in reported_losses if not self.truth.was_dark(site, at)),
+            "evacuations": len(reported_losses),
+            "back_s": round((min(back) - self.return_times[-1]) / SECOND, 2) if back else None,
+            "leaders": sum(
+                len(planner.lines("event=leadership_acquired")) for planner in self.planners.values()
+            ),
         }
 
 
-def play_once(told: Told, folder: Path) -> dict[str, Any]:
+def run_once(options: SiteLossOptions, folder: Path) -> dict[str, Any]:
     shutil.rmtree(folder, ignore_errors=True)  # logs and disks of an earlier play are none of this one's
     folder.mkdir(parents=True)
-    play = Play(told, folder)
+    run = SiteLossRun(options, folder)
     try:
-        play.run()
+        run.run()
     finally:
-        play.finish()
-    outcome = play.outcome()
-    if told.fleet:
-        outcome |= play.of_the_fleet()
-    return outcome
+        run.finish()
+    report = run.build_report()
+    if options.fleet:
+        report |= run.fleet_report()
+    return report
 
 
-def play_site_loss(told: Told) -> dict[str, Any]:
+def run_site_loss(options: SiteLossOptions) -> dict[str, Any]:
     """The report of the command: the play with planners, and the same schedule without."""
-    kept = told.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
+    logs_folder = options.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
     try:
-        fleet = play_once(told, kept / "fleet")
+        with_planners = run_once(options, logs_folder / "fleet")
         report: dict[str, Any] = {
-            "seed": told.seed,
-            "fault": told.fault,
-            "sites": told.sites,
-            "each": told.each,
-            "planners": told.planners,
-            "load": told.load,
-            **fleet,
+            "seed": options.seed,
+            "fault": options.fault,
+            "sites": options.sites,
+            "each": options.each,
+            "planners": options.planners,
+            "load": options.load,
+            **with_planners,
         }
-        if not told.alone:
-            single = play_once(replace(told, fleet=False), kept / "single")
+        if not options.alone:
+            without_planners = run_once(replace(options, fleet=False), logs_folder / "single")
             report["single_level"] = {
-                name: single[name]
+                name: without_planners[name]
                 for name in (
                     "rules",
                     "service",
@@ -326,10 +343,10 @@
                     "refused",
                     "dead",
                     "series",
-                    *COSTS,
+                    *USAGE_KEYS,
                 )
             }
     finally:
-        if told.logs is None:
-            shutil.rmtree(kept, ignore_errors=True)
+        if options.logs is None:
+            shutil.rmtree(logs_folder, ignore_errors=True)
     return report
--- a/birchslip/lab/small_scope.py
+++ b/birchslip/lab/small_scope.py
@@ -30,217 +30,249 @@
 
 NAMES = ("m0", "m1", "m2")
 GROUPS = [BudgetGroup("all", frozenset(NAMES), max_unavailable=1)]
-EMPTY = msgspec.json.encode(BudgetState())
+EMPTY_BUDGET = msgspec.json.encode(BudgetState())
 
 
-class Fault(AssertionError):
+class BudgetViolationError(AssertionError):
     """What must not be, with the events that led there."""
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class StoredState:
     """What one planner has on its disk."""
 
-    epoch: int = 0
+    term: int = 0
     number: int = 0
-    book: bytes = EMPTY
+    budget_state: bytes = EMPTY_BUDGET
 
     @property
-    def age(self) -> tuple[int, int]:
-        return self.epoch, self.number
+    def state_version(self) -> tuple[int, int]:
+        return self.term, self.number
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class MemberState:
     """One member: which life, where it is, and whether a permit let it out."""
 
-    mark: int = 1
-    where: str = "in"  # in, out, cold
-    planned: bool = False
+    incarnation: int = 1
+    status: str = "in"  # in, out, cold
+    is_out_by_permit: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    disks: tuple[Kept, ...] = (Kept(), Kept(), Kept())
-    lives: tuple[Life, ...] = (Life(), Life(), Life())
+class ScopeState:
+    disks: tuple[StoredState, ...] = (StoredState(), StoredState(), StoredState())
+    members: tuple[MemberState, ...] = (MemberState(), MemberState(), MemberState())
     leader: int = -1
-    epoch: int = 0
+    term: int = 0
     number: int = 0
-    book: bytes = EMPTY
-    kept_by: frozenset[int] = frozenset()
-    tells: frozenset[tuple[int, int]] = (
+    budget_state: bytes = EMPTY_BUDGET
+    replicated_to: frozenset[int] = frozenset()
+    sent_permits: frozenset[tuple[int, int]] = (
         frozenset()
     )  # member, mark: a permit that was told, which may come any time
     elections: int = 0
 
 
-class Scope:
+class ScopeExplorer:
     """`elections` and `marks`, the lives of each member, bound the histories."""
 
     def __init__(
-        self, mistake: str = "", elections: int = 2, marks: tuple[int, int, int] = (1, 1, 1)
+        self,
+        omitted_rule: str = "",
+        max_elections: int = 2,
+        max_incarnations: tuple[int, int, int] = (1, 1, 1),
     ) -> None:
-        self.mistake, self.elections, self.marks = mistake, elections, marks
+        self.omitted_rule, self.max_elections, self.max_incarnations = (
+            omitted_rule,
+            max_elections,
+            max_incarnations,
+        )
 
     # ---- the permits -----------------------------------------------------------------------------------
 
     @staticmethod
-    def seen(world: World) -> dict[str, MemberObservation]:
-        why = {"in": None, "out": UnavailabilityReason.SILENT, "cold": UnavailabilityReason.COLD}
+    def observations(state: ScopeState) -> dict[str, MemberObservation]:
+        reasons = {"in": None, "out": UnavailabilityReason.SILENT, "cold": UnavailabilityReason.COLD}
         return {
-            name: MemberObservation(Incarnation(nonce=life.mark), 1.0, why[life.where])
-            for name, life in zip(NAMES, world.lives, strict=True)
+            name: MemberObservation(Incarnation(nonce=member.incarnation), 1.0, reasons[member.status])
+            for name, member in zip(NAMES, state.members, strict=True)
         }
 
     @staticmethod
-    def permits(book: bytes) -> DisruptionBudget:
-        made = DisruptionBudget(GROUPS)
-        made.restore(book)
-        return made
+    def restore_budget(budget_state: bytes) -> DisruptionBudget:
+        budget = DisruptionBudget(GROUPS)
+        budget.restore(budget_state)
+        return budget
 
-    def decided(self, world: World, permits: DisruptionBudget) -> World:
+    def store_decision(self, state: ScopeState, budget: DisruptionBudget) -> ScopeState:
         """A changed book is on the leader's own disk first."""
-        permits.state.audit_log.clear()
+        budget.state.audit_log.clear()
         # Only the order of grants matters, not how many there were before.
-        for place, permit in enumerate(permits.state.permits, 1):
-            permit.number = place
-        permits.state.last_permit_number = len(permits.state.permits)
-        book = permits.encode()
-        if book == world.book:
-            return world
-        number = world.number + 1
-        disks = list(world.disks)
-        disks[world.leader] = Kept(world.epoch, number, book)
-        kept_by = frozenset((world.leader,))
-        return replace(world, book=book, number=number, disks=tuple(disks), kept_by=kept_by)
+        for position, permit in enumerate(budget.state.permits, 1):
+            permit.number = position
+        budget.state.last_permit_number = len(budget.state.permits)
+        budget_state = budget.encode()
+        if budget_state == state.budget_state:
+            return state
+        number = state.number + 1
+        disks = list(state.disks)
+        disks[state.leader] = StoredState(state.term, number, budget_state)
+        replicated_to = frozenset((state.leader,))
+        return replace(
+            state, budget_state=budget_state, number=number, disks=tuple(disks), replicated_to=replicated_to
+        )
 
     # ---- what may happen next --------------------------------------------------------------------------
 
-    def events(self, world: World) -> Iterator[tuple[str, World]]:
-        if world.leader >= 0:
-            yield from self.of_leader(world)
-            yield "the leader dies", replace(world, leader=-1, kept_by=frozenset())
-        elif world.elections < self.elections:
-            yield from self.takeovers(world)
-        for n, life in enumerate(world.lives):
-            yield from self.of_member(world, n, life)
-
-    def of_leader(self, world: World) -> Iterator[tuple[str, World]]:
-        seen = self.seen(world)
-        for n, life in enumerate(world.lives):
-            if life.where == "in":
-                permits = self.permits(world.book)
-                permits.acquire(
-                    EvictionWaiter(holder=NAMES[n], incarnation=Incarnation(nonce=life.mark), reason=""), seen
+    def next_states(self, state: ScopeState) -> Iterator[tuple[str, ScopeState]]:
+        if state.leader >= 0:
+            yield from self.leader_events(state)
+            yield "the leader dies", replace(state, leader=-1, replicated_to=frozenset())
+        elif state.elections < self.max_elections:
+            yield from self.election_events(state)
+        for index, member in enumerate(state.members):
+            yield from self.member_events(state, index, member)
+
+    def leader_events(self, state: ScopeState) -> Iterator[tuple[str, ScopeState]]:
+        observations = self.observations(state)
+        for index, member in enumerate(state.members):
+            if member.status == "in":
+                budget = self.restore_budget(state.budget_state)
+                budget.acquire(
+                    EvictionWaiter(
+                        holder=NAMES[index], incarnation=Incarnation(nonce=member.incarnation), reason=""
+                    ),
+                    observations,
                 )
-                yield f"{NAMES[n]} asks", self.decided(world, permits)
-        permits = self.permits(world.book)
-        permits.reconcile(seen)
-        yield "a look", self.decided(world, permits)
-        for p, disk in enumerate(world.disks):
-            if p in world.kept_by or disk.epoch > world.epoch:
+                yield f"{NAMES[index]} asks", self.store_decision(state, budget)
+        budget = self.restore_budget(state.budget_state)
+        budget.reconcile(observations)
+        yield "a look", self.store_decision(state, budget)
+        for planner, disk in enumerate(state.disks):
+            if planner in state.replicated_to or disk.term > state.term:
                 continue
-            disks = list(world.disks)
-            if self.mistake != "no flush":
-                disks[p] = Kept(world.epoch, world.number, world.book)
-            yield f"planner {p} keeps", replace(world, disks=tuple(disks), kept_by=world.kept_by | {p})
-        if len(world.kept_by) >= (1 if self.mistake == "minority" else 2):
-            told = {
-                (NAMES.index(one.holder), one.incarnation.nonce)
-                for one in self.permits(world.book).state.permits
+            disks = list(state.disks)
+            if self.omitted_rule != "no flush":
+                disks[planner] = StoredState(state.term, state.number, state.budget_state)
+            yield (
+                f"planner {planner} keeps",
+                replace(state, disks=tuple(disks), replicated_to=state.replicated_to | {planner}),
+            )
+        if len(state.replicated_to) >= (1 if self.omitted_rule == "minority" else 2):
+            permits = {
+                (NAMES.index(permit.holder), permit.incarnation.nonce)
+                for permit in self.restore_budget(state.budget_state).state.permits
             }
-            yield "tells", replace(world, tells=world.tells | told)
+            yield "tells", replace(state, sent_permits=state.sent_permits | permits)
 
-    def takeovers(self, world: World) -> Iterator[tuple[str, World]]:
+    def election_events(self, state: ScopeState) -> Iterator[tuple[str, ScopeState]]:
         """Any planner by any majority; it takes the newest that its voters keep, under an epoch of its
         own.
         """
-        for p in range(3):
-            for other in range(3):
-                if other == p:
+        for planner in range(3):
+            for voter in range(3):
+                if voter == planner:
                     continue
-                newest = max(world.disks[p], world.disks[other], key=lambda one: one.age)
-                epoch = world.epoch + 1
-                disks = list(world.disks)
-                disks[p] = Kept(epoch, 1, newest.book)
+                newest = max(
+                    state.disks[planner], state.disks[voter], key=lambda stored: stored.state_version
+                )
+                term = state.term + 1
+                disks = list(state.disks)
+                disks[planner] = StoredState(term, 1, newest.budget_state)
                 yield (
-                    f"planner {p} leads by {other}",
+                    f"planner {planner} leads by {voter}",
                     replace(
-                        world,
+                        state,
                         disks=tuple(disks),
-                        leader=p,
-                        epoch=epoch,
+                        leader=planner,
+                        term=term,
                         number=1,
-                        book=newest.book,
-                        kept_by=frozenset((p,)),
-                        elections=world.elections + 1,
+                        budget_state=newest.budget_state,
+                        replicated_to=frozenset((planner,)),
+                        elections=state.elections + 1,
                     ),
                 )
 
-    def of_member(self, world: World, n: int, life: Life) -> Iterator[tuple[str, World]]:
-        def become(then: Life) -> World:
-            lives = list(world.lives)
-            lives[n] = then
-            return replace(world, lives=tuple(lives))
-
-        if life.where == "in":
-            marks = {mark for member, mark in world.tells if member == n}
-            if life.mark in marks or (self.mistake == "no incarnation" and marks):
-                yield f"{NAMES[n]} goes", become(Life(life.mark, "out", True))
-            if life.mark < self.marks[n]:
-                yield f"{NAMES[n]} crashes", become(Life(life.mark + 1, "cold", False))
-        elif life.where == "out" and life.mark < self.marks[n]:
-            yield f"{NAMES[n]} starts", become(Life(life.mark + 1, "cold", True))
-        elif life.where == "cold":
-            yield f"{NAMES[n]} is warm", become(Life(life.mark, "in", False))
+    def member_events(
+        self, state: ScopeState, index: int, member: MemberState
+    ) -> Iterator[tuple[str, ScopeState]]:
+        def with_member(changed: MemberState) -> ScopeState:
+            members = list(state.members)
+            members[index] = changed
+            return replace(state, members=tuple(members))
+
+        if member.status == "in":
+            permitted_incarnations = {
+                incarnation for holder, incarnation in state.sent_permits if holder == index
+            }
+            if member.incarnation in permitted_incarnations or (
+                self.omitted_rule == "no incarnation" and permitted_incarnations
+            ):
+                yield f"{NAMES[index]} goes", with_member(MemberState(member.incarnation, "out", True))
+            if member.incarnation < self.max_incarnations[index]:
+                yield (
+                    f"{NAMES[index]} crashes",
+                    with_member(MemberState(member.incarnation + 1, "cold", False)),
+                )
+        elif member.status == "out" and member.incarnation < self.max_incarnations[index]:
+            yield f"{NAMES[index]} starts", with_member(MemberState(member.incarnation + 1, "cold", True))
+        elif member.status == "cold":
+            yield f"{NAMES[index]} is warm", with_member(MemberState(member.incarnation, "in", False))
 
     # ---- all of it -------------------------------------------------------------------------------------
 
-    def explore(self, most: int = 2_000_000) -> int:
+    def explore(self, max_states: int = 2_000_000) -> int:
         """How many states there are; Fault at the first that must not be, with the shortest way there."""
-        start = World()
-        came: dict[World, tuple[World, str] | None] = {start: None}
-        waiting = deque((start,))
-        while waiting:
-            world = waiting.popleft()
-            for event, then in self.events(world):
-                then = self.plain(then)
-                if then in came:
+        start = ScopeState()
+        predecessors: dict[ScopeState, tuple[ScopeState, str] | None] = {start: None}
+        queue = deque((start,))
+        while queue:
+            state = queue.popleft()
+            for event, next_state in self.next_states(state):
+                next_state = self.normalize(next_state)
+                if next_state in predecessors:
                     continue
-                came[then] = (world, event)
-                if len(came) > most:
-                    raise MemoryError(f"more than {most} states")
-                wrong = self.wrong(then)
-                if wrong:
-                    raise Fault(f"{wrong}: {', '.join(self.way(came, then))}")
-                waiting.append(then)
-        return len(came)
+                predecessors[next_state] = (state, event)
+                if len(predecessors) > max_states:
+                    raise MemoryError(f"more than {max_states} states")
+                violation = self.find_violation(next_state)
+                if violation:
+                    raise BudgetViolationError(
+                        f"{violation}: {', '.join(self.event_path(predecessors, next_state))}"
+                    )
+                queue.append(next_state)
+        return len(predecessors)
 
     @staticmethod
-    def plain(world: World) -> World:
+    def normalize(state: ScopeState) -> ScopeState:
         """Numbers by their order alone, and books of one age alike: histories that differ in nothing else
         are one.
         """
-        ages = sorted({disk.age for disk in world.disks} | {(world.epoch, world.number)})
-        epochs = sorted({epoch for epoch, _ in ages})
-        place: dict[tuple[int, int], tuple[int, int]] = {}
-        for epoch in epochs:
-            for n, age in enumerate([age for age in ages if age[0] == epoch]):
-                place[age] = (epochs.index(epoch), n)
-        disks = tuple(Kept(*place[disk.age], disk.book) for disk in world.disks)
-        epoch, number = place[world.epoch, world.number]
-        return replace(world, disks=disks, epoch=epoch, number=number)
+        state_versions = sorted({disk.state_version for disk in state.disks} | {(state.term, state.number)})
+        terms = sorted({term for term, _ in state_versions})
+        ranks: dict[tuple[int, int], tuple[int, int]] = {}
+        for term in terms:
+            for rank, state_version in enumerate(
+                [state_version for state_version in state_versions if state_version[0] == term]
+            ):
+                ranks[state_version] = (terms.index(term), rank)
+        disks = tuple(StoredState(*ranks[disk.state_version], disk.budget_state) for disk in state.disks)
+        term, number = ranks[state.term, state.number]
+        return replace(state, disks=disks, term=term, number=number)
 
     @staticmethod
-    def wrong(world: World) -> str:
-        out = [NAMES[n] for n, life in enumerate(world.lives) if life.planned]
+    def find_violation(state: ScopeState) -> str:
+        out = [NAMES[index] for index, member in enumerate(state.members) if member.is_out_by_permit]
         return f"{' and '.join(out)} are out at once, and one may be" if len(out) > 1 else ""
 
     @staticmethod
-    def way(came: dict[World, tuple[World, str] | None], world: World) -> list[str]:
+    def event_path(
+        predecessors: dict[ScopeState, tuple[ScopeState, str] | None], state: ScopeState
+    ) -> list[str]:
         events = []
-        step = came[world]
-        while step is not None:
-            events.append(step[1])
-            step = came[step[0]]
+        predecessor = predecessors[state]
+        while predecessor is not None:
+            events.append(predecessor[1])
+            predecessor = predecessors[predecessor[0]]
         return events[::-1]
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -6,12 +6,12 @@
 from birchslip.cluster.plan_subscription import PlanSubscription
 from birchslip.cluster.quota_leases import QuotaLeases
 from birchslip.lab import explore as exploring
-from birchslip.lab.explore import Explorer, Fault, explore
+from birchslip.lab.explore import Explorer, GuaranteeViolationError, explore
 
 
 def test_no_history_violates_a_guarantee():
-    told = explore(range(40), 2_000)
-    assert told["reigns"] > 80  # or nothing was tried
+    totals = explore(range(40), 2_000)
+    assert totals["reigns"] > 80  # or nothing was tried
 
 
 class Unfenced(PlanSubscription):
@@ -54,20 +54,20 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "mistake"),
+    ("message", "explorer_options"),
     [
-        ("went from epoch", {"obedience": Unfenced}),
-        ("calls of", {"obedience": LeasedFromReceipt}),
-        ("lead at once", {"ballot": NeverSilent}),
-        ("lead at once", {"ballot": VotingTwice}),
-        ("a majority kept", {"ballot": TrustingDisk}),
-        ("a majority kept", {"forgetful": True}),
+        ("went from epoch", {"subscription_class": Unfenced}),
+        ("calls of", {"subscription_class": LeasedFromReceipt}),
+        ("lead at once", {"election_class": NeverSilent}),
+        ("lead at once", {"election_class": VotingTwice}),
+        ("a majority kept", {"election_class": TrustingDisk}),
+        ("a majority kept", {"skips_flush": True}),
     ],
     ids=["no fence", "lease from receipt", "no quiet start", "two votes", "old disk trusted", "no flush"],
 )
-def test_a_violation_is_found_without_one_of_the_rules(what, mistake):
-    with pytest.raises(Fault, match=what):
-        explore(range(400), 2_000, **mistake)
+def test_a_violation_is_found_without_one_of_the_rules(message, explorer_options):
+    with pytest.raises(GuaranteeViolationError, match=message):
+        explore(range(400), 2_000, **explorer_options)
 
 
 def test_a_lease_granted_before_the_last_one_has_surely_ended_is_found(monkeypatch):
@@ -76,10 +76,15 @@
             return True
 
     monkeypatch.setattr(exploring, "QuotaLeases", Eager)
-    with pytest.raises(Fault, match="calls of"):
+    with pytest.raises(GuaranteeViolationError, match="calls of"):
         explore(range(400), 2_000)
 
 
 def test_the_same_seed_gives_the_same_history():
     a, b = (Explorer(7).run(1_500) for _ in range(2))
-    assert (a.true, a.agreed, a.reigns, a.most) == (b.true, b.agreed, b.reigns, b.most)
+    assert (a.true_time, a.majority_state, a.leadership_count, a.max_calls) == (
+        b.true_time,
+        b.majority_state,
+        b.leadership_count,
+        b.max_calls,
+    )
--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from birchslip.cli import ask, ask_any
+from birchslip.cli import call_leader, call_planner
 from birchslip.cluster.fleet_reader import read_fleet
 from birchslip.cluster.messages import (
     EvictionOperation,
@@ -110,7 +110,7 @@
         self.planners[name].wait(TIMEOUT_SECONDS)
 
     def show(self, name=""):
-        return ask_any(self.fleet, OperatorCommand(operation=OperatorOperation.SHOW), name)
+        return call_leader(self.fleet, OperatorCommand(operation=OperatorOperation.SHOW), name)
 
     def leader(self):
         try:
@@ -126,7 +126,7 @@
 
         def is_answered():
             try:
-                responses.append(ask_any(self.fleet, request))
+                responses.append(call_leader(self.fleet, request))
             except Exception:
                 return False
             return True
@@ -189,12 +189,12 @@
         os.kill(cluster.planners[name].pid, signal.SIGSTOP)
     address = next(planner.address for planner in cluster.fleet.planners if planner.name == leader)
     with pytest.raises((OSError, InvalidInputError)):
-        ask(
+        call_planner(
             address,
             EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder="a-0", reason="a release"),
         )
     with pytest.raises(InvalidInputError, match="not the leader"):
-        ask(
+        call_planner(
             address,
             EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder="a-0", reason="a release"),
         )
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -12,7 +12,7 @@
 from birchslip.cluster.recovery_ramp import RecoveryStage
 from birchslip.cluster.site_capacity import SiteCapacity
 from birchslip.cluster.site_plan import plan_sites
-from birchslip.lab.months import play_month
+from birchslip.lab.months import simulate_days
 
 from .fleetdesk import SECOND, SimulatedPlanner, fleet, report
 
@@ -219,7 +219,7 @@
 
 
 def test_a_simulated_day_of_pauses_and_restarts_has_no_false_evacuation():
-    report_of_day = play_month(days=1, seed=4)
+    report_of_day = simulate_days(days=1, seed=4)
     assert report_of_day["false_evacuations"] == 0
     assert report_of_day["restarts"] > 20
     assert report_of_day["pauses"] > 20
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -245,7 +245,7 @@
 
 @pytest.mark.parametrize("version", VERSIONS)
 def test_simulated_rollouts_complete_or_roll_back_by_their_version(version):
-    reports = [RolloutScenario(seed, version).run(longest=400).told() for seed in range(25)]
+    reports = [RolloutScenario(seed, version).run(timeout_s=400).report() for seed in range(25)]
     assert not any(report["breaches"] or report["drained_twice"] or report["stuck"] for report in reports)
     assert {report["ended"] for report in reports} == ({"done"} if version == "good" else {"back"})
     if version != "good":
@@ -255,7 +255,7 @@
 
 
 def test_a_seed_determines_the_rollout():
-    assert RolloutScenario(5, "slow").run().told() == RolloutScenario(5, "slow").run().told()
+    assert RolloutScenario(5, "slow").run().report() == RolloutScenario(5, "slow").run().report()
 
 
 def test_a_new_leader_continues_the_watch_from_stored_evidence():
@@ -292,7 +292,7 @@
 @pytest.mark.parametrize(("version", "ended"), [("good", "done"), ("slow", "back")])
 def test_frequent_changes_of_the_leader_delay_no_watch(version, ended):
     for seed in range(8):
-        report = RolloutScenario(seed, version, deaths=0.25).run().told()
+        report = RolloutScenario(seed, version, takeover_rate=0.25).run().report()
         assert report["ended"] == ended, report
         assert report["conductors"] >= 4, report
         assert not report["breaches"], report
