--- a/benchmarks/explore_vote.py
+++ b/benchmarks/explore_vote.py
@@ -1,4 +1,4 @@
-"""Histories of the vote, the fence and the leases, drawn from seeds; stops at the first that must not be.
+"""Explores random histories of elections, fencing and leases; stops at the first violation.
 
 python benchmarks/explore_vote.py HISTORIES STEPS [FIRST_SEED]
 """
--- a/benchmarks/fleet_month.py
+++ b/benchmarks/fleet_month.py
@@ -1,4 +1,4 @@
-"""A month of noise, pauses and restarts in virtual time; no site may be evacuated that is not dark.
+"""Simulates a month of noise, pauses and restarts in virtual time; only a site that is down may be evacuated.
 
 python benchmarks/fleet_month.py [DAYS] [SEED]
 """
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -1,4 +1,4 @@
-"""What the I/O-free part of the fleet costs at size: a plan, a look at all sites, a report.
+"""Measures the I/O-free part of the fleet at different sizes: a plan, a tick over all sites, a report.
 
 python benchmarks/fleet_size.py
 """
@@ -25,7 +25,7 @@
 
 
 def median_ms(action: Callable[[], object], rounds: int = 5) -> float:
-    """Median milliseconds."""
+    """Returns the median time of an action in milliseconds."""
     times_ms = []
     for _ in range(rounds):
         started_at = time.perf_counter()
@@ -35,6 +35,7 @@
 
 
 def report(name: str, site: str, number: int) -> MemberReport:
+    """Returns a report of a member under load."""
     load = {f"t{n}": 5.0 for n in range(8)}
     return MemberReport(
         name=name,
@@ -62,6 +63,7 @@
 
 
 def main() -> None:
+    """Prints a line of times for each fleet size."""
     print("members  plan ms  per n log n  look ms  report us (decoded, heard, encoded)")
     for members in (10, 100, 1_000, 10_000):
         sites = min(9, members)
--- a/benchmarks/permit_grants.py
+++ b/benchmarks/permit_grants.py
@@ -1,8 +1,8 @@
-"""How long a permit takes at three real planners on this machine, flush and majority included.
+"""Measures how long three real planners on this machine take to grant a permit, with flush and majority.
 
     python benchmarks/permit_grants.py [ASKS]
 
-The asker is one process on loopback, the members are threads that report as app servers would.
+Requests come from one process on loopback; the members are threads that report as app servers do.
 """
 
 import statistics
@@ -18,6 +18,7 @@
 
 
 def main() -> None:
+    """Prints the times of grants, and of the first grant after the leader's death."""
     request_count = int((sys.argv[1:] or ["300"])[0])
     cluster = PlannerCluster(Path(tempfile.mkdtemp(prefix="birchslip-grants-")))
     try:
--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -1,9 +1,9 @@
-"""One real planner that hears 1,000 members and is asked for permits ten times a second, on loopback.
+"""Measures one real planner with 1,000 reporting members and ten permit requests a second, on loopback.
 
     python benchmarks/permits_size.py [MEMBERS] [ASKS A SECOND] [SECONDS]
 
-The members are tasks of one process, and each reports as often as the planner tells it to. Figures are of the
-planner's process: share of one core, resident memory, and how long asks took, flush included.
+The members are tasks of one process, and each reports as often as the planner requests. The figures are the
+planner process's share of one core, its resident memory, and the times of permit requests with their flushes.
 """
 
 import json
@@ -33,10 +33,12 @@
 SITES = 10
 
 
-SEQUENCE_PLACEHOLDER = 10**9  # stands in a report until it is sent: this process has a thousand members to be
+SEQUENCE_PLACEHOLDER = 10**9  # replaced in the encoded report, as encoding a thousand reports anew is slow
+FIRST_REPORT_INTERVAL = 5_000  # until the planner's first reply gives another
 
 
 def make_report(name: str, site: str) -> bytes:
+    """Returns an encoded report whose sequence number is the placeholder."""
     metrics = {f"{kind}:{tenant}": (9, 9_000) for kind in ("late", "shed", "written_off") for tenant in "abc"}
     report = MemberReport(
         name=name,
@@ -68,13 +70,15 @@
 
 
 def planner_arguments(fleet_path: Path, folder: Path) -> list[str]:
+    """Returns the command-line arguments of the planner."""
     return ["planner", "--fleet", str(fleet_path), "--name", "p", "--folder", str(folder / "p")]
 
 
 def main() -> None:
+    """Runs the planner under load and prints its figures."""
     arguments = [int(argument) for argument in sys.argv[1:]] + [1_000, 10, 20][len(sys.argv) - 1 :]
     count, requests_per_s, seconds = arguments
-    raise_descriptor_limit()  # one for each member here too
+    raise_descriptor_limit()  # this process holds a connection for each member
     folder = Path(tempfile.mkdtemp(prefix="birchslip-size-"))
     port = free_port()
     site_by_member = {f"m{n}": f"site-{n % SITES}" for n in range(count)}
@@ -117,7 +121,7 @@
 
     def run_member(name: str) -> None:
         connection = PeerConnection(scheduler, ("127.0.0.1", port))
-        sequence, report_interval = SEQUENCE_PLACEHOLDER, 5_000
+        sequence, report_interval = SEQUENCE_PLACEHOLDER, FIRST_REPORT_INTERVAL
         head, tail = make_report(name, site_by_member[name]).split(str(SEQUENCE_PLACEHOLDER).encode())
         scheduler.sleep(scheduler.now + rng.randrange(5_000))
         while True:
@@ -125,7 +129,7 @@
             started_at = scheduler.update_clock()
             try:
                 answer = connection.call("report", head + str(sequence).encode() + tail, started_at + SECOND)
-                if report_interval == 5_000:
+                if report_interval == FIRST_REPORT_INTERVAL:
                     report_interval = json.loads(answer)["every"]
             except OSError as error:
                 faults.append(str(error))
@@ -146,7 +150,7 @@
                 scheduler.now + SECOND,
             )
             times_ms.append((time.perf_counter() - started_at) * 1000)
-            scheduler.sleep(scheduler.now + 10 * SECOND)  # it stays out, or waits, for ten seconds
+            scheduler.sleep(scheduler.now + 10 * SECOND)  # the member is out, or waits, for ten seconds
             connection.call(
                 "want",
                 encode(EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name)),
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -1,8 +1,8 @@
-"""Releases through fleets of real processes among stand-ins, over all versions and faults.
+"""Runs releases through fleets of real processes among stand-ins, over all versions and faults.
 
     python benchmarks/releases.py --plays 100 --servers 12 --at-a-time 5 --out FOLDER
 
-The Nth play has seed N; versions and faults take turns. A line for each play, then a summary.
+The Nth run has seed N; versions and faults alternate. Prints a line for each run, then a summary.
 """
 
 import argparse
@@ -18,11 +18,14 @@
 from birchslip.lab.versions import KINDS
 
 ROOT = Path(__file__).resolve().parent.parent
-BAD_VERSION_FAULTS = ("back-fails",)  # needs a way back
+BAD_VERSION_FAULTS = ("back-fails",)  # only apply while a bad version is rolled back
 
 
 def schedules(run_count: int) -> list[tuple[int, str, str]]:
-    """Every fault with a good version, every bad version, then mixtures of both, in turns."""
+    """Returns seed, version and fault of each run.
+
+    Every fault with a good version and every bad version alternate; mixtures of both follow.
+    """
     good_runs = [("good", fault) for fault in FAULTS if fault not in BAD_VERSION_FAULTS]
     bad_runs = [(version, "none") for version in KINDS if version != "good"]
     combinations = [
@@ -38,11 +41,12 @@
 
 
 def stable_hash(version: str, fault: str) -> int:
-    """The same order in every run."""
+    """Returns a hash that is the same in every process, to order the mixtures."""
     return sum(ord(letter) * (index + 7) ** 3 for index, letter in enumerate(version + fault)) % 9973
 
 
 def main() -> None:
+    """Runs the releases, some at a time, and prints a line for each."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--plays", type=int, default=100)
     parser.add_argument("--first", type=int, default=1)
@@ -102,6 +106,7 @@
 
 
 def print_summary(reports: list[dict]) -> None:
+    """Prints the results by version."""
     print(f"{len(reports)} plays, {sum(bool(report['broken']) for report in reports)} with something broken")
     for version in KINDS:
         version_reports = [
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,10 +1,11 @@
-"""Restarts: how long until a process is ready, and of what that consists.
+"""Measures how long a restarted process takes to be ready, and what the time consists of.
 
     python benchmarks/restarts.py [PROCESSES [ROUNDS]]
 
-So many processes start together on one core, each with its share of it, in so many rounds; then once more
-with an agent and a catalog that can be reached only seconds later. Ready is an app server that has been
-greeted, answers a health check and has had a report taken. The stand-ins are this project's own.
+So many processes start together and share one core, in so many rounds; then once more with an agent and a
+catalog that can be reached only seconds later. An app server is ready once the agent has greeted it, it
+answers a health check, and the catalog has received a report. The stand-ins for these systems are this
+project's own.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 
 def measure_startup(folder: Path) -> dict[str, float]:
-    """Medians of ten: the bare interpreter, the imports, the configuration, the program's own making."""
+    """Returns the median of ten times, in seconds, of each part of a start."""
     configuration = folder / "parts.json"
     configuration.write_text(json.dumps(json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0"}))
     interpreter_times, samples = [], []
@@ -66,9 +67,10 @@
 
 
 class AppServerUnderTest:
-    """One app server with peers of its own, and the moments of its start in seconds after it was begun."""
+    """One app server with stand-ins of its own, and the times of its start in seconds since it was begun."""
 
     def __init__(self, folder: Path, number: int, peer_delay_s: float, core: int) -> None:
+        """Starts the app server on a core; with `peer_delay_s` agent and catalog are unreachable so long."""
         self.agent, self.vault, self.catalog = Agent(), Vault(), Catalog()
         configuration = json.loads(CONFIGURATION.read_text()) | {
             "listen": "127.0.0.1:0",
@@ -103,12 +105,14 @@
             thread.start()
 
     def restore_peers(self, peer_delay_s: float) -> None:
+        """Makes the agent and the catalog reachable after a delay in seconds."""
         time.sleep(peer_delay_s)
         for peer in (self.agent, self.catalog):
             peer.listen(peer.host, peer.port)
         self.moments["peers"] = time.perf_counter() - self.began
 
     def read_log(self) -> None:
+        """Records the moments that the log shows, and makes a health check once the app server listens."""
         for line in self.process.stderr or ():
             now = time.perf_counter() - self.began
             if "event=listening" in line:
@@ -121,10 +125,12 @@
                 self.moments["serving"] = now
 
     def wait_for_report(self) -> None:
+        """Records when the catalog received the first report."""
         self.catalog.seen.get(timeout=TIMEOUT_S)
         self.moments["reported"] = time.perf_counter() - self.began
 
     def wait_until_ready(self) -> float:
+        """Returns the seconds until the app server was ready; infinity if it was not in time."""
         expected_moments = {"listening", "checked", "serving", "reported"}
         give_up_at = time.perf_counter() + TIMEOUT_S
         while not expected_moments <= self.moments.keys() and time.perf_counter() < give_up_at:
@@ -132,6 +138,7 @@
         return max(self.moments.get(name, float("inf")) for name in expected_moments)
 
     def stop(self) -> None:
+        """Stops the app server and its stand-ins."""
         self.process.send_signal(signal.SIGTERM)
         self.process.wait(TIMEOUT_S)
         for peer in (self.agent, self.vault, self.catalog):
@@ -139,6 +146,7 @@
 
 
 def measure_restarts(folder: Path, processes: int, rounds: int, peer_delay_s: float) -> None:
+    """Prints how long restarts take with so many processes on one core, and each moment of them."""
     core = min(os.sched_getaffinity(0))
     ready: list[float] = []
     moments: dict[str, list[float]] = {}
@@ -162,6 +170,7 @@
 
 
 def main() -> None:
+    """Prints the parts of a start, then restarts alone, together, and with late peers."""
     processes = int(sys.argv[1]) if len(sys.argv) > 1 else 10
     rounds = int(sys.argv[2]) if len(sys.argv) > 2 else 4
     with tempfile.TemporaryDirectory() as name:
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -1,4 +1,6 @@
-"""Releases in virtual time: the real permits, judgement and course among a played platform and members.
+"""Runs rollouts in virtual time, with a simulated platform and members.
+
+Budget, canary analysis and rollout are the real ones.
 
 python benchmarks/rollouts.py [RELEASES OF EACH VERSION]
 """
--- a/benchmarks/site_loss.py
+++ b/benchmarks/site_loss.py
@@ -1,4 +1,4 @@
-"""Plays of the loss of a site over seeds and all named faults, some at a time; a table and the medians.
+"""Runs the loss of a site over seeds and all named faults, some at a time; prints a table and medians.
 
 python benchmarks/site_loss.py --seeds 20 --at-a-time 4 --out FOLDER
 """
@@ -22,6 +22,7 @@
 
 
 def run_fault(seed: int, fault: str, out: Path) -> dict[str, Any] | None:
+    """Runs one seed and fault, prints a line and returns the report; None if there is none."""
     path = out / f"{fault}-{seed}.json"
     arguments = ["lab", "play", "site-loss", "--seed", str(seed), "--fault", fault, "--json", str(path)]
     finished = subprocess.run(
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -1,7 +1,7 @@
-"""The command line: planners, the fleet file, operators' wishes. `python -m birchslip` alone is the app
-server.
+"""The command line: planners, the fleet file and operators' commands.
 
-Exit codes: 0 good, 1 it did not hold, 2 it could not be asked.
+`python -m birchslip` without a command is the app server. Exit codes: 0 success; 1 a check failed or a
+request was not granted; 2 the command could not be carried out.
 """
 
 from __future__ import annotations
@@ -36,7 +36,8 @@
 from .net.clients import read_messages
 from .net.messagepack import pack
 
-PLANNER_TIMEOUT_S = 2.0  # seconds for one planner
+PLANNER_TIMEOUT_S = 2.0  # for one planner, connection and answer together
+MIN_DETECTED_FRACTION = 0.9  # of the mutations of the settings
 FLEET_OPTION = click.option(
     "--fleet", "path", type=click.Path(), envvar="BIRCHSLIP_FLEET", required=True, help="The fleet file."
 )
@@ -45,12 +46,17 @@
 
 
 class CommandError(click.ClickException):
-    """It could not be asked, or not be started."""
+    """The command could not be carried out or started."""
 
     exit_code = 2
 
 
 def load_fleet(path: str) -> Fleet:
+    """Reads a fleet file.
+
+    Raises:
+        CommandError: The file cannot be read or is invalid.
+    """
     try:
         return read_fleet(path)
     except (InvalidInputError, OSError) as error:
@@ -61,7 +67,12 @@
 
 
 def call_planner(address: str, request: OperatorCommand | EvictionRequest | RolloutCommand) -> Any:
-    """One question to one planner; OSError or Malformed says why there is no answer."""
+    """Sends one request to one planner and returns its decoded answer.
+
+    Raises:
+        OSError: The planner cannot be reached, ends the connection or does not answer in time.
+        ValueError: The planner refuses the request (`InvalidInputError`), or its answer is malformed.
+    """
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), PLANNER_TIMEOUT_S) as connection:
         connection.settimeout(PLANNER_TIMEOUT_S)
@@ -85,8 +96,13 @@
 def call_leader(
     fleet: Fleet, request: OperatorCommand | EvictionRequest | RolloutCommand, planner_name: str = ""
 ) -> Any:
-    """The leader where it can be found, else whoever answers; wishes that change something want the
-    leader.
+    """Sends a request to the planners in turn and returns an answer.
+
+    A command that only shows something is answered by the leader, or by any planner if no leader answers. A
+    command that changes something returns the first answer that is not an error.
+
+    Raises:
+        CommandError: No planner has this name, or none answers.
     """
     planners = [planner for planner in fleet.planners if planner_name in ("", planner.name)]
     if not planners:
@@ -185,6 +201,7 @@
 
 
 def submit_site_command(path: str, as_json: bool, command: OperatorCommand) -> None:
+    """Submits an operator's command for a site and prints the outcome; exit code 1 if nothing changed."""
     answer = call_leader(load_fleet(path), command)
     outcome = "done" if answer["done"] else "nothing to do"
     click.echo(json.dumps(answer) if as_json else f"{command.operation} {command.site}: {outcome}")
@@ -220,7 +237,7 @@
 
 
 def submit_eviction_request(path: str, as_json: bool, request: EvictionRequest) -> None:
-    """Exit code 1 where it is not granted."""
+    """Submits a request about an eviction permit and prints the answer; exit code 1 if not granted."""
     answer = call_leader(load_fleet(path), request)
     if as_json:
         click.echo(json.dumps(answer))
@@ -324,6 +341,11 @@
 
 
 def load_release(file: str) -> RolloutSpec:
+    """Reads a release file.
+
+    Raises:
+        CommandError: The file cannot be read or is invalid.
+    """
     try:
         return read_release(file)
     except (InvalidInputError, OSError) as error:
@@ -331,7 +353,7 @@
 
 
 def submit_rollout_command(path: str, as_json: bool, command: RolloutCommand) -> None:
-    """Exit code 1 where nothing came of it."""
+    """Submits a rollout command and prints the outcome; exit code 1 if it had no effect."""
     answer = call_leader(load_fleet(path), command)
     if as_json:
         click.echo(json.dumps(answer))
@@ -447,6 +469,11 @@
 
 
 def print_store_report(operation: Callable[[], msgspec.Struct], as_json: bool) -> dict[str, Any]:
+    """Runs an operation on a result store, prints its report and returns it.
+
+    Raises:
+        CommandError: The store cannot be read, or a program uses it.
+    """
     try:
         report: dict[str, Any] = msgspec.to_builtins(operation())
     except (ValueError, OSError) as error:
@@ -460,6 +487,7 @@
 
 
 def unix_time_now() -> int:
+    """Returns the time since the epoch, in tenths of a millisecond."""
     return time.time_ns() // 100_000
 
 
@@ -508,12 +536,12 @@
     """Expectations of routing, written beside the configuration and checked with no traffic."""
 
 
-PATHS_ARGUMENT = click.argument("paths", nargs=-1, type=click.Path())  # this folder where none is told
+PATHS_ARGUMENT = click.argument("paths", nargs=-1, type=click.Path())  # default: the current folder
 SEED_OPTION = click.option("--seed", type=int, default=1, show_default=True)
 
 
 def with_source_options(command: Command) -> Command:
-    """The files that expectations are held against."""
+    """Adds the options that name the files against which expectations are checked."""
     for option in (
         click.option("--world", type=click.Path(), default=None, help="What is around: a world file."),
         click.option("--fleet", type=click.Path(), envvar="BIRCHSLIP_FLEET", default=None),
@@ -524,7 +552,11 @@
 
 
 def read_expectations(paths: tuple[str, ...], config: str, fleet: str | None, world: str | None) -> Any:
-    """Settings, statements and the files that hold none."""
+    """Returns the sources, the statements, and the names of the files without statements.
+
+    Raises:
+        CommandError: A file cannot be read or is invalid.
+    """
     from .expect.check import read_statements
     from .expect.sources import read_sources
 
@@ -658,7 +690,7 @@
             for mutation in mutations
         ]
         out.write_text(json.dumps({"breaks": rows, "seen": seen, "of": len(mutations)}, indent=2) + "\n")
-    if seen < 0.9 * len(mutations):
+    if seen < MIN_DETECTED_FRACTION * len(mutations):
         raise SystemExit(1)
 
 
@@ -715,7 +747,7 @@
 @lab.group()
 def play() -> None:
     """Play a schedule of faults among real processes."""
-    # One that is ended ends the processes that it has started.
+    # Exiting by SystemExit runs the cleanup that ends the child processes.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(3))
 
 
@@ -816,6 +848,7 @@
 
 
 def main() -> int:
+    """Runs the command line and returns the exit code."""
     try:
         cli.main(prog_name="python -m birchslip", standalone_mode=False)
     except click.ClickException as error:
--- a/birchslip/lab/explore.py
+++ b/birchslip/lab/explore.py
@@ -1,15 +1,15 @@
-"""An explorer of the vote, the fence and the leases: many short histories of messages, crashes and clocks.
+"""Explores elections, fencing and leases in many short random histories of messages, crashes and clocks.
 
-Each history is drawn from a seed: messages are lost, doubled, late and out of order; planners stop, pause and
-start again, with the disk as it was flushed, an older one or none; clocks start anywhere and go at slightly
-different speeds. After each step it is checked, in true time, that
+Each history is drawn from a seed. Messages are lost, duplicated, delayed and reordered. Planners stop, pause
+and restart with the disk as last flushed, an older disk or an empty one. Clocks start at any value and run at
+slightly different rates. After each step the explorer checks, in true time, that
 
-- no two planners hold the lease of leadership at once;
-- no member goes back from a newer epoch to an older one, or obeys two planners in one epoch;
-- what members may use of the vault adds up to no more than there is;
-- what a majority kept is known to whoever leads later, where no more than one disk is lost or old at a time.
+- no two planners hold the leadership lease at once;
+- no member goes back from a newer epoch to an older one, or accepts plans of two planners in one epoch;
+- the downstream calls allowed to all members do not exceed the total;
+- a state that a majority stored is known to every later leader, if at most one disk is lost or old at a time.
 
-A found fault is named with its seed; the same seed finds it again.
+The same seed gives the same history, so a violation can be reproduced.
 """
 
 from __future__ import annotations
@@ -34,19 +34,38 @@
 from ..cluster.quota_leases import QuotaLeases
 
 SECOND = 10_000
-CALL_LEASE_SPAN = 20_000  # of a share's lease
+QUOTA_LEASE_SPAN = 20_000
 PLAN_VALIDITY_SPAN = 40_000
-TOTAL_CALLS, UNLEASED_FRACTION = 12.0, 0.5
-MAX_CLOCK_SKEW = 0.004  # clocks differ by less than this, either way
+TOTAL_CALLS, RESERVED_FRACTION = 12.0, 0.5
+MAX_CLOCK_SKEW = 0.004  # a clock runs faster or slower than true time by at most this fraction
+QUOTA_ROUNDING = 1e-6  # calls
+# Of the draw for each message.
+LOST_BELOW, DUPLICATED_ABOVE, ON_TIME_BELOW = 0.12, 0.92, 0.85
+# Per step or per flush.
+STATE_CHANGE_PROBABILITY, REPLICATION_PROBABILITY, REPORT_PROBABILITY = 0.02, 0.3, 0.3
+FAULT_PROBABILITY, OLD_COPY_PROBABILITY = 0.01, 0.1
+# Of the draw for each fault; those above the last pause a member.
+RESTART_BELOW, STOP_BELOW, PAUSE_BELOW = 0.5, 0.35, 0.7
+# Of the draw for each restart.
+EMPTY_DISK_BELOW, OLD_DISK_BELOW = 0.2, 0.6
 
 
 class GuaranteeViolationError(AssertionError):
-    """What must not be: the text says what and where."""
+    """A history violated a guarantee; the message says which one and where."""
 
 
 @dataclass(eq=False)
 class PlannerNode:
-    """One planner, with its clock and its disk."""
+    """One planner with its clock and its disk.
+
+    Attributes:
+        flushed_vote: What the disk holds since the last flush.
+        older_vote: An earlier content of the disk, for a restart with an old disk.
+        leading_term: Term in which it leads; 0 while it does not lead.
+        state_number: Number of its newest state in that term.
+        replicated_number: Number of the newest state that a majority stored.
+        inbox: Messages that arrived while it was paused.
+    """
 
     name: str
     clock_offset: int
@@ -63,28 +82,36 @@
     inbox: list[Callable[[], None]] = field(default_factory=list)
 
     def local_time(self, true_time: int) -> int:
+        """Returns what this planner's clock shows at the true time."""
         return self.clock_offset + int(true_time * self.clock_rate)
 
 
 @dataclass(eq=False)
 class MemberNode:
-    """One member: what it obeys and may use."""
+    """One member with its clock, the plans it follows and its quota of concurrent calls.
+
+    Attributes:
+        accepted_plans: Term and leader's nonce of each accepted reply; the last two are kept.
+    """
 
     name: str
     clock_offset: int
     clock_rate: float
     plan_subscription: PlanSubscription
-    base_calls: float
+    base_quota: float
     accepted_plans: list[tuple[int, int]] = field(default_factory=list)
     paused_until: int = 0
 
     def local_time(self, true_time: int) -> int:
+        """Returns what this member's clock shows at the true time."""
         return self.clock_offset + int(true_time * self.clock_rate)
 
 
 class Explorer:
-    """One history. `ballot` and `obedience` may be others, with a mistake in them, to show that it is
-    found.
+    """One history of planners and members.
+
+    `election_class` and `subscription_class` may be subclasses with a defect, and `skips_flush` omits all
+    flushes, to show that the checks find the violation.
     """
 
     def __init__(
@@ -96,6 +123,7 @@
         subscription_class: type[PlanSubscription] = PlanSubscription,
         skips_flush: bool = False,
     ) -> None:
+        """Creates planners and members whose clocks and rates are drawn from `seed`."""
         self.rng = random.Random(seed)
         self.seed, self.true_time, self.steps = seed, 0, 0
         self.election_class, self.skips_flush = election_class, skips_flush
@@ -103,24 +131,26 @@
         self.in_flight: list[tuple[int, Callable[[], None]]] = []
         self.serial = 0
         self.planners = {name: self.create_planner(name) for name in self.planner_names}
-        base_calls_by_member = {f"m{n}": TOTAL_CALLS / member_count for n in range(member_count)}
-        self.base_calls_by_member = base_calls_by_member
+        base_quotas = {f"m{n}": TOTAL_CALLS / member_count for n in range(member_count)}
+        self.base_quotas = base_quotas
         self.members = {}
-        for name, calls in base_calls_by_member.items():
+        for name, base_quota in base_quotas.items():
             clock_offset = self.rng.randrange(1 << 30)
-            plan_subscription = subscription_class(UNLEASED_FRACTION * calls, SECOND, clock_offset)
+            plan_subscription = subscription_class(RESERVED_FRACTION * base_quota, SECOND, clock_offset)
             self.members[name] = MemberNode(
-                name, clock_offset, self.draw_clock_rate(), plan_subscription, calls
+                name, clock_offset, self.draw_clock_rate(), plan_subscription, base_quota
             )
-        self.majority_state = (0, 0)  # the newest that a majority kept
+        self.majority_state = (0, 0)  # term and number of the newest state that a majority stored
         self.no_fault_until = 0
         self.leadership_count = 0
         self.max_calls = 0.0
 
     def draw_clock_rate(self) -> float:
+        """Draws how fast a clock runs against true time."""
         return 1 + self.rng.uniform(-MAX_CLOCK_SKEW, MAX_CLOCK_SKEW)
 
     def create_planner(self, name: str) -> PlannerNode:
+        """Creates a planner with an empty disk."""
         clock_offset, clock_rate = self.rng.randrange(1 << 30), self.draw_clock_rate()
         vote = DurableVote()
         election = self.create_election(name, vote, clock_offset + int(self.true_time * clock_rate))
@@ -129,23 +159,30 @@
         )
 
     def create_election(self, name: str, vote: DurableVote, now: int) -> Election:
+        """Creates the election of a planner that starts with the given vote on its disk."""
         rng = random.Random(self.rng.getrandbits(64))
         return self.election_class(name, self.planner_names, vote, self.rng.getrandbits(48), now, rng)
 
     # ---- messages --------------------------------------------------------------------------------------
 
     def post_message(self, action: Callable[[], None]) -> None:
-        """Lost, doubled, late or in time."""
+        """Schedules the delivery of a message, which may be lost, duplicated or delayed."""
         draw = self.rng.random()
-        if draw < 0.12:
+        if draw < LOST_BELOW:
             return
-        for _ in range(2 if draw > 0.92 else 1):
+        for _ in range(2 if draw > DUPLICATED_ABOVE else 1):
             delay_draw = self.rng.random()
-            delay = self.rng.randrange(20, 400) if delay_draw < 0.85 else self.rng.randrange(400, 12_000)
+            delay = (
+                self.rng.randrange(20, 400) if delay_draw < ON_TIME_BELOW else self.rng.randrange(400, 12_000)
+            )
             self.in_flight.append((self.true_time + delay, action))
 
     def send_to_planner(self, planner: PlannerNode, action: Callable[[], None]) -> None:
-        """What reaches one that is paused waits for it; one that is down never hears it."""
+        """Sends a message to a planner.
+
+        A paused planner handles the message when it resumes. A planner that is down, or that restarted since
+        the message was sent, never receives it.
+        """
         election = planner.election
 
         def deliver() -> None:
@@ -159,13 +196,15 @@
         self.post_message(deliver)
 
     def flush(self, planner: PlannerNode) -> None:
+        """Writes the planner's vote to its disk if needed, and sometimes keeps the earlier content."""
         if planner.election.needs_flush and not self.skips_flush:
-            if self.rng.random() < 0.1:
+            if self.rng.random() < OLD_COPY_PROBABILITY:
                 planner.older_vote = deepcopy(planner.flushed_vote)
             planner.flushed_vote = deepcopy(planner.election.durable)
         planner.election.needs_flush = False
 
     def broadcast(self, planner: PlannerNode, record: Message) -> None:
+        """Sends a message to all other planners."""
         sent_at = planner.local_time(self.true_time)
         for recipient in self.planners.values():
             if recipient is not planner:
@@ -176,6 +215,7 @@
     def handle_message(
         self, planner: PlannerNode, sender: PlannerNode, record: Message, sent_at: int
     ) -> None:
+        """Handles a vote or replication request and sends the response after a flush."""
         now = planner.local_time(self.true_time)
         if isinstance(record, VoteRequest):
             vote_response = planner.election.handle_vote_request(record, now)
@@ -194,21 +234,28 @@
     def handle_vote_response(
         self, planner: PlannerNode, response: VoteResponse, term: int, sent_at: int
     ) -> None:
+        """Handles the response to a vote request that was sent at the planner's time `sent_at`."""
         planner.election.handle_vote_response(response, term, sent_at, planner.local_time(self.true_time))
         self.flush(planner)
 
     def handle_replication_response(
         self, planner: PlannerNode, response: ReplicationResponse, request: ReplicationRequest
     ) -> None:
+        """Handles a replication response and records what a majority has stored."""
         if request.term == planner.leading_term and planner.election.handle_replication_response(
             response, request.state_number
         ):
             planner.replicated_number = max(planner.replicated_number, request.state_number)
             self.majority_state = max(self.majority_state, (request.term, request.state_number))
 
-    # ---- planners act ----------------------------------------------------------------------------------
+    # ---- planners --------------------------------------------------------------------------------------
 
     def run_planner(self, planner: PlannerNode) -> None:
+        """Lets a planner ask for votes, and lead if it won: it changes and replicates its state.
+
+        Raises:
+            GuaranteeViolationError: A new leader does not know a state that a majority stored.
+        """
         now = planner.local_time(self.true_time)
         vote_request = planner.election.next_vote_request(now)
         if vote_request is not None:
@@ -227,7 +274,7 @@
                 0,
             )
             planner.quota_leases = QuotaLeases(
-                self.base_calls_by_member, TOTAL_CALLS, UNLEASED_FRACTION, CALL_LEASE_SPAN, now
+                self.base_quotas, TOTAL_CALLS, RESERVED_FRACTION, QUOTA_LEASE_SPAN, now
             )
             self.leadership_count += 1
             recovered_state = planner.election.newest_state[:2]
@@ -235,9 +282,9 @@
                 raise GuaranteeViolationError(
                     f"{planner.name} leads with {recovered_state}, and a majority kept {self.majority_state}"
                 )
-        elif self.rng.random() < 0.02:
+        elif self.rng.random() < STATE_CHANGE_PROBABILITY:
             planner.state_number += 1
-        if planner.replicated_number < planner.state_number and self.rng.random() < 0.3:
+        if planner.replicated_number < planner.state_number and self.rng.random() < REPLICATION_PROBABILITY:
             request = ReplicationRequest(
                 term=planner.leading_term,
                 state_number=planner.state_number,
@@ -253,6 +300,7 @@
     # ---- members ---------------------------------------------------------------------------------------
 
     def send_report(self, member: MemberNode) -> None:
+        """Sends a member's report to a random planner, with the calls that it has and wants."""
         planner = self.planners[self.rng.choice(self.planner_names)]
         sent_at = member.local_time(self.true_time)
         leased_calls = (
@@ -277,6 +325,7 @@
         term: int,
         sent_at: int,
     ) -> None:
+        """Answers a report with a plan and a quota lease, if the planner leads and has a stored state."""
         now = planner.local_time(self.true_time)
         if term > planner.election.highest_term:
             planner.election.observe_term(term)
@@ -287,7 +336,7 @@
         ):
             return
         assert planner.quota_leases is not None
-        call_limit = UNLEASED_FRACTION * member.base_calls + planner.quota_leases.grant(
+        call_limit = RESERVED_FRACTION * member.base_quota + planner.quota_leases.grant(
             member.name, wanted_calls, leased_calls, now
         )
         assignment = PlanAssignment(
@@ -309,45 +358,51 @@
             is_leading=True,
             assignment=assignment,
             call_limit=call_limit,
-            lease_span=CALL_LEASE_SPAN,
+            lease_span=QUOTA_LEASE_SPAN,
         )
         self.post_message(lambda: self.handle_reply(member, reply, sent_at))
 
     def handle_reply(self, member: MemberNode, reply: ReportReply, sent_at: int) -> None:
+        """Applies a reply at a member; a paused member applies it when it resumes."""
         if self.true_time < member.paused_until:
             self.in_flight.append((member.paused_until, lambda: self.handle_reply(member, reply, sent_at)))
             return
         if member.plan_subscription.accept(reply, sent_at, member.local_time(self.true_time)):
             member.accepted_plans.append((reply.term, reply.planner.nonce))
 
-    # ---- trouble ---------------------------------------------------------------------------------------
+    # ---- faults ----------------------------------------------------------------------------------------
 
     def inject_fault(self) -> None:
+        """Restarts a stopped planner, stops or pauses a running one, or pauses a member."""
         planner = self.planners[self.rng.choice(self.planner_names)]
         draw = self.rng.random()
         if not planner.is_up:
-            if draw < 0.5:
+            if draw < RESTART_BELOW:
                 self.restart_planner(planner)
-        elif draw < 0.35:
+        elif draw < STOP_BELOW:
             planner.is_up = False
             planner.inbox.clear()
-        elif draw < 0.7:
+        elif draw < PAUSE_BELOW:
             planner.paused_until = self.true_time + self.rng.randrange(500, 40_000)
         else:
             member = self.members[self.rng.choice(list(self.members))]
             member.paused_until = self.true_time + self.rng.randrange(500, 60_000)
 
     def restart_planner(self, planner: PlannerNode) -> None:
-        """With the disk as it was flushed; now and then an older one, or none, if the others' are whole."""
+        """Restarts a planner with its flushed disk, or sometimes with an older or empty one.
+
+        The disk is older or empty only while all other planners run with intact disks.
+        """
         draw = self.rng.random()
         others = [other for other in self.planners.values() if other is not planner]
         others_are_intact = all(
             other.is_up and not other.election.durable.is_blank and other.paused_until < self.true_time
             for other in others
         )
-        if draw < 0.6 and others_are_intact:
-            # One disk at a time: nothing else fails until it had the time to hear of it.
-            planner.flushed_vote = DurableVote() if draw < 0.2 else deepcopy(planner.older_vote)
+        if draw < OLD_DISK_BELOW and others_are_intact:
+            # At most one disk is lost or old at a time: no other fault is injected until this planner has had
+            # the time to learn the newest state.
+            planner.flushed_vote = DurableVote() if draw < EMPTY_DISK_BELOW else deepcopy(planner.older_vote)
             self.no_fault_until = self.true_time + 4 * SECOND
         planner.is_up = True
         planner.election = self.create_election(
@@ -357,14 +412,16 @@
         planner.paused_until = 0
         self.flush(planner)
 
-    # ---- one history -----------------------------------------------------------------------------------
+    # ---- history ---------------------------------------------------------------------------------------
 
     def run(self, steps: int) -> Explorer:
+        """Runs so many steps and returns the explorer."""
         for _ in range(steps):
             self.step()
         return self
 
     def step(self) -> None:
+        """Advances true time, delivers due messages, runs planners and members, and checks the guarantees."""
         self.steps += 1
         self.true_time += self.rng.randrange(10, 300)
         due = [entry for entry in self.in_flight if entry[0] <= self.true_time]
@@ -379,13 +436,18 @@
                     action()
                 self.run_planner(planner)
         for member in self.members.values():
-            if self.true_time >= member.paused_until and self.rng.random() < 0.3:
+            if self.true_time >= member.paused_until and self.rng.random() < REPORT_PROBABILITY:
                 self.send_report(member)
-        if self.true_time >= self.no_fault_until and self.rng.random() < 0.01:
+        if self.true_time >= self.no_fault_until and self.rng.random() < FAULT_PROBABILITY:
             self.inject_fault()
         self.check_guarantees()
 
     def check_guarantees(self) -> None:
+        """Checks leadership, allowed calls and epochs.
+
+        Raises:
+            GuaranteeViolationError: A guarantee is violated; the message names the seed and the step.
+        """
         leaders = [
             planner.name
             for planner in self.planners.values()
@@ -398,7 +460,7 @@
             for member in self.members.values()
         )
         self.max_calls = max(self.max_calls, allowed_calls)
-        if allowed_calls > TOTAL_CALLS + 1e-6:
+        if allowed_calls > TOTAL_CALLS + QUOTA_ROUNDING:
             raise GuaranteeViolationError(
                 f"seed {self.seed}, step {self.steps}: "
                 f"{allowed_calls:.2f} calls of {TOTAL_CALLS:g} may be in hand"
@@ -420,8 +482,10 @@
 
 
 def explore(seeds: range, steps: int, **explorer_options: object) -> dict[str, int]:
-    """Histories one after the other; how many steps and reigns they had. Fault at the first that must not
-    be.
+    """Runs one history for each seed and returns the numbers of histories, steps and leaderships.
+
+    Raises:
+        GuaranteeViolationError: At the first violation.
     """
     totals = {"histories": 0, "steps": 0, "reigns": 0}
     for seed in seeds:
--- a/birchslip/lab/faults.py
+++ b/birchslip/lab/faults.py
@@ -1,7 +1,7 @@
-"""Named schedules of faults: what happens when, in tenths of a millisecond from the moment of the loss.
+"""Named fault schedules of a site loss.
 
-`lost` is how long the first site is out. A schedule is made of the seed alone, so that one seed gives one
-play.
+Times are in tenths of a millisecond from the moment of the loss. A schedule depends only on its fault, its
+seed and its other arguments, so the same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """`what` is done to `whom` at a time; `more` is its figure, where it has one."""
+    """One step: `action` is applied to `target` at a time, with `value` where it takes a number."""
 
     at: int
     action: str
@@ -50,8 +50,9 @@
 
 
 def schedule(fault: str, seed: int, sites: list[str], planners: list[str], outage_span: int) -> list[Step]:
-    """The steps in order of time. The names `leader` and `other` are of planners, as they stand at that
-    moment.
+    """Returns the steps of a fault in order of time. `outage_span` is how long the first site is out.
+
+    The targets `leader`, `other`, `follower` and `last` name planners by their role when the step runs.
     """
     rng = random.Random(seed)
     first_site, second_site = sites[0], sites[1]
@@ -135,6 +136,7 @@
 
 
 def planner_restart_steps(site: str, outage_span: int, disk_state: str) -> list[Step]:
+    """Restarts a follower with another disk before the loss, and kills one more planner during it."""
     return [
         Step(-20_000, "kill-planner", "follower"),
         Step(-19_000, f"disk-{disk_state}", "last"),
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -1,7 +1,7 @@
-"""A long time in virtual time: members that report through noise, pauses, restarts and slow links.
+"""Long simulations of a fleet in virtual time: members report through noise, pauses, restarts and slow links.
 
-One mind that leads judges them, with no process and no socket. What counts is that no site is evacuated
-that is not dark; and that one that is dark is. `benchmarks/fleet_month.py` plays a month.
+One leading planner's state judges the reports; there are no processes and no sockets. No site may be declared
+lost unless all of its members are down. `benchmarks/fleet_month.py` simulates a month.
 """
 
 from __future__ import annotations
@@ -19,14 +19,16 @@
 
 SECOND = 10_000
 DAY = 86_400 * SECOND
+FAULTS_PER_SECOND = 1 / 300
+# Of the draws that choose a fault; those above the last slow down a whole site.
+RESTART_BELOW, PAUSE_BELOW, SLOW_MEMBER_BELOW = 0.35, 0.7, 0.85
 
 
 class SimulatedMember:
-    """One member and what it goes through. While it is `dead` its door is shut, while `stopped` it is
-    silent.
-    """
+    """One member: it refuses connections until `down_until` and does not respond until `paused_until`."""
 
     def __init__(self, name: str, site: str, index: int) -> None:
+        """Starts as incarnation 0, up and at full speed. `index` is its position in its site."""
         self.name, self.site, self.index = name, site, index
         self.incarnation = self.sequence = 0
         self.down_until = self.paused_until = self.slow_until = 0
@@ -34,9 +36,16 @@
 
 
 class LongRun:
-    """`every` is how often members report; a long play reports seldomer, which suspicion follows."""
+    """A fleet with one planner in virtual time. Times are in tenths of a millisecond.
+
+    Attributes:
+        report_interval: Time between two reports of a member. Suspicion adapts to it, so a long run can use a
+            longer interval.
+        counts: Number of injected faults by kind, of evacuations and of false evacuations.
+    """
 
     def __init__(self, seed: int, sites: int, members_per_site: int, report_interval: int) -> None:
+        """Builds `sites` sites of `members_per_site` members each; all draws follow from `seed`."""
         self.rng = random.Random(seed)
         names = [f"s{n}" for n in range(sites)]
         fleet_sites = [
@@ -68,10 +77,12 @@
         self.counts = {"restarts": 0, "pauses": 0, "slow": 0, "evacuations": 0, "false_evacuations": 0}
 
     def schedule(self, when: int, action: Callable[[], None]) -> None:
+        """Runs an action at the virtual time `when`."""
         self.event_number += 1
         heapq.heappush(self.event_queue, (when, self.event_number, action))
 
     def run(self, until: int) -> dict[str, int]:
+        """Simulates to the virtual time `until` and returns the counts."""
         for member in self.members.values():
             first_report_at = self.rng.randrange(self.report_interval)
             self.schedule(first_report_at, lambda member=member: self.send_report(member))  # type: ignore[misc]
@@ -85,6 +96,7 @@
     # ---- members ---------------------------------------------------------------------------------------
 
     def send_report(self, member: SimulatedMember) -> None:
+        """Schedules the member's next report and, unless the member is down or paused, sends one."""
         interval = int(self.report_interval * self.rng.uniform(0.9, 1.15))
         self.schedule(self.now + interval, lambda: self.send_report(member))
         if self.now < member.down_until or self.now < member.paused_until:
@@ -94,6 +106,7 @@
         self.schedule(self.now + delay, lambda: self.deliver_report(member))
 
     def deliver_report(self, member: SimulatedMember) -> None:
+        """Passes a report to the planner, and probes the members that its reply names."""
         if self.now < member.down_until:
             return
         member.sequence += 1
@@ -128,14 +141,16 @@
         member.probe_outcomes = {name: self.probe_outcome(name) for name in reply.probe_addresses}
 
     def probe_outcome(self, name: str) -> str:
+        """Returns what a probe of the member meets, as a value of `ProbeOutcome`."""
         member = self.members[name]
         if self.now < member.down_until:
             return "refused"
         return "silent" if self.now < member.paused_until else "answered"
 
-    # ---- time ------------------------------------------------------------------------------------------
+    # ---- planner and faults ----------------------------------------------------------------------------
 
     def tick(self) -> None:
+        """Advances election, evaluation and replication, and counts evacuations."""
         self.schedule(self.now + max(EVALUATION_INTERVAL, self.report_interval // 2), self.tick)
         planner_state = self.planner_state
         vote_request = planner_state.election.next_vote_request(self.now)
@@ -160,17 +175,16 @@
                     self.counts["false_evacuations"] += 1
 
     def is_site_down(self, site: str) -> bool:
+        """Whether every member of the site is down or paused."""
         members = [member for member in self.members.values() if member.site == site]
         return all(self.now < max(member.down_until, member.paused_until) for member in members)
 
     def inject_fault(self) -> None:
-        """Something small every few minutes: a restart, a pause, a slow spell, or a short one of a whole
-        site.
-        """
-        self.schedule(self.now + int(self.rng.expovariate(1 / 300) * SECOND), self.inject_fault)
+        """Injects a small fault: a restart, a pause, or a slow period of one member or of its whole site."""
+        self.schedule(self.now + int(self.rng.expovariate(FAULTS_PER_SECOND) * SECOND), self.inject_fault)
         member = self.members[self.rng.choice(list(self.members))]
         draw = self.rng.random()
-        if draw < 0.35:
+        if draw < RESTART_BELOW:
             member.down_until = self.now + self.rng.randrange(SECOND, 20 * SECOND)
             member.incarnation += 1
             member.sequence = 0
@@ -178,13 +192,17 @@
             registered = self.planner_state.membership.members.get(member.name)
             if registered is not None:
                 self.planner_state.membership.mark_disconnected(member.name, registered.incarnation)
-        elif draw < 0.7:
+        elif draw < PAUSE_BELOW:
             member.paused_until = self.now + self.rng.randrange(SECOND // 10, 10 * SECOND)
             self.counts["pauses"] += 1
         else:
             slow_until = self.now + self.rng.randrange(SECOND, 60 * SECOND)
-            affected = [other for other in self.members.values() if draw < 0.85 or other.site == member.site]
-            for other in affected if draw >= 0.85 else [member]:
+            site_members = [
+                other
+                for other in self.members.values()
+                if draw < SLOW_MEMBER_BELOW or other.site == member.site
+            ]
+            for other in site_members if draw >= SLOW_MEMBER_BELOW else [member]:
                 other.slow_until = slow_until
             self.counts["slow"] += 1
 
@@ -192,5 +210,5 @@
 def simulate_days(
     days: float, seed: int, sites: int = 3, members_per_site: int = 3, report_interval: int = 5 * SECOND
 ) -> dict[str, int]:
-    """What happened in so many days of virtual time."""
+    """Simulates so many days of virtual time and returns the counts of faults and evacuations."""
     return LongRun(seed, sites, members_per_site, report_interval).run(int(days * DAY))
--- a/birchslip/lab/release_faults.py
+++ b/birchslip/lab/release_faults.py
@@ -1,13 +1,18 @@
-"""Named troubles of a release, and what each does when. Steps wait for an event of the release, so that the
-same thing is hit in every play, however long anything took.
+"""Named faults of a release and the steps of each.
+
+Steps wait for an event of the release rather than for a time, so that every run is hit at the same point,
+however long its parts take.
 
 | moment | when |
 | --- | --- |
 | `start` | the release has begun |
-| `granted` | the platform gets the first order to drain; the order is left undone |
+| `granted` | the platform receives the first drain order |
+| `drained` | the platform has begun the first drain |
 | `stopped` | the first member has stopped |
-| `batch N` | the first order to drain of the Nth batch has come |
-| `+ T` | so long after the step before |
+| `batch N` | the first drain order of the Nth batch has arrived |
+| a number | so long after the step before, in tenths of a millisecond |
+
+With the faults `killed-granted` and `holder-dies` the first drain order is not carried out.
 """
 
 from __future__ import annotations
@@ -44,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """`wait` is the moment, or a time after the step before, in tenths of a millisecond."""
+    """One step: `wait` is a moment, or the time after the step before in tenths of a millisecond."""
 
     wait: str | int
     action: str
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -1,4 +1,7 @@
-"""`lab play release`: a release through a fleet of real processes, with the truth kept outside them."""
+"""A release through a fleet of real processes (`lab play release`).
+
+What really happened is recorded outside the processes under test.
+"""
 
 from __future__ import annotations
 
@@ -37,49 +40,72 @@
 LOOKUP = Profile("lookup", 0.7, 1_400, SECOND * 3 // 2, 3 * SECOND, 1.0, False)
 ORDER = Profile("order", 0.3, 2_100, 2 * SECOND, 3 * SECOND, 1.5, True)
 LEAD_IN_SPAN, LEAD_OUT_SPAN = 5 * SECOND, 3 * SECOND
-ANSWER_TIMEOUT = 4_000  # an operator waits for a planner's answer, and then asks the next one
-STUCK_AFTER = 240 * SECOND  # a release that has not come to its end by then is stuck
+ANSWER_TIMEOUT = 4_000  # an operator asks the next planner after this time
+STUCK_AFTER = 240 * SECOND  # a release that has not ended by then is stuck
 MAX_OUT_PER_SITE, FLEET_OUT_FRACTION, LOWERED_MAX_OUT = 2, 0.17, 1
 MIN_WATCH_MS, MAX_WATCH_MS, CRASH_AFTER_MS = 6_000, 40_000, 2_500
+MAX_ROLLBACKS = 3
 MARGINS = {"late": 0.08, "slow": 0.2, "shed": 0.08, "written_off": 0.08, "calls": 0.15}
-MIN_RESTART_SPAN = 2 * SECOND  # of a drain, a stop and a start: what no release can be quicker than
+MIN_RESTART_SPAN = 2 * SECOND  # least time of a drain, a stop and a start together
 
 
 @dataclass(frozen=True)
 class ReleaseOptions(Told):
-    """`without` holds what the schedule did to the world and when, for the play with no release."""
+    """Options of a run.
+
+    Attributes:
+        version: Behaviour of the new version, one of `versions.KINDS`.
+        margins: Factor on the usual margins of the canary analysis, for runs on a busy machine that test
+            other things.
+        without: Actions to replay without a release: time since its start, action and target, and value. None
+            runs the release.
+    """
 
     version: str = "good"
-    margins: float = 1.0  # times the usual ones: a play on a busy machine that is not about the judgement
+    margins: float = 1.0
     without: tuple[tuple[int, str, float], ...] | None = None
 
 
 class ReleaseRun(World):
+    """One run of a release with injected faults, or of the same faults without a release.
+
+    Attributes:
+        applied_actions: Actions applied so far, in the form of `ReleaseOptions.without`.
+        reached_moments: Time of each moment that the steps of `release_faults` can wait for.
+        permit_holder: The first member that was to drain.
+        operator_log: Answers that operators received.
+        unexpected_resumes: How often a halted rollout was seen to continue without an operator's command.
+        last_figures: Figures of the last canary analysis that was seen.
+        is_halt_expected: Whether the schedule has caused a halt that an operator ends.
+    """
+
     profiles = [LOOKUP, ORDER]  # noqa: RUF012
     cold_span = 2 * SECOND
 
     def __init__(self, options: ReleaseOptions, folder: Path) -> None:
+        """Lays out the processes and stand-ins; files and logs go to `folder`."""
         self.release_options = options
         super().__init__(options, folder)
         self.planned_batches = plan_batches(
             self.make_spec(self.sites), {site: self.member_names(site) for site in self.sites}
         )
-        self.applied_actions: list[tuple[int, str, float]] = []  # what was done to the world, and when
-        self.reached_moments: dict[str, int] = {}  # moments of the release
+        self.applied_actions: list[tuple[int, str, float]] = []
+        self.reached_moments: dict[str, int] = {}
         self.batches = 0
         self.permit_holder = ""
-        self.operator_log: list[str] = []  # what operators were told
+        self.operator_log: list[str] = []
         self.halted_at: int | None = None
         self.final_phase, self.is_stuck, self.final_reason = "", False, ""
         self.unexpected_resumes = 0
         self.rollback_count = 0
-        self.last_figures: list[dict[str, Any]] = []  # the figures of the last watch that was seen
+        self.last_figures: list[dict[str, Any]] = []
         self.is_halt_expected = False
         self.pending_steps: list[Step] = list(STEPS[options.fault])
 
-    # ---- what is laid out ------------------------------------------------------------------------------
+    # ---- layout ----------------------------------------------------------------------------------------
 
     def prepare(self) -> None:
+        """Lays out the disruption budgets, the stores and the platform."""
         member_names = [server.name for server in self.servers]
         self.fleet_max_out = max(2, int(FLEET_OUT_FRACTION * len(member_names)))
         self.budget_groups = {
@@ -104,15 +130,18 @@
         for store, vault in self.vaults.items():
             self.platform.add_service(store, vault)
         self.platform.before, self.platform.stopped = self.before_platform_order, self.on_member_stopped
-        self.delisted_members: set[str] = set()  # of the fleet file
+        self.delisted_members: set[str] = set()  # left out of the fleet file
 
     def member_names(self, site: str) -> list[str]:
+        """Returns the names of a site's members."""
         return [server.name for server in self.servers if server.site == site]
 
     def vault_of(self, server: Server) -> Vault:
+        """Returns the store that the app server calls."""
         return self.vaults[self.store_by_site[server.site]]
 
     def fleet_more(self, told: dict[str, Any], who: str) -> None:
+        """Adds the platform, services, disruption budgets and needs to a fleet file."""
         told["platform"] = {"address": self.platform.address, "ask_ms": 200, "stale_ms": 2_000}
         told["services"] = [{"name": name, "kind": "store"} for name in self.vaults]
         told["groups"] = [
@@ -133,12 +162,13 @@
                 member["calls"] = calls
 
     def rewrite_fleet_files(self) -> None:
-        """A later fleet file for every planner."""
+        """Writes a changed fleet file for each planner and makes the planner read it."""
         for name in self.names:
             self.fleet_file(name)
             self.planners[name].hang_up()
 
     def make_spec(self, sites: list[str], version: str = NEW, previous_version: str = OLD) -> RolloutSpec:
+        """Returns the rollout of a version to the sites."""
         return RolloutSpec(
             version=version,
             previous_version=previous_version,
@@ -156,7 +186,11 @@
     # ---- operators -------------------------------------------------------------------------------------
 
     def ask_planners(self, record: Message, method: str, planners: list[str] | None = None) -> dict[str, Any]:
-        """Whoever leads answers; asked until somebody does."""
+        """Sends a request to the planners in turn until one answers.
+
+        Status requests need the leader's answer. With `planners`, only these are asked, and once each.
+        Without an answer the result has the last error's text as `trouble`.
+        """
         give_up_at = self.scheduler.now + 20 * SECOND
         last_error = ""
         is_query = (isinstance(record, RolloutCommand) and record.action is RolloutAction.STATUS) or (
@@ -181,6 +215,7 @@
         return {"done": False, "granted": False, "releases": [], "trouble": last_error}
 
     def send_command(self, action: str, **fields: Any) -> dict[str, Any]:
+        """Sends a rollout command as an operator and records the answer."""
         answer = self.ask_planners(
             RolloutCommand(action=RolloutAction(action), operator="the play", **fields), "release"
         )
@@ -188,10 +223,12 @@
         return answer
 
     def rollout_status(self, number: int = 1) -> dict[str, Any]:
+        """Returns the status of a rollout; empty if there is none."""
         answer = self.ask_planners(RolloutCommand(action=RolloutAction.STATUS, number=number), "release")
         return answer["releases"][0] if answer["releases"] else {}
 
     def request_permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
+        """Requests an eviction permit for a member."""
         return self.ask_planners(
             EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder=holder, reason="by hand"),
             "want",
@@ -201,10 +238,15 @@
     # ---- moments ---------------------------------------------------------------------------------------
 
     def record_moment(self, name: str) -> None:
+        """Records when a moment of the release was first reached."""
         self.reached_moments.setdefault(name, self.scheduler.now)
 
     def before_platform_order(self, action: str, name: str) -> str:
-        """The platform has got an order; whether it is to be left undone."""
+        """Records the moments that an order marks, and injects the faults that strike on its arrival.
+
+        Returns:
+            `drop` if the platform must not execute or answer the order, else an empty string.
+        """
         if action != "drain" or self.platform.machines[name].state != "up":
             return ""
         is_first = "granted" not in self.reached_moments
@@ -215,7 +257,7 @@
             if self.release_options.fault == "holder-dies":
                 self.apply_action("kill", name)
             else:
-                # In this very moment: nobody hears what came of the order.
+                # Killed before the order is answered, so that no planner learns its outcome.
                 self.planners[self.leader()].kill()
             return "drop"
         batch_number = next(
@@ -227,13 +269,15 @@
         return ""
 
     def on_member_stopped(self, name: str) -> None:
+        """Records that a member stopped; the fault `killed-draining` kills the leader then."""
         if "stopped" not in self.reached_moments and self.release_options.fault == "killed-draining":
             self.planners[self.leader()].kill()
         self.record_moment("stopped")
 
-    # ---- the course ------------------------------------------------------------------------------------
+    # ---- course of the run -----------------------------------------------------------------------------
 
     def execute_schedule(self) -> None:
+        """Runs the release, or the replayed actions, between a lead-in and a lead-out under load."""
         scheduler = self.scheduler
         self.begin()
         self.platform.watch()
@@ -248,7 +292,7 @@
         self.end()
 
     def replay_actions(self, actions: tuple[tuple[int, str, float], ...]) -> None:
-        """The same schedule, and no release."""
+        """Applies the actions of an earlier run at the same times, without a release."""
         self.rollout_started_at = self.scheduler.now
         for at, action, value in actions:
             self.scheduler.sleep(max(self.scheduler.now, self.rollout_started_at + at))
@@ -258,6 +302,7 @@
         self.rollout_ended_at = self.scheduler.now
 
     def run_rollout(self) -> None:
+        """Starts the rollout, applies the fault's steps and follows the rollout to its end."""
         scheduler = self.scheduler
         self.wait_for(self.is_fleet_known, 30 * SECOND)
         sites = (
@@ -279,12 +324,12 @@
         self.applied_actions.append((self.rollout_ended_at - self.rollout_started_at, "end", 0.0))
 
     def is_fleet_known(self) -> bool:
-        """The leader hears all members, warm, and nobody is out."""
+        """Whether the leader knows all members and none is out."""
         fleet = self.ask_planners(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
         return len(fleet.get("members", ())) == len(self.servers) and not fleet["out"]
 
     def follow_rollout(self) -> None:
-        """Until the release has come to its end; a person takes a bad one back."""
+        """Polls the rollout until it has ended; an operator rolls a bad version back."""
         give_up_at = self.scheduler.now + STUCK_AFTER
         while self.scheduler.now < give_up_at:
             status = self.rollout_status()
@@ -303,7 +348,7 @@
                 and isinstance(awaited, str)
                 and awaited not in self.reached_moments
             ):
-                self.pending_steps.clear()  # it has halted by itself: that moment will not come
+                self.pending_steps.clear()  # the rollout halted by itself and will not reach that moment
             is_at_rest = phase == "halted" and not self.pending_steps and not self.is_halt_expected
             if is_at_rest and not self.continue_after_halt(status):
                 self.final_phase, self.final_reason = phase, status["why"]
@@ -312,30 +357,34 @@
         self.final_phase, self.is_stuck, self.final_reason = phase, True, status.get("doing", "")
 
     def continue_after_halt(self, status: dict[str, Any]) -> bool:
-        """Whether a person goes on: back where the version is bad, once everybody is up."""
-        if not status["bad"] or self.rollback_count >= 3:
-            return not self.platform.all_up() and self.rollback_count < 3
+        """Acts as the operator of a halted rollout, and returns whether to keep polling.
+
+        A bad version is rolled back, at most three times, once all members are up.
+        """
+        if not status["bad"] or self.rollback_count >= MAX_ROLLBACKS:
+            return not self.platform.all_up() and self.rollback_count < MAX_ROLLBACKS
         for name in status["left_out"]:
             machine = self.platform.machines[name]
             if machine.state == "failed":
-                machine.broken.clear()  # somebody has mended the machine
+                machine.broken.clear()  # as if the operator had repaired the machine
                 self.platform.start(machine, OLD)
         if not self.platform.all_up():
             return True
         if status["left_out"]:
-            return True  # until it is seen back
+            return True  # until the rollout sees these members back
         self.rollback_count += 1
         self.send_command("back", number=1)
         return True
 
     def is_second_rollout_over(self) -> bool:
+        """Whether the second rollout of the fault `two-releases` has ended; True without that fault."""
         if self.release_options.fault != "two-releases":
             return True
         status = self.rollout_status(2)
         return bool(status) and status["phase"] in ("done", "back", "halted")
 
     def wait_until_settled(self) -> None:
-        """Nobody is left down, and nobody out but who was left out."""
+        """Waits up to 20 s until all members are up and none is out; else the run is stuck."""
         give_up_at = self.scheduler.now + 20 * SECOND
         while self.scheduler.now < give_up_at and not (
             self.platform.all_up() and not self.platform.outs.causes
@@ -343,9 +392,10 @@
             self.scheduler.sleep(self.scheduler.now + 1_000)
         self.is_stuck = self.is_stuck or not self.platform.all_up()
 
-    # ---- the schedule ----------------------------------------------------------------------------------
+    # ---- steps -----------------------------------------------------------------------------------------
 
     def apply_steps(self) -> None:
+        """Applies the fault's steps, each at its moment, until the rollout has ended."""
         while self.pending_steps:
             step = self.pending_steps[0]
             if isinstance(step.wait, int):
@@ -362,7 +412,7 @@
             self.pending_steps.pop(0)
 
     def apply_action(self, action: str, target: str, value: float = 0.0) -> None:
-        """Something that is done to the world, and done in the play without a release too."""
+        """Applies an action to the fleet, and records it for the run without a release."""
         if self.release_options.without is None:
             self.applied_actions.append(
                 (self.scheduler.now - self.rollout_started_at, f"{action} {target}", value)
@@ -387,6 +437,7 @@
                     self.platform.machines[name].again_at = self.scheduler.now
 
     def lose_site(self, site: str) -> None:
+        """Kills all members of a site; the platform does not restart them within the run."""
         self.out.add(site)
         for name in self.member_names(site):
             self.platform.kill(name)
@@ -395,10 +446,11 @@
                 machine.again_at = self.scheduler.now + STUCK_AFTER
 
     def apply_step(self, step: Step) -> None:
+        """Applies one step."""
         value = step.value
         match step.action:
             case "kill-leader" | "kill-holder":
-                pass  # done in the moment itself
+                pass  # done by `before_platform_order`
             case "kill-planners":
                 for planner in self.planners.values():
                     planner.kill()
@@ -439,7 +491,7 @@
                 if step.action == "raise":
                     self.platform.outs.groups["fleet"] = group
                 else:
-                    # Planners read it within a moment; what they granted before stands.
+                    # Planners need a moment to read the new file, and permits granted before remain valid.
                     self.scheduler.at(
                         self.scheduler.now + 5_000, lambda: self.platform.outs.groups.update(fleet=group)
                     )
@@ -502,11 +554,12 @@
                 raise RuntimeError(f"no such step: {unknown_action}")
 
     def are_sites_home(self) -> bool:
+        """Whether all sites are in the stage `home`."""
         fleet = self.ask_planners(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
         return bool(fleet.get("sites")) and all(site["stage"] == "home" for site in fleet["sites"])
 
     def drain_by_hand(self) -> None:
-        """Somebody's shell loop: it asks for a permit, drains the member itself and starts it again."""
+        """Acts as an operator's script: requests a permit, drains the last member and restarts it."""
         name = self.member_names(self.sites[-1])[-1]
         give_up_at = self.scheduler.now + 120 * SECOND
         while self.scheduler.now < give_up_at and not self.request_permit(name)["granted"]:
@@ -521,7 +574,7 @@
         self.platform.start(machine, version)
 
     def request_permit_on_both_sides(self) -> None:
-        """While planners are split: whoever is cut off must not let anybody go."""
+        """Requests a permit on both sides of a partition; the minority must not grant one."""
         leader = self.leader()
         name = self.member_names(self.sites[-1])[0]
         leader_answer = self.request_permit(name, [leader])
@@ -534,7 +587,7 @@
             self.ask_planners, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name), "want"
         )
         give_up_at = self.scheduler.now + 60 * SECOND
-        # Granted in the end or not, it does not go: its place is given back.
+        # The member never goes out, so the permit is returned once it is granted.
         while self.scheduler.now < give_up_at:
             answer = self.request_permit(name)
             if answer.get("granted"):
@@ -542,10 +595,13 @@
                 return
             self.scheduler.sleep(self.scheduler.now + 3_000)
 
-    # ---- what is told of it ----------------------------------------------------------------------------
+    # ---- report ----------------------------------------------------------------------------------------
 
     def min_span_s(self) -> float:
-        """Seconds that the budgets and watches alone take: batches in rounds of as many as may be out."""
+        """Returns the shortest time, in seconds, that budgets and watches allow for the rollout.
+
+        Each batch goes in rounds of as many members as may be out at once.
+        """
         rounds = 0
         for batch in self.planned_batches:
             site = self.platform.machines[batch[0]].server.site
@@ -558,6 +614,7 @@
         ) / SECOND
 
     def build_report(self) -> dict[str, Any]:
+        """Returns the part of the report that is measured outside the processes."""
         truth, platform = self.truth, self.platform
         spans = {"during": (self.rollout_started_at, self.rollout_ended_at)}
         report: dict[str, Any] = {
@@ -575,6 +632,7 @@
         return report
 
     def rollout_report(self) -> dict[str, Any]:
+        """Returns how the rollout ended and what it violated."""
         platform = self.platform
         halt_s = None
         if self.halted_at is not None and platform.first_harm is not None:
@@ -598,6 +656,10 @@
 
 
 def run_once(options: ReleaseOptions, folder: Path) -> tuple[dict[str, Any], ReleaseRun]:
+    """Runs once and returns the report and the run.
+
+    Logs and disks of an earlier run in `folder` are deleted.
+    """
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     run = ReleaseRun(options, folder)
@@ -610,7 +672,7 @@
 
 
 def find_violations(report: dict[str, Any]) -> list[str]:
-    """What must not be, of one report."""
+    """Returns the rules, budgets and other expectations that a report violates."""
     violations = [f"rule {name}: {count}" for name, count in report["rules"].items() if count]
     violations += [f"budget {name}" for name, budget in report["budgets"].items() if budget["breaches"]]
     counted = ("drained_twice", "resumed_without_a_word", "dead", "trouble")
@@ -619,7 +681,7 @@
 
 
 def run_release(options: ReleaseOptions) -> dict[str, Any]:
-    """The report of the command: the release, and the same schedule without one."""
+    """Returns the report of a release and, unless excluded, of the same schedule without one."""
     logs_folder = options.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
     try:
         measured, run = run_once(options, logs_folder / "release")
@@ -646,15 +708,17 @@
 
 
 class InteractiveRun(ReleaseRun):
-    """The same world with no schedule, for a person to release through it by the command line."""
+    """A fleet without a schedule, for releases by command line from another shell."""
 
     def __init__(
         self, options: ReleaseOptions, folder: Path, minutes: float, print_line: Callable[[str], None]
     ) -> None:
+        """Lays out a fleet that stays up for so many minutes; `print_line` shows a line to the user."""
         super().__init__(options, folder)
         self.minutes, self.print_line = minutes, print_line
 
     def execute_schedule(self) -> None:
+        """Starts the fleet, prints how to release through it, and ends it after the minutes."""
         self.begin()
         self.platform.watch()
         self.wait_for(self.is_fleet_known, 30 * SECOND)
@@ -672,6 +736,7 @@
 def run_interactive(
     options: ReleaseOptions, folder: Path, minutes: float, print_line: Callable[[str], None]
 ) -> None:
+    """Keeps a fleet up for so many minutes, and prints the faults that it met."""
     folder.mkdir(parents=True, exist_ok=True)
     run = InteractiveRun(options, folder, minutes, print_line)
     try:
--- a/birchslip/lab/rollouts.py
+++ b/birchslip/lab/rollouts.py
@@ -1,8 +1,8 @@
-"""Releases in virtual time: the real permits, judgement and course, a platform and members that are played.
+"""Rollouts in virtual time: the real disruption budget, canary analysis and rollout in a simulated fleet.
 
-The play keeps the truth on its own: who was up at every moment, who was drained how often. A conductor dies
-now and then, and the next one has nothing but what was kept. Messages to the platform come twice, late or
-not at all.
+The scenario records on its own which members were up at each moment and how often each was drained. The
+leading planner fails at random; its successor has only the stored record and budget. An order to the platform
+may be lost or arrive twice.
 """
 
 from __future__ import annotations
@@ -38,31 +38,40 @@
 TICK_INTERVAL = SECOND // 2
 VERSIONS = ("good", "slow", "crash", "nostart", "profile")
 DRAIN_SPAN, START_SPAN, WARMUP_SPAN = 2 * SECOND, SECOND, 4 * SECOND
+CRASH_PROBABILITY = 0.2  # of the version `crash`, per tick
+ORDER_LOST_BELOW, ORDER_DUPLICATED_ABOVE = 0.1, 0.9  # of the draw for each order
 
 
 @dataclass(eq=False)
 class Instance:
-    """One member's process, as the platform has it."""
+    """One member's process, as the platform sees it. Times are in tenths of a millisecond."""
 
     name: str
     state: InstanceStatus = InstanceStatus.UP
     version: str = "old"
     incarnation: int = 1
-    state_until: int = 0  # of what it is doing
+    state_until: int = 0  # when a drain or a start ends
     warm_at: int = 0
     failed_starts: int = 0
     crash_count: int = 0
-    drain_permits: list[int] = field(default_factory=list)  # by permit
-    down_until: int = 0  # a crash that nobody asked for
+    drain_permits: list[int] = field(default_factory=list)  # permit number of each drain
+    down_until: int = 0  # end of a crash; the platform lists a crashed process as up
 
     @property
     def is_up(self) -> bool:
+        """Whether the platform lists the process as up."""
         return self.state is InstanceStatus.UP
 
 
 class RolloutScenario:
-    """One schedule. `version` is what the new one does; `trouble` is how often something else fails a
-    second, `deaths` how often the conductor does in half a second.
+    """One simulated rollout.
+
+    Attributes:
+        version: Behaviour of the new version, one of `VERSIONS`.
+        fault_rate: Rate, per second, of crashes, of load surges and of slow machines that the rollout does
+            not cause.
+        takeover_rate: Probability, per tick of half a second, that another planner takes over.
+        first_failure_at: When the new version first did harm.
     """
 
     def __init__(
@@ -74,6 +83,7 @@
         fault_rate: float = 0.02,
         takeover_rate: float = 0.02,
     ) -> None:
+        """Lays out the fleet and plans the rollout; all draws follow from `seed`."""
         self.rng = random.Random(seed)
         self.version, self.fault_rate, self.takeover_rate = version, fault_rate, takeover_rate
         self.sites = {f"s{n}": [f"s{n}-{m}" for m in range(members_per_site)] for n in range(site_count)}
@@ -94,21 +104,22 @@
         self.take_over()
         self.executed_orders: set[tuple[str, str, int, str]] = set()
         self.surge_until = 0
-        self.slow_until: dict[str, int] = {}  # machines that are slow by themselves, and until when
+        self.slow_until: dict[str, int] = {}  # by member: machines that are slow whatever the version
         self.budget_breaches = self.repeated_drains = self.takeover_count = 0
         self.exposed_members: set[str] = set()
         self.first_failure_at: int | None = None
         self.halted_at: int | None = None
 
     def take_over(self) -> None:
-        """A conductor takes over, with what was kept."""
+        """Continues the rollout as a new leader, from the stored record and budget."""
         budget = DisruptionBudget(self.groups)
         budget.restore(self.stored_budget)
         self.rollout = Rollout(msgspec.json.decode(self.stored_record, type=RolloutRecord), budget)
 
-    # ---- the world -------------------------------------------------------------------------------------
+    # ---- fleet -----------------------------------------------------------------------------------------
 
     def observations(self) -> dict[str, MemberObservation]:
+        """Returns what the leader observes of each member."""
         observations = {}
         for name, instance in self.instances.items():
             reason = None
@@ -124,13 +135,14 @@
         return observations
 
     def instance_views(self) -> dict[str, InstanceView]:
+        """Returns the platform's list of instances."""
         return {
             name: InstanceView(instance.state, instance.version, instance.failed_starts, instance.crash_count)
             for name, instance in self.instances.items()
         }
 
     def metric_samples(self) -> dict[str, MemberSample]:
-        """What each member's answers of the last look came to."""
+        """Returns the metrics of each member that is up, over the last tick."""
         samples = {}
         for name, instance in self.instances.items():
             if not instance.is_up or self.now < instance.down_until:
@@ -151,7 +163,7 @@
             late_count = sum(
                 self.rng.random() < min(1.0, late_rate + extra_late_rate) for _ in range(request_count)
             )
-            # One profile in five is never honoured.
+            # The version `profile` never honours one profile, which has a fifth of the requests.
             is_faulty_profile = instance.version == "new" and self.version == "profile"
             lost_count = sum(
                 self.rng.random() < (0.2 if is_faulty_profile else 0.002) for _ in range(request_count)
@@ -165,6 +177,7 @@
         return samples
 
     def advance_time(self) -> None:
+        """Advances time by one tick: drains and starts end, and faults are drawn."""
         self.now += TICK_INTERVAL
         for instance in self.instances.values():
             if instance.state is InstanceStatus.DRAINING and self.now >= instance.state_until:
@@ -182,7 +195,7 @@
                 and self.version == "crash"
                 and self.now >= instance.warm_at + 3 * SECOND
             )
-            if crashes and self.now >= instance.down_until and self.rng.random() < 0.2:
+            if crashes and self.now >= instance.down_until and self.rng.random() < CRASH_PROBABILITY:
                 instance.down_until = self.now + 2 * SECOND
                 instance.incarnation += 1
                 instance.warm_at = instance.down_until + WARMUP_SPAN
@@ -200,6 +213,7 @@
             self.slow_until[self.rng.choice(list(self.instances))] = self.now + 8 * SECOND
 
     def finish_start(self, instance: Instance) -> None:
+        """Ends a start; with the version `nostart` the new version fails to start."""
         if instance.version == "new" and self.version == "nostart":
             instance.state = InstanceStatus.FAILED
             instance.failed_starts += 1
@@ -208,14 +222,15 @@
         instance.incarnation += 1
         instance.warm_at = self.now + WARMUP_SPAN
 
-    # ---- orders ----------------------------------------------------------------------------------------
+    # ---- orders and rollout ----------------------------------------------------------------------------
 
     def execute_order(self, order: PlatformOrder) -> None:
-        """The platform: an order that was carried out before is passed over; a message may be lost or
-        doubled.
+        """Executes an order as the platform does; the order may be lost or arrive twice.
+
+        A drain that was executed before is ignored.
         """
         draw = self.rng.random()
-        for _ in range(0 if draw < 0.1 else 2 if draw > 0.9 else 1):
+        for _ in range(0 if draw < ORDER_LOST_BELOW else 2 if draw > ORDER_DUPLICATED_ABOVE else 1):
             instance = self.instances[order.member]
             if order.action is OrderAction.DRAIN:
                 order_key = (order.member, "drain", order.permit_number, "")
@@ -237,6 +252,7 @@
                 )
 
     def step(self) -> None:
+        """Runs one tick of the platform, the members and the rollout."""
         self.advance_time()
         if self.rng.random() < self.takeover_rate:
             self.takeover_count += 1
@@ -245,7 +261,8 @@
         self.rollout.budget.reconcile(self.observations())
         view = FleetView(self.instance_views(), self.observations(), self.metric_samples(), [])
         orders = self.rollout.step(view, self.now)
-        # Kept before anything is asked: a conductor that dies here leaves no order that nobody knows of.
+        # Stored before any order is sent: after a failure at this point, no order exists that the successor
+        # does not know of.
         self.stored_record = msgspec.json.encode(self.rollout.record)
         self.stored_budget = self.rollout.budget.encode()
         for order in orders:
@@ -255,14 +272,17 @@
         self.count_breaches()
 
     def count_breaches(self) -> None:
-        """By what is so, not by what was decided: planned ones that are out, in each group."""
+        """Counts groups with more members out than allowed, by the members' true state."""
         for group in self.groups:
             out = [name for name in group.members if self.instances[name].state is not InstanceStatus.UP]
             if len(out) > group.disruptions_allowed:
                 self.budget_breaches += 1
 
     def run(self, rolls_back: bool = True, timeout_s: int = 1_200) -> RolloutScenario:
-        """To its end; where it halts on a bad version, the way back is taken."""
+        """Runs until the rollout ends, or for `timeout_s` seconds.
+
+        With `rolls_back`, a rollout that halts on a bad version is rolled back once all members are up.
+        """
         for _ in range(timeout_s * SECOND // TICK_INTERVAL):
             self.step()
             if self.rollout.phase in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK):
@@ -276,6 +296,7 @@
         return self
 
     def all_in_service(self) -> bool:
+        """Whether all members are up, other than those that the rollout excluded."""
         return all(
             instance.is_up
             for instance in self.instances.values()
@@ -283,6 +304,7 @@
         )
 
     def report(self) -> dict[str, object]:
+        """Returns how the rollout ended and what it violated; the keys are those of the printed report."""
         return {
             "ended": self.rollout.phase.value,
             "breaches": self.budget_breaches,
--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -1,5 +1,6 @@
-"""`lab play site-loss`: the loss of a site and its return, among real processes, with the truth kept
-outside.
+"""The loss of a site and its return, among real processes (`lab play site-loss`).
+
+What really happened is recorded outside the processes under test.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 from .world import COLD_FROM, COLD_SPAN, CORES, WINDOW, World
 from .world import Told as ScenarioOptions
 
-LONG_OUTAGE_FAULT = "planners-gone-minute"  # whose loss lasts longer than the schedule's own span
+LONG_OUTAGE_FAULT = "planners-gone-minute"  # its outage is longer than `outage_span`
 USAGE_KEYS = ("member_cpu_s", "member_memory_kb")
 
 
 @dataclass(frozen=True)
 class SiteLossOptions(ScenarioOptions):
-    """`pace` stretches the parts of the schedule."""
+    """Options of a run; `pace` scales the lengths of the schedule's parts."""
 
     pace: float = 1.0
 
     @property
     def outage_span(self) -> int:
-        """How long the first site is out."""
+        """How long the first site is out, in tenths of a millisecond."""
         return int(8 * self.pace * SECOND)
 
 
 def schedule_spans(options: SiteLossOptions, steps: list[Step]) -> dict[str, tuple[int, int]]:
-    """The parts of a play that figures are told of, from the first transaction on."""
+    """Returns the measured parts of a run, as offsets from its first request in tenths of a millisecond."""
     before, back, after = (int(span * options.pace * SECOND) for span in (6, 12, 4))
     outage_span, last = options.outage_span, max((step.at for step in steps), default=0)
     return {
@@ -49,20 +50,28 @@
 
 
 class SiteLossRun(World):
-    """One run of a schedule, with planners or without."""
+    """One run of a fault schedule, with planners or without.
+
+    Attributes:
+        pending_site_steps: Steps that wait until the site has reached a stage of its return.
+        slowdowns: For each site, since when it is slowed by which factor.
+        member_usage: Processor time in seconds and memory in KB of each member at the end.
+    """
 
     def __init__(self, options: SiteLossOptions, folder: Path) -> None:
+        """Lays out the processes and stand-ins; files and logs go to `folder`."""
         super().__init__(options, folder)
         self.site_loss_options = options
         self.pending_site_steps: list[Step] = []
-        self.slowdowns: dict[str, list[tuple[int, float]]] = {}  # site: since when, how slow
+        self.slowdowns: dict[str, list[tuple[int, float]]] = {}  # by site: start, factor
         self.return_times: list[int] = []
         self.loss_times: list[int] = []
         self.member_usage: dict[str, tuple[float, int]] = {}
 
-    # ---- the play --------------------------------------------------------------------------------------
+    # ---- schedule --------------------------------------------------------------------------------------
 
     def run(self) -> None:
+        """Runs the schedule from the start of the processes to their end."""
         options = self.site_loss_options
         steps = schedule(options.fault, options.seed, self.sites, self.names, options.outage_span)
         self.spans = schedule_spans(options, steps)
@@ -70,6 +79,7 @@
         self.play(lambda: self.execute_schedule(steps))
 
     def execute_schedule(self, steps: list[Step]) -> None:
+        """Starts the processes, applies each step at its time, and ends the run."""
         scheduler = self.scheduler
         self.begin()
         loss_at = self.began + self.spans["before"][1]
@@ -82,11 +92,12 @@
         self.end()
 
     def watch_site_steps(self) -> None:
-        """A step that waits for a site's own step on its way back is due once the log tells of it."""
+        """Kills a site again once the planners' logs show that its return has reached the awaited stage."""
         self.scheduler.at(self.scheduler.now + 1_000, self.watch_site_steps)
         for step in list(self.pending_site_steps):
             lines = [line for planner in self.planners.values() for _, line in planner.lines("stage=step")]
-            # Without planners there are no steps: it dies about when it would have reached the second one.
+            # Without planners a site returns without stages: it is killed again about when it would have
+            # reached the second one.
             due_without_planners = (
                 not self.planners
                 and self.return_times
@@ -99,6 +110,7 @@
                 self.scheduler.at(restart_at, lambda site=step.target: self.bring_site_up(site))  # type: ignore[misc]
 
     def apply_step(self, step: Step) -> None:
+        """Applies one step; steps of no other kind go to the planners' processes."""
         match step.action:
             case "kill" | "pause":
                 self.take_site_down(step.target, step.action)
@@ -139,6 +151,7 @@
                 self.to_planners(planner_action, step.target)
 
     def take_site_down(self, site: str, action: str) -> None:
+        """Kills or pauses all members of a site and records the time."""
         now = self.scheduler.now
         if site == self.sites[0]:
             self.loss_times.append(now)
@@ -159,6 +172,7 @@
                 agent.pause()
 
     def bring_site_up(self, site: str) -> None:
+        """Resumes or restarts all members of a site; a restarted member is cold."""
         now = self.scheduler.now
         if site == self.sites[0]:
             self.return_times.append(now)
@@ -179,14 +193,15 @@
                 member.start()
             server.up = True
 
-    # ---- what is told of it ----------------------------------------------------------------------------
+    # ---- report ----------------------------------------------------------------------------------------
 
     def ideal_service(self, span: tuple[int, int]) -> float:
-        """What capacity was left for, of the payoff asked: cores that were up, each as fast as it then
-        was.
+        """Returns which fraction of the requested work the remaining capacity could have done in a span.
+
+        The capacity is the cores that were up, each at the speed that it then had.
         """
         served, asked = 0.0, 0.0
-        interval = SECOND // 2  # a wait of half a second is still in time
+        interval = SECOND // 2  # a request that waits half a second is still answered in time
         requests = sorted(self.truth.of(span), key=lambda request: request.born)
         index = 0
         for at in range(span[0], span[1], interval):
@@ -198,17 +213,19 @@
             work = reading_work = 0.0
             while index < len(requests) and requests[index].born < at + interval:
                 work += requests[index].work
-                reading_work += READING  # once each: more tries than that are what a plan may spare
+                reading_work += READING  # one attempt per request: a plan can save the others
                 index += 1
             asked += work
             served += min(work, capacity * work / (work + reading_work)) if work else 0.0
         return served / asked if asked else 1.0
 
     def speed_at(self, site: str, at: int) -> float:
+        """Returns the speed of a site's cores at a time, 1.0 being full speed."""
         slowdowns = [slow for since, slow in self.slowdowns.get(site, ()) if since <= at]
         return self.warmup_speed_at(site, at) / (slowdowns[-1] if slowdowns else 1.0)
 
     def warmup_speed_at(self, site: str, at: int) -> float:
+        """Returns the speed of a site's cores at a time, as reduced by a cold start alone."""
         if (
             site == self.sites[0]
             and self.return_times
@@ -220,6 +237,7 @@
         return 1.0
 
     def build_report(self) -> dict[str, Any]:
+        """Returns the part of the report that is measured outside the processes."""
         now = self.scheduler.now
         truth = self.truth
         report: dict[str, Any] = {
@@ -246,9 +264,7 @@
         return report
 
     def usage_report(self) -> dict[str, Any]:
-        """What a survivor took of the machine: seconds of processor time in the mean, and memory at the
-        end.
-        """
+        """Returns the survivors' mean processor time, the most memory of one, and the length of the run."""
         usages = [
             used for name, used in self.member_usage.items() if not name.startswith(f"{self.sites[0]}-")
         ]
@@ -259,7 +275,7 @@
         }
 
     def service_series(self) -> list[list[float]]:
-        """Second by second from the loss: service, ideal and attempts for each transaction."""
+        """Returns, for each second from the loss: service, ideal service and attempts per request."""
         loss_offset, rows = self.spans["before"][1], []
         for at in range(0, self.end_offset, SECOND):
             span = (self.began + at, self.began + at + SECOND)
@@ -268,7 +284,10 @@
         return rows
 
     def fleet_report(self) -> dict[str, Any]:
-        """What the processes' own logs tell of plans: when, not whether, anything was right."""
+        """Returns what the processes' logs say about plans and stages.
+
+        The logs give the times of events; whether a decision was right is judged by the outside record.
+        """
         loss_at = self.loss_times[0] if self.loss_times else self.began + self.spans["before"][1]
         lost_sites = {site for site in self.truth.dark}
         plan_delays = []
@@ -304,7 +323,11 @@
 
 
 def run_once(options: SiteLossOptions, folder: Path) -> dict[str, Any]:
-    shutil.rmtree(folder, ignore_errors=True)  # logs and disks of an earlier play are none of this one's
+    """Runs a schedule once and returns its report.
+
+    Logs and disks of an earlier run in `folder` are deleted.
+    """
+    shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     run = SiteLossRun(options, folder)
     try:
@@ -318,7 +341,7 @@
 
 
 def run_site_loss(options: SiteLossOptions) -> dict[str, Any]:
-    """The report of the command: the play with planners, and the same schedule without."""
+    """Returns the report of a run with planners and, unless excluded, of the same schedule without."""
     logs_folder = options.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
     try:
         with_planners = run_once(options, logs_folder / "fleet")
--- a/birchslip/lab/small_scope.py
+++ b/birchslip/lab/small_scope.py
@@ -1,13 +1,16 @@
-"""Every history of permits in a small scope: three planners, three members, a budget of one.
+"""Explores every history of eviction permits in a small scope.
 
-The real `DisruptionBudget` decides; around it all orders of events are tried, each state once: asks, keeps
-that reach a planner or never do, tells that come late, twice or never, members that go, come back or crash,
-leaders that die and others that take over from any majority. After each event it is checked that no more
-members are out by a permit than the budget allows, that no permit is used by two lives, and, where a
-majority lives, that somebody can still go on.
+The scope is three planners, three members and a budget of one.
 
-`mistake` takes one rule out, to show that it is found: `minority` tells what one planner keeps, `no flush`
-lets a planner answer before it keeps, `no incarnation` lets a later life use an earlier one's permit.
+The real `DisruptionBudget` decides. Around it all orders of events are tried, and each state is visited once:
+permit requests, states that a planner stores or never receives, permits delivered late, twice or never,
+members that go out, come back or crash, leaders that die, and planners that are elected by any majority.
+After each event the explorer checks that no more members are out by a permit than the budget allows. A permit
+that a second incarnation uses shows as one member too many.
+
+`omitted_rule` disables one rule, to show that the violation is found: with `minority` a leader sends permits
+that only one planner stores, with `no flush` a planner acknowledges a state before it stores it, and with `no
+incarnation` a member uses a permit that was granted to its earlier incarnation.
 """
 
 from __future__ import annotations
@@ -34,12 +37,12 @@
 
 
 class BudgetViolationError(AssertionError):
-    """What must not be, with the events that led there."""
+    """A history exceeded the budget; the message lists the events that led there."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What one planner has on its disk."""
+    """The state of the budget that one planner has on its disk."""
 
     term: int = 0
     number: int = 0
@@ -47,20 +50,33 @@
 
     @property
     def state_version(self) -> tuple[int, int]:
+        """Term and number: the greater one is the newer state."""
         return self.term, self.number
 
 
 @dataclass(frozen=True, slots=True)
 class MemberState:
-    """One member: which life, where it is, and whether a permit let it out."""
+    """One member: its incarnation, its status, and whether it is out by a permit."""
 
     incarnation: int = 1
-    status: str = "in"  # in, out, cold
+    status: str = "in"  # in, out or cold
     is_out_by_permit: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ScopeState:
+    """One state of the whole scope.
+
+    Attributes:
+        disks: What each planner stores.
+        leader: Index of the leading planner; -1 if none leads.
+        budget_state: The leader's encoded budget.
+        replicated_to: Indexes of the planners that store the leader's state.
+        sent_permits: Member and incarnation of each permit that was sent. A permit may arrive at any later
+            time.
+        elections: Number of elections so far.
+    """
+
     disks: tuple[StoredState, ...] = (StoredState(), StoredState(), StoredState())
     members: tuple[MemberState, ...] = (MemberState(), MemberState(), MemberState())
     leader: int = -1
@@ -68,14 +84,12 @@
     number: int = 0
     budget_state: bytes = EMPTY_BUDGET
     replicated_to: frozenset[int] = frozenset()
-    sent_permits: frozenset[tuple[int, int]] = (
-        frozenset()
-    )  # member, mark: a permit that was told, which may come any time
+    sent_permits: frozenset[tuple[int, int]] = frozenset()
     elections: int = 0
 
 
 class ScopeExplorer:
-    """`elections` and `marks`, the lives of each member, bound the histories."""
+    """Explores all histories with at most `max_elections` elections and `max_incarnations` of each member."""
 
     def __init__(
         self,
@@ -83,16 +97,18 @@
         max_elections: int = 2,
         max_incarnations: tuple[int, int, int] = (1, 1, 1),
     ) -> None:
+        """Sets the bounds of the exploration and the rule to omit, if any."""
         self.omitted_rule, self.max_elections, self.max_incarnations = (
             omitted_rule,
             max_elections,
             max_incarnations,
         )
 
-    # ---- the permits -----------------------------------------------------------------------------------
+    # ---- budget ----------------------------------------------------------------------------------------
 
     @staticmethod
     def observations(state: ScopeState) -> dict[str, MemberObservation]:
+        """Returns what the leader observes of each member."""
         reasons = {"in": None, "out": UnavailabilityReason.SILENT, "cold": UnavailabilityReason.COLD}
         return {
             name: MemberObservation(Incarnation(nonce=member.incarnation), 1.0, reasons[member.status])
@@ -101,14 +117,15 @@
 
     @staticmethod
     def restore_budget(budget_state: bytes) -> DisruptionBudget:
+        """Creates a budget from its encoded state."""
         budget = DisruptionBudget(GROUPS)
         budget.restore(budget_state)
         return budget
 
     def store_decision(self, state: ScopeState, budget: DisruptionBudget) -> ScopeState:
-        """A changed book is on the leader's own disk first."""
+        """Returns the state after a decision; a changed budget is on the leader's own disk first."""
         budget.state.audit_log.clear()
-        # Only the order of grants matters, not how many there were before.
+        # Only the order of grants matters, so permits are numbered from 1 to keep the number of states small.
         for position, permit in enumerate(budget.state.permits, 1):
             permit.number = position
         budget.state.last_permit_number = len(budget.state.permits)
@@ -123,9 +140,10 @@
             state, budget_state=budget_state, number=number, disks=tuple(disks), replicated_to=replicated_to
         )
 
-    # ---- what may happen next --------------------------------------------------------------------------
+    # ---- events ----------------------------------------------------------------------------------------
 
     def next_states(self, state: ScopeState) -> Iterator[tuple[str, ScopeState]]:
+        """Yields each event that can happen next, with the state that follows."""
         if state.leader >= 0:
             yield from self.leader_events(state)
             yield "the leader dies", replace(state, leader=-1, replicated_to=frozenset())
@@ -135,6 +153,7 @@
             yield from self.member_events(state, index, member)
 
     def leader_events(self, state: ScopeState) -> Iterator[tuple[str, ScopeState]]:
+        """Yields the leader's events: permit requests, a check of the members, replication, sent permits."""
         observations = self.observations(state)
         for index, member in enumerate(state.members):
             if member.status == "in":
@@ -167,8 +186,9 @@
             yield "tells", replace(state, sent_permits=state.sent_permits | permits)
 
     def election_events(self, state: ScopeState) -> Iterator[tuple[str, ScopeState]]:
-        """Any planner by any majority; it takes the newest that its voters keep, under an epoch of its
-        own.
+        """Yields the election of any planner by any majority.
+
+        The new leader takes the newest state that its two voters store, under a term of its own.
         """
         for planner in range(3):
             for voter in range(3):
@@ -197,6 +217,8 @@
     def member_events(
         self, state: ScopeState, index: int, member: MemberState
     ) -> Iterator[tuple[str, ScopeState]]:
+        """Yields what a member can do next: go out, crash, start or become warm."""
+
         def with_member(changed: MemberState) -> ScopeState:
             members = list(state.members)
             members[index] = changed
@@ -220,10 +242,16 @@
         elif member.status == "cold":
             yield f"{NAMES[index]} is warm", with_member(MemberState(member.incarnation, "in", False))
 
-    # ---- all of it -------------------------------------------------------------------------------------
+    # ---- exploration -----------------------------------------------------------------------------------
 
     def explore(self, max_states: int = 2_000_000) -> int:
-        """How many states there are; Fault at the first that must not be, with the shortest way there."""
+        """Visits every state and returns their number.
+
+        Raises:
+            BudgetViolationError: At the first violation, with the shortest sequence of events that leads to
+                it.
+            MemoryError: There are more than `max_states` states.
+        """
         start = ScopeState()
         predecessors: dict[ScopeState, tuple[ScopeState, str] | None] = {start: None}
         queue = deque((start,))
@@ -246,8 +274,9 @@
 
     @staticmethod
     def normalize(state: ScopeState) -> ScopeState:
-        """Numbers by their order alone, and books of one age alike: histories that differ in nothing else
-        are one.
+        """Replaces terms and numbers by their ranks.
+
+        States that differ only in the absolute values of terms and numbers become equal.
         """
         state_versions = sorted({disk.state_version for disk in state.disks} | {(state.term, state.number)})
         terms = sorted({term for term, _ in state_versions})
@@ -263,6 +292,7 @@
 
     @staticmethod
     def find_violation(state: ScopeState) -> str:
+        """Returns a description if more than one member is out by a permit, else an empty string."""
         out = [NAMES[index] for index, member in enumerate(state.members) if member.is_out_by_permit]
         return f"{' and '.join(out)} are out at once, and one may be" if len(out) > 1 else ""
 
@@ -270,6 +300,7 @@
     def event_path(
         predecessors: dict[ScopeState, tuple[ScopeState, str] | None], state: ScopeState
     ) -> list[str]:
+        """Returns the events that lead from the start to a state."""
         events = []
         predecessor = predecessors[state]
         while predecessor is not None:
--- a/tests/test_command_record.py
+++ b/tests/test_command_record.py
@@ -1,6 +1,7 @@
-"""Commands, arguments, options and their environment variables, as the version before wrote them.
+"""Commands, arguments, options and their environment variables, as the previous version defined them.
 
-Operators and their scripts rely on these names. A name may be added; one that goes or changes needs an alias.
+Operators and their scripts rely on these names. A name may be added; one that is removed or changed needs an
+alias.
 """
 
 import click
@@ -8,7 +9,7 @@
 
 from birchslip.cli import cli
 
-# By command: options with their variable in brackets; arguments in capitals, optional ones with a "?".
+# By command: options, with their environment variable in brackets; arguments in capitals, optional with "?".
 PARAMETERS = {
     "expect check": [
         "--config [PROXY_CONFIG] required",
@@ -208,6 +209,7 @@
 
 
 def parameter_line(parameter):
+    """Describes a parameter in the form of the record."""
     if isinstance(parameter, click.Argument):
         return parameter.name.upper() + ("" if parameter.required else "?")
     names = " ".join([*parameter.opts, *parameter.secondary_opts])
@@ -216,6 +218,7 @@
 
 
 def commands_of(group, path=()):
+    """Yields the full name and the command of each command of a group and its subgroups."""
     for name, command in group.commands.items():
         if isinstance(command, click.Group):
             yield from commands_of(command, (*path, name))
@@ -227,7 +230,7 @@
 
 
 @pytest.mark.parametrize("name", PARAMETERS)
-def test_a_command_takes_what_it_took_before(name):
+def test_command_keeps_its_recorded_options_and_arguments(name):
     lines = sorted(parameter_line(parameter) for parameter in COMMANDS[name].params)
     assert lines == PARAMETERS[name]
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -11,7 +11,7 @@
 
 def test_no_history_violates_a_guarantee():
     totals = explore(range(40), 2_000)
-    assert totals["reigns"] > 80  # or nothing was tried
+    assert totals["reigns"] > 80  # fewer would mean that the histories tried too little
 
 
 class Unfenced(PlanSubscription):
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -17,6 +17,7 @@
 
 
 def start(fault, folder):
+    """Starts a run of a fault; its report and output go to the folder."""
     command = [sys.executable, "-m", "birchslip", "lab", "play", "site-loss", "--seed", "5", "--fault", fault]
     with (folder / f"{fault}.out").open("w") as out:
         path = str(folder / f"{fault}.json")
@@ -25,7 +26,7 @@
 
 @pytest.fixture(scope="module")
 def fault_runs(tmp_path_factory):
-    """Each has a world, six app servers and three planners."""
+    """Runs every fault at the same time, each with six app servers, three planners and its own stand-ins."""
     folder = tmp_path_factory.mktemp("faults")
     processes = {fault: start(fault, folder) for fault in FAULT_RUNS}
     codes = {fault: process.wait(TIMEOUT_SECONDS) for fault, process in processes.items()}
@@ -57,7 +58,8 @@
 
 def test_a_site_whose_reports_still_arrive_is_not_evacuated(fault_runs):
     report = fault_runs[1]["cut-one-way"]
-    # Nobody was told of visitors; how well it was served meanwhile is the machine's affair.
+    # No router was told of evacuated callers. The service in the meantime depends on the machine and is not
+    # checked.
     assert report["evacuations"] == 0
     assert report["in_force_s"] is None
     assert report["leaders"] >= 1
--- a/tests/test_small_scope.py
+++ b/tests/test_small_scope.py
@@ -10,7 +10,7 @@
 )
 def test_no_history_exceeds_the_budget(max_elections, max_incarnations, min_states):
     explorer = ScopeExplorer(max_elections=max_elections, max_incarnations=max_incarnations)
-    assert explorer.explore() > min_states  # or something was not tried
+    assert explorer.explore() > min_states  # fewer would mean that some orders of events were not tried
 
 
 @pytest.mark.parametrize(
