--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -89,8 +89,8 @@
                 "name": f"site-{site}",
                 "members": [
                     {"name": name, "address": f"127.0.0.2:{1 + int(name[1:])}"}
-                    for name, site in site_by_member.items()
-                    if site == f"site-{site}"
+                    for name, home in site_by_member.items()
+                    if home == f"site-{site}"
                 ],
             }
             for site in range(SITES)
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -36,7 +36,7 @@
 from .net.clients import read_messages
 from .net.messagepack import pack
 
-PLANNER_TIMEOUT_S = 2.0  # for one planner, connection and answer together
+PLANNER_TIMEOUT_S = 2.0  # to connect to one planner, and again to wait for its answer
 MIN_DETECTED_FRACTION = 0.9  # of the mutations of the settings
 FLEET_OPTION = click.option(
     "--fleet", "path", type=click.Path(), envvar="BIRCHSLIP_FLEET", required=True, help="The fleet file."
@@ -66,7 +66,7 @@
 RPC_METHODS = {OperatorCommand: "wish", EvictionRequest: "want", RolloutCommand: "release"}
 
 
-def call_planner(address: str, request: OperatorCommand | EvictionRequest | RolloutCommand) -> Any:
+def call_planner(address: str, request: OperatorCommand | EvictionRequest | RolloutCommand) -> dict[str, Any]:
     """Sends one request to one planner and returns its decoded answer.
 
     Raises:
@@ -89,13 +89,14 @@
                 _, _, error, result = message
                 if error is not None:
                     raise InvalidInputError(str(error))
-                return json.loads(b"".join(result))
+                answer: dict[str, Any] = json.loads(b"".join(result))
+                return answer
         raise OSError("no answer in time")
 
 
 def call_leader(
     fleet: Fleet, request: OperatorCommand | EvictionRequest | RolloutCommand, planner_name: str = ""
-) -> Any:
+) -> dict[str, Any]:
     """Sends a request to the planners in turn and returns an answer.
 
     A command that only shows something is answered by the leader, or by any planner if no leader answers. A
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -384,7 +384,10 @@
         return bool(status) and status["phase"] in ("done", "back", "halted")
 
     def wait_until_settled(self) -> None:
-        """Waits up to 20 s until all members are up and none is out; else the run is stuck."""
+        """Waits up to 20 s until all members are up and none is out.
+
+        If a member is down after that time, the run is stuck.
+        """
         give_up_at = self.scheduler.now + 20 * SECOND
         while self.scheduler.now < give_up_at and not (
             self.platform.all_up() and not self.platform.outs.causes
@@ -437,7 +440,7 @@
                     self.platform.machines[name].again_at = self.scheduler.now
 
     def lose_site(self, site: str) -> None:
-        """Kills all members of a site; the platform does not restart them within the run."""
+        """Kills all members of a site; the platform restarts them only after the action `site-back`."""
         self.out.add(site)
         for name in self.member_names(site):
             self.platform.kill(name)
@@ -446,7 +449,7 @@
                 machine.again_at = self.scheduler.now + STUCK_AFTER
 
     def apply_step(self, step: Step) -> None:
-        """Applies one step."""
+        """Applies one step; an unknown action raises `RuntimeError`."""
         value = step.value
         match step.action:
             case "kill-leader" | "kill-holder":
--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -53,7 +53,8 @@
     """One run of a fault schedule, with planners or without.
 
     Attributes:
-        pending_site_steps: Steps that wait until the site has reached a stage of its return.
+        pending_site_steps: Steps that wait until the returning site has taken so many steps of its recovery
+            ramp.
         slowdowns: For each site, since when it is slowed by which factor.
         member_usage: Processor time in seconds and memory in KB of each member at the end.
     """
@@ -92,7 +93,7 @@
         self.end()
 
     def watch_site_steps(self) -> None:
-        """Kills a site again once the planners' logs show that its return has reached the awaited stage."""
+        """Kills a site again once the planners' logs show the awaited steps of its recovery ramp."""
         self.scheduler.at(self.scheduler.now + 1_000, self.watch_site_steps)
         for step in list(self.pending_site_steps):
             lines = [line for planner in self.planners.values() for _, line in planner.lines("stage=step")]
@@ -110,7 +111,7 @@
                 self.scheduler.at(restart_at, lambda site=step.target: self.bring_site_up(site))  # type: ignore[misc]
 
     def apply_step(self, step: Step) -> None:
-        """Applies one step; steps of no other kind go to the planners' processes."""
+        """Applies one step; an action that is not handled here is for the planners' processes."""
         match step.action:
             case "kill" | "pause":
                 self.take_site_down(step.target, step.action)
