--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -15,7 +15,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from birchslip.lab.release_faults import FAULTS
-from birchslip.lab.versions import KINDS
+from birchslip.lab.versions import FAULT_KINDS
 
 ROOT = Path(__file__).resolve().parent.parent
 BAD_VERSION_FAULTS = ("back-fails",)  # only apply while a bad version is rolled back
@@ -27,9 +27,12 @@
     Every fault with a good version and every bad version alternate; mixtures of both follow.
     """
     good_runs = [("good", fault) for fault in FAULTS if fault not in BAD_VERSION_FAULTS]
-    bad_runs = [(version, "none") for version in KINDS if version != "good"]
+    bad_runs = [(version, "none") for version in FAULT_KINDS if version != "good"]
     combinations = [
-        (version, fault) for fault in FAULTS for version in KINDS if version != "good" and fault != "none"
+        (version, fault)
+        for fault in FAULTS
+        for version in FAULT_KINDS
+        if version != "good" and fault != "none"
     ]
     mixed = sorted(combinations, key=lambda run: stable_hash(*run))
     schedule = [run for pair in zip(good_runs, [*bad_runs, *mixed], strict=False) for run in pair] + mixed[
@@ -108,7 +111,7 @@
 def print_summary(reports: list[dict]) -> None:
     """Prints the results by version."""
     print(f"{len(reports)} plays, {sum(bool(report['broken']) for report in reports)} with something broken")
-    for version in KINDS:
+    for version in FAULT_KINDS:
         version_reports = [
             report for report in reports if report["version"] == version and "took_s" in report
         ]
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -84,7 +84,7 @@
         self.moments: dict[str, float] = {}
         if peer_delay_s:
             for peer in (self.agent, self.catalog):
-                peer.deafen()
+                peer.stop_listening()
         self.began = time.perf_counter()
         self.process = subprocess.Popen(
             [sys.executable, "-m", "birchslip"],
@@ -120,13 +120,13 @@
                 router = Router(line.split("address=")[1].strip(), TIMEOUT_S)
                 router.answer(router.ping())
                 self.moments["checked"] = time.perf_counter() - self.began
-                router.link.close()
+                router.connection.close()
             elif "now=serving" in line:
                 self.moments["serving"] = now
 
     def wait_for_report(self) -> None:
         """Records when the catalog received the first report."""
-        self.catalog.seen.get(timeout=TIMEOUT_S)
+        self.catalog.received.get(timeout=TIMEOUT_S)
         self.moments["reported"] = time.perf_counter() - self.began
 
     def wait_until_ready(self) -> float:
--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -734,10 +734,10 @@
 def run_interactive_fleet(servers: int, version: str, load: float, minutes: float, folder: Path) -> None:
     """Stand up a small fleet among stand-ins, for releases by hand from another shell."""
     from .lab.release_play import ReleaseOptions, run_interactive
-    from .lab.versions import KINDS
+    from .lab.versions import FAULT_KINDS
 
-    if version not in KINDS:
-        raise CommandError(f"no version is named {version!r}; there are {', '.join(KINDS)}")
+    if version not in FAULT_KINDS:
+        raise CommandError(f"no version is named {version!r}; there are {', '.join(FAULT_KINDS)}")
     if servers % 2:
         raise CommandError(f"{servers} app servers can't be spread evenly over 2 sites")
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
@@ -799,12 +799,12 @@
     """A release through the fleet; exit code 1 where a rule or a budget is broken, or it is stuck."""
     from .lab.release_faults import FAULTS
     from .lab.release_play import ReleaseOptions, run_release
-    from .lab.versions import KINDS
+    from .lab.versions import FAULT_KINDS
 
     if options["fault"] not in FAULTS:
         raise CommandError(f"no fault is named {options['fault']!r}: see `lab faults`")
-    if options["version"] not in KINDS:
-        raise CommandError(f"no version is named {options['version']!r}; there are {', '.join(KINDS)}")
+    if options["version"] not in FAULT_KINDS:
+        raise CommandError(f"no version is named {options['version']!r}; there are {', '.join(FAULT_KINDS)}")
     servers, sites = options.pop("servers"), options["sites"]
     if servers % sites:
         raise CommandError(f"{servers} app servers can't be spread evenly over {sites} sites")
@@ -831,12 +831,14 @@
 @click.option("--alone/--with-comparison", "alone", default=False, help="Not also without a store.")
 def run_kept_scenario(**options: Any) -> None:
     """Labels at an app server that is killed again and again; exit code 1 where one ran twice."""
-    from .lab.kept_play import FAULTS, KeptTold, play_kept
+    from .lab.kept_play import FAULTS, ResultStoreOptions, run_result_store_scenario
 
     if options["fault"] not in FAULTS:
         raise CommandError(f"no fault is named {options['fault']!r}; there are {', '.join(FAULTS)}")
     report_path = options.pop("out")
-    report = play_kept(KeptTold(sites=1, each=1, planners=0, fleet=False, **options))
+    report = run_result_store_scenario(
+        ResultStoreOptions(sites=1, each=1, planners=0, fleet=False, **options)
+    )
     text = json.dumps(report, indent=2)
     if report_path is None:
         click.echo(text)
--- a/birchslip/expect/consistency.py
+++ b/birchslip/expect/consistency.py
@@ -72,32 +72,35 @@
 
 
 def check_profile_spans(context: CheckContext) -> Iterator[Conflict]:
-    """Check latency objective, deadline and key retention of each profile.
+    """Check that no profile has a deadline before its latency objective or after its key retention.
 
     Also check that only idempotent profiles earn weight without their call.
     """
     for name, profile in zip(
         context.setting.profiles, context.setting.deployment.request_classes, strict=True
     ):
-        objective, deadline = (
+        objective_path, deadline_path = (
             context.config_path(f"classes[{name}].aim_s"),
             context.config_path(f"classes[{name}].hard_limit_s"),
         )
         if profile.latency_objective > profile.deadline:
-            yield Conflict((objective, deadline), "its callers give up before its latency goal")
+            yield Conflict((objective_path, deadline_path), "its callers give up before its latency goal")
         if profile.idempotency is Idempotency.KEYED and profile.key_retention < profile.deadline:
-            window = context.config_path(f"classes[{name}].window_s")
-            yield Conflict((window, deadline), "its label is forgotten while its callers may still try again")
+            retention_path = context.config_path(f"classes[{name}].window_s")
+            yield Conflict(
+                (retention_path, deadline_path),
+                "its label is forgotten while its callers may still try again",
+            )
         if profile.idempotency is not Idempotency.IDEMPOTENT and profile.weight_without_call > 0:
-            worth = context.config_path("family_info.class_skip_worth")
+            weight_path = context.config_path("family_info.class_skip_worth")
             yield Conflict(
-                (worth, context.config_path(f"classes[{name}].effect")), "an effect is not had in part"
+                (weight_path, context.config_path(f"classes[{name}].effect")), "an effect is not had in part"
             )
 
 
 def check_drain_grace(context: CheckContext) -> Iterator[Conflict]:
     """Check that the process is not stopped before its drain grace ends."""
-    if context.setting.deployment.drain_grace > context.sources.site.stop_timeout:
+    if context.setting.deployment.drain_grace > context.sources.server_config.stop_timeout:
         setting_paths = (
             context.config_path("contract.drain_grace_s"),
             f"{context.sources.file_labels[0]}: stop_ms",
@@ -106,7 +109,7 @@
 
 
 def check_speed(context: CheckContext) -> Iterator[Conflict]:
-    """Check the speed after a cold start and the load at which the app server fails."""
+    """Check that the speed after a cold start is a share above 0, and that a run on each core is survived."""
     deployment = context.setting.deployment
     if not 0 < deployment.cold_start_speed <= 1:
         yield Conflict(
@@ -117,7 +120,10 @@
 
 
 def check_memory(context: CheckContext) -> Iterator[Conflict]:
-    """Check that a run on each core fits into the memory limit."""
+    """Check the memory of runs.
+
+    A run needs at least the memory of its request, and a run on each core must fit into the memory limit.
+    """
     deployment, size = context.setting.deployment, context.setting.layout.size
     if deployment.running_memory_factor < 1:
         yield Conflict(
@@ -146,13 +152,19 @@
 
 
 def check_downstream_calls(context: CheckContext) -> Iterator[Conflict]:
-    """Check that calls are made only if there is a downstream service, and its quota window."""
-    deployment, stated = context.setting.deployment, context.setting.layout.profiles
-    callers = [name for name in context.setting.profiles if stated.get(name, Work()).calls > 0]
-    if deployment.downstream is Downstream.NONE and callers:
+    """Check the settings of downstream calls.
+
+    Calls need a downstream service, an abandoned call must not count for longer than the quota window, and
+    a profile earns weight without its call only if it makes calls.
+    """
+    deployment, works_by_profile = context.setting.deployment, context.setting.layout.profiles
+    calling_profiles = [
+        name for name in context.setting.profiles if works_by_profile.get(name, Work()).calls > 0
+    ]
+    if deployment.downstream is Downstream.NONE and calling_profiles:
         setting_paths = (
             context.config_path("family_info.downstream"),
-            context.world_path(f"profiles[{callers[0]}].calls"),
+            context.world_path(f"profiles[{calling_profiles[0]}].calls"),
         )
         yield Conflict(setting_paths, "nothing lies below, and calls are made")
     if (
@@ -165,7 +177,11 @@
         )
         yield Conflict(setting_paths, "an abandoned call counts for longer than the span of the share")
     for name, profile in zip(context.setting.profiles, deployment.request_classes, strict=True):
-        if profile.weight_without_call > 0 and context.sources.world is not None and name not in callers:
+        if (
+            profile.weight_without_call > 0
+            and context.sources.world is not None
+            and name not in calling_profiles
+        ):
             setting_paths = (
                 context.config_path("family_info.class_skip_worth"),
                 context.world_path(f"profiles[{name}].calls"),
@@ -177,7 +193,7 @@
 
 
 def check_fleet_size(context: CheckContext) -> Iterator[Conflict]:
-    """Check the number of app servers and that the fleet file names this one."""
+    """Check that `group_size` is the number of members in the fleet file, which must name this app server."""
     if context.fleet is None:
         return
     members = sum(len(site.members) for site in context.fleet.sites)
@@ -187,7 +203,7 @@
         yield Conflict(
             setting_paths, f"{stated} and {members} app servers: quotas are shared out by the first"
         )
-    if context.setting.name not in context.setting.sites_of():
+    if context.setting.name not in context.setting.site_by_server():
         setting_paths = (f"{context.sources.file_labels[0]}: name", context.fleet_path("sites"))
         yield Conflict(setting_paths, f"no member is named {context.setting.name!r}")
 
@@ -195,7 +211,7 @@
 def check_tenant_shares(context: CheckContext) -> Iterator[Conflict]:
     """Check that the share of each tenant is the same wherever it is given.
 
-    It follows from `share`, from the fleet file and from the quotas.
+    It may be given as `share` of the tenant and in the fleet file, and follows from the tenants' quotas.
     """
     tenants = context.settings.get("tenants", [])
     quotas = {tenant.get("name"): float(tenant.get("quota_per_s") or 0.0) for tenant in tenants}
@@ -230,21 +246,25 @@
 
 
 def check_vault_quota(context: CheckContext) -> Iterator[Conflict]:
-    """Check that fleet file and configuration agree on the downstream quota."""
+    """Check that fleet file and configuration agree on the downstream service and its quota.
+
+    If the fleet file has a vault, the downstream service must be shared, and the quota of this app server
+    must be the same in both files to within one percent.
+    """
     if context.fleet is None or context.fleet.vault is None:
         return
     deployment = context.setting.deployment
-    vault = context.fleet_path("vault.total")
+    vault_path = context.fleet_path("vault.total")
     if deployment.downstream is not Downstream.SHARED:
         yield Conflict(
-            (context.config_path("family_info.downstream"), vault), "only one knows a service below"
+            (context.config_path("family_info.downstream"), vault_path), "only one knows a service below"
         )
         return
-    base = context.fleet.base_calls().get(context.setting.name)
-    if base is not None and abs(base - deployment.downstream_quota) > 0.01 * max(base, 1.0):
-        setting_paths = (context.config_path("family_info.calls_out"), vault)
+    base_calls = context.fleet.base_calls().get(context.setting.name)
+    if base_calls is not None and abs(base_calls - deployment.downstream_quota) > 0.01 * max(base_calls, 1.0):
+        setting_paths = (context.config_path("family_info.calls_out"), vault_path)
         yield Conflict(
-            setting_paths, f"{deployment.downstream_quota:g} and {base:g} calls of an app server's own"
+            setting_paths, f"{deployment.downstream_quota:g} and {base_calls:g} calls of an app server's own"
         )
 
 
@@ -252,7 +272,10 @@
 
 
 def check_disruption_budgets(context: CheckContext) -> Iterator[Conflict]:
-    """Check that no budget allows all members of a group, or none, to be out."""
+    """Check that no budget allows all members of a group to be out.
+
+    With a platform, a budget that allows none to be out is a conflict too, because releases would wait.
+    """
     if context.fleet is None:
         return
     for group in context.fleet.budget_groups():
@@ -277,8 +300,8 @@
         if homes and home is None:
             yield Conflict((setting_path, context.fleet_path("sites")), "it is at home nowhere")
         elif home is not None and router.site is not None and router.site != home:
-            where = context.fleet_path(f"sites[{home}].routers")
-            yield Conflict((f"{setting_path}.site", where), f"at home in {router.site} and in {home}")
+            routers_path = context.fleet_path(f"sites[{home}].routers")
+            yield Conflict((f"{setting_path}.site", routers_path), f"at home in {router.site} and in {home}")
 
 
 RULES: Sequence[Rule] = (
--- a/birchslip/expect/search.py
+++ b/birchslip/expect/search.py
@@ -10,7 +10,7 @@
 
 from ..lab.model.clock import SECOND
 from ..lab.model.layout import Work
-from ..lab.model.world import BEGIN, Setting
+from ..lab.model.world import TRAFFIC_START, Setting
 from .judge import Evaluation
 from .situations import COOL_DOWN, Script
 from .sources import Sources, ValuePath
@@ -84,7 +84,7 @@
         yield replace(case, script=replace(script, until=end))
     for index, step in enumerate(script.steps):
         rest = script.steps[:index] + script.steps[index + 1 :]
-        yield replace(case, script=replace(script, steps=rest), removed=(*case.removed, step.told()))
+        yield replace(case, script=replace(script, steps=rest), removed=(*case.removed, step.describe()))
     named = named_subjects(statement)
     yield from without_routers(case, named[SubjectKind.ROUTER])
     yield from without_tenants(case, named[SubjectKind.TENANT])
@@ -103,7 +103,7 @@
 
 
 def without_routers(case: Case, named: set[str]) -> Iterator[Case]:
-    """Yield the case without one router that the statement does not name."""
+    """Yield, for each router that the statement does not name, the case without it."""
     routers = case.setting.routers()
     if len(routers) <= 1 or "*" in named:
         return
@@ -115,7 +115,7 @@
 
 
 def without_tenants(case: Case, named: set[str]) -> Iterator[Case]:
-    """Yield the case without the traffic of one tenant that the statement does not name."""
+    """Yield, for each tenant that the statement does not name, the case without its traffic."""
     tenants = case.setting.traffic().tenants
     present = [name for name, (_, share) in tenants.items() if share > 0 and name]
     if len(present) <= 1 or "*" in named:
@@ -128,7 +128,7 @@
 
 
 def without_profiles(case: Case, named: set[str]) -> Iterator[Case]:
-    """Yield the case without the traffic of one profile that the statement does not name."""
+    """Yield, for each profile that the statement does not name, the case without its traffic."""
     works_by_name = case.setting.layout.profiles
     works = {name: works_by_name.get(name, Work()) for name in case.setting.profiles}
     present = [name for name, work in works.items() if work.share > 0]
@@ -154,7 +154,7 @@
 ) -> list[str]:
     """Describe a failing case line by line.
 
-    The lines tell the seed and the size of the fleet, what was taken out, what was done to the world, what
+    The lines give the seed and the size of the fleet, what was taken out, what was done to the world, what
     the fleet did, and the figure that broke the bound.
     """
     lines = [
@@ -163,9 +163,12 @@
     if case.removed:
         lines.append(f"it takes none of: {', '.join(case.removed)}")
     events: list[tuple[int, str]] = [
-        (BEGIN, f"{BEGIN / SECOND:.1f} s: traffic at {case.setting.layout.load:g} of capacity")
+        (
+            TRAFFIC_START,
+            f"{TRAFFIC_START / SECOND:.1f} s: traffic at {case.setting.layout.load:g} of capacity",
+        )
     ]
-    events += [(step.at, step.told()) for step in case.script.steps]
+    events += [(step.at, step.describe()) for step in case.script.steps]
     for at, event, fields in notes:
         if at <= case.script.until:
             words = ", ".join(
@@ -286,6 +289,7 @@
     )
     best: tuple[Change, Evaluation] | None = None
     for change, changed in zip(changes, evaluations, strict=True):
+        # A difference of no more than 1e-9 is a rounding error.
         if changed is None or changed.held is None or changed.excess >= evaluation.excess - 1e-9:
             continue
         if best is None or (changed.held, -changed.excess) > (best[1].held, -best[1].excess):
--- a/birchslip/expect/situations.py
+++ b/birchslip/expect/situations.py
@@ -1,8 +1,8 @@
 """Scripts that bring about the condition of a statement, and the spans of a run in which it held.
 
 The spans follow from the events recorded during a run. Absent planners and an outage of the downstream
-service record no event, so that their spans follow from the script. The module performs no I/O and reads no
-clock.
+service record no event, so that their spans follow from the script, as does that of a load. The module
+performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 from dataclasses import dataclass
 
 from ..lab.model.clock import SECOND
-from ..lab.model.world import BEGIN, Setting, Step
+from ..lab.model.world import TRAFFIC_START, Setting, Step
 from .words import Condition, Event
 
-STEADY_FROM = BEGIN + 2 * SECOND  # the first attempts of a run count for no expectation
-SITUATION_BEGIN = BEGIN + 3 * SECOND  # when the script sets the condition
+STEADY_FROM = TRAFFIC_START + 2 * SECOND  # the first attempts of a run count for no expectation
+SITUATION_BEGIN = TRAFFIC_START + 3 * SECOND  # when the script sets the condition
 SITUATION_LENGTH = 4 * SECOND  # for conditions that do not end by themselves
 LOAD_RAMP = SECOND  # a load is applied this long before it is measured
 COOL_DOWN = SECOND  # after the measured span, so that open requests can end
 SITE_RETURN_TIME = 6 * SECOND  # what a lost site needs to return
-RELEASE_TIME = 40 * SECOND
+RELEASE_TIME = 40 * SECOND  # what is measured of a run with a release lasts at least this long
 Span = tuple[int, int]
 
 
@@ -33,21 +33,25 @@
 
     def describe(self) -> list[str]:
         """Return one line for each step."""
-        return [step.told() for step in self.steps]
+        return [step.describe() for step in self.steps]
 
 
 def build_script(condition: Condition, setting: Setting, shrink_step_s: float = 0.25) -> Script:
     """Return the script that brings about a condition.
 
+    The load is set `LOAD_RAMP` before `SITUATION_BEGIN`, and everything else begins then; a site that is to
+    return is restored `SITUATION_LENGTH` later. The script ends `COOL_DOWN` after the span to be measured.
+
     Args:
         condition: The condition to bring about.
         setting: The settings, for the size of the fleet.
-        shrink_step_s: Seconds between two steps of a shrinking fleet.
+        shrink_step_s: Seconds between the drains of two app servers while the fleet shrinks, as in
+            `World.shrink`.
     """
     steps: list[Step] = []
     at, length = SITUATION_BEGIN, SITUATION_LENGTH + condition.settled
     if condition.load is not None:
-        steps.append(Step(at - LOAD_RAMP, "load", more=condition.load))
+        steps.append(Step(at - LOAD_RAMP, "load", value=condition.load))
     if condition.planners_gone:
         steps.append(Step(at, "planners-gone"))
     if condition.below_down:
@@ -60,7 +64,7 @@
             steps.append(Step(at + SITUATION_LENGTH, "restore", condition.lost))
             length += SITE_RETURN_TIME
     if condition.shrink is not None:
-        steps.append(Step(at, "shrink", more=condition.shrink))
+        steps.append(Step(at, "shrink", value=condition.shrink))
         count = sum(len(names) for names in setting.sites().values())
         length = max(length, int((1 - condition.shrink) * count * shrink_step_s * SECOND) + 3 * SECOND)
     if condition.release:
--- a/birchslip/lab/model/habits.py
+++ b/birchslip/lab/model/habits.py
@@ -1,4 +1,7 @@
-"""Named habits of routers: where a try goes, whether there is another, and when. No I/O and no clock."""
+"""Named routing policies: which app server gets an attempt, and whether and when a request is retried.
+
+Policies do no I/O and read no clock.
+"""
 
 from __future__ import annotations
 
@@ -7,51 +10,76 @@
 from random import Random
 from typing import TypeVar
 
-FIRST_WAIT = 500  # before a further try: 50 ms at first, twice as long each time, half of it by chance
-Target = TypeVar("Target")
+FIRST_RETRY_DELAY = 500  # 50 ms, doubled for each further retry, with a random factor from 0.5 to 1.5
+TargetT = TypeVar("TargetT")
 
 
 @dataclass(frozen=True, slots=True)
-class Habit:
-    """`tries` is the most for one transaction, the first included; `heed` the share of advice that it
-    follows; `hedge` the part of the latency goal after which a silent redoable try is followed by another;
-    `checks` whether it goes by health checks; `choice` how it picks among those that it may use.
+class RoutingPolicy:
+    """How a router chooses app servers and retries.
+
+    Attributes:
+        max_attempts: Maximum number of attempts for one request, including the first.
+        advice_compliance: Share of rejections whose advice (Retry-After, no further retry) is followed.
+        hedge_fraction: Fraction of the latency objective after which an unanswered attempt of a request
+            without idempotency key is followed by a second one.
+        uses_health_checks: Whether app servers that fail health checks are avoided.
+        prefers_home_site: Whether the first attempt goes to the router's own site if possible.
+        choice: How an app server is chosen: `two` for the less loaded of two random ones, `turn` for
+            round robin, `any` for a random one.
     """
 
-    tries: int = 4
-    heed: float = 0.6
-    hedge: float = 0.75
-    checks: bool = True
-    home_first: bool = True
-    choice: str = "two"  # the less loaded of two by chance; or `turn`, one after the other, or `any`
+    max_attempts: int = 4
+    advice_compliance: float = 0.6
+    hedge_fraction: float = 0.75
+    uses_health_checks: bool = True
+    prefers_home_site: bool = True
+    choice: str = "two"
+
+    def retry_delay(self, attempt_count: int, rng: Random) -> int:
+        """Return the delay before the next attempt, in units of 0.1 ms.
+
+        Args:
+            attempt_count: Number of attempts so far.
+            rng: Source of the random factor.
+        """
+        return int(FIRST_RETRY_DELAY * 2 ** max(0, attempt_count - 1) * (0.5 + rng.random()))
 
-    def wait(self, tries: int, chance: Random) -> int:
-        """Before the next try, after so many."""
-        return int(FIRST_WAIT * 2 ** max(0, tries - 1) * (0.5 + chance.random()))
+    def follows_advice(self, rng: Random) -> bool:
+        """Return whether the advice of one rejection is followed."""
+        return rng.random() < self.advice_compliance
 
-    def heeds(self, chance: Random) -> bool:
-        return chance.random() < self.heed
+    def choose(
+        self, candidates: Sequence[TargetT], load: Callable[[TargetT], int], rng: Random, turn: int
+    ) -> TargetT | None:
+        """Choose one of the candidates.
 
-    def pick(
-        self, some: Sequence[Target], load: Callable[[Target], int], chance: Random, turn: int
-    ) -> Target | None:
-        if not some:
+        Args:
+            candidates: The targets that may be chosen.
+            load: Returns the load of a target.
+            rng: Source of random choices.
+            turn: Number of the choice, for round robin.
+
+        Returns:
+            The target, or `None` if there are no candidates.
+        """
+        if not candidates:
             return None
         if self.choice == "turn":
-            return some[turn % len(some)]
-        a = chance.choice(some)
+            return candidates[turn % len(candidates)]
+        first = rng.choice(candidates)
         if self.choice == "any":
-            return a
-        b = chance.choice(some)
-        return a if load(a) <= load(b) else b
-
-
-HABITS = {
-    "usual": Habit(),
-    "heedful": Habit(heed=1.0),
-    "stubborn": Habit(tries=6, heed=0.0),
-    "single": Habit(tries=1, hedge=9.0),
-    "turns": Habit(choice="turn"),
-    "blind": Habit(checks=False, heed=0.0, choice="any"),
-    "anywhere": Habit(home_first=False),
+            return first
+        second = rng.choice(candidates)
+        return first if load(first) <= load(second) else second
+
+
+ROUTING_POLICIES = {
+    "usual": RoutingPolicy(),
+    "heedful": RoutingPolicy(advice_compliance=1.0),
+    "stubborn": RoutingPolicy(max_attempts=6, advice_compliance=0.0),
+    "single": RoutingPolicy(max_attempts=1, hedge_fraction=9.0),
+    "turns": RoutingPolicy(choice="turn"),
+    "blind": RoutingPolicy(uses_health_checks=False, advice_compliance=0.0, choice="any"),
+    "anywhere": RoutingPolicy(prefers_home_site=False),
 }
--- a/birchslip/lab/peers.py
+++ b/birchslip/lab/peers.py
@@ -1,8 +1,8 @@
-"""Stand-ins for what stands around app servers, on the program's own scheduler: agents, vault and catalog.
+"""Stand-ins for the systems around app servers, run on the program's own scheduler: agents, vault, catalog.
 
-They speak the published protocols as far as an app server sees them. An agent models cores: a run takes its
-work, longer while more run than there are cores, and longer while it is cold. The vault counts the calls in
-hand.
+They speak the published protocols as far as an app server uses them. The agent models cores: a run takes its
+work, longer while more runs are active than there are cores, and longer while the cores are cold. The vault
+counts open calls.
 """
 
 from __future__ import annotations
@@ -19,320 +19,418 @@
 from ..net.connection import Connection
 from ..net.scheduler import Scheduler
 from .cores import Cores
-from .truth import Truth
-from .wires import let_in, listener
+from .truth import HistoryChecker
+from .wires import accept_connections, open_listener
 
-LINE = 65_536
-BOUND = 4 << 20
-REASONS = {200: "OK", 202: "Accepted", 204: "No Content", 404: "Not Found", 409: "Conflict"}
-LISTED = 30_000  # a report stands for three seconds
+MAX_LINE_BYTES = 65_536
+BUFFER_BYTES = 4 << 20
+REASON_PHRASES = {200: "OK", 202: "Accepted", 204: "No Content", 404: "Not Found", 409: "Conflict"}
+LISTING_LIFETIME = 30_000  # three seconds, in tenths of a millisecond
+ASK_WORDS, UNASK_WORDS = 4, 2  # words in the lines that open and cancel a call
 
 
 class Peer:
-    """Listens on loopback and serves each connection in a task of its own."""
+    """A server on loopback that serves each connection in a task of its own."""
 
     def __init__(self, scheduler: Scheduler) -> None:
+        """Listen on a free loopback port."""
         self.scheduler = scheduler
-        self.listener = listener()
+        self.listener = open_listener()
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.links: dict[Connection, None] = {}
-        self.closed = False
-        scheduler.spawn(type(self).__name__, partial(let_in, scheduler, self.listener, self.take_in))
-
-    def take_in(self, sock: socket.socket) -> None:
-        if self.closed:
+        self.connections: dict[Connection, None] = {}
+        self.is_closed = False
+        scheduler.spawn(
+            type(self).__name__, partial(accept_connections, scheduler, self.listener, self.on_accept)
+        )
+
+    def on_accept(self, sock: socket.socket) -> None:
+        """Serve a new connection, or close it if the peer does not accept any."""
+        if self.is_closed:
             sock.close()
             return
-        link = Connection(self.scheduler, sock, BOUND, BOUND)
-        self.links[link] = None
-        self.scheduler.spawn("link", partial(self.keep, link))
+        connection = Connection(self.scheduler, sock, BUFFER_BYTES, BUFFER_BYTES)
+        self.connections[connection] = None
+        self.scheduler.spawn("link", partial(self.serve_connection, connection))
 
-    def keep(self, link: Connection) -> None:
-        take = self.begin(link)
+    def serve_connection(self, connection: Connection) -> None:
+        """Read from the connection until it closes."""
+        on_data = self.make_data_handler(connection)
         try:
-            link.serve(take)
+            connection.serve(on_data)
         finally:
-            link.close("ended")
-            self.links.pop(link, None)
-            self.gone(link)
+            connection.close("ended")
+            self.connections.pop(connection, None)
+            self.on_connection_closed(connection)
 
-    def begin(self, link: Connection) -> Callable[[Buffer], None]:
+    def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        """Return the function that handles the data received on this connection."""
         raise NotImplementedError
 
-    def gone(self, link: Connection) -> None:
-        """Its connection has ended."""
+    def on_connection_closed(self, connection: Connection) -> None:
+        """Handle the end of a connection; does nothing by default."""
 
-    def drop(self) -> None:
-        for link in list(self.links):
-            link.close("dropped")
+    def close_connections(self) -> None:
+        """Close all open connections; new ones are still accepted."""
+        for connection in list(self.connections):
+            connection.close("dropped")
 
-    def close(self) -> None:
-        """Gone for a while: what is open breaks, and nobody is let in."""
-        self.closed = True
-        self.drop()
+    def stop_accepting(self) -> None:
+        """Close all connections and refuse new ones, as if the peer were down."""
+        self.is_closed = True
+        self.close_connections()
 
-    def open(self) -> None:
-        self.closed = False
+    def start_accepting(self) -> None:
+        """Accept connections again."""
+        self.is_closed = False
 
 
 class Run:
-    """One run on the cores. A body's words: the work in milliseconds, `call`, and the label."""
+    """One run at an agent.
+
+    The request body holds words: the work in milliseconds, `call` for a downstream call halfway, and the
+    idempotency key after an `L`.
+    """
 
-    def __init__(self, name: str, body: bytes) -> None:
+    def __init__(self, run_id: str, body: bytes) -> None:
+        """Parse the work, the call and the key out of the request body."""
         words = body.decode("ascii", "replace").split()
-        self.name, self.body = name, body
+        self.run_id, self.body = run_id, body
         self.work = next((int(word) for word in words if word.isdigit()), 10) * 10
-        self.calls = "call" in words
-        self.label = next((word[1:] for word in words if word.startswith("L")), "")
+        self.makes_call = "call" in words
+        self.key = next((word[1:] for word in words if word.startswith("L")), "")
         self.reply = b""
-        self.on_core = False
+        self.is_on_core = False
 
 
 class Agent(Peer):
-    """One agent and its cores. `written` tells when a try of that name was written to its app server."""
+    """One agent and its cores; it executes the runs of one app server.
+
+    Attributes:
+        fault_kind: Kind of fault in the runs of the installed version; see `versions.FAULT_KINDS`.
+        on_harm: Called when that fault has affected a run.
+        incarnation: Number of starts so far.
+        deferred: Actions that came up while paused.
+        notices: Notices sent so far, replayed to a new subscriber.
+    """
 
     def __init__(
         self,
         scheduler: Scheduler,
-        truth: Truth,
+        history: HistoryChecker,
         server: str,
         cores: int,
-        cold_from: float,
-        cold_span: int,
-        written: Callable[[str], int],
+        cold_speed: float,
+        warm_up_span: int,
+        get_written_at: Callable[[str], int],
     ) -> None:
-        self.truth, self.server, self.written = truth, server, written
-        self.cores = Cores(cores, cold_from, cold_span)
-        self.version = ""  # what is wrong with the runs of the version that it runs now
-        self.harmed: Callable[[], None] = lambda: None  # told when that has shown
-        self.life = 0
-        self.paused = False
-        self.held: deque[Callable[[], None]] = deque()
+        """Create a started, warm agent.
+
+        Args:
+            scheduler: Scheduler of the testbed.
+            history: Where launches are recorded.
+            server: Name of the app server.
+            cores: Number of cores.
+            cold_speed: Share of the full speed at a cold start.
+            warm_up_span: Time until full speed, in tenths of a millisecond.
+            get_written_at: Returns when a request id was written to the app server.
+        """
+        self.history, self.server, self.get_written_at = history, server, get_written_at
+        self.cores = Cores(cores, cold_speed, warm_up_span)
+        self.fault_kind = ""
+        self.on_harm: Callable[[], None] = lambda: None
+        self.incarnation = 0
+        self.is_paused = False
+        self.deferred: deque[Callable[[], None]] = deque()
         super().__init__(scheduler)
-        self.start(cold=False)
+        self.start(is_cold=False)
 
-    def start(self, cold: bool) -> None:
-        """Begun anew, from nothing."""
-        self.life += 1
-        self.cores.start(self.scheduler.now, cold)
+    def start(self, is_cold: bool) -> None:
+        """Start a new incarnation without any runs or notices, and close all connections."""
+        self.incarnation += 1
+        self.cores.start(self.scheduler.now, is_cold)
         self.notices: list[dict[str, Any]] = []
         self.runs: dict[str, Run] = {}
-        self.over: set[str] = set()
-        self.out: Connection | None = None
-        self.paused = False
-        self.held.clear()
-        self.drop()
+        self.finished_run_ids: set[str] = set()
+        self.subscriber: Connection | None = None
+        self.is_paused = False
+        self.deferred.clear()
+        self.close_connections()
 
     def pause(self) -> None:
-        self.paused = True
+        """Defer all activity until `resume`."""
+        self.is_paused = True
 
     def resume(self) -> None:
-        self.paused = False
-        while self.held:
-            self.held.popleft()()
+        """Carry out the deferred actions and continue."""
+        self.is_paused = False
+        while self.deferred:
+            self.deferred.popleft()()
 
-    def cost(self, span: int) -> None:
-        """A connection or a try at its app server: the cores pay, whatever becomes of it."""
-        self.cores.cost(self.scheduler.now, span)
+    def charge_cores(self, work: int) -> None:
+        """Charge core time for a connection or for reading a request at the app server.
+
+        It is charged even if the request is then rejected.
+        """
+        self.cores.charge(self.scheduler.now, work)
 
     # ---- orders ----------------------------------------------------------------------------------------
 
-    def begin(self, link: Connection) -> Callable[[Buffer], None]:
-        def take(buffer: Buffer) -> None:
-            while (line := buffer.read_line(LINE)) is not None:
+    def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        """Return the handler of order lines on this connection."""
+
+        def on_data(buffer: Buffer) -> None:
+            while (line := buffer.read_line(MAX_LINE_BYTES)) is not None:
                 order = json.loads(line)
-                self.when_awake(partial(self.obey, link, order))
+                self.run_unless_paused(partial(self.handle_order, connection, order))
 
-        return take
+        return on_data
 
-    def when_awake(self, act: Callable[[], None]) -> None:
-        """Nothing happens while it is paused, and nothing of an earlier life happens at all."""
-        life = self.life
+    def run_unless_paused(self, action: Callable[[], None]) -> None:
+        """Run the action, after `resume` if paused; drop it if a new incarnation has started."""
+        incarnation = self.incarnation
 
         def guarded() -> None:
-            if life != self.life:
+            if incarnation != self.incarnation:
                 return
-            if self.paused:
-                self.held.append(guarded)
+            if self.is_paused:
+                self.deferred.append(guarded)
             else:
-                act()
+                action()
 
         guarded()
 
-    def obey(self, link: Connection, order: dict[str, Any]) -> None:
-        name = order.get("id", "")
-        run = self.runs.get(name)
+    def handle_order(self, connection: Connection, order: dict[str, Any]) -> None:
+        """Carry out one order of the app server.
+
+        An order that fits no run is answered with a refusal, except a repeated launch, which is ignored.
+        """
+        run_id = order.get("id", "")
+        run = self.runs.get(run_id)
         match order["op"]:
             case "subscribe":
-                self.out = link
-                age = (self.scheduler.now - self.cores.began) // 10
-                self.tell(op="greeting", end="fresh" if self.cores.cold else "seasoned", ms=age)
+                self.subscriber = connection
+                age = (self.scheduler.now - self.cores.started_at) // 10
+                self.send(op="greeting", end="fresh" if self.cores.is_cold else "seasoned", ms=age)
                 for notice in self.notices[order["seq"] :]:
-                    self.tell(**notice)
-            case "launch" if run is None and name not in self.over:
-                run = self.runs[name] = Run(name, b64decode(order["body"]))
-                self.truth.launched(self.server, self.life, run.label, self.written(name), self.scheduler.now)
-                self.work(run, run.work // 2 if run.calls else run.work, self.call if run.calls else self.end)
+                    self.send(**notice)
+            case "launch" if run is None and run_id not in self.finished_run_ids:
+                run = self.runs[run_id] = Run(run_id, b64decode(order["body"]))
+                self.history.record_launch(
+                    self.server, self.incarnation, run.key, self.get_written_at(run_id), self.scheduler.now
+                )
+                self.occupy_core(
+                    run,
+                    run.work // 2 if run.makes_call else run.work,
+                    self.request_call if run.makes_call else self.finish_run,
+                )
             case "launch":
                 pass
             case "freeze" if run is not None:
-                self.end(run, "aborted")
+                self.finish_run(run, "aborted")
             case "deliver" if run is not None:
                 run.reply = b64decode(order["body"])
-                self.work(run, run.work // 2, self.end)
+                self.occupy_core(run, run.work // 2, self.finish_run)
             case "forgo" if run is not None:
-                self.work(run, run.work // 2, self.end)
+                self.occupy_core(run, run.work // 2, self.finish_run)
             case "sample":
-                used = min(1.0, self.on_cores() / self.cores.count)
-                self.tell(op="sampled", tag=order["tag"], values=[used, len(self.runs), 0.1, 1])
+                core_use = min(1.0, self.count_on_cores() / self.cores.count)
+                self.send(op="sampled", tag=order["tag"], values=[core_use, len(self.runs), 0.1, 1])
             case kind:
-                self.tell(op="refusal", end=kind, id=name)
-
-    def on_cores(self) -> int:
-        return sum(1 for run in self.runs.values() if run.on_core)
-
-    def work(self, run: Run, span: int, then: Callable[[Run], None]) -> None:
-        run.on_core = True
-        took = self.cores.took(self.scheduler.now, span, self.on_cores())
-        if self.version == "slow" and self.on_cores() >= self.cores.count:
-            took = took * 3 // 2
-            self.harmed()
-        self.scheduler.at(self.scheduler.now + took, lambda: self.when_awake(partial(self.rest, run, then)))
-
-    def rest(self, run: Run, then: Callable[[Run], None]) -> None:
-        if self.runs.get(run.name) is run:
-            run.on_core = False
+                self.send(op="refusal", end=kind, id=run_id)
+
+    def count_on_cores(self) -> int:
+        """Count the runs that occupy a core."""
+        return sum(1 for run in self.runs.values() if run.is_on_core)
+
+    def occupy_core(self, run: Run, work: int, then: Callable[[Run], None]) -> None:
+        """Let a run occupy a core for `work`, then call `then`."""
+        run.is_on_core = True
+        duration = self.cores.compute_duration(self.scheduler.now, work, self.count_on_cores())
+        if self.fault_kind == "slow" and self.count_on_cores() >= self.cores.count:
+            duration = duration * 3 // 2
+            self.on_harm()
+        self.scheduler.at(
+            self.scheduler.now + duration, lambda: self.run_unless_paused(partial(self.leave_core, run, then))
+        )
+
+    def leave_core(self, run: Run, then: Callable[[Run], None]) -> None:
+        """Free the core of a run that still exists and call `then`."""
+        if self.runs.get(run.run_id) is run:
+            run.is_on_core = False
             then(run)
 
-    def call(self, run: Run) -> None:
-        self.note(op="request", id=run.name, body=b64encode(b"asked by " + run.name.encode()).decode())
-
-    def end(self, run: Run, how: str = "done") -> None:
-        if self.runs.pop(run.name, None) is run:
-            self.over.add(run.name)
-            if self.version == "profile" and run.label and how == "done":
-                how = "crashed"
-                self.harmed()
+    def request_call(self, run: Run) -> None:
+        """Ask the app server for the downstream call of a run."""
+        self.append_notice(
+            op="request", id=run.run_id, body=b64encode(b"asked by " + run.run_id.encode()).decode()
+        )
+
+    def finish_run(self, run: Run, outcome: str = "done") -> None:
+        """End a run and notify the app server of its outcome.
+
+        The fault kind "profile" makes runs with an idempotency key crash.
+        """
+        if self.runs.pop(run.run_id, None) is run:
+            self.finished_run_ids.add(run.run_id)
+            if self.fault_kind == "profile" and run.key and outcome == "done":
+                outcome = "crashed"
+                self.on_harm()
             result = b64encode(b"made of " + run.body + run.reply).decode()
-            self.note(op="outcome", id=run.name, end=how, ms=run.work // 10, body=result)
+            self.append_notice(op="outcome", id=run.run_id, end=outcome, ms=run.work // 10, body=result)
 
-    def note(self, **notice: Any) -> None:
+    def append_notice(self, **notice: object) -> None:
+        """Number a notice, keep it for replay and send it."""
         notice["seq"] = len(self.notices) + 1
         self.notices.append(notice)
-        self.tell(**notice)
+        self.send(**notice)
 
-    def tell(self, **line: Any) -> None:
-        if self.out is not None and self.out.open:
-            self.out.write(json.dumps(line, separators=(",", ":")).encode() + b"\n")
+    def send(self, **message: object) -> None:
+        """Send a message to the subscriber, if it is connected."""
+        if self.subscriber is not None and self.subscriber.open:
+            self.subscriber.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
 
 
 class Vault(Peer):
-    """Answers a call after `took`; each call counts from its message to its answer or the end of its link."""
+    """A downstream service; a call is open from its message until its answer or the end of its connection."""
 
-    def __init__(self, scheduler: Scheduler, truth: Truth, took: Callable[[], int]) -> None:
-        self.truth, self.took = truth, took
-        self.hands: dict[Connection, dict[bytes, None]] = {}
+    def __init__(
+        self, scheduler: Scheduler, history: HistoryChecker, draw_latency: Callable[[], int]
+    ) -> None:
+        """Create a vault.
+
+        Args:
+            scheduler: Scheduler of the testbed.
+            history: Where open calls are counted.
+            draw_latency: Returns the latency of one call, in tenths of a millisecond.
+        """
+        self.history, self.draw_latency = history, draw_latency
+        self.open_calls: dict[Connection, dict[bytes, None]] = {}
         super().__init__(scheduler)
 
-    def begin(self, link: Connection) -> Callable[[Buffer], None]:
-        self.hands[link] = {}
-        head: list[list[bytes]] = []
+    def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        """Return the handler of calls and cancellations on this connection.
 
-        def take(buffer: Buffer) -> None:
+        The handler raises MalformedMessageError for anything else.
+        """
+        self.open_calls[connection] = {}
+        pending_asks: list[list[bytes]] = []
+
+        def on_data(buffer: Buffer) -> None:
             while True:
-                if head:
-                    size = int(head[0][3]) + 2
+                if pending_asks:
+                    size = int(pending_asks[0][3]) + 2
                     if len(buffer) < size:
                         return
                     buffer.skip(size)
-                    self.ask(link, head.pop()[1])
-                line = buffer.read_line(LINE)
+                    self.start_call(connection, pending_asks.pop()[1])
+                line = buffer.read_line(MAX_LINE_BYTES)
                 if line is None:
                     return
                 words = line.split()
-                if words[:1] == [b"ask"] and len(words) == 4:
-                    head.append(words)
-                elif words[:1] == [b"unask"] and len(words) == 2:
-                    self.over(link, words[1])
+                if words[:1] == [b"ask"] and len(words) == ASK_WORDS:
+                    pending_asks.append(words)
+                elif words[:1] == [b"unask"] and len(words) == UNASK_WORDS:
+                    self.end_call(connection, words[1])
                 else:
-                    raise MalformedMessageError("no message of a caller's")
-
-        return take
-
-    def ask(self, link: Connection, name: bytes) -> None:
-        self.over(link, name)
-        self.hands[link][name] = None
-        self.truth.call("all", 1)
-        self.scheduler.at(self.scheduler.now + self.took(), lambda: self.answer(link, name))
-
-    def answer(self, link: Connection, name: bytes) -> None:
-        if self.over(link, name):
-            link.write(name + b" yes 9\r\n and paid\r\n")
-
-    def over(self, link: Connection, name: bytes) -> bool:
-        if name in self.hands.get(link, {}):
-            del self.hands[link][name]
-            self.truth.call("all", -1)
+                    raise MalformedMessageError("unexpected message from a caller")
+
+        return on_data
+
+    def start_call(self, connection: Connection, call_name: bytes) -> None:
+        """Open a call and schedule its answer; a call of the same name on this connection is replaced."""
+        self.end_call(connection, call_name)
+        self.open_calls[connection][call_name] = None
+        self.history.record_call_change("all", 1)
+        self.scheduler.at(
+            self.scheduler.now + self.draw_latency(), lambda: self.answer_call(connection, call_name)
+        )
+
+    def answer_call(self, connection: Connection, call_name: bytes) -> None:
+        """Answer a call that is still open."""
+        if self.end_call(connection, call_name):
+            connection.write(call_name + b" yes 9\r\n and paid\r\n")
+
+    def end_call(self, connection: Connection, call_name: bytes) -> bool:
+        """Close a call and return whether it was open."""
+        if call_name in self.open_calls.get(connection, {}):
+            del self.open_calls[connection][call_name]
+            self.history.record_call_change("all", -1)
             return True
         return False
 
-    def gone(self, link: Connection) -> None:
-        for name in list(self.hands.get(link, {})):
-            self.over(link, name)
-        self.hands.pop(link, None)
+    def on_connection_closed(self, connection: Connection) -> None:
+        """End all calls of the connection."""
+        for call_name in list(self.open_calls.get(connection, {})):
+            self.end_call(connection, call_name)
+        self.open_calls.pop(connection, None)
 
 
-class Web(Peer):
-    """HTTP/1.1 as far as the program and its planners speak it."""
+class HttpPeer(Peer):
+    """An HTTP/1.1 server, as far as the program and its planners need it."""
 
-    def begin(self, link: Connection) -> Callable[[Buffer], None]:
-        head: list[bytes] = []
+    def make_data_handler(self, connection: Connection) -> Callable[[Buffer], None]:
+        """Return the handler of HTTP requests on this connection."""
+        header_lines: list[bytes] = []
 
-        def take(buffer: Buffer) -> None:
+        def on_data(buffer: Buffer) -> None:
             while True:
-                if not head or head[-1]:
-                    line = buffer.read_line(LINE)
+                if not header_lines or header_lines[-1]:
+                    line = buffer.read_line(MAX_LINE_BYTES)
                     if line is None:
                         return
-                    head.append(line)
+                    header_lines.append(line)
                     continue
                 size = next(
-                    (int(one.split(b":")[1]) for one in head if one.lower().startswith(b"content-length")), 0
+                    (
+                        int(header.split(b":")[1])
+                        for header in header_lines
+                        if header.lower().startswith(b"content-length")
+                    ),
+                    0,
                 )
                 if len(buffer) < size:
                     return
-                verb, path = head[0].decode().split()[:2]
-                head.clear()
-                answer = self.serve(verb, path, buffer.take(size))
+                method, path = header_lines[0].decode().split()[:2]
+                header_lines.clear()
+                answer = self.handle_request(method, path, buffer.take(size))
                 if answer is not None:
                     status, body = answer
-                    said = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {len(body)}\r\n\r\n"
-                    link.write(said.encode() + body)
+                    head = (
+                        f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Length: {len(body)}\r\n\r\n"
+                    )
+                    connection.write(head.encode() + body)
 
-        return take
+        return on_data
 
-    def serve(self, verb: str, path: str, body: bytes) -> tuple[int, bytes] | None:
-        """Status and body; None where it never answers."""
+    def handle_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes] | None:
+        """Return status and body of the response; None to send no response."""
         raise NotImplementedError
 
 
-class Catalog(Web):
-    """Keeps the list of app servers whose last good report is not older than three seconds."""
+class Catalog(HttpPeer):
+    """Lists the app servers whose last report was passing and is at most three seconds old."""
 
     def __init__(self, scheduler: Scheduler) -> None:
+        """Create a catalog without reports."""
         self.reports: dict[str, tuple[int, bool]] = {}
         super().__init__(scheduler)
 
-    def serve(self, verb: str, path: str, body: bytes) -> tuple[int, bytes] | None:
+    def handle_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes] | None:
+        """Record the status report of an app server."""
         status = json.loads(body)["status"]
         self.reports[path.rpartition("/")[2]] = (self.scheduler.now, status == "passing")
         return 204, b""
 
-    def listed(self) -> set[str]:
+    def get_listed_servers(self) -> set[str]:
+        """Return the names of the listed app servers."""
         now = self.scheduler.now
-        return {name for name, (at, good) in self.reports.items() if good and now - at <= LISTED}
-
-    def listed_since(self, name: str, at: int) -> bool:
-        """Whether it has told of itself since then, and well."""
-        heard, good = self.reports.get(name, (-1, False))
-        return good and heard >= at
+        return {
+            name
+            for name, (reported_at, is_healthy) in self.reports.items()
+            if is_healthy and now - reported_at <= LISTING_LIFETIME
+        }
+
+    def is_listed_since(self, name: str, since: int) -> bool:
+        """Return whether the last report of an app server is passing and not older than `since`."""
+        reported_at, is_healthy = self.reports.get(name, (-1, False))
+        return is_healthy and reported_at >= since
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -30,15 +30,15 @@
 from ..cluster.rollout_messages import RolloutAction, RolloutCommand
 from ..cluster.rollout_types import RolloutSpec
 from ..cluster.transport import PeerConnection
-from .clients import Profile, Server
+from .clients import AppServer, RequestClass
 from .peers import Vault
-from .platform import NEW, OLD, Platform
+from .platform import NEW_VERSION, OLD_VERSION, Platform
 from .release_faults import STEPS, Step
 from .truth import SECOND
-from .world import WINDOW, Told, World
+from .world import RETENTION_WINDOW, ScenarioOptions, Testbed
 
-LOOKUP = Profile("lookup", 0.7, 1_400, SECOND * 3 // 2, 3 * SECOND, 1.0, False)
-ORDER = Profile("order", 0.3, 2_100, 2 * SECOND, 3 * SECOND, 1.5, True)
+LOOKUP = RequestClass("lookup", 0.7, 1_400, SECOND * 3 // 2, 3 * SECOND, 1.0, False)
+ORDER = RequestClass("order", 0.3, 2_100, 2 * SECOND, 3 * SECOND, 1.5, True)
 LEAD_IN_SPAN, LEAD_OUT_SPAN = 5 * SECOND, 3 * SECOND
 ANSWER_TIMEOUT = 4_000  # an operator asks the next planner after this time
 STUCK_AFTER = 240 * SECOND  # a release that has not ended by then is stuck
@@ -50,11 +50,11 @@
 
 
 @dataclass(frozen=True)
-class ReleaseOptions(Told):
+class ReleaseOptions(ScenarioOptions):
     """Options of a run.
 
     Attributes:
-        version: Behaviour of the new version, one of `versions.KINDS`.
+        version: Behaviour of the new version, one of `versions.FAULT_KINDS`.
         margins: Factor on the usual margins of the canary analysis, for runs on a busy machine that test
             other things.
         without: Actions to replay without a release: time since its start, action and target, and value. None
@@ -66,7 +66,7 @@
     without: tuple[tuple[int, str, float], ...] | None = None
 
 
-class ReleaseRun(World):
+class ReleaseRun(Testbed):
     """One run of a release with injected faults, or of the same faults without a release.
 
     Attributes:
@@ -79,8 +79,8 @@
         is_halt_expected: Whether the schedule has caused a halt that an operator ends.
     """
 
-    profiles = [LOOKUP, ORDER]  # noqa: RUF012
-    cold_span = 2 * SECOND
+    request_classes = [LOOKUP, ORDER]  # noqa: RUF012
+    warm_up_span = 2 * SECOND
 
     def __init__(self, options: ReleaseOptions, folder: Path) -> None:
         """Lays out the processes and stand-ins; files and logs go to `folder`."""
@@ -112,7 +112,7 @@
             site: BudgetGroup(
                 site,
                 frozenset(self.member_names(site)),
-                max_unavailable=min(MAX_OUT_PER_SITE, self.lay.each - 1),
+                max_unavailable=min(MAX_OUT_PER_SITE, self.base_options.each - 1),
             )
             for site in self.sites
         }
@@ -122,29 +122,32 @@
         stores = [f"store-{n + 1}" for n in range(len(self.sites))]
         self.budget_groups["stores"] = BudgetGroup("stores", frozenset(stores), max_unavailable=1)
         self.store_by_site = dict(zip(self.sites, stores, strict=True))
-        self.vaults = {store: Vault(self.scheduler, self.truth, self.took) for store in stores}
+        self.vaults = {
+            store: Vault(self.scheduler, self.history, self.draw_vault_latency) for store in stores
+        }
         needs = {server.name: [self.store_by_site[server.site]] for server in self.servers}
         self.platform = Platform(
             self, self.release_options.version, list(self.budget_groups.values()), needs, CRASH_AFTER_MS
         )
         for store, vault in self.vaults.items():
             self.platform.add_service(store, vault)
-        self.platform.before, self.platform.stopped = self.before_platform_order, self.on_member_stopped
+        self.platform.before_order = self.before_platform_order
+        self.platform.on_member_stopped = self.on_member_stopped
         self.delisted_members: set[str] = set()  # left out of the fleet file
 
     def member_names(self, site: str) -> list[str]:
         """Returns the names of a site's members."""
         return [server.name for server in self.servers if server.site == site]
 
-    def vault_of(self, server: Server) -> Vault:
+    def get_vault(self, server: AppServer) -> Vault:
         """Returns the store that the app server calls."""
         return self.vaults[self.store_by_site[server.site]]
 
-    def fleet_more(self, told: dict[str, Any], who: str) -> None:
+    def extend_fleet_file(self, fleet: dict[str, Any], reader: str) -> None:
         """Adds the platform, services, disruption budgets and needs to a fleet file."""
-        told["platform"] = {"address": self.platform.address, "ask_ms": 200, "stale_ms": 2_000}
-        told["services"] = [{"name": name, "kind": "store"} for name in self.vaults]
-        told["groups"] = [
+        fleet["platform"] = {"address": self.platform.address, "ask_ms": 200, "stale_ms": 2_000}
+        fleet["services"] = [{"name": name, "kind": "store"} for name in self.vaults]
+        fleet["groups"] = [
             *(
                 {"name": site, "sites": [site], "most_out": self.budget_groups[site].max_unavailable}
                 for site in self.sites
@@ -152,8 +155,8 @@
             {"name": "fleet", "all": True, "most_out": self.budget_groups["fleet"].max_unavailable},
             {"name": "stores", "kinds": ["store"], "most_out": 1},
         ]
-        calls = told["vault"]["total"] / len(self.servers)
-        for site in told["sites"]:
+        calls = fleet["vault"]["total"] / len(self.servers)
+        for site in fleet["sites"]:
             site["members"] = [
                 member for member in site["members"] if member["name"] not in self.delisted_members
             ]
@@ -163,11 +166,13 @@
 
     def rewrite_fleet_files(self) -> None:
         """Writes a changed fleet file for each planner and makes the planner read it."""
-        for name in self.names:
-            self.fleet_file(name)
-            self.planners[name].hang_up()
+        for name in self.planner_names:
+            self.write_fleet_file(name)
+            self.planners[name].reload()
 
-    def make_spec(self, sites: list[str], version: str = NEW, previous_version: str = OLD) -> RolloutSpec:
+    def make_spec(
+        self, sites: list[str], version: str = NEW_VERSION, previous_version: str = OLD_VERSION
+    ) -> RolloutSpec:
         """Returns the rollout of a version to the sites."""
         return RolloutSpec(
             version=version,
@@ -197,8 +202,8 @@
             isinstance(record, OperatorCommand) and record.operation is OperatorOperation.SHOW
         )
         while self.scheduler.now < give_up_at:
-            for name in planners or self.names:
-                connection = PeerConnection(self.scheduler, ("127.0.0.1", self.ports[name]))
+            for name in planners or self.planner_names:
+                connection = PeerConnection(self.scheduler, ("127.0.0.1", self.planner_ports[name]))
                 try:
                     raw = connection.call(method, encode(record), self.scheduler.now + ANSWER_TIMEOUT)
                     answer: dict[str, Any] = json.loads(raw)
@@ -258,7 +263,7 @@
                 self.apply_action("kill", name)
             else:
                 # Killed before the order is answered, so that no planner learns its outcome.
-                self.planners[self.leader()].kill()
+                self.planners[self.find_leader()].kill()
             return "drop"
         batch_number = next(
             (number for number, batch in enumerate(self.planned_batches, 1) if name in batch), 0
@@ -271,7 +276,7 @@
     def on_member_stopped(self, name: str) -> None:
         """Records that a member stopped; the fault `killed-draining` kills the leader then."""
         if "stopped" not in self.reached_moments and self.release_options.fault == "killed-draining":
-            self.planners[self.leader()].kill()
+            self.planners[self.find_leader()].kill()
         self.record_moment("stopped")
 
     # ---- course of the run -----------------------------------------------------------------------------
@@ -279,8 +284,8 @@
     def execute_schedule(self) -> None:
         """Runs the release, or the replayed actions, between a lead-in and a lead-out under load."""
         scheduler = self.scheduler
-        self.begin()
-        self.platform.watch()
+        self.start_all()
+        self.platform.poll_machines()
         scheduler.sleep(scheduler.now + LEAD_IN_SPAN)
         if self.release_options.without is not None:
             self.replay_actions(self.release_options.without)
@@ -288,8 +293,8 @@
             self.run_rollout()
         scheduler.sleep(scheduler.now + LEAD_OUT_SPAN)
         self.wait_until_settled()
-        self.platform.over = True
-        self.end()
+        self.platform.is_over = True
+        self.drain_all()
 
     def replay_actions(self, actions: tuple[tuple[int, str, float], ...]) -> None:
         """Applies the actions of an earlier run at the same times, without a release."""
@@ -362,13 +367,13 @@
         A bad version is rolled back, at most three times, once all members are up.
         """
         if not status["bad"] or self.rollback_count >= MAX_ROLLBACKS:
-            return not self.platform.all_up() and self.rollback_count < MAX_ROLLBACKS
+            return not self.platform.is_all_up() and self.rollback_count < MAX_ROLLBACKS
         for name in status["left_out"]:
             machine = self.platform.machines[name]
             if machine.state == "failed":
-                machine.broken.clear()  # as if the operator had repaired the machine
-                self.platform.start(machine, OLD)
-        if not self.platform.all_up():
+                machine.failing_versions.clear()  # as if the operator had repaired the machine
+                self.platform.start_member(machine, OLD_VERSION)
+        if not self.platform.is_all_up():
             return True
         if status["left_out"]:
             return True  # until the rollout sees these members back
@@ -390,10 +395,10 @@
         """
         give_up_at = self.scheduler.now + 20 * SECOND
         while self.scheduler.now < give_up_at and not (
-            self.platform.all_up() and not self.platform.outs.causes
+            self.platform.is_all_up() and not self.platform.disruptions.causes
         ):
             self.scheduler.sleep(self.scheduler.now + 1_000)
-        self.is_stuck = self.is_stuck or not self.platform.all_up()
+        self.is_stuck = self.is_stuck or not self.platform.is_all_up()
 
     # ---- steps -----------------------------------------------------------------------------------------
 
@@ -411,7 +416,7 @@
             try:
                 self.apply_step(step)
             except Exception as error:
-                self.fault(f"step {step.action}", error)
+                self.record_fault(f"step {step.action}", error)
             self.pending_steps.pop(0)
 
     def apply_action(self, action: str, target: str, value: float = 0.0) -> None:
@@ -422,31 +427,31 @@
             )
         match action:
             case "kill":
-                self.platform.kill(target)
+                self.platform.kill_member(target)
             case "hold":
-                self.platform.hold(target, self.scheduler.now + int(value * SECOND))
+                self.platform.pause_member(target, self.scheduler.now + int(value * SECOND))
             case "surge":
                 for router in self.routers:
-                    router.surge[target] = value
+                    router.surge_factors[target] = value
             case "service-down":
-                self.platform.service_down(target)
+                self.platform.stop_service(target)
             case "service-up":
-                self.platform.service_up(target)
+                self.platform.start_service(target)
             case "lose-site":
                 self.lose_site(target)
             case "site-back":
-                self.out.discard(target)
+                self.lost_sites.discard(target)
                 for name in self.member_names(target):
-                    self.platform.machines[name].again_at = self.scheduler.now
+                    self.platform.machines[name].restart_at = self.scheduler.now
 
     def lose_site(self, site: str) -> None:
         """Kills all members of a site; the platform restarts them only after the action `site-back`."""
-        self.out.add(site)
+        self.lost_sites.add(site)
         for name in self.member_names(site):
-            self.platform.kill(name)
+            self.platform.kill_member(name)
             machine = self.platform.machines[name]
             if machine.state == "up":
-                machine.again_at = self.scheduler.now + STUCK_AFTER
+                machine.restart_at = self.scheduler.now + STUCK_AFTER
 
     def apply_step(self, step: Step) -> None:
         """Applies one step; an unknown action raises `RuntimeError`."""
@@ -465,14 +470,14 @@
                 self.send_command("halt", reason="a rehearsal")
             case "halt-and-kill":
                 self.is_halt_expected = True
-                leader = self.leader()
+                leader = self.find_leader()
                 self.scheduler.at(self.scheduler.now + 20, self.planners[leader].kill)
                 self.send_command("halt", reason="a rehearsal")
             case "check-halted":
                 status = self.rollout_status()
-                drains = sum(self.platform.drains.values())
+                drains = sum(self.platform.drain_counts.values())
                 self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
-                if status.get("phase") != "halted" or sum(self.platform.drains.values()) != drains:
+                if status.get("phase") != "halted" or sum(self.platform.drain_counts.values()) != drains:
                     self.unexpected_resumes += 1
             case "resume":
                 self.send_command("resume", number=1)
@@ -492,11 +497,12 @@
                 group = replace(self.budget_groups["fleet"], max_unavailable=max_out)
                 self.budget_groups["fleet"] = group
                 if step.action == "raise":
-                    self.platform.outs.groups["fleet"] = group
+                    self.platform.disruptions.groups["fleet"] = group
                 else:
                     # Planners need a moment to read the new file, and permits granted before remain valid.
                     self.scheduler.at(
-                        self.scheduler.now + 5_000, lambda: self.platform.outs.groups.update(fleet=group)
+                        self.scheduler.now + 5_000,
+                        lambda: self.platform.disruptions.groups.update(fleet=group),
                     )
                 self.rewrite_fleet_files()
             case "leave":
@@ -508,17 +514,17 @@
                 self.apply_action("kill", name)
                 self.rewrite_fleet_files()
             case "split":
-                self.turn_planners("cut", self.leader())
+                self.set_planner_proxies("cut", self.find_leader())
                 self.scheduler.spawn("asker", self.request_permit_on_both_sides)
             case "heal-planners":
-                for (source, _), wire in self.wires.items():
+                for (source, _), proxy in self.proxies.items():
                     if source in self.planners:
-                        wire.turn("pass")
+                        proxy.set_mode("pass")
             case "mute-holder" | "heal-holder":
                 mode = "mute" if step.action == "mute-holder" else "pass"
-                for (source, _), wire in self.wires.items():
+                for (source, _), proxy in self.proxies.items():
                     if source == self.permit_holder:
-                        wire.turn(mode)
+                        proxy.set_mode(mode)
             case "crash-others":
                 machines = self.platform.machines
                 running_members = [
@@ -532,7 +538,7 @@
                 self.apply_action("surge", "blue", value)
             case "break-old":
                 first_member = self.planned_batches[0][0]
-                self.platform.machines[first_member].broken.add(OLD)
+                self.platform.machines[first_member].failing_versions.add(OLD_VERSION)
             case "lose-site":
                 self.is_halt_expected = True
                 self.apply_action("lose-site", self.sites[-1])
@@ -541,18 +547,18 @@
             case "wait-home":
                 self.wait_for(self.are_sites_home, 60 * SECOND)
             case "fill-disk":
-                self.planners[self.leader()].fill_disk()
+                self.planners[self.find_leader()].forbid_file_growth()
             case "empty-disk":
                 for planner in self.planners.values():
-                    planner.empty_disk()
+                    planner.allow_file_growth()
             case "empty-follower" | "cut-follower":
-                self.to_planners("kill-planner", "follower")
-                self.to_planners(
+                self.apply_to_planners("kill-planner", "follower")
+                self.apply_to_planners(
                     "disk-empty" if step.action == "empty-follower" else "disk-cut-short", "last"
                 )
             case "late":
-                for wire in self.wires.values():
-                    wire.turn("late", int(value))
+                for proxy in self.proxies.values():
+                    proxy.set_mode("late", int(value))
             case unknown_action:
                 raise RuntimeError(f"no such step: {unknown_action}")
 
@@ -571,17 +577,19 @@
         if machine.state != "up":
             return
         version = machine.version
-        self.platform.drain(machine, planned=True)
+        self.platform.drain_member(machine, is_planned=True)
         while machine.state == "draining":
             self.scheduler.sleep(self.scheduler.now + 500)
-        self.platform.start(machine, version)
+        self.platform.start_member(machine, version)
 
     def request_permit_on_both_sides(self) -> None:
         """Requests a permit on both sides of a partition; the minority must not grant one."""
-        leader = self.leader()
+        leader = self.find_leader()
         name = self.member_names(self.sites[-1])[0]
         leader_answer = self.request_permit(name, [leader])
-        others_answer = self.request_permit(name, [planner for planner in self.names if planner != leader])
+        others_answer = self.request_permit(
+            name, [planner for planner in self.planner_names if planner != leader]
+        )
         self.operator_log.append(
             f"alone: {leader_answer.get('granted')}; others: {others_answer.get('granted')}"
         )
@@ -613,23 +621,23 @@
             )
             rounds += -(-len(batch) // max_out)
         return (
-            rounds * (MIN_RESTART_SPAN + self.cold_span) + len(self.planned_batches) * MIN_WATCH_MS * 10
+            rounds * (MIN_RESTART_SPAN + self.warm_up_span) + len(self.planned_batches) * MIN_WATCH_MS * 10
         ) / SECOND
 
     def build_report(self) -> dict[str, Any]:
         """Returns the part of the report that is measured outside the processes."""
-        truth, platform = self.truth, self.platform
+        truth, platform = self.history, self.platform
         spans = {"during": (self.rollout_started_at, self.rollout_ended_at)}
         report: dict[str, Any] = {
-            "rules": truth.rules(self.scheduler.now, WINDOW),
-            "budgets": platform.outs.told(),
-            "service": {name: round(truth.service(span), 4) for name, span in spans.items()},
-            "attempts_each": round(truth.attempts(spans["during"]), 3),
-            "refused": dict(truth.sheds),
-            "broken_links": dict(Counter(truth.broken)),
-            "dead": self.dead(),
+            "rules": truth.check_rules(self.scheduler.now, RETENTION_WINDOW),
+            "budgets": platform.disruptions.build_report(),
+            "service": {name: round(truth.compute_service(span), 4) for name, span in spans.items()},
+            "attempts_each": round(truth.compute_attempts_per_operation(spans["during"]), 3),
+            "refused": dict(truth.shed_counts),
+            "broken_links": dict(Counter(truth.broken_links)),
+            "dead": self.list_unexpected_exits(),
             "trouble": self.faults[:5],
-            "transactions": len(truth.deeds),
+            "transactions": len(truth.operations),
             "took_s": round((self.rollout_ended_at - self.rollout_started_at) / SECOND, 1),
         }
         return report
@@ -638,21 +646,21 @@
         """Returns how the rollout ended and what it violated."""
         platform = self.platform
         halt_s = None
-        if self.halted_at is not None and platform.first_harm is not None:
-            halt_s = round((self.halted_at - platform.first_harm) / SECOND, 2)
+        if self.halted_at is not None and platform.first_harm_at is not None:
+            halt_s = round((self.halted_at - platform.first_harm_at) / SECOND, 2)
         return {
             "ended": self.final_phase,
             "why": self.final_reason,
             "halt_s": halt_s,
-            "exposed": len(platform.exposed),
-            "drained_twice": sum(max(0, count - 1) for count in platform.drains.values()),
+            "exposed": len(platform.exposed_members),
+            "drained_twice": sum(max(0, count - 1) for count in platform.drain_counts.values()),
             "stuck": self.is_stuck,
             "resumed_without_a_word": self.unexpected_resumes,
-            "stale_orders": platform.stale,
+            "stale_orders": platform.stale_order_count,
             "least_s": round(self.min_span_s(), 1),
             "batches": len(self.planned_batches),
             "judged": self.last_figures,
-            "breaches": platform.outs.said[:5],
+            "breaches": platform.disruptions.breach_descriptions[:5],
             "operators": self.operator_log[:20],
             "versions": dict(Counter(machine.version for machine in platform.machines.values())),
         }
@@ -667,9 +675,9 @@
     folder.mkdir(parents=True)
     run = ReleaseRun(options, folder)
     try:
-        run.play(run.execute_schedule)
+        run.run_director(run.execute_schedule)
     finally:
-        run.finish()
+        run.terminate_all()
     report = run.build_report()
     return (report | run.rollout_report() if options.without is None else report), run
 
@@ -722,18 +730,18 @@
 
     def execute_schedule(self) -> None:
         """Starts the fleet, prints how to release through it, and ends it after the minutes."""
-        self.begin()
-        self.platform.watch()
+        self.start_all()
+        self.platform.poll_machines()
         self.wait_for(self.is_fleet_known, 30 * SECOND)
-        fleet_path = self.fleet_file("operator")
+        fleet_path = self.write_fleet_file("operator")
         spec_path = self.folder / "release.json"
         spec_path.write_bytes(msgspec.json.format(encode(self.make_spec(self.sites)), indent=2))
         self.print_line(f"up for {self.minutes:g} minutes; in another shell:")
         self.print_line(f"  export BIRCHSLIP_FLEET={fleet_path}")
         self.print_line(f"  python -m birchslip release start {spec_path} --who you")
         self.scheduler.sleep(self.scheduler.now + int(self.minutes * 60 * SECOND))
-        self.platform.over = True
-        self.end()
+        self.platform.is_over = True
+        self.drain_all()
 
 
 def run_interactive(
@@ -743,9 +751,9 @@
     folder.mkdir(parents=True, exist_ok=True)
     run = InteractiveRun(options, folder, minutes, print_line)
     try:
-        run.play(run.execute_schedule)
+        run.run_director(run.execute_schedule)
     finally:
-        run.platform.over = True
-        run.finish()
+        run.platform.is_over = True
+        run.terminate_all()
     for error in run.faults:
         print_line(error)
--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -12,11 +12,10 @@
 from pathlib import Path
 from typing import Any
 
-from .cores import READING
+from .cores import READ_WORK
 from .faults import Step, schedule
 from .truth import SECOND
-from .world import COLD_FROM, COLD_SPAN, CORES, WINDOW, World
-from .world import Told as ScenarioOptions
+from .world import COLD_SPEED, CORES_PER_SERVER, RETENTION_WINDOW, WARM_UP_SPAN, ScenarioOptions, Testbed
 
 LONG_OUTAGE_FAULT = "planners-gone-minute"  # its outage is longer than `outage_span`
 USAGE_KEYS = ("member_cpu_s", "member_memory_kb")
@@ -49,7 +48,7 @@
     }
 
 
-class SiteLossRun(World):
+class SiteLossRun(Testbed):
     """One run of a fault schedule, with planners or without.
 
     Attributes:
@@ -74,29 +73,31 @@
     def run(self) -> None:
         """Runs the schedule from the start of the processes to their end."""
         options = self.site_loss_options
-        steps = schedule(options.fault, options.seed, self.sites, self.names, options.outage_span)
+        steps = schedule(options.fault, options.seed, self.sites, self.planner_names, options.outage_span)
         self.spans = schedule_spans(options, steps)
         self.end_offset = self.spans["after"][1]
-        self.play(lambda: self.execute_schedule(steps))
+        self.run_director(lambda: self.execute_schedule(steps))
 
     def execute_schedule(self, steps: list[Step]) -> None:
         """Starts the processes, applies each step at its time, and ends the run."""
         scheduler = self.scheduler
-        self.begin()
-        loss_at = self.began + self.spans["before"][1]
+        self.start_all()
+        loss_at = self.started_at + self.spans["before"][1]
         self.watch_site_steps()
         for step in steps:
             scheduler.sleep(max(scheduler.now, loss_at + step.at))
             self.apply_step(step)
-        scheduler.sleep(self.began + self.end_offset)
-        self.member_usage = {name: process.usage() for name, process in self.members.items()}
-        self.end()
+        scheduler.sleep(self.started_at + self.end_offset)
+        self.member_usage = {name: process.measure_usage() for name, process in self.members.items()}
+        self.drain_all()
 
     def watch_site_steps(self) -> None:
         """Kills a site again once the planners' logs show the awaited steps of its recovery ramp."""
         self.scheduler.at(self.scheduler.now + 1_000, self.watch_site_steps)
         for step in list(self.pending_site_steps):
-            lines = [line for planner in self.planners.values() for _, line in planner.lines("stage=step")]
+            lines = [
+                line for planner in self.planners.values() for _, line in planner.find_log_lines("stage=step")
+            ]
             # Without planners a site returns without stages: it is killed again about when it would have
             # reached the second one.
             due_without_planners = (
@@ -121,52 +122,52 @@
                 self.pending_site_steps.append(step)
             case "surge":
                 for router in self.routers:
-                    router.surge[step.target] = step.value
+                    router.surge_factors[step.target] = step.value
             case "heed":
                 for router in self.routers:
-                    router.heed = step.value
+                    router.advice_compliance = step.value
             case "slow":
                 for server in self.servers:
                     if server.site == step.target:
-                        self.agents[server.name].cores.slow = step.value
+                        self.agents[server.name].cores.slowdown = step.value
                 self.slowdowns.setdefault(step.target, []).append((self.scheduler.now, step.value))
             case "cut" | "deaf" | "silent" | "heal":
                 mode = "mute" if step.action == "heal" else step.action
-                for (source, _), wire in self.wires.items():
+                for (source, _), proxy in self.proxies.items():
                     if source.startswith(f"{step.target}-"):
-                        wire.turn("pass" if step.action == "heal" else mode)
+                        proxy.set_mode("pass" if step.action == "heal" else mode)
             case "late":
-                for wire in self.wires.values():
-                    wire.turn("late", int(step.value))
+                for proxy in self.proxies.values():
+                    proxy.set_mode("late", int(step.value))
             case "shake":
-                for index, wire in enumerate(self.wires.values()):
+                for index, proxy in enumerate(self.proxies.values()):
                     if (index + step.at) % 3 == 0:
-                        wire.shake()
+                        proxy.reset_connections()
             case "split":
-                self.turn_planners("cut", self.leader() if self.planners else "")
+                self.set_planner_proxies("cut", self.find_leader() if self.planners else "")
             case "heal-planners":
-                for (source, _), wire in self.wires.items():
+                for (source, _), proxy in self.proxies.items():
                     if source in self.planners:
-                        wire.turn("pass")
+                        proxy.set_mode("pass")
             case planner_action:
-                self.to_planners(planner_action, step.target)
+                self.apply_to_planners(planner_action, step.target)
 
     def take_site_down(self, site: str, action: str) -> None:
         """Kills or pauses all members of a site and records the time."""
         now = self.scheduler.now
         if site == self.sites[0]:
             self.loss_times.append(now)
-        self.out.add(site)
-        self.truth.dark.setdefault(site, []).append((now, 1 << 60))
+        self.lost_sites.add(site)
+        self.history.site_outages.setdefault(site, []).append((now, 1 << 60))
         for server in self.servers:
             if server.site != site:
                 continue
-            server.up = False
-            self.excuse(server)
+            server.is_up = False
+            self.excuse_pending_attempts(server)
             agent = self.agents[server.name]
             if action == "kill":
                 self.members[server.name].kill()
-                agent.start(cold=True)
+                agent.start(is_cold=True)
                 agent.pause()
             else:
                 self.members[server.name].pause()
@@ -177,22 +178,22 @@
         now = self.scheduler.now
         if site == self.sites[0]:
             self.return_times.append(now)
-        self.out.discard(site)
-        dark_spans = self.truth.dark[site]
+        self.lost_sites.discard(site)
+        dark_spans = self.history.site_outages[site]
         dark_spans[-1] = (dark_spans[-1][0], now)
         for server in self.servers:
             if server.site != site:
                 continue
             agent, member = self.agents[server.name], self.members[server.name]
-            if member.paused:
-                self.excuse(server)
+            if member.is_paused:
+                self.excuse_pending_attempts(server)
                 member.resume()
                 agent.resume()
             else:
-                server.life += 1
-                agent.start(cold=True)
+                server.incarnation += 1
+                agent.start(is_cold=True)
                 member.start()
-            server.up = True
+            server.is_up = True
 
     # ---- report ----------------------------------------------------------------------------------------
 
@@ -203,18 +204,20 @@
         """
         served, asked = 0.0, 0.0
         interval = SECOND // 2  # a request that waits half a second is still answered in time
-        requests = sorted(self.truth.of(span), key=lambda request: request.born)
+        requests = sorted(self.history.select_operations(span), key=lambda request: request.created_at)
         index = 0
         for at in range(span[0], span[1], interval):
             capacity = 0.0
             for server in self.servers:
-                if any(since <= at < until for since, until in self.truth.dark.get(server.site, ())):
+                if any(
+                    since <= at < until for since, until in self.history.site_outages.get(server.site, ())
+                ):
                     continue
-                capacity += CORES * interval * self.speed_at(server.site, at)
+                capacity += CORES_PER_SERVER * interval * self.speed_at(server.site, at)
             work = reading_work = 0.0
-            while index < len(requests) and requests[index].born < at + interval:
+            while index < len(requests) and requests[index].created_at < at + interval:
                 work += requests[index].work
-                reading_work += READING  # one attempt per request: a plan can save the others
+                reading_work += READ_WORK  # one attempt per request: a plan can save the others
                 index += 1
             asked += work
             served += min(work, capacity * work / (work + reading_work)) if work else 0.0
@@ -234,31 +237,34 @@
         ):
             returned_at = max((moment for moment in self.return_times if moment <= at), default=0)
             if returned_at:
-                return COLD_FROM + (1 - COLD_FROM) * min(1.0, (at - returned_at) / COLD_SPAN)
+                return COLD_SPEED + (1 - COLD_SPEED) * min(1.0, (at - returned_at) / WARM_UP_SPAN)
         return 1.0
 
     def build_report(self) -> dict[str, Any]:
         """Returns the part of the report that is measured outside the processes."""
         now = self.scheduler.now
-        truth = self.truth
+        truth = self.history
         report: dict[str, Any] = {
-            "rules": truth.rules(now, WINDOW),
+            "rules": truth.check_rules(now, RETENTION_WINDOW),
             "service": {
-                name: round(truth.service(self.span(name)), 4) for name in ("before", "during", "back")
+                name: round(truth.compute_service(self.get_span(name)), 4)
+                for name in ("before", "during", "back")
             },
             "ideal": {
-                name: round(self.ideal_service(self.span(name)), 4) for name in ("before", "during", "back")
+                name: round(self.ideal_service(self.get_span(name)), 4)
+                for name in ("before", "during", "back")
             },
             "attempts_each": {
-                name: round(truth.attempts(self.span(name)), 3) for name in ("before", "during", "after")
+                name: round(truth.compute_attempts_per_operation(self.get_span(name)), 3)
+                for name in ("before", "during", "after")
             },
-            "after": round(truth.service(self.span("after")), 4),
-            "refused": dict(truth.sheds),
-            "broken_links": dict(Counter(truth.broken)),
-            "dead": self.dead(),
+            "after": round(truth.compute_service(self.get_span("after")), 4),
+            "refused": dict(truth.shed_counts),
+            "broken_links": dict(Counter(truth.broken_links)),
+            "dead": self.list_unexpected_exits(),
             "trouble": self.faults[:5],
-            "transactions": len(truth.deeds),
-            "calls_most": truth.calls_most,
+            "transactions": len(truth.operations),
+            "calls_most": truth.peak_calls,
             **self.usage_report(),
             "series": self.service_series(),
         }
@@ -279,8 +285,12 @@
         """Returns, for each second from the loss: service, ideal service and attempts per request."""
         loss_offset, rows = self.spans["before"][1], []
         for at in range(0, self.end_offset, SECOND):
-            span = (self.began + at, self.began + at + SECOND)
-            row = (self.truth.service(span), self.ideal_service(span), self.truth.attempts(span))
+            span = (self.started_at + at, self.started_at + at + SECOND)
+            row = (
+                self.history.compute_service(span),
+                self.ideal_service(span),
+                self.history.compute_attempts_per_operation(span),
+            )
             rows.append([(at - loss_offset) / SECOND, *(round(figure, 3) for figure in row)])
         return rows
 
@@ -289,21 +299,21 @@
 
         The logs give the times of events; whether a decision was right is judged by the outside record.
         """
-        loss_at = self.loss_times[0] if self.loss_times else self.began + self.spans["before"][1]
-        lost_sites = {site for site in self.truth.dark}
+        loss_at = self.loss_times[0] if self.loss_times else self.started_at + self.spans["before"][1]
+        lost_sites = {site for site in self.history.site_outages}
         plan_delays = []
         for server in self.servers:
             if server.site in lost_sites:
                 continue
-            lines = self.members[server.name].lines("event=plan_applied")
+            lines = self.members[server.name].find_log_lines("event=plan_applied")
             times = [at for at, line in lines if at >= loss_at and "evacuated_callers=()" not in line]
             plan_delays.append(min(times) - loss_at if times else None)
         reported_losses, home_times = [], []
         for planner in self.planners.values():
-            for at, line in planner.lines("event=site_lost"):
+            for at, line in planner.find_log_lines("event=site_lost"):
                 site = next(word[5:] for word in line.split() if word.startswith("site="))
                 reported_losses.append((at, site))
-            for at, line in planner.lines("stage=home"):
+            for at, line in planner.find_log_lines("stage=home"):
                 if f"site={self.sites[0]} " in line:
                     home_times.append(at)
         in_force = (
@@ -314,11 +324,13 @@
         back = [at for at in home_times if self.return_times and at >= self.return_times[-1]]
         return {
             "in_force_s": in_force,
-            "false_evacuations": sum(1 for at, site in reported_losses if not self.truth.was_dark(site, at)),
+            "false_evacuations": sum(
+                1 for at, site in reported_losses if not self.history.was_site_out(site, at)
+            ),
             "evacuations": len(reported_losses),
             "back_s": round((min(back) - self.return_times[-1]) / SECOND, 2) if back else None,
             "leaders": sum(
-                len(planner.lines("event=leadership_acquired")) for planner in self.planners.values()
+                len(planner.find_log_lines("event=leadership_acquired")) for planner in self.planners.values()
             ),
         }
 
@@ -334,7 +346,7 @@
     try:
         run.run()
     finally:
-        run.finish()
+        run.terminate_all()
     report = run.build_report()
     if options.fleet:
         report |= run.fleet_report()
--- a/birchslip/lab/wires.py
+++ b/birchslip/lab/wires.py
@@ -1,13 +1,13 @@
-"""Links between processes that can be made to fail: a relay on loopback for each pair that talks.
+"""Proxies on loopback that inject network faults between two processes.
 
-| mode | what passes |
+| mode | what is forwarded |
 | --- | --- |
 | pass | everything |
-| cut | nothing: links break, new ones are refused |
-| silent | nothing, and nobody is told: links stay half open |
-| deaf | only what goes from the caller to the called |
-| mute | only what comes back |
-| late | everything, `delay` later |
+| cut | nothing: connections are closed and new ones refused |
+| silent | nothing, without closing: connections stay half open |
+| deaf | only data from the client to the target |
+| mute | only data from the target to the client |
+| late | everything, after `delay` |
 """
 
 from __future__ import annotations
@@ -21,13 +21,14 @@
 from ..net.connection import Connection, connect
 from ..net.scheduler import READ, Scheduler
 
-BOUND = 4 << 20
-PORTS = (10_000, 32_000)
-CHANCE = random.Random()  # several plays may run at a time: each draws its own ports
-guards: list[socket.socket] = []
+BUFFER_BYTES = 4 << 20
+PORT_RANGE = (10_000, 32_000)
+PORT_RANDOM = random.Random()  # unseeded, so that runs at the same time draw different ports
+port_guards: list[socket.socket] = []
 
 
-def listener(port: int = 0) -> socket.socket:
+def open_listener(port: int = 0) -> socket.socket:
+    """Open a listening TCP socket on loopback; port 0 takes any free port."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", port))
@@ -35,103 +36,144 @@
     return sock
 
 
-def let_in(scheduler: Scheduler, door: socket.socket, take: Callable[[socket.socket], None]) -> None:
-    """The task of a listening socket: who comes is passed on."""
+def accept_connections(
+    scheduler: Scheduler, listener: socket.socket, on_accept: Callable[[socket.socket], None]
+) -> None:
+    """Accept connections forever, as a task of the scheduler, and hand each socket to `on_accept`."""
     while True:
-        scheduler.wait(door.fileno(), READ)
+        scheduler.wait(listener.fileno(), READ)
         try:
-            sock, _ = door.accept()
+            sock, _ = listener.accept()
         except OSError:
             continue
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        take(sock)
+        on_accept(sock)
 
 
 def free_port() -> int:
-    """One that nobody listens on, below those that the system gives to links, and not given here before.
+    """Reserve a free port below the range from which the system gives ports to outgoing connections.
 
-    A process that is started again comes back at its port: one of the system's own range may be some link's
-    by then.
+    A restarted process listens on its old port again; a port of the system's range could belong to an
+    outgoing connection by then.
+
+    Returns:
+        A port that no listener holds and that neither this process nor another run has reserved.
+
+    Raises:
+        OSError: No free port was found.
     """
     for _ in range(2_000):
-        port = CHANCE.randrange(*PORTS)
+        port = PORT_RANDOM.randrange(*PORT_RANGE)
         guard = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            # Held for as long as this process lives: other plays that run meanwhile pass it over.
+            # Other runs on this machine skip the port while this process holds the UDP socket.
             guard.bind(("127.0.0.1", port))
             with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
                 sock.bind(("127.0.0.1", port))
         except OSError:
             guard.close()
             continue
-        guards.append(guard)
+        port_guards.append(guard)
         return port
     raise OSError("no free port")
 
 
-class Wire:
-    """One way to one address. Its own address is `address`; change `mode` with `turn`."""
+class FaultProxy:
+    """Forwards connections to one target and injects a fault chosen by `set_mode`.
+
+    Attributes:
+        address: HOST:PORT at which the proxy listens.
+        mode: The present fault mode; see the module's table.
+        delay: Delay in mode "late", in tenths of a millisecond.
+        pairs: The client and target connections of each open pair, and whether data was dropped between them.
+    """
 
     def __init__(self, scheduler: Scheduler, target: tuple[str, int]) -> None:
+        """Listen on a free loopback port and forward to `target`."""
         self.scheduler, self.target = scheduler, target
         self.mode, self.delay = "pass", 0
-        self.listener = listener()
+        self.listener = open_listener()
         self.port: int = self.listener.getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
-        self.pairs: dict[tuple[Connection, Connection], bool] = {}  # whether bytes were lost on it
-        scheduler.spawn("wire", partial(let_in, scheduler, self.listener, self.take))
+        self.pairs: dict[tuple[Connection, Connection], bool] = {}
+        scheduler.spawn("proxy", partial(accept_connections, scheduler, self.listener, self.on_accept))
 
-    def turn(self, mode: str, delay: int = 0) -> None:
-        """Links on which something was lost can't go on: they break when the wire is whole again."""
+    def set_mode(self, mode: str, delay: int = 0) -> None:
+        """Change the fault mode.
+
+        Connections that lost data are closed when forwarding resumes, because their byte streams have gaps.
+        """
         self.mode, self.delay = mode, delay
-        for pair, spoilt in list(self.pairs.items()):
-            if mode == "cut" or (spoilt and mode in ("pass", "late")):
-                self.end(pair, mode)
+        for pair, has_lost_bytes in list(self.pairs.items()):
+            if mode == "cut" or (has_lost_bytes and mode in ("pass", "late")):
+                self.close_pair(pair, mode)
 
-    def shake(self) -> None:
-        """Break what is open; new links are welcome."""
+    def reset_connections(self) -> None:
+        """Close all open connections; new ones are accepted."""
         for pair in list(self.pairs):
-            self.end(pair, "shaken")
+            self.close_pair(pair, "shaken")
 
-    def take(self, sock: socket.socket) -> None:
+    def on_accept(self, sock: socket.socket) -> None:
+        """Refuse the connection in mode "cut", otherwise serve it in a task."""
         if self.mode == "cut":
             sock.close()
         else:
-            self.scheduler.spawn("wire", partial(self.begin, sock))
+            self.scheduler.spawn("proxy", partial(self.open_pair, sock))
 
-    def begin(self, sock: socket.socket) -> None:
-        near = Connection(self.scheduler, sock, BOUND, BOUND)
+    def open_pair(self, sock: socket.socket) -> None:
+        """Connect to the target and forward both directions until one side closes."""
+        client = Connection(self.scheduler, sock, BUFFER_BYTES, BUFFER_BYTES)
         try:
-            far = Connection(self.scheduler, connect(self.scheduler, self.target), BOUND, BOUND)
+            upstream = Connection(
+                self.scheduler, connect(self.scheduler, self.target), BUFFER_BYTES, BUFFER_BYTES
+            )
         except OSError:
-            near.close("refused there")
+            client.close("target unreachable")
             return
-        pair = (near, far)
+        pair = (client, upstream)
         self.pairs[pair] = False
-        self.scheduler.spawn("wire", partial(self.carry, pair, far, near, ("deaf", "silent")))
-        self.carry(pair, near, far, ("mute", "silent"))
-
-    def carry(
-        self, pair: tuple[Connection, Connection], a: Connection, b: Connection, lost: tuple[str, ...]
+        self.scheduler.spawn("proxy", partial(self.relay, pair, upstream, client, ("deaf", "silent")))
+        self.relay(pair, client, upstream, ("mute", "silent"))
+
+    def relay(
+        self,
+        pair: tuple[Connection, Connection],
+        source: Connection,
+        destination: Connection,
+        dropping_modes: tuple[str, ...],
     ) -> None:
-        a.serve(lambda buffer: self.pass_on(pair, buffer, b, lost))
-        self.end(pair, a.close_reason)
-
-    def pass_on(
-        self, pair: tuple[Connection, Connection], buffer: Buffer, to: Connection, lost: tuple[str, ...]
+        """Forward one direction until its source closes, then close the pair.
+
+        Args:
+            pair: Both connections.
+            source: Connection to read from.
+            destination: Connection to write to.
+            dropping_modes: Modes in which this direction drops data.
+        """
+        source.serve(lambda buffer: self.forward(pair, buffer, destination, dropping_modes))
+        self.close_pair(pair, source.close_reason)
+
+    def forward(
+        self,
+        pair: tuple[Connection, Connection],
+        buffer: Buffer,
+        destination: Connection,
+        dropping_modes: tuple[str, ...],
     ) -> None:
-        piece = buffer.take(len(buffer))
-        if self.mode in lost:
+        """Forward, delay or drop the buffered data, depending on the mode."""
+        data = buffer.take(len(buffer))
+        if self.mode in dropping_modes:
             self.pairs[pair] = True
         elif self.mode == "late" and self.delay:
-            self.scheduler.at(self.scheduler.now + self.delay, partial(to.write, piece))
+            self.scheduler.at(self.scheduler.now + self.delay, partial(destination.write, data))
         else:
-            to.write(piece)
+            destination.write(data)
 
-    def end(self, pair: tuple[Connection, Connection], why: str) -> None:
+    def close_pair(self, pair: tuple[Connection, Connection], reason: str) -> None:
+        """Flush and close both connections of the pair."""
         self.pairs.pop(pair, None)
         for side in pair:
             if side.open:
                 side.flush()
-                side.close(why)
+                side.close(reason)
--- a/tests/fleetdesk.py
+++ b/tests/planner_harness.py
@@ -1,4 +1,7 @@
-"""Messages and documents of a fleet with defaults for what a test does not set, and a planner to test."""
+"""Builders of member reports, fleet documents and fleets with defaults, and a planner in virtual time.
+
+Times are in tenths of a millisecond unless stated otherwise.
+"""
 
 import json
 import random
@@ -12,8 +15,18 @@
 SECOND = 10_000
 
 
-def report(name="a-1", number=1, mark=1, site=None, probes=(), **more):
-    usual = {
+def make_report(name="a-1", sequence=1, nonce=1, site=None, probes=(), **fields):
+    """Build a report of a healthy member, with `fields` in place of the defaults.
+
+    Args:
+        name: Name of the member.
+        sequence: Number of the report within the member's incarnation.
+        nonce: Nonce of the member's incarnation.
+        site: Site of the member; by default the part of the name before the last hyphen.
+        probes: Pairs of a probed member and the outcome.
+        **fields: Other fields of the report.
+    """
+    defaults = {
         "address": "127.0.0.1:1",
         "uptime": 100 * SECOND,
         "is_serving": True,
@@ -36,58 +49,71 @@
     results = [ProbeResult(member=member, outcome=outcome) for member, outcome in probes]
     return MemberReport(
         name=name,
-        sequence=number,
+        sequence=sequence,
         site=site,
-        incarnation=Incarnation(nonce=mark),
+        incarnation=Incarnation(nonce=nonce),
         probes=results,
-        **usual | more,
+        **defaults | fields,
     )
 
 
-def fleet_document(sites=("a", "b", "c"), each=2, planners=1, **more):
-    told = {
+def make_fleet_document(sites=("a", "b", "c"), members_per_site=2, planners=1, **fields):
+    """Build the content of a fleet file; `fields` replace or extend its top-level keys."""
+    document = {
         "planners": [{"name": f"p{n}", "address": f"127.0.0.1:{100 + n}"} for n in range(planners)],
         "sites": [
             {
                 "name": site,
-                "routers": [place],
+                "routers": [index],
                 "members": [
-                    {"name": f"{site}-{n}", "address": f"127.0.0.1:{1000 + place * each + n}"}
-                    for n in range(each)
+                    {"name": f"{site}-{n}", "address": f"127.0.0.1:{1000 + index * members_per_site + n}"}
+                    for n in range(members_per_site)
                 ],
             }
-            for place, site in enumerate(sites)
+            for index, site in enumerate(sites)
         ],
         "tenants": {"blue": 0.5, "green": 0.5},
         "vault": {"total": 24, "kept": 0.5, "lease_ms": 3000},
     }
-    return told | more
+    return document | fields
 
 
-def fleet(folder, **more):
+def make_fleet(folder, **fields):
+    """Write the document of `make_fleet_document` to `fleet.json` in the folder and read it as a fleet."""
     path = folder / "fleet.json"
-    path.write_text(json.dumps(fleet_document(**more)))
+    path.write_text(json.dumps(make_fleet_document(**fields)))
     return read_fleet(path)
 
 
 class SimulatedPlanner:
-    """One planner's state among members whose reports are made here, in virtual time; it leads at once."""
+    """The state of a single planner and simulated members that report to it, in virtual time.
+
+    The planner votes for itself, so it becomes the leader without delay.
+
+    Attributes:
+        report_fields: Fields that replace the defaults in the reports of each member.
+        silent_members: Members that send no reports.
+        replies: The last reply to each member.
+        probe_outcome: Outcome that other members report for a probe of a silent member.
+        events: Time, name and fields of each event that the planner logged.
+    """
 
-    def __init__(self, folder, **more):
+    def __init__(self, folder, **fields):
+        """Create the planner at time 0 with a fleet of `make_fleet(folder, **fields)`."""
         self.now = 0
-        self.fleet = fleet(folder, **more)
+        self.fleet = make_fleet(folder, **fields)
         election = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
         self.state = PlannerState(self.fleet, election, 0)
         self.names = [member.name for site in self.fleet.sites for member in site.members]
         self.incarnations = dict.fromkeys(self.names, 1)
         self.report_fields = {name: {} for name in self.names}
-        self.silent, self.report_number = set(), 0
+        self.silent_members, self.report_sequence = set(), 0
         self.replies = {}
-        self.probe_outcome = "refused"  # of a silent member
+        self.probe_outcome = "refused"
         self.events = []
 
     def advance(self, seconds):
-        """Reports arrive five times a second, ticks come ten times a second."""
+        """Advance the time in evaluation intervals; members report at every second one."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += EVALUATION_INTERVAL
@@ -100,6 +126,7 @@
         return self
 
     def vote(self):
+        """Answer the planner's vote request, if there is one, with its own vote."""
         election = self.state.election
         request = election.next_vote_request(self.now)
         if request is not None:
@@ -108,6 +135,7 @@
             )
 
     def replicate(self):
+        """Store the state that the planner wants replicated, if any, on the planner itself."""
         election = self.state.election
         request = self.state.replication_request()
         if request is not None and election.handle_replication_response(
@@ -116,35 +144,40 @@
             self.state.mark_replicated(request.state_number)
 
     def send_reports(self):
-        self.report_number += 1
+        """Send a report of each member that is not silent."""
+        self.report_sequence += 1
         for name in self.names:
-            if name not in self.silent:
+            if name not in self.silent_members:
                 self.send_report(name)
 
     def send_report(self, name):
+        """Send a report of one member that follows the last reply: its lease, quota and probes."""
         fields, probes = {}, []
-        before = self.replies.get(name)
-        if before is not None:
-            fields = {"lease_remaining": before.lease_span, "call_limit": before.call_limit}
+        last_reply = self.replies.get(name)
+        if last_reply is not None:
+            fields = {"lease_remaining": last_reply.lease_span, "call_limit": last_reply.call_limit}
             probes = [
-                (target, self.probe_outcome if target in self.silent else "answered")
-                for target in before.probe_addresses
+                (target, self.probe_outcome if target in self.silent_members else "answered")
+                for target in last_reply.probe_addresses
             ]
         fields |= self.report_fields[name]
-        sent = report(name, self.report_number, self.incarnations[name], probes=probes, **fields)
-        self.replies[name] = self.state.receive_report(sent, self.now)
+        report = make_report(name, self.report_sequence, self.incarnations[name], probes=probes, **fields)
+        self.replies[name] = self.state.receive_report(report, self.now)
 
     def lose_site(self, site):
-        self.silent |= {name for name in self.names if name.startswith(f"{site}-")}
-        for name in self.silent:
+        """Silence all members of a site and close their connections to the planner."""
+        self.silent_members |= {name for name in self.names if name.startswith(f"{site}-")}
+        for name in self.silent_members:
             member = self.state.membership.members[name]
             self.state.membership.mark_disconnected(name, member.incarnation)
 
     def restore_site(self, site, **fields):
-        for name in [name for name in self.silent if name.startswith(f"{site}-")]:
-            self.silent.discard(name)
+        """Start new incarnations of the silent members of a site, with these fields in their reports."""
+        for name in [name for name in self.silent_members if name.startswith(f"{site}-")]:
+            self.silent_members.discard(name)
             self.incarnations[name] += 1
             self.report_fields[name] = fields
 
     def events_named(self, name):
+        """Return the time in seconds and the fields of each event of this name."""
         return [(at / SECOND, fields) for at, event, fields in self.events if event == name]
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""What comes in the moment of a close, on real connections; the bad order is made to happen every time."""
+"""Requests that arrive while a connection or the app server closes, on real sockets; each race is forced."""
 
 import gc
 import select
@@ -19,277 +19,283 @@
 from birchslip.net.program import Phase
 from birchslip.net.request_context import IdempotencyEntry
 
-from .hall import Hall
+from .socket_harness import ProgramHarness
 
 KEY = "1" * 32
-TOLD_MS = CLOSING_TIMEOUT // 10 + 1
+PAST_CLOSING_TIMEOUT_MS = CLOSING_TIMEOUT // 10 + 1
 
 
 @pytest.fixture
-def begin():
-    halls = []
+def start():
+    harnesses = []
 
-    def made(**more):
-        halls.append(Hall(**more))
-        return halls[-1]
+    def build(**options):
+        harnesses.append(ProgramHarness(**options))
+        return harnesses[-1]
 
-    yield made
-    for hall in halls:
-        hall.stop()
+    yield build
+    for harness in harnesses:
+        harness.close()
 
 
-def at_the_end(router):
-    """What is still read before the connection's end; a reset on the way is an error."""
-    said = []
+def read_until_end(router):
+    """Returns all messages until the connection's end; a reset raises."""
+    messages = []
     with pytest.raises(EOFError):
         while True:
-            said.append(router.message())
-    return said
+            messages.append(router.message())
+    return messages
 
 
-def told_closing(hall):
-    """A router that rests on a connection that was told `closing`."""
-    router = hall.router()
+def notified_router(harness):
+    """Returns a router with an idle connection on which `closing` was sent."""
+    router = harness.connect_router()
     ping = router.ping()
-    hall.passes()
+    harness.run_passes()
     assert router.answer(ping)[0] is None
-    for client in hall.clients.active:
+    for client in harness.clients.active:
         client.send_closing()
-    hall.passes()
+    harness.run_passes()
     return router
 
 
 @pytest.mark.parametrize("cut", [0, 1, 20])
-def test_a_request_in_the_moment_of_an_idle_close_is_served(begin, cut):
-    """It lies unread, whole or in part, when the connection's time is up: no close, and no reset."""
-    hall = begin()
-    router = told_closing(hall)
+def test_serves_request_that_arrives_as_idle_connection_closes(start, cut):
+    """The request has arrived unread, in whole or in part, when the idle timeout passes."""
+    harness = start()
+    router = notified_router(harness)
     sent = []
-    router.link, link = type("Tap", (), {"sendall": sent.append})(), router.link
-    call = router.call("lookup", b"1", ts=str(hall.time // 10 + TOLD_MS))
-    router.link = link
+    router.connection, link = type("Tap", (), {"sendall": sent.append})(), router.connection
+    call = router.call("lookup", b"1", ts=str(harness.time // 10 + PAST_CLOSING_TIMEOUT_MS))
+    router.connection = link
     raw = sent[0]
     link.sendall(raw[: len(raw) - cut])
-    hall.passes(ms=TOLD_MS)
+    harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)
     link.sendall(raw[len(raw) - cut :])
-    hall.passes()
-    (name,) = hall.launched()
-    hall.end(name, Outcome.SERVED)
-    hall.passes()
+    harness.run_passes()
+    (name,) = harness.launched_runs()
+    harness.end_run(name, Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
-    hall.passes(ms=TOLD_MS)  # and once nothing is open, it ends
-    assert at_the_end(router) == []
+    harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)  # without an open request it is closed
+    assert read_until_end(router) == []
 
 
-def test_what_comes_after_the_end_is_neither_run_nor_answered_and_resets_nothing(begin):
-    hall = begin()
-    router = told_closing(hall)
-    hall.passes(ms=TOLD_MS)
+def test_discards_request_after_close_without_reset(start):
+    harness = start()
+    router = notified_router(harness)
+    harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)
     router.call("lookup", b"1")
-    hall.passes()
-    assert at_the_end(router) == [[2, "closing", []]]
-    assert hall.launched() == []
-    hall.hang_up(router)
-    assert not hall.clients.active
-    assert not hall.clients.lingering
-
-
-@pytest.mark.parametrize("rubbish", [b"\xc1", pack([0, 1, "ping", [{}]])])
-def test_answers_of_the_same_pass_are_not_lost_with_what_cannot_be_read(begin, rubbish):
-    hall = begin()
-    router = hall.router()
+    harness.run_passes()
+    assert read_until_end(router) == [[2, "closing", []]]
+    assert harness.launched_runs() == []
+    harness.disconnect(router)
+    assert not harness.clients.active
+    assert not harness.clients.lingering
+
+
+@pytest.mark.parametrize("malformed", [b"\xc1", pack([0, 1, "ping", [{}]])])
+def test_malformed_data_loses_no_responses_of_the_same_pass(start, malformed):
+    harness = start()
+    router = harness.connect_router()
     first = pack([0, 1, "ping", [{}]]) + pack([0, 2, "unheard", [{}, b""]])
-    router.link.sendall(first + rubbish + pack([0, 3, "ping", [{}]]))
-    hall.passes()
-    answers = at_the_end(router)
-    assert [message[1] for message in answers] == [1, 2]
-    assert hall.clients.counters.counts["clients.malformed"]
+    router.connection.sendall(first + malformed + pack([0, 3, "ping", [{}]]))
+    harness.run_passes()
+    responses = read_until_end(router)
+    assert [message[1] for message in responses] == [1, 2]
+    assert harness.clients.counters.counts["clients.malformed"]
 
 
-def test_what_was_open_on_a_connection_that_is_spoilt_gets_its_one_answer(begin):
-    hall = begin()
-    router = hall.router()
+def test_malformed_data_leaves_one_response_to_each_open_request(start):
+    harness = start()
+    router = harness.connect_router()
     launched = router.call("lookup", b"1")
-    hall.passes()
+    harness.run_passes()
     held = [router.call("lookup", b"1", need="900") for _ in range(4)]
-    router.link.sendall(b"\xc1")
-    hall.passes()
-    said = {message[1]: message[2][0] for message in at_the_end(router)}
-    assert sorted(said) == [launched, *held]
-    assert said[launched] == "Failed"
-    assert hall.orders[-1]["op"] == "freeze" or hall.orders[-2]["op"] == "freeze"  # nobody waits for it
-    assert len(hall.launched()) == 1  # what was told never to have run does not run afterwards
-    assert set(said[number] for number in held) == {"Overloaded"}
-
-
-def test_a_slow_writer_keeps_what_else_is_open_on_its_connection(begin):
-    hall = begin()
-    router = hall.router()
+    router.connection.sendall(b"\xc1")
+    harness.run_passes()
+    errors = {message[1]: message[2][0] for message in read_until_end(router)}
+    assert sorted(errors) == [launched, *held]
+    assert errors[launched] == "Failed"
+    assert harness.orders[-1]["op"] == "freeze" or harness.orders[-2]["op"] == "freeze"  # its caller is gone
+    assert len(harness.launched_runs()) == 1  # a rejected request never runs
+    assert set(errors[number] for number in held) == {"Overloaded"}
+
+
+def test_message_timeout_waits_for_open_requests(start):
+    harness = start()
+    router = harness.connect_router()
     call = router.call("lookup", b"1")
-    hall.passes()
-    router.link.sendall(pack([0, 2, "ping", [{}]])[:3])
-    hall.passes()
-    hall.passes(ms=(MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL) // 10)
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    harness.run_passes()
+    router.connection.sendall(pack([0, 2, "ping", [{}]])[:3])
+    harness.run_passes()
+    harness.run_passes(ms=(MESSAGE_TIMEOUT + MESSAGE_CHECK_INTERVAL) // 10)
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
-    hall.passes(ms=MESSAGE_CHECK_INTERVAL // 10)  # then the half message is one too late
-    assert at_the_end(router) == []
-    assert hall.clients.counters.counts["clients.silent"] == 1
+    harness.run_passes(ms=MESSAGE_CHECK_INTERVAL // 10)  # now the incomplete message has timed out
+    assert read_until_end(router) == []
+    assert harness.clients.counters.counts["clients.silent"] == 1
 
 
-def test_a_router_among_a_crowd_that_says_nothing_gets_in_with_its_request(begin):
-    """All are accepted in one pass, past the bound, before any of them is read."""
-    hall = begin(most=3)
-    router = hall.router()
+def test_request_is_served_among_many_silent_connections(start):
+    """All are accepted in one pass, above the limit, before any of them is read."""
+    harness = start(max_connections=3)
+    router = harness.connect_router()
     call = router.call("lookup", b"1")
-    crowd = [hall.router() for _ in range(20)]
-    hall.passes()
+    crowd = [harness.connect_router() for _ in range(20)]
+    harness.run_passes()
     for _ in range(10):
-        hall.passes(ms=MIN_EVICTION_AGE // 10)
-    hall.passes(ms=100)
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+        harness.run_passes(ms=MIN_EVICTION_AGE // 10)
+    harness.run_passes(ms=100)
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
     assert len(crowd) == 20
-    assert len(hall.clients.active) <= 3
-
-
-def test_who_is_to_make_room_is_read_before(begin):
-    hall = begin(most=2)
-    mute, router = hall.router(), hall.router()
-    hall.passes()
-    hall.passes(ms=300)
-    call = mute.call("lookup", b"1")  # the one that would go has just said something
-    other = hall.router()
-    hall.passes()
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    assert len(harness.clients.active) <= 3
+
+
+def test_reads_connection_before_evicting_it(start):
+    harness = start(max_connections=2)
+    mute, router = harness.connect_router(), harness.connect_router()
+    harness.run_passes()
+    harness.run_passes(ms=300)
+    call = mute.call("lookup", b"1")  # the candidate for eviction has just sent a request
+    other = harness.connect_router()
+    harness.run_passes()
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert mute.answer(call) == (None, [b"made", {}])
-    assert at_the_end(router) == []
-    assert other.link
+    assert read_until_end(router) == []
+    assert other.connection
 
 
-def test_answers_are_not_cut_off_in_the_pass_that_ends_their_connection(begin):
-    """Each of a full table has just said something when as many new ones come in one pass."""
-    hall = begin(most=12)
-    hall.clients.max_lingering = 4
-    old = [hall.router() for _ in range(12)]
+def test_eviction_loses_no_responses_of_the_same_pass(start):
+    """At the limit, every connection has just sent a message when as many new ones arrive in one pass."""
+    harness = start(max_connections=12)
+    harness.clients.max_lingering = 4
+    old = [harness.connect_router() for _ in range(12)]
     for router in old:
         ping = router.ping()
-        hall.passes()
+        harness.run_passes()
         assert router.answer(ping)[0] is None
-    hall.passes(ms=200)  # the listener is looked at again
+    harness.run_passes(ms=200)  # the listener is polled again
     pings = [router.ping() for router in old]
-    new = [hall.router() for _ in range(12)]
+    new = [harness.connect_router() for _ in range(12)]
     for _ in range(100):
-        hall.passes(ms=10)
-        assert len(hall.clients.active) + len(hall.clients.lingering) <= 16
+        harness.run_passes(ms=10)
+        assert len(harness.clients.active) + len(harness.clients.lingering) <= 16
     for router, ping in zip(old, pings, strict=True):
         assert router.answer(ping) == (None, [True, {}])
     assert len(new) == 12
-    assert hall.clients.counters.counts["clients.made_room"] >= 12
+    assert harness.clients.counters.counts["clients.made_room"] >= 12
 
 
-def test_one_that_reads_nothing_does_not_keep_others_out_for_long(begin):
-    """At the bound, with no more connections to end than the one that was ended first."""
-    hall = begin(most=1)
-    hall.clients.max_lingering = 1
-    first = hall.router()
+def test_lingering_peer_that_reads_nothing_is_evicted(start):
+    """At the limit, when the only connection is already being closed."""
+    harness = start(max_connections=1)
+    harness.clients.max_lingering = 1
+    first = harness.connect_router()
     ping = first.ping()
-    hall.passes()
+    harness.run_passes()
     assert first.answer(ping)[0] is None
-    (client,) = hall.clients.active
-    client.connection.flush = lambda: None  # the system takes nothing more for it
+    (client,) = harness.clients.active
+    client.connection.flush = lambda: None  # the socket takes nothing more
     first.ping()
-    hall.passes()
-    second, third = hall.router(), hall.router()
+    harness.run_passes()
+    second, third = harness.connect_router(), harness.connect_router()
     call = third.ping()
     second.ping()
     for _ in range(30):
-        hall.passes(ms=10)
-    assert len(hall.clients.active) + len(hall.clients.lingering) <= 2
+        harness.run_passes(ms=10)
+    assert len(harness.clients.active) + len(harness.clients.lingering) <= 2
     assert third.answer(call) == (None, [True, {}])
 
 
-def test_the_listener_closes_once_there_was_room_for_who_waited_and_nobody_waits(begin):
-    hall = begin(most=1)
-    router = hall.router()
+def test_listener_closes_once_its_queue_is_accepted(start):
+    harness = start(max_connections=1)
+    router = harness.connect_router()
     call = router.call("lookup", b"1")
-    hall.passes()
-    leave(hall)
-    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)  # no room to look whether someone waits
-    assert hall.clients.listener is not None
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    harness.run_passes()
+    end_drain_grace(harness)
+    harness.run_passes(ms=FINAL_ACCEPT_DELAY // 10)  # no room to accept
+    assert harness.clients.listener is not None
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
-    hall.hang_up(router)
+    harness.disconnect(router)
     for _ in range(10):
-        hall.passes(ms=10)
-    assert hall.program.phase is Phase.ENDED
+        harness.run_passes(ms=10)
+    assert harness.program.phase is Phase.ENDED
 
 
-@pytest.mark.parametrize("how", ["its own end", "told closing", "rubbish", "the program's close"])
-def test_a_connection_that_is_over_is_freed_without_a_collection(begin, how):
-    """Guards against memory that grows with each connection until the collector comes by."""
-    hall = begin()
+@pytest.mark.parametrize(
+    "cause", ["closed by the router", "closing sent", "malformed data", "closed by the server"]
+)
+def test_closed_connection_is_freed_without_garbage_collection(start, cause):
+    """A reference cycle would keep each connection in memory until the next garbage collection."""
+    harness = start()
     gc.collect()
     gc.disable()
     try:
-        router = hall.router()
+        router = harness.connect_router()
         ping = router.ping()
-        hall.passes()
+        harness.run_passes()
         assert router.answer(ping)[0] is None
-        (client,) = hall.clients.active
-        watched = [weakref.ref(client), weakref.ref(client.connection), weakref.ref(client.connection.buffer)]
-        if how == "told closing":
+        (client,) = harness.clients.active
+        references = [
+            weakref.ref(client),
+            weakref.ref(client.connection),
+            weakref.ref(client.connection.buffer),
+        ]
+        if cause == "closing sent":
             client.send_closing()
-        elif how == "rubbish":
-            router.link.sendall(b"\xc1")
-        elif how == "the program's close":
+        elif cause == "malformed data":
+            router.connection.sendall(b"\xc1")
+        elif cause == "closed by the server":
             client.connection.close("dropped")
         del client
-        hall.passes()
-        hall.passes(ms=TOLD_MS)
-        hall.hang_up(router)
-        hall.passes(ms=TOLD_MS)
-        assert [one() for one in watched] == [None] * 3
+        harness.run_passes()
+        harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)
+        harness.disconnect(router)
+        harness.run_passes(ms=PAST_CLOSING_TIMEOUT_MS)
+        assert [reference() for reference in references] == [None] * 3
     finally:
         gc.enable()
 
 
-def leave(hall):
-    hall.program.begin_drain()
-    hall.passes(ms=hall.program.site.settings.drain_grace // 10 + 1)
-    assert hall.program.phase in (Phase.SHUT, Phase.CLOSING, Phase.ENDED)
+def end_drain_grace(harness):
+    harness.program.begin_drain()
+    harness.run_passes(ms=harness.program.config.settings.drain_grace // 10 + 1)
+    assert harness.program.phase in (Phase.SHUT, Phase.CLOSING, Phase.ENDED)
 
 
-def test_who_waits_in_the_systems_queue_at_the_shutdown_is_answered(begin):
-    """At the bound, with no connection to spare: the listener stays until they have been let in."""
-    hall = begin(most=1)
-    first = hall.router()
+def test_connection_in_accept_queue_at_drain_gets_response(start):
+    """At the limit without an idle connection: the listener stays open until the queue is empty."""
+    harness = start(max_connections=1)
+    first = harness.connect_router()
     running = first.call("lookup", b"1")
-    hall.passes()
-    second = hall.router()
+    harness.run_passes()
+    second = harness.connect_router()
     waiting = second.call("lookup", b"1")
-    leave(hall)
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    end_drain_grace(harness)
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert first.answer(running) == (None, [b"made", {}])
-    hall.hang_up(first)
-    hall.passes(ms=100)
-    hall.passes(ms=100)
+    harness.disconnect(first)
+    harness.run_passes(ms=100)
+    harness.run_passes(ms=100)
     assert second.answer(waiting)[0][0] == "Overloaded"
-    assert len(hall.launched()) == 1
+    assert len(harness.launched_runs()) == 1
 
 
 class LateListener:
-    """Each time its queue is found empty, a router connects and sends a request before the next line runs."""
+    """A listener to which a router connects and sends a request each time `accept` finds the queue empty."""
 
-    def __init__(self, listener, address, raw):
-        self.listener, self.raw, self.late = listener, raw, []
+    def __init__(self, listener, address, request):
+        self.listener, self.request, self.late_sockets = listener, request, []
         host, _, port = address.rpartition(":")
-        self.there = host, int(port)
+        self.address = host, int(port)
 
     def __getattr__(self, name):
         return getattr(self.listener, name)
@@ -298,141 +304,141 @@
         try:
             return self.listener.accept()
         except BlockingIOError:
-            if len(self.late) < 8:
+            if len(self.late_sockets) < 8:
                 link = socket.socket()
                 link.setblocking(False)
-                link.connect_ex(self.there)
-                self.late.append(link)
+                link.connect_ex(self.address)
+                self.late_sockets.append(link)
                 if select.select([], [link], [], 0)[1]:
-                    link.sendall(self.raw)
+                    link.sendall(self.request)
             raise
 
 
-def test_a_connection_opened_as_the_listener_closes_is_not_reset_with_its_request(begin):
-    hall = begin()
-    listener = LateListener(hall.clients.listener, hall.address, pack([0, 1, "ping", [{}]]))
-    hall.clients.listener = listener
-    hall.program.begin_drain()
-    hall.passes(count=1, ms=hall.program.site.settings.drain_grace // 10 + 1)
-    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
-    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
-    assert hall.clients.listener is None
-    assert len(listener.late) > 1
-    for link in listener.late:
-        if select.select([], [link], [], 0)[1]:  # it was let in: then it has its answer
+def test_connection_opened_as_listener_closes_is_not_reset(start):
+    harness = start()
+    listener = LateListener(harness.clients.listener, harness.address, pack([0, 1, "ping", [{}]]))
+    harness.clients.listener = listener
+    harness.program.begin_drain()
+    harness.run_passes(count=1, ms=harness.program.config.settings.drain_grace // 10 + 1)
+    harness.run_passes(ms=FINAL_ACCEPT_DELAY // 10)
+    harness.run_passes(ms=FINAL_ACCEPT_DELAY // 10)
+    assert harness.clients.listener is None
+    assert len(listener.late_sockets) > 1
+    for link in listener.late_sockets:
+        if select.select([], [link], [], 0)[1]:  # it was accepted, so it was notified
             assert b"closing" in link.recv(1000)
         link.close()
 
 
 @pytest.mark.parametrize("greets", [True, False])
-def test_a_request_that_lies_unread_at_the_end_is_answered_and_not_run(begin, greets):
-    hall = begin(greets=greets)
-    router = hall.router()
+def test_request_unread_at_exit_is_rejected_and_never_runs(start, greets):
+    harness = start(agent_greets=greets)
+    router = harness.connect_router()
     ping = router.ping()
-    hall.passes()
+    harness.run_passes()
     assert router.answer(ping)[0] is None
     call = router.call("lookup", b"1")
-    hall.program.begin_drain()
-    hall.program.begin_close()
-    late = router.call("lookup", b"1")  # the end is on its way
-    hall.passes()
-    said = at_the_end(router)
-    assert [message[2][0] for message in said if message[0] == 1] == ["Overloaded"]
+    harness.program.begin_drain()
+    harness.program.begin_close()
+    late = router.call("lookup", b"1")  # the connection is already being closed
+    harness.run_passes()
+    messages = read_until_end(router)
+    assert [message[2][0] for message in messages if message[0] == 1] == ["Overloaded"]
     assert late > call
-    assert not hall.launched()
-    hall.hang_up(router)
-    hall.passes(ms=FINAL_ACCEPT_DELAY // 10)
-    hall.passes(ms=1)
-    assert hall.program.phase is Phase.ENDED
+    assert not harness.launched_runs()
+    harness.disconnect(router)
+    harness.run_passes(ms=FINAL_ACCEPT_DELAY // 10)
+    harness.run_passes(ms=1)
+    assert harness.program.phase is Phase.ENDED
 
 
-def test_before_the_agent_greets_a_repeat_of_an_earlier_life_may_come_again(begin):
-    """Guards against writing off, as unknown, what is kept and can be told a moment later."""
-    hall = begin(greets=False)
-    hall.program.idempotency_table.find_earlier = lambda context: IdempotencyEntry(
+def test_rejects_repeat_of_earlier_incarnation_before_agent_greets(start):
+    """It must not fail as unknown: its result may be stored, and available a moment later."""
+    harness = start(agent_greets=False)
+    harness.program.idempotency_table.find_earlier = lambda context: IdempotencyEntry(
         context.idempotency_key, context, context.received_at, context, matches_earlier_run=lambda other: True
     )
-    router = hall.router()
+    router = harness.connect_router()
     call = router.call("order", b"1", opkey=KEY)
-    hall.passes()
+    harness.run_passes()
     assert router.answer(call)[0][0] == "Overloaded"
 
 
-def test_after_the_shutdown_only_a_repeat_of_what_runs_is_taken(begin):
-    hall = begin()
-    router = hall.router()
+def test_accepts_only_repeats_of_running_requests_after_drain_grace(start):
+    harness = start()
+    router = harness.connect_router()
     first = router.call("order", b"1", opkey=KEY)
-    hall.passes()
-    other = hall.router()
-    hall.passes()
-    leave(hall)
-    # both cross the notice that the connection closes
+    harness.run_passes()
+    other = harness.connect_router()
+    harness.run_passes()
+    end_drain_grace(harness)
+    # both were sent before the router received `closing`
     again, new = other.call("order", b"1", opkey=KEY), other.call("order", b"1", opkey="2" * 32)
-    hall.passes()
+    harness.run_passes()
     assert other.answer(new)[0][0] == "Overloaded"
-    assert again not in other.replies
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.passes()
+    assert again not in other.responses
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.run_passes()
     assert router.answer(first)[1] == other.answer(again)[1] == [b"made", {}]
-    assert len(hall.launched()) == 1
+    assert len(harness.launched_runs()) == 1
 
 
-def test_a_repeat_read_at_the_end_never_hears_that_it_has_not_run(begin):
-    hall = begin()
-    router, other = hall.router(), hall.router()
+def test_repeat_read_at_exit_fails_and_is_not_rejected(start):
+    harness = start()
+    router, other = harness.connect_router(), harness.connect_router()
     first = router.call("order", b"1", opkey=KEY)
-    hall.passes()
+    harness.run_passes()
     again = other.call("order", b"1", opkey=KEY)
-    hall.program.begin_drain()
-    hall.program.begin_drain()  # a second notice: now
-    hall.passes()
+    harness.program.begin_drain()
+    harness.program.begin_drain()  # the second request ends the drain
+    harness.run_passes()
     assert router.answer(first)[0][0] == other.answer(again)[0][0] == "Failed"
-    assert len(hall.launched()) == 1
+    assert len(harness.launched_runs()) == 1
 
 
-def test_at_the_end_nothing_that_was_answered_starts_afterwards(begin):
-    hall = begin()
-    router = hall.router()
+def test_no_request_starts_after_its_response_at_exit(start):
+    harness = start()
+    router = harness.connect_router()
     calls = [router.call("lookup", b"1", need="400") for _ in range(6)]
-    hall.passes()
-    started = len(hall.launched())
+    harness.run_passes()
+    started = len(harness.launched_runs())
     assert 0 < started < 6
-    hall.program.begin_drain()
-    hall.program.begin_close()
-    for name in hall.launched():
-        hall.end(name, Outcome.CANCELLED)  # its room would be free for the next
-    hall.passes()
+    harness.program.begin_drain()
+    harness.program.begin_close()
+    for name in harness.launched_runs():
+        harness.end_run(name, Outcome.CANCELLED)  # the next request could start
+    harness.run_passes()
     words = [router.answer(call)[0][0] for call in calls]
     assert sorted(words) == ["Failed"] * started + ["Overloaded"] * (6 - started)
-    assert len(hall.launched()) == started
+    assert len(harness.launched_runs()) == started
 
 
-def test_a_notice_to_leave_in_the_pass_of_an_answer_takes_nothing_from_it(begin):
-    hall = begin()
-    router = hall.router()
+def test_stop_in_same_pass_as_result_loses_no_response(start):
+    harness = start()
+    router = harness.connect_router()
     call = router.call("lookup", b"1")
-    hall.passes()
-    hall.program.begin_drain()
-    hall.end(hall.launched()[0], Outcome.SERVED)
-    hall.program.begin_drain()  # and at once the second
-    hall.passes()
+    harness.run_passes()
+    harness.program.begin_drain()
+    harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
+    harness.program.begin_drain()  # at once the second
+    harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
 
 
-def test_a_time_to_stop_that_is_shorter_than_the_grace_leaves_nothing_unanswered(begin):
-    hall = begin(stop_ms=500)
-    router = hall.router()
+def test_stop_timeout_shorter_than_drain_grace_leaves_no_request_without_response(start):
+    harness = start(stop_ms=500)
+    router = harness.connect_router()
     running = router.call("order", b"1", opkey=KEY)
-    hall.passes()
+    harness.run_passes()
     held = router.call("lookup", b"1", need="900")
-    hall.program.begin_drain()
-    hall.passes(ms=150)
+    harness.program.begin_drain()
+    harness.run_passes(ms=150)
     within = router.call("lookup", b"1", need="900")
     for _ in range(50):
-        if hall.program.phase is not Phase.ENDED:
-            hall.passes(ms=10)
+        if harness.program.phase is not Phase.ENDED:
+            harness.run_passes(ms=10)
     words = [router.answer(call)[0][0] for call in (running, held, within)]
     assert words[0] == "Failed"
     assert set(words[1:]) <= {"Overloaded", "Failed"}
-    assert hall.program.phase is Phase.ENDED
-    assert hall.time - hall.program.stop_deadline < 0
+    assert harness.program.phase is Phase.ENDED
+    assert harness.time - harness.program.stop_deadline < 0
--- a/tests/test_expect_check.py
+++ b/tests/test_expect_check.py
@@ -18,8 +18,8 @@
 from birchslip.expect.search import Change
 from birchslip.lab.model.layout import layout_schema
 
-from .broken import BROKEN
-from .desk import command
+from .broken_settings import BROKEN_SETTINGS
+from .decision_harness import run_command
 from .expectation_harness import EXAMPLES, EXPECTATIONS, ROOT, sources, statements
 
 SETTINGS_OPTIONS = [
@@ -43,13 +43,13 @@
 """
 
 
-def with_setting(which, path, value):
-    contents = copy.deepcopy(getattr(sources(), which))
+def with_setting(file_kind, path, value):
+    contents = copy.deepcopy(getattr(sources(), file_kind))
     node = contents
     for key in path[:-1]:
         node = node.setdefault(key, {}) if isinstance(node, dict) else node[key]
     node[path[-1]] = value
-    return replace(sources(), **{which: contents})
+    return replace(sources(), **{file_kind: contents})
 
 
 def check_result(settings, expected, **options):
@@ -69,16 +69,18 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "which", "path", "value", "expected", "words"), BROKEN, ids=[one[0] for one in BROKEN]
+    ("name", "file_kind", "path", "value", "expected", "words"),
+    BROKEN_SETTINGS,
+    ids=[one[0] for one in BROKEN_SETTINGS],
 )
 def test_reports_broken_settings_with_reason_and_passes_intact_ones(
-    name, which, path, value, expected, words
+    name, file_kind, path, value, expected, words
 ):
     is_contradiction = name == "a contradiction"
     if expected and not is_contradiction:
         assert check_result(sources(), expected, search=False)[0] == 0
     # The search is needed only in cases that expect the name of the responsible setting.
-    code, reason = check_result(with_setting(which, path, value), expected, search=words not in "xy")
+    code, reason = check_result(with_setting(file_kind, path, value), expected, search=words not in "xy")
     assert code != 0
     assert words in reason
 
@@ -108,14 +110,14 @@
 def test_failure_is_reported_with_history_and_responsible_setting(tmp_path):
     path = tmp_path / "a.expect"
     path.write_text("expect small: site south outstanding <= 5 while site north is lost\n")
-    code, output, _ = command("expect", "explain", "small", str(path), *SETTINGS_OPTIONS)
+    code, output, _ = run_command("expect", "explain", "small", str(path), *SETTINGS_OPTIONS)
     assert code == 1
     assert "a history that breaks it" in output
     assert "lose north" in output
     assert "the setting that bears most of it: fleet-server.json" in output
     assert "a.expect:1:1" in output
     json_report, junit_report = tmp_path / "r.json", tmp_path / "r.xml"
-    code, _, _ = command(
+    code, _, _ = run_command(
         "expect",
         "check",
         str(path),
@@ -141,7 +143,7 @@
     ],
 )
 def test_commands_print_result_and_exit_code_without_traceback(words, code, text):
-    got, out, error = command("expect", *words, *SETTINGS_OPTIONS)
+    got, out, error = run_command("expect", *words, *SETTINGS_OPTIONS)
     assert got == code
     assert text in out + error
     assert "Traceback" not in error
--- a/tests/test_planner_link.py
+++ b/tests/test_planner_link.py
@@ -25,7 +25,7 @@
 from birchslip.net.site import read_config
 from examples.toy import CONFIGURATION
 
-from .fleetdesk import SECOND, fleet, report
+from .planner_harness import SECOND, make_fleet, make_report
 
 LEADER_INCARNATION = Incarnation(generation=1, nonce=7)
 
@@ -37,15 +37,24 @@
         self.now = 0
         monkeypatch.setattr(planner_link, "monotonic_now", lambda: self.now)
         self.tenant = Tenant(10.0)
-        profile = RequestClass(Idempotency.IDEMPOTENT, SECOND, 4 * SECOND)
-        self.site = AdmissionSettings(
-            [profile], [self.tenant], downstream=Downstream.SHARED, downstream_quota=4.0
+        request_class = RequestClass(Idempotency.IDEMPOTENT, SECOND, 4 * SECOND)
+        self.settings = AdmissionSettings(
+            [request_class], [self.tenant], downstream=Downstream.SHARED, downstream_quota=4.0
         )
-        scheduler = Scheduler(lambda: None, lambda name, trouble: None, lambda: self.now)
+        scheduler = Scheduler(lambda: None, lambda name, error: None, lambda: self.now)
         self.link = planner_link.PlannerLink(
-            scheduler, Counters(), Log(scheduler, "a-0"), fleet(folder), "a-0", self.site, ["blue"], ["order"]
+            scheduler,
+            Counters(),
+            Log(scheduler, "a-0"),
+            make_fleet(folder),
+            "a-0",
+            self.settings,
+            ["blue"],
+            ["order"],
+        )
+        self.link.driver = AdmissionDriver(
+            self.settings, 0, lambda request, action: None, lambda action: None
         )
-        self.link.driver = AdmissionDriver(self.site, 0, lambda tx, wish: None, lambda notice: None)
         self.controller = self.link.driver.controller
 
     def receive_reply(self, sent, now, **fields):
@@ -122,7 +131,7 @@
     assert not linked.controller.plan.weight
 
 
-def test_reports_count_local_and_evacuated_first_tries_and_retries_apart(linked):
+def test_reports_count_local_and_evacuated_first_attempts_and_retries_apart(linked):
     rates = linked.link.recorder.rates
     for tenant, is_local, is_retry in [("blue", True, False)] * 4 + [
         ("blue", False, False),
@@ -131,7 +140,7 @@
         rates.record_arrival(SECOND, tenant, is_local, is_retry)
     rates.record_answers(SECOND, 3, 2)
     linked.link.scheduler.now = SECOND
-    decoded = decode(encode(linked.link.build_report(SECOND)), type(report()))
+    decoded = decode(encode(linked.link.build_report(SECOND)), type(make_report()))
     assert (decoded.local_load, decoded.evacuated_load, decoded.retries) == ({"blue": 2.0}, 0.5, 0.5)
     assert (decoded.served, decoded.rejected, decoded.call_limit, decoded.capacity) == (1.5, 1.0, 2.0, 0.0)
 
@@ -170,14 +179,16 @@
         b"{}",
         b"[]",
         b'{"epoch": -1}',
-        encode(report())[:-9],
-        encode(report()).replace(b"100.0", b"-1.0"),
+        encode(make_report())[:-9],
+        encode(make_report()).replace(b"100.0", b"-1.0"),
         "text",
     ],
 )
 def test_a_malformed_message_is_refused_with_a_reason(raw):
     with pytest.raises(InvalidInputError, match="Re"):
-        decode(raw, type(report()) if b"name" in (raw if isinstance(raw, bytes) else b"") else ReportReply)
+        decode(
+            raw, type(make_report()) if b"name" in (raw if isinstance(raw, bytes) else b"") else ReportReply
+        )
 
 
 def test_a_fault_of_the_planner_link_affects_no_request(tmp_path, monkeypatch):
@@ -186,7 +197,7 @@
     path.write_text(json.dumps(configuration))
     program = Program(read_config({"PROXY_CONFIG": str(path)}))
     faults, taken, settled = [], [], []
-    program.scheduler.on_error = lambda name, trouble: faults.append(name)
+    program.scheduler.on_error = lambda name, error: faults.append(name)
     program.request_decoder.submit = taken.append
     program.admission_stage.process_pending = lambda: settled.append(True)
 
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -14,7 +14,7 @@
 from birchslip.cluster.site_plan import plan_sites
 from birchslip.lab.months import simulate_days
 
-from .fleetdesk import SECOND, SimulatedPlanner, fleet, report
+from .planner_harness import SECOND, SimulatedPlanner, make_fleet, make_report
 
 
 def serving_fractions(planner, site):
@@ -88,7 +88,7 @@
     assert {reply.call_limit for reply in planner.replies.values()} == {4.0}
 
 
-def test_two_lost_sites_are_both_found_and_home_load_is_rejected_last(tmp_path):
+def test_two_lost_sites_are_both_found_and_local_load_is_rejected_last(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
     planner.lose_site("a")
     planner.lose_site("b")
@@ -114,7 +114,7 @@
     assert planner.state.sites.ramps["b"].evacuated_by_operator
     assert serving_fractions(planner, "b") == {0.0}
     assert serving_fractions(planner, "a") == {1.0}
-    assert planner.state.return_site("b", "ann", planner.now)
+    assert planner.state.end_site_evacuation("b", "ann", planner.now)
     planner.advance(6)
     assert serving_fractions(planner, "b") == {1.0}
 
@@ -130,9 +130,9 @@
 @pytest.mark.parametrize(
     "invalid_report",
     [
-        report("a-0", number=10**9, site="b"),
-        report("nobody-7", site="a"),
-        report("a-0", number=1, mark=1),
+        make_report("a-0", sequence=10**9, site="b"),
+        make_report("nobody-7", site="a"),
+        make_report("a-0", sequence=1, nonce=1),
     ],
     ids=["another site", "unknown member", "late"],
 )
@@ -172,7 +172,7 @@
     return response
 
 
-def test_permits_count_lost_leaving_and_cold_members_and_end_when_these_are_back(tmp_path):
+def test_permits_count_draining_and_cold_members_and_end_when_their_holders_are_back(tmp_path):
     planner = SimulatedPlanner(tmp_path, groups=GROUPS).advance(4)
     assert request_eviction(planner, "a-0").granted
     assert request_eviction(planner, "a-0").permit_number == 1
@@ -185,7 +185,7 @@
     planner.incarnations["b-0"], planner.report_fields["b-0"] = 2, {}
     planner.advance(1)
     status = fleet_status(planner.state, planner.now)
-    assert status["out"] == {"a-0": "cold", "b-1": "permit"}  # b-0 is back, so b-1 is granted
+    assert status["out"] == {"a-0": "cold", "b-1": "permit"}  # b-0 is back, so the waiting b-1 is granted
     planner.report_fields["a-0"] = {}
     planner.advance(1)
     assert [permit["holder"] for permit in fleet_status(planner.state, planner.now)["permits"]] == ["b-1"]
@@ -241,5 +241,5 @@
 def test_replies_carry_the_incarnation_of_the_planner(tmp_path):
     planner = SimulatedPlanner(tmp_path).advance(4)
     assert planner.replies["a-0"].planner == Incarnation(generation=1, nonce=1)
-    assert fleet(tmp_path).shedding_order[0].value == "beyond"
+    assert make_fleet(tmp_path).shedding_order[0].value == "beyond"
     assert planner.now == 4 * SECOND
--- a/tests/test_planner_transport.py
+++ b/tests/test_planner_transport.py
@@ -12,7 +12,7 @@
     RequestRefusedError,
 )
 from birchslip.errors import InvalidInputError
-from birchslip.lab.wires import Wire
+from birchslip.lab.wires import FaultProxy
 from birchslip.net.messagepack import pack
 from birchslip.net.scheduler import Scheduler
 
@@ -24,7 +24,7 @@
 
     def __init__(self):
         self.faults, self.served, self.closed = [], [], []
-        self.scheduler = Scheduler(lambda: None, lambda name, trouble: self.faults.append((name, trouble)))
+        self.scheduler = Scheduler(lambda: None, lambda name, error: self.faults.append((name, error)))
         self.endpoint = PlannerEndpoint(
             self.scheduler, 4, self.handle, lambda connection, reason: self.closed.append(reason)
         )
@@ -123,7 +123,7 @@
     loopback = Loopback()
     connection = PeerConnection(loopback.scheduler, listener.getsockname())
     began = loopback.scheduler.clock()
-    with pytest.raises(OSError, match="an answer of no known form|0xc1 is not taken here|no answer in time"):
+    with pytest.raises(OSError, match="an answer of no known form|0xc1 is not supported|no answer in time"):
         loopback.call(connection, wait=3_000)
     assert loopback.scheduler.clock() - began < SECOND
     assert connection.connection is not None
@@ -131,26 +131,26 @@
     listener.close()
 
 
-def test_each_wire_mode_injects_its_fault():
+def test_each_proxy_mode_injects_its_fault():
     loopback = Loopback()
-    wire = Wire(loopback.scheduler, loopback.address)
-    connection = PeerConnection(loopback.scheduler, ("127.0.0.1", wire.port))
+    proxy = FaultProxy(loopback.scheduler, loopback.address)
+    connection = PeerConnection(loopback.scheduler, ("127.0.0.1", proxy.port))
     assert loopback.call(connection) == b"ABC"
-    wire.turn("late", 500)
-    began = loopback.scheduler.clock()
+    proxy.set_mode("late", 500)
+    started_at = loopback.scheduler.clock()
     assert loopback.call(connection) == b"ABC"
-    assert loopback.scheduler.clock() - began >= 1_000
+    assert loopback.scheduler.clock() - started_at >= 1_000
     for mode, received in (("silent", 0), ("deaf", 1), ("mute", 0)):
-        wire.turn("pass")
+        proxy.set_mode("pass")
         assert loopback.call(connection) == b"ABC"
-        wire.turn(mode)
+        proxy.set_mode(mode)
         loopback.served.clear()
         with pytest.raises(OSError, match="no answer in time"):
             loopback.call(connection, wait=2_000)
         assert len(loopback.served) == received, mode
-    wire.turn("pass")
+    proxy.set_mode("pass")
     assert loopback.call(connection) == b"ABC"
-    wire.turn("cut")
+    proxy.set_mode("cut")
     with pytest.raises(OSError, match="ended by the peer"):
         loopback.call(connection)
 
