--- a/benchmarks/explore_vote.py
+++ b/benchmarks/explore_vote.py
@@ -1,4 +1,4 @@
-"""Histories of the vote, the fence and the leases, drawn from seeds; stops at the first that must not be.
+"""Explores random histories of elections, fencing and leases; stops at the first violation.
 
 python benchmarks/explore_vote.py HISTORIES STEPS [FIRST_SEED]
 """
@@ -11,5 +11,5 @@
 from birchslip.lab.explore import explore
 
 count, steps, first = (int(word) for word in [*sys.argv[1:], "0"][:3])
-began = time.monotonic()
-print(explore(range(first, first + count), steps), f"{time.monotonic() - began:.0f} s")
+started_at = time.monotonic()
+print(explore(range(first, first + count), steps), f"{time.monotonic() - started_at:.0f} s")
--- a/benchmarks/model_days.py
+++ b/benchmarks/model_days.py
@@ -15,7 +15,7 @@
 from birchslip.expect.sources import Sources, read_json
 from birchslip.lab.faults import schedule
 from birchslip.lab.model.world import TRAFFIC_START, Step, World
-from birchslip.lab.site_loss import Told, spans_of
+from birchslip.lab.site_loss import SiteLossOptions, schedule_spans
 from birchslip.lab.world import REQUEST_CLASSES, SITES
 
 SCENARIOS = [
@@ -75,12 +75,14 @@
     sources = Sources(
         read_json(logs / f"{first_server}.json"), read_json(logs / f"{first_server}.fleet.json"), world_file
     )
-    options = Told(seed=seed, fault=fault, load=load)
-    steps = schedule(fault, seed, list(SITES[:3]), ["planner-1", "planner-2", "planner-3"], options.lost)
-    spans = spans_of(options, steps)
+    options = SiteLossOptions(seed=seed, fault=fault, load=load)
+    steps = schedule(
+        fault, seed, list(SITES[:3]), ["planner-1", "planner-2", "planner-3"], options.outage_span
+    )
+    spans = schedule_spans(options, steps)
     script_start = TRAFFIC_START + spans["before"][1]
     script = [
-        Step(script_start + step.at, ACTIONS.get(step.what, step.what), step.whom, step.more)
+        Step(script_start + step.at, ACTIONS.get(step.action, step.action), step.target, step.value)
         for step in steps
     ]
     emulated = World(sources.setting, seed)
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -1,4 +1,7 @@
-"""`lab play release`: a release through a fleet of real processes, with the truth kept outside them."""
+"""A release through a fleet of real processes (`lab play release`).
+
+What really happened is recorded outside the processes under test.
+"""
 
 from __future__ import annotations
 
@@ -36,153 +39,202 @@
 
 LOOKUP = RequestClass("lookup", 0.7, 1_400, SECOND * 3 // 2, 3 * SECOND, 1.0, False)
 ORDER = RequestClass("order", 0.3, 2_100, 2 * SECOND, 3 * SECOND, 1.5, True)
-BEFORE, AFTER = 5 * SECOND, 3 * SECOND
-ASK = 4_000  # an operator waits for a planner's answer, and then asks the next one
-LONGEST = 240 * SECOND  # a release that has not come to its end by then is stuck
-SITE_MOST, FLEET_SHARE, LOWERED = 2, 0.17, 1
-WATCH_MS, WATCH_MOST_MS, CRASH_MS = 6_000, 40_000, 2_500
+LEAD_IN_SPAN, LEAD_OUT_SPAN = 5 * SECOND, 3 * SECOND
+ANSWER_TIMEOUT = 4_000  # an operator asks the next planner after this time
+STUCK_AFTER = 240 * SECOND  # a release that has not ended by then is stuck
+MAX_OUT_PER_SITE, FLEET_OUT_FRACTION, LOWERED_MAX_OUT = 2, 0.17, 1
+MIN_WATCH_MS, MAX_WATCH_MS, CRASH_AFTER_MS = 6_000, 40_000, 2_500
+MAX_ROLLBACKS = 3
 MARGINS = {"late": 0.08, "slow": 0.2, "shed": 0.08, "written_off": 0.08, "calls": 0.15}
-LEAST = 2 * SECOND  # of a drain, a stop and a start: what no release can be quicker than
+MIN_RESTART_SPAN = 2 * SECOND  # least time of a drain, a stop and a start together
 
 
 @dataclass(frozen=True)
-class ReleaseTold(ScenarioOptions):
-    """`without` holds what the schedule did to the world and when, for the play with no release."""
+class ReleaseOptions(ScenarioOptions):
+    """Options of a run.
+
+    Attributes:
+        version: Behaviour of the new version, one of `versions.FAULT_KINDS`.
+        margins: Factor on the usual margins of the canary analysis, for runs on a busy machine that test
+            other things.
+        without: Actions to replay without a release: time since its start, action and target, and value. None
+            runs the release.
+    """
 
     version: str = "good"
-    margins: float = 1.0  # times the usual ones: a play on a busy machine that is not about the judgement
+    margins: float = 1.0
     without: tuple[tuple[int, str, float], ...] | None = None
 
 
-class Play(Testbed):
+class ReleaseRun(Testbed):
+    """One run of a release with injected faults, or of the same faults without a release.
+
+    Attributes:
+        applied_actions: Actions applied so far, in the form of `ReleaseOptions.without`.
+        reached_moments: Time of each moment that the steps of `release_faults` can wait for.
+        permit_holder: The first member that was to drain.
+        operator_log: Answers that operators received.
+        unexpected_resumes: How often a halted rollout was seen to continue without an operator's command.
+        last_figures: Figures of the last canary analysis that was seen.
+        is_halt_expected: Whether the schedule has caused a halt that an operator ends.
+    """
+
     request_classes = [LOOKUP, ORDER]  # noqa: RUF012
     warm_up_span = 2 * SECOND
 
-    def __init__(self, told: ReleaseTold, folder: Path) -> None:
-        self.told = told
-        super().__init__(told, folder)
-        self.planned = plan_batches(self.plan(self.sites), {site: self.of_site(site) for site in self.sites})
-        self.deeds: list[tuple[int, str, float]] = []  # what was done to the world, and when
-        self.marks: dict[str, int] = {}  # moments of the release
+    def __init__(self, options: ReleaseOptions, folder: Path) -> None:
+        """Lays out the processes and stand-ins; files and logs go to `folder`."""
+        self.release_options = options
+        super().__init__(options, folder)
+        self.planned_batches = plan_batches(
+            self.make_spec(self.sites), {site: self.member_names(site) for site in self.sites}
+        )
+        self.applied_actions: list[tuple[int, str, float]] = []
+        self.reached_moments: dict[str, int] = {}
         self.batches = 0
-        self.holder = ""
-        self.operator_s: list[str] = []  # what operators were told
+        self.permit_holder = ""
+        self.operator_log: list[str] = []
         self.halted_at: int | None = None
-        self.ended, self.stuck, self.why = "", False, ""
-        self.resumed_without_a_word = 0
-        self.backs = 0
-        self.judged: list[dict[str, Any]] = []  # the figures of the last watch that was seen
-        self.expect_halt = False
-        self.pending: list[Step] = list(STEPS[told.fault])
+        self.final_phase, self.is_stuck, self.final_reason = "", False, ""
+        self.unexpected_resumes = 0
+        self.rollback_count = 0
+        self.last_figures: list[dict[str, Any]] = []
+        self.is_halt_expected = False
+        self.pending_steps: list[Step] = list(STEPS[options.fault])
 
-    # ---- what is laid out ------------------------------------------------------------------------------
+    # ---- layout ----------------------------------------------------------------------------------------
 
     def prepare(self) -> None:
-        whole = [server.name for server in self.servers]
-        self.fleet_most = max(2, int(FLEET_SHARE * len(whole)))
-        self.groups = {
+        """Lays out the disruption budgets, the stores and the platform."""
+        member_names = [server.name for server in self.servers]
+        self.fleet_max_out = max(2, int(FLEET_OUT_FRACTION * len(member_names)))
+        self.budget_groups = {
             site: BudgetGroup(
                 site,
-                frozenset(self.of_site(site)),
-                max_unavailable=min(SITE_MOST, self.base_options.each - 1),
+                frozenset(self.member_names(site)),
+                max_unavailable=min(MAX_OUT_PER_SITE, self.base_options.each - 1),
             )
             for site in self.sites
         }
-        self.groups["fleet"] = BudgetGroup("fleet", frozenset(whole), max_unavailable=self.fleet_most)
+        self.budget_groups["fleet"] = BudgetGroup(
+            "fleet", frozenset(member_names), max_unavailable=self.fleet_max_out
+        )
         stores = [f"store-{n + 1}" for n in range(len(self.sites))]
-        self.groups["stores"] = BudgetGroup("stores", frozenset(stores), max_unavailable=1)
-        self.store_of = dict(zip(self.sites, stores, strict=True))
+        self.budget_groups["stores"] = BudgetGroup("stores", frozenset(stores), max_unavailable=1)
+        self.store_by_site = dict(zip(self.sites, stores, strict=True))
         self.vaults = {
             store: Vault(self.scheduler, self.history, self.draw_vault_latency) for store in stores
         }
-        needs = {server.name: [self.store_of[server.site]] for server in self.servers}
-        self.platform = Platform(self, self.told.version, list(self.groups.values()), needs, CRASH_MS)
+        needs = {server.name: [self.store_by_site[server.site]] for server in self.servers}
+        self.platform = Platform(
+            self, self.release_options.version, list(self.budget_groups.values()), needs, CRASH_AFTER_MS
+        )
         for store, vault in self.vaults.items():
             self.platform.add_service(store, vault)
-        self.platform.before_order, self.platform.on_member_stopped = self.before_order, self.member_stopped
-        self.left: set[str] = set()  # of the fleet file
+        self.platform.before_order = self.before_platform_order
+        self.platform.on_member_stopped = self.on_member_stopped
+        self.delisted_members: set[str] = set()  # left out of the fleet file
 
-    def of_site(self, site: str) -> list[str]:
+    def member_names(self, site: str) -> list[str]:
+        """Returns the names of a site's members."""
         return [server.name for server in self.servers if server.site == site]
 
     def get_vault(self, server: AppServer) -> Vault:
-        return self.vaults[self.store_of[server.site]]
-
-    def extend_fleet_file(self, told: dict[str, Any], who: str) -> None:
-        told["platform"] = {"address": self.platform.address, "ask_ms": 200, "stale_ms": 2_000}
-        told["services"] = [{"name": name, "kind": "store"} for name in self.vaults]
-        told["groups"] = [
+        """Returns the store that the app server calls."""
+        return self.vaults[self.store_by_site[server.site]]
+
+    def extend_fleet_file(self, fleet: dict[str, Any], reader: str) -> None:
+        """Adds the platform, services, disruption budgets and needs to a fleet file."""
+        fleet["platform"] = {"address": self.platform.address, "ask_ms": 200, "stale_ms": 2_000}
+        fleet["services"] = [{"name": name, "kind": "store"} for name in self.vaults]
+        fleet["groups"] = [
             *(
-                {"name": site, "sites": [site], "most_out": self.groups[site].max_unavailable}
+                {"name": site, "sites": [site], "most_out": self.budget_groups[site].max_unavailable}
                 for site in self.sites
             ),
-            {"name": "fleet", "all": True, "most_out": self.groups["fleet"].max_unavailable},
+            {"name": "fleet", "all": True, "most_out": self.budget_groups["fleet"].max_unavailable},
             {"name": "stores", "kinds": ["store"], "most_out": 1},
         ]
-        calls = told["vault"]["total"] / len(self.servers)
-        for site in told["sites"]:
-            site["members"] = [one for one in site["members"] if one["name"] not in self.left]
+        calls = fleet["vault"]["total"] / len(self.servers)
+        for site in fleet["sites"]:
+            site["members"] = [
+                member for member in site["members"] if member["name"] not in self.delisted_members
+            ]
             for member in site["members"]:
-                member["needs"] = [self.store_of[site["name"]]]
+                member["needs"] = [self.store_by_site[site["name"]]]
                 member["calls"] = calls
 
-    def file_again(self) -> None:
-        """A later fleet file for every planner."""
+    def rewrite_fleet_files(self) -> None:
+        """Writes a changed fleet file for each planner and makes the planner read it."""
         for name in self.planner_names:
             self.write_fleet_file(name)
             self.planners[name].reload()
 
-    def plan(self, sites: list[str], version: str = NEW_VERSION, before: str = OLD_VERSION) -> RolloutSpec:
+    def make_spec(
+        self, sites: list[str], version: str = NEW_VERSION, previous_version: str = OLD_VERSION
+    ) -> RolloutSpec:
+        """Returns the rollout of a version to the sites."""
         return RolloutSpec(
             version=version,
-            previous_version=before,
+            previous_version=previous_version,
             sites=sites,
             canaries=max(2, len(self.servers) // 12),
             batch_size=8,
-            min_watch_ms=WATCH_MS,
-            max_watch_ms=WATCH_MOST_MS,
-            margins={name: min(0.95, part * self.told.margins) for name, part in MARGINS.items()},
+            min_watch_ms=MIN_WATCH_MS,
+            max_watch_ms=MAX_WATCH_MS,
+            margins={
+                name: min(0.95, margin * self.release_options.margins) for name, margin in MARGINS.items()
+            },
             stall_timeout_ms=60_000,
         )
 
     # ---- operators -------------------------------------------------------------------------------------
 
-    def ask(self, record: Message, method: str, planners: list[str] | None = None) -> dict[str, Any]:
-        """Whoever leads answers; asked until somebody does."""
-        until = self.scheduler.now + 20 * SECOND
-        trouble = ""
+    def ask_planners(self, record: Message, method: str, planners: list[str] | None = None) -> dict[str, Any]:
+        """Sends a request to the planners in turn until one answers.
+
+        Status requests need the leader's answer. With `planners`, only these are asked, and once each.
+        Without an answer the result has the last error's text as `trouble`.
+        """
+        give_up_at = self.scheduler.now + 20 * SECOND
+        last_error = ""
         is_query = (isinstance(record, RolloutCommand) and record.action is RolloutAction.STATUS) or (
             isinstance(record, OperatorCommand) and record.operation is OperatorOperation.SHOW
         )
-        while self.scheduler.now < until:
+        while self.scheduler.now < give_up_at:
             for name in planners or self.planner_names:
-                line = PeerConnection(self.scheduler, ("127.0.0.1", self.planner_ports[name]))
+                connection = PeerConnection(self.scheduler, ("127.0.0.1", self.planner_ports[name]))
                 try:
-                    raw = line.call(method, encode(record), self.scheduler.now + ASK)
+                    raw = connection.call(method, encode(record), self.scheduler.now + ANSWER_TIMEOUT)
                     answer: dict[str, Any] = json.loads(raw)
                     if is_query and not answer["leads"]:
                         continue
                     return answer
-                except OSError as why:
-                    trouble = str(why)
+                except OSError as error:
+                    last_error = str(error)
                 finally:
-                    line.close()
+                    connection.close()
             if planners:
                 break
             self.scheduler.sleep(self.scheduler.now + 1_000)
-        return {"done": False, "granted": False, "releases": [], "trouble": trouble}
+        return {"done": False, "granted": False, "releases": [], "trouble": last_error}
 
-    def say(self, what: str, **more: Any) -> dict[str, Any]:
-        answer = self.ask(RolloutCommand(action=RolloutAction(what), operator="the play", **more), "release")
-        self.operator_s.append(f"{what}: {answer.get('why') or answer.get('trouble') or 'done'}")
+    def send_command(self, action: str, **fields: Any) -> dict[str, Any]:
+        """Sends a rollout command as an operator and records the answer."""
+        answer = self.ask_planners(
+            RolloutCommand(action=RolloutAction(action), operator="the play", **fields), "release"
+        )
+        self.operator_log.append(f"{action}: {answer.get('why') or answer.get('trouble') or 'done'}")
         return answer
 
-    def status(self, number: int = 1) -> dict[str, Any]:
-        answer = self.ask(RolloutCommand(action=RolloutAction.STATUS, number=number), "release")
+    def rollout_status(self, number: int = 1) -> dict[str, Any]:
+        """Returns the status of a rollout; empty if there is none."""
+        answer = self.ask_planners(RolloutCommand(action=RolloutAction.STATUS, number=number), "release")
         return answer["releases"][0] if answer["releases"] else {}
 
-    def permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
-        return self.ask(
+    def request_permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
+        """Requests an eviction permit for a member."""
+        return self.ask_planners(
             EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder=holder, reason="by hand"),
             "want",
             planners,
@@ -190,307 +242,336 @@
 
     # ---- moments ---------------------------------------------------------------------------------------
 
-    def mark(self, name: str) -> None:
-        self.marks.setdefault(name, self.scheduler.now)
+    def record_moment(self, name: str) -> None:
+        """Records when a moment of the release was first reached."""
+        self.reached_moments.setdefault(name, self.scheduler.now)
+
+    def before_platform_order(self, action: str, name: str) -> str:
+        """Records the moments that an order marks, and injects the faults that strike on its arrival.
 
-    def before_order(self, what: str, name: str) -> str:
-        """The platform has got an order; whether it is to be left undone."""
-        if what != "drain" or self.platform.machines[name].state != "up":
+        Returns:
+            `drop` if the platform must not execute or answer the order, else an empty string.
+        """
+        if action != "drain" or self.platform.machines[name].state != "up":
             return ""
-        first = "granted" not in self.marks
-        self.mark("granted")
-        if first:
-            self.holder = name
-        if first and self.told.fault in ("killed-granted", "holder-dies"):
-            if self.told.fault == "holder-dies":
-                self.deed("kill", name)
+        is_first = "granted" not in self.reached_moments
+        self.record_moment("granted")
+        if is_first:
+            self.permit_holder = name
+        if is_first and self.release_options.fault in ("killed-granted", "holder-dies"):
+            if self.release_options.fault == "holder-dies":
+                self.apply_action("kill", name)
             else:
-                # In this very moment: nobody hears what came of the order.
+                # Killed before the order is answered, so that no planner learns its outcome.
                 self.planners[self.find_leader()].kill()
             return "drop"
-        at = next((n for n, batch in enumerate(self.planned, 1) if name in batch), 0)
-        self.mark(f"batch {at}")
-        if first:
-            self.scheduler.at(self.scheduler.now + 1, lambda: self.mark("drained"))
+        batch_number = next(
+            (number for number, batch in enumerate(self.planned_batches, 1) if name in batch), 0
+        )
+        self.record_moment(f"batch {batch_number}")
+        if is_first:
+            self.scheduler.at(self.scheduler.now + 1, lambda: self.record_moment("drained"))
         return ""
 
-    def member_stopped(self, name: str) -> None:
-        if "stopped" not in self.marks and self.told.fault == "killed-draining":
+    def on_member_stopped(self, name: str) -> None:
+        """Records that a member stopped; the fault `killed-draining` kills the leader then."""
+        if "stopped" not in self.reached_moments and self.release_options.fault == "killed-draining":
             self.planners[self.find_leader()].kill()
-        self.mark("stopped")
+        self.record_moment("stopped")
 
-    # ---- the course ------------------------------------------------------------------------------------
+    # ---- course of the run -----------------------------------------------------------------------------
 
-    def direct(self) -> None:
+    def execute_schedule(self) -> None:
+        """Runs the release, or the replayed actions, between a lead-in and a lead-out under load."""
         scheduler = self.scheduler
         self.start_all()
         self.platform.poll_machines()
-        scheduler.sleep(scheduler.now + BEFORE)
-        if self.told.without is not None:
-            self.direct_without(self.told.without)
+        scheduler.sleep(scheduler.now + LEAD_IN_SPAN)
+        if self.release_options.without is not None:
+            self.replay_actions(self.release_options.without)
         else:
-            self.direct_release()
-        scheduler.sleep(scheduler.now + AFTER)
-        self.settle()
+            self.run_rollout()
+        scheduler.sleep(scheduler.now + LEAD_OUT_SPAN)
+        self.wait_until_settled()
         self.platform.is_over = True
         self.drain_all()
 
-    def direct_without(self, deeds: tuple[tuple[int, str, float], ...]) -> None:
-        """The same schedule, and no release."""
-        self.release_began = self.scheduler.now
-        for at, what, more in deeds:
-            self.scheduler.sleep(max(self.scheduler.now, self.release_began + at))
-            if what != "end":
-                name, _, whom = what.partition(" ")
-                self.deed(name, whom, more)
-        self.release_ended = self.scheduler.now
-
-    def direct_release(self) -> None:
+    def replay_actions(self, actions: tuple[tuple[int, str, float], ...]) -> None:
+        """Applies the actions of an earlier run at the same times, without a release."""
+        self.rollout_started_at = self.scheduler.now
+        for at, action, value in actions:
+            self.scheduler.sleep(max(self.scheduler.now, self.rollout_started_at + at))
+            if action != "end":
+                name, _, target = action.partition(" ")
+                self.apply_action(name, target, value)
+        self.rollout_ended_at = self.scheduler.now
+
+    def run_rollout(self) -> None:
+        """Starts the rollout, applies the fault's steps and follows the rollout to its end."""
         scheduler = self.scheduler
-        self.wait_for(self.known, 30 * SECOND)
-        sites = self.sites[:-1] if self.told.fault == "two-releases" and len(self.sites) > 1 else self.sites
-        plan = self.plan(sites)
-        self.planned = plan_batches(plan, {site: self.of_site(site) for site in self.sites})
-        self.release_began = scheduler.now
-        said = self.say("start", spec=plan)
-        if not said["done"]:
-            raise RuntimeError(f"not begun: {said}")
-        self.mark("start")
-        if self.pending:
-            scheduler.spawn("schedule", self.carry_out)
-        self.follow()
-        self.release_ended = scheduler.now
-        self.deeds.append((self.release_ended - self.release_began, "end", 0.0))
-
-    def known(self) -> bool:
-        """The leader hears all members, warm, and nobody is out."""
-        shown = self.ask(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
-        return len(shown.get("members", ())) == len(self.servers) and not shown["out"]
-
-    def follow(self) -> None:
-        """Until the release has come to its end; a person takes a bad one back."""
-        until = self.scheduler.now + LONGEST
-        while self.scheduler.now < until:
-            told = self.status()
-            phase = told.get("phase", "")
-            if any(one["of"][0] for one in told.get("figures", ())):
-                self.judged = told["figures"]
-            if phase == "halted" and self.halted_at is None and not self.expect_halt:
+        self.wait_for(self.is_fleet_known, 30 * SECOND)
+        sites = (
+            self.sites[:-1]
+            if self.release_options.fault == "two-releases" and len(self.sites) > 1
+            else self.sites
+        )
+        spec = self.make_spec(sites)
+        self.planned_batches = plan_batches(spec, {site: self.member_names(site) for site in self.sites})
+        self.rollout_started_at = scheduler.now
+        answer = self.send_command("start", spec=spec)
+        if not answer["done"]:
+            raise RuntimeError(f"not begun: {answer}")
+        self.record_moment("start")
+        if self.pending_steps:
+            scheduler.spawn("schedule", self.apply_steps)
+        self.follow_rollout()
+        self.rollout_ended_at = scheduler.now
+        self.applied_actions.append((self.rollout_ended_at - self.rollout_started_at, "end", 0.0))
+
+    def is_fleet_known(self) -> bool:
+        """Whether the leader knows all members and none is out."""
+        fleet = self.ask_planners(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
+        return len(fleet.get("members", ())) == len(self.servers) and not fleet["out"]
+
+    def follow_rollout(self) -> None:
+        """Polls the rollout until it has ended; an operator rolls a bad version back."""
+        give_up_at = self.scheduler.now + STUCK_AFTER
+        while self.scheduler.now < give_up_at:
+            status = self.rollout_status()
+            phase = status.get("phase", "")
+            if any(figure["of"][0] for figure in status.get("figures", ())):
+                self.last_figures = status["figures"]
+            if phase == "halted" and self.halted_at is None and not self.is_halt_expected:
                 self.halted_at = self.scheduler.now
-            if phase in ("done", "back") and not self.pending and self.second_over():
-                self.ended, self.why = phase, told["why"]
+            if phase in ("done", "back") and not self.pending_steps and self.is_second_rollout_over():
+                self.final_phase, self.final_reason = phase, status["why"]
                 return
-            waits = self.pending[0].wait if self.pending else 0
+            awaited = self.pending_steps[0].wait if self.pending_steps else 0
             if (
                 phase == "halted"
-                and not self.expect_halt
-                and isinstance(waits, str)
-                and waits not in self.marks
+                and not self.is_halt_expected
+                and isinstance(awaited, str)
+                and awaited not in self.reached_moments
             ):
-                self.pending.clear()  # it has halted by itself: that moment will not come
-            rests = phase == "halted" and not self.pending and not self.expect_halt
-            if rests and not self.after_halt(told):
-                self.ended, self.why = phase, told["why"]
+                self.pending_steps.clear()  # the rollout halted by itself and will not reach that moment
+            is_at_rest = phase == "halted" and not self.pending_steps and not self.is_halt_expected
+            if is_at_rest and not self.continue_after_halt(status):
+                self.final_phase, self.final_reason = phase, status["why"]
                 return
             self.scheduler.sleep(self.scheduler.now + 1_500)
-        self.ended, self.stuck, self.why = phase, True, told.get("doing", "")
+        self.final_phase, self.is_stuck, self.final_reason = phase, True, status.get("doing", "")
+
+    def continue_after_halt(self, status: dict[str, Any]) -> bool:
+        """Acts as the operator of a halted rollout, and returns whether to keep polling.
 
-    def after_halt(self, told: dict[str, Any]) -> bool:
-        """Whether a person goes on: back where the version is bad, once everybody is up."""
-        if not told["bad"] or self.backs >= 3:
-            return not self.platform.is_all_up() and self.backs < 3
-        for name in told["left_out"]:
+        A bad version is rolled back, at most three times, once all members are up.
+        """
+        if not status["bad"] or self.rollback_count >= MAX_ROLLBACKS:
+            return not self.platform.is_all_up() and self.rollback_count < MAX_ROLLBACKS
+        for name in status["left_out"]:
             machine = self.platform.machines[name]
             if machine.state == "failed":
-                machine.failing_versions.clear()  # somebody has mended the machine
+                machine.failing_versions.clear()  # as if the operator had repaired the machine
                 self.platform.start_member(machine, OLD_VERSION)
         if not self.platform.is_all_up():
             return True
-        if told["left_out"]:
-            return True  # until it is seen back
-        self.backs += 1
-        self.say("back", number=1)
+        if status["left_out"]:
+            return True  # until the rollout sees these members back
+        self.rollback_count += 1
+        self.send_command("back", number=1)
         return True
 
-    def second_over(self) -> bool:
-        if self.told.fault != "two-releases":
+    def is_second_rollout_over(self) -> bool:
+        """Whether the second rollout of the fault `two-releases` has ended; True without that fault."""
+        if self.release_options.fault != "two-releases":
             return True
-        second = self.status(2)
-        return bool(second) and second["phase"] in ("done", "back", "halted")
+        status = self.rollout_status(2)
+        return bool(status) and status["phase"] in ("done", "back", "halted")
+
+    def wait_until_settled(self) -> None:
+        """Waits up to 20 s until all members are up and none is out.
 
-    def settle(self) -> None:
-        """Nobody is left down, and nobody out but who was left out."""
-        until = self.scheduler.now + 20 * SECOND
-        while self.scheduler.now < until and not (
+        If a member is down after that time, the run is stuck.
+        """
+        give_up_at = self.scheduler.now + 20 * SECOND
+        while self.scheduler.now < give_up_at and not (
             self.platform.is_all_up() and not self.platform.disruptions.causes
         ):
             self.scheduler.sleep(self.scheduler.now + 1_000)
-        self.stuck = self.stuck or not self.platform.is_all_up()
+        self.is_stuck = self.is_stuck or not self.platform.is_all_up()
 
-    # ---- the schedule ----------------------------------------------------------------------------------
+    # ---- steps -----------------------------------------------------------------------------------------
 
-    def carry_out(self) -> None:
-        while self.pending:
-            step = self.pending[0]
+    def apply_steps(self) -> None:
+        """Applies the fault's steps, each at its moment, until the rollout has ended."""
+        while self.pending_steps:
+            step = self.pending_steps[0]
             if isinstance(step.wait, int):
                 self.scheduler.sleep(self.scheduler.now + step.wait)
             else:
-                while step.wait not in self.marks and self.pending and not self.ended:
+                while step.wait not in self.reached_moments and self.pending_steps and not self.final_phase:
                     self.scheduler.sleep(self.scheduler.now + 100)
-            if self.ended or not self.pending:
+            if self.final_phase or not self.pending_steps:
                 return
             try:
-                self.do(step)
-            except Exception as trouble:
-                self.record_fault(f"step {step.what}", trouble)
-            self.pending.pop(0)
-
-    def deed(self, what: str, whom: str, more: float = 0.0) -> None:
-        """Something that is done to the world, and done in the play without a release too."""
-        if self.told.without is None:
-            self.deeds.append((self.scheduler.now - self.release_began, f"{what} {whom}", more))
-        match what:
+                self.apply_step(step)
+            except Exception as error:
+                self.record_fault(f"step {step.action}", error)
+            self.pending_steps.pop(0)
+
+    def apply_action(self, action: str, target: str, value: float = 0.0) -> None:
+        """Applies an action to the fleet, and records it for the run without a release."""
+        if self.release_options.without is None:
+            self.applied_actions.append(
+                (self.scheduler.now - self.rollout_started_at, f"{action} {target}", value)
+            )
+        match action:
             case "kill":
-                self.platform.kill_member(whom)
+                self.platform.kill_member(target)
             case "hold":
-                self.platform.pause_member(whom, self.scheduler.now + int(more * SECOND))
+                self.platform.pause_member(target, self.scheduler.now + int(value * SECOND))
             case "surge":
                 for router in self.routers:
-                    router.surge_factors[whom] = more
+                    router.surge_factors[target] = value
             case "service-down":
-                self.platform.stop_service(whom)
+                self.platform.stop_service(target)
             case "service-up":
-                self.platform.start_service(whom)
+                self.platform.start_service(target)
             case "lose-site":
-                self.lose(whom)
+                self.lose_site(target)
             case "site-back":
-                self.lost_sites.discard(whom)
-                for name in self.of_site(whom):
+                self.lost_sites.discard(target)
+                for name in self.member_names(target):
                     self.platform.machines[name].restart_at = self.scheduler.now
 
-    def lose(self, site: str) -> None:
+    def lose_site(self, site: str) -> None:
+        """Kills all members of a site; the platform restarts them only after the action `site-back`."""
         self.lost_sites.add(site)
-        for name in self.of_site(site):
+        for name in self.member_names(site):
             self.platform.kill_member(name)
             machine = self.platform.machines[name]
             if machine.state == "up":
-                machine.restart_at = self.scheduler.now + LONGEST
+                machine.restart_at = self.scheduler.now + STUCK_AFTER
 
-    def do(self, step: Step) -> None:
-        more = step.more
-        match step.what:
+    def apply_step(self, step: Step) -> None:
+        """Applies one step; an unknown action raises `RuntimeError`."""
+        value = step.value
+        match step.action:
             case "kill-leader" | "kill-holder":
-                pass  # done in the moment itself
+                pass  # done by `before_platform_order`
             case "kill-planners":
-                for one in self.planners.values():
-                    one.kill()
+                for planner in self.planners.values():
+                    planner.kill()
             case "start-planners":
-                for one in self.planners.values():
-                    one.start()
+                for planner in self.planners.values():
+                    planner.start()
             case "halt":
-                self.expect_halt = True
-                self.say("halt", reason="a rehearsal")
+                self.is_halt_expected = True
+                self.send_command("halt", reason="a rehearsal")
             case "halt-and-kill":
-                self.expect_halt = True
+                self.is_halt_expected = True
                 leader = self.find_leader()
                 self.scheduler.at(self.scheduler.now + 20, self.planners[leader].kill)
-                self.say("halt", reason="a rehearsal")
+                self.send_command("halt", reason="a rehearsal")
             case "check-halted":
-                told = self.status()
+                status = self.rollout_status()
                 drains = sum(self.platform.drain_counts.values())
                 self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
-                if told.get("phase") != "halted" or sum(self.platform.drain_counts.values()) != drains:
-                    self.resumed_without_a_word += 1
+                if status.get("phase") != "halted" or sum(self.platform.drain_counts.values()) != drains:
+                    self.unexpected_resumes += 1
             case "resume":
-                self.say("resume", number=1)
-                self.expect_halt = False
+                self.send_command("resume", number=1)
+                self.is_halt_expected = False
             case "pause-holder":
-                self.deed("hold", self.holder, more)
+                self.apply_action("hold", self.permit_holder, value)
             case "second-release":
-                said = self.say("start", spec=self.plan([self.sites[-1]]))
-                self.operator_s.append(f"second: {said['done']}")
-                again = self.say("start", spec=self.plan(self.sites))
-                if again["done"]:
+                answer = self.send_command("start", spec=self.make_spec([self.sites[-1]]))
+                self.operator_log.append(f"second: {answer['done']}")
+                overlapping = self.send_command("start", spec=self.make_spec(self.sites))
+                if overlapping["done"]:
                     self.faults.append("a release that shares members with another was begun")
             case "drain-by-hand":
-                self.scheduler.spawn("by hand", self.by_hand)
+                self.scheduler.spawn("by hand", self.drain_by_hand)
             case "lower" | "raise":
-                most = LOWERED if step.what == "lower" else self.fleet_most
-                group = replace(self.groups["fleet"], max_unavailable=most)
-                self.groups["fleet"] = group
-                if step.what == "raise":
+                max_out = LOWERED_MAX_OUT if step.action == "lower" else self.fleet_max_out
+                group = replace(self.budget_groups["fleet"], max_unavailable=max_out)
+                self.budget_groups["fleet"] = group
+                if step.action == "raise":
                     self.platform.disruptions.groups["fleet"] = group
                 else:
-                    # Planners read it within a moment; what they granted before stands.
+                    # Planners need a moment to read the new file, and permits granted before remain valid.
                     self.scheduler.at(
                         self.scheduler.now + 5_000,
                         lambda: self.platform.disruptions.groups.update(fleet=group),
                     )
-                self.file_again()
+                self.rewrite_fleet_files()
             case "leave":
-                self.left = {self.of_site(self.sites[-1])[-1]}
-                self.file_again()
+                self.delisted_members = {self.member_names(self.sites[-1])[-1]}
+                self.rewrite_fleet_files()
             case "rejoin":
-                name = min(self.left)
-                self.left = set()
-                self.deed("kill", name)
-                self.file_again()
+                name = min(self.delisted_members)
+                self.delisted_members = set()
+                self.apply_action("kill", name)
+                self.rewrite_fleet_files()
             case "split":
                 self.set_planner_proxies("cut", self.find_leader())
-                self.scheduler.spawn("asker", self.ask_both_sides)
+                self.scheduler.spawn("asker", self.request_permit_on_both_sides)
             case "heal-planners":
-                for (who, _), wire in self.proxies.items():
-                    if who in self.planners:
-                        wire.set_mode("pass")
+                for (source, _), proxy in self.proxies.items():
+                    if source in self.planners:
+                        proxy.set_mode("pass")
             case "mute-holder" | "heal-holder":
-                mode = "mute" if step.what == "mute-holder" else "pass"
-                for (who, _), wire in self.proxies.items():
-                    if who == self.holder:
-                        wire.set_mode(mode)
+                mode = "mute" if step.action == "mute-holder" else "pass"
+                for (source, _), proxy in self.proxies.items():
+                    if source == self.permit_holder:
+                        proxy.set_mode(mode)
             case "crash-others":
                 machines = self.platform.machines
-                others = [one for one in self.of_site(self.sites[-1]) if machines[one].state == "up"]
-                for name in others[: int(more)]:
-                    self.deed("kill", name)
+                running_members = [
+                    member for member in self.member_names(self.sites[-1]) if machines[member].state == "up"
+                ]
+                for name in running_members[: int(value)]:
+                    self.apply_action("kill", name)
             case "service-down" | "service-up":
-                self.deed(step.what, self.store_of[self.sites[0]])
+                self.apply_action(step.action, self.store_by_site[self.sites[0]])
             case "surge":
-                self.deed("surge", "blue", more)
+                self.apply_action("surge", "blue", value)
             case "break-old":
-                first = self.planned[0][0]
-                self.platform.machines[first].failing_versions.add(OLD_VERSION)
+                first_member = self.planned_batches[0][0]
+                self.platform.machines[first_member].failing_versions.add(OLD_VERSION)
             case "lose-site":
-                self.expect_halt = True
-                self.deed("lose-site", self.sites[-1])
+                self.is_halt_expected = True
+                self.apply_action("lose-site", self.sites[-1])
             case "site-back":
-                self.deed("site-back", self.sites[-1])
+                self.apply_action("site-back", self.sites[-1])
             case "wait-home":
-                self.wait_for(self.at_home, 60 * SECOND)
+                self.wait_for(self.are_sites_home, 60 * SECOND)
             case "fill-disk":
                 self.planners[self.find_leader()].forbid_file_growth()
             case "empty-disk":
-                for one in self.planners.values():
-                    one.allow_file_growth()
+                for planner in self.planners.values():
+                    planner.allow_file_growth()
             case "empty-follower" | "cut-follower":
                 self.apply_to_planners("kill-planner", "follower")
                 self.apply_to_planners(
-                    "disk-empty" if step.what == "empty-follower" else "disk-cut-short", "last"
+                    "disk-empty" if step.action == "empty-follower" else "disk-cut-short", "last"
                 )
             case "late":
-                for wire in self.proxies.values():
-                    wire.set_mode("late", int(more))
-            case what:
-                raise RuntimeError(f"no such step: {what}")
-
-    def at_home(self) -> bool:
-        shown = self.ask(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
-        return bool(shown.get("sites")) and all(site["stage"] == "home" for site in shown["sites"])
-
-    def by_hand(self) -> None:
-        """Somebody's shell loop: it asks for a permit, drains the member itself and starts it again."""
-        name = self.of_site(self.sites[-1])[-1]
-        until = self.scheduler.now + 120 * SECOND
-        while self.scheduler.now < until and not self.permit(name)["granted"]:
+                for proxy in self.proxies.values():
+                    proxy.set_mode("late", int(value))
+            case unknown_action:
+                raise RuntimeError(f"no such step: {unknown_action}")
+
+    def are_sites_home(self) -> bool:
+        """Whether all sites are in the stage `home`."""
+        fleet = self.ask_planners(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
+        return bool(fleet.get("sites")) and all(site["stage"] == "home" for site in fleet["sites"])
+
+    def drain_by_hand(self) -> None:
+        """Acts as an operator's script: requests a permit, drains the last member and restarts it."""
+        name = self.member_names(self.sites[-1])[-1]
+        give_up_at = self.scheduler.now + 120 * SECOND
+        while self.scheduler.now < give_up_at and not self.request_permit(name)["granted"]:
             self.scheduler.sleep(self.scheduler.now + 3_000)
         machine = self.platform.machines[name]
         if machine.state != "up":
@@ -501,41 +582,53 @@
             self.scheduler.sleep(self.scheduler.now + 500)
         self.platform.start_member(machine, version)
 
-    def ask_both_sides(self) -> None:
-        """While planners are split: whoever is cut off must not let anybody go."""
+    def request_permit_on_both_sides(self) -> None:
+        """Requests a permit on both sides of a partition; the minority must not grant one."""
         leader = self.find_leader()
-        name = self.of_site(self.sites[-1])[0]
-        alone = self.permit(name, [leader])
-        others = self.permit(name, [one for one in self.planner_names if one != leader])
-        self.operator_s.append(f"alone: {alone.get('granted')}; others: {others.get('granted')}")
+        name = self.member_names(self.sites[-1])[0]
+        leader_answer = self.request_permit(name, [leader])
+        others_answer = self.request_permit(
+            name, [planner for planner in self.planner_names if planner != leader]
+        )
+        self.operator_log.append(
+            f"alone: {leader_answer.get('granted')}; others: {others_answer.get('granted')}"
+        )
         self.scheduler.sleep(self.scheduler.now + 2 * SECOND)
         hand_back: Callable[[], dict[str, Any]] = partial(
-            self.ask, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name), "want"
+            self.ask_planners, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=name), "want"
         )
-        until = self.scheduler.now + 60 * SECOND
-        # Granted in the end or not, it does not go: its place is given back.
-        while self.scheduler.now < until:
-            granted = self.permit(name)
-            if granted.get("granted"):
+        give_up_at = self.scheduler.now + 60 * SECOND
+        # The member never goes out, so the permit is returned once it is granted.
+        while self.scheduler.now < give_up_at:
+            answer = self.request_permit(name)
+            if answer.get("granted"):
                 hand_back()
                 return
             self.scheduler.sleep(self.scheduler.now + 3_000)
 
-    # ---- what is told of it ----------------------------------------------------------------------------
+    # ---- report ----------------------------------------------------------------------------------------
 
-    def least(self) -> float:
-        """Seconds that the budgets and watches alone take: batches in rounds of as many as may be out."""
+    def min_span_s(self) -> float:
+        """Returns the shortest time, in seconds, that budgets and watches allow for the rollout.
+
+        Each batch goes in rounds of as many members as may be out at once.
+        """
         rounds = 0
-        for batch in self.planned:
+        for batch in self.planned_batches:
             site = self.platform.machines[batch[0]].server.site
-            may = min(self.groups[site].disruptions_allowed, self.groups["fleet"].disruptions_allowed)
-            rounds += -(-len(batch) // may)
-        return (rounds * (LEAST + self.warm_up_span) + len(self.planned) * WATCH_MS * 10) / SECOND
+            max_out = min(
+                self.budget_groups[site].disruptions_allowed, self.budget_groups["fleet"].disruptions_allowed
+            )
+            rounds += -(-len(batch) // max_out)
+        return (
+            rounds * (MIN_RESTART_SPAN + self.warm_up_span) + len(self.planned_batches) * MIN_WATCH_MS * 10
+        ) / SECOND
 
-    def outcome(self) -> dict[str, Any]:
+    def build_report(self) -> dict[str, Any]:
+        """Returns the part of the report that is measured outside the processes."""
         truth, platform = self.history, self.platform
-        spans = {"during": (self.release_began, self.release_ended)}
-        told: dict[str, Any] = {
+        spans = {"during": (self.rollout_started_at, self.rollout_ended_at)}
+        report: dict[str, Any] = {
             "rules": truth.check_rules(self.scheduler.now, RETENTION_WINDOW),
             "budgets": platform.disruptions.build_report(),
             "service": {name: round(truth.compute_service(span), 4) for name, span in spans.items()},
@@ -545,108 +638,122 @@
             "dead": self.list_unexpected_exits(),
             "trouble": self.faults[:5],
             "transactions": len(truth.operations),
-            "took_s": round((self.release_ended - self.release_began) / SECOND, 1),
+            "took_s": round((self.rollout_ended_at - self.rollout_started_at) / SECOND, 1),
         }
-        return told
+        return report
 
-    def of_release(self) -> dict[str, Any]:
+    def rollout_report(self) -> dict[str, Any]:
+        """Returns how the rollout ended and what it violated."""
         platform = self.platform
-        halt = None
+        halt_s = None
         if self.halted_at is not None and platform.first_harm_at is not None:
-            halt = round((self.halted_at - platform.first_harm_at) / SECOND, 2)
+            halt_s = round((self.halted_at - platform.first_harm_at) / SECOND, 2)
         return {
-            "ended": self.ended,
-            "why": self.why,
-            "halt_s": halt,
+            "ended": self.final_phase,
+            "why": self.final_reason,
+            "halt_s": halt_s,
             "exposed": len(platform.exposed_members),
             "drained_twice": sum(max(0, count - 1) for count in platform.drain_counts.values()),
-            "stuck": self.stuck,
-            "resumed_without_a_word": self.resumed_without_a_word,
+            "stuck": self.is_stuck,
+            "resumed_without_a_word": self.unexpected_resumes,
             "stale_orders": platform.stale_order_count,
-            "least_s": round(self.least(), 1),
-            "batches": len(self.planned),
-            "judged": self.judged,
+            "least_s": round(self.min_span_s(), 1),
+            "batches": len(self.planned_batches),
+            "judged": self.last_figures,
             "breaches": platform.disruptions.breach_descriptions[:5],
-            "operators": self.operator_s[:20],
-            "versions": dict(Counter(one.version for one in platform.machines.values())),
+            "operators": self.operator_log[:20],
+            "versions": dict(Counter(machine.version for machine in platform.machines.values())),
         }
 
 
-def play_once(told: ReleaseTold, folder: Path) -> tuple[dict[str, Any], Play]:
+def run_once(options: ReleaseOptions, folder: Path) -> tuple[dict[str, Any], ReleaseRun]:
+    """Runs once and returns the report and the run.
+
+    Logs and disks of an earlier run in `folder` are deleted.
+    """
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
-    play = Play(told, folder)
+    run = ReleaseRun(options, folder)
     try:
-        play.run_director(play.direct)
+        run.run_director(run.execute_schedule)
     finally:
-        play.terminate_all()
-    outcome = play.outcome()
-    return (outcome | play.of_release() if told.without is None else outcome), play
+        run.terminate_all()
+    report = run.build_report()
+    return (report | run.rollout_report() if options.without is None else report), run
 
 
-def broken(report: dict[str, Any]) -> list[str]:
-    """What must not be, of one report."""
-    found = [f"rule {name}: {count}" for name, count in report["rules"].items() if count]
-    found += [f"budget {name}" for name, one in report["budgets"].items() if one["breaches"]]
-    bad = ("drained_twice", "resumed_without_a_word", "dead", "trouble")
-    found += [f"{name}: {report[name]}" for name in bad if report[name]]
-    return found + (["stuck"] if report["stuck"] else [])
+def find_violations(report: dict[str, Any]) -> list[str]:
+    """Returns the rules, budgets and other expectations that a report violates."""
+    violations = [f"rule {name}: {count}" for name, count in report["rules"].items() if count]
+    violations += [f"budget {name}" for name, budget in report["budgets"].items() if budget["breaches"]]
+    counted = ("drained_twice", "resumed_without_a_word", "dead", "trouble")
+    violations += [f"{name}: {report[name]}" for name in counted if report[name]]
+    return violations + (["stuck"] if report["stuck"] else [])
 
 
-def play_release(told: ReleaseTold) -> dict[str, Any]:
-    """The report of the command: the release, and the same schedule without one."""
-    kept = told.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
+def run_release(options: ReleaseOptions) -> dict[str, Any]:
+    """Returns the report of a release and, unless excluded, of the same schedule without one."""
+    logs_folder = options.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
     try:
-        outcome, play = play_once(told, kept / "release")
+        measured, run = run_once(options, logs_folder / "release")
         report: dict[str, Any] = {
-            "seed": told.seed,
-            "version": told.version,
-            "fault": told.fault,
-            "servers": told.sites * told.each,
-            "planners": told.planners,
-            "load": told.load,
-            **outcome,
+            "seed": options.seed,
+            "version": options.version,
+            "fault": options.fault,
+            "servers": options.sites * options.each,
+            "planners": options.planners,
+            "load": options.load,
+            **measured,
         }
-        if not told.alone:
-            single, _ = play_once(replace(told, without=tuple(play.deeds)), kept / "without")
+        if not options.alone:
+            without_rollout, _ = run_once(
+                replace(options, without=tuple(run.applied_actions)), logs_folder / "without"
+            )
             names = ("rules", "service", "attempts_each", "refused", "dead")
-            report["without"] = {name: single[name] for name in names}
+            report["without"] = {name: without_rollout[name] for name in names}
     finally:
-        if told.logs is None:
-            shutil.rmtree(kept, ignore_errors=True)
-    report["broken"] = broken(report)
+        if options.logs is None:
+            shutil.rmtree(logs_folder, ignore_errors=True)
+    report["broken"] = find_violations(report)
     return report
 
 
-class Stand(Play):
-    """The same world with no schedule, for a person to release through it by the command line."""
+class InteractiveRun(ReleaseRun):
+    """A fleet without a schedule, for releases by command line from another shell."""
 
-    def __init__(self, told: ReleaseTold, folder: Path, minutes: float, say: Callable[[str], None]) -> None:
-        super().__init__(told, folder)
-        self.minutes, self.tell = minutes, say
+    def __init__(
+        self, options: ReleaseOptions, folder: Path, minutes: float, print_line: Callable[[str], None]
+    ) -> None:
+        """Lays out a fleet that stays up for so many minutes; `print_line` shows a line to the user."""
+        super().__init__(options, folder)
+        self.minutes, self.print_line = minutes, print_line
 
-    def direct(self) -> None:
+    def execute_schedule(self) -> None:
+        """Starts the fleet, prints how to release through it, and ends it after the minutes."""
         self.start_all()
         self.platform.poll_machines()
-        self.wait_for(self.known, 30 * SECOND)
-        fleet = self.write_fleet_file("operator")
-        release = self.folder / "release.json"
-        release.write_bytes(msgspec.json.format(encode(self.plan(self.sites)), indent=2))
-        self.tell(f"up for {self.minutes:g} minutes; in another shell:")
-        self.tell(f"  export BIRCHSLIP_FLEET={fleet}")
-        self.tell(f"  python -m birchslip release start {release} --who you")
+        self.wait_for(self.is_fleet_known, 30 * SECOND)
+        fleet_path = self.write_fleet_file("operator")
+        spec_path = self.folder / "release.json"
+        spec_path.write_bytes(msgspec.json.format(encode(self.make_spec(self.sites)), indent=2))
+        self.print_line(f"up for {self.minutes:g} minutes; in another shell:")
+        self.print_line(f"  export BIRCHSLIP_FLEET={fleet_path}")
+        self.print_line(f"  python -m birchslip release start {spec_path} --who you")
         self.scheduler.sleep(self.scheduler.now + int(self.minutes * 60 * SECOND))
         self.platform.is_over = True
         self.drain_all()
 
 
-def stand(told: ReleaseTold, folder: Path, minutes: float, say: Callable[[str], None]) -> None:
+def run_interactive(
+    options: ReleaseOptions, folder: Path, minutes: float, print_line: Callable[[str], None]
+) -> None:
+    """Keeps a fleet up for so many minutes, and prints the faults that it met."""
     folder.mkdir(parents=True, exist_ok=True)
-    made = Stand(told, folder, minutes, say)
+    run = InteractiveRun(options, folder, minutes, print_line)
     try:
-        made.run_director(made.direct)
+        run.run_director(run.execute_schedule)
     finally:
-        made.platform.is_over = True
-        made.terminate_all()
-    for trouble in made.faults:
-        say(trouble)
+        run.platform.is_over = True
+        run.terminate_all()
+    for error in run.faults:
+        print_line(error)
