--- a/birchslip/lab/release_faults.py
+++ b/birchslip/lab/release_faults.py
@@ -1,7 +1,7 @@
 """Named faults of a release and the steps of each.
 
-Steps wait for an event of the release rather than for a time, so that every run is hit at the same point,
-however long its parts take.
+A fault's first step waits for a moment of the release rather than for a time, so that every run is hit at
+the same point, however long its parts take.
 
 | moment | when |
 | --- | --- |
@@ -10,7 +10,7 @@
 | `drained` | the platform has begun the first drain |
 | `stopped` | the first member has stopped |
 | `batch N` | the first drain order of the Nth batch has arrived |
-| a number | so long after the step before, in tenths of a millisecond |
+| a number | that time after the step before, in tenths of a millisecond |
 
 With the faults `killed-granted` and `holder-dies` the first drain order is not carried out.
 """
@@ -19,37 +19,44 @@
 
 from dataclasses import dataclass
 
-SECOND = 10_000
+SECOND = 10_000  # in tenths of a millisecond
 
 FAULTS = {
-    "none": "nothing else fails",
-    "killed-granted": "the conductor is killed between the grant and the telling of the first drain",
-    "killed-draining": "the conductor is killed when the first member has stopped and not been started",
-    "killed-halting": "the conductor is killed while an operator halts the release",
-    "all-restarted": "all planners are killed half-way and started again",
-    "halt-restart": "it is halted, all planners are restarted, and it stays halted until a person resumes it",
-    "holder-dies": "the first member dies in the moment in which it is to drain",
-    "holder-paused": "the first member is paused while it drains, past any lease, and wakes",
-    "two-releases": "a second release and a drain by hand begin in the same second",
-    "budget-lowered": "the fleet's budget is lowered below what is out, and raised again",
-    "members-change": "a member leaves the fleet half-way and comes back under its name in another life",
-    "split": "the conductor is cut off from the other planners, and somebody asks for permits on both sides",
-    "one-way": "reports of members on their way out do not reach the conductor for a while",
-    "crashes": "members of another site crash in the middle of a batch and use up the budget",
-    "below-drains": "a service below drains while app servers that need it are in a batch",
-    "surge": "a surge of one account begins with the first batch",
-    "back-fails": "on the way back one member does not start in the old version either",
-    "site-lost": "a whole site is lost half-way; its return resumes nothing, a person does",
-    "disk-full": "the conductor's disk takes nothing more for a while",
-    "disk-empty": "a planner comes back with an empty disk",
-    "disk-torn": "a planner comes back with a file that is cut short",
-    "late-links": "all that members and planners say to each other comes 120 ms late",
+    "none": "nothing fails, apart from what a bad version does",
+    "killed-granted": "the leader is killed after the first grant, before its drain order is carried out",
+    "killed-draining": "the leader is killed when the first member has stopped and is not started again yet",
+    "killed-halting": "the leader is killed while an operator halts the release",
+    "all-restarted": "all planners are killed in the second batch and started again",
+    "halt-restart": "all planners restart during a halt, which lasts until an operator resumes the release",
+    "holder-dies": "the first member is killed at the moment in which its drain order arrives",
+    "holder-paused": "the first member is paused while it drains, past any lease, and then resumes",
+    "two-releases": "a second release and a drain by hand begin in the same second as the first release",
+    "budget-lowered": "the fleet's budget is lowered below the number of members out, and raised again",
+    "members-change": "a member leaves the fleet in the second batch and returns under its name, restarted",
+    "split": "the leader is cut off from the other planners, and permits are requested on both sides",
+    "one-way": "reports of the first draining member reach no planner for a while",
+    "crashes": "members of another site crash in the middle of a batch and use up the disruption budget",
+    "below-drains": "a downstream service drains while app servers that need it are in a batch",
+    "surge": "a load surge of one tenant begins with the release",
+    "back-fails": "during the rollback one member does not start in the old version either",
+    "site-lost": "a whole site is lost in batch 2 and returns; only an operator resumes the halted release",
+    "disk-full": "the leader's disk is full for a while",
+    "disk-empty": "a follower is killed and comes back with an empty disk",
+    "disk-torn": "a follower is killed and comes back with a truncated file",
+    "late-links": "all data between members and planners, and between planners, arrives 120 ms late",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step: `wait` is a moment, or the time after the step before in tenths of a millisecond."""
+    """One step of a fault.
+
+    Attributes:
+        wait: The moment of the step, or the time after the step before in tenths of a millisecond.
+        action: Name of the action; see `release_play.ReleaseRun.apply_step`.
+        value: Seconds of a pause, factor of a surge, number of members to crash, or delay of the links in
+            tenths of a millisecond; unused by other actions.
+    """
 
     wait: str | int
     action: str
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -37,28 +37,31 @@
 from .truth import SECOND
 from .world import RETENTION_WINDOW, ScenarioOptions, Testbed
 
+# Times are tenths of a millisecond where a name has no unit.
 LOOKUP = RequestClass("lookup", 0.7, 1_400, SECOND * 3 // 2, 3 * SECOND, 1.0, False)
 ORDER = RequestClass("order", 0.3, 2_100, 2 * SECOND, 3 * SECOND, 1.5, True)
-LEAD_IN_SPAN, LEAD_OUT_SPAN = 5 * SECOND, 3 * SECOND
-ANSWER_TIMEOUT = 4_000  # an operator asks the next planner after this time
+LEAD_IN_SPAN, LEAD_OUT_SPAN = 5 * SECOND, 3 * SECOND  # load before and after the release
+ANSWER_TIMEOUT = 4_000  # an operator waits this long for one planner's answer, then asks the next planner
 STUCK_AFTER = 240 * SECOND  # a release that has not ended by then is stuck
+# Disruption budgets: members per site, share of the fleet's members, members of the fleet while lowered.
 MAX_OUT_PER_SITE, FLEET_OUT_FRACTION, LOWERED_MAX_OUT = 2, 0.17, 1
+# Watch of each batch, and time from the start of a process to the fault of a crashing or leaking version.
 MIN_WATCH_MS, MAX_WATCH_MS, CRASH_AFTER_MS = 6_000, 40_000, 2_500
-MAX_ROLLBACKS = 3
+MAX_ROLLBACKS = 3  # that the operator orders in one run
 MARGINS = {"late": 0.08, "slow": 0.2, "shed": 0.08, "written_off": 0.08, "calls": 0.15}
-MIN_RESTART_SPAN = 2 * SECOND  # least time of a drain, a stop and a start together
+MIN_RESTART_SPAN = 2 * SECOND  # least time of a drain, a stop and a start together: no release is faster
 
 
 @dataclass(frozen=True)
 class ReleaseOptions(ScenarioOptions):
-    """Options of a run.
+    """Options of a release run, beside those of every scenario run.
 
     Attributes:
         version: Behaviour of the new version, one of `versions.FAULT_KINDS`.
-        margins: Factor on the usual margins of the canary analysis, for runs on a busy machine that test
-            other things.
-        without: Actions to replay without a release: time since its start, action and target, and value. None
-            runs the release.
+        margins: Factor on `MARGINS`, the margins of the canary analysis; above 1 for runs on a busy machine
+            that do not test the analysis.
+        without: Actions to replay without a release: time since the start of the release, action and target,
+            and value. None runs the release.
     """
 
     version: str = "good"
@@ -70,20 +73,27 @@
     """One run of a release with injected faults, or of the same faults without a release.
 
     Attributes:
+        planned_batches: Names of members, by batch.
         applied_actions: Actions applied so far, in the form of `ReleaseOptions.without`.
-        reached_moments: Time of each moment that the steps of `release_faults` can wait for.
-        permit_holder: The first member that was to drain.
-        operator_log: Answers that operators received.
+        reached_moments: When each moment that the steps of `release_faults` wait for was first reached.
+        permit_holder: The first member that the platform was ordered to drain; empty before that.
+        operator_log: One line for each answer that an operator received.
+        halted_at: When the rollout was first seen halted by itself; None if it was not.
+        final_phase: Phase in which the rollout ended or remained; empty before.
+        final_reason: Why it is in that phase.
+        is_stuck: Whether the rollout did not end in time, or members did not come up after it.
         unexpected_resumes: How often a halted rollout was seen to continue without an operator's command.
+        rollback_count: How many rollbacks the operator has ordered.
         last_figures: Figures of the last canary analysis that was seen.
         is_halt_expected: Whether the schedule has caused a halt that an operator ends.
+        pending_steps: Steps of the fault that are not done.
     """
 
     request_classes = [LOOKUP, ORDER]  # noqa: RUF012
     warm_up_span = 2 * SECOND
 
     def __init__(self, options: ReleaseOptions, folder: Path) -> None:
-        """Lays out the processes and stand-ins; files and logs go to `folder`."""
+        """Lay out the processes and stand-ins; files and logs go to `folder`."""
         self.release_options = options
         super().__init__(options, folder)
         self.planned_batches = plan_batches(
@@ -105,7 +115,7 @@
     # ---- layout ----------------------------------------------------------------------------------------
 
     def prepare(self) -> None:
-        """Lays out the disruption budgets, the stores and the platform."""
+        """Lay out the disruption budgets, the store of each site and the platform."""
         member_names = [server.name for server in self.servers]
         self.fleet_max_out = max(2, int(FLEET_OUT_FRACTION * len(member_names)))
         self.budget_groups = {
@@ -136,15 +146,15 @@
         self.delisted_members: set[str] = set()  # left out of the fleet file
 
     def member_names(self, site: str) -> list[str]:
-        """Returns the names of a site's members."""
+        """Return the names of a site's members."""
         return [server.name for server in self.servers if server.site == site]
 
     def get_vault(self, server: AppServer) -> Vault:
-        """Returns the store that the app server calls."""
+        """Return the store of the app server's site, which the app server calls."""
         return self.vaults[self.store_by_site[server.site]]
 
     def extend_fleet_file(self, fleet: dict[str, Any], reader: str) -> None:
-        """Adds the platform, services, disruption budgets and needs to a fleet file."""
+        """Add the platform, services, budgets and needs to a fleet file, and drop delisted members."""
         fleet["platform"] = {"address": self.platform.address, "ask_ms": 200, "stale_ms": 2_000}
         fleet["services"] = [{"name": name, "kind": "store"} for name in self.vaults]
         fleet["groups"] = [
@@ -165,7 +175,7 @@
                 member["calls"] = calls
 
     def rewrite_fleet_files(self) -> None:
-        """Writes a changed fleet file for each planner and makes the planner read it."""
+        """Write a changed fleet file for each planner and make the planner read it."""
         for name in self.planner_names:
             self.write_fleet_file(name)
             self.planners[name].reload()
@@ -173,7 +183,7 @@
     def make_spec(
         self, sites: list[str], version: str = NEW_VERSION, previous_version: str = OLD_VERSION
     ) -> RolloutSpec:
-        """Returns the rollout of a version to the sites."""
+        """Return the release file that brings a version to the sites, in their order."""
         return RolloutSpec(
             version=version,
             previous_version=previous_version,
@@ -191,10 +201,10 @@
     # ---- operators -------------------------------------------------------------------------------------
 
     def ask_planners(self, record: Message, method: str, planners: list[str] | None = None) -> dict[str, Any]:
-        """Sends a request to the planners in turn until one answers.
+        """Send a request to the planners in turn, for up to 20 s, and return the first answer.
 
-        Status requests need the leader's answer. With `planners`, only these are asked, and once each.
-        Without an answer the result has the last error's text as `trouble`.
+        A status request needs the leader's answer. With `planners`, only these are asked, and once each.
+        Without an answer the result is negative and has the last error's text as `trouble`.
         """
         give_up_at = self.scheduler.now + 20 * SECOND
         last_error = ""
@@ -220,7 +230,7 @@
         return {"done": False, "granted": False, "releases": [], "trouble": last_error}
 
     def send_command(self, action: str, **fields: Any) -> dict[str, Any]:
-        """Sends a rollout command as an operator and records the answer."""
+        """Send a rollout command as an operator, record the answer and return it."""
         answer = self.ask_planners(
             RolloutCommand(action=RolloutAction(action), operator="the play", **fields), "release"
         )
@@ -228,12 +238,12 @@
         return answer
 
     def rollout_status(self, number: int = 1) -> dict[str, Any]:
-        """Returns the status of a rollout; empty if there is none."""
+        """Return the leader's status of a rollout; empty if there is none or no leader answers."""
         answer = self.ask_planners(RolloutCommand(action=RolloutAction.STATUS, number=number), "release")
         return answer["releases"][0] if answer["releases"] else {}
 
     def request_permit(self, holder: str, planners: list[str] | None = None) -> dict[str, Any]:
-        """Requests an eviction permit for a member."""
+        """Request an eviction permit for a member; `granted` in the answer tells whether it has one."""
         return self.ask_planners(
             EvictionRequest(operation=EvictionOperation.REQUEST_PERMIT, holder=holder, reason="by hand"),
             "want",
@@ -243,11 +253,11 @@
     # ---- moments ---------------------------------------------------------------------------------------
 
     def record_moment(self, name: str) -> None:
-        """Records when a moment of the release was first reached."""
+        """Record when a moment of the release was first reached; later times are ignored."""
         self.reached_moments.setdefault(name, self.scheduler.now)
 
     def before_platform_order(self, action: str, name: str) -> str:
-        """Records the moments that an order marks, and injects the faults that strike on its arrival.
+        """Record the moments that an order marks, and inject the faults that strike on its arrival.
 
         Returns:
             `drop` if the platform must not execute or answer the order, else an empty string.
@@ -274,7 +284,7 @@
         return ""
 
     def on_member_stopped(self, name: str) -> None:
-        """Records that a member stopped; the fault `killed-draining` kills the leader then."""
+        """Record that a member stopped; kill the leader at the first one in the fault `killed-draining`."""
         if "stopped" not in self.reached_moments and self.release_options.fault == "killed-draining":
             self.planners[self.find_leader()].kill()
         self.record_moment("stopped")
@@ -282,7 +292,7 @@
     # ---- course of the run -----------------------------------------------------------------------------
 
     def execute_schedule(self) -> None:
-        """Runs the release, or the replayed actions, between a lead-in and a lead-out under load."""
+        """Run the release, or the replayed actions, between a lead-in and a lead-out under load."""
         scheduler = self.scheduler
         self.start_all()
         self.platform.poll_machines()
@@ -297,7 +307,7 @@
         self.drain_all()
 
     def replay_actions(self, actions: tuple[tuple[int, str, float], ...]) -> None:
-        """Applies the actions of an earlier run at the same times, without a release."""
+        """Apply the actions of an earlier run at the same times, without a release."""
         self.rollout_started_at = self.scheduler.now
         for at, action, value in actions:
             self.scheduler.sleep(max(self.scheduler.now, self.rollout_started_at + at))
@@ -307,7 +317,11 @@
         self.rollout_ended_at = self.scheduler.now
 
     def run_rollout(self) -> None:
-        """Starts the rollout, applies the fault's steps and follows the rollout to its end."""
+        """Start the rollout, apply the fault's steps and follow the rollout to its end.
+
+        Raises:
+            RuntimeError: The planners did not start the rollout.
+        """
         scheduler = self.scheduler
         self.wait_for(self.is_fleet_known, 30 * SECOND)
         sites = (
@@ -320,7 +334,7 @@
         self.rollout_started_at = scheduler.now
         answer = self.send_command("start", spec=spec)
         if not answer["done"]:
-            raise RuntimeError(f"not begun: {answer}")
+            raise RuntimeError(f"the planners did not start the rollout: {answer}")
         self.record_moment("start")
         if self.pending_steps:
             scheduler.spawn("schedule", self.apply_steps)
@@ -329,12 +343,15 @@
         self.applied_actions.append((self.rollout_ended_at - self.rollout_started_at, "end", 0.0))
 
     def is_fleet_known(self) -> bool:
-        """Whether the leader knows all members and none is out."""
+        """Whether the leader knows all members and none is unavailable, so that all are warm."""
         fleet = self.ask_planners(OperatorCommand(operation=OperatorOperation.SHOW), "wish")
         return len(fleet.get("members", ())) == len(self.servers) and not fleet["out"]
 
     def follow_rollout(self) -> None:
-        """Polls the rollout until it has ended; an operator rolls a bad version back."""
+        """Poll the rollout until it has ended, and roll a bad version back as an operator would.
+
+        A rollout that has not ended after `STUCK_AFTER` is stuck.
+        """
         give_up_at = self.scheduler.now + STUCK_AFTER
         while self.scheduler.now < give_up_at:
             status = self.rollout_status()
@@ -362,9 +379,11 @@
         self.final_phase, self.is_stuck, self.final_reason = phase, True, status.get("doing", "")
 
     def continue_after_halt(self, status: dict[str, Any]) -> bool:
-        """Acts as the operator of a halted rollout, and returns whether to keep polling.
+        """Act as the operator of a halted rollout, and return whether to keep polling.
 
-        A bad version is rolled back, at most three times, once all members are up.
+        A bad version is rolled back, at most `MAX_ROLLBACKS` times, once all members are up and the rollout
+        excludes none. Excluded members whose start failed are started in the old version before. A rollout
+        whose version is not bad is polled until all members are up.
         """
         if not status["bad"] or self.rollback_count >= MAX_ROLLBACKS:
             return not self.platform.is_all_up() and self.rollback_count < MAX_ROLLBACKS
@@ -376,7 +395,7 @@
         if not self.platform.is_all_up():
             return True
         if status["left_out"]:
-            return True  # until the rollout sees these members back
+            return True  # until the rollout sees that these members are up
         self.rollback_count += 1
         self.send_command("back", number=1)
         return True
@@ -389,7 +408,7 @@
         return bool(status) and status["phase"] in ("done", "back", "halted")
 
     def wait_until_settled(self) -> None:
-        """Waits up to 20 s until all members are up and none is out.
+        """Wait up to 20 s until all members are up and the platform records no disruption.
 
         If a member is down after that time, the run is stuck.
         """
@@ -403,7 +422,7 @@
     # ---- steps -----------------------------------------------------------------------------------------
 
     def apply_steps(self) -> None:
-        """Applies the fault's steps, each at its moment, until the rollout has ended."""
+        """Apply the fault's steps, each at its moment, until the rollout has ended."""
         while self.pending_steps:
             step = self.pending_steps[0]
             if isinstance(step.wait, int):
@@ -420,7 +439,13 @@
             self.pending_steps.pop(0)
 
     def apply_action(self, action: str, target: str, value: float = 0.0) -> None:
-        """Applies an action to the fleet, and records it for the run without a release."""
+        """Apply an action to the fleet, and record it for the run without a release.
+
+        Args:
+            action: Name of the action; an unknown one does nothing.
+            target: Name of the member, service, tenant or site that it applies to.
+            value: Seconds for `hold`, the factor on the load for `surge`; unused otherwise.
+        """
         if self.release_options.without is None:
             self.applied_actions.append(
                 (self.scheduler.now - self.rollout_started_at, f"{action} {target}", value)
@@ -445,7 +470,7 @@
                     self.platform.machines[name].restart_at = self.scheduler.now
 
     def lose_site(self, site: str) -> None:
-        """Kills all members of a site; the platform restarts them only after the action `site-back`."""
+        """Kill all members of a site; the platform restarts them only after the action `site-back`."""
         self.lost_sites.add(site)
         for name in self.member_names(site):
             self.platform.kill_member(name)
@@ -454,7 +479,11 @@
                 machine.restart_at = self.scheduler.now + STUCK_AFTER
 
     def apply_step(self, step: Step) -> None:
-        """Applies one step; an unknown action raises `RuntimeError`."""
+        """Apply one step of the fault.
+
+        Raises:
+            RuntimeError: The step's action is unknown, or a condition that it waits for was not met in time.
+        """
         value = step.value
         match step.action:
             case "kill-leader" | "kill-holder":
@@ -489,7 +518,7 @@
                 self.operator_log.append(f"second: {answer['done']}")
                 overlapping = self.send_command("start", spec=self.make_spec(self.sites))
                 if overlapping["done"]:
-                    self.faults.append("a release that shares members with another was begun")
+                    self.faults.append("a release that shares members with an active release was started")
             case "drain-by-hand":
                 self.scheduler.spawn("by hand", self.drain_by_hand)
             case "lower" | "raise":
@@ -568,7 +597,10 @@
         return bool(fleet.get("sites")) and all(site["stage"] == "home" for site in fleet["sites"])
 
     def drain_by_hand(self) -> None:
-        """Acts as an operator's script: requests a permit, drains the last member and restarts it."""
+        """Act as an operator's script: request a permit, drain the last member and restart it.
+
+        The script asks every 3 s for up to 120 s, and after that drains the member without a permit.
+        """
         name = self.member_names(self.sites[-1])[-1]
         give_up_at = self.scheduler.now + 120 * SECOND
         while self.scheduler.now < give_up_at and not self.request_permit(name)["granted"]:
@@ -583,7 +615,10 @@
         self.platform.start_member(machine, version)
 
     def request_permit_on_both_sides(self) -> None:
-        """Requests a permit on both sides of a partition; the minority must not grant one."""
+        """Request a permit on both sides of a partition; the leader, cut off alone, must not grant one.
+
+        After that it asks all planners for up to 60 s, and hands the permit back once it is granted.
+        """
         leader = self.find_leader()
         name = self.member_names(self.sites[-1])[0]
         leader_answer = self.request_permit(name, [leader])
@@ -609,9 +644,10 @@
     # ---- report ----------------------------------------------------------------------------------------
 
     def min_span_s(self) -> float:
-        """Returns the shortest time, in seconds, that budgets and watches allow for the rollout.
+        """Return the shortest time, in seconds, that budgets and watches allow for the rollout.
 
-        Each batch goes in rounds of as many members as may be out at once.
+        Each batch goes in rounds of as many members as may be out at once. A round takes a restart and the
+        warm-up, and each batch is watched once.
         """
         rounds = 0
         for batch in self.planned_batches:
@@ -625,7 +661,10 @@
         ) / SECOND
 
     def build_report(self) -> dict[str, Any]:
-        """Returns the part of the report that is measured outside the processes."""
+        """Return the part of the report that runs with and without a release share.
+
+        Budgets, service and rule violations are measured outside the processes under test.
+        """
         truth, platform = self.history, self.platform
         spans = {"during": (self.rollout_started_at, self.rollout_ended_at)}
         report: dict[str, Any] = {
@@ -643,7 +682,7 @@
         return report
 
     def rollout_report(self) -> dict[str, Any]:
-        """Returns how the rollout ended and what it violated."""
+        """Return how the rollout ended and what it violated."""
         platform = self.platform
         halt_s = None
         if self.halted_at is not None and platform.first_harm_at is not None:
@@ -667,7 +706,7 @@
 
 
 def run_once(options: ReleaseOptions, folder: Path) -> tuple[dict[str, Any], ReleaseRun]:
-    """Runs once and returns the report and the run.
+    """Carry out one run and return its report and the run itself.
 
     Logs and disks of an earlier run in `folder` are deleted.
     """
@@ -683,7 +722,7 @@
 
 
 def find_violations(report: dict[str, Any]) -> list[str]:
-    """Returns the rules, budgets and other expectations that a report violates."""
+    """Return a line for each rule, budget and other expectation that a report violates."""
     violations = [f"rule {name}: {count}" for name, count in report["rules"].items() if count]
     violations += [f"budget {name}" for name, budget in report["budgets"].items() if budget["breaches"]]
     counted = ("drained_twice", "resumed_without_a_word", "dead", "trouble")
@@ -692,7 +731,10 @@
 
 
 def run_release(options: ReleaseOptions) -> dict[str, Any]:
-    """Returns the report of a release and, unless excluded, of the same schedule without one."""
+    """Run a release and, unless `options.alone`, the same schedule without one; return the report.
+
+    Files and logs are deleted after the runs unless `options.logs` names a folder for them.
+    """
     logs_folder = options.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
     try:
         measured, run = run_once(options, logs_folder / "release")
@@ -724,12 +766,12 @@
     def __init__(
         self, options: ReleaseOptions, folder: Path, minutes: float, print_line: Callable[[str], None]
     ) -> None:
-        """Lays out a fleet that stays up for so many minutes; `print_line` shows a line to the user."""
+        """Lay out a fleet that stays up for so many minutes; `print_line` shows a line to the user."""
         super().__init__(options, folder)
         self.minutes, self.print_line = minutes, print_line
 
     def execute_schedule(self) -> None:
-        """Starts the fleet, prints how to release through it, and ends it after the minutes."""
+        """Start the fleet, print how to release through it, and end it after `minutes`."""
         self.start_all()
         self.platform.poll_machines()
         self.wait_for(self.is_fleet_known, 30 * SECOND)
@@ -747,7 +789,7 @@
 def run_interactive(
     options: ReleaseOptions, folder: Path, minutes: float, print_line: Callable[[str], None]
 ) -> None:
-    """Keeps a fleet up for so many minutes, and prints the faults that it met."""
+    """Keep a fleet up for so many minutes, then print the exceptions of the testbed's tasks."""
     folder.mkdir(parents=True, exist_ok=True)
     run = InteractiveRun(options, folder, minutes, print_line)
     try:
--- a/birchslip/lab/rollouts.py
+++ b/birchslip/lab/rollouts.py
@@ -34,17 +34,18 @@
     RolloutSpec,
 )
 
+# Times are tenths of a millisecond where a name has no unit.
 SECOND = 10_000
 TICK_INTERVAL = SECOND // 2
 VERSIONS = ("good", "slow", "crash", "nostart", "profile")
 DRAIN_SPAN, START_SPAN, WARMUP_SPAN = 2 * SECOND, SECOND, 4 * SECOND
-CRASH_PROBABILITY = 0.2  # of the version `crash`, per tick
-ORDER_LOST_BELOW, ORDER_DUPLICATED_ABOVE = 0.1, 0.9  # of the draw for each order
+CRASH_PROBABILITY = 0.2  # per tick, of each member that has been warm for 3 s in the version `crash`
+ORDER_LOST_BELOW, ORDER_DUPLICATED_ABOVE = 0.1, 0.9  # bounds on the draw from 0 to 1 for each order
 
 
 @dataclass(eq=False)
 class Instance:
-    """One member's process, as the platform sees it. Times are in tenths of a millisecond."""
+    """One member's process, as the platform sees it; times are in tenths of a millisecond."""
 
     name: str
     state: InstanceStatus = InstanceStatus.UP
@@ -53,7 +54,7 @@
     state_until: int = 0  # when a drain or a start ends
     warm_at: int = 0
     failed_starts: int = 0
-    crash_count: int = 0
+    crash_count: int = 0  # crashes that the version `crash` causes, since its start
     drain_permits: list[int] = field(default_factory=list)  # permit number of each drain
     down_until: int = 0  # end of a crash; the platform lists a crashed process as up
 
@@ -70,8 +71,13 @@
         version: Behaviour of the new version, one of `VERSIONS`.
         fault_rate: Rate, per second, of crashes, of load surges and of slow machines that the rollout does
             not cause.
-        takeover_rate: Probability, per tick of half a second, that another planner takes over.
-        first_failure_at: When the new version first did harm.
+        takeover_rate: Probability, per tick of half a second, that the leader fails and another planner takes
+            over.
+        stored_record: The rollout's record as of the last tick, the only one that a new leader has.
+        stored_budget: The disruption budget's state as of the last tick, likewise.
+        executed_orders: Drains that the platform has executed; it ignores a repeat.
+        first_failure_at: When the new version first did harm; None if it never did.
+        halted_at: When the rollout last halted; None if it never did.
     """
 
     def __init__(
@@ -83,7 +89,7 @@
         fault_rate: float = 0.02,
         takeover_rate: float = 0.02,
     ) -> None:
-        """Lays out the fleet and plans the rollout; all draws follow from `seed`."""
+        """Lay out the fleet and plan the rollout; all draws follow from `seed`."""
         self.rng = random.Random(seed)
         self.version, self.fault_rate, self.takeover_rate = version, fault_rate, takeover_rate
         self.sites = {f"s{n}": [f"s{n}-{m}" for m in range(members_per_site)] for n in range(site_count)}
@@ -111,7 +117,7 @@
         self.halted_at: int | None = None
 
     def take_over(self) -> None:
-        """Continues the rollout as a new leader, from the stored record and budget."""
+        """Continue the rollout as a new leader, with nothing but the stored record and budget."""
         budget = DisruptionBudget(self.groups)
         budget.restore(self.stored_budget)
         self.rollout = Rollout(msgspec.json.decode(self.stored_record, type=RolloutRecord), budget)
@@ -119,7 +125,7 @@
     # ---- fleet -----------------------------------------------------------------------------------------
 
     def observations(self) -> dict[str, MemberObservation]:
-        """Returns what the leader observes of each member."""
+        """Return what the leader observes of each member, by name."""
         observations = {}
         for name, instance in self.instances.items():
             reason = None
@@ -135,14 +141,17 @@
         return observations
 
     def instance_views(self) -> dict[str, InstanceView]:
-        """Returns the platform's list of instances."""
+        """Return the platform's list of instances, by member; a crashed one is listed as up."""
         return {
             name: InstanceView(instance.state, instance.version, instance.failed_starts, instance.crash_count)
             for name, instance in self.instances.items()
         }
 
     def metric_samples(self) -> dict[str, MemberSample]:
-        """Returns the metrics of each member that is up, over the last tick."""
+        """Return the metrics of each member that runs, over the last tick.
+
+        Also record which members run the new version, and the first harm that `slow` and `profile` do.
+        """
         samples = {}
         for name, instance in self.instances.items():
             if not instance.is_up or self.now < instance.down_until:
@@ -163,10 +172,10 @@
             late_count = sum(
                 self.rng.random() < min(1.0, late_rate + extra_late_rate) for _ in range(request_count)
             )
-            # The version `profile` never honours one profile, which has a fifth of the requests.
-            is_faulty_profile = instance.version == "new" and self.version == "profile"
+            # The version `profile` never honours one request class, which has a fifth of the requests.
+            fails_one_class = instance.version == "new" and self.version == "profile"
             lost_count = sum(
-                self.rng.random() < (0.2 if is_faulty_profile else 0.002) for _ in range(request_count)
+                self.rng.random() < (0.2 if fails_one_class else 0.002) for _ in range(request_count)
             )
             figures = {
                 "late": (late_count, request_count),
@@ -177,7 +186,11 @@
         return samples
 
     def advance_time(self) -> None:
-        """Advances time by one tick: drains and starts end, and faults are drawn."""
+        """Advance time by one tick: end drains and starts that are due, and draw faults.
+
+        Drawn are crashes of the version `crash` and, whatever the version, a crash of one member in the old
+        version, a load surge of 15 s and a member that is slow for 8 s.
+        """
         self.now += TICK_INTERVAL
         for instance in self.instances.values():
             if instance.state is InstanceStatus.DRAINING and self.now >= instance.state_until:
@@ -213,7 +226,7 @@
             self.slow_until[self.rng.choice(list(self.instances))] = self.now + 8 * SECOND
 
     def finish_start(self, instance: Instance) -> None:
-        """Ends a start; with the version `nostart` the new version fails to start."""
+        """End a start: the member is up and cold, or failed if `nostart` is the new version."""
         if instance.version == "new" and self.version == "nostart":
             instance.state = InstanceStatus.FAILED
             instance.failed_starts += 1
@@ -225,9 +238,10 @@
     # ---- orders and rollout ----------------------------------------------------------------------------
 
     def execute_order(self, order: PlatformOrder) -> None:
-        """Executes an order as the platform does; the order may be lost or arrive twice.
+        """Execute an order as the platform does; the order may be lost or arrive twice.
 
-        A drain that was executed before is ignored.
+        A drain that was executed before is ignored, and so is a start of a member that is up, draining or
+        already starting.
         """
         draw = self.rng.random()
         for _ in range(0 if draw < ORDER_LOST_BELOW else 2 if draw > ORDER_DUPLICATED_ABOVE else 1):
@@ -252,7 +266,7 @@
                 )
 
     def step(self) -> None:
-        """Runs one tick of the platform, the members and the rollout."""
+        """Run one tick of the platform, the members and the rollout."""
         self.advance_time()
         if self.rng.random() < self.takeover_rate:
             self.takeover_count += 1
@@ -261,8 +275,8 @@
         self.rollout.budget.reconcile(self.observations())
         view = FleetView(self.instance_views(), self.observations(), self.metric_samples(), [])
         orders = self.rollout.step(view, self.now)
-        # Stored before any order is sent: after a failure at this point, no order exists that the successor
-        # does not know of.
+        # Stored before any order is sent: if the leader fails here, no order exists that its successor does
+        # not know of.
         self.stored_record = msgspec.json.encode(self.rollout.record)
         self.stored_budget = self.rollout.budget.encode()
         for order in orders:
@@ -272,16 +286,20 @@
         self.count_breaches()
 
     def count_breaches(self) -> None:
-        """Counts groups with more members out than allowed, by the members' true state."""
+        """Count groups with more members out than allowed, by the members' true state.
+
+        Drains, stops and failed starts count; a member that crashed keeps the state UP and does not.
+        """
         for group in self.groups:
             out = [name for name in group.members if self.instances[name].state is not InstanceStatus.UP]
             if len(out) > group.disruptions_allowed:
                 self.budget_breaches += 1
 
     def run(self, rolls_back: bool = True, timeout_s: int = 1_200) -> RolloutScenario:
-        """Runs until the rollout ends, or for `timeout_s` seconds.
+        """Run until the rollout ends, or for `timeout_s` seconds of virtual time, and return the scenario.
 
-        With `rolls_back`, a rollout that halts on a bad version is rolled back once all members are up.
+        With `rolls_back`, a rollout that halts on a bad version is rolled back once all members are up,
+        unless it excluded a member.
         """
         for _ in range(timeout_s * SECOND // TICK_INTERVAL):
             self.step()
@@ -304,7 +322,7 @@
         )
 
     def report(self) -> dict[str, object]:
-        """Returns how the rollout ended and what it violated; the keys are those of the printed report."""
+        """Return how the rollout ended and what it violated; the keys are those of the printed report."""
         return {
             "ended": self.rollout.phase.value,
             "breaches": self.budget_breaches,
