--- a/birchslip/lab/clients.py
+++ b/birchslip/lab/clients.py
@@ -2,8 +2,9 @@
 
 A router sends a first attempt to a listed app server of its own site, and to another site only if its own
 has none available. A request that was shed, refused or cut off is retried elsewhere, up to `MAX_ATTEMPTS`
-attempts in all, and marked as a retry. Routers follow the advice in rejections (when to come back, and not to
-try elsewhere) with a given probability.
+attempts in all, and marked as a retry; one with an idempotency key is not retried after a cut or an error
+other than a rejection. Routers follow the advice in rejections (when to come back, and not to try elsewhere)
+with a given probability.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
 
 # Times are tenths of a millisecond.
 BUFFER_BYTES = 1 << 20
-MAX_ATTEMPTS = 4
+MAX_ATTEMPTS = 4  # of one operation
 ADVICE_COMPLIANCE = 0.6  # probability that a client follows the advice in a rejection
 FIRST_RETRY_DELAY = 500  # 50 ms, doubled for each further retry and varied at random by up to half
 MAX_LINKS_PER_SERVER = 4
 MAX_PENDING_PER_LINK = 24
-MAX_WAIT_WITHOUT_SERVER = 3_000
+MAX_WAIT_WITHOUT_SERVER = 3_000  # from the creation of an operation until it fails for want of an app server
 UNREACHABLE_HOLDOFF = 5_000  # an app server that refuses a connection gets no attempts for this time
 LISTING_DELAY = 8_000  # the catalog's list reaches routers within 0.8 s
 HEALTH_CHECK_INTERVAL = 5_000
 HEALTH_CHECK_TIMEOUT = 4_000
-MAX_MISSED_CHECKS = 2
+MAX_MISSED_CHECKS = 2  # failed checks in a row that make an app server unhealthy
 MAX_OPEN_ATTEMPTS = 2  # of one operation at a time, for a retry on timeout
 MIN_TIME_LEFT = 500  # an attempt with less time before the deadline is not sent
 ABORT_DELAY = 1_500  # between the deadline of an attempt and its abort
@@ -74,7 +75,7 @@
     """An app server: its address for routers, and the real state of its process for the checks."""
 
     def __init__(self, name: str, site: str, address: tuple[str, int]) -> None:
-        """Describe an app server that is not running yet."""
+        """Describe an app server that is not running yet; its incarnation counts its starts."""
         self.name, self.site, self.address = name, site, address
         self.incarnation = 0
         self.is_up = False  # whether its process runs and is not paused
@@ -125,7 +126,10 @@
         arrival_rate: Requests per second before surges.
         surge_factors: Factor on the arrivals of a tenant, by its name.
         advice_compliance: Probability that advice in a rejection is followed.
+        links: Connections to each app server that have not ended.
         avoided_until: Time until which an app server gets no attempts.
+        listed_servers: Names of the app servers on the list of the catalog that is in effect.
+        unhealthy_servers: App servers that failed their last health checks; they get no attempts.
         get_lost_sites: Returns the sites that are dead or paused.
         charge_cores: Charges core time to an app server.
     """
@@ -175,7 +179,10 @@
     # ---- arrivals --------------------------------------------------------------------------------------
 
     def start(self, catalog: Callable[[], set[str]]) -> None:
-        """Begin to send requests, poll the catalog and check the health of the app servers."""
+        """Begin to send requests, poll the catalog and check the health of the app servers.
+
+        `catalog` returns the names of the app servers that the catalog lists.
+        """
         self.refresh_listing(catalog)
         self.next_arrival = self.scheduler.now
         self.scheduler.at(self.next_arrival, self.generate_request)
@@ -183,14 +190,21 @@
             self.scheduler.spawn("health checks", partial(self.check_health_repeatedly, server))
 
     def refresh_listing(self, catalog: Callable[[], set[str]]) -> None:
-        """Poll the catalog; the list takes effect `LISTING_DELAY` later."""
+        """Poll the catalog now and every quarter of `LISTING_DELAY`.
+
+        Each list takes effect `LISTING_DELAY` after it was read.
+        """
         listed = catalog()
         self.scheduler.at(self.scheduler.now + LISTING_DELAY, lambda: setattr(self, "listed_servers", listed))
         if not self.is_stopped:
             self.scheduler.at(self.scheduler.now + LISTING_DELAY // 4, lambda: self.refresh_listing(catalog))
 
     def generate_request(self) -> None:
-        """Create and send one request, and schedule the next arrival."""
+        """Create and send one request, and schedule the next arrival.
+
+        Arrivals are a Poisson process; tenant, request class and work are drawn too, and the work is at least
+        5 ms.
+        """
         if self.is_stopped:
             return
         weights = {
@@ -262,7 +276,14 @@
         body: bytes,
         server_override: AppServer | None,
     ) -> None:
-        """Send an attempt of the operation, unless it is finished or too close to its deadline."""
+        """Send an attempt of the operation, unless it is finished or too close to its deadline.
+
+        Args:
+            operation: The operation; it is finished if less than `MIN_TIME_LEFT` remains.
+            request_class: Its request class.
+            body: Body of the request.
+            server_override: App server that gets the attempt; None to select one.
+        """
         now = self.scheduler.now
         if (
             operation.is_finished
@@ -303,7 +324,8 @@
     ) -> None:
         """Open a connection to the app server and send the attempt on it.
 
-        The operation is retried if the maximum number of connections is open or the server is unreachable.
+        The operation is retried if the maximum number of connections is open or the server is unreachable; an
+        unreachable server also gets no attempts for `UNREACHABLE_HOLDOFF`.
         """
         links = [link for link in self.links[server] if link.connection.open]
         if len(links) >= MAX_LINKS_PER_SERVER:
@@ -334,7 +356,11 @@
     def write_attempt(
         self, operation: Operation, request_class: RequestClass, body: bytes, link: Link
     ) -> None:
-        """Write an attempt to a connection and schedule its timeout."""
+        """Write an attempt to a connection and schedule its timeout.
+
+        With an idempotency key the attempt times out at its deadline, otherwise after three quarters of the
+        latency objective if that is earlier.
+        """
         now = self.scheduler.now
         timeout = min(request_class.deadline, operation.created_at + request_class.deadline - now)
         attempt = Attempt(link.server.name, link.incarnation, now, now + timeout, bool(operation.attempts))
@@ -361,7 +387,8 @@
         if operation.key:
             fields["opkey"] = operation.key
         link.connection.write(pack([0, number, request_class.name, [fields, body]]))
-        # Without a key a retry is safe: it is sent once three quarters of the objective have passed.
+        # Without a key a retry is safe: it is sent, elsewhere if possible, once three quarters of the
+        # objective have passed without a response.
         wait = timeout if operation.key else min(timeout, request_class.latency_objective * 3 // 4)
         self.scheduler.at(now + wait, lambda: self.on_timeout(operation, request_class, body, link, number))
         link.router.requests[operation] = (request_class, body)
@@ -391,7 +418,8 @@
     def abandon(self, link: Link, number: int) -> None:
         """Abort an attempt whose deadline has passed.
 
-        A response was owed only by an app server that was running and connected all along.
+        A response was owed only by an app server that was running and connected all along; otherwise the
+        attempt is excused.
         """
         entry = link.pending.pop(number, None)
         if entry is None:
@@ -413,7 +441,10 @@
         server_override: AppServer | None,
         immediately: bool = False,
     ) -> None:
-        """Schedule a further attempt, with exponential backoff unless `immediately`."""
+        """Schedule a further attempt, with exponential backoff unless `immediately`.
+
+        After `MAX_ATTEMPTS` attempts the operation is finished instead.
+        """
         if operation.is_finished or operation.honoured_at or len(operation.attempts) >= MAX_ATTEMPTS:
             operation.is_finished = operation.is_finished or len(operation.attempts) >= MAX_ATTEMPTS
             return
@@ -433,7 +464,9 @@
     # ---- responses -------------------------------------------------------------------------------------
 
     def on_response(self, link: Link, number: int, error: list[Any] | None, result: list[bytes]) -> None:
-        """Record a response and retry the operation where it failed.
+        """Record a response and retry the operation if it was shed, or failed and has no key.
+
+        The advice in a rejection is followed with the probability `advice_compliance`.
 
         Args:
             link: Connection that the response came on.
@@ -507,7 +540,10 @@
     # ---- health checks ---------------------------------------------------------------------------------
 
     def check_health_repeatedly(self, server: AppServer) -> None:
-        """Check the health of one app server until the router stops; two failures make it unhealthy."""
+        """Check the health of one app server, every 0.5 to 0.6 s, until the router stops.
+
+        `MAX_MISSED_CHECKS` failures in a row make it unhealthy, one success healthy again.
+        """
         missed_checks = 0
         while not self.is_stopped:
             is_healthy = self.check_health(server)
@@ -521,7 +557,10 @@
             )
 
     def check_health(self, server: AppServer) -> bool:
-        """Send a ping on a connection of its own and return whether the app server reports healthy."""
+        """Send a ping on a connection of its own and return whether the app server reports healthy.
+
+        No response within `HEALTH_CHECK_TIMEOUT` counts as unhealthy.
+        """
         try:
             link = Connection(
                 self.scheduler, connect(self.scheduler, server.address), BUFFER_BYTES, BUFFER_BYTES
--- a/birchslip/lab/platform.py
+++ b/birchslip/lab/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: starts and drains real app servers, in two versions, as planners order.
+"""Stand-in for the platform: starts and drains real app server processes, in two versions, as planners order.
 
 It speaks the protocol of `cluster/platform_link.py`. A drain sends SIGTERM and waits for the process to exit;
 a start is complete once the catalog has a report of the new process. A process that exits by itself is
@@ -21,10 +21,10 @@
 from .versions import IN_PROCESS_KINDS
 from .world import Testbed
 
-# Times are tenths of a millisecond.
+# Times are tenths of a millisecond where a name has no unit.
 POLL_INTERVAL = 200
 RESTART_DELAY = SECOND  # between the exit of a process by itself and its restart
-MAX_START_SPAN = 20 * SECOND
+MAX_START_SPAN = 20 * SECOND  # a process that the catalog does not list by then has failed to start
 DETECTION_SPAN = SECOND  # planners should know of an unplanned disruption by then
 ORDER_SEGMENTS = 4  # path segments of an order: fleet, members, member, action
 OLD_VERSION, NEW_VERSION = "1", "2"
@@ -38,8 +38,10 @@
 
     Attributes:
         state: "up", "draining", "stopped" or "failed", as listed for planners.
+        version: Version that the process runs, or that was last started.
         failed_starts: Starts of the present version that failed, since the last that succeeded.
         crashes: Exits of the present version by itself that its injected fault explains.
+        started_at: Time of the last start.
         is_starting: Whether the process was started and is not listed yet.
         restart_at: When a process that exited by itself is restarted; 0 for none.
         failing_versions: Versions that do not start on this machine.
@@ -60,11 +62,13 @@
     """Which members are unavailable, since when and why, and breaches of disruption budgets.
 
     Attributes:
+        groups: Groups with disruption budgets, by name.
         dependents: Members that need a service, by its name.
-        causes: Start times of the causes by unavailable member.
-        planned_members: Members that a drain made unavailable.
+        causes: Start time of each cause, by unavailable member or service and name of the cause.
+        planned_members: Unavailable members and services that a drain made unavailable.
         peak_unavailable: Most members of each group that were unavailable at once.
         breaches: Number of budget breaches by group.
+        breach_descriptions: One line for each breach, with the members out and the number allowed.
     """
 
     def __init__(self, groups: list[BudgetGroup], dependents: Mapping[str, list[str]]) -> None:
@@ -78,7 +82,7 @@
         self.breach_descriptions: list[str] = []
 
     def find_unavailable(self, group: BudgetGroup) -> list[str]:
-        """Return the names of the unavailable members of a group."""
+        """Return the sorted names of the group's unavailable members and services."""
         return sorted(group.members & self.causes.keys())
 
     def begin_disruption(self, name: str, cause: str, now: int, is_planned: bool = False) -> None:
@@ -119,7 +123,10 @@
                 )
 
     def end_disruption(self, name: str, cause: str) -> None:
-        """Remove one cause of a member or service and of its dependents."""
+        """Remove one cause of a member or service, and the service as a cause of its dependents.
+
+        A member or service without a cause left is available again.
+        """
         for member, reason in (
             (name, cause),
             *((dependent, name) for dependent in self.dependents.get(name, ())),
@@ -131,7 +138,7 @@
                 self.planned_members.discard(member)
 
     def build_report(self) -> dict[str, Any]:
-        """Return budget, peak and breaches by group."""
+        """Return budget, peak and breaches by group; the keys are those of the printed report."""
         return {
             name: {
                 "allowed": group.disruptions_allowed,
@@ -148,10 +155,14 @@
     Attributes:
         fault_kind: Kind of fault in the new version; see `versions.FAULT_KINDS`.
         service_state: State and incarnation by service.
-        executed_drains: Member and permit number of each drain that was carried out.
-        drain_counts: Ordered drains by member and target version.
-        exposed_members: Members that ran the new version.
-        first_harm_at: When the new version first harmed a request or failed; None if it never did.
+        disruptions: Which members and services are unavailable, and breaches of budgets.
+        epoch: Highest planner epoch in a query or order so far; older ones are refused.
+        executed_drains: Member and permit number of each drain order that was accepted.
+        drain_counts: Drains that were begun on orders, by member and target version.
+        exposed_members: Members that came up in the new version.
+        first_harm_at: When the new version first harmed a run, crashed or failed to start, or began to leak;
+            None if it never did.
+        is_over: Whether the run is over, which ends the polling.
         stale_order_count: Orders of an epoch that is over.
         before_order: Called with action and member before an order is carried out; "drop" leaves the order
             undone and unanswered.
@@ -173,7 +184,7 @@
             fault_kind: Kind of fault in the new version.
             groups: Groups with disruption budgets.
             required_services: Services that each member needs.
-            crash_ms: Milliseconds from a process's start to its fault, for the kinds "crash" and "leak".
+            crash_ms: Milliseconds from the start of a process to its fault, for the kinds "crash" and "leak".
         """
         self.testbed, self.fault_kind, self.crash_ms = testbed, fault_kind, crash_ms
         self.machines = {server.name: Machine(server) for server in testbed.servers}
@@ -203,7 +214,7 @@
         self.service_state[name] = ("up", 1)
 
     def poll_machines(self) -> None:
-        """Poll the state of all processes, periodically until the run is over."""
+        """Poll the state of all processes now and every 20 ms until the run is over."""
         if self.is_over:
             return
         for machine in self.machines.values():
@@ -211,7 +222,7 @@
         self.scheduler.at(self.scheduler.now + POLL_INTERVAL, self.poll_machines)
 
     def record_harm(self, name: str) -> None:
-        """Record the time at which the new version first did harm."""
+        """Record that the new version did harm at a member; only the time of the first harm is kept."""
         if self.first_harm_at is None:
             self.first_harm_at = self.scheduler.now
 
@@ -228,7 +239,7 @@
         return 404, b""
 
     def list_members(self, epoch: int) -> tuple[int, bytes]:
-        """Return the state of members and services; a conflict for a stale epoch."""
+        """Return status 200 with the state of members and services, or 409 if the epoch is stale."""
         if epoch < self.epoch:
             return 409, b""
         self.epoch = epoch
@@ -248,10 +259,14 @@
         return 200, json.dumps({"members": members, "services": services}).encode()
 
     def handle_order(self, action: str, name: str, order: dict[str, Any]) -> tuple[int, bytes] | None:
-        """Carry out an order to drain or start a member, at most once.
+        """Carry out an order to drain or start a member.
+
+        A drain is carried out at most once for each permit number, and only of a member that is up in another
+        version than the target. A start needs a member that is stopped or failed.
 
         Returns:
-            Status and body of the response; None if the schedule drops the order.
+            Status and empty body of the response: 404 for an unknown member or action, 409 for a stale epoch,
+            204 otherwise, also if there was nothing to do. None if the schedule drops the order.
         """
         machine = self.machines.get(name)
         if machine is None or action not in ("drain", "start"):
@@ -275,7 +290,7 @@
             return 204, b""
         self.executed_drains.add((name, order["number"]))
         if not self.testbed.members[name].is_running():
-            return 204, b""  # it has just died; `poll_machine` will notice that and restart it
+            return 204, b""  # it has just exited by itself; `poll_machine` notices that and restarts it
         self.drain_counts[name, version] = self.drain_counts.get((name, version), 0) + 1
         self.drain_member(machine, is_planned=True)
         return 204, b""
@@ -283,13 +298,13 @@
     # ---- processes -------------------------------------------------------------------------------------
 
     def drain_member(self, machine: Machine, is_planned: bool) -> None:
-        """Drain a member and record its disruption."""
+        """Drain a member and record its disruption; a planned one counts against the budgets at once."""
         machine.state = "draining"
         self.disruptions.begin_disruption(machine.server.name, "own", self.scheduler.now, is_planned)
         self.testbed.drain_server(machine.server)
 
     def start_member(self, machine: Machine, version: str) -> None:
-        """Start a member in a version, with the fault of that version."""
+        """Start a new, cold incarnation of a member in a version, with the fault of that version."""
         server, testbed = machine.server, self.testbed
         name = server.name
         if version != machine.version:
@@ -311,7 +326,7 @@
         server.is_up = True
 
     def poll_machine(self, machine: Machine) -> None:
-        """Update the state of one machine from its process and its listing."""
+        """Update the state of one machine from its process and its listing; restart it when that is due."""
         now, server = self.scheduler.now, machine.server
         name, member = server.name, self.testbed.members[server.name]
         is_running = member.is_running()
@@ -334,7 +349,10 @@
             machine.state, machine.crashes, machine.failed_starts = "up", crashes, failed_starts
 
     def on_listed(self, machine: Machine) -> None:
-        """Mark a started member as up; its disruption ends once it is warm."""
+        """Mark a started member as up; its disruption ends once it is warm.
+
+        A leak counts as harm from `crash_ms` after the first member in the new version is listed.
+        """
         name, testbed = machine.server.name, self.testbed
         machine.is_starting, machine.state, machine.failed_starts = False, "up", 0
         if machine.version == NEW_VERSION:
@@ -355,7 +373,7 @@
         self.scheduler.at(warm_at, end_warm_up)
 
     def on_start_failed(self, machine: Machine) -> None:
-        """Mark a start as failed and kill the process."""
+        """Mark a start as failed and kill the process if it still runs."""
         name = machine.server.name
         machine.is_starting = False
         self.mark_down(machine.server)
@@ -367,7 +385,10 @@
             self.record_harm(name)
 
     def on_crash(self, machine: Machine) -> None:
-        """Record that a process exited by itself and schedule its restart."""
+        """Record that a process exited by itself, and schedule its restart after `RESTART_DELAY`.
+
+        The exit counts as a crash of its version if the injected fault explains it.
+        """
         now, name = self.scheduler.now, machine.server.name
         self.mark_down(machine.server)
         self.disruptions.begin_disruption(name, "own", now)
@@ -378,13 +399,13 @@
             self.record_harm(name)
 
     def clear_expected_exits(self, machine: Machine) -> None:
-        """Forget exit codes that the fault of the version explains."""
+        """Forget exit codes that the fault of the version explains, so that they are not reported."""
         is_expected = machine.version == NEW_VERSION and self.fault_kind in IN_PROCESS_KINDS
         if is_expected or machine.version in machine.failing_versions:
             self.testbed.members[machine.server.name].unexpected_exit_codes.clear()
 
     def mark_down(self, server: AppServer) -> None:
-        """Mark an app server as down, excuse its attempts and reset its agent."""
+        """Mark an app server as down, excuse its attempts, and reset and pause its agent."""
         server.is_up = False
         self.testbed.history.excuse_broken_attempts(server.name, server.incarnation)
         self.testbed.excuse_pending_attempts(server)
@@ -394,7 +415,7 @@
     # ---- actions of fault schedules --------------------------------------------------------------------
 
     def kill_member(self, name: str) -> None:
-        """Kill the process of a member; it is restarted after `RESTART_DELAY`."""
+        """Kill the process of a member; one that was up is restarted after `RESTART_DELAY`."""
         machine, member = self.machines[name], self.testbed.members[name]
         if member.is_running():
             self.mark_down(machine.server)
@@ -404,7 +425,10 @@
                 machine.restart_at, machine.is_starting = self.scheduler.now + RESTART_DELAY, False
 
     def pause_member(self, name: str, until: int) -> None:
-        """Pause a process until a given time; it then resumes with outdated state."""
+        """Pause a process until a given time; it then resumes with outdated state.
+
+        It stays as it is if a new incarnation was started in the meantime.
+        """
         member, agent = self.testbed.members[name], self.testbed.agents[name]
         incarnation = self.machines[name].server.incarnation
         self.testbed.excuse_pending_attempts(self.machines[name].server)
@@ -424,13 +448,13 @@
         self.scheduler.at(until, wake)
 
     def stop_service(self, name: str, is_planned: bool = False) -> None:
-        """Stop a downstream service and record the disruption of its dependents."""
+        """Stop a downstream service at once, and record its disruption and that of its dependents."""
         self.service_state[name] = ("draining", self.service_state[name][1])
         self.disruptions.begin_disruption(name, "own", self.scheduler.now, is_planned)
         self.services[name].stop_accepting()
 
     def start_service(self, name: str) -> None:
-        """Start a downstream service in a new incarnation."""
+        """Start a downstream service in a new incarnation, and end its disruption."""
         self.services[name].start_accepting()
         self.service_state[name] = ("up", self.service_state[name][1] + 1)
         self.disruptions.end_disruption(name, "own")
--- a/birchslip/lab/versions.py
+++ b/birchslip/lab/versions.py
@@ -4,7 +4,7 @@
 | --- | --- |
 | nostart | exits before it listens |
 | crash | exits by itself, without a log line, AFTER_MS after its start |
-| leak | allocates more and more memory from AFTER_MS after its start on, up to a bound |
+| leak | allocates more and more memory, from AFTER_MS after its start up to `MAX_LEAK_MB` |
 
 Faults in the runs themselves (slow under load, one request class that always fails) are injected by the
 stand-in agent, which executes the runs.
@@ -31,7 +31,7 @@
 
 
 def leak_memory(delay_s: float) -> None:
-    """Allocate memory step by step after a delay and hold it."""
+    """Allocate memory in steps after a delay, up to `MAX_LEAK_MB`, and hold it for good."""
     time.sleep(delay_s)
     chunks: list[bytes] = []
     while len(chunks) * LEAK_STEP_MB < MAX_LEAK_MB:
@@ -41,13 +41,13 @@
 
 
 def crash_after(delay_s: float) -> None:
-    """Exit without cleanup after a delay."""
+    """Exit the process with `CRASH_EXIT_CODE`, without cleanup, after a delay."""
     time.sleep(delay_s)
     os._exit(CRASH_EXIT_CODE)
 
 
 def main(arguments: list[str]) -> int:
-    """Run the program with the given fault and return its exit code."""
+    """Run the program with the fault of the arguments KIND and AFTER_MS, and return its exit code."""
     kind, delay_s = arguments[0], int(arguments[1]) / 1000
     if kind == "nostart":
         print("birchslip: this version does not start", file=sys.stderr)
--- a/birchslip/lab/world.py
+++ b/birchslip/lab/world.py
@@ -20,15 +20,16 @@
 from .truth import SECOND, HistoryChecker
 from .wires import FaultProxy, free_port
 
+# Times are tenths of a millisecond where a name has no unit.
 CORES_PER_SERVER = 2
-COLD_SPEED, WARM_UP_SPAN = 0.4, 4 * SECOND
+COLD_SPEED, WARM_UP_SPAN = 0.4, 4 * SECOND  # share of full speed at a cold start, and time to full speed
 LOOKUP = RequestClass("lookup", 0.7, 700, SECOND, 3 * SECOND, 1.0, False)
 ORDER = RequestClass("order", 0.3, 1_050, SECOND * 3 // 2, 3 * SECOND, 1.5, True)
 REQUEST_CLASSES = [LOOKUP, ORDER]
-RETENTION_WINDOW = 6 * SECOND
+RETENTION_WINDOW = 6 * SECOND  # how long an app server stores the result of an idempotency key
 TENANT_SHARES = {"blue": 0.5, "green": 0.3, "red": 0.2}
-CALLS_PER_SERVER = 3.0
-STOP_MS = 2_000
+CALLS_PER_SERVER = 3.0  # downstream calls at the same time that the vault allows, for each app server
+STOP_MS = 2_000  # `stop_ms` of the configuration below
 SITES = ("north", "south", "east", "west", "upper", "lower", "inner", "outer", "far")
 END_SPAN = 3 * SECOND  # for open requests, and then for the drains, at the end of a run
 END_TOLERANCE = 2_000  # above `ABORT_DELAY` of the routers, so that overdue attempts are aborted by then
@@ -44,7 +45,7 @@
         sites: Number of sites.
         each: App servers per site.
         planners: Number of planners.
-        load: Arrival rate as a share of the capacity.
+        load: Arrival rate as a share of the capacity; above 1 is overload.
         fault: Name of the fault schedule.
         logs: Folder that keeps files and logs; a temporary one if None.
         alone: Whether the run for comparison is left out.
@@ -69,13 +70,16 @@
     must name, and `extend_fleet_file` and `get_vault` to change these files.
 
     Attributes:
+        faults: Exceptions of the testbed's own tasks, and other faults of the run, as text.
         history: Record of what happened.
         written_at: When each request id was written to an app server.
-        capacity: Requests per second that all cores can serve.
+        mean_work: Mean core time of a run, over all request classes by their shares.
+        capacity: Requests per second that all cores can serve at full speed.
         lost_sites: Sites that are dead or paused.
         proxies: Fault proxies by the names of the process that connects and of the planner it connects to.
         last_targets: Planners that the last planner action applied to.
-        spans: Named parts of the run, relative to `started_at`.
+        spans: Start and end of named parts of the run, relative to `started_at`.
+        started_at: When all app servers were listed and the load began.
     """
 
     request_classes = REQUEST_CLASSES
@@ -140,13 +144,13 @@
         """Create what the files of the processes must name; called before they are written."""
 
     def record_fault(self, name: str, error: Exception) -> None:
-        """Record an exception of a task of the testbed."""
+        """Record an exception of the testbed's task `name`, which is not passed on."""
         self.faults.append(f"{name}: {type(error).__name__}: {error}")
 
     # ---- files and processes ---------------------------------------------------------------------------
 
     def create_agent(self, server: AppServer) -> Agent:
-        """Create the agent of an app server."""
+        """Create the agent of an app server, which knows when each request was written to it."""
         return Agent(
             self.scheduler,
             self.history,
@@ -158,14 +162,17 @@
         )
 
     def add_proxy(self, source: str, target: str) -> str:
-        """Put a fault proxy between a process and a planner and return its address."""
+        """Put a fault proxy between the process `source` and the planner `target`; return its address."""
         proxy = self.proxies[source, target] = FaultProxy(
             self.scheduler, ("127.0.0.1", self.planner_ports[target])
         )
         return proxy.address
 
     def planner_address(self, source: str, target: str) -> str:
-        """Return the address at which `source` reaches the planner: its own, or that of a proxy."""
+        """Return the address at which `source` reaches the planner `target`.
+
+        A planner reaches itself at its own port, and other processes reach it through a proxy each.
+        """
         if source == target:
             return f"127.0.0.1:{self.planner_ports[target]}"
         proxy = self.proxies.get((source, target))
@@ -213,7 +220,7 @@
             self.planners[name] = Process(name, arguments, {}, self.folder)
 
     def get_vault(self, server: AppServer) -> Vault:
-        """Return the vault that an app server calls."""
+        """Return the vault that an app server calls; one for all by default."""
         return self.vault
 
     def write_member_files(self, server: AppServer) -> Process:
@@ -276,7 +283,11 @@
     # ---- course of a run -------------------------------------------------------------------------------
 
     def start_all(self) -> None:
-        """Start all processes, wait until all app servers are listed, and start the load."""
+        """Start all processes, wait up to 30 s until all app servers are listed, and start the load.
+
+        Raises:
+            RuntimeError: Not all app servers were listed in time.
+        """
         for process in self.planners.values():
             process.start()
         for server in self.servers:
@@ -289,7 +300,7 @@
         self.started_at = self.scheduler.now
 
     def drain_all(self) -> None:
-        """Stop the load, let open requests end and drain all app servers."""
+        """Stop the load, let open requests end, drain all app servers and wait `END_SPAN` for that."""
         scheduler = self.scheduler
         for router in self.routers:
             router.is_stopped = True
@@ -299,14 +310,20 @@
         scheduler.sleep(scheduler.now + END_SPAN)
 
     def drain_server(self, server: AppServer) -> None:
-        """Send SIGTERM; after its drain grace the app server may launch no request that was written later."""
+        """Send SIGTERM to an app server and record the end of its drain grace.
+
+        The app server may launch no request that is written to it after that end.
+        """
         self.history.drain_deadlines[server.name, self.agents[server.name].incarnation] = (
             self.scheduler.now + DRAIN_GRACE
         )
         self.members[server.name].terminate()
 
     def excuse_pending_attempts(self, server: AppServer) -> None:
-        """Excuse all attempts at an app server that is killed, paused or resumed."""
+        """Excuse all pending attempts at an app server that is killed, paused or resumed.
+
+        They are owed no response.
+        """
         for router in self.routers:
             for link in router.links[server]:
                 for _, attempt in link.pending.values():
@@ -315,6 +332,10 @@
     def wait_for(self, condition: Callable[[], bool], timeout: int) -> None:
         """Wait in the calling task until the condition holds; it is checked every 50 ms.
 
+        Args:
+            condition: What is awaited.
+            timeout: Longest wait, in tenths of a millisecond.
+
         Raises:
             RuntimeError: The condition did not hold within the timeout.
         """
@@ -325,9 +346,9 @@
             raise RuntimeError(f"condition not met within {timeout / SECOND:g} s")
 
     def run_director(self, director: Callable[[], None]) -> None:
-        """Run `director` in a task and the scheduler until it ends.
+        """Run `director` in a task of its own, and the scheduler until the director ends.
 
-        An exception of the director is recorded as a fault.
+        An exception of the director is recorded as a fault and ends the run too.
         """
 
         def guarded() -> None:
@@ -344,7 +365,7 @@
     # ---- planners --------------------------------------------------------------------------------------
 
     def find_leader(self) -> str:
-        """Return the planner whose log has the latest leadership acquisition."""
+        """Return the planner whose log has the latest leadership acquisition; the first one if none has."""
         event = "event=leadership_acquired"
         announcements = [
             (time, name)
@@ -373,7 +394,11 @@
         return others[:1] or [name for name in self.planner_names if name != leader][:1]
 
     def apply_to_planners(self, action: str, selector: str) -> None:
-        """Apply a fault or repair action to the selected planners."""
+        """Apply a fault or repair action to the planners that `selector` means; see `resolve_planners`.
+
+        An unknown action does nothing, and so does "disk-old" if no disk was saved. "disk-cut-short" leaves
+        half of the planner's file and 100 bytes.
+        """
         names = self.resolve_planners(selector)
         for name in names:
             process = self.planners[name]
@@ -408,7 +433,7 @@
         self.last_targets = names
 
     def set_planner_proxies(self, mode: str, planner: str) -> None:
-        """Set the mode of all proxies between this planner and the other planners."""
+        """Set the mode of all proxies between `planner` and the other planners, in both directions."""
         for (source, target), proxy in self.proxies.items():
             if source in self.planners and planner in (source, target):
                 proxy.set_mode(mode)
@@ -416,7 +441,7 @@
     # ---- end of a run ----------------------------------------------------------------------------------
 
     def terminate_all(self) -> None:
-        """Terminate all processes and wait for each."""
+        """Terminate all processes and wait up to 5 s for each; one that still runs then is killed."""
         for member in self.members.values():
             member.terminate()
         for member in self.members.values():
@@ -432,7 +457,7 @@
         return self.started_at + start, self.started_at + end
 
     def list_unexpected_exits(self) -> list[str]:
-        """Return descriptions of processes that exited by themselves or with a nonzero code."""
+        """Return name and exit codes of each process that exited by itself or with a nonzero code."""
         processes = [*self.members.values(), *self.planners.values()]
         return [
             f"{process.name}: {process.unexpected_exit_codes}"
