--- a/tests/test_permit_processes.py
+++ b/tests/test_permit_processes.py
@@ -35,7 +35,7 @@
 
 
 class Member(threading.Thread):
-    """Sends a member's reports to one planner until it is stopped."""
+    """Sends a member's reports to one planner every 0.1 s, until it is stopped; reconnects as needed."""
 
     def __init__(self, name, address):
         super().__init__(daemon=True)
@@ -120,7 +120,7 @@
         return status["planner"] if status["leads"] else ""
 
     def evict(self, holder, operation="permit"):
-        """Sends an eviction request until a leader replies."""
+        """Send an eviction request until a leader replies, and return the reply."""
         responses = []
         request = EvictionRequest(operation=EvictionOperation(operation), holder=holder, reason="a release")
 
--- a/tests/test_release_processes.py
+++ b/tests/test_release_processes.py
@@ -23,7 +23,7 @@
 
 
 def start(version, fault, folder):
-    """Starts a run of a version and a fault; its report and output go to the folder."""
+    """Start a run of a version and a fault and return its process; report and output go to the folder."""
     arguments = ["lab", "play", "release", "--seed", "3", "--version", version, "--fault", fault]
     # Runs of a good version test killed processes and halts. Wide margins keep the load of other processes on
     # this machine from deciding the verdict, which the tests of the canary analysis cover.
@@ -40,7 +40,11 @@
 
 @pytest.fixture(scope="module")
 def fault_runs(tmp_path_factory):
-    """Runs all versions and faults at the same time; returns exit codes, reports and output."""
+    """Run all pairs of a version and a fault at the same time.
+
+    Returns:
+        Exit codes, reports and output, each by pair; a run that wrote no report has none.
+    """
     folder = tmp_path_factory.mktemp("releases")
     processes = {name: start(*name, folder) for name in FAULT_RUNS}
     codes = {name: process.wait(TIMEOUT_SECONDS) for name, process in processes.items()}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,9 @@
-"""Rules that must always hold; each case fails if the code that ensures its rule is removed."""
+"""The four rules of an app server, and faults that were found.
+
+Each case fails if the code that ensures its rule, or prevents its fault, is removed. The rules: every request
+is answered, a request with a key that may have run does not run again, nothing that arrives after the drain
+grace runs, and downstream calls stay within the quota.
+"""
 
 import pytest
 
