--- a/birchslip/lab/clients.py
+++ b/birchslip/lab/clients.py
@@ -218,7 +218,7 @@
             return
         tenant = self.arrival_random.choices(list(weights), list(weights.values()))[0]
         request_class = self.arrival_random.choices(
-            self.request_classes, [one.share for one in self.request_classes]
+            self.request_classes, [candidate.share for candidate in self.request_classes]
         )[0]
         work = max(5, int(self.arrival_random.gammavariate(4, request_class.mean_work / 4) / 10))
         self.operation_count += 1
--- a/birchslip/lab/release_play.py
+++ b/birchslip/lab/release_play.py
@@ -665,18 +665,18 @@
 
         Budgets, service and rule violations are measured outside the processes under test.
         """
-        truth, platform = self.history, self.platform
+        history, platform = self.history, self.platform
         spans = {"during": (self.rollout_started_at, self.rollout_ended_at)}
         report: dict[str, Any] = {
-            "rules": truth.check_rules(self.scheduler.now, RETENTION_WINDOW),
+            "rules": history.check_rules(self.scheduler.now, RETENTION_WINDOW),
             "budgets": platform.disruptions.build_report(),
-            "service": {name: round(truth.compute_service(span), 4) for name, span in spans.items()},
-            "attempts_each": round(truth.compute_attempts_per_operation(spans["during"]), 3),
-            "refused": dict(truth.shed_counts),
-            "broken_links": dict(Counter(truth.broken_links)),
+            "service": {name: round(history.compute_service(span), 4) for name, span in spans.items()},
+            "attempts_each": round(history.compute_attempts_per_operation(spans["during"]), 3),
+            "refused": dict(history.shed_counts),
+            "broken_links": dict(Counter(history.broken_links)),
             "dead": self.list_unexpected_exits(),
             "trouble": self.faults[:5],
-            "transactions": len(truth.operations),
+            "transactions": len(history.operations),
             "took_s": round((self.rollout_ended_at - self.rollout_started_at) / SECOND, 1),
         }
         return report
