--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -62,7 +62,7 @@
 
 
 def pytest_configure(config):
-    """Read KNOWN-RED.txt; a missing file has no entries."""
+    """Read KNOWN-RED.txt and keep its entries for this run; a missing file has none."""
     text = KNOWN_RED.read_text(encoding="utf-8") if KNOWN_RED.exists() else ""
     config.stash[known_failures] = read_known_failures(text)
 
@@ -71,8 +71,10 @@
 def pytest_collection_modifyitems(session, config, items):
     """Mark the listed tests as strict expected failures.
 
-    An entry is an error if its file was collected without the test, or if its file does not exist. An entry
-    for a file outside the selection of this run is ignored.
+    An entry for an existing file outside the selection of this run is ignored.
+
+    Raises:
+        pytest.UsageError: If the file of an entry does not exist, or was collected without the listed test.
     """
     # This hook runs first because xdist appends its group names to the node ids.
     collected = {item.nodeid: item for item in items}
@@ -86,7 +88,7 @@
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    """Print the entries."""
+    """Print the entries in a section at the end of the run; no section if there are none."""
     known = config.stash[known_failures]
     if known:
         terminalreporter.section(f"known red: {len(known)}")
--- a/tests/decision_harness.py
+++ b/tests/decision_harness.py
@@ -1,4 +1,4 @@
-"""A harness that drives the admission decisions of one app server without sockets, and a command runner."""
+"""A harness for the admission decisions of one app server without sockets, and a runner of commands."""
 
 import os
 import subprocess
@@ -23,14 +23,18 @@
 
 
 def make_request_class(kind=Idempotency.IDEMPOTENT, latency_objective=1000, deadline=4000, **fields):
-    """Build a request class; `latency_objective` and `deadline` are in milliseconds."""
+    """Build a request class; `latency_objective` and `deadline` are in milliseconds.
+
+    `fields` are other fields of `RequestClass`, in its units.
+    """
     return RequestClass(kind, latency_objective * MS, deadline * MS, **fields)
 
 
 class DecisionHarness:
     """Delivers events to an `AdmissionDriver` and records the actions that it returns.
 
-    Arguments of the methods are in milliseconds; `now` is in tenths of a millisecond, as in the library.
+    Times in arguments of the methods are in milliseconds; `now` is in tenths of a millisecond, as in the
+    library.
 
     Attributes:
         actions: Pairs of a request and an action on it, in the order of the decisions.
@@ -58,6 +62,9 @@
             *events: Requests to admit, or pairs of a request and an event of it.
             cpu: Core utilization from 0 to 1 for a tick after the events; no tick if None.
             drain_end: Time at which a drain that starts after the events ends; no drain if None.
+
+        Returns:
+            This harness, so that calls can be chained.
         """
         self.now = ms * MS
         self.driver.advance_clock(self.now)
@@ -77,13 +84,14 @@
         """Build a request that arrives at `ms`, without admitting it.
 
         Its deadline is `caller_timeout` after `ms`, or that of its request class if the argument is None.
+        `size` is in bytes, and `fields` are other fields of `Request`, in its units.
         """
         request_class = self.request_classes[class_index]
         deadline = ms * MS + (request_class.deadline if caller_timeout is None else caller_timeout * MS)
         return Request(request_class, caller, ms * MS, deadline, size, **fields)
 
     def action_names(self, request):
-        """Return the names of the actions on this request, without waits."""
+        """Return the names of the actions on this request in order, except `Wait`."""
         return [
             type(action).__name__
             for target, action in self.actions
@@ -91,7 +99,10 @@
         ]
 
     def warm_up(self, run_time=300, until=12_000, class_index=0, cpu=0.5):
-        """Serve requests one after another until `until`, so that the driver knows the usual run time."""
+        """Serve requests of `run_time` one after another, from 0 to `until`, with a tick after each step.
+
+        The driver then knows the usual run time. Return this harness.
+        """
         ms = 0
         while ms + run_time < until:
             request = self.make_request(ms, class_index)
@@ -101,8 +112,15 @@
 
 
 def run_command(*arguments, **environment):
-    """Run `python -m birchslip` and return its exit code, standard output and standard error."""
-    done = subprocess.run(
+    """Run `python -m birchslip` at the repository's root, with `environment` added to that of this process.
+
+    Returns:
+        The exit code, the standard output and the standard error.
+
+    Raises:
+        subprocess.TimeoutExpired: If the command takes longer than 60 seconds.
+    """
+    completed = subprocess.run(
         [sys.executable, "-m", "birchslip", *arguments],
         cwd=ROOT,
         env=os.environ | environment,
@@ -111,4 +129,4 @@
         timeout=60,
         check=False,
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
--- a/tests/expectation_harness.py
+++ b/tests/expectation_harness.py
@@ -1,4 +1,4 @@
-"""Shared by the tests of expectations: the example settings, and statements from single lines."""
+"""Helpers of the tests of expectations: the example settings, and statements from single lines."""
 
 from functools import cache
 from pathlib import Path
@@ -13,10 +13,10 @@
 
 @cache
 def sources():
-    """Read the example settings; they are read once and must not be changed."""
+    """Return the example settings; they are read once and shared, so tests must not change them."""
     return read_sources(EXAMPLES / "fleet-server.json", EXAMPLES / "fleet.json", EXAMPLES / "world.json")
 
 
 def statements(*lines):
-    """Parse lines without their `expect` into statements."""
+    """Parse lines into statements; each line is given without its leading `expect`."""
     return parse("\n".join(f"expect {line}" for line in lines), "t.expect")
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -79,7 +79,7 @@
 
 
 def make_fleet(folder, **fields):
-    """Write the document of `make_fleet_document` to `fleet.json` in the folder and read it as a fleet."""
+    """Write `make_fleet_document(**fields)` to `fleet.json` in the folder and return it, read as a fleet."""
     path = folder / "fleet.json"
     path.write_text(json.dumps(make_fleet_document(**fields)))
     return read_fleet(path)
@@ -113,7 +113,14 @@
         self.events = []
 
     def advance(self, seconds):
-        """Advance the time in evaluation intervals; members report at every second one."""
+        """Run the planner and its members for a number of seconds.
+
+        The planner ticks ten times a second, once per `EVALUATION_INTERVAL`; members report five times a
+        second.
+
+        Returns:
+            This planner, so that calls can be chained.
+        """
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += EVALUATION_INTERVAL
@@ -126,7 +133,7 @@
         return self
 
     def vote(self):
-        """Answer the planner's vote request, if there is one, with its own vote."""
+        """Answer the planner's vote request, if it has one, with its own vote."""
         election = self.state.election
         request = election.next_vote_request(self.now)
         if request is not None:
@@ -135,7 +142,7 @@
             )
 
     def replicate(self):
-        """Store the state that the planner wants replicated, if any, on the planner itself."""
+        """Store the state that the planner wants replicated, if any; the planner alone is the majority."""
         election = self.state.election
         request = self.state.replication_request()
         if request is not None and election.handle_replication_response(
@@ -151,7 +158,10 @@
                 self.send_report(name)
 
     def send_report(self, name):
-        """Send a report of one member that follows the last reply: its lease, quota and probes."""
+        """Send a report of one member with the lease, call limit and probes of the last reply to it.
+
+        `report_fields` of the member replace these and the defaults.
+        """
         fields, probes = {}, []
         last_reply = self.replies.get(name)
         if last_reply is not None:
@@ -165,14 +175,14 @@
         self.replies[name] = self.state.receive_report(report, self.now)
 
     def lose_site(self, site):
-        """Silence all members of a site and close their connections to the planner."""
+        """Silence all members of a site; the connections of all silent members to the planner are closed."""
         self.silent_members |= {name for name in self.names if name.startswith(f"{site}-")}
         for name in self.silent_members:
             member = self.state.membership.members[name]
             self.state.membership.mark_disconnected(name, member.incarnation)
 
     def restore_site(self, site, **fields):
-        """Start new incarnations of the silent members of a site, with these fields in their reports."""
+        """Start new incarnations of the silent members of a site; their reports then have these fields."""
         for name in [name for name in self.silent_members if name.startswith(f"{site}-")]:
             self.silent_members.discard(name)
             self.incarnations[name] += 1
--- a/tests/result_records.py
+++ b/tests/result_records.py
@@ -7,23 +7,26 @@
 from birchslip.idempotency.segment_files import SegmentContent
 from birchslip.idempotency.segment_header import encode_segment_header
 
-NOW = 10**13
+NOW = 10**13  # times are in tenths of a millisecond
 RETENTION = 17 * SECOND
 DIGEST = b"d" * 16
 OWNER = "x"
 
 
 def key_of(number):
+    """Return the 16-byte key with this number."""
     return number.to_bytes(16)
 
 
 def started(key, arrived_at=NOW, run_id=None):
+    """Build the record of a started run; its id is by default derived from the key."""
     return ResultRecord(
         RecordKind.STARTED, key, arrived_at, RETENTION, run_id or key.hex()[:16], request_digest=DIGEST
     )
 
 
 def completed(key, arrived_at=NOW, outcome=Outcome.SERVED, result=None):
+    """Build the record of a completed run; its result is by default derived from the key."""
     return ResultRecord(
         RecordKind.COMPLETED,
         key,
@@ -42,7 +45,10 @@
 
 
 def recover_segments(contents, now=NOW):
-    """Recovers segments with the given encoded records, with serial numbers from 1."""
+    """Recover a store from segments with serial numbers from 1, and return it.
+
+    Each of `contents` holds the encoded records of one segment, without its header.
+    """
     segments = [
         SegmentContent(serial, encode_segment_header(serial, OWNER) + raw)
         for serial, raw in enumerate(contents, 1)
--- a/tests/socket_harness.py
+++ b/tests/socket_harness.py
@@ -25,9 +25,12 @@
 
 
 def wait_until_delivered(link):
-    """Wait until the peer's socket holds all data sent on the link, where the next poll finds it.
+    """Wait until the peer's socket holds all data sent on the link, so that its next poll finds the data.
 
-    A reset link ends the wait too.
+    A reset of the link ends the wait too.
+
+    Raises:
+        AssertionError: If data is still on its way after a million checks.
     """
     poll = select.poll()
     poll.register(link, 0)
@@ -35,11 +38,11 @@
         if poll.poll(0) or not int.from_bytes(fcntl.ioctl(link, termios.TIOCOUTQ, bytes(4)), "little"):
             return
         os.sched_yield()
-    raise AssertionError("the sent data does not arrive")
+    raise AssertionError("the sent data did not arrive")
 
 
 class HarnessRouter(Router):
-    """A router connection whose timestamps are taken from the harness's clock."""
+    """A router whose requests have timestamps from the harness's clock."""
 
     def __init__(self, harness):
         """Connect to the harness's listener."""
@@ -48,9 +51,9 @@
         # Without TCP_NODELAY, the kernel could hold data back past the next pass.
         self.connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def call(self, profile, body, **fields):
-        """Send a request and return its number."""
-        return super().call(profile, body, **({"ts": str(self.harness.time // 10)} | fields))
+    def call(self, request_class, body, **fields):
+        """Send a request with the harness's time, in milliseconds, as its timestamp; return its number."""
+        return super().call(request_class, body, **({"ts": str(self.harness.time // 10)} | fields))
 
 
 class ProgramHarness:
@@ -89,7 +92,11 @@
         self.run_passes()
 
     def run_passes(self, count=4, ms=0):
-        """Advance the time by `ms`, wait for data that routers have sent, then run `count` passes."""
+        """Advance the time by `ms`, wait until data sent by routers has arrived, then run `count` passes.
+
+        Returns:
+            This harness, so that calls can be chained.
+        """
         self.time += ms * 10
         for peer in self.peers:
             if peer.connection.fileno() >= 0:
@@ -101,7 +108,7 @@
         return self
 
     def connect_router(self):
-        """Connect a router and wait until the listener is ready to accept it."""
+        """Connect a router, wait until the listener is ready to accept it, and return it."""
         self.peers.append(HarnessRouter(self))
         if self.clients.listener is not None:
             assert select.select([self.clients.listener], [], [], TIMEOUT_S)[0]
@@ -119,7 +126,7 @@
         return [order["id"] for order in self.orders if order["op"] == "launch"]
 
     def end_run(self, run_id, outcome, result=b"made"):
-        """Deliver the agent's notice that a run has ended."""
+        """Deliver the agent's notice that a run ended after 1 ms."""
         context = self.program.agent.runs.pop(run_id)
         self.program.agent.on_run_ended(context, outcome, result, 10)
 
@@ -159,7 +166,7 @@
         self.listener.setblocking(False)
 
     def receive_all(self):
-        """Accept waiting connections and return all data received so far, on all connections."""
+        """Accept waiting connections and return all data received so far, of one connection after another."""
         with suppress(BlockingIOError):
             while True:
                 link, _ = self.listener.accept()
@@ -187,7 +194,7 @@
 
     Attributes:
         time: The scheduler's time.
-        components: Scheduler, counters and log, the first arguments of each peer's class.
+        components: Scheduler, counters and log: the first arguments of the classes that connect to peers.
     """
 
     def __init__(self):
@@ -202,7 +209,7 @@
         raise error
 
     def start_server(self, **options):
-        """Start a `FakeServer` that is closed with the harness."""
+        """Start a `FakeServer` that is closed with the harness, and return it."""
         self.servers.append(FakeServer(**options))
         return self.servers[-1]
 
@@ -210,14 +217,14 @@
         """Advance the time by `ms`, then run `count` passes."""
         self.time += ms * MS
         for _ in range(count):
-            self.scheduler.poll_at_once = True
+            self.scheduler.poll_at_once = True  # the pass polls the sockets without waiting
             self.scheduler.run_pass()
 
     def wait_for_data(self, server, expected):
         """Run passes without advancing the time until the server has received the expected data.
 
         Returns:
-            False if the data does not arrive within about `TIMEOUT_S` of real time.
+            Whether the data arrived within about `TIMEOUT_S` of real time.
         """
         for _ in range(100):
             if expected in server.receive_all():
@@ -228,10 +235,10 @@
         return False
 
     def wait_until(self, condition, max_ms):
-        """Advance the time in steps of 10 ms until the condition holds.
+        """Advance the time in steps of 10 ms until the condition holds, or for `max_ms`.
 
         Returns:
-            The time that this took in milliseconds, or `max_ms` if the condition does not hold by then.
+            The time that this took in milliseconds; `max_ms` if the condition did not hold before.
         """
         for ms in range(0, max_ms, 10):
             if condition():
