--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -26,7 +26,11 @@
 
 
 class LinkedAgent(SchedulerHarness):
-    """An `Agent` whose link is established: it was greeted, and missed notices were delivered."""
+    """An `Agent` whose link is established: it was greeted, and missed notices were delivered.
+
+    Attributes:
+        ends: Id and outcome of each run that ended.
+    """
 
     def __init__(self):
         super().__init__()
@@ -44,7 +48,7 @@
         self.greet()
 
     def greet(self):
-        """Send the greeting on the newest link, and answer the agent client's fence."""
+        """Wait for a new link, send the greeting on it, and answer the agent client's fence."""
         links = len(self.server.links)
         self.wait_until(lambda: self.server.receive_all() and len(self.server.links) > links, 3000)
         assert len(self.server.links) > links, "no new link"
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -39,7 +39,7 @@
 
 
 def read_until_end(router):
-    """Returns all messages until the connection's end; a reset raises."""
+    """Return all messages until the connection's end; a reset fails the test."""
     messages = []
     with pytest.raises(EOFError):
         while True:
@@ -48,7 +48,7 @@
 
 
 def notified_router(harness):
-    """Returns a router with an idle connection on which `closing` was sent."""
+    """Return a router with an idle connection on which `closing` was sent."""
     router = harness.connect_router()
     ping = router.ping()
     harness.run_passes()
@@ -61,7 +61,10 @@
 
 @pytest.mark.parametrize("cut", [0, 1, 20])
 def test_serves_request_that_arrives_as_idle_connection_closes(start, cut):
-    """The request has arrived unread, in whole or in part, when the idle timeout passes."""
+    """The request has arrived unread, in whole or in part, when the time to close the connection passes.
+
+    The connection must then be neither closed nor reset.
+    """
     harness = start()
     router = notified_router(harness)
     sent = []
@@ -143,7 +146,7 @@
     harness = start(max_connections=3)
     router = harness.connect_router()
     call = router.call("lookup", b"1")
-    crowd = [harness.connect_router() for _ in range(20)]
+    silent_routers = [harness.connect_router() for _ in range(20)]
     harness.run_passes()
     for _ in range(10):
         harness.run_passes(ms=MIN_EVICTION_AGE // 10)
@@ -151,21 +154,21 @@
     harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
     harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
-    assert len(crowd) == 20
+    assert len(silent_routers) == 20
     assert len(harness.clients.active) <= 3
 
 
 def test_reads_connection_before_evicting_it(start):
     harness = start(max_connections=2)
-    mute, router = harness.connect_router(), harness.connect_router()
+    candidate, router = harness.connect_router(), harness.connect_router()
     harness.run_passes()
     harness.run_passes(ms=300)
-    call = mute.call("lookup", b"1")  # the candidate for eviction has just sent a request
+    call = candidate.call("lookup", b"1")  # the candidate for eviction has just sent a request
     other = harness.connect_router()
     harness.run_passes()
     harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
     harness.run_passes()
-    assert mute.answer(call) == (None, [b"made", {}])
+    assert candidate.answer(call) == (None, [b"made", {}])
     assert read_until_end(router) == []
     assert other.connection
 
@@ -372,14 +375,14 @@
     other = harness.connect_router()
     harness.run_passes()
     end_drain_grace(harness)
-    # both were sent before the router received `closing`
-    again, new = other.call("order", b"1", opkey=KEY), other.call("order", b"1", opkey="2" * 32)
+    # Both are sent before the router receives `closing`.
+    repeat, new = other.call("order", b"1", opkey=KEY), other.call("order", b"1", opkey="2" * 32)
     harness.run_passes()
     assert other.answer(new)[0][0] == "Overloaded"
-    assert again not in other.responses
+    assert repeat not in other.responses
     harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
     harness.run_passes()
-    assert router.answer(first)[1] == other.answer(again)[1] == [b"made", {}]
+    assert router.answer(first)[1] == other.answer(repeat)[1] == [b"made", {}]
     assert len(harness.launched_runs()) == 1
 
 
@@ -388,11 +391,11 @@
     router, other = harness.connect_router(), harness.connect_router()
     first = router.call("order", b"1", opkey=KEY)
     harness.run_passes()
-    again = other.call("order", b"1", opkey=KEY)
+    repeat = other.call("order", b"1", opkey=KEY)
     harness.program.begin_drain()
-    harness.program.begin_drain()  # the second request ends the drain
+    harness.program.begin_drain()  # the second request to stop ends the drain
     harness.run_passes()
-    assert router.answer(first)[0][0] == other.answer(again)[0][0] == "Failed"
+    assert router.answer(first)[0][0] == other.answer(repeat)[0][0] == "Failed"
     assert len(harness.launched_runs()) == 1
 
 
@@ -420,7 +423,7 @@
     harness.run_passes()
     harness.program.begin_drain()
     harness.end_run(harness.launched_runs()[0], Outcome.SERVED)
-    harness.program.begin_drain()  # at once the second
+    harness.program.begin_drain()  # the second request to stop, at once
     harness.run_passes()
     assert router.answer(call) == (None, [b"made", {}])
 
@@ -433,11 +436,11 @@
     held = router.call("lookup", b"1", need="900")
     harness.program.begin_drain()
     harness.run_passes(ms=150)
-    within = router.call("lookup", b"1", need="900")
+    in_grace = router.call("lookup", b"1", need="900")
     for _ in range(50):
         if harness.program.phase is not Phase.ENDED:
             harness.run_passes(ms=10)
-    words = [router.answer(call)[0][0] for call in (running, held, within)]
+    words = [router.answer(call)[0][0] for call in (running, held, in_grace)]
     assert words[0] == "Failed"
     assert set(words[1:]) <= {"Overloaded", "Failed"}
     assert harness.program.phase is Phase.ENDED
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -80,7 +80,7 @@
 
 
 def test_long_read_delay_is_overload_until_it_is_short():
-    """Requests wait long to be read, so few are rejected although the app server is overloaded."""
+    """Requests wait more than a second to be read, so few are rejected although there is an overload."""
     harness = DecisionHarness(cores=1, caller_count=500)
     for at in range(0, 16_000, 100):
         harness.process_at(at, harness.make_request(at, caller=at), cpu=0.5)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -141,6 +141,7 @@
 
 @pytest.mark.parametrize(("cpu", "multiple", "started"), [(1.0, 8.0, 3), (1.0, 1.5, 2), (0.5, 8.0, 10)])
 def test_number_of_started_requests_is_bounded(cpu, multiple, started):
+    """All started requests may return from their calls downstream at the same time and need cores."""
     harness = DecisionHarness(
         make_request_class(latency_objective=20_000, deadline=30_000),
         downstream=Downstream.SHARED,
@@ -188,7 +189,10 @@
 
 @pytest.mark.parametrize(("time_left", "action"), [(250, "CallDownstream"), (150, "SkipCall")])
 def test_skippable_call_is_made_only_if_it_fits_with_margin(time_left, action):
-    """Guards against skippable calls that time out: they delay other calls and are skipped anyway."""
+    """Guards against skippable calls that time out, as call times vary.
+
+    Such calls delay other calls and are skipped anyway.
+    """
     harness = DecisionHarness(
         make_request_class(weight_without_call=0.3), downstream=Downstream.SHARED, downstream_quota=4.0
     )
@@ -219,7 +223,7 @@
 @pytest.mark.parametrize(
     ("preemption", "queued", "stopped"), [("drop", 1, True), ("drop", 0, False), ("off", 1, False)]
 )
-def test_late_run_is_stopped_only_if_others_wait(preemption, queued, stopped):
+def test_run_past_latency_deadline_is_stopped_only_if_others_wait(preemption, queued, stopped):
     harness = DecisionHarness(cores=1, preemption=Preemption(preemption))
     request = harness.make_request(0)
     harness.process_at(0, request).process_at(1050, *[harness.make_request(1050) for _ in range(queued)])
@@ -412,7 +416,8 @@
 def run_with_hints(harness, error):
     """Run requests whose cost hints are off by a factor of up to `error` in either direction.
 
-    Returns the time in ms at the end.
+    Returns:
+        The time at the end in milliseconds.
     """
     now_ms = 0
     for run in range(60):
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -13,7 +13,7 @@
 
 from .socket_harness import SchedulerHarness, wait_until_delivered
 
-ENTRY_LIFETIME_MS = 3_000  # time after its last report at which the catalog removes an entry
+ENTRY_LIFETIME_MS = 3_000  # the catalog removes an entry that long after its last report
 
 
 @pytest.fixture
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def open_socket_count(monkeypatch):
-    """A function that counts the open sockets among those created since the start of the test."""
+    """Return a function that counts the open sockets among those created since the start of the test."""
     sockets = []
 
     class CountedSocket(socket.socket):
@@ -112,7 +112,7 @@
 
 
 def test_entry_is_renewed_in_time_by_catalog_that_answers_slowly(harness):
-    """Every response takes longer than the first response timeout."""
+    """Every response takes 700 ms, longer than the first response timeout."""
     server = harness.start_server()
     start_catalog(harness, server)
     answer_times, last_reports, counts = {}, 0, harness.components[1].counts
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -31,7 +31,7 @@
     [1, [2, [3]]],
     list(range(16)),
     {"req": "9b1f", "ts": "1"},
-    {str(place): place for place in range(16)},
+    {str(number): number for number in range(16)},
     [0, 7, "checkout", [{"req": "9b1f03aa5c7e2d41"}, b"\x00" * 2048]],
 ]
 
@@ -184,7 +184,7 @@
         (b"\xff\xfe yes 3", None),
     ],
 )
-def test_reads_reply_lines_of_vault(line, expected):
+def test_reads_reply_lines_of_vault_and_rejects_malformed_ones(line, expected):
     if expected is None:
         with pytest.raises(MalformedMessageError):
             parse_reply_line(line)
@@ -201,7 +201,7 @@
 }
 
 
-def test_reads_nested_settings():
+def test_nested_settings_are_read_like_pairs_of_the_wire():
     reader = SettingsReader(flatten(SETTINGS))
     settings = read_admission_settings(7, reader)
     request_class = settings.request_classes[0]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -22,7 +22,13 @@
 
 
 class SchedulerHarness:
-    """A scheduler on a clock that the test sets; keeps what its tasks record and raise."""
+    """A scheduler on a clock that the test sets.
+
+    Attributes:
+        time: Time of the clock, in tenths of a millisecond.
+        events: What tasks recorded during the last pass, and `pass_end`.
+        errors: Names of the tasks that failed and of their exceptions.
+    """
 
     def __init__(self):
         self.time, self.events, self.errors = 1000, [], []
@@ -36,6 +42,7 @@
         return self.time
 
     def pass_at(self, time):
+        """Run one pass at this time and return the events that tasks recorded in it."""
         self.time = time
         self.events.clear()
         self.scheduler.poll_at_once = True  # polls without waiting
@@ -225,7 +232,7 @@
 
 
 def make_clients(harness, max_connections):
-    """Router connections up to a limit, on socket pairs in place of a listener."""
+    """Build a `Clients` with a limit, and a function that connects a router to it on a socket pair."""
     clients = Clients(
         harness.scheduler,
         Counters(),
@@ -336,8 +343,8 @@
                 return
         raise AssertionError(f"only {self.outcomes}")
 
-    def ask(self, name, link=None):
-        """Starts a call and reads it, on `link` or a new connection; returns the connection."""
+    def start_call(self, name, link=None):
+        """Start a call, read it on `link` or on a new connection, and return that connection."""
         self.vault.call(SimpleNamespace(request_id=name), 500, b"body")
         counts, before = self.vault.counters.counts, self.vault.counters.counts["vault.links"]
         if link is None:
@@ -373,9 +380,9 @@
         (None, Outcome.CONNECTION_LOST, b""),  # closed without a reply
     ],
 )
-def test_outcome_of_downstream_call_by_reply(harness, reply, outcome, body):
+def test_reply_of_vault_determines_outcome_of_call(harness, reply, outcome, body):
     fake_vault = FakeVault(harness)
-    link = fake_vault.ask(A)
+    link = fake_vault.start_call(A)
     link.sendall(reply) if reply is not None else link.close()
     fake_vault.run_until(lambda: fake_vault.outcomes)
     assert fake_vault.outcomes == [(A, outcome, body)]
@@ -387,7 +394,7 @@
 )
 def test_stalled_reply_ends_call_before_its_timeout(harness, partial_reply):
     fake_vault = FakeVault(harness)
-    fake_vault.ask(A).sendall(partial_reply)
+    fake_vault.start_call(A).sendall(partial_reply)
     call = fake_vault.vault.calls[A]
     fake_vault.run_until(lambda: call.reply_head or len(call.link.buffer))
     fake_vault.run_until(lambda: fake_vault.outcomes, harness.time + REPLY_STALL_TIMEOUT)
@@ -405,11 +412,11 @@
 )
 def test_vault_connection_is_reused_only_right_after_its_reply(harness, reply, wait, is_reused):
     fake_vault = FakeVault(harness)
-    link = fake_vault.ask(A)
+    link = fake_vault.start_call(A)
     link.sendall(reply)
     fake_vault.run_until(lambda: fake_vault.outcomes)
     harness.time += wait
-    fake_vault.ask(B, link if is_reused else None).sendall(served_reply(B, b"too"))
+    fake_vault.start_call(B, link if is_reused else None).sendall(served_reply(B, b"too"))
     fake_vault.run_until(lambda: len(fake_vault.outcomes) == 2)
     assert fake_vault.outcomes[1] == (B, Outcome.SERVED, b"too")
     assert fake_vault.vault.counters.counts["vault.links"] == (1 if is_reused else 2)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: absent values, unknown keys, bad input, restarts and rounding of times."""
+"""The simulator's wire: absent values, unknown keys, bad input, restarts, conservative rounding."""
 
 import io
 
@@ -43,7 +43,7 @@
         ("news\twithout\tmeaning", []),
     ],
 )
-def test_events_get_expected_replies(line, reply):
+def test_absent_values_extra_parts_and_unknown_events_are_no_errors(line, reply):
     replies, errors = run_batches([HELLO], [line])
     assert replies[1][1:] == reply
     assert not errors
@@ -88,6 +88,7 @@
     ("seconds", "down", "up"), [(0.00015, 1, 2), (8.65225, 86522, 86523), (0.3, 3000, 3000)]
 )
 def test_seconds_are_rounded_down_and_up(seconds, down, up):
+    """Conversion is conservative: deadlines are rounded down, timers and durations up."""
     assert (round_down_seconds(seconds), round_up_seconds(seconds)) == (down, up)
 
 
@@ -106,5 +107,5 @@
     ],
     ids=lambda value: value.name if hasattr(value, "name") else "",
 )
-def test_log_event_text_is_unchanged(event, text):
+def test_log_event_has_the_text_that_operators_read(event, text):
     assert encode_server_action(event) == f"record\t{text}"
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -213,11 +213,11 @@
     assert pipeline.take_events() == [("a", CallEnded(Outcome.TIMED_OUT, 0))]
 
 
-@pytest.mark.parametrize("ending", ["written off", "run ended"])
+@pytest.mark.parametrize("ending", ["request failed", "run ended"])
 def test_call_is_cancelled_once_when_request_or_run_ends(pipeline, ending):
     context = pipeline.make_context()
     pipeline.perform(context, StartRun(), CallDownstream(2500))
-    if ending == "written off":
+    if ending == "request failed":
         pipeline.perform(context, Fail(), Fail())
     else:
         pipeline.run_dispatcher.on_run_ended(context, Outcome.CANCELLED, b"", 0)
@@ -268,16 +268,16 @@
 @pytest.mark.parametrize(
     ("case", "received_at", "found"),
     [
-        ("held", START + 1, "a"),
-        ("held", START + 5 * SECOND, "a"),
-        ("held", START + 5 * SECOND + RETENTION_SLACK, "a"),  # time limits are 50 ms longer on sockets
-        ("held", START + 5 * SECOND + RETENTION_SLACK + 1, None),
-        ("forgotten", START + 1, None),
+        ("stored", START + 1, "a"),
+        ("stored", START + 5 * SECOND, "a"),
+        ("stored", START + 5 * SECOND + RETENTION_SLACK, "a"),  # time limits are 50 ms longer on sockets
+        ("stored", START + 5 * SECOND + RETENTION_SLACK + 1, None),
+        ("released", START + 1, None),
         ("ran", START + 5 * SECOND + RETENTION_SLACK, "a"),
         ("ran", START + 5 * SECOND + RETENTION_SLACK + 1, None),
-        ("ran and forgotten", START + 1, "a"),  # a key that ran is retained
-        ("moved", START + 1, "b"),
-        ("ran, then moved", START + 1, "a"),  # the attempt that ran, not the last one stored
+        ("ran, then released", START + 1, "a"),  # a key that ran is retained until its window ends
+        ("replaced", START + 1, "b"),
+        ("ran, then replaced", START + 1, "a"),  # the attempt that ran, not the last one stored
     ],
 )
 def test_finds_original_of_repeat_by_time_of_receipt(pipeline, case, received_at, found):
@@ -285,9 +285,9 @@
     pipeline.perform(first, StoreKey(KEYED.key_retention))
     if case.startswith("ran"):
         pipeline.perform(first, StartRun())
-    if "moved" in case:
+    if "replaced" in case:
         pipeline.perform(second, StoreKey(KEYED.key_retention))
-    if "forgotten" in case:
+    if "released" in case:
         pipeline.perform(first, ReleaseKey())
     entry = pipeline.idempotency_table.find("key", received_at)
     assert (entry and entry.original.request_id) == found
@@ -389,7 +389,9 @@
     assert len(pipeline.idempotency_table.expiry_heap) <= 11
 
 
-@pytest.mark.parametrize("case", ["honoured", "shed", "given up", "gone", "repeated", "refused"])
+@pytest.mark.parametrize(
+    "case", ["served", "rejected", "failed", "caller gone", "repeated", "launch refused"]
+)
 def test_finished_request_is_freed_without_garbage_collection(pipeline, case):
     pipeline.agent = pipeline.run_dispatcher.agent = RecordingPeer()
     pipeline.admission_stage.perform, pipeline.admission_stage.announce = (
@@ -403,7 +405,7 @@
     try:
         first = pipeline.make_context("a", KEYED, "key")
         pipeline.admission_stage.submit(first)
-        if case == "shed":
+        if case == "rejected":
             first.request.deadline = first.request.arrived_at
         pipeline.admission_stage.process_pending()
         watched = [weakref.ref(first.request)]
@@ -413,14 +415,14 @@
             pipeline.admission_stage.submit(second)
             pipeline.admission_stage.process_pending()
             del second
-        if case in ("given up", "gone"):
+        if case in ("failed", "caller gone"):
             pipeline.downstream_caller.cancel_call(first)
             recorder = pipeline.response_recorder
-            recorder.on_caller_gone(first) if case == "gone" else recorder.send_error(first)
+            recorder.on_caller_gone(first) if case == "caller gone" else recorder.send_error(first)
             pipeline.admission_stage.process_pending()
-        if case == "refused":
+        if case == "launch refused":
             pipeline.run_dispatcher.on_launch_refused(first)
-        elif case != "shed":
+        elif case != "rejected":
             pipeline.run_dispatcher.on_run_ended(first, Outcome.SERVED, b"made", 0)
         pipeline.admission_stage.process_pending()
         del first
