--- a/benchmarks/model_days.py
+++ b/benchmarks/model_days.py
@@ -57,7 +57,11 @@
 
 
 def emulate(scenario, folder):
-    """Run the same scenario in virtual time and return the service and mean attempts of each of its parts."""
+    """Run a scenario in virtual time, with the files that `start` left in the folder.
+
+    Returns:
+        The service and the mean attempts per request, each by part of the scenario.
+    """
     fault, load, seed = scenario
     logs = folder / f"{fault}-{load}" / "fleet"
     first_server = f"{SITES[0]}-1"
--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -114,10 +114,12 @@
     usage: dict[str, float] = {}
 
     def cpu_seconds() -> float:
+        """Return the processor time that the planner has used so far."""
         fields = Path(f"/proc/{planner.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def run_member(name: str) -> None:
+        """Report as this member until the scheduler stops."""
         connection = PeerConnection(scheduler, ("127.0.0.1", port))
         sequence, report_interval = SEQUENCE_PLACEHOLDER, FIRST_REPORT_INTERVAL
         head, tail = make_report(name, site_by_member[name]).split(str(SEQUENCE_PLACEHOLDER).encode())
@@ -135,6 +137,7 @@
             scheduler.sleep(max(scheduler.now + 100, started_at + report_interval))
 
     def request_permit(name: str) -> None:
+        """Request a permit for this member, record the time, and return the permit ten seconds later."""
         connection = PeerConnection(scheduler, ("127.0.0.1", port))
         started_at = time.perf_counter()
         try:
@@ -160,6 +163,7 @@
             connection.close()
 
     def run_schedule() -> None:
+        """Start the members, then request permits at the given rate and measure the planner meanwhile."""
         for name in site_by_member:
             scheduler.spawn(name, lambda name=name: run_member(name))  # type: ignore[misc]
         scheduler.sleep(scheduler.now + 8 * SECOND)
