--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -74,6 +74,7 @@
         return context
 
     def sample_repeatedly(self, count, answered=False):
+        """Request the gauges `count` times, one per tick, with an answer to each if `answered`."""
         for _ in range(count):
             self.agent.request_gauges()
             self.run_passes(ms=TICK_MS)
@@ -81,6 +82,7 @@
                 self.send_line(line(op="sampled", tag="tick", values=[0.5]))
 
     def count(self, name):
+        """Return the value of a counter."""
         return self.components[1].counts[name]
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -86,16 +86,14 @@
         (f"{FAILING_TEST} | pytest | seen | #1\n{FAILING_TEST} | pytest | another | #2\n", "named twice"),
         ("tests/test_some.py::test_gone | pytest | seen | #1\n", "no such test"),
         ("tests/test_gone.py::test_bad | pytest | seen | #1\n", "no such test"),
-        (
-            "tests/test_some.py::test_each | pytest | seen | #1\n",
-            "no such test",
-        ),  # an entry names a single case
+        # An entry names a single case, not a test with several cases.
+        ("tests/test_some.py::test_each | pytest | seen | #1\n", "no such test"),
     ],
     ids=["four unknown", "a field short", "an empty field", "twice", "no test", "no file", "no case"],
 )
 def test_invalid_list_fails_the_run(tmp_path, known_red, message):
     exit_code, output = run_example_suite(tmp_path, known_red)
-    assert exit_code not in (0, 1, 5)
+    assert exit_code not in (0, 1, 5)  # passed, failed, no tests: the run must not get as far as that
     assert message in output
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -24,11 +24,28 @@
 
 
 class ServerProcess:
-    """One app server process among stand-ins for its peers; its log is read line by line."""
+    """One app server process among stand-ins for its peers.
+
+    Attributes:
+        path: The configuration file.
+        configuration: Content of the configuration file, unless a test replaced it by a text.
+        lines: The lines of the log that were read so far.
+        address: Address at which the app server listens.
+    """
 
     def __init__(
         self, folder, vault_up=True, greets=True, catalog_up=True, arguments=("-m", "birchslip"), **options
     ):
+        """Start the app server and wait until it listens and, if the agent greets it, until it serves.
+
+        Args:
+            folder: Folder for the configuration file.
+            vault_up: Whether the vault accepts connections.
+            greets: Whether the agent sends its greeting.
+            catalog_up: Whether the catalog accepts connections.
+            arguments: Arguments of the Python interpreter.
+            **options: Values that replace those of the example configuration.
+        """
         self.agent, self.vault, self.catalog = Agent(sends_greeting=greets), Vault(), Catalog()
         if not vault_up:
             self.vault.stop()
@@ -52,7 +69,7 @@
             self.wait_for_line("now=serving")
 
     def wait_for_line(self, part):
-        """Returns the next line of the log that contains `part`."""
+        """Return the next line of the log that contains `part`; without one in `TIMEOUT_S`, fail the test."""
         watchdog = threading.Timer(TIMEOUT_S, self.process.kill)
         watchdog.start()
         try:
@@ -65,7 +82,7 @@
         raise AssertionError(f"no line with {part!r} in {self.lines}")
 
     def reload(self, text=None, **options):
-        """Replaces the configuration, by a text or with changed parts, and sends SIGHUP."""
+        """Replace the configuration, by a text or with changed parts, and send SIGHUP."""
         self.configuration |= {"agent": self.agent.address, "vault": self.vault.address, **options}
         self.configuration |= {"directory": self.catalog.address}
         self.path.write_text(json.dumps(self.configuration) if text is None else text)
@@ -83,7 +100,7 @@
             counts |= {f"{part}.{name}": int(value) for name, value in pairs.items() if value.isdigit()}
         return counts
 
-    def router(self):
+    def connect_router(self):
         return Router(self.address, TIMEOUT_S)
 
     def router_address(self):
@@ -91,8 +108,8 @@
         return host, int(port)
 
     def next_order(self, op):
-        """Returns the next order of this kind that the agent receives."""
-        deadline = time.monotonic() + TIMEOUT_S  # gauges are requested all the time, with an order each
+        """Return the next order of this kind that the agent receives within `TIMEOUT_S`."""
+        deadline = time.monotonic() + TIMEOUT_S  # for all orders, as gauges are requested all the time
         while (order := self.agent.received.get(timeout=max(0.0, deadline - time.monotonic())))["op"] != op:
             pass
         return order
@@ -122,7 +139,7 @@
 
 def test_serves_requests_with_and_without_call_in_any_order(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     ping, slow = router.ping(), router.call("lookup", b"300 ms")
     quick, called = router.call("lookup", b"1 ms"), router.call("order", b"10 ms call", opkey=KEY1)
     assert router.answer(quick) == (None, [b"made of 1 ms", {}])
@@ -130,9 +147,9 @@
     assert router.answer(called) == (None, [b"made of 10 ms call and paid", {}])
     assert router.answer(slow)[0] is None
     assert router.answer(ping) == (None, [True, {}])
-    seen = server.counters()
-    assert (seen["take_in.taken"], seen["book.honoured"], seen["send.launched"]) == (3, 3, 3)
-    assert (seen["relay.called"], seen["relay.honoured"], seen["clients.pings"]) == (1, 1, 1)
+    counters = server.counters()
+    assert (counters["take_in.taken"], counters["book.honoured"], counters["send.launched"]) == (3, 3, 3)
+    assert (counters["relay.called"], counters["relay.honoured"], counters["clients.pings"]) == (1, 1, 1)
     assert server.catalog.received.get(timeout=TIMEOUT_S) == (
         "/catalog/register/toy-1",
         {"status": "passing"},
@@ -140,7 +157,7 @@
 
 
 def test_rejects_request_beyond_memory_with_retry_after(start):
-    router = start().router()
+    router = start().connect_router()
     router.call("lookup", b"hold", need="1900")
     error, result = router.answer(router.call("lookup", b"1", need="1900"))
     assert error[0] == "Overloaded"
@@ -150,7 +167,7 @@
 
 def test_repeat_of_key_shares_run(start):
     server = start()
-    router, other = server.router(), server.router()
+    router, other = server.connect_router(), server.connect_router()
     first = router.call("order", b"hold", opkey=KEY1)
     held = server.next_order("launch")["id"]
     repeat = other.call("order", b"hold", opkey=KEY1, resent="1")
@@ -165,19 +182,19 @@
 
 def test_abort_stops_run_and_frees_its_slot(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     aborted = router.call("lookup", b"hold")
     held = server.next_order("launch")["id"]
     router.abort(aborted)
     assert server.next_order("freeze")["id"] == held
     assert router.answer(router.call("lookup", b"1"))[0] is None
-    seen = server.counters()
-    assert (seen["book.gone"], seen["send.recalled"], seen["book.honoured"]) == (1, 1, 1)
+    counters = server.counters()
+    assert (counters["book.gone"], counters["send.recalled"], counters["book.honoured"]) == (1, 1, 1)
 
 
 def test_closed_connection_stops_its_runs(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     router.call("lookup", b"hold")
     server.next_order("launch")
     router.connection.close()
@@ -187,7 +204,7 @@
 
 def test_lost_agent_link_loses_and_repeats_no_run(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     ended, held = router.call("order", b"hold", opkey=KEY1), router.call("lookup", b"hold")
     launched = {
         order["class"]: order["id"] for order in (server.next_order("launch"), server.next_order("launch"))
@@ -205,14 +222,14 @@
     server.agent.finish_run(second)
     assert router.answer(held)[0] is None
     assert sorted(server.agent.launched_run_ids) == sorted([first, second])
-    seen = server.counters()
-    assert (seen["agent.links"], seen["agent.lost"], seen["book.honoured"]) == (2, 1, 2)
+    counters = server.counters()
+    assert (counters["agent.links"], counters["agent.lost"], counters["book.honoured"]) == (2, 1, 2)
 
 
 def test_run_aborted_without_agent_link_is_stopped_on_next_link(start):
     """Otherwise the run would continue unnoticed beside the one started in its place."""
     server = start()
-    router = server.router()
+    router = server.connect_router()
     aborted = router.call("lookup", b"hold")
     name = server.next_order("launch")["id"]
     with server.agent.lock:
@@ -224,31 +241,31 @@
     server.agent.send_greeting()
     assert server.next_order("freeze")["id"] == name
     assert router.answer(router.call("lookup", b"1"))[0] is None
-    seen = server.counters()
-    assert (seen["book.gone"], seen["send.recalled"], seen["agent.links"]) == (1, 1, 2)
+    counters = server.counters()
+    assert (counters["book.gone"], counters["send.recalled"], counters["agent.links"]) == (1, 1, 2)
     assert not server.agent.runs
     assert server.agent.launched_run_ids.count(name) == 1
 
 
 def test_missed_notice_is_sent_again_on_new_link(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     first = router.call("lookup", b"hold")
     name = server.next_order("launch")["id"]
     with server.agent.lock:
-        out, server.agent.subscriber = server.agent.subscriber, None
+        subscriber, server.agent.subscriber = server.agent.subscriber, None
         server.agent.finish_run(name)  # never arrives on this link
-        server.agent.subscriber = out
+        server.agent.subscriber = subscriber
         server.agent.append_notice(op="aside", end="news of no meaning")
     assert router.answer(first) == (None, [b"made of hold", {}])
-    seen = server.counters()
-    assert (seen["agent.links"], seen["agent.gaps"], seen["agent.malformed"]) == (2, 1, 0)
+    counters = server.counters()
+    assert (counters["agent.links"], counters["agent.gaps"], counters["agent.malformed"]) == (2, 1, 0)
 
 
 def test_run_of_unknown_outcome_fails_and_never_runs_again(start):
     server = start()
-    router = server.router()
-    labelled = router.call("order", b"hold", opkey=KEY1)
+    router = server.connect_router()
+    keyed = router.call("order", b"hold", opkey=KEY1)
     name = server.next_order("launch")["id"]
     with server.agent.lock:
         server.agent.close_connections()
@@ -257,7 +274,7 @@
         server.agent.append_notice(op="aside", end="news of no meaning")
         # The agent no longer has the notice, as after too many later ones.
         server.agent.notices[0] = server.agent.notices[1]
-    assert router.answer(labelled)[0][0] == "Failed"
+    assert router.answer(keyed)[0][0] == "Failed"
     assert router.answer(router.call("order", b"hold", opkey=KEY1, resent="1"))[0][0] == "Failed"
     assert server.agent.launched_run_ids == [name]
     assert server.counters()["send.recalled"] == 1
@@ -267,7 +284,7 @@
 def test_failed_call_fails_request_before_timeout(start, vault):
     server = start(vault_up=vault != "down")
     server.vault.answer_word = vault
-    router = server.router()
+    router = server.connect_router()
     error, _ = router.answer(router.call("order", b"1 call", opkey=KEY1, timeout="2000"))
     assert error[0] == "Failed"
     assert router.answer(router.call("lookup", b"1"))[0] is None
@@ -275,18 +292,19 @@
 
 
 def test_closes_vault_connections_after_their_last_call(start):
+    """The vault may drop a connection that is kept open, which shows only at the next call."""
     server = start()
-    router = server.router()
-    for label in (KEY1, KEY2):
-        assert router.answer(router.call("order", b"1 call", opkey=label))[0] is None
+    router = server.connect_router()
+    for key in (KEY1, KEY2):
+        assert router.answer(router.call("order", b"1 call", opkey=key))[0] is None
         assert server.vault.closed_connections.get(timeout=TIMEOUT_S)
-    seen = server.counters()
-    assert (seen["vault.links"], seen["vault.lost"], seen["relay.honoured"]) == (2, 0, 2)
+    counters = server.counters()
+    assert (counters["vault.links"], counters["vault.lost"], counters["relay.honoured"]) == (2, 0, 2)
 
 
 def test_reload_moves_peers_and_loses_nothing(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     server.vault.answer_word = "silent"
     called, held = router.call("order", b"1 call", opkey=KEY1), router.call("lookup", b"hold")
     first = server.vault.received.get(timeout=TIMEOUT_S)[1]
@@ -308,8 +326,13 @@
     server.agent.finish_run(name)
     assert router.answer(held)[0] is None
     assert server.catalog.received.get(timeout=TIMEOUT_S)[1] == {"status": "passing"}
-    seen = server.counters()
-    assert (seen["program.reloads"], seen["agent.links"], seen["agent.lost"], seen["relay.severed"]) == (
+    counters = server.counters()
+    assert (
+        counters["program.reloads"],
+        counters["agent.links"],
+        counters["agent.lost"],
+        counters["relay.severed"],
+    ) == (
         1,
         2,
         0,
@@ -332,14 +355,14 @@
     server = start()
     server.reload(text, **changes)
     assert line in server.wait_for_line(line)
-    router = server.router()
+    router = server.connect_router()
     assert router.answer(router.call("order", b"1 call", opkey=KEY1))[0] is None
     assert server.counters()[counter] == 1
 
 
 def test_many_reloads_do_not_disturb_serving_or_exit(start):
     server = start(stop_ms=800)
-    router = server.router()
+    router = server.connect_router()
     held = router.call("order", b"hold", opkey=KEY1)
     for _ in range(20):
         server.agent.move()
@@ -360,7 +383,7 @@
     server = start()
     server.catalog.stop()
     server.wait_for_line("catalog_report_failed")
-    router = server.router()
+    router = server.connect_router()
     assert router.answer(router.call("lookup", b"1"))[0] is None
     assert server.counters()["catalog.missed"] >= 1
 
@@ -368,7 +391,7 @@
 def test_cancels_call_without_reply(start):
     server = start()
     server.vault.answer_word = "silent"
-    router = server.router()
+    router = server.connect_router()
     assert router.answer(router.call("order", b"1 call", opkey=KEY1, timeout="600"))[0][0] == "Failed"
     assert server.vault.received.get(timeout=TIMEOUT_S)[0] == b"ask"
     assert server.vault.closed_connections.get(timeout=TIMEOUT_S)  # closing its connection cancels the call
@@ -376,7 +399,7 @@
 
 
 @pytest.mark.parametrize(
-    ("profile", "fields", "named"),
+    ("profile", "fields", "message"),
     [
         ("unheard", {}, "no such profile"),
         ("lookup", {"owner": "red"}, "no such tenant"),
@@ -409,16 +432,16 @@
         ("lookup", {"body": "long"}, "a body of at most"),
     ],
 )
-def test_invalid_request_gets_error_that_names_the_field(start, profile, fields, named):
-    router = start().router()
+def test_invalid_request_gets_error_that_names_the_field(start, profile, fields, message):
+    router = start().connect_router()
     body = b"x" * 3000 if fields.pop("body", "") else b"1"
-    assert named in router.answer(router.call(profile, body, **fields))[0][0]
+    assert message in router.answer(router.call(profile, body, **fields))[0][0]
     assert router.answer(router.call("lookup", b"1"))[0] is None
 
 
 def test_repeat_read_late_is_matched_by_its_timestamp(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     stamp = str(time.time_ns() // 1_000_000)
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
     late = router.call("order", b"1", opkey=KEY1, ts=stamp, timeout="1")
@@ -428,7 +451,7 @@
 
 def test_reused_id_and_key_with_other_body_share_no_result(start):
     server = start()
-    good, bad = server.router(), server.router()
+    good, bad = server.connect_router(), server.connect_router()
     held = good.call("order", b"hold", opkey=KEY1, req="a" * 16)
     name = server.next_order("launch")["id"]
     assert "open" in bad.answer(bad.call("lookup", b"hold", req="a" * 16))[0][0]
@@ -443,19 +466,19 @@
 def test_refused_launch_fails_at_once_and_releases_key(start):
     server = start()
     server.agent.refuses_launches = True
-    router = server.router()
+    router = server.connect_router()
     for call in (router.call("lookup", b"1"), router.call("order", b"1", opkey=KEY1)):
         assert router.answer(call)[0][0] == "Failed"
     server.agent.refuses_launches = False
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
-    seen = server.counters()
-    assert (seen["send.refused"], seen["send.moot"], seen["agent.declined"]) == (2, 2, 2)
+    counters = server.counters()
+    assert (counters["send.refused"], counters["send.moot"], counters["agent.declined"]) == (2, 2, 2)
 
 
 @pytest.mark.parametrize("part", [b"", b"\x94\x00", b"\x94\x00\x01\xa6lookup\x92\x81"])
 def test_closes_only_connection_without_complete_message_in_two_seconds(start, part):
     server = start()
-    good, bad = server.router(), server.router()
+    good, bad = server.connect_router(), server.connect_router()
     assert good.answer(good.ping())[0] is None
     bad.connection.sendall(part)
     with pytest.raises((EOFError, ConnectionResetError)):
@@ -478,7 +501,7 @@
 )
 def test_malformed_data_closes_only_its_connection(start, raw):
     server = start()
-    good, bad = server.router(), server.router()
+    good, bad = server.connect_router(), server.connect_router()
     held = good.call("lookup", b"50")
     bad.connection.sendall(raw)
     with pytest.raises(EOFError):  # and no reset, which would drop earlier responses
@@ -489,7 +512,7 @@
 
 
 def test_rejects_more_than_thirty_two_open_requests_on_a_connection(start):
-    router = start().router()
+    router = start().connect_router()
     numbers = [router.call("lookup", b"hold", need="1") for _ in range(33)]
     assert "more than 32" in router.answer(numbers[-1])[0][0]
 
@@ -499,7 +522,7 @@
 )
 def test_malformed_line_of_agent_reopens_link(start, raw):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     server.next_order("subscribe")
     held = router.call("lookup", b"100")
     server.next_order("launch")
@@ -511,7 +534,7 @@
 
 def test_malformed_replies_of_vault_and_catalog_affect_no_other_request(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     server.vault.answer_word, server.catalog.status = "silent", 500
     waiting = router.call("order", b"1 call", opkey=KEY1)
     server.vault.received.get(timeout=TIMEOUT_S)
@@ -520,22 +543,22 @@
     server.wait_for_line("catalog_report_failed")
     server.vault.answer_word, server.catalog.status = "yes", 204
     assert router.answer(router.call("order", b"1 call", opkey=KEY2))[0] is None
-    seen = server.counters()
-    assert (seen["vault.malformed"], seen["relay.severed"]) == (1, 1)
-    assert seen["catalog.missed"] >= 1
+    counters = server.counters()
+    assert (counters["vault.malformed"], counters["relay.severed"]) == (1, 1)
+    assert counters["catalog.missed"] >= 1
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 def test_drain_finishes_open_requests_and_exits(start, number):
     server = start()
-    router, idle = server.router(), server.router()
+    router, idle = server.connect_router(), server.connect_router()
     assert idle.answer(idle.ping())[0] is None
     held = router.call("lookup", b"hold")
     name = server.next_order("launch")["id"]
     server.process.send_signal(number)
     server.wait_for_line("now=draining")
     # Routers learn late of the drain: within the drain grace requests are still accepted.
-    accepted_in_grace = server.router()
+    accepted_in_grace = server.connect_router()
     assert accepted_in_grace.answer(accepted_in_grace.call("lookup", b"1"))[0] is None
     assert accepted_in_grace.answer(accepted_in_grace.ping()) == (None, [False, {}])
     assert accepted_in_grace.message() == [2, "closing", []]
@@ -543,33 +566,33 @@
     assert idle.message() == [2, "closing", []]
     assert router.message() == [2, "closing", []]
     with pytest.raises(ConnectionRefusedError):
-        server.router()
+        server.connect_router()
     idle.connection.close()
     server.agent.finish_run(name)
     assert router.answer(held)[0] is None
     router.connection.close()
-    seen = server.read_counters()
+    counters = server.read_counters()
     assert server.process.wait(TIMEOUT_S) == 0
-    assert seen["book.honoured"] == 2
+    assert counters["book.honoured"] == 2
     assert any("now=ended" in line for line in server.lines)
 
 
 def test_evicts_least_recently_used_idle_connection_at_limit(start):
     server = start(limits={"sockets": 23})  # three for routers
-    busy, old, young = (server.router() for _ in range(3))
+    busy, old, young = (server.connect_router() for _ in range(3))
     held = busy.call("lookup", b"hold")
     name = server.next_order("launch")["id"]
     assert old.answer(old.ping())[0] is None
     assert young.answer(young.ping())[0] is None
     for evicted in (old, young):
-        newcomer = server.router()
+        newcomer = server.connect_router()
         assert newcomer.answer(newcomer.ping())[0] is None
         with pytest.raises((EOFError, ConnectionResetError)):
             evicted.message()
     server.agent.finish_run(name)
     assert busy.answer(held)[0] is None
-    seen = server.counters()
-    assert (seen["clients.connections_most"], seen["clients.made_room"]) == (3, 2)
+    counters = server.counters()
+    assert (counters["clients.connections_most"], counters["clients.made_room"]) == (3, 2)
 
 
 @pytest.mark.parametrize("catalog_down", ["from the start", "later"])
@@ -582,14 +605,14 @@
         server.catalog.stop()
     server.wait_for_line("catalog_report_failed")
     silent = [socket.create_connection(server.router_address(), TIMEOUT_S) for _ in range(3 * max_sockets)]
-    held, names = [], os.listdir(f"/proc/{server.process.pid}/fd")
-    assert len(names) <= max_sockets
+    routers, descriptors = [], os.listdir(f"/proc/{server.process.pid}/fd")
+    assert len(descriptors) <= max_sockets
     with server.agent.lock:
         server.agent.close_connections()  # another link has to be opened
     server.next_order("subscribe")
     for number in range(8):  # a router with a request is accepted, and its call gets a connection
-        router = server.router()
-        held.append(router)
+        router = server.connect_router()
+        routers.append(router)
         key = f"{number}" * 32
         assert router.answer(router.call("order", b"1 call", opkey=key)) == (
             None,
@@ -598,20 +621,20 @@
         assert len(os.listdir(f"/proc/{server.process.pid}/fd")) <= max_sockets
     server.catalog.listen(server.catalog.host, server.catalog.port)
     assert server.catalog.received.get(timeout=TIMEOUT_S)[1] == {"status": "passing"}
-    seen = server.counters()
-    assert seen["clients.turned_away"] == 0
-    assert seen["clients.made_room"] > 0
+    counters = server.counters()
+    assert counters["clients.turned_away"] == 0
+    assert counters["clients.made_room"] > 0
     assert len(silent) == 3 * max_sockets
 
 
 def serve_once(server):
-    """Sends a health check and a request from a new router; returns whether the request was sent twice.
+    """Send a health check and a request from a new router; return whether the request was sent twice.
 
     At its limit the app server may close a connection with no open request on it. A request that crosses
     such a close is sent once more, on a new connection.
     """
     made_room_before = server.counters()["clients.made_room"]
-    router = server.router()
+    router = server.connect_router()
     assert router.answer(router.ping())[0] is None
     sent_again = False
     try:
@@ -620,7 +643,7 @@
         assert server.counters()["clients.made_room"] > made_room_before
         sent_again = True
         router.connection.close()
-        router = server.router()
+        router = server.connect_router()
         error, _ = router.answer(router.call("lookup", b"1", timeout="5000"))
     router.connection.close()
     assert error is None or error[0] == "Overloaded"
@@ -645,7 +668,7 @@
                         if stop.is_set():
                             return
             except OSError:
-                pass  # cut off, or not read any more: again
+                pass  # the server closed the connection or stopped reading: connect again
 
     pings = b"".join(pack([0, number, "ping", [{}]]) for number in range(1, 400))
     fields = {"ts": str(time.time_ns() // 1_000_000), "via": "9", "owner": "green", "timeout": "3000"}
@@ -664,44 +687,44 @@
         for thread in threads:
             thread.join(TIMEOUT_S)
     assert server.process.poll() is None
-    seen = server.counters()
-    assert sent_again <= seen["clients.made_room"]
+    counters = server.counters()
+    assert sent_again <= counters["clients.made_room"]
     orders = [server.agent.received.get_nowait() for _ in range(server.agent.received.qsize())]
     honest = [order for order in orders if order["op"] == "launch" and b64decode(order["body"]) == b"1"]
     assert len(honest) <= 5  # a request that crossed a close has not run
-    assert seen["process.memory_kb_most"] < 64 << 10
-    assert seen["book.faults"] == seen.get("program.faults", 0) == 0
+    assert counters["process.memory_kb_most"] < 64 << 10
+    assert counters["book.faults"] == counters.get("program.faults", 0) == 0
 
 
 def test_fails_requests_still_running_before_stop_deadline(start):
     server = start(stop_ms=800)
-    router = server.router()
+    router = server.connect_router()
     held = router.call("order", b"hold", opkey=KEY1)
     server.next_order("launch")
-    began = time.monotonic()
+    started_at = time.monotonic()
     server.process.send_signal(signal.SIGTERM)
     assert router.answer(held)[0][0] == "Failed"
     assert server.process.wait(TIMEOUT_S) == 0
-    assert time.monotonic() - began < 5
+    assert time.monotonic() - started_at < 5
 
 
 @pytest.mark.parametrize("name", ["ping", "abort", "closing", "render page", "post/entry", "pr\u00fcfen"])
 def test_request_class_may_have_any_name(start, name):
-    """A class named like the health check got responses without a run."""
+    """Guards against a class that is taken for the health check: its requests were answered without a run."""
     settings = json.loads(CONFIGURATION.read_text())["settings"]
     settings["classes"][0]["name"] = name
     server = start(settings=settings)
-    router = server.router()
+    router = server.connect_router()
     assert router.answer(router.call(name, b"1")) == (None, [b"made of 1", {}])
     assert router.answer(router.ping()) == (None, [True, {}])
     assert server.next_order("launch")["class"] == name
-    seen = server.counters()
-    assert (seen["clients.pings"], seen["book.honoured"]) == (1, 1)
+    counters = server.counters()
+    assert (counters["clients.pings"], counters["book.honoured"]) == (1, 1)
 
 
-def test_pause_loses_nothing(start):
+def test_process_pause_loses_no_response(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     held = router.call("lookup", b"hold")
     name = server.next_order("launch")["id"]
     server.process.send_signal(signal.SIGSTOP)
@@ -714,21 +737,21 @@
 
 def test_killed_server_restarts_empty_at_same_address(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     router.call("order", b"hold", opkey=KEY1)
     server.next_order("launch")
     server.process.kill()
     with pytest.raises((EOFError, ConnectionResetError)):
         router.message()
     server = start(listen=server.address)
-    router = server.router()
+    router = server.connect_router()
     assert router.answer(router.call("order", b"1", opkey=KEY1))[0] is None
     assert server.counters()["admit.repeats"] == 0
 
 
 def test_handles_stop_and_reload_signals_together(start):
     server = start()
-    router = server.router()
+    router = server.connect_router()
     held = router.call("lookup", b"hold")
     name = server.next_order("launch")["id"]
     server.process.send_signal(signal.SIGSTOP)
@@ -748,7 +771,7 @@
 @pytest.mark.parametrize("second", [signal.SIGTERM, signal.SIGINT])
 def test_second_stop_signal_ends_drain_with_responses_to_all(start, second):
     server = start(stop_ms=60_000)
-    router = server.router()
+    router = server.connect_router()
     running = router.call("order", b"hold", opkey=KEY1)
     server.next_order("launch")
     held = router.call("lookup", b"hold", need="500")
@@ -775,6 +798,7 @@
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGHUP", "SIGUSR1"])
 def test_signal_after_exit_leaves_exit_code_zero(start, number):
+    """Otherwise an exit on which another signal arrives would look like a crash."""
     server = start(arguments=("-c", SIGNAL_AFTER_EXIT.format(number)))
     server.process.send_signal(signal.SIGTERM)
     assert server.process.wait(TIMEOUT_S) == 0
@@ -794,7 +818,7 @@
 
 def test_responds_to_health_checks_before_agent_greets(start):
     server = start(greets=False)
-    router = server.router()
+    router = server.connect_router()
     assert router.answer(router.ping()) == (None, [True, {}])
     assert router.answer(router.call("lookup", b"1"))[0][0] == "Overloaded"
     server.next_order("subscribe")
@@ -804,7 +828,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "message"),
     [
         (None, "PROXY_CONFIG names no file"),
         ("{", "is not JSON"),
@@ -822,7 +846,7 @@
         ('{"name": "a", "listen": "127.0.0.1:1", "agent": "x:1", "stop_ms": "soon"}', "stop_ms"),
     ],
 )
-def test_invalid_configuration_exits_with_one_line(tmp_path, text, named):
+def test_invalid_configuration_exits_with_one_line(tmp_path, text, message):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -836,5 +860,5 @@
         timeout=20,
     )
     assert ended.returncode != 0
-    assert named in ended.stderr
+    assert message in ended.stderr
     assert ended.stderr.count("\n") == 1
