--- a/tests/test_agent_link.py
+++ b/tests/test_agent_link.py
@@ -26,7 +26,11 @@
 
 
 class LinkedAgent(SchedulerHarness):
-    """An `Agent` whose link is established: it was greeted, and missed notices were delivered."""
+    """An `Agent` whose link is established: it was greeted, and missed notices were delivered.
+
+    Attributes:
+        ends: Id and outcome of each run that ended.
+    """
 
     def __init__(self):
         super().__init__()
@@ -44,7 +48,7 @@
         self.greet()
 
     def greet(self):
-        """Send the greeting on the newest link, and answer the agent client's fence."""
+        """Wait for a new link, send the greeting on it, and answer the agent client's fence."""
         links = len(self.server.links)
         self.wait_until(lambda: self.server.receive_all() and len(self.server.links) > links, 3000)
         assert len(self.server.links) > links, "no new link"
@@ -70,6 +74,7 @@
         return context
 
     def sample_repeatedly(self, count, answered=False):
+        """Request the gauges `count` times, one per tick, with an answer to each if `answered`."""
         for _ in range(count):
             self.agent.request_gauges()
             self.run_passes(ms=TICK_MS)
@@ -77,6 +82,7 @@
                 self.send_line(line(op="sampled", tag="tick", values=[0.5]))
 
     def count(self, name):
+        """Return the value of a counter."""
         return self.components[1].counts[name]
 
 
