--- a/birchslip/__init__.py
+++ b/birchslip/__init__.py
@@ -1,1 +1,1 @@
-"""birchslip: admission and scheduling for app servers behind balancers that nobody can change."""
+"""birchslip: admission and scheduling for app servers behind routers that are fixed and run by others."""
--- a/birchslip/__main__.py
+++ b/birchslip/__main__.py
@@ -12,7 +12,14 @@
 
 
 def attach_planner_link(program: Program, path: str) -> None:
-    """Connect the app server to its fleet; without a fleet file, the fleet code is not imported."""
+    """Connect the app server to the planners that a fleet file lists.
+
+    The fleet code is imported here, so that an app server without a fleet file does not load it.
+
+    Raises:
+        InvalidInputError: The fleet file is invalid, or does not list this app server.
+        OSError: The fleet file can't be read.
+    """
     from .cluster.fleet_reader import read_fleet
     from .cluster.planner_link import PlannerLink
 
@@ -31,7 +38,14 @@
 
 
 def attach_result_store(program: Program, path: str) -> None:
-    """Open the result store; without a settings file for it, its code is not imported."""
+    """Open the result store that a settings file describes.
+
+    The code of the store is imported here, so that an app server without such a file does not load it.
+
+    Raises:
+        InvalidInputError: The settings file is invalid, or the store can't be opened.
+        OSError: The settings file can't be read.
+    """
     from .idempotency.result_store import ResultStore
     from .idempotency.settings_file import read_store_settings
 
@@ -44,7 +58,11 @@
 
 
 def main() -> int:
-    """Run the app server, or the command line if there are arguments; returns the exit code."""
+    """Run the app server, or the command line if there are arguments; return the exit code.
+
+    Exit codes of the app server: 0 it was stopped; 1 it failed after its set-up, for example because its
+    address is in use; 2 its configuration, or a file that the configuration names, is invalid or unreadable.
+    """
     if len(sys.argv) > 1:
         from .cli import main as command
 
--- a/birchslip/cluster/__init__.py
+++ b/birchslip/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet: who is there, who leads, and what is done when a site is lost."""
+"""The fleet: its members, the planner that leads, plans for lost sites, eviction permits and rollouts."""
--- a/birchslip/cluster/eviction_handler.py
+++ b/birchslip/cluster/eviction_handler.py
@@ -1,4 +1,4 @@
-"""Handles operations on eviction permits: requests, returns, revocations and overrides.
+"""Operations on eviction permits: requests, returns, revocations and overrides of the budget.
 
 The disruption budget decides on each request. The planner sends the response once a majority has stored the
 decision.
@@ -19,7 +19,10 @@
 
 
 def has_unknown_holder(request: EvictionRequest, observations: Mapping[str, MemberObservation]) -> bool:
-    """Returns whether a request is for a holder that is neither a member nor a service of the fleet."""
+    """Return whether a request is for a holder that is neither a member nor a service of the fleet.
+
+    An override has no holder, so it never counts as unknown.
+    """
     if request.operation is EvictionOperation.GRANT_OVERRIDE:
         return False
     return request.holder not in observations
@@ -28,7 +31,13 @@
 def handle_eviction(
     budget: DisruptionBudget, request: EvictionRequest, observations: Mapping[str, MemberObservation]
 ) -> EvictionResponse:
-    """Executes a request; `observations` has every member and service that may hold a permit."""
+    """Execute a request and return the response; a refusal is a response with a reason, not an exception.
+
+    Args:
+        budget: The fleet's disruption budget, which decides and records permits, waiters and overrides.
+        request: The operation, its holder and, for an override, its count and span.
+        observations: Every member and service that may hold a permit, by name.
+    """
     if request.operation is EvictionOperation.GRANT_OVERRIDE:
         reason = budget.add_override(request.operator, request.reason, request.count, request.span)
         return EvictionResponse(granted=not reason, reason=reason)
--- a/birchslip/cluster/fleet_file.py
+++ b/birchslip/cluster/fleet_file.py
@@ -3,6 +3,7 @@
 `fleet_reader.py` reads the file and `fleet_validation.py` checks what the types can't express. The keys in
 the file and the names of the classes are part of the JSON Schema that operators use
 (`deploy/fleet.schema.json`); an attribute's key is its own name unless the class's `rename` gives another.
+Attributes that end in `_ms` are in milliseconds.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class Planner(FleetFilePart):
-    """One planner: where members, other planners and operators find it."""
+    """One planner, and the address at which members, other planners and operators connect to it."""
 
     name: Identifier
     address: Address
@@ -41,9 +42,10 @@
 
     Attributes:
         name: Its name.
-        address: Where routers find it.
-        downstream_calls: Its base share of the vault's concurrent calls; by default an even share.
-        required_services: Services without which it counts as unavailable.
+        address: Where routers connect to it.
+        downstream_calls: Its base share of the vault's concurrent calls; by default an even share of what
+            the members with a share of their own leave.
+        required_services: Names of the services without which it counts as unavailable.
     """
 
     name: Name
@@ -53,7 +55,7 @@
 
 
 class Service(FleetFilePart):
-    """One downstream service by its name on the platform: a replica of a kind of service."""
+    """One downstream service: its name on the platform, and the kind of service of which it is a replica."""
 
     name: Name
     kind: Identifier
@@ -74,7 +76,7 @@
 
 
 class Site(FleetFilePart):
-    """One site: its app servers and the numbers of its local routers."""
+    """One site: its app servers, and the numbers of the routers whose callers are local to it."""
 
     name: Name
     members: list[Member]
@@ -82,7 +84,10 @@
 
 
 class Link(FleetFilePart):
-    """The cost of sending one site's load to another; pairs without a link cost 1."""
+    """The cost of sending one site's load to another; pairs without a link cost 1.
+
+    Costs are only compared: load goes over the cheapest links first.
+    """
 
     source: Name = msgspec.field(name="from")
     target: Name = msgspec.field(name="to")
@@ -110,7 +115,7 @@
         covers_all: Whether it covers all app servers.
         max_out: Number of them that may be unavailable; None sets no bound.
         max_out_fraction: Fraction of them that may be unavailable; None sets no bound.
-        min_capacity: Capacity in requests per second that has to stay in service.
+        min_capacity: Capacity in requests per second that has to stay in service; 0 sets no bound.
     """
 
     name: Identifier
@@ -129,7 +134,8 @@
 
     Attributes:
         total_calls: Concurrent calls allowed to all app servers together.
-        unleased_fraction: Fraction of a base share that needs no lease.
+        unleased_fraction: Fraction of each member's base share that needs no lease and is never granted to
+            other members.
         lease_ms: Duration of the leases on the rest.
     """
 
@@ -148,8 +154,9 @@
         planners: Its planners.
         sites: Its sites with their app servers.
         links: Costs of sending load between sites.
-        tenant_shares: Each tenant's share of an app server, 0 to 1.
-        shedding_tiers: Tiers of requests to reject when capacity is short, in the order of rejection.
+        tenant_shares: Each tenant's share of an app server, 0 to 1, by the tenant's name.
+        shedding_tiers: Tiers of requests to reject when capacity is short, as words of `SheddingTier` and in
+            the order of rejection.
         vault: The shared vault, if there is one.
         disruption_budgets: How many members and services may be unavailable at once.
         services: Downstream services.
@@ -181,7 +188,7 @@
 
     @property
     def link_costs(self) -> dict[tuple[str, str], float]:
-        """Costs of sending load, by source and target site, for the links in the file."""
+        """Costs of sending load, by source and target site; only of the links in the file."""
         return {(link.source, link.target): link.cost for link in self.links}
 
     @property
@@ -190,7 +197,7 @@
         return [member for site in self.sites for member in site.members]
 
     def base_calls(self) -> dict[str, float]:
-        """Return each member's base share of the vault, in concurrent downstream calls."""
+        """Return each member's base share of the vault, in concurrent calls; empty without a vault."""
         if self.vault is None:
             return {}
         fixed_calls = sum(
@@ -204,7 +211,7 @@
         }
 
     def budget_groups(self) -> list[BudgetGroup]:
-        """Return the disruption budgets as groups with the names of their members and services."""
+        """Return the disruption budgets as groups, with the names of all members and services covered."""
         return [
             BudgetGroup(
                 budget.name,
@@ -230,7 +237,11 @@
         return {member.name: member.required_services for member in self.members if member.required_services}
 
     def rollout_scopes(self) -> dict[str, list[str]]:
-        """Return app servers by site and by budget, in the file's order; a rollout may name them."""
+        """Return the app servers of each site and of each budget, by name and in the file's order.
+
+        A release file names them as `sites` and `groups`. If a site and a budget have the same name, it
+        stands for the site.
+        """
         scopes = {site.name: [member.name for member in site.members] for site in self.sites}
         in_order = [name for names in scopes.values() for name in names]
         for group in self.budget_groups():
@@ -238,7 +249,7 @@
         return scopes
 
     def site_of(self, member: str) -> Site | None:
-        """Return the site of the member with that name, if there is one."""
+        """Return the site of the member with that name, or None if the file has no such member."""
         for site in self.sites:
             if any(candidate.name == member for candidate in site.members):
                 return site
@@ -246,5 +257,5 @@
 
 
 def span(milliseconds: int) -> int:
-    """Return the duration in tenths of a millisecond."""
+    """Convert a duration to tenths of a millisecond, the unit of all times in planners and app servers."""
     return milliseconds * MS
--- a/birchslip/cluster/fleet_reader.py
+++ b/birchslip/cluster/fleet_reader.py
@@ -1,4 +1,4 @@
-"""Reads the operators' fleet file, and generates its JSON Schema.
+"""Reading of the operators' fleet file, and its JSON Schema.
 
 The whole file is validated before anything starts.
 """
@@ -42,7 +42,7 @@
 
 
 def read_fleet(path: str | Path) -> Fleet:
-    """Reads and validates a fleet file.
+    """Read and validate a fleet file.
 
     Raises:
         ConfigurationError: If it is invalid; the message has one line for each violation, with its place.
@@ -60,7 +60,7 @@
 
 
 def fleet_schema() -> dict[str, Any]:
-    """Returns the JSON Schema of a fleet file, as in `deploy/fleet.schema.json`."""
+    """Return the JSON Schema of a fleet file, as in `deploy/fleet.schema.json`."""
     schema = msgspec.json.schema(Fleet)
     for name, description in SCHEMA_DESCRIPTIONS.items():
         schema["$defs"][name]["description"] = description
--- a/birchslip/cluster/operator_views.py
+++ b/birchslip/cluster/operator_views.py
@@ -1,6 +1,7 @@
 """Operator views: a planner's JSON reports on its fleet, with the keys that operators' tools read.
 
-Read only: nothing here changes the planner's state or takes part in its decisions.
+Read only: nothing here changes the planner's state or takes part in its decisions. Times (`now`, intervals)
+are in tenths of a millisecond; rates in the reports are in requests per second.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def fleet_status(state: PlannerState, now: int) -> Report:
-    """Returns the report of `fleet show`; a follower reports the replicated state that it has stored."""
+    """Return the report of `fleet show`; a follower reports the replicated state that it has stored."""
     is_leader = state.is_effective_leader(now)
     stored = state.stored_state()
     ramps = state.sites.ramps
@@ -53,7 +54,7 @@
 
 
 def member_row(member: Member, report_interval: int, now: int) -> Report:
-    """Returns the row of one member, from its latest report."""
+    """Return the row of one member of `fleet show`, from its latest report."""
     report = member.report
     return {
         "name": member.name,
@@ -74,7 +75,7 @@
 
 
 def site_row(state: PlannerState, site: str, ramp: RecoveryRamp, now: int) -> Report:
-    """Returns the row of one site, with its verdict and stage."""
+    """Return the row of one site of `fleet show`, with its verdict and its stage of recovery."""
     published = state.plans.published
     return {
         "name": site,
@@ -91,7 +92,7 @@
 
 
 def permits_status(state: PlannerState, budget_state: BudgetState, now: int) -> Report:
-    """Returns budgets, permits, waiters and unavailable members."""
+    """Return the budgets, permits, waiters, unavailable members and newest lines of the audit log."""
     budget = DisruptionBudget(state.budget.groups, budget_state)
     unavailable = budget.unavailable_members(state.observations(now))
     groups = [
@@ -123,12 +124,12 @@
 def rollouts_status(
     state: PlannerState, now: int, number: int = 0, with_history: bool = False
 ) -> list[RolloutReport]:
-    """Returns the rollouts, the newest first; a follower reports the replicated state that it has stored.
+    """Return the rollouts, the newest first; a follower reports the replicated state that it has stored.
 
     Args:
         state: The planner's state.
         now: The current time.
-        number: Number of the only rollout to return, 0 for all.
+        number: Number of the only rollout to return, or 0 for all.
         with_history: Whether to include the lines of each history.
     """
     controller = state.rollouts.controller
@@ -140,7 +141,10 @@
 
 
 def site_loss_forecast(state: PlannerState, lost_site: str) -> Report:
-    """Returns the effect of losing a site now: where its load would go, and the missing capacity."""
+    """Return the effect of losing a site now: where its load would go, and what would be missing.
+
+    `short_by` is the rate of requests that would be rejected. With a vault, `vault` holds concurrent calls.
+    """
     fleet = state.fleet
     capacities = state.sites.capacities()
     plan = plan_without_site(
@@ -169,7 +173,10 @@
 
 
 def _vault_forecast(state: PlannerState, lost_site: str) -> Report:
-    """Returns the vault's concurrent calls now and the remaining members' quota; empty without leases."""
+    """Return the vault's concurrent calls now and the remaining members' quota; empty without leases.
+
+    The quota is the base quotas of the remaining members and the leasable part of the lost members' quotas.
+    """
     leases = state.quotas.leases
     if leases is None:
         return {}
--- a/birchslip/cluster/planner_events.py
+++ b/birchslip/cluster/planner_events.py
@@ -16,19 +16,19 @@
 
 
 class EventBuffer:
-    """A bounded buffer of events; events beyond the bound are dropped."""
+    """A buffer of at most `MAX_BUFFERED_EVENTS` events; further events are dropped until it is emptied."""
 
     def __init__(self) -> None:
-        """Creates an empty buffer."""
+        """Create an empty buffer."""
         self._events: list[PlannerEvent] = []
 
     def record(self, name: str, **fields: object) -> None:
-        """Adds an event, or drops it if the buffer is full."""
+        """Add an event, or drop it if the buffer is full."""
         if len(self._events) < MAX_BUFFERED_EVENTS:
             self._events.append(PlannerEvent(name, fields))
 
     def drain(self) -> Iterator[PlannerEvent]:
-        """Empties the buffer and yields its events, oldest first."""
+        """Empty the buffer and yield its events, oldest first."""
         events = self._events
         self._events = []
         yield from events
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -60,8 +60,8 @@
 from .site_supervisor import SiteSupervisor
 
 EVALUATION_INTERVAL = 100 * MS
-REPLAN_INTERVAL = 1 * SECOND  # while a site is not serving, as measured loads and capacities change
-MAX_REPORTS_PER_SECOND = 1_200  # to one planner; members of larger fleets report less often
+REPLAN_INTERVAL = 1 * SECOND  # between plans while a site is not serving, as loads and capacities change
+MAX_REPORTS_PER_SECOND = 1_200  # from all members to one planner; members of larger fleets report less often
 
 
 class EvictionOutcome(NamedTuple):
@@ -97,7 +97,13 @@
     """
 
     def __init__(self, fleet: Fleet, election: Election, now: int) -> None:
-        """Creates the state of a follower that has not received any report."""
+        """Create the state of a follower that has not received any report.
+
+        Args:
+            fleet: The fleet file in force.
+            election: This planner's voter and candidate.
+            now: The current time.
+        """
         site_names = [site.name for site in fleet.sites]
         self.fleet = fleet
         self.election = election
@@ -128,11 +134,14 @@
     # ---- leadership ------------------------------------------------------------------------------------
 
     def is_effective_leader(self, now: int) -> bool:
-        """Returns whether this planner may instruct members and the platform, and answer operators."""
+        """Return whether this planner may instruct members and the platform, and carry out changes.
+
+        It may once it holds the leader's lease and a majority has stored the state that it restored.
+        """
         return self.leadership.is_effective_leader(now)
 
     def leader_name(self, now: int) -> str:
-        """Returns the name of the planner that is believed to lead, or an empty string."""
+        """Return the name of the planner that is believed to lead, or an empty string."""
         return self.leadership.known_leader(now)
 
     def _update_leadership(self, now: int) -> bool:
@@ -150,7 +159,7 @@
     # ---- replication -----------------------------------------------------------------------------------
 
     def stored_state(self) -> ReplicatedState:
-        """Returns the state stored by this planner, made by itself or the leader; empty if unreadable."""
+        """Return the newest replicated state that this planner has stored; empty if it is unreadable."""
         return self._decode(self.election.durable.state)
 
     def _decode(self, raw: bytes) -> ReplicatedState:
@@ -161,7 +170,10 @@
             return ReplicatedState()
 
     def restore(self, raw: bytes, now: int) -> None:
-        """Restores the state of a previous leader that a majority has stored."""
+        """Restore the state that a majority stored under a previous leader.
+
+        No order goes to the platform until a majority has stored the first version of the new term.
+        """
         state = self._decode(raw)
         self.sites.restore(state.sites, now)
         self.budget.state = state.permits
@@ -169,19 +181,25 @@
         self.rollouts.orders_version = 1
 
     def encoded_state(self) -> bytes:
-        """Returns the current state as the bytes that a majority has to store."""
+        """Encode the current state into the bytes that a majority has to store."""
         sites = self.sites.stored_sites()
         rollouts = self.rollouts.controller.states
         return encode_state(ReplicatedState(sites=sites, permits=self.budget.state, rollouts=rollouts))
 
     def replication_request(self) -> ReplicationRequest | None:
-        """Returns the request to store the newest version, or None if a majority has stored it."""
+        """Return the request to store the newest version.
+
+        None if a majority has stored it, or if this planner does not lead.
+        """
         if not self.leadership.needs_replication():
             return None
         return self.leadership.replication_request(self.encoded_state())
 
     def mark_replicated(self, version: int) -> None:
-        """Records that a majority has stored a version, and publishes its plan."""
+        """Record that a majority has stored a version, and publish its plan.
+
+        A version that is not the newest one, or is already recorded, is ignored.
+        """
         if not self.leadership.mark_replicated(version):
             return
         self.plans.publish(self.sites.serving_fractions())
@@ -190,14 +208,18 @@
         )
 
     def replan(self, now: int) -> None:
-        """Makes a new plan and version; members receive the plan once a majority has stored it."""
+        """Make a new plan and version; members receive the plan once a majority has stored it."""
         self.leadership.advance_version()
         self.plans.replan(self.fleet, self.sites.capacities(), now)
 
     # ---- members ---------------------------------------------------------------------------------------
 
     def receive_report(self, report: MemberReport, now: int) -> ReportReply:
-        """Processes a member's report and returns the reply."""
+        """Process a member's report and return the reply.
+
+        The reply has no instructions if this planner is not the effective leader, or if the report is from
+        an unknown member or an earlier incarnation.
+        """
         if self.site_of_member.get(report.name) != report.site:
             self.events.record("report_from_unknown_member", member=report.name, site=report.site)
             return self._follower_reply(now)
@@ -224,7 +246,7 @@
         )
 
     def _follower_reply(self, now: int) -> ReportReply:
-        """Returns a reply without instructions that names the leader."""
+        """Return a reply without instructions that names the leader, as followers send it."""
         return ReportReply(
             term=self.election.durable.promised_term,
             planner=self.election.incarnation,
@@ -234,24 +256,31 @@
         )
 
     def assignment(self, name: str) -> PlanAssignment:
-        """Returns one member's part of the published plan."""
+        """Return one member's part of the published plan, with the term and the replicated version."""
         term = self.leadership.term
         number = self.leadership.replicated_version
         return self.plans.assignment(self.fleet, self.site_of_member, name, term, number)
 
     def report_interval(self) -> int:
-        """Returns the interval between a member's reports, longer in a fleet too large for a planner."""
+        """Return the interval between a member's reports.
+
+        This is `report_ms`, or longer if all members together would send one planner more than
+        `MAX_REPORTS_PER_SECOND`.
+        """
         min_interval = len(self.site_of_member) * SECOND // MAX_REPORTS_PER_SECOND
         return max(span(self.fleet.report_ms), min_interval)
 
     def members_reporting_here(self, names: list[str], now: int) -> list[str]:
-        """Returns those of the leader's suspects that report to this planner."""
+        """Return those of `names`, which the leader suspects, whose reports still reach this planner."""
         return self.membership.recently_reporting(names, self.report_interval(), now)
 
     # ---- time ------------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """Evaluates all sites, permits and rollouts; to be called each `EVALUATION_INTERVAL`."""
+        """Follow the election, and as the leader evaluate all sites, permits and rollouts.
+
+        To be called every `EVALUATION_INTERVAL`.
+        """
         self._observe(now)
         if not self._update_leadership(now):
             return
@@ -273,7 +302,10 @@
         return age >= REPLAN_INTERVAL and bool(self.sites.sites_not_serving())
 
     def _observe(self, now: int) -> None:
-        """Updates the measurements and suspects that followers maintain as well."""
+        """Update what followers maintain as well: loads of sites, alive members and members to probe.
+
+        The load is not measured while a site does not serve or is silent, as it would not be the usual load.
+        """
         self.membership.report_interval = self.report_interval()
         if not self.sites.sites_not_serving() and not self.probes.suspected:
             self.sites.measure_load(now)
@@ -293,7 +325,7 @@
         return self.rollouts.evaluate(observations, reports, self.sites.sites_not_serving(), now)
 
     def observations(self, now: int) -> dict[str, MemberObservation]:
-        """Returns for each member, by name, its incarnation, capacity and why it is unavailable, if it is.
+        """Return for each member, by name, its incarnation, capacity and why it is unavailable, if it is.
 
         While this planner leads, the services are included, and a member whose required service is
         unavailable counts as unavailable too.
@@ -308,10 +340,11 @@
     # ---- requests of operators and the platform --------------------------------------------------------
 
     def handle_eviction(self, request: EvictionRequest, now: int) -> EvictionOutcome:
-        """Executes a request to the disruption budget.
+        """Execute a request to the disruption budget.
 
         Returns:
-            The response, and the version that a majority has to store before the response may be sent.
+            The response, and the version that a majority has to store before the response may be sent. If
+            the holder is unknown, nothing has changed and this is the version that is already stored.
         """
         observations = self.observations(now)
         before = self.budget.encode()
@@ -330,7 +363,7 @@
         return EvictionOutcome(self.leadership.version, response)
 
     def handle_rollout_command(self, command: RolloutCommand, now: int) -> CommandOutcome:
-        """Executes an operator's command on rollouts.
+        """Execute an operator's command on rollouts.
 
         Returns:
             The result, and the version that a majority has to store before the result may be sent.
@@ -343,7 +376,11 @@
         return CommandOutcome(self.leadership.version, result)
 
     def platform_orders(self, now: int) -> list[PlatformOrder]:
-        """Returns the platform orders for which a majority has stored the state that they depend on."""
+        """Return the current orders to the platform.
+
+        Empty unless this planner is the effective leader and a majority has stored the state that the orders
+        depend on.
+        """
         if not self.is_effective_leader(now):
             return []
         if self.leadership.replicated_version < self.rollouts.orders_version:
@@ -351,18 +388,18 @@
         return self.rollouts.controller.orders
 
     def receive_inventory(self, inventory: Inventory, sent: int) -> None:
-        """Processes the platform's inventory; `sent` is when the platform was polled."""
+        """Process the platform's inventory; its age counts from `sent`, when the platform was polled."""
         self.rollouts.controller.receive_inventory(inventory, sent)
 
     def evacuate_site(self, site: str, operator: str, reason: str, now: int) -> bool:
-        """Evacuates a site on an operator's command; returns whether that changed anything."""
+        """Evacuate a site on an operator's command; return whether that changed its stage."""
         changed = self.sites.evacuate(site, operator, reason, now)
         if changed:
             self.replan(now)
         return changed
 
     def end_site_evacuation(self, site: str, operator: str, now: int) -> bool:
-        """Ends an operator's evacuation of a site, which then recovers; returns whether that is a change."""
+        """End an operator's evacuation of a site, so that it recovers; return whether its stage changed."""
         changed = self.sites.end_evacuation(site, operator, now)
         if changed:
             self.replan(now)
@@ -371,7 +408,7 @@
     # ---- fleet file and events -------------------------------------------------------------------------
 
     def apply_fleet(self, fleet: Fleet, now: int) -> list[str]:
-        """Applies a new fleet file, or nothing of it if any of its changes is not possible.
+        """Apply a new fleet file, or nothing of it if any of its changes needs a restart.
 
         Returns:
             The reasons why it can't be applied, one line each; empty if it was applied.
@@ -409,5 +446,5 @@
                 self.budget.revoke(holder, "the fleet file")
 
     def drain_events(self) -> Iterator[PlannerEvent]:
-        """Yields the events since the last call, for the log."""
+        """Yield the events since the last call, for the log."""
         return self.events.drain()
--- a/birchslip/cluster/release_file.py
+++ b/birchslip/cluster/release_file.py
@@ -1,6 +1,6 @@
 """The operators' release file: reading, checking, and its JSON Schema.
 
-Does not read the fleet file: the rollout controller checks a release against it.
+Reads the release file alone: `rollout_checks` compares it with the fleet before a rollout starts.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
     """Read and check a release file.
 
     Raises:
-        InvalidInputError: If it is malformed; the message is one line on what is wrong and where.
+        InvalidInputError: If it is malformed or its fields contradict each other; the message is one line
+            that names the file and the field.
         OSError: If the file can't be read.
     """
     try:
--- a/birchslip/errors.py
+++ b/birchslip/errors.py
@@ -10,15 +10,15 @@
 
 
 class InvalidInputError(BirchslipError, ValueError):
-    """Input from outside that violates its format; the message names the offending part."""
+    """Input from outside the process is invalid; the message names the part of it that is."""
 
 
 class ProtocolError(InvalidInputError):
-    """A message of a peer that violates its protocol."""
+    """A message of a peer violates the protocol of its connection."""
 
 
 class ConfigurationError(InvalidInputError):
-    """An invalid setting, configuration file or operator's file."""
+    """A setting, a configuration file or an operator's file is invalid."""
 
 
 class StoreWriteError(BirchslipError, OSError):
@@ -30,7 +30,7 @@
     """
 
     def __init__(self, location: Path, reason: str) -> None:
-        """Name the location first, then the reason."""
+        """Create an error whose message is the location followed by the reason."""
         super().__init__(f"{location}: {reason}")
         self.location = location
         self.reason = reason
