--- a/birchslip/cluster/fleet_diff.py
+++ b/birchslip/cluster/fleet_diff.py
@@ -25,47 +25,48 @@
 
 
 class MemberChanges(NamedTuple):
-    """Sorted names of members that leave and join; a member that changes its site is in both lists."""
+    """Sorted names of members that leave and that join; one that changes its site is in both lists."""
 
     left: list[str]
     joined: list[str]
 
 
 def blocked_changes(old: Fleet, new: Fleet) -> Iterator[str]:
-    """Yields a line for each change that needs a restart of the planners."""
+    """Yield a line for each kind of change that needs a restart of the planners."""
     for field in RESTART_ONLY_FIELDS:
         if getattr(old, field) != getattr(new, field):
-            yield f"{field}: changes at a restart of the planners only"
+            yield f"{field}: can't be changed without a restart of the planners"
     if [site.name for site in old.sites] != [site.name for site in new.sites]:
-        yield "sites: their names change at a restart of the planners only"
+        yield "sites: the names of sites can't be changed without a restart of the planners"
     yield from _changed_quota(old, new)
     yield from _changed_platform(old, new)
 
 
 def _changed_quota(old: Fleet, new: Fleet) -> Iterator[str]:
-    """Yields a line for the first member whose quota would change."""
+    """Yield a line for one of the members whose quota would change, if there are any."""
     before = old.base_calls()
     after = new.base_calls()
     for name in before.keys() & after.keys():
         if abs(before[name] - after[name]) > QUOTA_TOLERANCE:
             yield (
-                f"sites: {name!r} would have {after[name]:g} calls of the vault, "
-                f"where it has {before[name]:g}: tell `calls` of each member"
+                f"sites: the vault quota of member {name!r} can't change from {before[name]:g} to "
+                f"{after[name]:g} calls without a restart of the planners; give each member its 'calls' to "
+                "keep all quotas"
             )
             return
 
 
 def _changed_platform(old: Fleet, new: Fleet) -> Iterator[str]:
     if (old.platform is None) != (new.platform is None):
-        yield "platform: comes and goes at a restart of the planners only"
+        yield "platform: can't be added or removed without a restart of the planners"
     if old.platform is None or new.platform is None:
         return
     if old.platform.address != new.platform.address:
-        yield "platform.address: changes at a restart of the planners only"
+        yield "platform.address: can't be changed without a restart of the planners"
 
 
 def member_changes(old: Fleet, new: Fleet) -> MemberChanges:
-    """Returns the members that leave and that join."""
+    """Return the members that leave and that join; a member that changes its site does both."""
     before = {(member.name, site.name) for site in old.sites for member in site.members}
     after = {(member.name, site.name) for site in new.sites for member in site.members}
     return MemberChanges(
--- a/tests/broken_settings.py
+++ b/tests/broken_settings.py
@@ -51,7 +51,7 @@
         ("groups", 2, "most_out"),
         0,
         ["x: the fleet served >= 97 % while a release runs"],
-        "group south lets nobody",
+        "group south of the fleet file allows no member to be out",
     ),
     (
         "a budget for nobody",
@@ -62,7 +62,7 @@
             "x: the fleet out at once <= 1 while a release runs",
             "y: the fleet served >= 97 % while a release runs",
         ],
-        "group fleet lets nobody",
+        "group fleet of the fleet file allows no member to be out",
     ),
     (
         "a quota for one alone",
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -32,24 +32,30 @@
     "an unknown nested key": (with_member(weight=1), "`$.sites[1].members[0]`"),
     "a site without members": (
         make_fleet_document(sites=("a", "b"), members_per_site=0),
-        "sites[0].members: site 'a' has none",
+        "sites[0].members: site 'a' has no members",
     ),
     "an address twice": (with_member(address="127.0.0.1:1000"), "sites[1].members[0].address"),
-    "a planner's address twice": (with_member(address="127.0.0.1:100"), "stands at planners[0] too"),
-    "a name twice": (with_member(name="a-0"), "the member 'a-0' stands there twice"),
-    "no such port": (with_member(address="127.0.0.1:70000"), "no such port"),
+    "a planner's address twice": (
+        with_member(address="127.0.0.1:100"),
+        "'127.0.0.1:100' is already the address of planners[0]",
+    ),
+    "a name twice": (with_member(name="a-0"), "the member 'a-0' is given more than once"),
+    "no such port": (
+        with_member(address="127.0.0.1:70000"),
+        "the port in '127.0.0.1:70000' is not between 1 and 65535",
+    ),
     "no address": (with_member(address="here"), "`$.sites[1].members[0].address`"),
     "an order that contradicts itself": (
         make_fleet_document(refuse=["home", "visitor"]),
-        "refuse: what stands behind 'home'",
+        "refuse: 'home' must be the last tier",
     ),
-    "a kind of refusal twice": (
+    "a shedding tier twice": (
         make_fleet_document(refuse=["again", "again", "home"]),
-        "the kind 'again' stands there twice",
+        "the tier 'again' is given more than once",
     ),
-    "no such kind": (
+    "an unknown shedding tier": (
         make_fleet_document(refuse=["guests"]),
-        "refuse[0]: no such kind of refusal as 'guests'",
+        "refuse[0]: no tier is named 'guests'",
     ),
     "a share above 1": (make_fleet_document(tenants={"blue": 1.5}), "`$.tenants[...]`"),
     "shares that add up to more": (
@@ -60,9 +66,12 @@
     "calls above the vault's": (with_member(calls=99.0), "vault.total: 24"),
     "a service that needs a platform": (
         make_fleet_document(services=[{"name": "store-1", "kind": "store"}]),
-        "services: without a platform",
+        "services: 'platform' is required",
+    ),
+    "a required service that does not exist": (
+        with_member(needs=["store-1"]),
+        "lists 'store-1' under 'needs'",
     ),
-    "a required service that does not exist": (with_member(needs=["store-1"]), "needs 'store-1'"),
     "a kind that no service is of": (
         make_fleet_document(groups=[{"name": "g", "kinds": ["store"], "most_out": 1}]),
         "groups[0].kinds: no service is of the kind 'store'",
@@ -76,23 +85,23 @@
         "links[0]: no site is named 'z'",
     ),
     "a plan shorter than its reports": (make_fleet_document(plan_ms=500), "plan_ms: 500"),
-    "no planners": (make_fleet_document(planners=0), "planners: there is none"),
+    "no planners": (make_fleet_document(planners=0), "planners: the list is empty"),
     "a router at two sites": (
         make_fleet_document(sites=("a", "b"))
         | {"sites": [dict(s, routers=[1]) for s in make_fleet_document()["sites"]]},
-        "router 1 is at home in 'a' too",
+        "router 1 is already listed at site 'a'",
     ),
     "a group twice": (
         make_fleet_document(groups=[{"name": "g", "all": True, "most_out": 1}] * 2),
-        "the group 'g' stands there",
+        "the group 'g' is given more than once",
     ),
-    "a group without members": (
+    "a group that covers nothing": (
         make_fleet_document(groups=[{"name": "g", "most_out": 1}]),
-        "groups[0]: group 'g' has no members",
+        "groups[0]: group 'g' covers nothing",
     ),
-    "a group that bounds nothing": (
+    "a group without a limit": (
         make_fleet_document(groups=[{"name": "g", "all": True}]),
-        "group 'g' bounds nothing",
+        "group 'g' sets no limit",
     ),
     "a group of no such site": (
         make_fleet_document(groups=[{"name": "g", "sites": ["z"], "most_out": 1}]),
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -72,8 +72,8 @@
     ("fields", "reason"),
     [
         ({"sites": ["z"]}, "'z' is no site and no group"),
-        ({"before": "0", "version": "3"}, "a-0 runs 1: neither 0 nor 3"),
-        ({"margins": {"speed": 0.1}}, "nobody tells of 'speed'"),
+        ({"before": "0", "version": "3"}, "a-0 runs version '1'; expected '0' ('before') or '3' ('version')"),
+        ({"margins": {"speed": 0.1}}, "members report no metric 'speed'"),
         ({"sites": ["a", "b"], "groups": ["a"]}, "sites are named too"),
         ({}, ""),
         ({"margins": {"late:order": 0.1}, "sites": ["b", "a"]}, ""),
@@ -87,8 +87,14 @@
 
 
 def test_no_rollout_starts_without_a_budget_or_without_a_fresh_inventory():
-    assert "group fleet lets nobody" in Harness(max_unavailable=0).command("start", spec=spec()).reason
-    assert "not heard" in Harness().command("start", now=30_001, spec=spec()).reason
+    assert (
+        "group fleet of the fleet file allows no member to be out"
+        in Harness(max_unavailable=0).command("start", spec=spec()).reason
+    )
+    assert (
+        "has given no inventory within platform.stale_ms"
+        in Harness().command("start", now=30_001, spec=spec()).reason
+    )
     harness = Harness()
     harness.budget.set_groups([])
     assert "is in no group" in harness.command("start", spec=spec()).reason
@@ -416,10 +422,13 @@
     ("change", "violation"),
     [
         (lambda document: document["planners"].append({"name": "p9", "address": "127.0.0.1:77"}), "planners"),
-        (lambda document: document["sites"][0].update(name="z"), "sites: their names"),
-        (lambda document: document["sites"][0]["members"][0].update(calls=5.0), "'a-0' would have 5 calls"),
+        (lambda document: document["sites"][0].update(name="z"), "sites: the names of sites"),
+        (
+            lambda document: document["sites"][0]["members"][0].update(calls=5.0),
+            "member 'a-0' can't change from 4 to 5 calls",
+        ),
         (lambda document: document.update(plan_ms=5_000), "plan_ms"),
-        (lambda document: document.update(platform=None), "platform: comes and goes"),
+        (lambda document: document.update(platform=None), "platform: can't be added or removed"),
         (lambda document: document["platform"].update(address="127.0.0.1:10"), "platform.address"),
     ],
     ids=["planners", "site names", "calls of a member", "plan span", "no platform", "platform address"],
