--- a/birchslip/cluster/fleet_reader.py
+++ b/birchslip/cluster/fleet_reader.py
@@ -16,26 +16,26 @@
 
 # Descriptions by class in the published schema; independent of the classes' docstrings.
 SCHEMA_DESCRIPTIONS = {
-    "Fleet": "A fleet: planners, sites, and what is agreed for the day a site is lost.",
-    "Planner": "One planner: where members, other planners and operators find it.",
-    "Site": "A site, its app servers, and the numbers of the routers at home there.",
+    "Fleet": "A fleet: planners, sites, and the limits and costs that apply when a site is lost.",
+    "Planner": "One planner, and the address at which members, other planners and operators connect to it.",
+    "Site": "A site, its app servers, and the numbers of the routers whose callers are local to it.",
     "Member": (
-        "One app server and where routers find it; `calls` overrides its even share of the vault, `needs` "
-        "names\nthe services below without which it is out."
+        "One app server and the address at which routers connect to it; `calls` overrides its even share of "
+        "the vault, `needs` names the downstream services without which it counts as unavailable."
     ),
-    "Link": "What it costs to send a site's load to another; links that are not told cost 1.",
+    "Link": "What it costs to send one site's load to another; links that are not given cost 1.",
     "Vault": (
-        "The shared vault: calls in hand that all may have together, and the part of a share that is never"
-        "\nlent."
+        "The shared vault: `total` concurrent calls are allowed to all app servers together; the fraction "
+        "`kept` of each member's share is never granted to others, and the rest is leased for `lease_ms`."
     ),
     "Budget": (
-        "How many may be out at once: of the app servers of the sites and members named, or of all of\n"
-        "them; of the services named, or of the kinds named."
+        "How many may be unavailable at once: app servers of the sites and members named, or all app "
+        "servers; services that are named, or are of the kinds named."
     ),
-    "Service": "One service below, as the platform names it: a replica of a kind.",
+    "Service": "One downstream service by its name on the platform: a replica of a kind.",
     "Platform": (
-        "What starts and stops processes here: asked `ask_ms` apart how they are; what it said holds for\n"
-        "`stale_ms`."
+        "The platform that starts and stops processes: polled every `ask_ms` for their state; an answer is "
+        "valid for `stale_ms`."
     ),
 }
 SCHEMA_DIALECT = "https://json-schema.org/draft/2020-12/schema"
