--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -1,7 +1,8 @@
 """The command line: planners, the fleet file and operators' commands.
 
 `python -m birchslip` without a command is the app server. Exit codes: 0 success; 1 a check failed or a
-request was not granted; 2 the command could not be carried out.
+request was not granted; 2 the command could not be carried out. The doc comments of commands are their help
+texts.
 """
 
 from __future__ import annotations
@@ -37,22 +38,22 @@
 from .net.messagepack import pack
 
 PLANNER_TIMEOUT_S = 2.0  # to connect to one planner, and again to wait for its answer
-MIN_DETECTED_FRACTION = 0.9  # of the mutations of the settings
+MIN_DETECTED_FRACTION = 0.9  # of the changes that `expect mutate` makes to the settings
 FLEET_OPTION = click.option(
     "--fleet", "path", type=click.Path(), envvar="BIRCHSLIP_FLEET", required=True, help="The fleet file."
 )
-JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a table.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of text.")
 Command = TypeVar("Command", bound=Callable[..., Any])
 
 
 class CommandError(click.ClickException):
-    """The command could not be carried out or started."""
+    """A command could not be carried out; the message is shown to the operator, and the exit code is 2."""
 
     exit_code = 2
 
 
 def load_fleet(path: str) -> Fleet:
-    """Reads a fleet file.
+    """Read and validate a fleet file.
 
     Raises:
         CommandError: The file cannot be read or is invalid.
@@ -63,11 +64,12 @@
         raise CommandError(str(error)) from None
 
 
+# By type of request, the method of the planner that handles it.
 RPC_METHODS = {OperatorCommand: "wish", EvictionRequest: "want", RolloutCommand: "release"}
 
 
 def call_planner(address: str, request: OperatorCommand | EvictionRequest | RolloutCommand) -> dict[str, Any]:
-    """Sends one request to one planner and returns its decoded answer.
+    """Send one request to the planner at `address` (HOST:PORT) and return its decoded answer.
 
     Raises:
         OSError: The planner cannot be reached, ends the connection or does not answer in time.
@@ -81,7 +83,7 @@
         give_up_at = time.monotonic() + PLANNER_TIMEOUT_S
         while time.monotonic() < give_up_at:
             if not buffer.fill(connection):
-                raise OSError("ended by the planner")
+                raise OSError("the planner closed the connection before it answered")
             messages, problem = read_messages(buffer)
             if problem:
                 raise OSError(problem)
@@ -91,23 +93,32 @@
                     raise InvalidInputError(str(error))
                 answer: dict[str, Any] = json.loads(b"".join(result))
                 return answer
-        raise OSError("no answer in time")
+        raise OSError(f"no complete answer within {PLANNER_TIMEOUT_S:g} s")
 
 
 def call_leader(
     fleet: Fleet, request: OperatorCommand | EvictionRequest | RolloutCommand, planner_name: str = ""
 ) -> dict[str, Any]:
-    """Sends a request to the planners in turn and returns an answer.
+    """Send a request to the planners in turn and return an answer.
 
-    A command that only shows something is answered by the leader, or by any planner if no leader answers. A
-    command that changes something returns the first answer that is not an error.
+    For the status of the fleet, and the status and history of rollouts, the leader's answer is returned, or
+    the first answer if no planner leads. For other requests the first answer that is not an error is
+    returned: planners that do not lead refuse changes, but any planner answers `what-if`.
+
+    Args:
+        fleet: The fleet file, which lists the planners.
+        request: The request to send.
+        planner_name: The only planner to ask; empty for all of them.
 
     Raises:
-        CommandError: No planner has this name, or none answers.
+        CommandError: No planner has this name, or none answers without an error.
     """
     planners = [planner for planner in fleet.planners if planner_name in ("", planner.name)]
     if not planners:
-        raise CommandError(f"no planner is named {planner_name!r}")
+        raise CommandError(
+            f"--planner: no planner is named {planner_name!r}; "
+            f"expected one of {', '.join(planner.name for planner in fleet.planners)}"
+        )
     operation = request.action if isinstance(request, RolloutCommand) else request.operation
     shows_only = operation is OperatorOperation.SHOW or operation in READ_ACTIONS
     answers, errors = [], []
@@ -121,18 +132,23 @@
             errors.append(f"{planner.name} at {planner.address}: {error}")
     if answers:
         return answers[0]
-    raise CommandError("no planner could be asked\n" + "\n".join(errors))
+    raise CommandError("no planner carried out the request:\n" + "\n".join(errors))
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """birchslip: admission for app servers, and the fleet around them."""
+    """Run and operate birchslip: admission control for app servers, and the fleet around them."""
 
 
 @cli.command()
 @FLEET_OPTION
-@click.option("--name", required=True, help="Which planner of the fleet file this is.")
-@click.option("--folder", type=click.Path(path_type=Path), required=True, help="For what must survive.")
+@click.option("--name", required=True, help="Name of this planner in the fleet file.")
+@click.option(
+    "--folder",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="Directory for the state that must survive a restart.",
+)
 def planner(path: str, name: str, folder: Path) -> None:
     """Run one planner in the foreground until SIGTERM."""
     from .cluster.planner import run_planner
@@ -145,14 +161,14 @@
 
 @cli.group()
 def fleet() -> None:
-    """The fleet file, and the fleet as it is."""
+    """Check the fleet file, and show and change the running fleet."""
 
 
 @fleet.command()
 @click.argument("path", type=click.Path())
 @JSON_OPTION
 def check(path: str, as_json: bool) -> None:
-    """Check a fleet file whole; a line for each trouble and exit code 2."""
+    """Check a fleet file; print a line for each violation, and exit with code 2 if there is one."""
     loaded = load_fleet(path)
     members = sum(len(site.members) for site in loaded.sites)
     if as_json:
@@ -165,16 +181,16 @@
 
 @fleet.command("schema")
 def print_schema() -> None:
-    """The JSON Schema of the fleet file."""
+    """Print the JSON Schema of the fleet file."""
     click.echo(json.dumps(fleet_schema(), indent=2))
 
 
 @fleet.command()
 @FLEET_OPTION
 @JSON_OPTION
-@click.option("--planner", "name", default="", help="Ask this one; else the leader.")
+@click.option("--planner", "name", default="", help="Ask this planner instead of the leader.")
 def show(path: str, as_json: bool, name: str) -> None:
-    """Members, sites, epoch, the plan in force and why."""
+    """Show the members, the sites and why they are in their stage, and the leader's epoch and plan."""
     answer = call_leader(load_fleet(path), OperatorCommand(operation=OperatorOperation.SHOW), name)
     if as_json:
         click.echo(json.dumps(answer))
@@ -189,7 +205,7 @@
 @JSON_OPTION
 @click.option("--lose", required=True, help="The site that is lost.")
 def show_site_loss(path: str, as_json: bool, lose: str) -> None:
-    """What the loss of a site would mean today; exit code 1 where load would be refused."""
+    """Show what the loss of a site would mean now; exit code 1 if capacity or vault calls would be short."""
     answer = call_leader(load_fleet(path), OperatorCommand(operation=OperatorOperation.WHAT_IF, site=lose))
     if as_json:
         click.echo(json.dumps(answer))
@@ -202,7 +218,7 @@
 
 
 def submit_site_command(path: str, as_json: bool, command: OperatorCommand) -> None:
-    """Submits an operator's command for a site and prints the outcome; exit code 1 if nothing changed."""
+    """Submit an operator's command for a site and print the outcome; exit with code 1 if nothing changed."""
     answer = call_leader(load_fleet(path), command)
     outcome = "done" if answer["done"] else "nothing to do"
     click.echo(json.dumps(answer) if as_json else f"{command.operation} {command.site}: {outcome}")
@@ -217,7 +233,7 @@
 @click.option("--who", required=True)
 @click.option("--why", required=True)
 def evacuate(path: str, as_json: bool, site: str, who: str, why: str) -> None:
-    """Send a site's load elsewhere by hand; only `return` lets it back."""
+    """Evacuate a site by hand: its load goes elsewhere until the site is let back by `return`."""
     submit_site_command(
         path,
         as_json,
@@ -231,14 +247,14 @@
 @click.argument("site")
 @click.option("--who", required=True)
 def return_site(path: str, as_json: bool, site: str, who: str) -> None:
-    """Let a site back that was evacuated by hand, in the usual steps."""
+    """Let a site back that was evacuated by hand; it recovers in the usual steps."""
     submit_site_command(
         path, as_json, OperatorCommand(operation=OperatorOperation.RESTORE, site=site, operator=who)
     )
 
 
 def submit_eviction_request(path: str, as_json: bool, request: EvictionRequest) -> None:
-    """Submits a request about an eviction permit and prints the answer; exit code 1 if not granted."""
+    """Submit a request about an eviction permit and print the answer; exit with code 1 if not granted."""
     answer = call_leader(load_fleet(path), request)
     if as_json:
         click.echo(json.dumps(answer))
@@ -259,9 +275,9 @@
 @JSON_OPTION
 @click.argument("member")
 @click.option("--why", required=True)
-@click.option("--past", is_flag=True, help="Past the budgets, by an override that stands.")
+@click.option("--past", is_flag=True, help="Go past the budgets, by an override that is in force.")
 def permit(path: str, as_json: bool, member: str, why: str, past: bool) -> None:
-    """Ask that a member may be out; asking again keeps its place, or tells of the same permit."""
+    """Request a permit for a member to be out; asking again keeps its place, or returns the same permit."""
     operation = EvictionOperation.BYPASS_BUDGET if past else EvictionOperation.REQUEST_PERMIT
     submit_eviction_request(path, as_json, EvictionRequest(operation=operation, holder=member, reason=why))
 
@@ -271,7 +287,10 @@
 @JSON_OPTION
 @click.argument("member")
 def hand_back(path: str, as_json: bool, member: str) -> None:
-    """A member that has not gone out will not go; one that has is seen back by itself."""
+    """Hand back the unused permit of a member that has not gone out.
+
+    The permit of a member that is out ends by itself when the member is back.
+    """
     submit_eviction_request(
         path, as_json, EvictionRequest(operation=EvictionOperation.RETURN_PERMIT, holder=member)
     )
@@ -283,7 +302,7 @@
 @click.argument("member")
 @click.option("--who", required=True)
 def strike(path: str, as_json: bool, member: str, who: str) -> None:
-    """A member will not come back: its permit ends."""
+    """End the permit, or the waiting request, of a member that will not come back."""
     submit_eviction_request(
         path, as_json, EvictionRequest(operation=EvictionOperation.REVOKE_PERMIT, holder=member, operator=who)
     )
@@ -297,8 +316,8 @@
 @click.option("--count", type=click.IntRange(1, 3), default=1, show_default=True)
 @click.option("--minutes", type=click.IntRange(1, 60), default=10, show_default=True)
 def override(path: str, as_json: bool, who: str, why: str, count: int, minutes: int) -> None:
-    """In an emergency: let so many out past the budgets. It stands in the record."""
-    override_span = minutes * 60 * 10_000
+    """Allow --count members to be out past the budgets, in an emergency; the audit log records it."""
+    override_span = minutes * 60 * 10_000  # in tenths of a millisecond
     submit_eviction_request(
         path,
         as_json,
@@ -314,7 +333,7 @@
 
 @cli.group()
 def release() -> None:
-    """A release through the fleet, within its budgets: begun, watched, halted, taken back."""
+    """Release a version through the fleet, within its budgets: start, watch, halt or take back."""
 
 
 @release.command("check")
@@ -322,7 +341,7 @@
 @JSON_OPTION
 @click.argument("file", type=click.Path())
 def check_release(path: str, as_json: bool, file: str) -> None:
-    """Check a release file against the fleet file, and say who goes when; nothing is begun."""
+    """Check a release file against the fleet file, and print the members of each batch; start nothing."""
     spec, scopes = load_release(file), load_fleet(path).rollout_scopes()
     unknown_part = find_unknown_part(spec, scopes)
     if unknown_part:
@@ -337,12 +356,12 @@
 
 @release.command("schema")
 def print_release_schema() -> None:
-    """The JSON Schema of a release file."""
+    """Print the JSON Schema of a release file."""
     click.echo(json.dumps(release_schema(), indent=2))
 
 
 def load_release(file: str) -> RolloutSpec:
-    """Reads a release file.
+    """Read and check a release file.
 
     Raises:
         CommandError: The file cannot be read or is invalid.
@@ -354,7 +373,7 @@
 
 
 def submit_rollout_command(path: str, as_json: bool, command: RolloutCommand) -> None:
-    """Submits a rollout command and prints the outcome; exit code 1 if it had no effect."""
+    """Submit a rollout command and print the outcome; exit with code 1 if it was refused."""
     answer = call_leader(load_fleet(path), command)
     if as_json:
         click.echo(json.dumps(answer))
@@ -363,13 +382,15 @@
         click.echo(
             f"{command.action.value}{number}: done"
             if answer["done"]
-            else f"{command.action.value}{number}: no: {answer['why']}"
+            else f"{command.action.value}{number}: refused: {answer['why']}"
         )
     if not answer["done"]:
         raise SystemExit(1)
 
 
-NUMBER_OPTION = click.option("--number", type=int, default=0, help="Which release, where there are several.")
+NUMBER_OPTION = click.option(
+    "--number", type=int, default=0, help="Number of the release, if there are several."
+)
 OPERATOR_OPTION = click.option("--who", required=True)
 
 
@@ -379,7 +400,7 @@
 @OPERATOR_OPTION
 @click.argument("file", type=click.Path())
 def start_release(path: str, as_json: bool, who: str, file: str) -> None:
-    """Begin a release; it is checked whole before the first drain."""
+    """Start a release; whatever would stop it later is checked before the first drain."""
     submit_rollout_command(
         path, as_json, RolloutCommand(action=RolloutAction.START, operator=who, spec=load_release(file))
     )
@@ -392,7 +413,7 @@
 @OPERATOR_OPTION
 @click.option("--why", default="")
 def halt(path: str, as_json: bool, number: int, who: str, why: str) -> None:
-    """No drain begins any more; all that run are meant where no number is told."""
+    """Halt a release, so that no further drain begins; without --number, halt all that run."""
     submit_rollout_command(
         path, as_json, RolloutCommand(action=RolloutAction.HALT, number=number, operator=who, reason=why)
     )
@@ -404,7 +425,7 @@
 @NUMBER_OPTION
 @OPERATOR_OPTION
 def resume(path: str, as_json: bool, number: int, who: str) -> None:
-    """Go on with a release that was halted, and not because its version is bad."""
+    """Resume a halted release, unless its version was found bad."""
     submit_rollout_command(
         path, as_json, RolloutCommand(action=RolloutAction.RESUME, number=number, operator=who)
     )
@@ -416,7 +437,7 @@
 @NUMBER_OPTION
 @OPERATOR_OPTION
 def back(path: str, as_json: bool, number: int, who: str) -> None:
-    """Take every released member back to the version before, the newest batch first."""
+    """Take every released member back to the previous version, the newest batch first."""
     submit_rollout_command(
         path, as_json, RolloutCommand(action=RolloutAction.ROLL_BACK, number=number, operator=who)
     )
@@ -426,9 +447,13 @@
 @FLEET_OPTION
 @JSON_OPTION
 @NUMBER_OPTION
-@click.option("--follow", is_flag=True, help="Until nothing runs any more; exit code 1 unless all is done.")
+@click.option(
+    "--follow",
+    is_flag=True,
+    help="Show changes until no release runs; exit code 1 unless all are done or back.",
+)
 def status(path: str, as_json: bool, number: int, follow: bool) -> None:
-    """Where each release stands, what it waits for, and the figures that it is judged by."""
+    """Show the phase of each release, what it waits for, and the figures by which it is judged."""
     loaded = load_fleet(path)
     command = RolloutCommand(action=RolloutAction.STATUS, number=number)
     if follow:
@@ -450,7 +475,7 @@
 @JSON_OPTION
 @NUMBER_OPTION
 def history(path: str, as_json: bool, number: int) -> None:
-    """What became of each release, line by line, from its start."""
+    """Print the history of each release, one line for each event since its start."""
     answer = call_leader(load_fleet(path), RolloutCommand(action=RolloutAction.HISTORY, number=number))
     if as_json:
         click.echo(json.dumps(answer))
@@ -463,17 +488,17 @@
 
 @cli.group()
 def keep() -> None:
-    """Kept results of labelled transactions: a store looked at from outside."""
+    """Examine and compact a result store, which holds the results of requests with an idempotency key."""
 
 
 FOLDER_ARGUMENT = click.argument("folder", type=click.Path(path_type=Path))
 
 
 def print_store_report(operation: Callable[[], msgspec.Struct], as_json: bool) -> dict[str, Any]:
-    """Runs an operation on a result store, prints its report and returns it.
+    """Run an operation on a result store, print its report and return it as a dictionary.
 
     Raises:
-        CommandError: The store cannot be read, or a program uses it.
+        CommandError: The store cannot be read, or a program uses it and the operation does not allow that.
     """
     try:
         report: dict[str, Any] = msgspec.to_builtins(operation())
@@ -488,7 +513,7 @@
 
 
 def unix_time_now() -> int:
-    """Returns the time since the epoch, in tenths of a millisecond."""
+    """Return the time since the Unix epoch, in tenths of a millisecond."""
     return time.time_ns() // 100_000
 
 
@@ -496,7 +521,7 @@
 @FOLDER_ARGUMENT
 @JSON_OPTION
 def show_kept(folder: Path, as_json: bool) -> None:
-    """Entries, ages, bytes, unknown and torn ones; also while a program has the store."""
+    """Show the keys, expiries, size and damaged records of a store; also while a program uses it."""
     from .idempotency.maintenance import show_store
 
     print_store_report(lambda: show_store(folder, unix_time_now()), as_json)
@@ -506,7 +531,7 @@
 @FOLDER_ARGUMENT
 @JSON_OPTION
 def verify_kept(folder: Path, as_json: bool) -> None:
-    """Read every record whole; exit code 1 where one can't be."""
+    """Read every record of a store; exit code 1 if a record or the header of a file is damaged."""
     from .idempotency.maintenance import verify_store
 
     report = print_store_report(lambda: verify_store(folder), as_json)
@@ -518,7 +543,7 @@
 @FOLDER_ARGUMENT
 @JSON_OPTION
 def compact_kept(folder: Path, as_json: bool) -> None:
-    """What is in its window, in one file; only while no program has the store."""
+    """Write the records that have not expired to one file; only while no program uses the store."""
     from .idempotency.maintenance import compact_store
 
     print_store_report(lambda: compact_store(folder, unix_time_now()), as_json)
@@ -526,7 +551,7 @@
 
 @keep.command("schema")
 def print_keep_schema() -> None:
-    """The JSON Schema of the file that names a store."""
+    """Print the JSON Schema of the settings file of a store."""
     from .idempotency.settings_file import store_settings_schema
 
     click.echo(json.dumps(store_settings_schema(), indent=2))
@@ -534,7 +559,7 @@
 
 @cli.group()
 def expect() -> None:
-    """Expectations of routing, written beside the configuration and checked with no traffic."""
+    """Check expectations of routing, which stand in files beside the configuration, without any traffic."""
 
 
 PATHS_ARGUMENT = click.argument("paths", nargs=-1, type=click.Path())  # default: the current folder
@@ -542,9 +567,14 @@
 
 
 def with_source_options(command: Command) -> Command:
-    """Adds the options that name the files against which expectations are checked."""
+    """Add the options that name the files against which expectations are checked."""
     for option in (
-        click.option("--world", type=click.Path(), default=None, help="What is around: a world file."),
+        click.option(
+            "--world",
+            type=click.Path(),
+            default=None,
+            help="World file: routers, costs of requests, downstream service.",
+        ),
         click.option("--fleet", type=click.Path(), envvar="BIRCHSLIP_FLEET", default=None),
         click.option("--config", type=click.Path(), envvar="PROXY_CONFIG", required=True),
     ):
@@ -553,7 +583,7 @@
 
 
 def read_expectations(paths: tuple[str, ...], config: str, fleet: str | None, world: str | None) -> Any:
-    """Returns the sources, the statements, and the names of the files without statements.
+    """Return the sources, the statements, and the names of the files without statements, as a tuple.
 
     Raises:
         CommandError: A file cannot be read or is invalid.
@@ -573,12 +603,22 @@
 @with_source_options
 @SEED_OPTION
 @click.option(
-    "--seeds", type=click.IntRange(1, 64), default=3, show_default=True, help="Plays of each situation."
+    "--seeds",
+    type=click.IntRange(1, 64),
+    default=3,
+    show_default=True,
+    help="Scenario runs of each situation.",
 )
-@click.option("--jobs", type=click.IntRange(0, 64), default=0, help="Plays at a time; 0: as cores allow.")
-@click.option("--no-search", is_flag=True, help="No histories and no settings of what fails.")
-@click.option("--junit", type=click.Path(path_type=Path), default=None, help="For CI: JUnit XML.")
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="Where the report goes.")
+@click.option(
+    "--jobs", type=click.IntRange(0, 64), default=0, help="Scenario runs at a time; 0 for one for each core."
+)
+@click.option(
+    "--no-search", is_flag=True, help="Skip the search for histories and settings that explain failures."
+)
+@click.option(
+    "--junit", type=click.Path(path_type=Path), default=None, help="File for a report in JUnit XML, for CI."
+)
+@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
 def check_expectations(
     paths: tuple[str, ...],
     config: str,
@@ -591,7 +631,7 @@
     junit: Path | None,
     out: Path | None,
 ) -> None:
-    """Whether all that is expected holds; exit code 1 where something fails, 2 where it can't be told."""
+    """Check whether all expectations hold; exit code 1 if one fails, 2 if one can't be decided."""
     from .expect.check import Check
     from .expect.report import junit as as_junit
     from .expect.report import report_lines, to_json_text
@@ -613,7 +653,7 @@
 @PATHS_ARGUMENT
 @with_source_options
 def list_expectations(paths: tuple[str, ...], config: str, fleet: str | None, world: str | None) -> None:
-    """Every statement with its place, as it was understood."""
+    """List every statement with its place in the files, as it was understood."""
     _, statements, empty = read_expectations(paths, config, fleet, world)
     for statement in statements:
         click.echo(f"{statement.name:28} {statement.location.describe()}: {statement.describe()}")
@@ -629,7 +669,7 @@
 def explain_expectation(
     name: str, paths: tuple[str, ...], config: str, fleet: str | None, world: str | None, seed: int
 ) -> None:
-    """How the verdict on one is come by: what it measures, what is played, what came of it."""
+    """Explain the verdict on one statement: what it measures, what was run, and with which result."""
     from .expect.check import Check
     from .expect.report import explain_statement
 
@@ -640,7 +680,7 @@
 
         close_names = get_close_matches(name, [statement.name for statement in statements], 1, 0.5)
         raise CommandError(
-            f"nothing is named {name!r}" + (f", was {close_names[0]!r} meant?" if close_names else "")
+            f"no statement is named {name!r}" + (f", was {close_names[0]!r} meant?" if close_names else "")
         )
     report = Check(sources, matching, seed).run()
     for line in explain_statement(matching[0], report, sources):
@@ -653,7 +693,7 @@
 @with_source_options
 @SEED_OPTION
 @click.option("--seeds", type=click.IntRange(1, 64), default=1, show_default=True)
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="Where the report goes.")
+@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
 def mutate_settings(
     paths: tuple[str, ...],
     config: str,
@@ -663,7 +703,7 @@
     seeds: int,
     out: Path | None,
 ) -> None:
-    """Break the settings one value at a time; exit code 1 where no expectation sees more than one in ten."""
+    """Break the settings one value at a time; exit code 1 if expectations see under nine in ten breaks."""
     from .expect.mutate import mutate
 
     sources, statements, _ = read_expectations(paths, config, fleet, world)
@@ -697,7 +737,7 @@
 
 @expect.command("schema")
 def print_world_schema() -> None:
-    """The JSON Schema of a world file."""
+    """Print the JSON Schema of a world file."""
     from .lab.model.layout import layout_schema
 
     click.echo(json.dumps(layout_schema(), indent=2))
@@ -705,13 +745,13 @@
 
 @cli.group()
 def lab() -> None:
-    """Rehearsals: real processes among stand-ins, with faults between them."""
+    """Run scenarios in the testbed: real processes among stand-ins, with injected faults."""
 
 
 @lab.command("faults")
 @JSON_OPTION
 def faults(as_json: bool) -> None:
-    """The names that --fault takes."""
+    """List the names that --fault takes, by scenario."""
     from .lab.faults import FAULTS
     from .lab.kept_play import FAULTS as KEPT_FAULTS
     from .lab.release_faults import FAULTS as RELEASE_FAULTS
@@ -727,19 +767,26 @@
 
 @lab.command("stand")
 @click.option("--servers", type=click.IntRange(4, 96), default=6, show_default=True)
-@click.option("--version", default="good", show_default=True, help="What the new version does.")
+@click.option("--version", default="good", show_default=True, help="Behaviour of the new version.")
 @click.option("--load", type=click.FloatRange(0.05, 3.0), default=0.5, show_default=True)
 @click.option("--minutes", type=click.FloatRange(0.1, 120), default=10, show_default=True)
-@click.option("--folder", type=click.Path(path_type=Path), required=True, help="Logs and files; kept.")
+@click.option(
+    "--folder",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="Directory for logs and files, which are kept.",
+)
 def run_interactive_fleet(servers: int, version: str, load: float, minutes: float, folder: Path) -> None:
-    """Stand up a small fleet among stand-ins, for releases by hand from another shell."""
+    """Run a small fleet among stand-ins, for releases by hand from another shell."""
     from .lab.release_play import ReleaseOptions, run_interactive
     from .lab.versions import FAULT_KINDS
 
     if version not in FAULT_KINDS:
-        raise CommandError(f"no version is named {version!r}; there are {', '.join(FAULT_KINDS)}")
+        raise CommandError(
+            f"--version: no version is named {version!r}; expected one of {', '.join(FAULT_KINDS)}"
+        )
     if servers % 2:
-        raise CommandError(f"{servers} app servers can't be spread evenly over 2 sites")
+        raise CommandError(f"--servers: {servers} app servers can't be spread evenly over 2 sites")
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     options = ReleaseOptions(seed=1, sites=2, each=servers // 2, load=load, version=version, fault="none")
     run_interactive(options, folder, minutes, click.echo)
@@ -747,7 +794,7 @@
 
 @lab.group()
 def play() -> None:
-    """Play a schedule of faults among real processes."""
+    """Run a scenario: a schedule of faults among real processes."""
     # Exiting by SystemExit runs the cleanup that ends the child processes.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(3))
 
@@ -755,21 +802,38 @@
 @play.command("site-loss")
 @click.option("--seed", type=int, required=True)
 @click.option("--sites", type=click.IntRange(2, 9), default=3, show_default=True)
-@click.option("--each", type=click.IntRange(1, 32), default=4, show_default=True, help="App servers a site.")
+@click.option(
+    "--each", type=click.IntRange(1, 32), default=4, show_default=True, help="App servers per site."
+)
 @click.option("--planners", type=click.IntRange(1, 9), default=3, show_default=True)
 @click.option("--load", type=click.FloatRange(0.05, 3.0), default=0.9, show_default=True)
 @click.option("--fault", default="kill", show_default=True)
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="Where the report goes.")
-@click.option("--logs", type=click.Path(path_type=Path), default=None, help="Keep the processes' logs here.")
-@click.option("--alone/--with-single-level", "alone", default=False, help="Without the comparison.")
-@click.option("--pace", type=click.FloatRange(0.3, 4.0), default=1.0, help="Lengths of the schedule's parts.")
+@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
+@click.option(
+    "--logs",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="Directory in which to keep the processes' logs.",
+)
+@click.option(
+    "--alone/--with-single-level",
+    "alone",
+    default=False,
+    help="Skip the run for comparison, without planners.",
+)
+@click.option(
+    "--pace",
+    type=click.FloatRange(0.3, 4.0),
+    default=1.0,
+    help="Factor on the lengths of the schedule's parts.",
+)
 def run_site_loss_scenario(**options: Any) -> None:
-    """The loss of a site and its return; exit code 1 where a rule is broken."""
+    """Lose a site and let it return; exit code 1 if a rule is broken or a process has died."""
     from .lab.faults import FAULTS
     from .lab.site_loss import SiteLossOptions, run_site_loss
 
     if options["fault"] not in FAULTS:
-        raise CommandError(f"no fault is named {options['fault']!r}: see `lab faults`")
+        raise CommandError(f"--fault: no fault is named {options['fault']!r}; `lab faults` lists all")
     report_path = options.pop("out")
     report = run_site_loss(SiteLossOptions(**options))
     text = json.dumps(report, indent=2)
@@ -789,25 +853,37 @@
 @click.option("--sites", type=click.IntRange(2, 9), default=3, show_default=True)
 @click.option("--planners", type=click.IntRange(1, 9), default=3, show_default=True)
 @click.option("--load", type=click.FloatRange(0.05, 3.0), default=1.0, show_default=True)
-@click.option("--version", default="good", show_default=True, help="What the new version does.")
+@click.option("--version", default="good", show_default=True, help="Behaviour of the new version.")
 @click.option("--fault", default="none", show_default=True)
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="Where the report goes.")
-@click.option("--logs", type=click.Path(path_type=Path), default=None, help="Keep the processes' logs here.")
-@click.option("--alone/--with-comparison", "alone", default=False, help="Not also without the release.")
-@click.option("--margins", type=click.FloatRange(0.1, 20), default=1.0, help="Times the usual margins.")
+@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
+@click.option(
+    "--logs",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="Directory in which to keep the processes' logs.",
+)
+@click.option(
+    "--alone/--with-comparison",
+    "alone",
+    default=False,
+    help="Skip the run for comparison, without a release.",
+)
+@click.option("--margins", type=click.FloatRange(0.1, 20), default=1.0, help="Factor on the usual margins.")
 def run_release_scenario(**options: Any) -> None:
-    """A release through the fleet; exit code 1 where a rule or a budget is broken, or it is stuck."""
+    """Release a version through the fleet; exit code 1 if a rule or a budget is broken, or it is stuck."""
     from .lab.release_faults import FAULTS
     from .lab.release_play import ReleaseOptions, run_release
     from .lab.versions import FAULT_KINDS
 
     if options["fault"] not in FAULTS:
-        raise CommandError(f"no fault is named {options['fault']!r}: see `lab faults`")
+        raise CommandError(f"--fault: no fault is named {options['fault']!r}; `lab faults` lists all")
     if options["version"] not in FAULT_KINDS:
-        raise CommandError(f"no version is named {options['version']!r}; there are {', '.join(FAULT_KINDS)}")
+        raise CommandError(
+            f"--version: no version is named {options['version']!r}; expected one of {', '.join(FAULT_KINDS)}"
+        )
     servers, sites = options.pop("servers"), options["sites"]
     if servers % sites:
-        raise CommandError(f"{servers} app servers can't be spread evenly over {sites} sites")
+        raise CommandError(f"--servers: {servers} app servers can't be spread evenly over {sites} sites")
     report_path = options.pop("out")
     report = run_release(ReleaseOptions(each=servers // sites, **options))
     text = json.dumps(report, indent=2)
@@ -826,15 +902,24 @@
 @click.option("--labels", type=click.IntRange(10, 1_000_000), default=10_000, show_default=True)
 @click.option("--kills", type=click.IntRange(0, 100_000), default=200, show_default=True)
 @click.option("--fault", default="none", show_default=True)
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="Where the report goes.")
-@click.option("--logs", type=click.Path(path_type=Path), default=None, help="Keep the store and logs here.")
-@click.option("--alone/--with-comparison", "alone", default=False, help="Not also without a store.")
+@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
+@click.option(
+    "--logs",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="Directory in which to keep the store and logs.",
+)
+@click.option(
+    "--alone/--with-comparison", "alone", default=False, help="Skip the run for comparison, without a store."
+)
 def run_kept_scenario(**options: Any) -> None:
-    """Labels at an app server that is killed again and again; exit code 1 where one ran twice."""
+    """Send labelled requests to an app server that is killed repeatedly; exit code 1 if a rule is broken."""
     from .lab.kept_play import FAULTS, ResultStoreOptions, run_result_store_scenario
 
     if options["fault"] not in FAULTS:
-        raise CommandError(f"no fault is named {options['fault']!r}; there are {', '.join(FAULTS)}")
+        raise CommandError(
+            f"--fault: no fault is named {options['fault']!r}; expected one of {', '.join(FAULTS)}"
+        )
     report_path = options.pop("out")
     report = run_result_store_scenario(
         ResultStoreOptions(sites=1, each=1, planners=0, fleet=False, **options)
@@ -851,7 +936,7 @@
 
 
 def main() -> int:
-    """Runs the command line and returns the exit code."""
+    """Run the command line and return the exit code."""
     try:
         cli.main(prog_name="python -m birchslip", standalone_mode=False)
     except click.ClickException as error:
--- a/birchslip/cluster/eviction_handler.py
+++ b/birchslip/cluster/eviction_handler.py
@@ -42,7 +42,7 @@
         reason = budget.add_override(request.operator, request.reason, request.count, request.span)
         return EvictionResponse(granted=not reason, reason=reason)
     if has_unknown_holder(request, observations):
-        return EvictionResponse(granted=False, reason=f"no member is named {request.holder!r}")
+        return EvictionResponse(granted=False, reason=f"no member or service is named {request.holder!r}")
     if request.operation is EvictionOperation.REVOKE_PERMIT:
         budget.revoke(request.holder, request.operator)
         return EvictionResponse(granted=True)
--- a/birchslip/cluster/planner_state.py
+++ b/birchslip/cluster/planner_state.py
@@ -159,7 +159,7 @@
     # ---- replication -----------------------------------------------------------------------------------
 
     def stored_state(self) -> ReplicatedState:
-        """Return the newest replicated state that this planner has stored; empty if it is unreadable."""
+        """Return the state that this planner, as leader or follower, stored last; empty if unreadable."""
         return self._decode(self.election.durable.state)
 
     def _decode(self, raw: bytes) -> ReplicatedState:
--- a/birchslip/cluster/tables.py
+++ b/birchslip/cluster/tables.py
@@ -1,6 +1,7 @@
 """Terminal output of the commands: the fleet, the forecast of a site loss, and rollouts.
 
-Only formats the replies of planners; the keys are those of the JSON reports, which operators' tools read too.
+Only formats the replies of planners; the columns are keys of the JSON reports, which operators' tools read
+too. Rates are in requests per second.
 """
 
 from __future__ import annotations
@@ -35,12 +36,12 @@
 BUDGET_COLUMNS = ("name", "allowed", "out")
 ROLLOUT_COLUMNS = ("number", "version", "before", "phase", "batch", "released", "why")
 METRIC_COLUMNS = ("name", "released", "others", "of", "margin", "verdict", "surety")
-ACTIVE_PHASES = frozenset({"running", "backing"})
+ACTIVE_PHASES = frozenset({"running", "backing"})  # in which a rollout changes without an operator
 FOLLOW_INTERVAL_SECONDS = 0.5
 
 
 def make_table(title: str, columns: Sequence[str], rows: Sequence[JsonObject]) -> Table:
-    """Returns a plain table; keys that a row lacks become empty cells."""
+    """Return a table without borders; keys that a row lacks become empty cells."""
     table = Table(title=title, title_justify="left", box=None, pad_edge=False)
     for column in columns:
         table.add_column(column)
@@ -50,15 +51,15 @@
 
 
 def show_fleet(report: JsonObject) -> None:
-    """Prints a planner's report of the fleet."""
+    """Print a planner's report of the fleet, as `fleet show` gives it."""
     console = Console()
-    role = "leads" if report["leads"] else f"follows {report['leader'] or 'nobody'}"
+    role = "leads" if report["leads"] else f"follows {report['leader'] or 'no leader'}"
     console.print(f"{report['planner']} {role}, epoch {report['epoch']}, plan {report['plan']}", end="")
-    blank = ", blank" if report["blank"] else ""
-    short = ", SHORT" if report["short"] else ""
+    blank = ", stored state may be out of date" if report["blank"] else ""
+    short = ", CAPACITY IS SHORT" if report["short"] else ""
     console.print(blank, short)
     for tier, rate in report["refused"].items():
-        console.print(f"refused: {tier} {rate} a second")
+        console.print(f"refused: {rate} requests per second of the tier {tier!r}")
     console.print(make_table("sites", SITE_COLUMNS, report["sites"]))
     console.print(make_table("members", MEMBER_COLUMNS, report["members"]))
     if report["groups"]:
@@ -66,7 +67,7 @@
 
 
 def show_permits(console: Console, report: JsonObject) -> None:
-    """Prints the disruption budgets, the permits and the holders that wait for one."""
+    """Print the disruption budgets, the permits and the holders that wait for one."""
     console.print(make_table("groups", BUDGET_COLUMNS, report["groups"]))
     for permit in report["permits"]:
         override = ", past the budgets" if permit["override"] else ""
@@ -75,23 +76,29 @@
 
 
 def show_loss(report: JsonObject) -> None:
-    """Prints the forecast of the loss of a site."""
+    """Print the forecast of the loss of a site, as `fleet what-if` gives it."""
     console = Console()
     lost = report["lose"]
     console.print(f"without {lost}: {report['load']:.1f} requests per second to serve elsewhere")
     for _, site, rate in report["flows"]:
-        console.print(f"  to {site}: {rate:.1f} (room {report['room'].get(site, 0.0):.1f})")
+        console.print(f"  to {site}: {rate:.1f} (its capacity: {report['room'].get(site, 0.0):.1f})")
     for tier, rate in report["refused"].items():
-        console.print(f"  refused: {tier} {rate:.1f} a second")
+        console.print(f"  refused: {rate:.1f} of the tier {tier!r}")
     vault = report.get("vault")
     if vault is None:
         return
-    console.print(f"  vault: {vault['calls']:g} calls in hand, {vault['may_be']:g} may be", end="")
+    console.print(
+        f"  vault: {vault['calls']:g} calls in flight, {vault['may_be']:g} allowed without {lost}", end=""
+    )
     console.print(f", short by {vault['short_by']:g}" if vault["short_by"] else "")
 
 
 def render_rollouts(rollouts: Sequence[JsonObject]) -> Group:
-    """Returns a table of rollouts, followed by the progress and metrics of each."""
+    """Return a table of rollouts, followed by the progress and metrics of each.
+
+    Args:
+        rollouts: Rollouts as planners report them (`RolloutReport`).
+    """
     rows = [
         {
             **rollout,
@@ -113,13 +120,13 @@
 
 
 def show_rollouts(rollouts: Sequence[JsonObject]) -> None:
-    """Prints the rollouts and their metrics."""
+    """Print the rollouts and their metrics, or that there are none."""
     console = Console()
-    console.print(render_rollouts(rollouts) if rollouts else "no release")
+    console.print(render_rollouts(rollouts) if rollouts else "there are no releases")
 
 
 def follow_rollouts(query: Callable[[], list[JsonObject]], as_json: bool) -> list[str]:
-    """Shows rollouts and their changes until none is active.
+    """Show rollouts and their changes until none is active; a query that fails is repeated.
 
     Args:
         query: Returns the rollouts as reported by the planners.
@@ -134,7 +141,7 @@
             try:
                 rollouts = query()
             except Exception as error:  # if the leader has failed, another one will respond
-                live.console.print(f"not answered: {error}", style="dim")
+                live.console.print(f"no answer, asking again: {error}", style="dim")
                 time.sleep(FOLLOW_INTERVAL_SECONDS)
                 continue
             phases = [rollout["phase"] for rollout in rollouts]
