--- a/tests/test_command_record.py
+++ b/tests/test_command_record.py
@@ -209,7 +209,7 @@
 
 
 def parameter_line(parameter):
-    """Describes a parameter in the form of the record."""
+    """Describe a parameter in the form of the record."""
     if isinstance(parameter, click.Argument):
         return parameter.name.upper() + ("" if parameter.required else "?")
     names = " ".join([*parameter.opts, *parameter.secondary_opts])
@@ -218,7 +218,7 @@
 
 
 def commands_of(group, path=()):
-    """Yields the full name and the command of each command of a group and its subgroups."""
+    """Yield the full name and the object of each command of a group and its subgroups."""
     for name, command in group.commands.items():
         if isinstance(command, click.Group):
             yield from commands_of(command, (*path, name))
--- a/tests/test_planner_state.py
+++ b/tests/test_planner_state.py
@@ -151,7 +151,7 @@
     assert forecast["load"] == pytest.approx(120.0, rel=0.01)
     assert forecast["short_by"] == 0
     assert sum(flow for *_, flow in forecast["flows"]) == pytest.approx(120.0, rel=0.01)
-    assert forecast["vault"]["may_be"] == 20.0  # the calls of a's members without the part never lent
+    assert forecast["vault"]["may_be"] == 20.0  # of 24: without the reserved part of a's members
     status = fleet_status(planner.state, planner.now)
     assert [site["verdict"] for site in status["sites"]] == ["here"] * 3
     assert len(status["members"]) == 6
--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -148,7 +148,10 @@
 
 
 def test_a_rollback_releases_permits_that_the_rollout_left_unused():
-    """Guards against a leak of a permit granted just before a halt, whose holder will not drain."""
+    """Guard against the leak of a permit granted just before a halt.
+
+    Its holder is still in the old version, so the rollback does not drain it and the permit would never end.
+    """
     harness = Harness(max_unavailable=1)
     harness.command("start", spec=spec(canaries=1, batch=1))
     harness.controller.receive_inventory(inventory(a_0={"version": "2"}), 1)
@@ -365,7 +368,7 @@
 
 
 def leader_with_fixed_calls(folder):
-    """A leading planner whose members have fixed `calls`, so that other members may join."""
+    """Build a leading planner whose members have fixed `calls`, so that other members may join."""
     planner = leader(folder)
     document = json.loads((folder / "fleet.json").read_text())
     for site in document["sites"]:
