--- a/tests/test_rollout_controller.py
+++ b/tests/test_rollout_controller.py
@@ -72,8 +72,8 @@
     ("fields", "reason"),
     [
         ({"sites": ["z"]}, "'z' is no site and no group"),
-        ({"before": "0", "version": "3"}, "a-0 runs 1: neither 0 nor 3"),
-        ({"margins": {"speed": 0.1}}, "nobody tells of 'speed'"),
+        ({"before": "0", "version": "3"}, "a-0 runs version '1'; expected '0' ('before') or '3' ('version')"),
+        ({"margins": {"speed": 0.1}}, "members report no metric 'speed'"),
         ({"sites": ["a", "b"], "groups": ["a"]}, "sites are named too"),
         ({}, ""),
         ({"margins": {"late:order": 0.1}, "sites": ["b", "a"]}, ""),
@@ -87,8 +87,14 @@
 
 
 def test_no_rollout_starts_without_a_budget_or_without_a_fresh_inventory():
-    assert "group fleet lets nobody" in Harness(max_unavailable=0).command("start", spec=spec()).reason
-    assert "not heard" in Harness().command("start", now=30_001, spec=spec()).reason
+    assert (
+        "group fleet of the fleet file allows no member to be out"
+        in Harness(max_unavailable=0).command("start", spec=spec()).reason
+    )
+    assert (
+        "has given no inventory within platform.stale_ms"
+        in Harness().command("start", now=30_001, spec=spec()).reason
+    )
     harness = Harness()
     harness.budget.set_groups([])
     assert "is in no group" in harness.command("start", spec=spec()).reason
@@ -142,7 +148,10 @@
 
 
 def test_a_rollback_releases_permits_that_the_rollout_left_unused():
-    """Guards against a leak of a permit granted just before a halt, whose holder will not drain."""
+    """Guard against the leak of a permit granted just before a halt.
+
+    Its holder is still in the old version, so the rollback does not drain it and the permit would never end.
+    """
     harness = Harness(max_unavailable=1)
     harness.command("start", spec=spec(canaries=1, batch=1))
     harness.controller.receive_inventory(inventory(a_0={"version": "2"}), 1)
@@ -359,7 +368,7 @@
 
 
 def leader_with_fixed_calls(folder):
-    """A leading planner whose members have fixed `calls`, so that other members may join."""
+    """Build a leading planner whose members have fixed `calls`, so that other members may join."""
     planner = leader(folder)
     document = json.loads((folder / "fleet.json").read_text())
     for site in document["sites"]:
@@ -416,10 +425,13 @@
     ("change", "violation"),
     [
         (lambda document: document["planners"].append({"name": "p9", "address": "127.0.0.1:77"}), "planners"),
-        (lambda document: document["sites"][0].update(name="z"), "sites: their names"),
-        (lambda document: document["sites"][0]["members"][0].update(calls=5.0), "'a-0' would have 5 calls"),
+        (lambda document: document["sites"][0].update(name="z"), "sites: the names of sites"),
+        (
+            lambda document: document["sites"][0]["members"][0].update(calls=5.0),
+            "member 'a-0' can't change from 4 to 5 calls",
+        ),
         (lambda document: document.update(plan_ms=5_000), "plan_ms"),
-        (lambda document: document.update(platform=None), "platform: comes and goes"),
+        (lambda document: document.update(platform=None), "platform: can't be added or removed"),
         (lambda document: document["platform"].update(address="127.0.0.1:10"), "platform.address"),
     ],
     ids=["planners", "site names", "calls of a member", "plan span", "no platform", "platform address"],
