--- a/birchslip/cluster/durable_vote.py
+++ b/birchslip/cluster/durable_vote.py
@@ -71,26 +71,26 @@
         return StateVersion(self.state_term, self.state_number)
 
     def promise(self, term: int, candidate: Candidate) -> None:
-        """Promises a term to a candidate."""
+        """Promise a term to a candidate."""
         self.promised_term = term
         self.promised_candidate, self.promised_nonce = candidate
 
     def store(self, version: StateVersion, state: bytes) -> None:
-        """Replaces the stored state."""
+        """Replace the stored state."""
         self.state_term, self.state_number = version
         self.state = state
 
     def is_promised_to(self, term: int, candidate: Candidate) -> bool:
-        """Whether this term was promised to this run of the candidate."""
+        """Return whether this term was promised to this run of the candidate."""
         promised = (self.promised_term, self.promised_candidate, self.promised_nonce)
         return promised == (term, *candidate)
 
     def load_observations(self) -> dict[str, PeerObservation]:
-        """Decodes the observations; returns an empty dict if there are none."""
+        """Decode the observations; return an empty dict if there are none."""
         if not self.observations:
             return {}
         return msgspec.json.decode(self.observations, type=dict[str, PeerObservation])
 
     def save_observations(self, observations: dict[str, PeerObservation]) -> None:
-        """Encodes and replaces the observations."""
+        """Encode and replace the observations."""
         self.observations = msgspec.json.encode(observations).decode()
--- a/birchslip/cluster/election.py
+++ b/birchslip/cluster/election.py
@@ -105,7 +105,7 @@
     lost_version: StateVersion = NO_STATE.version
 
     def __post_init__(self) -> None:
-        """Counts the start and begins the delay before the first vote."""
+        """Count the start, load the observations and begin the delay before the first vote."""
         self.durable.generation += 1
         self.observations = self.durable.load_observations()
         self.lease = QuorumLease(self.quorum)
@@ -134,11 +134,11 @@
         return len(self.planners) // 2 + 1
 
     def is_confirmed(self) -> bool:
-        """Whether the others have had the time to report that this disk is outdated."""
+        """Return whether all others have reported whether this disk is outdated, or had the time to."""
         return not self.unconfirmed_peers or self.now >= self.confirmed_from
 
     def role(self, now: int) -> ElectionRole:
-        """The planner's role at this moment."""
+        """Return the planner's role at `now`."""
         if self.durable.is_blank or not self.is_confirmed():
             return ElectionRole.RECOVERING
         if self.is_leading(now):
@@ -148,7 +148,7 @@
     # ---- voter -----------------------------------------------------------------------------------------
 
     def handle_vote_request(self, request: VoteRequest, now: int) -> VoteResponse:
-        """Grants or refuses a vote; the caller must store `durable` before it sends the response."""
+        """Grant or refuse a vote; the caller must store `durable` before it sends the response."""
         self.now = max(self.now, now)
         candidate = Candidate(request.candidate, request.incarnation.nonce)
         if candidate.name != self.name:
@@ -160,7 +160,7 @@
         return self.vote_response(granted)
 
     def may_grant(self, term: int, candidate: Candidate) -> bool:
-        """Whether a vote may be granted without breaking an earlier promise."""
+        """Return whether a vote for `candidate` in `term` breaks no earlier vote or promise."""
         if term <= 0 or self.durable.is_blank or not self.is_confirmed():
             return False
         if self.now < self.can_vote_from:
@@ -170,7 +170,7 @@
         return term > self.durable.promised_term or self.durable.is_promised_to(term, candidate)
 
     def grant(self, term: int, candidate: Candidate) -> None:
-        """Grants the vote to a candidate for one lease."""
+        """Grant the vote to a candidate for `LEASE_SPAN` from now on."""
         if term != self.durable.promised_term:
             self.durable.promise(term, candidate)
             self.needs_flush = True
@@ -180,7 +180,7 @@
             self.next_request_at = self.granted_until + self.rng.randrange(MAX_JITTER)
 
     def vote_response(self, granted: bool) -> VoteResponse:
-        """Builds a response with the stored state and the observations of this planner."""
+        """Build a response with the stored state and the observations of this planner."""
         durable = self.durable
         return VoteResponse(
             granted=granted,
@@ -196,7 +196,7 @@
         )
 
     def handle_replication_request(self, request: ReplicationRequest, now: int) -> ReplicationResponse:
-        """Accepts the leader's state unless a later term was promised.
+        """Accept the leader's state unless a later term was promised.
 
         The caller must store `durable` before it sends the response.
         """
@@ -218,7 +218,7 @@
         return self.replication_response(is_stored=True)
 
     def replication_response(self, is_stored: bool) -> ReplicationResponse:
-        """Builds a response with the currently promised term."""
+        """Build a response with the currently promised term."""
         return ReplicationResponse(
             is_stored=is_stored, promised_term=self.durable.promised_term, replica=self.name
         )
@@ -228,7 +228,7 @@
     def observe_peer(
         self, name: str, reported: PeerObservation, observations: dict[str, PeerObservation]
     ) -> None:
-        """Records what another planner reports of itself, and checks what it has observed of this one."""
+        """Record what another planner reports of itself, and check what it has observed of this one."""
         self.unconfirmed_peers.discard(name)
         known = self.observations.get(name)
         if known is None or (known.nonce != reported.nonce and reported.generation >= known.generation):
@@ -242,7 +242,11 @@
     def observe_restart(
         self, name: str, reported: PeerObservation, known: PeerObservation | None
     ) -> PeerObservation:
-        """Records a restart of another planner, so that an outdated disk of it can be recognised."""
+        """Record a restart of another planner, so that an outdated disk of it can be recognised.
+
+        Returns:
+            The new observation of that planner, which has replaced `known`.
+        """
         restarted = PeerObservation(generation=reported.generation, nonce=reported.nonce)
         if known is not None:
             restarted.promised_term = known.promised_term
@@ -253,7 +257,7 @@
         return restarted
 
     def has_lost_state(self, own_observation: PeerObservation) -> bool:
-        """Whether another planner has observed a later run, promise or state than this disk has."""
+        """Return whether another planner has observed a later run, promise or state than this disk has."""
         durable = self.durable
         return (
             (own_observation.generation >= durable.generation and own_observation.nonce != self.nonce)
@@ -262,7 +266,7 @@
         )
 
     def discard_state(self, own_observation: PeerObservation) -> None:
-        """Marks this planner as blank, as this disk lacks promises or state of an earlier run."""
+        """Mark this planner as blank, as this disk lacks promises or state of an earlier run."""
         self.durable.generation = max(self.durable.generation, own_observation.generation + 1)
         self.durable.promised_term = max(self.durable.promised_term, own_observation.promised_term)
         self.lost_version = max(self.lost_version, own_observation.state_version)
@@ -271,19 +275,19 @@
         self.needs_flush = True
 
     def observe_stored_state(self, name: str, version: StateVersion) -> None:
-        """Records that another planner has stored a state."""
+        """Record that another planner has stored a state."""
         known = self.observations.get(name)
         if known is not None:
             known.promised_term = max(known.promised_term, version.term)
             known.record_state(version)
 
     def observe_term(self, term: int) -> None:
-        """Records that a member follows a term, which ends the leadership of any earlier term."""
+        """Record that a member follows a term, which ends the leadership of any earlier term."""
         self.highest_term = max(self.highest_term, term)
         self.fencing_term = max(self.fencing_term, term)
 
     def recover_state(self, response: VoteResponse) -> None:
-        """Adopts the newest state, while this planner is blank, once all others have responded."""
+        """Adopt the newest state, while this planner is blank, once all others have responded."""
         if response.voter == self.name:
             return
         self.recovery_responses[response.voter] = response
@@ -303,7 +307,10 @@
     # ---- candidate and leader --------------------------------------------------------------------------
 
     def next_vote_request(self, now: int) -> VoteRequest | None:
-        """Returns the request to send to all planners, including this one, if one is due."""
+        """Return the request to send to all planners, including this one; None if none is due.
+
+        A follower starts a candidacy. A candidate that has not been elected by then gives up its candidacy.
+        """
         self.now = max(self.now, now)
         if self.now < self.next_request_at:
             return None
@@ -321,7 +328,7 @@
                 return self.start_candidacy()
 
     def abandon_candidacy(self) -> None:
-        """Gives up the candidacy and frees this planner's vote for another candidate.
+        """Give up the candidacy and free this planner's vote for another candidate.
 
         Without that, candidates that all voted for themselves would renew their own votes in each attempt,
         and none would ever get a quorum.
@@ -332,7 +339,11 @@
         self.next_request_at = self.now + self.rng.randrange(2 * MAX_JITTER)
 
     def start_candidacy(self) -> VoteRequest | None:
-        """Starts a new term, or waits until no other planner can hold the lease."""
+        """Start a candidacy in a new term and return its vote request.
+
+        None while another planner has this one's vote or this planner may not vote yet; the next attempt is
+        due a random delay after that.
+        """
         if self.now < self.granted_until and self.granted_to.name != self.name:
             self.next_request_at = self.granted_until + self.rng.randrange(MAX_JITTER)
             return None
@@ -348,7 +359,7 @@
         return self.vote_request(self.term)
 
     def vote_request(self, term: int) -> VoteRequest:
-        """Builds this planner's request for votes in `term`, with what it has observed of the other planners.
+        """Build this planner's request for votes in `term`, with what it has observed of the other planners.
 
         The request of a leader renews its lease. With term 0 no votes are requested, only the observations
         and states of the other planners.
@@ -358,13 +369,13 @@
         )
 
     def next_term(self) -> int:
-        """Returns a term above all known ones that no other planner uses."""
+        """Return a term above all known ones that no other planner uses."""
         index = self.planners.index(self.name)
         highest = max(self.highest_term, self.durable.promised_term)
         return (highest // TERM_STRIDE + 1) * TERM_STRIDE + index
 
     def handle_vote_response(self, response: VoteResponse, term: int, sent: int, now: int) -> None:
-        """Counts a vote, or uses the response to recover while this planner is blank.
+        """Count a vote, or use the response to recover while this planner is blank.
 
         Args:
             response: The response of a voter.
@@ -385,7 +396,10 @@
         self.newest_state = max(self.newest_state, StoredState(*response.state_version, response.state))
 
     def is_leading(self, now: int) -> bool:
-        """Whether this planner holds the lease at this moment; to be checked just before each reply."""
+        """Return whether this planner holds the lease at `now`; must be checked just before each reply.
+
+        A leadership whose lease has expired, or whose term is below one that a member follows, ends here.
+        """
         self.now = max(self.now, now)
         if self.term and (self.now >= self.lease.end() or self.term < self.fencing_term):
             if self.is_elected:
@@ -397,7 +411,7 @@
         return self.is_elected
 
     def handle_replication_response(self, response: ReplicationResponse, state_number: int) -> bool:
-        """Counts a replica and returns whether a quorum has stored that state."""
+        """Count a replica and return whether a quorum has stored that state."""
         self.highest_term = max(self.highest_term, response.promised_term)
         if response.is_stored:
             self.replicas.record(response.replica, state_number)
--- a/birchslip/cluster/election_messages.py
+++ b/birchslip/cluster/election_messages.py
@@ -51,7 +51,7 @@
         return StateVersion(self.state_term, self.state_number)
 
     def record_state(self, version: StateVersion) -> None:
-        """Records that the planner has stored a state, unless a newer one is known."""
+        """Record that the planner has stored a state, unless a newer one is known."""
         self.state_term, self.state_number = max(self.state_version, version)
 
 
--- a/birchslip/cluster/election_store.py
+++ b/birchslip/cluster/election_store.py
@@ -46,7 +46,7 @@
 
 
 def checksum(vote: DurableVote) -> int:
-    """Returns the checksum that is stored beside a vote."""
+    """Return the checksum that is stored beside a vote."""
     return zlib.crc32(repr(astuple(vote)).encode())
 
 
@@ -60,7 +60,7 @@
     """
 
     def __init__(self, folder: Path, name: str) -> None:
-        """Opens or creates the file `NAME.planner` in `folder`.
+        """Open or create the file `NAME.planner` in `folder`.
 
         Raises:
             StoreWriteError: If the file can't be written, or another planner of this name has locked it.
@@ -80,15 +80,20 @@
             self.vote = DurableVote()
 
     def __enter__(self) -> ElectionStore:
-        """Returns the open store."""
+        """Return the open store."""
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Closes the file."""
+        """Close the file."""
         self.close()
 
     def open(self) -> sqlite3.Connection:
-        """Opens the file with an exclusive lock and creates its table."""
+        """Open the file with an exclusive lock and create its table.
+
+        Raises:
+            DamagedStoreError: If the file is of another version.
+            sqlite3.Error: If the file is locked, damaged or not writable.
+        """
         connection = sqlite3.connect(self.path, isolation_level=None, timeout=0)
         try:
             # The lock lasts as long as the connection, so that a second planner of this name can't start.
@@ -97,7 +102,7 @@
             connection.execute("pragma synchronous = full")
             (version,) = connection.execute("pragma user_version").fetchone()
             if version not in (0, VERSION):
-                raise DamagedStoreError(f"version {version}, and {VERSION} is the latest known")
+                raise DamagedStoreError(f"the file has version {version}, the latest known is {VERSION}")
             connection.execute("begin exclusive")
             connection.execute(CREATE_TABLE)
             connection.execute(f"pragma user_version = {VERSION}")
@@ -108,10 +113,11 @@
         return connection
 
     def load(self) -> DurableVote:
-        """Reads the stored vote; returns a blank one if none is stored.
+        """Read the stored vote; return a blank one if none is stored.
 
         Raises:
-            DamagedStoreError: If the row does not match its checksum.
+            DamagedStoreError: If the row does not match its checksum; the file is closed then.
+            sqlite3.Error: If the row can't be read.
         """
         with closing(self.connection.execute(SELECT_ROW)) as rows:
             row = rows.fetchone()
@@ -126,7 +132,7 @@
         return vote
 
     def save(self, vote: DurableVote) -> None:
-        """Writes the vote, which is on the disk when this returns.
+        """Write the vote and flush it to the disk.
 
         Raises:
             StoreWriteError: If the vote could not be written.
@@ -137,12 +143,12 @@
             raise StoreWriteError(self.path, str(error)) from None
 
     def set_aside(self) -> None:
-        """Renames the files of the database to `*.damaged*`, so that a new one can be created."""
+        """Rename the files of the database to `*.damaged*`, so that a new one can be created."""
         for suffix in DATABASE_FILE_SUFFIXES:
             path = Path(f"{self.path}{suffix}")
             if path.exists():
                 path.replace(f"{self.path}.damaged{suffix}")
 
     def close(self) -> None:
-        """Closes the file and releases its lock."""
+        """Close the file and release its lock."""
         self.connection.close()
--- a/birchslip/cluster/leadership.py
+++ b/birchslip/cluster/leadership.py
@@ -31,7 +31,7 @@
     """
 
     def __init__(self, election: Election) -> None:
-        """Creates the leadership of a follower."""
+        """Create the leadership of a follower."""
         self.election = election
         self.term = 0
         self.version = 0
@@ -43,12 +43,12 @@
         return self.term > 0
 
     def is_effective_leader(self, now: int) -> bool:
-        """Returns whether this planner holds the lease at this moment and may instruct members."""
+        """Return whether this planner holds the lease at `now` and may instruct members."""
         holds_lease = self.election.is_leading(now) and self.term == self.election.term
         return holds_lease and self.replicated_version > 0
 
     def update(self, now: int) -> LeadershipChange:
-        """Follows the election and returns the change; a new term starts at version 0."""
+        """Follow the election and return the change; a new term starts at version 0."""
         if not self.election.is_leading(now):
             was_leading = self.is_leading
             self.term = 0
@@ -61,26 +61,26 @@
         return LeadershipChange.ACQUIRED
 
     def observe_term(self, term: int) -> None:
-        """Ends this term if a member follows a higher one; the next candidacy uses a term above that one."""
+        """End this term if a member follows a higher one; the next candidacy uses a term above that one."""
         if term > self.election.highest_term:
             self.election.observe_term(term)
 
     def known_leader(self, now: int) -> str:
-        """Returns the name of the planner that holds this one's vote, empty if the vote has expired."""
+        """Return the name of the planner that holds this one's vote; empty if the vote has expired."""
         return self.election.granted_to[0] if now < self.election.granted_until else ""
 
     # ---- replication -----------------------------------------------------------------------------------
 
     def advance_version(self) -> None:
-        """Starts a new version after a change of the state; a majority has to store it."""
+        """Start a new version after a change of the state; a majority has to store it."""
         self.version += 1
 
     def needs_replication(self) -> bool:
-        """Returns whether a majority has not yet stored the newest version."""
+        """Return whether a majority has not yet stored the newest version."""
         return self.is_leading and self.replicated_version < self.version
 
     def replication_request(self, state: bytes) -> ReplicationRequest:
-        """Returns the request to store `state` as the newest version."""
+        """Return the request to store `state` as the newest version."""
         return ReplicationRequest(
             term=self.term,
             state_number=self.version,
@@ -90,7 +90,7 @@
         )
 
     def mark_replicated(self, version: int) -> bool:
-        """Records that a majority has stored a version.
+        """Record that a majority has stored a version.
 
         Returns:
             True if it is the newest version and was not recorded before.
--- a/birchslip/cluster/quorum.py
+++ b/birchslip/cluster/quorum.py
@@ -17,16 +17,16 @@
     """A lease that is valid while a quorum of votes is recent."""
 
     def __init__(self, quorum: int) -> None:
-        """Creates a lease without votes; `quorum` is the number of votes that grants it."""
+        """Create a lease without votes; `quorum` is the number of votes that grants it."""
         self.quorum = quorum
         self.sent_times: dict[str, int] = {}
 
     def record(self, voter: str, sent: int) -> None:
-        """Counts a vote; `sent` is when the request that it answers was sent."""
+        """Count a vote; `sent` is when the request that it answers was sent."""
         self.sent_times[voter] = max(sent, self.sent_times.get(voter, 0))
 
     def end(self) -> int:
-        """Returns when the lease ends; 0 without a quorum.
+        """Return when the lease ends; 0 without a quorum.
 
         A vote expires one `LEADER_LEASE_SPAN` after its request was sent. The lease ends when fewer than a
         quorum of votes are left, so the oldest of the `quorum` newest votes decides.
@@ -37,7 +37,7 @@
         return newest_first[self.quorum - 1] + LEADER_LEASE_SPAN
 
     def clear(self) -> None:
-        """Drops all votes."""
+        """Drop all votes."""
         self.sent_times.clear()
 
 
@@ -45,21 +45,21 @@
     """Counts the planners that have stored each of the latest states."""
 
     def __init__(self, quorum: int) -> None:
-        """Creates the count without replicas; `quorum` is the number of replicas that makes a state safe."""
+        """Create the count without replicas; `quorum` is the number of replicas that makes a state safe."""
         self.quorum = quorum
         self.replicas: dict[int, set[str]] = {}
 
     def record(self, replica: str, state_number: int) -> None:
-        """Counts a planner that has stored a state, and drops the counts of old states."""
+        """Count a planner that has stored a state, and drop states more than `TRACKED_STATES` older."""
         oldest = state_number - TRACKED_STATES
-        for number in [one for one in self.replicas if one < oldest]:
+        for number in [number for number in self.replicas if number < oldest]:
             del self.replicas[number]
         self.replicas.setdefault(state_number, set()).add(replica)
 
     def has_quorum(self, state_number: int) -> bool:
-        """Returns whether a quorum has stored that state."""
+        """Return whether a quorum has stored that state."""
         return len(self.replicas.get(state_number, ())) >= self.quorum
 
     def clear(self) -> None:
-        """Drops all replicas."""
+        """Drop all replicas."""
         self.replicas.clear()
--- a/birchslip/cluster/replicated_state.py
+++ b/birchslip/cluster/replicated_state.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, reason: str) -> None:
-        """Initializes the error with the decoder's message."""
+        """Initialize the error with the decoder's message."""
         super().__init__(f"the replicated state can't be decoded: {reason}")
         self.reason = reason
 
@@ -57,7 +57,7 @@
 
     @classmethod
     def from_ramp(cls, ramp: RecoveryRamp, load: dict[str, float]) -> SiteState:
-        """Returns the state to store of a site's ramp and its usual load."""
+        """Return the state to store of a site's ramp and its usual load."""
         return cls(
             stage=ramp.stage.value,
             step=ramp.step,
@@ -69,7 +69,7 @@
         )
 
     def to_ramp(self, site: str, now: int) -> RecoveryRamp:
-        """Returns the stored ramp with its stage entered at `now`, as clock times are not stored."""
+        """Return the stored ramp with its stage entered at `now`, as clock times are not stored."""
         return RecoveryRamp(
             site=site,
             stage=RecoveryStage(self.stage),
@@ -91,12 +91,12 @@
 
 
 def encode_state(state: ReplicatedState) -> bytes:
-    """Encodes a state as the bytes that planners store."""
+    """Encode a state as the bytes that planners store."""
     return msgspec.json.encode(state)
 
 
 def decode_state(raw: bytes) -> ReplicatedState:
-    """Decodes a stored state; returns an empty one if nothing was stored yet.
+    """Decode a stored state; return an empty one if nothing was stored yet.
 
     Raises:
         UnreadableStateError: If the bytes are not a state of this version.
--- a/birchslip/cluster/state_replicator.py
+++ b/birchslip/cluster/state_replicator.py
@@ -63,7 +63,7 @@
         peers: Mapping[str, PeerConnection],
         on_replicated: Callable[[], None],
     ) -> None:
-        """Creates the channels to the other planners.
+        """Create the channels to the other planners.
 
         Args:
             scheduler: Runs the tasks and provides the time.
@@ -91,7 +91,7 @@
         self.pending_replies: list[PendingReply] = []
 
     def flush(self) -> None:
-        """Stores the vote if it has changed; must be called before a message that depends on it is sent.
+        """Store the vote if it has changed; call this before a message that depends on it is sent.
 
         Raises:
             StoreWriteError: If the vote could not be stored; no such message may be sent then.
@@ -110,7 +110,11 @@
     # ---- requests to the other planners ----------------------------------------------------------------
 
     def request_votes(self, now: int) -> None:
-        """Sends a vote request to all planners if one is due."""
+        """Send a vote request to all planners if one is due, and count this planner's own vote.
+
+        Raises:
+            StoreWriteError: If the vote could not be stored; no request is sent then.
+        """
         request = self.election.next_vote_request(now)
         if request is None:
             return
@@ -122,7 +126,7 @@
         self.send_to_all(PlannerMethod.VOTE, request)
 
     def replicate(self, now: int) -> None:
-        """Sends the newest state to all planners unless a quorum has stored it or it was sent recently."""
+        """Send the newest state to all planners unless a quorum has stored it or it was sent recently."""
         request = self.state.replication_request()
         if request is None:
             return
@@ -141,14 +145,19 @@
         self.send_to_all(PlannerMethod.REPLICATE, request)
 
     def send_to_all(self, method: PlannerMethod, request: Message) -> None:
-        """Sends a request to all other planners."""
+        """Send a request to all other planners."""
         for channel in self.channels:
             channel.send(method, request)
 
     # ---- responses of the other planners ---------------------------------------------------------------
 
     def handle_response(self, request: Message, raw: bytes, sent: int) -> None:
-        """Handles another planner's response to a request; `sent` is when the request was sent."""
+        """Handle another planner's response to a request; `sent` is when the request was sent.
+
+        Raises:
+            InvalidInputError: If the response is malformed.
+            StoreWriteError: If the vote could not be stored.
+        """
         now = self.scheduler.update_clock()
         if isinstance(request, VoteRequest):
             self.handle_vote_response(request, decode(raw, VoteResponse), sent, now)
@@ -156,14 +165,18 @@
             self.handle_replication_response(request, decode(raw, ReplicationResponse))
 
     def handle_vote_response(self, request: VoteRequest, response: VoteResponse, sent: int, now: int) -> None:
-        """Handles a vote response; if the vote is granted, records which suspects report to the voter."""
+        """Handle a vote response; if the vote is granted, record which suspects report to the voter.
+
+        Raises:
+            StoreWriteError: If what the response has changed could not be stored.
+        """
         self.election.handle_vote_response(response, request.term, sent, now)
         if response.granted:
             self.state.membership.mark_reported_by_peers(response.heard_suspects, now)
         self.flush()
 
     def handle_replication_response(self, request: ReplicationRequest, response: ReplicationResponse) -> None:
-        """Counts a replica; once a quorum has stored the state, sends the replies that wait for it."""
+        """Count a replica; once a quorum has stored the state, send the replies that wait for it."""
         self.counters.count("keep.kept" if response.is_stored else "keep.refused")
         if request.term != self.state.leadership.term:
             return
@@ -175,7 +188,7 @@
     # ---- deferred replies ------------------------------------------------------------------------------
 
     def reply_when_replicated(self, state_number: int, response: bytes, now: int) -> bytes | DeferredReply:
-        """Returns the response if a quorum has stored that state, else a reply that is sent once it has."""
+        """Return the response if a quorum has stored that state, else a reply that is sent once it has."""
         if state_number <= self.state.leadership.replicated_version:
             return response
         reply = DeferredReply()
@@ -185,7 +198,7 @@
         return reply
 
     def complete_replies(self) -> None:
-        """Sends the replies whose state a quorum has stored, and an error for those of an earlier term."""
+        """Send the replies whose state a quorum has stored, and an error for those of an earlier term."""
         waiting = []
         for pending in self.pending_replies:
             if pending.term != self.state.leadership.term:
