--- a/birchslip/cluster/disruption_budget.py
+++ b/birchslip/cluster/disruption_budget.py
@@ -112,7 +112,7 @@
     def tally(
         self, observations: Mapping[str, MemberObservation], ahead: Iterable[str] = ()
     ) -> DisruptionTally:
-        """Count all unavailable members, and the members in `ahead` as if they were unavailable too."""
+        """Return a tally of all unavailable members, with those in `ahead` counted as unavailable too."""
         tally = DisruptionTally(self.index, observations, self.unavailable_members(observations))
         for name in ahead:
             tally.add(name)
@@ -123,7 +123,10 @@
     def acquire(
         self, requester: EvictionWaiter, observations: Mapping[str, MemberObservation]
     ) -> EvictionDecision:
-        """Return a new permit, the permit that the requester already holds, or its place in the queue."""
+        """Return a new permit, the permit that the requester already holds, or its place in the queue.
+
+        The decision has neither a permit nor a place, only a reason, if the request is refused.
+        """
         holder = requester.holder
         if holder not in self.groups_of:
             return EvictionDecision(reason=f"{holder} is in no group")
@@ -144,7 +147,7 @@
         return self._waiting_decision(holder, observations)
 
     def _enqueue(self, requester: EvictionWaiter) -> bool:
-        """Add a waiter; a new incarnation keeps its member's place. False if the queue is full."""
+        """Add a waiter; a new incarnation keeps its member's place. Return False if the queue is full."""
         index = self._waiting_index(requester.holder)
         if index is not None:
             self.state.waiters[index] = requester
@@ -155,7 +158,7 @@
         return True
 
     def _waiting_index(self, holder: str) -> int | None:
-        """Return the index of a holder among the waiters; None if it does not wait."""
+        """Return the index of a holder among the waiters, from 0; None if it does not wait."""
         waiters = enumerate(self.state.waiters)
         return next((index for index, waiter in waiters if waiter.holder == holder), None)
 
@@ -168,13 +171,22 @@
         return EvictionDecision(position=index + 1, reason=reason)
 
     def cancel(self, holder: str) -> bool:
-        """Remove a waiter; False if there is none. A permit stays: its holder may be unavailable already."""
+        """Remove a waiter; return False if there is none.
+
+        A permit stays, because its holder may be unavailable already.
+        """
         before = len(self.state.waiters)
         self.state.waiters[:] = [waiter for waiter in self.state.waiters if waiter.holder != holder]
         return len(self.state.waiters) < before
 
     def grant_waiting(self, observations: Mapping[str, MemberObservation]) -> list[Permit]:
-        """Grant permits to waiters, in the order of arrival, as far as the budgets allow."""
+        """Grant permits to waiters, in the order of arrival, as far as the budgets allow.
+
+        Waiters whose incarnation has ended are removed.
+
+        Returns:
+            The new permits.
+        """
         if not self.state.waiters:
             return []
         granted: list[Permit] = []
@@ -190,7 +202,7 @@
         return granted
 
     def grant(self, requester: EvictionWaiter, override: bool = False) -> Permit:
-        """Grant a permit without checking the budgets."""
+        """Grant a permit without checking the budgets, and remove its holder from the queue."""
         self.state.last_permit_number += 1
         permit = Permit(
             holder=requester.holder,
@@ -255,6 +267,8 @@
     def add_override(self, requester: str, reason: str, count: int, span: int) -> str:
         """Allow `count` permits beyond the budgets within `span` tenths of a millisecond.
 
+        At most `MAX_OVERRIDE_MEMBERS` permits and `MAX_OVERRIDE_SPAN` are allowed.
+
         Returns:
             Why the override is refused; empty if it was added.
         """
@@ -272,7 +286,7 @@
     def acquire_with_override(
         self, requester: EvictionWaiter, observations: Mapping[str, MemberObservation]
     ) -> EvictionDecision:
-        """Acquire a permit; use one of an override's permits if the budgets forbid it."""
+        """Acquire a permit; use one of the oldest override's permits if the budgets forbid it."""
         decision = self.acquire(requester, observations)
         if decision.permit is not None or not decision.position:
             return decision
@@ -296,7 +310,7 @@
     # ---- storing ---------------------------------------------------------------------------------------
 
     def record_event(self, text: str) -> None:
-        """Append a line to the audit log, and drop the oldest excess lines."""
+        """Append a line to the audit log, and drop the oldest lines above `MAX_AUDIT_LINES`."""
         self.state.audit_log.append(text[:MAX_AUDIT_LINE_LENGTH])
         del self.state.audit_log[:-MAX_AUDIT_LINES]
 
--- a/birchslip/cluster/inventory.py
+++ b/birchslip/cluster/inventory.py
@@ -46,7 +46,7 @@
     services: dict[Name, ProcessReport] = {}
 
     def instances(self) -> dict[str, InstanceView]:
-        """Returns the app servers' processes for rollouts, by name."""
+        """Return the app servers' processes for rollouts, by name."""
         return {
             name: InstanceView(
                 InstanceStatus(process.state), process.version, process.failed_starts, process.crashes
@@ -55,7 +55,7 @@
         }
 
     def observe_service(self, name: str) -> MemberObservation:
-        """Returns the observation of a service; an unknown service counts as unavailable."""
+        """Return the observation of a service; an unknown service counts as unavailable."""
         process = self.services.get(name)
         if process is None:
             return MemberObservation(Incarnation(), 0.0, UnavailabilityReason.SILENT)
@@ -71,7 +71,7 @@
 
 
 def read_inventory(raw: bytes) -> Inventory:
-    """Decodes the platform's response.
+    """Decode the platform's response.
 
     Raises:
         InvalidInputError: If it is not an inventory.
--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -132,7 +132,7 @@
         return self._steps.permit_reason
 
     def all_members(self) -> list[str]:
-        """Members of every batch, in the order of the rollout."""
+        """Return the members of all batches, in the order of the rollout."""
         return self.record.all_members()
 
     # ---- events ----------------------------------------------------------------------------------------
@@ -142,11 +142,19 @@
         self._enter(RolloutPhase.RUNNING, f"started by {operator}")
 
     def halt(self, reason: str) -> bool:
-        """Halt at once; only an operator can continue. False if the rollout neither runs nor rolls back."""
+        """Halt at once; only an operator can continue.
+
+        Returns:
+            False if the rollout neither runs nor rolls back.
+        """
         return self._fire(RolloutEvent.HALT, reason)
 
     def resume(self, operator: str) -> bool:
-        """Resume a halted rollout. False if the new version is bad or a member starts in neither version."""
+        """Resume a halted rollout.
+
+        Returns:
+            False if it is not halted, the new version is bad or a member starts in neither version.
+        """
         if self.record.version_is_bad or self.record.excluded:
             return False
         return self._fire(RolloutEvent.RESUME, f"resumed by {operator}")
@@ -154,7 +162,8 @@
     def roll_back(self, operator: str) -> bool:
         """Return all members to the previous version, and mark the new version as bad.
 
-        False if the current phase allows no rollback.
+        Returns:
+            False if the current phase allows no rollback.
         """
         if (self.phase, RolloutEvent.ROLL_BACK) not in TRANSITIONS:
             return False
@@ -162,15 +171,15 @@
         return self._fire(RolloutEvent.ROLL_BACK, f"back by {operator}")
 
     def complete(self, reason: str) -> bool:
-        """Complete the rollout, once every batch has passed its watch. False if it does not run."""
+        """Complete the rollout, once every batch has passed its watch; return False if it does not run."""
         return self._fire(RolloutEvent.COMPLETE, reason)
 
     def finish_rollback(self, reason: str) -> bool:
-        """End the rollback, once every member runs the previous version. False if none is under way."""
+        """End the rollback, once all members run the previous version; return False if none is under way."""
         return self._fire(RolloutEvent.FINISH_ROLLBACK, reason)
 
     def _fire(self, event: RolloutEvent, reason: str) -> bool:
-        """Take the transition for `event`; False if the current phase has none."""
+        """Take the transition for `event`; return False if the current phase has none."""
         phase = TRANSITIONS.get((self.phase, event))
         if phase is None:
             return False
@@ -189,7 +198,7 @@
             self._steps.cancel_waiting()
 
     def record_event(self, text: str) -> None:
-        """Append a line with the time since the start to the history, and drop the oldest excess lines."""
+        """Append a line with the time since the start to the history; keep `MAX_HISTORY_LINES`."""
         self.record.age += self._unrecorded_time
         self._unrecorded_time = 0
         line = f"{self.record.age / TICKS_PER_SECOND:.1f} s: {text}"
--- a/birchslip/cluster/rollout_batches.py
+++ b/birchslip/cluster/rollout_batches.py
@@ -11,7 +11,7 @@
 
 
 def find_unknown_part(spec: RolloutSpec, parts: Mapping[str, list[str]]) -> str:
-    """Return which part of the release file is neither a site nor a group of the fleet; empty if none."""
+    """Return a text that names a part that is neither a site nor a group of the fleet; empty if none."""
     for part in spec.sites or spec.groups:
         if part not in parts:
             return f"{part!r} is no site and no group; there are {', '.join(parts)}"
--- a/birchslip/cluster/rollout_supervisor.py
+++ b/birchslip/cluster/rollout_supervisor.py
@@ -34,7 +34,7 @@
     def __init__(
         self, controller: RolloutController, budget: DisruptionBudget, events: EventBuffer, now: int
     ) -> None:
-        """Starts at `now`; the first evaluation is due one interval later."""
+        """Start at `now`; the first evaluation is due one interval later."""
         self.controller = controller
         self.budget = budget
         self.events = events
@@ -42,7 +42,7 @@
         self.orders_version = 0
 
     def is_due(self, now: int) -> bool:
-        """Returns whether there are unfinished rollouts and the evaluation interval has passed."""
+        """Return whether there are unfinished rollouts and the evaluation interval has passed."""
         return bool(self.controller.unfinished()) and now - self.evaluated_at >= EVALUATION_INTERVAL
 
     def evaluate(
@@ -52,7 +52,7 @@
         lost_sites: Iterable[str],
         now: int,
     ) -> bool:
-        """Evaluates all unfinished rollouts; returns whether the stored state has changed."""
+        """Evaluate all unfinished rollouts; return whether the stored state has changed."""
         self.evaluated_at = now
         phases = {rollout.record.number: rollout.phase for rollout in self.controller.unfinished()}
         before = self._stored_parts()
@@ -61,7 +61,7 @@
         return before != self._stored_parts()
 
     def execute(self, command: RolloutCommand, now: int) -> CommandResult:
-        """Executes an operator's command on rollouts, and records it as an event."""
+        """Execute an operator's command on rollouts, and record it as an event."""
         result = self.controller.execute(command, now)
         self.events.record(
             "rollout_command",
@@ -73,15 +73,15 @@
         return result
 
     def evaluate_soon(self, now: int) -> None:
-        """Makes an evaluation due at `now`, regardless of when the last one was."""
+        """Make an evaluation due at `now`, regardless of when the last one was."""
         self.evaluated_at = now - EVALUATION_INTERVAL
 
     def _stored_parts(self) -> tuple[bytes, bytes]:
-        """Returns the encoded states of rollouts and permits, to detect changes."""
+        """Return the encoded states of rollouts and permits, to detect changes."""
         return msgspec.json.encode(self.controller.states), self.budget.encode()
 
     def _record_phase_changes(self, phases_before: Mapping[int, RolloutPhase]) -> None:
-        """Records an event for each rollout whose phase differs from `phases_before`."""
+        """Record an event for each rollout whose phase differs from `phases_before`."""
         for rollout in self.controller.rollouts:
             record = rollout.record
             before = phases_before.get(record.number)
--- a/birchslip/cluster/rollout_types.py
+++ b/birchslip/cluster/rollout_types.py
@@ -99,7 +99,7 @@
     stall_timeout_ms: DurationMs = 600_000
 
     def validation_error(self) -> str:
-        """Return which fields contradict each other, by their keys in the file; empty if none do."""
+        """Return the first error in the fields, named by its key in the file; empty if there is none."""
         if self.version == self.previous_version:
             return f"version: {self.version!r} is the one before too"
         if self.max_watch_ms < self.min_watch_ms:
--- a/birchslip/cluster/rollout_watch.py
+++ b/birchslip/cluster/rollout_watch.py
@@ -64,7 +64,11 @@
         self._evidence_stored_at = 0
 
     def begin(self, view: FleetView, now: int) -> None:
-        """Begin to watch the current batch, from stored evidence of the same batch if there is any."""
+        """Begin to watch the current batch, from stored evidence of the same batch if there is any.
+
+        If none of the batch's sites has members of the previous version, the margins are those for a
+        comparison across sites.
+        """
         spec = self.record.spec
         margins = dict(spec.margins)
         if not self._has_peers(view.instances):
@@ -83,7 +87,7 @@
         self.record.evidence = None
 
     def evaluate(self, view: FleetView, now: int) -> WatchOutcome:
-        """Evaluate crashes in the new version, and then the canary analysis of the latest samples."""
+        """Evaluate crashes in the new version, then the latest samples; return the result so far."""
         crashes = self._count_crashes(view.instances)
         if crashes > self.record.spec.max_crashes:
             reason = f"bad: released members ended by themselves, {crashes} times"
