--- a/birchslip/cluster/fair_share.py
+++ b/birchslip/cluster/fair_share.py
@@ -11,7 +11,7 @@
 
 
 def water_fill(capacity: float, demands: Mapping[str, float], weights: Mapping[str, float]) -> TenantRates:
-    """Divides capacity by weighted max-min fairness.
+    """Divide capacity by weighted max-min fairness.
 
     Args:
         capacity: Capacity to divide.
@@ -33,7 +33,7 @@
 
 
 def normalized_shares(tenants: Mapping[str, float], sites: list[SiteCapacity]) -> TenantRates:
-    """Returns the tenants' shares scaled to a sum of 1, or equal shares if none are configured."""
+    """Return the tenants' shares scaled to a sum of 1, or equal shares if none are configured."""
     names = {tenant for site in sites for tenant in site.load} | set(tenants)
     configured = {name: tenants.get(name, 0.0) for name in sorted(names)}
     total = sum(configured.values())
--- a/birchslip/cluster/load_placement.py
+++ b/birchslip/cluster/load_placement.py
@@ -23,18 +23,18 @@
     """
 
     def __init__(self, sites: list[SiteCapacity], admitted: dict[str, TenantRates]) -> None:
-        """Starts with no load placed; `admitted` is the load by site and tenant."""
+        """Start without any load placed; `admitted` is the load by site and tenant."""
         self.flows: dict[tuple[str, str], float] = {}
         self._spare = {site.name: site.capacity for site in sites if site.capacity > 0}
         self._unplaced = {site.name: sum(admitted[site.name].values()) for site in sites}
 
     def place_locally(self) -> None:
-        """Places the local load of each site there, up to the site's capacity."""
+        """Place the local load of each site there, up to the site's capacity."""
         for site in self._spare:
             self._place(site, site, self._spare[site])
 
     def place_remotely(self, costs: LinkCosts) -> None:
-        """Places the remaining load over the cheapest links; links of equal cost share it by spare capacity.
+        """Place the remaining load over the cheapest links; links of equal cost share it by spare capacity.
 
         Args:
             costs: Cost of the link from one site to another; `DEFAULT_LINK_COST` if it is not given.
--- a/birchslip/cluster/load_rejection.py
+++ b/birchslip/cluster/load_rejection.py
@@ -32,7 +32,7 @@
     order: tuple[SheddingTier, ...],
     capacity: float,
 ) -> RejectionResult:
-    """Rejects the load that exceeds the capacity, one tier after another and local load last.
+    """Reject the load that exceeds the capacity, one tier after another and local load last.
 
     Args:
         sites: Sites with their measured load.
@@ -69,7 +69,7 @@
     shares: Mapping[str, float],
     capacity: float,
 ) -> list[SiteTenantRates]:
-    """Returns the load that a tier may reject, as pools by site and tenant.
+    """Return the load that a tier may reject, as pools by site and tenant.
 
     A pool is exhausted before load of the next one is rejected.
 
@@ -90,7 +90,7 @@
 def _over_quota_pools(
     admitted: dict[str, TenantRates], evacuated: set[str], shares: Mapping[str, float], capacity: float
 ) -> list[SiteTenantRates]:
-    """Returns the load beyond the tenants' shares, in a pool of evacuated load and a pool of local load.
+    """Return the load beyond the tenants' shares, in a pool of evacuated load and a pool of local load.
 
     Evacuated load is rejected first, because the tenant's local load alone may be within its share.
     """
--- a/birchslip/cluster/member_metrics.py
+++ b/birchslip/cluster/member_metrics.py
@@ -38,7 +38,7 @@
 
 
 def estimate_capacity(cores: int, typical_service_time: float, served_rate: float) -> float:
-    """Estimates the requests per second that a member can serve; 0 while no service time is known.
+    """Estimate the requests per second that a member can serve; 0 while no service time is known.
 
     The estimate is the cores divided by the typical service time, or the served rate if that is higher. The
     concurrency limit is not used: when it rises, more requests share the same cores.
@@ -75,7 +75,7 @@
     """Windowed rates of arrivals and answers."""
 
     def __init__(self, tenants: Sequence[str]) -> None:
-        """Creates empty rates by tenant; requests without a tenant are counted under an empty name."""
+        """Create empty rates by tenant; requests without a tenant are counted under an empty name."""
         self.load = {name: WindowedCounter(WINDOW_SLICES, SLICE_SPAN) for name in [*tenants, ""]}
         self.evacuated_load = WindowedCounter(WINDOW_SLICES, SLICE_SPAN)
         self.retries = WindowedCounter(WINDOW_SLICES, SLICE_SPAN)
@@ -85,7 +85,7 @@
         self._last_rejected = 0
 
     def record_arrival(self, now: int, tenant: str, is_local: bool, is_retry: bool) -> None:
-        """Counts a request that has arrived."""
+        """Count a request that has arrived: as a retry, as evacuated load or as local load of its tenant."""
         if is_retry:
             self.retries.add(now, 1)
         elif not is_local:
@@ -94,14 +94,14 @@
             self.load[tenant].add(now, 1)
 
     def record_answers(self, now: int, served: int, rejected: int) -> None:
-        """Counts answers, given the current totals of the counters."""
+        """Count the answers since the last call; `served` and `rejected` are totals since the start."""
         self.served.add(now, served - self._last_served)
         self.rejected.add(now, rejected - self._last_rejected)
         self._last_served = served
         self._last_rejected = rejected
 
     def snapshot(self, now: int) -> RateSnapshot:
-        """Returns the rates at `now`."""
+        """Return the rates over the last `WINDOW_SPAN`, up to `now`."""
         load = {name: per_second(counter, now) for name, counter in self.load.items() if name}
         without_tenant = per_second(self.load[""], now)
         if without_tenant or not load:
@@ -116,7 +116,7 @@
 
 
 def per_second(counter: WindowedCounter, now: int) -> float:
-    """Returns the rate per second of a counter over its window."""
+    """Return the rate per second of a counter over its window."""
     return counter.total(now) * SECOND / WINDOW_SPAN
 
 
@@ -130,7 +130,7 @@
     """
 
     def __init__(self, request_classes: Sequence[str]) -> None:
-        """Creates empty counts for these request classes."""
+        """Create empty counts for these request classes."""
         buckets = len(DURATION_BOUNDS) + 1
         self.durations = {name: [0] * buckets for name in request_classes}
         self._counts = {
@@ -138,7 +138,7 @@
         }
 
     def record_answer(self, request_class: str, outcome: str, run_time: int, is_late: bool) -> None:
-        """Counts a request that has ended.
+        """Count a request that has ended.
 
         Args:
             request_class: The request's class.
@@ -165,7 +165,7 @@
         count[1] += 1
 
     def totals(self, counters: Mapping[str, int]) -> dict[str, tuple[int, int]]:
-        """Returns the number of bad and of all outcomes by metric, without empty metrics.
+        """Return the number of bad and of all outcomes by metric, without empty metrics.
 
         Args:
             counters: The process's counters, from which the metric `calls` of downstream calls is computed.
--- a/birchslip/cluster/member_observations.py
+++ b/birchslip/cluster/member_observations.py
@@ -15,7 +15,7 @@
 def observe_members(
     site_of_member: Mapping[str, str], sites: SiteSupervisor, report_interval: int, now: int
 ) -> dict[str, MemberObservation]:
-    """Returns an observation of each member.
+    """Return an observation of each member.
 
     A member that has never reported counts as unavailable.
 
--- a/birchslip/cluster/member_prober.py
+++ b/birchslip/cluster/member_prober.py
@@ -33,7 +33,7 @@
 
 
 def is_connection_refused(error: OSError) -> bool:
-    """Returns whether the host is reachable but no process listens at the address."""
+    """Return whether the host is reachable but no process listens at the address."""
     return isinstance(error, ConnectionRefusedError) or error.errno == errno.ECONNREFUSED
 
 
@@ -41,14 +41,14 @@
     """Probes members and keeps the latest results."""
 
     def __init__(self, scheduler: Scheduler, counters: Counters) -> None:
-        """Creates a prober without results."""
+        """Create a prober without results."""
         self.scheduler = scheduler
         self.counters = counters
         self.outcomes: dict[str, TimedOutcome] = {}
         self.started_at: dict[str, int] = {}
 
     def start(self, member: str, address: str) -> None:
-        """Starts a probe of a member, unless one was started recently or too many are tracked."""
+        """Start a probe of a member, unless one was started recently or too many are tracked."""
         now = self.scheduler.now
         last_started_at = self.started_at.get(member, -PROBE_INTERVAL)
         if now - last_started_at < PROBE_INTERVAL or len(self.started_at) > MAX_TRACKED_PROBES:
@@ -59,7 +59,7 @@
         self.scheduler.spawn(f"probe {member}", partial(self.probe, member, address))
 
     def probe(self, member: str, address: str) -> None:
-        """Task of one probe; a malformed address yields no result."""
+        """Probe a member once and store the outcome; a malformed address yields none. Runs as a task."""
         self.counters.count("fleet.knocks")
         try:
             connection = PeerConnection(self.scheduler, parse_address(address, "door"))
@@ -69,7 +69,7 @@
         self.outcomes[member] = TimedOutcome(self.scheduler.now, outcome)
 
     def ping(self, connection: PeerConnection) -> ProbeOutcome:
-        """Sends a ping, waits for the response and closes the connection."""
+        """Send a ping, wait for the response up to `PROBE_TIMEOUT` and close the connection."""
         deadline = self.scheduler.now + PROBE_TIMEOUT
         try:
             connection.call(PING_METHOD, b"", deadline, params=[{}])
@@ -80,7 +80,7 @@
         return ProbeOutcome.ANSWERED
 
     def results(self) -> list[ProbeResult]:
-        """Returns the recent results for a report."""
+        """Return at most `MAX_RESULTS` recent results for a report."""
         oldest = self.scheduler.now - RESULT_LIFETIME
         self.outcomes = {name: timed for name, timed in self.outcomes.items() if timed.found_at >= oldest}
         results = [
--- a/birchslip/cluster/membership.py
+++ b/birchslip/cluster/membership.py
@@ -108,14 +108,14 @@
     restarts: int = 0
 
     def is_reporting(self, now: int, report_interval: int) -> bool:
-        """Returns whether the member's reports reach this planner or, as reported recently, another one."""
+        """Return whether the member's reports reach this planner or, as reported recently, another one."""
         was_reported = self.last_reported_by_peers >= 0
         if was_reported and now - self.last_reported_by_peers <= PEER_OBSERVATION_INTERVALS * report_interval:
             return True
         return not self.disconnected and self.detector.phi(now) < SUSPICION_THRESHOLD_PHI
 
     def valid_probes(self, now: int) -> dict[str, ProbeEvidence]:
-        """Returns the probes that are recent and newer than the last report, by witness."""
+        """Return the probes that are recent and newer than the last report, by witness."""
         return {
             witness: probe
             for witness, probe in self.probes.items()
@@ -123,11 +123,11 @@
         }
 
     def answered_probe(self, now: int) -> bool:
-        """Returns whether the member has answered a valid probe."""
+        """Return whether the member has answered a valid probe."""
         return any(probe.outcome == ProbeOutcome.ANSWERED for probe in self.valid_probes(now).values())
 
     def liveness(self, now: int, report_interval: int) -> MemberLiveness:
-        """Returns the liveness of this member."""
+        """Return the liveness of this member."""
         if self.report.is_draining:
             return MemberLiveness.LEFT
         if self.is_reporting(now, report_interval):
@@ -139,7 +139,7 @@
         return MemberLiveness.SUSPECTED
 
     def start_incarnation(self, incarnation: Incarnation, now: int, report_interval: int) -> None:
-        """Starts a new incarnation: remembers the previous one, and discards its heartbeats and probes."""
+        """Start a new incarnation: remember the previous one, and discard its heartbeats and probes."""
         latest = self.previous_incarnations[1 - MAX_PREVIOUS_INCARNATIONS :]
         self.previous_incarnations = [*latest, self.incarnation]
         self.incarnation = incarnation
@@ -160,7 +160,7 @@
     """
 
     def __init__(self, sites: Iterable[str], report_interval: int) -> None:
-        """Starts without members; `sites` are the names of the sites in the fleet file."""
+        """Start without members; `sites` are the names of the sites in the fleet file."""
         self.members: dict[str, Member] = {}
         self.departed: dict[str, Member] = {}
         self.sites: dict[str, dict[str, Member]] = {site: {} for site in sites}
@@ -169,7 +169,7 @@
     # ---- events ----------------------------------------------------------------------------------------
 
     def receive_report(self, report: MemberReport, now: int) -> bool:
-        """Processes a report.
+        """Process a report, which is a heartbeat of its member.
 
         Returns:
             False if the report is ignored, as it is a duplicate, late, of an earlier incarnation or from a
@@ -196,7 +196,7 @@
         return True
 
     def remove(self, name: str) -> None:
-        """Removes a member that the fleet file no longer names."""
+        """Remove a member that the fleet file no longer names, and remember it among `departed`."""
         member = self.members.pop(name, None)
         if member is None:
             return
@@ -206,19 +206,19 @@
             del self.departed[oldest]
 
     def mark_disconnected(self, name: str, incarnation: Incarnation) -> None:
-        """Suspects a member whose last connection has ended, if it is still in that incarnation."""
+        """Suspect a member whose last connection has ended, if it is still in that incarnation."""
         member = self.members.get(name)
         if member is not None and member.incarnation == incarnation:
             member.disconnected = True
 
     def mark_reported_by_peers(self, names: Iterable[str], now: int) -> None:
-        """Records that another planner receives reports of these members."""
+        """Record that another planner receives reports of these members."""
         for name in names:
             if name in self.members:
                 self.members[name].last_reported_by_peers = now
 
     def record_probe(self, witness: str, name: str, outcome: str, now: int) -> None:
-        """Records a probe as evidence if the witness is of another site and is reporting itself."""
+        """Record a probe as evidence if the witness is of another site and is reporting itself."""
         member = self.members.get(name)
         prober = self.members.get(witness)
         if member is None or prober is None or prober.site == member.site:
@@ -233,7 +233,7 @@
         self.sites[report.site][report.name] = member
 
     def _restore(self, name: str) -> Member | None:
-        """Restores a departed member, so that late reports of its earlier incarnations are ignored."""
+        """Restore a departed member, so that late reports of its earlier incarnations are ignored."""
         member = self.departed.pop(name, None)
         if member is not None:
             self.members[name] = member
@@ -254,7 +254,7 @@
     # ---- verdicts --------------------------------------------------------------------------------------
 
     def alive_members(self, site: str, now: int) -> list[Member]:
-        """Returns the members of a site that are reporting and not draining."""
+        """Return the members of a site that are reporting and not draining."""
         interval = self.report_interval
         return [
             member
@@ -263,7 +263,7 @@
         ]
 
     def recently_reporting(self, names: Iterable[str], report_interval: int, now: int) -> list[str]:
-        """Returns those of `names` whose reports have reached this planner recently."""
+        """Return those of `names` that are connected and reported within `RECENT_REPORT_INTERVALS`."""
         members = (self.members.get(name) for name in names)
         max_silence = RECENT_REPORT_INTERVALS * report_interval
         return [
@@ -275,17 +275,17 @@
         ]
 
     def suspected_members(self, now: int) -> list[Member]:
-        """Returns the members that should be probed: those of silent sites."""
+        """Return the members that should be probed: those of silent sites."""
         return [member for site in self.sites for member in self.silent_site_members(site, now)]
 
     def silent_site_members(self, site: str, now: int) -> list[Member]:
-        """Returns the non-draining members of a silent site; an empty list if the site is not silent."""
+        """Return the non-draining members of a silent site; an empty list if the site is not silent."""
         expected = [member for member in self.sites[site].values() if not member.report.is_draining]
         silent = [member for member in expected if not member.is_reporting(now, self.report_interval)]
         return silent if len(silent) == len(expected) else []
 
     def verdict(self, site: str, now: int) -> SiteVerdict:
-        """Returns the verdict on a site; see the table in this module's doc comment."""
+        """Return the verdict on a site; see the table in this module's doc comment."""
         silent = self.silent_site_members(site, now)
         if silent:
             return self._verdict_on_silent_site(site, silent, now)
--- a/birchslip/cluster/monotonic_clock.py
+++ b/birchslip/cluster/monotonic_clock.py
@@ -9,5 +9,5 @@
 
 
 def monotonic_now() -> int:
-    """Returns the tenths of a millisecond since an arbitrary time; only differences are meaningful."""
+    """Return the time in tenths of a millisecond since an arbitrary start; only differences have meaning."""
     return time.clock_gettime_ns(CLOCK_ID) // NANOSECONDS_PER_TICK
--- a/birchslip/cluster/phi_accrual.py
+++ b/birchslip/cluster/phi_accrual.py
@@ -26,14 +26,14 @@
     """
 
     def __init__(self, now: int, expected_interval: int) -> None:
-        """Starts as if one heartbeat had arrived at `now`, and one `expected_interval` earlier."""
+        """Start as if one heartbeat had arrived at `now`, and one `expected_interval` earlier."""
         self.last_heartbeat = now
         self._intervals: deque[int] = deque((expected_interval,), maxlen=WINDOW_SIZE)
         self._sum = expected_interval
         self._sum_of_squares = expected_interval * expected_interval
 
     def record_heartbeat(self, now: int) -> None:
-        """Adds the interval since the last heartbeat to the window."""
+        """Add the interval since the last heartbeat to the window."""
         interval = max(0, now - self.last_heartbeat)
         if len(self._intervals) == WINDOW_SIZE:
             oldest = self._intervals[0]
@@ -45,7 +45,7 @@
         self.last_heartbeat = max(now, self.last_heartbeat)
 
     def phi(self, now: int) -> float:
-        """Returns the suspicion level; phi 1 means one false alarm in 10 cases, phi 5 one in 100,000."""
+        """Return the suspicion level; phi 1 means one false alarm in 10 cases, phi 5 one in 100,000."""
         count = len(self._intervals)
         mean = self._sum / count
         deviation = sqrt(max(0.0, self._sum_of_squares / count - mean * mean))
--- a/birchslip/cluster/plan_publisher.py
+++ b/birchslip/cluster/plan_publisher.py
@@ -25,26 +25,26 @@
     """
 
     def __init__(self) -> None:
-        """Creates a publisher with empty plans."""
+        """Create a publisher with empty plans."""
         self.pending = SitePlan()
         self.pending_since = 0
         self.published = SitePlan()
         self.published_serving_fractions: dict[str, float] = {}
 
     def replan(self, fleet: Fleet, capacities: list[SiteCapacity], now: int) -> None:
-        """Makes a new pending plan from the measured capacities and loads."""
+        """Make a new pending plan from the measured capacities and loads, at the time `now`."""
         self.pending_since = now
         self.pending = plan_sites(capacities, fleet.tenant_shares, fleet.link_costs, fleet.shedding_order)
 
     def publish(self, serving_fractions: dict[str, float]) -> None:
-        """Publishes the pending plan with the current serving fraction of each site."""
+        """Publish the pending plan with the current serving fraction of each site."""
         self.published = self.pending
         self.published_serving_fractions = serving_fractions
 
     def assignment(
         self, fleet: Fleet, site_of_member: Mapping[str, str], name: str, term: int, number: int
     ) -> PlanAssignment:
-        """Returns one member's part of the published plan.
+        """Return one member's part of the published plan.
 
         While every site serves, the assignment has no restrictions, so that members drop earlier ones.
 
--- a/birchslip/cluster/plan_subscription.py
+++ b/birchslip/cluster/plan_subscription.py
@@ -15,7 +15,7 @@
 
 
 def plan_override(assignment: PlanAssignment, tenants: Mapping[str, Tenant], expires_at: int) -> PlanOverride:
-    """Converts an assignment for the admission controller, without tenants and tiers unknown here."""
+    """Convert an assignment for the admission controller; leave out tenants and tiers unknown here."""
     known_tiers = {tier.value: tier for tier in SheddingTier}
     return PlanOverride(
         term=assignment.term,
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, unleased_calls: float, listing_delay: int, now: int) -> None:
-        """Creates a subscription without an assignment.
+        """Create a subscription without an assignment.
 
         Args:
             unleased_calls: Downstream calls that may run without a lease.
@@ -73,7 +73,7 @@
         self.rejected_replies = 0
 
     def accept(self, reply: ReportReply, sent: int, now: int) -> bool:
-        """Processes a reply of a planner.
+        """Process a reply of a planner.
 
         Args:
             reply: The reply.
@@ -104,13 +104,13 @@
         return True
 
     def is_outdated(self, reply: ReportReply) -> bool:
-        """Whether a reply is from an earlier leader, or from a second one in the same term."""
+        """Return whether a reply is from an earlier leader, or from a second one in the same term."""
         if reply.term == self.term:
             return reply.planner != self.leader
         return reply.term < self.term
 
     def accept_assignment(self, assignment: PlanAssignment, sent: int, now: int) -> None:
-        """Puts an assignment in force unless it has expired or its plan is older than the one in force."""
+        """Put an assignment in force unless it has expired or its plan is older than the one in force."""
         expires_at = sent + assignment.validity_span
         if assignment.term != self.term or assignment.number < self.plan_number or expires_at <= now:
             return
@@ -121,21 +121,22 @@
         self.assigned_listing = assignment.is_listed
 
     def allowed_calls(self, now: int) -> float:
-        """Returns the number of downstream calls that may run at this moment."""
+        """Return the number of downstream calls that may run at this moment."""
         return self.call_limit if now < self.lease_expires_at else self.unleased_calls
 
     def lease_remaining(self, now: int) -> int:
-        """Returns the time left until the lease ends; 0 after that."""
+        """Return the time left until the lease ends; 0 after that."""
         return max(0, self.lease_expires_at - now)
 
     def assignment_remaining(self, now: int) -> int:
-        """Returns the time left until the assignment's effect begins to fade; 0 after that."""
+        """Return the time left until the assignment's effect begins to fade; 0 after that."""
         return max(0, self.assignment_expires_at - now)
 
     def is_listed(self, now: int) -> bool:
-        """Whether routers may find the member.
+        """Return whether routers may find the member.
 
-        As assigned, but always once the assignment has faded; before the first reply, from `listed_after` on.
+        This is as assigned, but always True once the assignment has faded. Before the first reply, it is True
+        from `listed_after` on.
         """
         if self.assigned_listing is None:
             return now >= self.listed_after
--- a/birchslip/cluster/probe_scheduler.py
+++ b/birchslip/cluster/probe_scheduler.py
@@ -25,18 +25,18 @@
     """
 
     def __init__(self, membership: Membership) -> None:
-        """Creates a scheduler without suspects; `update` finds them in `membership`."""
+        """Create a scheduler without suspects; `update` finds them in `membership`."""
         self.membership = membership
         self.suspected: list[Member] = []
         self.witnesses: list[Member] = []
 
     def update(self, alive: Mapping[str, list[Member]], now: int) -> None:
-        """Recomputes suspects and witnesses; `alive` has the alive members of each site."""
+        """Recompute suspects and witnesses; `alive` has the alive members of each site."""
         self.suspected = self.membership.suspected_members(now)
         self.witnesses = [member for members in alive.values() for member in members if self.suspected]
 
     def targets(self, report: MemberReport, ramps: Mapping[str, RecoveryRamp]) -> dict[str, str]:
-        """Returns the addresses that the sender of a report should probe, by member.
+        """Return the addresses that the sender of a report should probe, by member.
 
         Args:
             report: The report; its sender probes only members of other sites.
--- a/birchslip/cluster/quota_allocator.py
+++ b/birchslip/cluster/quota_allocator.py
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, vault: Vault | None, base_quotas: Mapping[str, float]) -> None:
-        """Starts without leases; without a vault none are ever granted."""
+        """Start without leases; without a vault none are ever granted."""
         self.vault = vault
         self.base_quotas = base_quotas
         self.leases: QuotaLeases | None = None
@@ -48,7 +48,7 @@
         self._remote_load: Mapping[str, float] = {}
 
     def start_term(self, now: int) -> None:
-        """Starts a term, in which leases of a previous leader may still be in use."""
+        """Start a term, in which leases of a previous leader may still be in use."""
         vault = self.vault
         if vault is not None:
             lease_span = span(vault.lease_ms)
@@ -57,7 +57,7 @@
             )
 
     def update_members(self, base_quotas: Mapping[str, float]) -> None:
-        """Applies the base quotas of a later fleet file."""
+        """Apply the base quotas of a later fleet file."""
         self.base_quotas = base_quotas
         if self.leases is not None:
             self.leases.update_members(base_quotas)
@@ -65,7 +65,7 @@
     def follow_plan(
         self, plan: SitePlan, serving_fractions: Mapping[str, float], site_of_member: Mapping[str, str]
     ) -> None:
-        """Allocates by a published plan and the sites' serving fractions at the time of its publication."""
+        """Allocate by a published plan and the sites' serving fractions at the time of its publication."""
         self._serving_fractions = serving_fractions
         self._remote_load = plan.remote_load
         if self.leases is None:
@@ -75,7 +75,7 @@
         self.evacuated_quota = sum(self.leases.leasable_quota(name) for name in evacuated)
 
     def grant(self, report: MemberReport, site: str, now: int) -> QuotaGrant:
-        """Renews the lease of the member that sent a report; `site` is its current site."""
+        """Renew the lease of the member that sent a report; `site` is its current site."""
         if self.leases is None:
             return QuotaGrant()
         reserved = self.leases.reserved_fraction * self.base_quotas[report.name]
@@ -85,7 +85,7 @@
         return QuotaGrant(reserved + leased, self.leases.lease_span)
 
     def _target(self, leases: QuotaLeases, name: str, site: str) -> float:
-        """Returns the leased quota that a member should have: its own and a share of the evacuated quota.
+        """Return the leased quota that a member should have: its own and a share of the evacuated quota.
 
         The evacuated quota is divided among sites in proportion to the remote load that the plan places
         there, and evenly among the alive members of a site. Members of evacuated sites should have none.
--- a/birchslip/cluster/quota_leases.py
+++ b/birchslip/cluster/quota_leases.py
@@ -23,7 +23,7 @@
 
 
 def safe_expiry(lease_span: int) -> int:
-    """Returns the time on this clock after which a lease of that span has expired on its holder's clock."""
+    """Return the span on this clock after which a lease of `lease_span` has expired by its holder's."""
     return int(lease_span * (1 + MAX_CLOCK_DRIFT)) + EXPIRY_MARGIN
 
 
@@ -39,7 +39,7 @@
     """
 
     def __init__(self) -> None:
-        """Starts with nothing leased."""
+        """Start with nothing leased."""
         self.limits: list[tuple[float, int]] = []
 
     @property
@@ -48,7 +48,7 @@
         return self.limits[0][0] if self.limits else 0.0
 
     def add(self, amount: float, until: int) -> None:
-        """Adds a grant; larger amounts that were granted earlier are kept until they expire."""
+        """Add a grant; larger amounts that were granted earlier are kept until they expire."""
         remaining = [
             (earlier_amount, end)
             for earlier_amount, end in self.limits
@@ -58,7 +58,7 @@
         self.limits.sort(key=_descending_amount)
 
     def expire(self, now: int) -> None:
-        """Removes the amounts that have expired."""
+        """Remove the amounts that have expired."""
         self.limits = [(amount, end) for amount, end in self.limits if end > now]
 
 
@@ -82,7 +82,7 @@
         lease_span: int,
         since: int,
     ) -> None:
-        """Starts without leases; `since` is the time at which this leader's term began."""
+        """Start without leases; `since` is the time at which this leader's term began."""
         self.base_quotas = base_quotas
         self.total = total
         self.reserved_fraction = reserved_fraction
@@ -94,7 +94,7 @@
         self._expirations: list[tuple[int, str]] = []
 
     def update_members(self, base_quotas: Mapping[str, float]) -> None:
-        """Applies a later fleet file, in which each member that stays has the same base quota.
+        """Apply a later fleet file, in which each member that stays has the same base quota.
 
         The lease of a departed member is recorded until it expires, and its reserved quota until the end of
         the term.
@@ -106,20 +106,20 @@
             self._records.setdefault(name, LeaseRecord())
 
     def leasable_quota(self, member: str) -> float:
-        """Returns the part of a member's base quota that is not reserved."""
+        """Return the part of a member's base quota that is not reserved."""
         return (1 - self.reserved_fraction) * self.base_quotas[member]
 
     def available(self, now: int) -> float:
-        """Returns the quota that is neither reserved nor possibly in use under a lease."""
+        """Return the quota that is neither reserved nor possibly in use under a lease."""
         self._expire(now)
         return max(0.0, self.total - self.reserved_total - self.leased_total)
 
     def previous_leases_ended(self, now: int) -> bool:
-        """Returns whether all leases that a previous leader may have granted have expired."""
+        """Return whether all leases that a previous leader may have granted have expired."""
         return now >= self._previous_leases_end
 
     def grant(self, member: str, target: float, current: float, now: int) -> float:
-        """Grants a member leased quota for `lease_span` from now on.
+        """Grant a member leased quota for `lease_span` from now on.
 
         Until all leases of the previous leader have expired, only the current lease that the member reports
         is renewed. After that the member gets as much of its target as is available. A larger amount that
--- a/birchslip/cluster/recovery_ramp.py
+++ b/birchslip/cluster/recovery_ramp.py
@@ -1,7 +1,7 @@
 """Recovery ramp: returns load to a lost site in steps.
 
     SERVING -> LOST -> WAITING -> STEP 1 .. STEP n -> SERVING
-                 ^__________________|   if the site is lost again, the next wait is twice as long
+                 ^__________________|   if the site is lost again; each further loss makes the wait longer
 
 A step lasts until several evaluations of the members' reports show that they handle its load: at usual run
 times and with few rejections, and after the last step also warmed up. Time alone never completes a step; it
@@ -22,7 +22,7 @@
 GOOD_EVALUATIONS = 2  # before the next step, without a bad one in between
 BAD_EVALUATIONS = 2  # before the ramp goes back a step, without a good one in between
 MAX_GOOD_SLOWDOWN = 1.6  # run times relative to the usual ones
-MIN_BAD_SLOWDOWN = 2.5
+MIN_BAD_SLOWDOWN = 2.5  # an overload; slowdowns between both bounds are neither good nor bad
 MAX_REJECTED_RATIO = 0.5  # high, because routers offer the full load from the first step on
 MIN_OFFERED_RATIO = 0.4  # of a step's share of the usual load, without which the step proves nothing
 MIN_SERVED_RATIO = 0.5  # of a step's capacity, from which on rejections are put down to the step's limit
@@ -64,7 +64,7 @@
 
 
 def observe_step(reports: list[MemberReport]) -> StepObservation:
-    """Summarizes the newest reports of a site's members."""
+    """Summarize the newest reports of a site's members."""
     offered = sum(report.served + report.rejected for report in reports)
     rejected_ratio = sum(report.rejected for report in reports) / offered if offered else 0.0
     return StepObservation(
@@ -120,7 +120,10 @@
 
     @property
     def wait_duration(self) -> int:
-        """The time between the loss and the first step; it grows while the site is flapping."""
+        """The least time in the stage WAITING: 0 after the first loss, `FIRST_WAIT` after the second.
+
+        Each further loss doubles it, up to `MAX_WAIT`.
+        """
         if self.flap_count <= 1:
             return 0
         doublings = min(MAX_WAIT_DOUBLINGS, self.flap_count - 2)
@@ -129,7 +132,7 @@
     # ---- events ----------------------------------------------------------------------------------------
 
     def mark_lost(self, now: int, reason: str, by_operator: bool = False) -> bool:
-        """Enters the stage LOST.
+        """Enter the stage LOST.
 
         Args:
             now: The current time.
@@ -149,7 +152,7 @@
         return True
 
     def end_evacuation(self, now: int) -> bool:
-        """Starts the recovery of a site that an operator evacuated; returns whether the stage has changed."""
+        """Start the recovery of a site that an operator evacuated; return whether the stage has changed."""
         if self.stage is not RecoveryStage.LOST or not self.evacuated_by_operator:
             return False
         self.evacuated_by_operator = False
@@ -159,7 +162,7 @@
     def evaluate(
         self, reports: list[MemberReport], expected_members: int, usual_load: float, now: int
     ) -> str:
-        """Advances the ramp or goes back a step, depending on the members' reports.
+        """Advance the ramp or go back a step, depending on the members' reports.
 
         Args:
             reports: The newest report of each member that is alive.
@@ -231,7 +234,7 @@
             self.bad_streak = 0
 
     def _is_limited_by_step(self, observation: StepObservation) -> bool:
-        """Whether the members reject requests only because of the step's limit and not for overload."""
+        """Return whether rejections are put down to the step's limit and not to an overload."""
         return observation.served >= MIN_SERVED_RATIO * self.serving_fraction * observation.capacity
 
     def _is_step_passed(self, observation: StepObservation, usual_load: float, now: int) -> bool:
--- a/birchslip/cluster/request_recorder.py
+++ b/birchslip/cluster/request_recorder.py
@@ -32,7 +32,7 @@
         request_classes: Sequence[str],
         local_callers: Collection[int],
     ) -> None:
-        """Creates a recorder without requests.
+        """Create a recorder without requests.
 
         Args:
             scheduler: Provides the time and runs the sampling.
@@ -49,14 +49,14 @@
         self.outcome_counts = OutcomeCounts(request_classes)
 
     def record_arrival(self, context: RequestContext) -> None:
-        """Counts a request that has been read."""
+        """Count a request that has been read, as local or evacuated load or as a retry."""
         request = context.request
         tenant = self.tenant_names.get(id(request.tenant), "") if request.tenant is not None else ""
         is_local = not self.local_callers or request.caller in self.local_callers
         self.rates.record_arrival(self.scheduler.now, tenant, is_local, request.is_retry)
 
     def record_answer(self, context: RequestContext, outcome: str) -> None:
-        """Counts a request that has been answered, with its run time in tenths of a millisecond."""
+        """Count a request that has ended with `outcome`, a name in the counters, and its run time if any."""
         request = context.request
         now = self.scheduler.now
         is_late = now - request.arrived_at > request.request_class.latency_objective
@@ -64,7 +64,7 @@
         self.outcome_counts.record_answer(context.class_name, outcome, run_time, is_late)
 
     def sample(self) -> None:
-        """Updates the rates of answers from the counters, and schedules the next sample."""
+        """Update the rates of answers from the counters, and schedule the next sample."""
         now = self.scheduler.now
         counts = self.counters.counts
         self.rates.record_answers(now, counts["book.honoured"], counts["book.shed"])
--- a/birchslip/cluster/site_plan.py
+++ b/birchslip/cluster/site_plan.py
@@ -57,7 +57,7 @@
     is_short: bool = False
 
     def member_tenant_quotas(self, member: str) -> TenantRates:
-        """Returns a member's part of its site's tenant quotas.
+        """Return a member's part of its site's tenant quotas.
 
         The quotas are computed on demand, because computing them for all members of a plan is slow.
         """
@@ -68,13 +68,13 @@
         return {tenant: rate * fraction for tenant, rate in quotas.items()}
 
     def member_evacuated_quota(self, member: str) -> float:
-        """Returns a member's part of its site's quota for evacuated callers."""
+        """Return a member's part of its site's quota for evacuated callers."""
         if member not in self.member_sites:
             return 0.0
         return self.evacuated_quotas[self.member_sites[member]] * self.member_fractions[member]
 
     def total_rejected(self) -> float:
-        """Returns the rejected load of all tiers."""
+        """Return the rejected load of all tiers."""
         return sum(self.rejected.values())
 
 
@@ -84,7 +84,7 @@
     costs: LinkCosts,
     order: tuple[SheddingTier, ...] = ALL_TIERS,
 ) -> SitePlan:
-    """Returns the plan for the given sites.
+    """Return the plan for the given sites.
 
     Args:
         sites: Sites with their measured capacity and load.
@@ -114,7 +114,7 @@
     costs: LinkCosts,
     order: tuple[SheddingTier, ...] = ALL_TIERS,
 ) -> SitePlan:
-    """Returns the plan that would apply if `lost_site` were lost now; see `plan_sites` for the arguments."""
+    """Return the plan that would apply if `lost_site` were lost now; see `plan_sites` for the arguments."""
     remaining = [
         SiteCapacity(
             site.name,
@@ -132,7 +132,7 @@
 def _set_quotas(
     plan: SitePlan, site: SiteCapacity, admitted: TenantRates, shares: Mapping[str, float]
 ) -> None:
-    """Sets the quotas of a site's tenants and of its evacuated callers, and the fraction of each member."""
+    """Set the quotas of a site's tenants and of its evacuated callers, and the fraction of each member."""
     local = plan.flows.get((site.name, site.name), 0.0)
     placed = sum(rate for (_, target), rate in plan.flows.items() if target == site.name)
     remote = placed - local
--- a/birchslip/cluster/site_supervisor.py
+++ b/birchslip/cluster/site_supervisor.py
@@ -21,7 +21,7 @@
 
 
 def restore_ramps(stored: Mapping[str, SiteState], sites: Iterable[str], now: int) -> dict[str, RecoveryRamp]:
-    """Returns the ramp of each site; stored sites that are not in the fleet file are ignored."""
+    """Return the ramp of each site; stored sites that are not in the fleet file are ignored."""
     return {
         site: stored[site].to_ramp(site, now) if site in stored else RecoveryRamp(site, since=now)
         for site in sites
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, sites: Iterable[str], membership: Membership, events: EventBuffer, now: int) -> None:
-        """Starts with every site serving."""
+        """Start with every site serving."""
         self.membership = membership
         self.events = events
         self.ramps = {site: RecoveryRamp(site, since=now) for site in sites}
@@ -51,17 +51,17 @@
         self._last_capacity: dict[str, float] = {}
 
     def sites_not_serving(self) -> list[str]:
-        """Returns the sites that do not serve their full load."""
+        """Return the sites that do not serve their full load."""
         return [site for site, ramp in self.ramps.items() if not ramp.is_serving]
 
     def serving_fractions(self) -> dict[str, float]:
-        """Returns the fraction of each site's cores that may be used."""
+        """Return the fraction of each site's cores that may be used."""
         return {site: ramp.serving_fraction for site, ramp in self.ramps.items()}
 
     # ---- stored state ----------------------------------------------------------------------------------
 
     def stored_sites(self) -> dict[str, SiteState]:
-        """Returns the states to store: those of sites that are not serving or have flapped."""
+        """Return the states to store: those of sites that are not serving or have flapped."""
         return {
             site: SiteState.from_ramp(ramp, self.usual_load[site])
             for site, ramp in self.ramps.items()
@@ -69,7 +69,7 @@
         }
 
     def restore(self, stored: Mapping[str, SiteState], now: int) -> None:
-        """Restores the states that the previous leader stored."""
+        """Restore the ramps and usual loads that the previous leader stored; their stages begin at `now`."""
         self.ramps = restore_ramps(stored, self.ramps, now)
         for site, state in stored.items():
             if site in self.ramps:
@@ -78,7 +78,7 @@
     # ---- measurements ----------------------------------------------------------------------------------
 
     def measure_load(self, now: int) -> None:
-        """Updates the usual load of each site.
+        """Update the usual load of each site from the newest reports.
 
         Must be called only while all sites are serving and their reports arrive.
         """
@@ -91,13 +91,13 @@
             self.usual_retry_load[site] += (retry_load - self.usual_retry_load[site]) * LOAD_SMOOTHING
 
     def member_capacity(self, member: Member) -> float:
-        """Returns a member's measured capacity, or the last known one while a restarted member has none."""
+        """Return a member's measured capacity, or the last known one while a restarted member has none."""
         if member.report.capacity > 0:
             self._last_capacity[member.name] = member.report.capacity
         return self._last_capacity.get(member.name, 0.0)
 
     def capacities(self) -> list[SiteCapacity]:
-        """Returns the current capacity and usual load of each site, for the site plan."""
+        """Return the current capacity and usual load of each site, for the site plan."""
         return [self._site_capacity(site, ramp) for site, ramp in self.ramps.items()]
 
     def _site_capacity(self, site: str, ramp: RecoveryRamp) -> SiteCapacity:
@@ -118,7 +118,7 @@
     # ---- events ----------------------------------------------------------------------------------------
 
     def evaluate(self, site_sizes: Mapping[str, int], now: int) -> bool:
-        """Evaluates all sites; returns whether any has changed its stage or step.
+        """Evaluate all sites; return whether any has changed its stage or step.
 
         Args:
             site_sizes: Number of members of each site in the fleet file.
@@ -155,7 +155,7 @@
         return verdict
 
     def evacuate(self, site: str, operator: str, reason: str, now: int) -> bool:
-        """Evacuates a site on an operator's command; returns whether its stage has changed."""
+        """Evacuate a site on an operator's command; return whether its stage has changed."""
         stored_reason = f"by hand: {operator}: {reason}"[:MAX_OPERATOR_REASON_LENGTH]
         if not self.ramps[site].mark_lost(now, stored_reason, by_operator=True):
             return False
@@ -163,7 +163,7 @@
         return True
 
     def end_evacuation(self, site: str, operator: str, now: int) -> bool:
-        """Ends an operator's evacuation on command; returns whether the site's stage has changed."""
+        """End an operator's evacuation on command; return whether the site's stage has changed."""
         if not self.ramps[site].end_evacuation(now):
             return False
         self.events.record("site_returned", site=site, who=operator)
