--- a/birchslip/cluster/messages.py
+++ b/birchslip/cluster/messages.py
@@ -191,7 +191,7 @@
         validity_span: How long the assignment is valid, from when the report that it answers was sent.
         fade_span: Over how long the assignment loses its effect after that.
         quotas: Requests per second by tenant.
-        evacuated_callers: Routers whose own site is evacuated.
+        evacuated_callers: Numbers of the routers whose own site is evacuated or still recovering.
         evacuated_quota: Requests per second of all evacuated callers together.
         shedding_order: Shedding tiers in the order in which they are shed.
         serving_fraction: Fraction of the member's cores that may be used.
@@ -279,8 +279,8 @@
 
     Attributes:
         granted: Whether the request was granted.
-        permit_number: Number of the permit, if one was granted.
-        queue_position: Position in the queue of waiting requests, if it was not.
+        permit_number: Number of the permit; 0 if none was granted.
+        queue_position: Position in the queue of waiting requests, from 1; 0 if the request does not wait.
         reason: Why the request was not granted.
     """
 
@@ -307,7 +307,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Encodes a message as JSON."""
+    """Encode a message as JSON."""
     return msgspec.json.encode(message)
 
 
@@ -315,7 +315,7 @@
 
 
 def decode(raw: object, message_type: type[MessageT]) -> MessageT:
-    """Decodes and validates a message.
+    """Decode and validate a message.
 
     Raises:
         InvalidInputError: If `raw` is not bytes, not JSON or not a valid message of that type.
--- a/birchslip/cluster/peer_channel.py
+++ b/birchslip/cluster/peer_channel.py
@@ -42,7 +42,7 @@
         log: Log,
         on_response: ResponseHandler,
     ) -> None:
-        """Creates a channel without connecting yet.
+        """Create a channel without connecting yet.
 
         Args:
             name: The other planner's name.
@@ -60,14 +60,14 @@
         self.is_sending = False
 
     def send(self, method: PlannerMethod, request: Message) -> None:
-        """Queues a request, in place of a pending one of the same method, and starts sending."""
+        """Queue a request, in place of a pending one of the same method, and start sending."""
         self.pending[method] = request
         if not self.is_sending:
             self.is_sending = True
             self.scheduler.spawn(f"to {self.name}", self.send_pending)
 
     def send_pending(self) -> None:
-        """Task that sends requests until none is pending."""
+        """Send requests until none is pending. Runs as a task."""
         try:
             while self.pending:
                 method = next(iter(self.pending))
@@ -76,7 +76,7 @@
             self.is_sending = False
 
     def call(self, method: PlannerMethod, request: Message) -> None:
-        """Sends one request and passes the response to the handler; logs a failure."""
+        """Send one request and pass the response to the handler; log a failure."""
         sent = self.scheduler.update_clock()
         try:
             response = self.connection.call(method.value, encode(request), sent + RESPONSE_TIMEOUT)
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -65,7 +65,7 @@
 
 
 def raise_descriptor_limit() -> int:
-    """Raises the limit of open files up to `MAX_DESCRIPTORS` if allowed; returns the limit in force."""
+    """Raise the limit of open files to `MAX_DESCRIPTORS` as far as allowed; return the limit in force."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     target = MAX_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, MAX_DESCRIPTORS)
     if soft < target:
@@ -75,7 +75,7 @@
 
 
 def find_planner(fleet: Fleet, name: str) -> fleet_file.Planner:
-    """Returns the planner of that name in the fleet file.
+    """Return the planner of that name in the fleet file.
 
     Raises:
         InvalidInputError: If the fleet has none.
@@ -91,7 +91,7 @@
     """One planner process."""
 
     def __init__(self, fleet: Fleet, name: str, folder: Path, listen: str = "", path: str = "") -> None:
-        """Opens the vote file and creates all components, without listening yet.
+        """Open the vote file and create all components, without listening yet.
 
         Args:
             fleet: The fleet file's content.
@@ -128,14 +128,14 @@
         self.was_leading = False
 
     def make_election(self, fleet: Fleet, name: str) -> Election:
-        """Creates the election with the stored vote."""
+        """Create the election with the stored vote."""
         rng = random.Random(int.from_bytes(os.urandom(8)))
         planners = [planner.name for planner in fleet.planners]
         nonce = rng.getrandbits(NONCE_BITS)
         return Election(name, planners, self.store.vote, nonce, self.scheduler.now, rng)
 
     def make_platform_link(self, fleet: Fleet) -> PlatformLink | None:
-        """Creates the link to the platform if the fleet has one."""
+        """Create the link to the platform if the fleet has one."""
         platform = fleet.platform
         if platform is None:
             return None
@@ -145,7 +145,7 @@
         )
 
     def make_replicator(self, fleet: Fleet, name: str) -> StateReplicator:
-        """Creates the replicator with connections to the other planners.
+        """Create the replicator with connections to the other planners.
 
         The replicator wakes the platform link each time a quorum has stored the newest state.
         """
@@ -168,7 +168,7 @@
     # ---- the process -----------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Listens and runs until SIGTERM or SIGINT."""
+        """Listen and run until SIGTERM or SIGINT."""
         self.install_signal_handlers()
         self.listen()
         self.scheduler.spawn("accept", self.endpoint.accept)
@@ -184,7 +184,7 @@
             self.log.writer.flush()
 
     def install_signal_handlers(self) -> None:
-        """Has signals written to a socket, from which `handle_signals` reads them."""
+        """Have signals written to a socket, from which `handle_signals` reads them."""
         self.signals.setblocking(False)
         self.wakeup.setblocking(False)
         signal.set_wakeup_fd(self.wakeup.fileno(), warn_on_full_buffer=False)
@@ -193,7 +193,7 @@
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
     def listen(self) -> None:
-        """Starts to listen and logs the address and the state of the vote file."""
+        """Start to listen and log the address and the state of the vote file."""
         host, port = self.endpoint.listen(self.address)
         damage = {"put_aside": self.store.damage} if self.store.damage else {}
         self.log.info(
@@ -205,7 +205,7 @@
         )
 
     def handle_signals(self) -> None:
-        """Task that handles signals; it never ends."""
+        """Handle signals as they arrive. Runs as a task that never ends."""
         while True:
             self.scheduler.wait(self.signals.fileno(), READ)
             try:
@@ -220,7 +220,7 @@
                 self.scheduler.stop()
 
     def reload_fleet_file(self) -> None:
-        """Reads the fleet file again; if it can't be applied, the previous one stays in force."""
+        """Read the fleet file again; if it can't be applied, the previous one stays in force."""
         try:
             violations = self.state.apply_fleet(read_fleet(self.path), self.scheduler.update_clock())
         except (InvalidInputError, OSError) as error:
@@ -230,20 +230,20 @@
             self.log.info("fleet_file_rejected", why=violation)
 
     def log_counters(self) -> None:
-        """Logs all counters."""
+        """Log all counters."""
         for part, counts in self.counters.report().items():
             self.log.info("counters", part=part, **counts)
         self.log.info("counters", part="process", memory_kb_most=read_memory_kb("VmHWM"))
 
     def log_fault(self, task: str, error: Exception) -> None:
-        """Counts and logs an unhandled exception of a task or timer."""
+        """Count and log an unhandled exception of a task or timer."""
         self.counters.count("planner.faults")
         self.log.trace("unhandled_exception", error, task=task)
 
     # ---- clock ticks -----------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Sends due requests, evaluates the state, logs events and schedules the next tick."""
+        """Send due requests, evaluate the state, log events and schedule the next tick."""
         now = self.scheduler.update_clock()
         self.scheduler.at(now + TICK_INTERVAL, self.tick)
         self.replicator.request_votes(now)
@@ -257,7 +257,7 @@
             self.log.info(event, **fields)
 
     def check_leadership(self, now: int) -> None:
-        """Evaluates the state immediately if the leadership was acquired or lost."""
+        """Evaluate the state immediately if the leadership was acquired or lost."""
         is_leading = self.election.is_leading(now)
         if is_leading == self.was_leading:
             return
@@ -266,11 +266,11 @@
         self.state.tick(now)
 
     def wake_platform_link(self) -> None:
-        """Wakes the platform link immediately if there is an order to send."""
+        """Wake the platform link immediately if there is an order to send."""
         if self.platform is not None and self.state.platform_orders(self.scheduler.now):
             self.platform.wake()
 
 
 def run_planner(fleet: Fleet, name: str, folder: Path, listen: str = "", path: str = "") -> None:
-    """Runs a planner until it is stopped; the arguments are those of `Planner`."""
+    """Run a planner until it is stopped; the arguments are those of `Planner`."""
     Planner(fleet, name, folder, listen, path).run()
--- a/birchslip/cluster/planner_link.py
+++ b/birchslip/cluster/planner_link.py
@@ -57,12 +57,12 @@
     """Reads the process's resident memory at most once per `MEMORY_INTERVAL`."""
 
     def __init__(self) -> None:
-        """Creates a sampler whose first reading is due."""
+        """Create a sampler whose first reading is due."""
         self.last_kb = 0
         self.due_at = 0
 
     def resident_kb(self, now: int) -> int:
-        """Returns the resident memory in KB, read again if a reading is due."""
+        """Return the resident memory in KB, and read it again if that is due."""
         if now >= self.due_at:
             self.last_kb = read_memory_kb()
             self.due_at = now + MEMORY_INTERVAL
@@ -79,14 +79,14 @@
     """
 
     def __init__(self) -> None:
-        """Creates the status of an app server that is not yet serving."""
+        """Create the status of an app server that is not yet serving."""
         self.address = ""
         self.is_serving = False
         self.is_draining = False
 
 
 def site_of_member(fleet: Fleet, name: str) -> Site:
-    """Returns the site of a member.
+    """Return the site of a member.
 
     Raises:
         InvalidInputError: If the fleet has no such member.
@@ -117,7 +117,7 @@
         tenants: list[str],
         request_classes: list[str],
     ) -> None:
-        """Creates the link without connecting.
+        """Create the link without connecting.
 
         `tenants` and `request_classes` are names in the order of `settings`.
 
@@ -149,13 +149,13 @@
         self.is_listed = False
 
     def make_subscription(self) -> PlanSubscription:
-        """Creates the subscription with the number of downstream calls that need no lease."""
+        """Create the subscription with the number of downstream calls that need no lease."""
         vault = self.fleet.vault
         unleased_calls = vault.unleased_fraction * self.fleet.base_calls()[self.name] if vault else 0.0
         return PlanSubscription(unleased_calls, span(self.fleet.patience_ms), monotonic_now())
 
     def start(self) -> None:
-        """Starts a task for each planner, in random order, and the sampling of rates."""
+        """Start a task for each planner, in random order, and the sampling of rates."""
         planners = list(self.fleet.planners)
         self.rng.shuffle(planners)
         for planner in planners:
@@ -168,15 +168,15 @@
     # ---- calls of the app server -----------------------------------------------------------------------
 
     def record_arrival(self, context: RequestContext) -> None:
-        """Counts a request that has been read."""
+        """Count a request that has been read."""
         self.recorder.record_arrival(context)
 
     def record_answer(self, context: RequestContext, outcome: str) -> None:
-        """Counts a request that has been answered."""
+        """Count a request that has been answered."""
         self.recorder.record_answer(context, outcome)
 
     def apply_lease(self) -> None:
-        """Sets the controller's downstream quota to the calls that are allowed at this moment.
+        """Set the controller's downstream quota to the calls that are allowed at this moment.
 
         Called before each batch of decisions, so that a lease that expired during a pause of this process or
         of the machine is not used for any later downstream call.
@@ -193,7 +193,7 @@
         self.driver.set_downstream_quota(allowed_calls)
 
     def update_listing(self) -> bool:
-        """Returns whether routers may find this app server, and logs a change."""
+        """Return whether routers may find this app server, and log it if that has changed."""
         is_listed = self.subscription.is_listed(monotonic_now())
         if is_listed != self.is_listed:
             self.is_listed = is_listed
@@ -204,7 +204,7 @@
     # ---- reports to planners ---------------------------------------------------------------------------
 
     def report_forever(self, planner: str, connection: PeerConnection) -> None:
-        """Task that reports to one planner at intervals and never ends."""
+        """Report to one planner at intervals. Runs as a task that never ends."""
         retry_delay = MIN_RETRY_DELAY
         while True:
             started_at = self.scheduler.update_clock()
@@ -232,7 +232,7 @@
             self.scheduler.sleep(max(started_at + pause, self.scheduler.now + MIN_REPORT_DELAY))
 
     def send_report(self, connection: PeerConnection) -> None:
-        """Sends one report and applies the reply if it is binding.
+        """Send one report and apply the reply if it is binding.
 
         Raises:
             RequestRefusedError: If the planner refuses the report.
@@ -252,7 +252,7 @@
             self.log.fault("outdated_leader", epoch=reply.term, obeyed=self.subscription.term)
 
     def build_report(self, now: int) -> MemberReport:
-        """Builds the next report; `now` is a time of the monotonic clock."""
+        """Build the next report; `now` is a time of the monotonic clock."""
         self.sequence += 1
         scheduler_now = self.scheduler.now
         rates = self.recorder.rates.snapshot(scheduler_now)
@@ -287,7 +287,7 @@
         )
 
     def controller_load(self, served: float) -> ControllerLoad:
-        """Returns the load of the admission controller, given the rate of served requests."""
+        """Return the load of the admission controller, given the served requests per second."""
         if self.driver is None:
             return NO_LOAD
         metrics = self.driver.metrics()
@@ -301,7 +301,7 @@
         )
 
     def apply_reply(self, reply: ReportReply, now: int) -> None:
-        """Applies a binding reply: starts probes and updates the listing and the plan."""
+        """Apply a binding reply: start probes and update the listing and the plan."""
         for member, member_address in list(reply.probe_addresses.items())[:MAX_RESULTS]:
             self.prober.start(member, member_address)
         if self.is_listed != self.subscription.is_listed(now):
--- a/birchslip/cluster/planner_service.py
+++ b/birchslip/cluster/planner_service.py
@@ -46,7 +46,7 @@
     """
 
     def __init__(self, leader: str) -> None:
-        """Initializes the error with the name of the leader, if that is known."""
+        """Initialize the error with the name of the leader, if that is known."""
         super().__init__(f"not the leader: ask {leader or 'again soon'}")
         self.leader = leader
 
@@ -69,7 +69,7 @@
         state: PlannerState,
         replicator: StateReplicator,
     ) -> None:
-        """Creates the service.
+        """Create the service.
 
         Args:
             scheduler: Provides the time.
@@ -95,7 +95,7 @@
         }
 
     def handle(self, connection: IncomingConnection, method: str, value: bytes) -> Reply:
-        """Handles one request.
+        """Handle one request.
 
         Raises:
             InvalidInputError: If the request is malformed or refused; the text is sent to the client.
@@ -109,7 +109,7 @@
     # ---- members ---------------------------------------------------------------------------------------
 
     def handle_report(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Handles a member's report; the reply contains the member's part of the plan."""
+        """Handle a member's report; the reply contains the member's part of the plan."""
         self.counters.count("members.reports")
         try:
             report = decode(value, MemberReport)
@@ -126,11 +126,11 @@
         return encode(reply)
 
     def handle_close(self, connection: IncomingConnection, reason: str) -> None:
-        """Forgets the member of a closed connection."""
+        """Forget the member of a closed connection."""
         self.forget_reporter(connection)
 
     def forget_reporter(self, connection: IncomingConnection) -> None:
-        """Removes a connection's member, and suspects the member if it has no other connection."""
+        """Remove a connection's member, and suspect the member if it has no other connection."""
         run = self.reporters.pop(connection, None)
         if run is None:
             return
@@ -143,7 +143,7 @@
     # ---- other planners --------------------------------------------------------------------------------
 
     def handle_vote_request(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Handles a vote request; the response lists the suspects that report to this planner."""
+        """Handle a vote request; the response lists the suspects that report to this planner."""
         request = decode(value, VoteRequest)
         response = self.replicator.election.handle_vote_request(request, now)
         self.replicator.flush()
@@ -153,7 +153,7 @@
         return encode(response)
 
     def handle_replication_request(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Handles the leader's request to store its state."""
+        """Handle the leader's request to store its state."""
         request = decode(value, ReplicationRequest)
         response = self.replicator.election.handle_replication_request(request, now)
         self.replicator.flush()
@@ -162,7 +162,7 @@
     # ---- operators -------------------------------------------------------------------------------------
 
     def handle_operator_command(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Shows the fleet or changes a site; only the leader changes sites."""
+        """Show the fleet, forecast the loss of a site or change a site; only the leader changes sites."""
         command = decode(value, OperatorCommand)
         if command.operation is OperatorOperation.SHOW:
             return msgspec.json.encode(fleet_status(self.state, now))
@@ -180,7 +180,7 @@
         return msgspec.json.encode({"done": done, "site": command.site, "what": command.operation})
 
     def handle_eviction_request(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Handles a request to the disruption budget.
+        """Handle a request to the disruption budget.
 
         The reply is sent once a quorum has stored the state, so that the next leader knows every permit that
         was confirmed. If this planner loses its leadership before that, the reply is an error.
@@ -192,7 +192,7 @@
         return self.replicator.reply_when_replicated(state_number, encode(response), now)
 
     def handle_rollout_command(self, connection: IncomingConnection, value: bytes, now: int) -> Reply:
-        """Shows rollouts or changes one; only the leader changes rollouts."""
+        """Show rollouts or change one; only the leader changes rollouts."""
         command = decode(value, RolloutCommand)
         if command.action in READ_ACTIONS:
             shown = rollouts_status(self.state, now, command.number, command.action is RolloutAction.HISTORY)
@@ -203,7 +203,7 @@
         return self.replicator.reply_when_replicated(state_number, encode(result), now)
 
     def require_leadership(self, now: int, counter_group: str) -> None:
-        """Checks that this planner leads, as a request that changes the state requires.
+        """Check that this planner leads, as a request that changes the state requires.
 
         Raises:
             NotLeaderError: If this planner does not lead; counted under `counter_group`.
--- a/birchslip/cluster/platform_link.py
+++ b/birchslip/cluster/platform_link.py
@@ -47,7 +47,7 @@
         state: PlannerState,
         interval: int,
     ) -> None:
-        """Link to the platform at `address`; `interval` is in tenths of a millisecond."""
+        """Create a link to the platform at `address`, polled each `interval` tenths of a millisecond."""
         self.scheduler = scheduler
         self.counters = counters
         self.log = log
@@ -59,7 +59,7 @@
         self.poll_wait = InterruptibleSleep(scheduler)
 
     def run(self) -> None:
-        """Run until the planner ends; does nothing while this planner does not lead."""
+        """Exchange inventories and orders while this planner leads. Runs as a task that never ends."""
         while True:
             started_at = self.scheduler.now
             if self.state.is_effective_leader(self.scheduler.update_clock()):
--- a/birchslip/cluster/transport.py
+++ b/birchslip/cluster/transport.py
@@ -43,12 +43,12 @@
 
     @classmethod
     def failure(cls, error: Exception) -> RpcResult:
-        """Returns the result of a request that was refused or has failed."""
+        """Return the result of a request that was refused or has failed."""
         return cls(str(error)[:ERROR_LIMIT], None)
 
     @classmethod
     def success(cls, value: bytes) -> RpcResult:
-        """Returns the result of a request that has succeeded.
+        """Return the result of a request that has succeeded.
 
         Raises:
             MalformedMessageError: If the value is too long for a response.
@@ -57,7 +57,7 @@
 
 
 def split_value(value: bytes) -> list[bytes]:
-    """Splits a value into parts of the maximum length; an empty value yields one empty part.
+    """Split a value into parts of the maximum length; an empty value yields one empty part.
 
     Raises:
         MalformedMessageError: If it has too many parts for one response.
@@ -71,7 +71,7 @@
 
 
 def received_messages(buffer: Buffer) -> Iterator[Any]:
-    """Yields all complete messages in the buffer.
+    """Yield all complete messages in the buffer.
 
     Raises:
         MalformedMessageError: After the last complete message, if the bytes that follow are malformed.
@@ -89,12 +89,12 @@
     """
 
     def __init__(self) -> None:
-        """Creates a reply without a result or recipient."""
+        """Create a reply without a result or recipient."""
         self.send: Callable[[RpcResult], None] | None = None
         self.result: RpcResult | None = None
 
     def complete(self, value: bytes | Exception) -> None:
-        """Sets the value or error to reply with, and sends it if the recipient is set."""
+        """Set the value or error to reply with, and send it if the recipient is set."""
         if isinstance(value, Exception):
             self.result = RpcResult.failure(value)
         else:
@@ -103,7 +103,7 @@
             self.send(self.result)
 
     def deliver_to(self, send: Callable[[RpcResult], None]) -> None:
-        """Sets the function that sends the reply, and calls it if the result is set."""
+        """Set the function that sends the reply, and call it if the result is set."""
         self.send = send
         if self.result is not None:
             send(self.result)
@@ -113,12 +113,12 @@
     """An accepted connection of an endpoint."""
 
     def __init__(self, endpoint: PlannerEndpoint, connection: Connection) -> None:
-        """Wraps an open connection."""
+        """Wrap an open connection."""
         self.endpoint = endpoint
         self.connection = connection
 
     def receive(self, buffer: Buffer) -> None:
-        """Handles all complete requests in the buffer.
+        """Handle all complete requests in the buffer.
 
         Raises:
             MalformedMessageError: If one is malformed; the connection is closed then.
@@ -131,7 +131,7 @@
                     raise MalformedMessageError("a message of no known form")
 
     def reply(self, request_id: int, result: DeferredReply | RpcResult) -> None:
-        """Sends a result, at once or when a deferred reply is complete."""
+        """Send a result, at once or when a deferred reply is complete."""
         send = partial(self.send, request_id)
         if isinstance(result, DeferredReply):
             result.deliver_to(send)
@@ -139,7 +139,7 @@
             send(result)
 
     def send(self, request_id: int, result: RpcResult) -> None:
-        """Writes a response."""
+        """Write a response."""
         self.connection.write(pack([RESPONSE, request_id, *result]))
 
 
@@ -157,7 +157,7 @@
         handler: RequestHandler,
         on_close: CloseHandler,
     ) -> None:
-        """Creates an endpoint that is not listening yet.
+        """Create an endpoint that is not listening yet.
 
         Args:
             scheduler: Runs the tasks.
@@ -174,7 +174,11 @@
         self.listener: socket.socket
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Binds to an address; returns the bound address, as port 0 selects a free port."""
+        """Bind to an address and listen; return the bound address, as port 0 selects a free port.
+
+        Raises:
+            OSError: If the address can't be bound.
+        """
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
@@ -183,13 +187,13 @@
         return host, port
 
     def accept(self) -> None:
-        """Task that accepts connections; it never ends."""
+        """Accept connections as they arrive. Runs as a task that never ends."""
         while True:
             self.scheduler.wait(self.listener.fileno(), READ)
             self.accept_ready()
 
     def accept_ready(self) -> None:
-        """Accepts all pending connections."""
+        """Accept all pending connections; pause if the system has no descriptors or memory left."""
         while True:
             try:
                 accepted, _ = self.listener.accept()
@@ -202,7 +206,7 @@
             self.open_connection(accepted)
 
     def open_connection(self, accepted: socket.socket) -> None:
-        """Starts to serve an accepted connection, or closes it if there are too many connections."""
+        """Start to serve an accepted connection, or close it if there are too many connections."""
         if len(self.connections) >= self.max_connections:
             accepted.close()
             return
@@ -214,7 +218,7 @@
         self.scheduler.spawn("connection", partial(self.serve_connection, incoming))
 
     def serve_connection(self, incoming: IncomingConnection) -> None:
-        """Task that serves one connection until it is closed."""
+        """Serve one connection until it is closed. Runs as a task."""
         reason = "unhandled exception"
         try:
             reason = incoming.connection.serve(incoming.receive)
@@ -224,7 +228,7 @@
             self.on_close(incoming, reason)
 
     def handle(self, incoming: IncomingConnection, method: str, value: bytes) -> DeferredReply | RpcResult:
-        """Passes a request to the handler and converts its errors to results."""
+        """Pass a request to the handler and convert its errors to results."""
         try:
             reply = self.handler(incoming, method, value)
             return reply if isinstance(reply, DeferredReply) else RpcResult.success(reply)
@@ -236,7 +240,7 @@
     """Client of one endpoint for one request at a time; connects on demand and stays connected."""
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int]) -> None:
-        """Creates a connection that is not connected yet."""
+        """Create a connection to `address` that is not connected yet."""
         self.scheduler = scheduler
         self.address = address
         self.connection: Connection | None = None
@@ -244,7 +248,7 @@
         self.responses: dict[int, tuple[Any, Any]] = {}
 
     def call(self, method: str, value: bytes, deadline: int, params: list[Any] | None = None) -> bytes:
-        """Sends a request and waits for its response.
+        """Send a request and wait for its response.
 
         Args:
             method: The method's name.
@@ -281,14 +285,18 @@
         return b"".join(part for part in values if isinstance(part, bytes))
 
     def ensure_connected(self) -> Connection:
-        """Returns the open connection; connects if there is none."""
+        """Return the open connection; connect if there is none.
+
+        Raises:
+            OSError: If connecting fails.
+        """
         if self.connection is None or not self.connection.open:
             opened = connect(self.scheduler, self.address)
             self.connection = Connection(self.scheduler, opened, BUFFER_LIMIT, BUFFER_LIMIT)
         return self.connection
 
     def receive(self, buffer: Buffer) -> None:
-        """Stores all complete responses in the buffer; notifications are ignored.
+        """Store all complete responses in the buffer; notifications are ignored.
 
         Raises:
             MalformedMessageError: If one is malformed; the connection is closed then.
@@ -303,7 +311,7 @@
                     raise MalformedMessageError("an answer of no known form")
 
     def close(self) -> None:
-        """Closes the connection; the next call connects again."""
+        """Close the connection; the next call connects again."""
         if self.connection is not None:
             self.connection.close("dropped")
             self.connection = None
