--- a/birchslip/cluster/rollout.py
+++ b/birchslip/cluster/rollout.py
@@ -198,7 +198,7 @@
             self._steps.cancel_waiting()
 
     def record_event(self, text: str) -> None:
-        """Append a line with the time since the start to the history; keep `MAX_HISTORY_LINES`."""
+        """Append a line with the time since the start to the history; keep the newest `MAX_HISTORY_LINES`."""
         self.record.age += self._unrecorded_time
         self._unrecorded_time = 0
         line = f"{self.record.age / TICKS_PER_SECOND:.1f} s: {text}"
