--- a/birchslip/net/bounds.py
+++ b/birchslip/net/bounds.py
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The bounds; logged at the start.
+    """Limits on what peers can make the process hold; logged at its start under these names.
 
     Attributes:
         connections: Number of connections.
         calls: Number of downstream calls in flight.
-        unread: Bytes unread on each connection.
-        unsent: Bytes unsent on all connections together.
-        orders: Bytes unsent to the agent.
+        unread: Bytes read and not yet consumed, on each connection.
+        unsent: Bytes not yet sent to routers, on all connections together.
+        orders: Bytes not yet sent to the agent.
     """
 
     connections: int
@@ -39,10 +39,11 @@
 
 
 def compute_bounds(memory_limit: int, own_memory: int, descriptors: int) -> Bounds:
-    """Divides the limits of memory and descriptors among connections, calls and unsent bytes.
+    """Divide the limits of memory and descriptors among connections, calls and unsent bytes.
 
     Of the available memory, three eighths are for connections with their unread bytes, at most a quarter is
-    for calls, and an eighth each is for unsent bytes to routers and to the agent.
+    for calls, and an eighth each is for unsent bytes to routers and to the agent. Each bound has a minimum,
+    which applies even if the limits leave less.
 
     Args:
         memory_limit: Limit of the process's memory, in bytes.
--- a/birchslip/net/buffer.py
+++ b/birchslip/net/buffer.py
@@ -20,24 +20,24 @@
     """
 
     def __init__(self, max_bytes: int) -> None:
-        """Creates an empty buffer that grows up to `max_bytes`."""
+        """Create an empty buffer that grows up to `max_bytes`."""
         self.max_bytes = max_bytes
         self.data = bytearray(min(INITIAL_BYTES, max_bytes))
         self.start = self.end = 0
         self.scanned = 0
 
     def __len__(self) -> int:
-        """Returns the number of bytes not yet consumed."""
+        """Return the number of bytes not yet consumed."""
         return self.end - self.start
 
     def fill(self, source: socket.socket) -> int:
-        """Reads once from a socket.
+        """Read once from a socket into the free space.
 
         Returns:
-            The number of bytes; 0 at the end of the stream.
+            The number of bytes read; 0 at the end of the stream.
 
         Raises:
-            MalformedMessageError: If the buffer is full.
+            MalformedMessageError: If the buffer is full: it holds `max_bytes` that were not consumed.
             OSError: If the socket raises it; `BlockingIOError` if there is nothing to read.
         """
         self.make_room()
@@ -47,17 +47,19 @@
         return count
 
     def feed(self, data: bytes) -> None:
-        """Appends data as if it had been read; it must fit within the bound."""
+        """Append data as if it had been read; it must fit within the bound."""
         while self.end + len(data) > len(self.data):
             self.make_room(len(data))
         self.data[self.end : self.end + len(data)] = data
         self.end += len(data)
 
     def make_room(self, min_free: int = MIN_READ_BYTES) -> None:
-        """Makes free space at the end: by compacting, then by growing; an empty large buffer is shrunk.
+        """Make `min_free` bytes of space at the end, or less if the bound allows no more.
+
+        The space is gained by compacting, then by growing; an empty buffer that is large is shrunk.
 
         Raises:
-            MalformedMessageError: If the buffer is full.
+            MalformedMessageError: If the buffer is full, so that there is no space at all.
         """
         unread = self.end - self.start
         if unread == 0:
@@ -75,22 +77,22 @@
             raise MalformedMessageError(f"{unread} bytes without a complete message")
 
     def skip(self, count: int) -> None:
-        """Consumes bytes without copying them."""
+        """Consume `count` bytes without copying them."""
         self.start += count
         self.scanned = 0
 
     def take(self, count: int) -> bytes:
-        """Consumes bytes and returns them as one copy."""
+        """Consume `count` bytes and return a copy of them."""
         with memoryview(self.data) as view:
             data = bytes(view[self.start : self.start + count])
         self.skip(count)
         return data
 
     def read_line(self, max_length: int) -> bytes | None:
-        """Consumes a line and returns it without its end (LF or CR LF); None while it is incomplete.
+        """Consume a line and return it without its end (LF or CR LF); return None while it is incomplete.
 
         Raises:
-            MalformedMessageError: If it is longer than `max_length`.
+            MalformedMessageError: If it is longer than `max_length` bytes.
         """
         newline = self.data.find(b"\n", self.start + self.scanned, self.end)
         if newline < 0:
--- a/birchslip/net/counters.py
+++ b/birchslip/net/counters.py
@@ -29,21 +29,21 @@
     """
 
     def __init__(self, names: list[str] = COUNTER_NAMES) -> None:
-        """Starts all names at 0."""
+        """Start all names at 0, and without peaks."""
         self.counts: Counter[str] = Counter(dict.fromkeys(names, 0))
         self.peaks: dict[str, int] = {}
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Adds to a counter."""
+        """Add `amount` to a counter."""
         self.counts[name] += amount
 
     def peak(self, name: str, value: int) -> None:
-        """Records a value, of which the highest is kept."""
+        """Record a value; only the highest one of each name is kept."""
         if value > self.peaks.get(name, 0):
             self.peaks[name] = value
 
     def report(self) -> dict[str, dict[str, int]]:
-        """Returns all values by part and name; names of peaks end in `_most`."""
+        """Return all values by part and name; names of peaks end in `_most`."""
         report: dict[str, dict[str, int]] = {}
         for name, value in [*self.counts.items(), *((f"{name}_most", n) for name, n in self.peaks.items())]:
             group, _, what = name.partition(".")
--- a/birchslip/net/http.py
+++ b/birchslip/net/http.py
@@ -14,7 +14,7 @@
 
 
 def encode_request(method: str, path: str, host: str, body: bytes) -> bytes:
-    """Encodes a request with a JSON body."""
+    """Encode a request with a JSON body."""
     head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
@@ -33,12 +33,12 @@
     """
 
     def __init__(self, max_body_bytes: int = 0) -> None:
-        """Creates a response whose body is kept up to `max_body_bytes`, or discarded if that is 0."""
+        """Create a response whose body is kept up to `max_body_bytes`, or discarded if that is 0."""
         self.max_body_bytes, self.body = max_body_bytes, b""
         self.reset()
 
     def reset(self) -> None:
-        """Starts again with the status line, as after an informational (1xx) response."""
+        """Start again with the status line, as after an informational (1xx) response."""
         self.status = 0
         self.keeps_alive = True
         self.head_lines = 0
@@ -46,7 +46,7 @@
         self.content_length = 0
 
     def read(self, buffer: Buffer) -> bool:
-        """Takes what has arrived from the buffer; returns whether the response is complete.
+        """Take what has arrived from the buffer and return whether the response is complete.
 
         Raises:
             MalformedMessageError: If the response is malformed, too long or chunked.
@@ -76,7 +76,7 @@
         return self.remaining_bytes == 0
 
     def parse_status_line(self, line: bytes) -> None:
-        """Reads the status code; an HTTP/1.0 connection is not kept alive.
+        """Read the status code; an HTTP/1.0 connection is not kept alive.
 
         Raises:
             MalformedMessageError: If the line or its status code is not valid.
@@ -90,7 +90,7 @@
             raise MalformedMessageError(f"invalid status code: {self.status}")
 
     def parse_header(self, line: bytes) -> None:
-        """Reads a header line; only the length and the connection headers matter.
+        """Read a header line; only `Content-Length`, `Transfer-Encoding` and `Connection` matter.
 
         Raises:
             MalformedMessageError: If the line is invalid, the body too long, or a transfer encoding is used.
@@ -114,7 +114,7 @@
 
 
 def exchange(link: Connection, request: bytes, response: Response, deadline: int) -> None:
-    """Sends a request on an open connection and waits for the response.
+    """Send a request on an open connection and waits for the response.
 
     Args:
         link: Connection without another request on it.
@@ -123,7 +123,8 @@
         deadline: Scheduler time, in tenths of a millisecond, by which the response must be complete.
 
     Raises:
-        OSError: If the connection was closed, or the response was not complete by the deadline.
+        OSError: If the connection was closed, as after a malformed response, or the response was not complete
+            by the deadline.
     """
     link.write(request)
     is_complete = False
--- a/birchslip/net/log.py
+++ b/birchslip/net/log.py
@@ -1,4 +1,7 @@
-"""The log: structlog lines in logfmt, queued up to a bound and written without blocking."""
+"""The log: structlog lines in logfmt, queued up to a bound and written without blocking.
+
+All times are in tenths of a millisecond unless a name says otherwise.
+"""
 
 from __future__ import annotations
 
@@ -36,14 +39,17 @@
     """
 
     def __init__(self, scheduler: Scheduler, descriptor: int = 2) -> None:
-        """Starts with an empty queue; the default descriptor is standard error."""
+        """Start with an empty queue; the default descriptor is standard error."""
         self.scheduler, self.descriptor = scheduler, descriptor
         self.lines: deque[bytes] = deque()
         self.dropped = 0
         self.drain_running = False
 
     def write(self, text: str) -> None:
-        """Queues a line; newlines in it are escaped, and its end is cut off if it is too long."""
+        """Queue a line, with its newlines escaped and its end cut off if it is too long.
+
+        The line is dropped and counted if the queue is full.
+        """
         if len(self.lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
@@ -53,7 +59,7 @@
             self.scheduler.spawn("log", self.drain)
 
     def drain(self) -> None:
-        """Writes the queue; runs as a task. Drops the lines if the descriptor fails."""
+        """Write the queued lines, as a task; drop them if the descriptor fails."""
         # A blocking pipe does not block on a line below PIPE_BUF once poll has reported it writable.
         while self.lines:
             if not self.scheduler.wait(self.descriptor, WRITE) & WRITE:
@@ -64,14 +70,14 @@
         self.drain_running = False
 
     def write_next_line(self) -> None:
-        """Writes one line; drops all if that fails."""
+        """Write the first line of the queue; drop all lines if that fails."""
         try:
             os.write(self.descriptor, self.lines.popleft())
         except OSError:
             self.lines.clear()
 
     def flush(self, milliseconds: int = 100) -> None:
-        """Writes what is queued at exit; stops when the descriptor is not writable for `milliseconds`."""
+        """Write the queued lines at exit; stop when the descriptor is not writable for `milliseconds`."""
         poll = select.poll()
         poll.register(self.descriptor, WRITE)
         while self.lines and any(events & WRITE for _, events in poll.poll(milliseconds)):
@@ -82,7 +88,7 @@
     """The log of a process; warnings are limited in rate, since many of one kind can come at once."""
 
     def __init__(self, scheduler: Scheduler, name: str) -> None:
-        """Configures structlog; each line has the process's name as `server`."""
+        """Configure structlog; each line has the process's name as `server`."""
         self.scheduler = scheduler
         self.writer = LogWriter(scheduler)
         structlog.configure(
@@ -99,11 +105,11 @@
         self.suppressed: dict[str, int] = {}
 
     def info(self, event: str, **fields: object) -> None:
-        """Logs an event."""
+        """Log an event at once, without a limit of rate."""
         self.logger.info(event, **fields)
 
     def fault(self, event: str, **fields: object) -> None:
-        """Logs a warning, at most once a second for each event.
+        """Log a warning, at most once a second for each event.
 
         The next line has the number of those left out as `passed_over`.
         """
@@ -116,7 +122,7 @@
         self.logger.warning(event, **fields, **({"passed_over": suppressed} if suppressed else {}))
 
     def trace(self, event: str, error: Exception, **fields: object) -> None:
-        """Logs a warning with the end of an exception's traceback, which has the error and its place."""
+        """Log a warning, as `fault` does, with the end of a traceback: the error and where it was raised."""
         self.fault(event, **fields, trace="".join(traceback.format_exception(error))[-MAX_TRACE_CHARS:])
 
 
@@ -124,5 +130,5 @@
     """The logger that structlog wraps."""
 
     def __init__(self, writer: LogWriter) -> None:
-        """Passes all lines to a writer."""
+        """Pass all lines to a writer."""
         self.msg = self.info = self.warning = self.error = writer.write
--- a/birchslip/net/messagepack.py
+++ b/birchslip/net/messagepack.py
@@ -51,7 +51,7 @@
 
 
 def unpack(view: memoryview, offset: int, end: int, depth: int = 0) -> tuple[Any, int]:
-    """Decodes the value that begins at `offset`.
+    """Decode the value that begins at `offset`.
 
     Args:
         view: Data received so far.
@@ -107,7 +107,7 @@
 
 
 def check_length(offset: int, end: int, size: int) -> None:
-    """Checks that a string or binary value of `size` bytes is within the limit and was received whole.
+    """Check that a string or binary value of `size` bytes is within the limit and was received whole.
 
     Raises:
         IncompleteMessageError: If the value continues past `end`.
@@ -120,7 +120,7 @@
 
 
 def unpack_string(view: memoryview, offset: int, end: int, size: int) -> tuple[str, int]:
-    """Decodes a UTF-8 string of `size` bytes at `offset`; returns it and the index after it.
+    """Decode a UTF-8 string of `size` bytes at `offset`; return it and the index after it.
 
     Raises:
         IncompleteMessageError: If the string continues past `end`.
@@ -134,7 +134,9 @@
 
 
 def unpack_array(view: memoryview, offset: int, end: int, count: int, depth: int) -> tuple[list[Any], int]:
-    """Decodes an array of `count` items; returns it and the index after it.
+    """Decode an array of `count` items at `offset`; return it and the index after it.
+
+    `depth` is the number of arrays and maps that contain it.
 
     Raises:
         IncompleteMessageError: If an item continues past `end`.
@@ -150,7 +152,9 @@
 
 
 def unpack_map(view: memoryview, offset: int, end: int, count: int, depth: int) -> tuple[dict[Any, Any], int]:
-    """Decodes a map of `count` pairs; returns it and the index after it.
+    """Decode a map of `count` pairs at `offset`; return it and the index after it.
+
+    `depth` is the number of arrays and maps that contain it.
 
     Raises:
         IncompleteMessageError: If a key or value continues past `end`.
@@ -162,13 +166,13 @@
     for _ in range(count):
         key, offset = unpack(view, offset, end, depth + 1)
         if isinstance(key, list | dict):
-            raise MalformedMessageError("a list or a map as the name in a map")
+            raise MalformedMessageError("an array or a map as a key of a map")
         pairs[key], offset = unpack(view, offset, end, depth + 1)
     return pairs, offset
 
 
 def pack(value: object) -> bytes:
-    """Encodes a value.
+    """Return the encoding of a value.
 
     Raises:
         TypeError: If a value has a type that this codec does not support.
@@ -180,7 +184,7 @@
 
 
 def pack_into(pieces: list[bytes], value: object) -> None:
-    """Appends the encoding of a value to `pieces`; raises the same errors as `pack`."""
+    """Append the encoding of a value to `pieces`; raise the same errors as `pack`."""
     if value is None:
         pieces.append(b"\xc0")
     elif isinstance(value, bool):
@@ -208,7 +212,7 @@
 
 
 def pack_integer(value: int) -> bytes:
-    """Encodes an integer in its shortest form.
+    """Encode an integer in its shortest form.
 
     Raises:
         OverflowError: If it does not fit into 64 bits.
@@ -223,7 +227,7 @@
 
 
 def pack_header(size: int, short: tuple[int, int] | None, long: tuple[int | None, int, int]) -> bytes:
-    """Encodes the type byte and length of a string, binary value, array or map in the shortest form.
+    """Encode the type byte and length of a string, binary value, array or map in the shortest form.
 
     Args:
         size: Length in bytes, or number of items or pairs.
--- a/birchslip/net/scheduler.py
+++ b/birchslip/net/scheduler.py
@@ -25,7 +25,7 @@
 
 
 def unix_clock() -> int:
-    """Returns Unix time in tenths of a millisecond."""
+    """Return Unix time in tenths of a millisecond."""
     return time.time_ns() // 100_000
 
 
@@ -35,12 +35,12 @@
     __slots__ = ("action", "scheduler")
 
     def __init__(self, scheduler: Scheduler, action: Callable[[], None]) -> None:
-        """Creates a timer; use `Scheduler.at`."""
+        """Create a timer that is not scheduled; called by `Scheduler.at` only."""
         self.scheduler = scheduler
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
-        """Cancels the action, if it has not run."""
+        """Cancel the action, if it has not run."""
         if self.action is not None:
             self.action = None
             self.scheduler.on_timer_cancelled()
@@ -50,19 +50,19 @@
     """A sleep of one task that others can end early."""
 
     def __init__(self, scheduler: Scheduler) -> None:
-        """Starts awake."""
+        """Start without a sleeping task."""
         self.scheduler = scheduler
         self.task: greenlet | None = None
         self.timer: Timer | None = None
 
     def sleep(self, until: int) -> None:
-        """Suspends the calling task until a time, or until `wake`."""
+        """Suspend the calling task until a time, or until `wake` is called."""
         self.task = getcurrent()
         self.timer = self.scheduler.at(until, self.wake)
         self.scheduler.hub.switch()
 
     def wake(self) -> None:
-        """Wakes the task, if it sleeps."""
+        """Wake the task, if it sleeps."""
         task, self.task = self.task, None
         if task is not None and self.timer is not None:
             self.timer.cancel()
@@ -92,7 +92,7 @@
         on_error: Callable[[str, Exception], None],
         clock: Callable[[], int] = unix_clock,
     ) -> None:
-        """Starts without tasks.
+        """Start without tasks.
 
         Args:
             on_pass_end: Called once at the end of each pass.
@@ -114,13 +114,13 @@
     # ---- called by tasks -----------------------------------------------------------------------------------
 
     def spawn(self, name: str, function: Callable[[], None]) -> greenlet:
-        """Starts a task; an exception ends only the task itself and is passed to `on_error`."""
+        """Start a task and return its greenlet; an exception ends only this task and goes to `on_error`."""
         task = greenlet(lambda _: self.guard(function, name), self.hub)
         self.ready_tasks.append((task, None))
         return task
 
     def wait(self, descriptor: int, mask: int, until: int | None = None) -> int:
-        """Suspends the calling task until a descriptor is ready.
+        """Suspend the calling task until a descriptor is ready for an event of `mask`, or fails.
 
         Returns:
             The events, or 0 at the time `until` or if the task was woken.
@@ -134,24 +134,24 @@
         return events
 
     def update_mask(self, descriptor: int, mask: int) -> None:
-        """Changes the events for which the waiting task is woken; no effect if no task waits."""
+        """Change the events for which the waiting task is woken; do nothing if no task waits."""
         if descriptor in self.waiting_tasks:
             self.register_descriptor(descriptor, mask)
 
     def register_descriptor(self, descriptor: int, mask: int) -> None:
-        """Sets the events that the poller reports for a descriptor."""
+        """Set the events that the poller reports for a descriptor."""
         if self.event_masks.get(descriptor) != mask:
             self.event_masks[descriptor] = mask
             self.poller.register(descriptor, mask)
 
     def wake(self, descriptor: int) -> None:
-        """Resumes the task that waits for a descriptor, if there is one."""
+        """Resume the task that waits for a descriptor, if there is one; its `wait` returns 0."""
         task = self.waiting_tasks.pop(descriptor, None)
         if task is not None:
             self.ready_tasks.append((task, 0))
 
     def unregister(self, descriptor: int) -> None:
-        """Stops polling a descriptor and wakes its task.
+        """Stop polling a descriptor and wake its task.
 
         To be called before the descriptor is closed, since its number can be used again.
         """
@@ -160,40 +160,40 @@
         self.wake(descriptor)
 
     def sleep(self, until: int) -> None:
-        """Suspends the calling task until a time."""
+        """Suspend the calling task until a time."""
         task = getcurrent()
         self.at(until, lambda: self.ready_tasks.append((task, 0)))
         self.hub.switch()
 
     def at(self, due: int, action: Callable[[], None]) -> Timer:
-        """Schedules an action for a time; the returned timer can cancel it."""
+        """Schedule an action for a time; the returned timer can cancel it."""
         timer = Timer(self, action)
         self.last_serial += 1
         heapq.heappush(self.timers, (due, self.last_serial, timer))
         return timer
 
     def at_pass_end(self, action: Callable[[], None]) -> None:
-        """Schedules an action for the end of this pass."""
+        """Schedule an action for the end of this pass."""
         self.pass_end_actions.append(action)
 
     def request_pass(self) -> None:
-        """Makes the next pass start at once, whether a descriptor is ready or not."""
+        """Make the next pass start at once, whether a descriptor is ready or not."""
         self.poll_at_once = True
 
     def stop(self) -> None:
-        """Makes `run` return after this pass."""
+        """Make `run` return after this pass."""
         self.stopped = True
 
     # ---- passes --------------------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Runs passes until `stop` is called."""
+        """Run passes until `stop` is called."""
         self.hub = getcurrent()
         while not self.stopped:
             self.run_pass()
 
     def run_pass(self) -> None:
-        """Runs one pass; waits for an event first if there is nothing to do."""
+        """Run one pass; wait for an event first if there is nothing to do."""
         # Polls also while tasks are ready: a pass has a fixed cost, so it should handle many events.
         for descriptor, events in self.poller.poll(0 if self.ready_tasks else self.poll_timeout_ms()):
             task = self.waiting_tasks.pop(descriptor, None)
@@ -218,7 +218,11 @@
                 self.guard(action)
 
     def poll_timeout_ms(self) -> int | None:
-        """Returns milliseconds until the next timer, rounded up; None waits without limit."""
+        """Return how long the next pass may wait for events, in milliseconds.
+
+        This is 0 if work is left to do at once, else the time until the next timer, rounded up. None sets no
+        limit, as there is no timer.
+        """
         if self.poll_at_once or self.pass_end_actions:
             return 0
         if not self.timers:
@@ -226,12 +230,12 @@
         return max(0, -((self.clock() - self.timers[0][0]) // 10))
 
     def update_clock(self) -> int:
-        """Sets `now` to the time of the clock, unless the clock went back, and returns `now`."""
+        """Set `now` to the time of the clock, unless the clock went back, and return `now`."""
         self.now = max(self.now, self.clock())
         return self.now
 
     def run_due_timers(self) -> None:
-        """Runs the actions of timers whose time has come."""
+        """Run the actions of timers whose time has come."""
         while self.timers and self.timers[0][0] <= self.now:
             timer = heapq.heappop(self.timers)[2]
             action, timer.action = timer.action, None
@@ -241,14 +245,14 @@
                 self.guard(action)
 
     def guard(self, action: Callable[[], None], name: str = "") -> None:
-        """Runs an action; passes an exception to `on_error`, with the action's name if none is given."""
+        """Run an action; pass an exception to `on_error`, under `name` or else the name of the action."""
         try:
             action()
         except Exception as error:
             self.on_error(name or getattr(action, "__qualname__", "action"), error)
 
     def on_timer_cancelled(self) -> None:
-        """Counts a cancelled timer; removes all cancelled timers from the heap if there are too many."""
+        """Count a cancelled timer; remove all cancelled timers from the heap if there are too many."""
         self.cancelled_count += 1
         if self.cancelled_count >= MIN_CANCELLED_TO_SWEEP and self.cancelled_count * 2 > len(self.timers):
             self.timers = [entry for entry in self.timers if entry[2].action is not None]
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -73,7 +73,7 @@
         (b"\xdc" + (MAX_ITEMS + 1).to_bytes(2, "big"), "items in one array"),
         (b"\xdf\x7f\xff\xff\xff", "pairs in one map"),
         (b"\x91" * (MAX_DEPTH + 2), "nested too deeply"),
-        (b"\x81\x90\x01", "as the name in a map"),
+        (b"\x81\x90\x01", "an array or a map as a key of a map"),
         (b"\xa2\xff\xfe", "not UTF-8"),
     ],
 )
