--- a/birchslip/net/catalog.py
+++ b/birchslip/net/catalog.py
@@ -28,7 +28,7 @@
 
 
 def timeout_after(timeouts: tuple[int, ...], missed_reports: int) -> int:
-    """Returns the timeout that applies after a number of reports missed in a row."""
+    """Return the timeout that applies after a number of reports missed in a row."""
     return timeouts[min(missed_reports, len(timeouts) - 1)]
 
 
@@ -42,7 +42,7 @@
         host: The same address as text, for the `Host` header.
         connector: Set while a connection is being opened.
         link: Connection to the catalog, or None.
-        missed_reports: Number of reports missed since the last one that was answered.
+        missed_reports: Number of reports missed since the last one that the catalog accepted.
         report_wait: Sleep until the next report is due.
         is_report_requested: Whether the next report is due without a wait.
     """
@@ -56,7 +56,7 @@
         name: str,
         is_passing: Callable[[], bool],
     ) -> None:
-        """Creates a reporter for the app server `name`; `keep_reporting` sends the reports."""
+        """Create a reporter for the app server `name`; `keep_reporting` sends the reports."""
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.is_passing = is_passing
         self.path = f"/catalog/register/{quote(name, safe='')}"
@@ -68,7 +68,7 @@
         self.change_address(address)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Sends the next report to another address.
+        """Send all further reports to another address.
 
         The connection to the previous address is closed, and an attempt to connect to it is cancelled; a
         report in progress thereby counts as missed.
@@ -79,7 +79,7 @@
             self.connector.cancel()
 
     def keep_reporting(self) -> None:
-        """Sends reports forever; a missed report is logged and repeated after a delay."""
+        """Send reports forever; log a missed report and repeat it after a delay."""
         while True:
             started_at = self.scheduler.now
             try:
@@ -97,7 +97,7 @@
             self.is_report_requested = False
 
     def retry_delay(self) -> int:
-        """Returns the delay after a missed report.
+        """Return the delay from the start of a missed report to the next: below 1.5 times `MAX_RETRY_DELAY`.
 
         It grows and differs between app servers, so that they don't all connect at once to a catalog that
         becomes reachable again.
@@ -106,7 +106,7 @@
         return base_delay + crc32(f"{self.path} {self.missed_reports}".encode()) % (base_delay // 2)
 
     def report_now(self) -> None:
-        """Sends a report without delay after the reported state has changed.
+        """Request a report without delay, since the reported state has changed.
 
         Routers would otherwise learn of the change up to a second later.
         """
@@ -114,10 +114,10 @@
         self.report_wait.wake()
 
     def send_report(self) -> None:
-        """Sends one report and waits for its response.
+        """Send one report and wait for its response.
 
         Raises:
-            OSError: If the report was not accepted.
+            OSError: If the catalog is unreachable, does not respond in time or does not accept the report.
         """
         if self.link is not None and self.is_unusable(self.link):
             self.close_connection()
@@ -134,7 +134,7 @@
             self.close_connection()
 
     def open_connection(self) -> Connection:
-        """Opens a connection to the catalog.
+        """Open a connection to the catalog and return it.
 
         Raises:
             OSError: If the catalog is unreachable, or its address changed meanwhile.
@@ -150,12 +150,12 @@
         return Connection(self.scheduler, sock, 131_072, 16_384)
 
     def is_unusable(self, link: Connection) -> bool:
-        """Returns whether the catalog closed a connection between two reports, or sent unrequested data."""
+        """Return whether the catalog closed a connection between two reports, or sent unrequested data."""
         link.read(lambda _: None)
         return not link.open or len(link.buffer) > 0
 
     def close_connection(self) -> None:
-        """Closes the connection, if there is one; the next report opens another."""
+        """Close the connection, if there is one; the next report opens another."""
         if self.link is not None:
             self.link.close("connection to the catalog closed")
             self.link = None
--- a/birchslip/net/clients.py
+++ b/birchslip/net/clients.py
@@ -3,6 +3,8 @@
 A request is `[0, id, class, [fields, body]]`, its response `[1, id, error, result]`, a notification
 `[2, name, params]`. Each connection has one greenlet; the number of connections, open requests and unread and
 unsent bytes is bounded.
+
+All times are in tenths of a millisecond unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -49,7 +51,7 @@
 ACCEPT_RETRY_DELAY = 200  # 20 ms, when there is no room or the system has no descriptor left
 IDLE_CHECK_INTERVAL = 2_500  # 250 ms between checks, while an idle timeout is set
 MESSAGE_TIMEOUT = 20_000  # 2 s from the connection's start, or from a message's first byte, to its last byte
-MESSAGE_CHECK_INTERVAL = 2_000
+MESSAGE_CHECK_INTERVAL = 2_000  # 200 ms between checks of the message timeout
 SILENT_EVICTION_AGE = 2_000  # a connection without a message is the first to be evicted after 200 ms
 MIN_EVICTION_AGE = 500  # and is never evicted within 50 ms: its first request is on its way
 CLOSING_TIMEOUT = 20_000  # 2 s from the `closing` notification to the close, if no request is open
@@ -58,7 +60,7 @@
 MIN_LINGERING_CONNECTIONS = 4  # allowed beside the open ones, in addition to an eighth of the limit
 MIN_LINGER_TIME = 200  # a lingering connection is not evicted before its peer had 20 ms to read responses
 MIN_LINGER_TIME_UNSENT = 2_000  # or 200 ms, if some are still unsent
-MAX_EVICTION_CANDIDATES = 8
+MAX_EVICTION_CANDIDATES = 8  # connections considered for one eviction
 MAX_FINAL_READS = 16  # before a connection is closed; one read may not take all that was received
 SO_ATTACH_FILTER = 26  # Linux; not in the socket module
 # Classic BPF on a TCP header: loads the flags, drops the packet if SYN is set, else keeps it whole.
@@ -72,7 +74,7 @@
 
 
 def read_messages(buffer: Buffer) -> tuple[list[Any], str]:
-    """Removes all complete messages from a buffer; an incomplete one stays.
+    """Remove all complete messages from a buffer and return them; an incomplete one stays.
 
     Returns:
         The messages, and why the data after them is malformed, or "".
@@ -94,7 +96,7 @@
 
 
 def parse_field(fields: dict[str, str], name: str, pattern: Pattern[str]) -> str:
-    """Returns the field's value.
+    """Return the value of a field that has the form of `pattern`.
 
     Raises:
         InvalidInputError: If it is absent or does not match the pattern.
@@ -106,7 +108,7 @@
 
 
 def parse_number(fields: dict[str, str], name: str, pattern: Pattern[str], low: float, high: float) -> float:
-    """Returns the field's value as a number from `low` (inclusive) to `high` (exclusive).
+    """Return the value of a field as a number from `low` (inclusive) to `high` (exclusive).
 
     Raises:
         InvalidInputError: If it is absent, does not match the pattern or is out of range.
@@ -118,7 +120,7 @@
 
 
 def decode_request(class_name: str, params: list[Any]) -> DecodedRequest:
-    """Decodes the parameters of a request.
+    """Decode and validate the parameters of a request.
 
     Args:
         class_name: The method of the message: the name of a request class.
@@ -172,14 +174,14 @@
     """
 
     def __init__(self, clients: Clients, connection: Connection) -> None:
-        """Wraps a connection that was accepted."""
+        """Wrap a connection that was accepted."""
         self.clients, self.connection = clients, connection
         self.open_requests: dict[int, RequestContext] = {}
         self.highest_message_id = 0
         self.closing_sent = False
 
     def on_data(self, buffer: Buffer) -> None:
-        """Handles all complete messages in the buffer.
+        """Handle all complete messages in the buffer.
 
         Raises:
             MalformedMessageError: If the data is malformed; messages before it are handled.
@@ -192,7 +194,9 @@
         self.clients.on_messages_read(self, has_message=bool(received), has_partial=len(buffer) > 0)
 
     def handle_message(self, message: Any) -> None:
-        """Handles a health check, a request or a notification.
+        """Handle a health check, a request or a notification.
+
+        A request beyond `MAX_OPEN_REQUESTS` gets an error; an unknown notification is only counted.
 
         Raises:
             MalformedMessageError: If it is none of these.
@@ -236,15 +240,15 @@
     # ---- responses -----------------------------------------------------------------------------------------
 
     def send_result(self, message_id: int, body: bytes) -> None:
-        """Sends the result of a request that succeeded."""
+        """Send the result of a request that succeeded."""
         self.send(pack([MessageType.RESPONSE, message_id, None, [body, {}]]))
 
     def send_rejection(self, message_id: int, retry_after: int, stop_retrying: bool) -> None:
-        """Rejects a request.
+        """Send the rejection of a request that never ran.
 
         Args:
             message_id: Id of the request's message.
-            retry_after: Delay before a retry, sent in milliseconds, rounded up; 0 sends none.
+            retry_after: Advised delay before a retry; sent in whole milliseconds, rounded up. 0 sends none.
             stop_retrying: Whether the router shall not retry on another app server either.
         """
         fields = {"holdoff": str(-(-retry_after // MS))} if retry_after else {}
@@ -253,16 +257,16 @@
         self.send(pack([MessageType.RESPONSE, message_id, [OVERLOADED, fields], None]))
 
     def send_error(self, message_id: int, reason: str = FAILED) -> None:
-        """Sends an error without a Retry-After."""
+        """Send that a request failed, with the error text `reason` and no advised delay before a retry."""
         self.send(pack([MessageType.RESPONSE, message_id, [reason, {}], None]))
 
     def send(self, message: bytes) -> None:
-        """Sends an encoded message at the end of the pass."""
+        """Send an encoded message at the end of the pass; this counts as a use of the connection."""
         self.connection.write(message)
         self.clients.update_idle(self)
 
     def send_closing(self, timeout: int = CLOSING_TIMEOUT) -> None:
-        """Notifies the router that the connection closes, once.
+        """Notify the router that the connection closes; do nothing if it was notified before.
 
         The router sends no new requests on it, and closes it after the last response. After `timeout` this
         side closes it.
@@ -274,7 +278,10 @@
             self.schedule_close(timeout)
 
     def schedule_close(self, timeout: int) -> None:
-        """Closes the connection after `timeout` if no request is open, else checks again as often."""
+        """Close the connection after `timeout` unless it is in use then; if it is, check again as often.
+
+        It is in use while a request is open or a message incomplete.
+        """
 
         def close_or_reschedule() -> None:
             if self in self.clients.active and not self.clients.close_if_idle(self, "closing"):
@@ -283,7 +290,7 @@
         self.clients.scheduler.at(self.clients.scheduler.now + timeout, close_or_reschedule)
 
     def on_malformed(self, reason: str) -> None:
-        """Closes the connection; requests read before the malformed data get their responses."""
+        """Close the connection gracefully; requests read before the malformed data get their responses."""
         self.clients.counters.count("clients.malformed")
         self.clients.log.fault("malformed_router_message", why=reason)
         self.clients.close_client(self, reason)
@@ -314,7 +321,7 @@
     """
 
     def __init__(self, scheduler: Scheduler, counters: Counters, log: Log, bounds: Bounds) -> None:
-        """Starts without a listener; `bounds` limits connections and bytes."""
+        """Start without a listener; `bounds` limits connections and bytes."""
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.max_lingering = bounds.connections // 8 + MIN_LINGERING_CONNECTIONS
         self.max_connections, self.max_unread_bytes = (
@@ -340,7 +347,11 @@
         self.on_abandoned: Callable[[RequestContext], None]
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Opens the listener; returns its address, with the port that was chosen if 0 was given."""
+        """Open the listener and return its address, with the port that was chosen if 0 was given.
+
+        Raises:
+            OSError: If the address cannot be used.
+        """
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
@@ -349,7 +360,7 @@
         return host, port
 
     def accept(self) -> None:
-        """Accepts connections until the listener closes; runs as a task.
+        """Accept connections until the listener closes, as a task.
 
         Without room for a connection, without a descriptor, and while draining, it retries every 20 ms.
         """
@@ -370,7 +381,7 @@
                 self.scheduler.sleep(self.scheduler.now + ACCEPT_RETRY_DELAY)
 
     def accept_ready(self, listener: socket.socket) -> bool:
-        """Accepts what waits in the system's queue while there is room.
+        """Accept the connections that wait in the system's queue, while there is room.
 
         While draining, closes the listener if the queue is empty and the time for that has come.
 
@@ -396,14 +407,14 @@
         return True
 
     def close_listener(self) -> None:
-        """Closes the listener, if it is open, which ends the `accept` task."""
+        """Close the listener, if it is open, which ends the `accept` task."""
         if self.listener is not None:
             self.scheduler.unregister(self.listener.fileno())
             self.listener.close()
             self.listener = None
 
     def add_connection(self, sock: socket.socket) -> None:
-        """Adds an accepted connection and starts its task; at a limit, another is evicted."""
+        """Add an accepted connection and start its task; at a limit, evict another one first."""
         if len(self.active) >= self.max_connections:
             self.evict_one()
         if (
@@ -424,7 +435,7 @@
             client.send_closing(DRAIN_CLOSING_TIMEOUT)
 
     def serve(self, client: Client) -> None:
-        """Reads a connection until it ends; its open requests are reported as disconnected."""
+        """Read a connection until it ends, as a task, then report its open requests as disconnected."""
         reason = "unhandled exception"
         try:
             reason = client.connection.serve(client.on_data)
@@ -439,13 +450,13 @@
     # ---- timeouts and eviction -----------------------------------------------------------------------------
 
     def remove(self, client: Client) -> None:
-        """Removes a connection from all groups but `lingering`."""
+        """Remove a connection from all groups but `lingering`."""
         self.active.pop(client, None)
         for group in (self.idle, self.awaiting_message, self.awaiting_first_message):
             group.pop(client, None)
 
     def on_messages_read(self, client: Client, has_message: bool, has_partial: bool) -> None:
-        """Updates the groups after a read.
+        """Update the groups of a connection after a read.
 
         Args:
             client: The connection that was read.
@@ -460,20 +471,20 @@
             self.await_message(client)
 
     def update_idle(self, client: Client) -> None:
-        """Makes the connection the most recently used idle one, or removes it from them if it is not idle."""
+        """Move a connection to the end of the idle ones, or remove it from them if it is not idle."""
         self.idle.pop(client, None)
         if not client.open_requests and client in self.active:
             self.idle[client] = None
 
     def await_message(self, client: Client) -> None:
-        """Starts the message timeout of a connection."""
+        """Start the message timeout of a connection."""
         self.awaiting_message[client] = self.scheduler.now
         if not self.message_check_scheduled:
             self.message_check_scheduled = True
             self.scheduler.at(self.scheduler.now + MESSAGE_CHECK_INTERVAL, self.close_overdue)
 
     def close_overdue(self) -> None:
-        """Closes connections whose message timeout has passed.
+        """Close connections whose message timeout has passed.
 
         Data that has arrived is read first, since this process may have been paused. A connection with open
         requests gets their responses before it is closed: a slow writer must not lose them with its
@@ -496,7 +507,7 @@
             self.scheduler.at(self.scheduler.now + MESSAGE_CHECK_INTERVAL, self.close_overdue)
 
     def has_room(self) -> bool:
-        """Whether another connection can be accepted, possibly by evicting one."""
+        """Return whether another connection can be accepted, possibly by evicting one."""
         now = self.scheduler.now
         if len(self.active) + len(self.lingering) >= self.max_connections + self.max_lingering:
             # A lingering connection keeps its place for a minimum time, or its responses would be cut off in
@@ -512,7 +523,7 @@
         )
 
     def evict_one(self) -> None:
-        """Closes one connection to make room for another.
+        """Close one connection to make room for another.
 
         Silent connections must not keep routers out, and no request that has arrived unread may be lost.
         Candidates are connections without a message that are older than `SILENT_EVICTION_AGE`, then idle
@@ -545,7 +556,7 @@
     # ---- closing one connection ----------------------------------------------------------------------------
 
     def close_if_idle(self, client: Client, reason: str, only_if_silent: bool = False) -> bool:
-        """Closes a connection if it has no open request and no incomplete message.
+        """Close a connection if it has no open request and no incomplete message.
 
         Data that has arrived is read first: a request that arrives at the moment of the close would be lost.
 
@@ -568,14 +579,14 @@
 
     @staticmethod
     def read_pending(client: Client) -> bool:
-        """Reads data that has arrived, within a bound; returns whether there was any."""
+        """Read data that has arrived, at most `MAX_FINAL_READS` times; return whether there was any."""
         reads = 0
         while reads < MAX_FINAL_READS and client.connection.read(client.on_data):
             reads += 1
         return reads > 0
 
     def close_client(self, client: Client, reason: str) -> None:
-        """Closes a connection gracefully in any state.
+        """Close a connection gracefully in any state.
 
         Its open requests are abandoned, which sends their responses; data received from now on is discarded.
         """
@@ -589,14 +600,14 @@
     # ---- closing many --------------------------------------------------------------------------------------
 
     def set_idle_timeout(self, span: int) -> None:
-        """Sets after how long idle connections are notified that they close; 0 leaves that to the routers."""
+        """Set after how long idle connections are notified that they close; 0 leaves that to the routers."""
         self.idle_timeout = span
         if span and not self.idle_check_scheduled:
             self.idle_check_scheduled = True
             self.close_idle()
 
     def close_idle(self) -> None:
-        """Notifies connections whose idle timeout has passed, the least recently used first; repeats."""
+        """Notify connections whose idle timeout has passed, least recently used first; schedule a repeat."""
         if not self.idle_timeout:
             self.idle_check_scheduled = False
             return
@@ -607,7 +618,11 @@
             client.send_closing()
 
     def start_draining(self) -> None:
-        """Stops accepting and notifies all routers; connections in the system's queue are still accepted."""
+        """Block new handshakes and notify all routers that their connections close.
+
+        Connections in the system's queue are still accepted. The listener closes once the queue is empty, but
+        not before `FINAL_ACCEPT_DELAY`.
+        """
         if self.listener is not None and not self.draining:
             self.draining, self.listener_closes_at = True, self.scheduler.now + FINAL_ACCEPT_DELAY
             block_new_handshakes(self.listener)
@@ -617,12 +632,12 @@
             client.send_closing(DRAIN_CLOSING_TIMEOUT)
 
     def final_accept(self) -> None:
-        """Accepts what reached the system's queue before new handshakes were blocked."""
+        """Accept what reached the system's queue before handshakes were blocked, then close the listener."""
         if self.listener is not None:
             self.accept_ready(self.listener)
 
     def close_all_gracefully(self, reason: str) -> None:
-        """Closes all connections gracefully.
+        """Close all connections gracefully.
 
         Data that has arrived is read first, so that each request read gets a response from `on_abandoned`.
         """
@@ -632,18 +647,18 @@
             self.close_client(client, reason)
 
     def has_open_sockets(self) -> bool:
-        """Whether a connection or the listener is still open."""
+        """Return whether a connection or the listener is still open."""
         return bool(self.active or self.lingering or self.listener)
 
     def close_all(self) -> None:
-        """Closes the listener and all connections at once."""
+        """Close the listener and all connections at once; drop what is unsent."""
         self.close_listener()
         for client in [*self.active, *self.lingering]:
             client.connection.close("process exits")
 
 
 def block_new_handshakes(listener: socket.socket) -> None:
-    """Drops new SYN packets on a listener.
+    """Make the system drop new SYN packets to a listener.
 
     Peers retransmit them, and are refused once the listener is closed. Otherwise the system could
     complete a handshake between the last `accept` and the close of the listener: the close would reset that
--- a/birchslip/net/connection.py
+++ b/birchslip/net/connection.py
@@ -25,7 +25,7 @@
     """The bytes unsent on several connections together, and their limit."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Starts empty."""
+        """Start empty, with a limit of `max_bytes`."""
         self.max_bytes = max_bytes
         self.unsent_bytes = 0
 
@@ -59,7 +59,7 @@
         max_unsent_bytes: int,
         pool: SendBufferPool | None = None,
     ) -> None:
-        """Wraps a non-blocking socket; without a pool, it has one of its own."""
+        """Wrap a non-blocking socket; without a pool, it gets its own, limited to `max_unsent_bytes`."""
         self.scheduler, self.sock, self.max_unsent_bytes = scheduler, sock, max_unsent_bytes
         self.pool = pool or SendBufferPool(max_unsent_bytes)
         self.descriptor = sock.fileno()
@@ -77,13 +77,13 @@
         self.last_activity_at = scheduler.now
 
     def serve(self, on_data: Callable[[Buffer], None]) -> str:
-        """Reads until the connection closes, with `on_data` after each read; returns the close reason."""
+        """Read until the connection closes, call `on_data` after each read, and return the close reason."""
         while self.open:
             self.step(on_data)
         return self.close_reason
 
     def step(self, on_data: Callable[[Buffer], None], until: int | None = None) -> int:
-        """Waits once, then sends and reads as the socket is ready.
+        """Wait once, then send and read as the socket is ready.
 
         Returns:
             The events, or 0 at the time `until` or if the connection was closed meanwhile.
@@ -96,7 +96,7 @@
         return events
 
     def read(self, on_data: Callable[[Buffer], None]) -> bool:
-        """Reads once without waiting; malformed data closes the connection.
+        """Read once without waiting; close the connection if the data is malformed.
 
         Returns:
             Whether data was received and passed to `on_data`.
@@ -109,7 +109,10 @@
             return False
 
     def read_once(self, on_data: Callable[[Buffer], None]) -> bool:
-        """Reads once without waiting.
+        """Read once without waiting; an error of the socket closes the connection.
+
+        Returns:
+            Whether data was received and passed to `on_data`.
 
         Raises:
             MalformedMessageError: If `on_data` finds the data malformed or the buffer is full.
@@ -135,7 +138,7 @@
         return count > 0 and self.linger_timer is None
 
     def discard(self, count: int) -> None:
-        """Counts bytes that were received and dropped during a graceful close, and completes it when due.
+        """Count bytes that were received and dropped during a graceful close, and complete it when due.
 
         The bytes are not processed, since no response to them could be sent any more. The connection is
         closed once the peer has closed its side and nothing is unsent, or after `MAX_DISCARDED_BYTES`.
@@ -149,7 +152,7 @@
             self.close(self.close_reason)
 
     def write(self, piece: bytes) -> None:
-        """Queues bytes to be sent at the end of this pass; ignored once the connection is being closed."""
+        """Queue bytes to be sent at the end of this pass; drop them once the connection is being closed."""
         if not self.open or self.linger_timer:
             return
         self.unsent.append(piece)
@@ -157,13 +160,13 @@
         self.schedule_flush()
 
     def schedule_flush(self) -> None:
-        """Schedules one `flush` for the end of this pass."""
+        """Schedule one `flush` for the end of this pass."""
         if not self.flush_scheduled:
             self.flush_scheduled = True
             self.scheduler.at_pass_end(self.flush)
 
     def flush(self) -> None:
-        """Sends as much as the socket takes; too much left unsent closes the connection."""
+        """Send as much as the socket takes; close the connection if too much is left unsent."""
         self.flush_scheduled = False
         while self.open and self.unsent:
             try:
@@ -194,17 +197,17 @@
             self.scheduler.update_mask(self.descriptor, self.event_mask())
 
     def adjust_unsent_bytes(self, count: int) -> None:
-        """Adds `count`, which may be negative, to the number of unsent bytes here and in the pool."""
+        """Add `count`, which may be negative, to the number of unsent bytes here and in the pool."""
         self.unsent_bytes += count
         self.pool.unsent_bytes += count
 
     def event_mask(self) -> int:
-        """Returns the events to wait for."""
+        """Return the events to wait for, as a mask for `poll`."""
         # A socket at the end of its stream stays readable: polled for reads, it would wake every pass.
         return (0 if self.peer_closed else READ) | (WRITE if self.unsent else 0)
 
     def close_gracefully(self, reason: str) -> None:
-        """Begins to close the connection, so that the peer receives all that was written; returns at once.
+        """Begin to close the connection, so that the peer receives all that was written; return at once.
 
         What is unsent is sent, then the end of the stream. Received data is discarded until the peer closes
         its side, for at most `LINGER_TIMEOUT` and `MAX_DISCARDED_BYTES`. An immediate close would drop what
@@ -219,9 +222,9 @@
             self.schedule_flush()
 
     def shut_down_writing(self) -> None:
-        """Sends the end of the stream, which the peer receives after all data.
+        """Send the end of the stream, which the peer receives after all data.
 
-        Closes the connection if the peer has closed its side already.
+        The connection is closed if the peer has closed its side already.
         """
         if self.peer_closed:
             self.close(self.close_reason)
@@ -232,7 +235,7 @@
             self.close(error.strerror or "broken")
 
     def close(self, reason: str) -> None:
-        """Closes the socket at once and drops what is unsent.
+        """Close the socket at once and drop what is unsent.
 
         Use `close_gracefully` for a peer that may still send or has not read everything.
         """
@@ -258,13 +261,13 @@
     """
 
     def __init__(self, scheduler: Scheduler, address: tuple[str, int]) -> None:
-        """Prepares an attempt."""
+        """Prepare an attempt to connect to `address`; `open` makes it."""
         self.scheduler, self.address = scheduler, address
         self.descriptor: int | None = None
         self.cancelled = False
 
     def open(self, timeout: int = CONNECT_TIMEOUT) -> socket.socket:
-        """Connects; only the calling task waits.
+        """Connect and return the non-blocking socket; only the calling task waits.
 
         Raises:
             OSError: If it fails, is cancelled or takes longer than `timeout`.
@@ -284,7 +287,7 @@
         return sock
 
     def wait_connected(self, sock: socket.socket, until: int) -> None:
-        """Waits until the socket is connected.
+        """Wait until the socket is connected.
 
         Raises:
             OSError: If it fails, is cancelled or is not connected at `until`.
@@ -301,14 +304,14 @@
             raise OSError(error_code, os.strerror(error_code) if error_code else "connect timeout")
 
     def cancel(self) -> None:
-        """Makes `open` raise at once."""
+        """Make an `open` that is waiting raise at once."""
         self.cancelled = True
         if self.descriptor is not None:
             self.scheduler.wake(self.descriptor)
 
 
 def connect(scheduler: Scheduler, address: tuple[str, int]) -> socket.socket:
-    """Opens a connection; only the calling task waits.
+    """Open a connection and return its non-blocking socket; only the calling task waits.
 
     Raises:
         OSError: If it fails or takes longer than `CONNECT_TIMEOUT`.
