--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -1,4 +1,7 @@
-"""The app server process: connects peers and pipeline stages, and runs its phases from start to exit."""
+"""The app server process: connects peers and pipeline stages, and runs its phases from start to exit.
+
+All times are in tenths of a millisecond unless a name says otherwise.
+"""
 
 from __future__ import annotations
 
@@ -85,23 +88,23 @@
     on_listing_changed: Callable[[], None]
 
     def start(self) -> None:
-        """Starts its tasks."""
+        """Start the tasks that link this app server to its planners."""
         ...
 
     def record_arrival(self, context: RequestContext) -> None:
-        """Counts a request that was decoded and passed to admission control."""
+        """Count a request that was decoded and passed to admission control."""
         ...
 
     def record_answer(self, context: RequestContext, outcome: str) -> None:
-        """Counts a request that got its response or lost its caller."""
+        """Count a request that got its response or lost its caller."""
         ...
 
     def apply_lease(self) -> None:
-        """Applies the downstream quota of this moment; called before each batch of decisions."""
+        """Apply the downstream quota of this moment; called before each batch of decisions."""
         ...
 
     def update_listing(self) -> bool:
-        """Whether the catalog may list this app server."""
+        """Return whether the catalog may list this app server, and log a change."""
         ...
 
 
@@ -109,36 +112,36 @@
     """The store of results of keyed requests that outlives the process; only used if a file configures it."""
 
     def set_resolution_listener(self, listener: Callable[[IdempotencyEntry, RunResult], None]) -> None:
-        """Sets the function called when the result of an earlier incarnation's run is known."""
+        """Set the function called when the result of an earlier incarnation's run is known."""
         ...
 
     def start(self) -> None:
-        """Starts writing."""
+        """Start writing records; called once, before any request arrives."""
         ...
 
     def close(self) -> None:
-        """Closes the store at exit."""
+        """Finish the pending writes and close the store, at exit."""
         ...
 
     def capacity(self) -> tuple[int, int, int]:
-        """Returns the arguments of `AdmissionDriver.limit_new_keys`."""
+        """Return the arguments of `AdmissionDriver.limit_new_keys`."""
         ...
 
     def health(self) -> dict[str, str]:
-        """Why keyed requests are rejected at the moment; empty if they are not."""
+        """Return why keyed requests are rejected now, as details for health checks; empty if they are not."""
         ...
 
     def find_earlier_result(self, context: RequestContext) -> IdempotencyEntry | None:
-        """Returns the entry of a key that an earlier incarnation started."""
+        """Return the entry of a request's key if an earlier incarnation started it, or None."""
         ...
 
     def complete_earlier_run(self, run_id: str, outcome: Outcome, result: bytes) -> None:
-        """Completes a run of an earlier incarnation that the agent still reports."""
+        """Complete a run of an earlier incarnation whose end the agent reports late; ignore other runs."""
         ...
 
 
 def read_memory_kb(field: str = "VmRSS") -> int:
-    """Returns the process's resident memory in KB, or its peak with `VmHWM`.
+    """Return the process's resident memory in KB, or its peak with `VmHWM`; 0 if it is not known.
 
     `getrusage` is not used: its peak includes the parent's memory before `exec`.
     """
@@ -158,7 +161,7 @@
     """
 
     def __init__(self, config: ServerConfig) -> None:
-        """Creates all parts; opens no connection."""
+        """Create all parts and connect their callbacks; open no connection."""
         self.config = config
         self.phase = Phase.STARTING
         self.stop_deadline = self.exit_deadline = 0
@@ -235,7 +238,7 @@
         self.result_store: DurableResultStore | None = None
 
     def attach_fleet_member(self, fleet_member: FleetMember) -> None:
-        """Connects the membership in a fleet; to be called before `run`."""
+        """Connect the membership in a fleet; to be called before `run`."""
         self.fleet_member = fleet_member
         fleet_member.on_listing_changed = self.catalog.report_now
         submit = self.request_decoder.submit
@@ -250,7 +253,7 @@
         self.request_decoder.submit, self.response_recorder.on_answered = submit_and_record, record_answer
 
     def attach_result_store(self, result_store: DurableResultStore) -> None:
-        """Connects the store of results of keyed requests; to be called before `run`."""
+        """Connect the store of results of keyed requests; to be called before `run`."""
         self.result_store = self.run_dispatcher.result_keeper = result_store
         result_store.set_resolution_listener(self.response_recorder.resolve_entry)
         self.idempotency_table.find_earlier = result_store.find_earlier_result
@@ -260,7 +263,7 @@
     # ---- phases --------------------------------------------------------------------------------------------
 
     def enter_phase(self, phase: Phase) -> None:
-        """Changes the phase.
+        """Change the phase, log this and report it to the fleet.
 
         Raises:
             RuntimeError: If that is no allowed transition.
@@ -274,7 +277,7 @@
             self.fleet_member.status.is_draining = phase not in (Phase.STARTING, Phase.SERVING)
 
     def run(self) -> None:
-        """Serves until the process is to exit."""
+        """Serve until the process is to exit."""
         self.install_signal_handlers()
         host, port = self.clients.listen(self.config.listen)
         self.log.info("listening", address=f"{host}:{port}")
@@ -300,7 +303,7 @@
             self.log.writer.flush()
 
     def spawn_supervised(self, name: str, function: Callable[[], None]) -> None:
-        """Runs a task that the process needs: when it raises, it is restarted after a delay."""
+        """Start a task that the process needs; when it raises, log the error and restart it after 100 ms."""
 
         def run_supervised() -> None:
             while True:
@@ -314,7 +317,7 @@
         self.scheduler.spawn(name, run_supervised)
 
     def on_agent_greeting(self, is_cold: bool, started_at: int) -> None:
-        """Starts admission control, with empty state, on the agent's first greeting.
+        """Start admission control, with empty state, on the agent's first greeting.
 
         Args:
             is_cold: Whether the agent was cold when it started.
@@ -331,7 +334,7 @@
                 self.fleet_member.driver = self.admission_stage.driver
 
     def begin_drain(self) -> None:
-        """Handles a stop request.
+        """Handle a stop request.
 
         The first one starts the drain; a second one ends it: open requests get a response, and the process
         exits.
@@ -354,14 +357,14 @@
         self.scheduler.at(deadline - CLOSE_LEAD, self.begin_close)
 
     def stop_accepting(self) -> None:
-        """Ends the drain grace: rejects new requests and notifies routers."""
+        """End the drain grace: reject new requests and notify routers that their connections close."""
         if self.phase is Phase.DRAINING:
             self.enter_phase(Phase.SHUT)
             self.admission_stage.rejects_new_requests = True
             self.clients.start_draining()
 
     def begin_close(self) -> None:
-        """Sends a response to each open request and closes the connections gracefully.
+        """Send a response to each open request and close the connections gracefully.
 
         No request runs afterwards. Called once a drain has no connection left, at the latest `CLOSE_LEAD`
         before the deadline, and at once on a second stop request or if the agent has not greeted yet.
@@ -378,7 +381,7 @@
             self.scheduler.at(now, self.finish_close)
 
     def finish_close(self) -> None:
-        """Stops the scheduler once all connections are closed or at `exit_deadline`; else retries in 1 ms."""
+        """Stop the scheduler once all connections are closed or at `exit_deadline`; else retry in 1 ms."""
         for client in list(self.clients.active):
             self.clients.close_if_idle(client, "process exits")  # accepted from the system's queue meanwhile
         if self.clients.has_open_sockets() and self.scheduler.now < self.exit_deadline:
@@ -389,7 +392,7 @@
         self.scheduler.stop()
 
     def finish_pass(self) -> None:
-        """Runs admission control on what a pass has received, and ends a drain that is complete.
+        """Run admission control on what a pass has received, and end a drain that is complete.
 
         Called at the end of each pass.
         """
@@ -407,7 +410,7 @@
     # ---- signals -------------------------------------------------------------------------------------------
 
     def install_signal_handlers(self) -> None:
-        """Routes signals to the wakeup descriptor, which `handle_signals` reads."""
+        """Route signals to the wakeup descriptor, which `handle_signals` reads."""
         self.signals.setblocking(False)
         self.wakeup.setblocking(False)
         signal.set_wakeup_fd(self.wakeup.fileno(), warn_on_full_buffer=False)
@@ -416,7 +419,7 @@
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
     def handle_signals(self) -> None:
-        """Handles signals as they arrive; runs as a task."""
+        """Handle signals as they arrive, as a task: stop, reload or log the counters."""
         while True:
             self.scheduler.wait(self.signals.fileno(), READ)
             try:
@@ -432,7 +435,10 @@
                     self.begin_drain()
 
     def reload(self) -> None:
-        """Reads the configuration again; the old one stays in force if it is invalid."""
+        """Read the configuration again; the old one stays in force if the new one is invalid.
+
+        Only changes of `RELOADABLE_FIELDS` take effect; other changes are logged, as they need a restart.
+        """
         try:
             new_config = read_config(os.environ)
         except (InvalidInputError, OSError) as error:
@@ -455,7 +461,7 @@
         self.log.info("configuration_applied", **addresses)
 
     def log_counters(self) -> None:
-        """Logs a line of counters for each peer and stage; on request and at exit."""
+        """Log a line of counters for each peer and stage and for the process; on request and at exit."""
         for part, counts in self.counters.report().items():
             self.log.info("counters", part=part, **counts)
         cpu_ms, dropped = time.process_time_ns() // 1_000_000, self.log.writer.dropped
@@ -470,7 +476,7 @@
     # ---- callbacks of admission control, peers and the scheduler -------------------------------------------
 
     def apply_server_action(self, server_action: ServerAction) -> None:
-        """Carries out an action of admission control that concerns no single request."""
+        """Carry out an action of admission control that concerns no single request."""
         match server_action:
             case SetTimer(at):
                 self.scheduler.at(at - GAUGES_LEAD, self.agent.request_gauges)
@@ -483,34 +489,34 @@
                 self.log.info(server_action.name, **asdict(server_action))
 
     def tick(self) -> None:
-        """Passes gauges and the store's capacity to admission control."""
+        """Pass gauges and the store's capacity to admission control."""
         if self.result_store is not None and self.admission_stage.driver is not None:
             self.admission_stage.driver.limit_new_keys(*self.result_store.capacity())
-        self.admission_stage.tick(Gauges(self.agent.cores_used()))
+        self.admission_stage.tick(Gauges(self.agent.core_utilization()))
 
     def is_passing(self) -> bool:
-        """Whether the catalog shall list this app server."""
+        """Return whether the catalog is to list this app server as available to routers."""
         if self.fleet_member is not None and not self.fleet_member.update_listing():
             return False
         return self.clients.healthy and self.phase in (Phase.STARTING, Phase.SERVING)
 
     def is_id_in_use(self, request_id: str) -> bool:
-        """Whether a request with this id is open or still runs."""
+        """Return whether a request with this id is open or still runs."""
         return request_id in self.response_recorder.open_request_ids or request_id in self.agent.runs
 
     def on_disconnected(self, context: RequestContext) -> None:
-        """Cancels the call of a request whose caller is gone, and closes it without a response."""
+        """Cancel the call of a request whose caller is gone, and close the request without a response."""
         self.downstream_caller.cancel_call(context)
         self.response_recorder.on_caller_gone(context)
 
     def on_abandoned(self, context: RequestContext) -> None:
-        """Sends a response to a request whose connection is about to close."""
+        """Send a response to a request whose connection is about to close."""
         if self.admission_stage.driver is not None:
             self.admission_stage.look_up_entry(context)  # read in this pass, it has no entry yet
         self.downstream_caller.cancel_call(context)
         self.response_recorder.abandon(context)
 
     def on_task_error(self, name: str, error: Exception) -> None:
-        """Counts and logs an exception that a task or a timer raised; it ends only that task or timer."""
+        """Count and log an exception that a task or a timer raised; it ends only that task or timer."""
         self.counters.count("program.faults")
         self.log.trace("unhandled_exception", error, task=name)
--- a/birchslip/net/servers.py
+++ b/birchslip/net/servers.py
@@ -47,12 +47,12 @@
 
 
 def encode_line(**parts: object) -> bytes:
-    """Encodes a message to the agent as a line of JSON."""
+    """Encode a message to the agent as a line of JSON."""
     return encode_json(parts).encode() + b"\n"
 
 
 def parse_number(value: float | str) -> float:
-    """Converts a number in a message of the agent, which may be given as text, to a finite float.
+    """Convert a number in a message of the agent, which may be given as text, to a finite float.
 
     Raises:
         ValueError: If it is not a finite number.
@@ -66,12 +66,12 @@
 
 
 def parse_duration(milliseconds: float | str) -> int:
-    """Converts milliseconds in a message to tenths of a millisecond; raises the errors of `parse_number`."""
+    """Convert milliseconds in a message to tenths of a millisecond; raise the errors of `parse_number`."""
     return int(parse_number(milliseconds) * MS)
 
 
 def parse_notice_number(message: dict[str, Any]) -> int:
-    """Returns the number of a notice.
+    """Return the number of a notice.
 
     Raises:
         KeyError: If it is absent.
@@ -84,7 +84,7 @@
 
 
 def parse_body(message: dict[str, Any]) -> bytes:
-    """Decodes the base64 body of a message; an absent body is empty.
+    """Decode the base64 body of a message; an absent body is empty.
 
     Raises:
         ValueError: If it is not valid base64.
@@ -130,7 +130,7 @@
         gauge_names: list[str],
         max_unsent_bytes: int,
     ) -> None:
-        """Creates an unconnected link; `maintain_link` opens it, and the callbacks must be set before."""
+        """Create an unconnected link; `maintain_link` opens it, and the callbacks must be set before."""
         self.scheduler, self.counters, self.log = scheduler, counters, log
         self.address, self.gauge_names, self.max_unsent_bytes = address, gauge_names, max_unsent_bytes
         self.connector: Connector | None = None
@@ -156,7 +156,7 @@
     # ---- orders --------------------------------------------------------------------------------------------
 
     def send_order(self, **parts: object) -> bytes:
-        """Encodes an order, and sends it if the link is synchronized.
+        """Encode an order, and send it if the link is synchronized.
 
         Returns:
             The encoded order. The caller keeps it among the pending orders of the run, which are sent again
@@ -168,7 +168,7 @@
         return line
 
     def launch(self, context: RequestContext) -> None:
-        """Orders the agent to start the run of a request."""
+        """Order the agent to start the run of a request."""
         self.runs[context.request_id] = context
         encoded_body = b64encode(context.body).decode()
         context.pending_orders = self.send_order(
@@ -176,24 +176,24 @@
         )
 
     def stop_run(self, context: RequestContext) -> None:
-        """Orders the agent to stop a run."""
+        """Order the agent to stop the run of a request."""
         # Appended, since the launch may not have reached the agent: both are sent again in that case.
         context.pending_orders += self.send_order(op="freeze", id=context.request_id)
 
     def deliver(self, context: RequestContext, reply: bytes) -> None:
-        """Orders the agent to pass the reply of a downstream call to the run that waits for it."""
+        """Order the agent to pass the reply of a downstream call to the run that waits for it."""
         context.pending_orders = self.send_order(
             op="deliver", id=context.request_id, body=b64encode(reply).decode()
         )
 
     def skip_call(self, context: RequestContext) -> None:
-        """Orders the agent to let a run continue without the downstream call that it waits for."""
+        """Order the agent to let a run continue without the downstream call that it waits for."""
         context.pending_orders = self.send_order(
             op="forgo", id=context.request_id, seq=context.call_notice_number
         )
 
     def request_gauges(self) -> None:
-        """Requests a sample of the gauges; closes a link on which no message has arrived for too long.
+        """Request a sample of the gauges; close a link on which no message has arrived for too long.
 
         This detects a connection that is open but dead, as after half a message or when the agent's host
         vanished without closing it. Silence is counted in requested samples and not in time, since the clock
@@ -210,15 +210,15 @@
             link.close("no message from the agent")
         self.send_order(op="sample", tag="tick")
 
-    def cores_used(self) -> float | None:
-        """Returns the gauge of the cores in use, or None if there is no recent sample of it."""
+    def core_utilization(self) -> float | None:
+        """Return the fraction of the cores in use, from 0 to 1, or None if no recent sample has it."""
         is_fresh = self.scheduler.now - self.gauges_received_at <= MAX_GAUGE_AGE
         return self.gauge_values.get("core_use") if is_fresh else None
 
     # ---- the link ------------------------------------------------------------------------------------------
 
     def maintain_link(self) -> None:
-        """Opens the link, processes messages until it is lost, and opens it again; never returns.
+        """Open the link, process messages until it is lost, and open it again; never return.
 
         The delay before the next attempt grows while attempts fail, and starts again after a connection that
         brought a notice or was synchronized. After a change of address there is no delay.
@@ -257,7 +257,7 @@
                 self.scheduler.sleep(self.scheduler.now + delay)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Closes the link and opens it to another address, where the same sequence of notices continues."""
+        """Close the link and open it to another address, where the same sequence of notices continues."""
         if address != self.address:
             self.address = address
             self.log.info("agent_address_changed", last=self.last_notice, runs=len(self.runs))
@@ -267,7 +267,7 @@
                 self.connector.cancel()
 
     def serve_link(self, link: Connection) -> str:
-        """Subscribes to the notices after the last one and processes messages until the link is closed.
+        """Subscribe to the notices after the last one and process messages until the link is closed.
 
         Returns:
             The reason of the close.
@@ -281,7 +281,7 @@
             link.close("unhandled exception")
 
     def read_messages(self, link: Connection, buffer: Buffer) -> None:
-        """Processes the complete messages in the buffer.
+        """Process the complete messages in the buffer.
 
         Raises:
             MalformedMessageError: If a message is not valid; the messages before it have been processed.
@@ -295,7 +295,7 @@
             action()
 
     def parse_message(self, line: bytes) -> Callable[[], None]:
-        """Validates a message and returns the action that processes it.
+        """Validate a message and return the action that processes it.
 
         All parts are checked before the action is called, so that a malformed message has no effect.
 
@@ -342,7 +342,7 @@
                 raise ValueError(f"unknown op: {str(unknown)[:40]!r}")
 
     def handle_refusal(self, order: str, request_id: str) -> None:
-        """Handles the agent's message that it did not carry out an order.
+        """Handle the agent's message that it did not carry out an order.
 
         After a refused `launch` the run never starts. After a refused `deliver` or `forgo` the agent no
         longer knows the run, so its outcome stays unknown. A refusal of another order is only counted and
@@ -361,7 +361,7 @@
             (self.on_launch_refused if order == "launch" else self.on_outcome_unknown)(context)
 
     def handle_greeting(self, is_cold: bool, age: int) -> None:
-        """Handles the first message of a connection and sends the fence behind the repeated notices.
+        """Handle the first message of a connection, and send the fence that marks the last repeated notice.
 
         An agent that started later than the one before has lost its runs, and numbers its notices from 1.
 
@@ -387,7 +387,7 @@
         action: Callable[[], None],
         unknown_run_action: Callable[[], None] = lambda: None,
     ) -> None:
-        """Processes a notice once, by its number.
+        """Process a notice once, by its number.
 
         If notices before it are missing, a synchronized link is closed instead, and the agent repeats them on
         the next connection. On a link that is not synchronized they are lost, and the notice is processed.
@@ -416,24 +416,24 @@
             unknown_run_action()
 
     def handle_remark(self, text: str) -> None:
-        """Logs a remark of the agent."""
+        """Log a remark of the agent."""
         self.counters.count("agent.asides")
         self.log.fault("agent_remark", text=text)
 
     def handle_call_request(self, request_id: str, notice_number: int, body: bytes) -> None:
-        """Handles the notice that a run needs a downstream call; the pending orders are thereby answered."""
+        """Handle the notice that a run needs a downstream call; its pending orders are thereby answered."""
         context = self.runs[request_id]
         context.pending_orders = b""
         self.on_call_needed(context, notice_number, body)
 
     def handle_outcome(self, request_id: str, outcome: Outcome, result: bytes, elapsed: int) -> None:
-        """Handles the notice that a run has ended; its pending orders are thereby answered."""
+        """Handle the notice that a run has ended; its pending orders are thereby answered."""
         context = self.runs.pop(request_id)
         context.pending_orders = b""
         self.on_run_ended(context, outcome, result, elapsed)
 
     def handle_sample(self, tag: str, values: list[float]) -> None:
-        """Stores the gauges of a sample; one with the newest fence as its tag completes synchronization."""
+        """Store the gauges of a sample; one with the newest fence as its tag completes synchronization."""
         if tag == f"fence-{self.fence_number}":
             self.finish_synchronization()
         self.counters.count("agent.samples")
@@ -441,7 +441,7 @@
         self.gauges_received_at = self.scheduler.now
 
     def finish_synchronization(self) -> None:
-        """Sends pending orders again, once the agent has repeated all notices that were missed.
+        """Send pending orders again, once the agent has repeated all notices that were missed.
 
         After a gap in the notices, the outcome of every run may be among the lost ones: all are given up.
         """
--- a/birchslip/net/site.py
+++ b/birchslip/net/site.py
@@ -65,7 +65,7 @@
     gauge_names: list[str]
 
     def changes_needing_restart(self, later: ServerConfig) -> list[str]:
-        """Returns the logged names of the fields that differ in `later` and need a restart to take effect."""
+        """Return the logged names of the fields that differ in `later` and need a restart to take effect."""
         running, reloaded = asdict(self), asdict(later)
         return [
             LOGGED_FIELD_NAMES.get(field, field)
@@ -75,7 +75,7 @@
 
 
 def read_config(environment: Mapping[str, str]) -> ServerConfig:
-    """Reads and validates the configuration file named by `PROXY_CONFIG`.
+    """Read and validate the configuration file named by `PROXY_CONFIG`.
 
     Raises:
         InvalidInputError: If no file is named, or the file is not valid.
@@ -95,7 +95,7 @@
 
 
 def parse_config(configuration: dict[str, Any], environment: Mapping[str, str]) -> ServerConfig:
-    """Validates a configuration.
+    """Validate a configuration and convert it to this program's units.
 
     Args:
         configuration: The decoded JSON object; absent limits and `stop_ms` have defaults.
@@ -150,7 +150,7 @@
 
 
 def read_text(configuration: dict[str, Any], name: str) -> str:
-    """Returns the text under `name`.
+    """Return the text under `name`.
 
     Raises:
         InvalidInputError: If it is absent, empty or not a text.
@@ -162,7 +162,7 @@
 
 
 def parse_seed(configuration: dict[str, Any]) -> int:
-    """Returns the seed of the random decisions, given in hexadecimal; 1 if there is none.
+    """Return the seed of the random decisions, given in hexadecimal; 1 if there is none.
 
     Raises:
         InvalidInputError: If it is not hexadecimal.
@@ -174,7 +174,7 @@
 
 
 def parse_address(value: str, setting: str, min_port: int = 1) -> Address:
-    """Parses an address of the form HOST:PORT, where HOST is an IPv4 address.
+    """Parse an address of the form HOST:PORT, where HOST is an IPv4 address.
 
     Args:
         value: Text to parse.
--- a/birchslip/net/vault.py
+++ b/birchslip/net/vault.py
@@ -41,7 +41,7 @@
 
 
 def parse_reply_line(line: bytes) -> tuple[str, bytes, int]:
-    """Parses the first line of a reply, `ID yes LENGTH` or `ID WORD`.
+    """Parse the first line of a reply, `ID yes LENGTH` or `ID WORD`.
 
     Returns:
         The request id, the word, and the length of the body in bytes, which is 0 for words other than `yes`.
@@ -78,7 +78,7 @@
     """
 
     def __init__(self, context: RequestContext, message: bytes) -> None:
-        """Creates a call that has not been sent."""
+        """Create a call that has not been sent."""
         self.context, self.message = context, message
         self.connector: Connector | None = None
         self.link: Connection | None = None
@@ -88,7 +88,7 @@
         self.body = b""
 
     def read_reply(self, buffer: Buffer) -> None:
-        """Reads data until the reply to this call is complete; skips replies to other calls.
+        """Read data until the reply to this call is complete; skip replies to other calls.
 
         The vault may repeat a reply to an earlier call.
 
@@ -141,7 +141,7 @@
         address: tuple[str, int] | None,
         max_calls: int,
     ) -> None:
-        """Creates a client without connections; `on_call_ended` must be set before the first call."""
+        """Create a client without connections; `on_call_ended` must be set before the first call."""
         self.scheduler, self.counters, self.log, self.address = scheduler, counters, log, address
         self.max_calls = max_calls
         self.reconnect_delay = INITIAL_RECONNECT_DELAY
@@ -152,7 +152,7 @@
         self.on_call_ended: Callable[[RequestContext, Outcome, bytes], None]
 
     def call(self, context: RequestContext, timeout_ms: int, body: bytes) -> None:
-        """Starts a call; one in progress for the same run is cancelled, as it is at the vault.
+        """Start a call; cancel one in progress for the same run, as the vault does too.
 
         Args:
             context: Request whose run needs the call.
@@ -165,7 +165,7 @@
         self.scheduler.spawn("vault", partial(self.run_call, pending_call))
 
     def cancel_call(self, context: RequestContext) -> None:
-        """Cancels the call of a run, if there is one; closing its connection notifies the vault."""
+        """Cancel the call of a run, if there is one; closing its connection notifies the vault."""
         pending_call = self.calls.pop(context.request_id, None)
         if pending_call is not None and pending_call.connector is not None:
             pending_call.connector.cancel()
@@ -173,7 +173,7 @@
             pending_call.link.close("call cancelled")
 
     def change_address(self, address: tuple[str, int] | None) -> None:
-        """Uses another address for new calls; calls that have been sent end on their connections."""
+        """Use another address for new calls; calls that have been sent end on their connections."""
         if address != self.address:
             self.address, self.reconnect_delay, self.next_attempt_at = address, INITIAL_RECONNECT_DELAY, 0
             for pending_call in self.calls.values():
@@ -184,7 +184,7 @@
                 self.idle_connections.pop()[1].close("address of the vault changed")
 
     def run_call(self, pending_call: PendingCall) -> None:
-        """Runs one call from its connection to its outcome, as a task of its own."""
+        """Make one call, from its connection to its outcome, as a task of its own."""
         if len(self.calls) > self.max_calls:
             self.finish(pending_call, Outcome.REJECTED)  # refused here: the call has not been sent
             return
@@ -212,14 +212,14 @@
     # ---- connections ---------------------------------------------------------------------------------------
 
     def keep_idle(self, link: Connection) -> None:
-        """Keeps a connection for reuse until it has been idle for `MAX_IDLE_TIME`."""
+        """Keep a connection for reuse until it has been idle for `MAX_IDLE_TIME`."""
         self.idle_connections.append((self.scheduler.now, link))
         if not self.is_expiry_scheduled:
             self.is_expiry_scheduled = True
             self.scheduler.at(self.scheduler.now + MAX_IDLE_TIME, self.close_expired)
 
     def close_expired(self) -> None:
-        """Closes connections that were idle for too long, and schedules the next check."""
+        """Close connections that were idle for too long, and schedule the next check."""
         while self.idle_connections and self.idle_connections[0][0] <= self.scheduler.now - MAX_IDLE_TIME:
             self.idle_connections.popleft()[1].close("idle for too long")
         self.is_expiry_scheduled = bool(self.idle_connections)
@@ -227,7 +227,7 @@
             self.scheduler.at(self.idle_connections[0][0] + MAX_IDLE_TIME, self.close_expired)
 
     def take_idle(self) -> Connection | None:
-        """Removes and returns an idle connection that can be reused, the most recently used first.
+        """Remove and return an idle connection that can be reused, the most recently used first.
 
         A connection can be reused if it was idle for less than `MAX_IDLE_TIME`, and has received neither data
         nor a close from the vault since its last reply. Others that are found on the way are closed.
@@ -245,7 +245,7 @@
         return None
 
     def open_connection(self, pending_call: PendingCall) -> Connection | None:
-        """Opens a connection for a call.
+        """Open a connection for a call, after the delay that follows a failed attempt.
 
         Returns:
             The connection; None if the call was cancelled, or failed because the vault is unreachable.
@@ -278,7 +278,7 @@
     # ---- calls ---------------------------------------------------------------------------------------------
 
     def exchange(self, pending_call: PendingCall, link: Connection) -> None:
-        """Sends a call, waits for its reply and reports the outcome.
+        """Send a call, wait for its reply and report the outcome.
 
         A reply that has begun and receives no more data for `REPLY_STALL_TIMEOUT` closes the connection.
         """
@@ -302,18 +302,18 @@
             self.finish(pending_call, pending_call.outcome)
 
     def is_pending(self, pending_call: PendingCall) -> bool:
-        """Returns whether a call is still in progress: not ended, cancelled or replaced by a later one."""
+        """Return whether a call is still in progress: not ended, cancelled or replaced by a later one."""
         return self.calls.get(pending_call.context.request_id) is pending_call
 
     def fail(self, pending_call: PendingCall, outcome: Outcome, why: str) -> None:
-        """Ends a call whose connection failed, and logs the reason."""
+        """End a call whose connection failed, and log the reason."""
         if self.is_pending(pending_call):
             self.counters.count("vault.lost", outcome is Outcome.CONNECTION_LOST)
             self.log.fault("vault_call_failed", why=why)
         self.finish(pending_call, outcome)
 
     def finish(self, pending_call: PendingCall, outcome: Outcome) -> None:
-        """Ends a call and reports its outcome; does nothing if it is no longer in progress."""
+        """End a call and report its outcome; do nothing if it is no longer in progress."""
         if self.is_pending(pending_call):
             del self.calls[pending_call.context.request_id]
             self.on_call_ended(pending_call.context, outcome, pending_call.body)
