--- a/birchslip/idempotency/earlier_results.py
+++ b/birchslip/idempotency/earlier_results.py
@@ -127,6 +127,7 @@
             self.on_resolved(entry, run_result)
 
     def _on_completion_appended(self, record: ResultRecord, task: AppendTask) -> None:
+        """Update the index once the completed record of an earlier run is flushed or has failed."""
         index = self._recovered.index
         if record.outcome in NEVER_RAN_OUTCOMES:
             index.put(record.key, 0)  # expired, so that the key can be started again
--- a/birchslip/idempotency/key_index.py
+++ b/birchslip/idempotency/key_index.py
@@ -17,7 +17,7 @@
 MAX_LOAD = 0.7  # used slots divided by all slots
 SLOT_BYTES = 8 + 8 + 4 + 8  # two halves of the key, expiry, location
 MAX_RELATIVE_EXPIRY = (1 << 32) - 1  # ticks after the base time: five days, in four bytes
-HASH_MULTIPLIER = 0x9E3779B97F4A7C15
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 divided by the golden ratio, as in Fibonacci hashing
 HASH_MASK = (1 << 64) - 1
 HASH_HALF_BITS = 32
 OFFSET_BITS = 32
@@ -73,7 +73,7 @@
     def put(self, key: bytes, expires_at: int, location: int = UNKNOWN_LOCATION) -> None:
         """Add a key, or replace its expiry and location."""
         if self._used_slots >= MAX_LOAD * self._slots:
-            self.rebuild(0)
+            self.rebuild(0)  # grows the table; drops no key, as the current time is not known here
         high = int.from_bytes(key[:HALF_KEY_BYTES])
         low = int.from_bytes(key[HALF_KEY_BYTES:])
         slot = self._find_slot(high, low)
--- a/birchslip/idempotency/maintenance.py
+++ b/birchslip/idempotency/maintenance.py
@@ -31,7 +31,7 @@
 
 UNBOUNDED_ENTRIES = 1 << 30
 UNBOUNDED_BYTES = 1 << 40
-# In ticks, about a day. The request classes and their retentions are unknown here, so that the expiries in
+# In ticks, about 30 hours. The request classes and their retentions are unknown here, so that the expiries in
 # records are trusted up to this bound.
 MAX_RETENTION = 1 << 30
 MAX_SHOWN_RUNS = 20
@@ -269,7 +269,7 @@
 
 
 def _is_locked(directory: Path, owner: str) -> bool:
-    """Return whether a program is using the store."""
+    """Return whether a program is using the store, by locking it for a moment if none is."""
     with SegmentFiles(directory, owner) as files:
         try:
             files.lock()
--- a/birchslip/idempotency/recovery.py
+++ b/birchslip/idempotency/recovery.py
@@ -165,6 +165,7 @@
         return self.latest_expiry
 
     def _apply_corrupt(self, fragment: RecordFragment) -> int:
+        """Mark the key of a corrupt record as unknown, unless it has expired, and return its expiry."""
         expires_at = min(fragment.arrived_at + fragment.retention, self.latest_expiry)
         if expires_at < self.earliest_expiry or fragment.kind is RecordKind.VOID:
             self.store.expired += 1
--- a/birchslip/idempotency/result_store.py
+++ b/birchslip/idempotency/result_store.py
@@ -149,7 +149,7 @@
     # ---- capacity --------------------------------------------------------------------------------------
 
     def capacity(self) -> KeyCapacity:
-        """Return how many new keys the store takes now, the bound of scarcity, and the time until room."""
+        """Return how many new keys the store takes, when they count as scarce, and the time until room."""
         scarce_below = int(SCARCE_SHARE * self.budget.max_entries)
         return KeyCapacity(self._remaining_keys(), scarce_below, self._time_until_room())
 
--- a/birchslip/net/idempotency_table.py
+++ b/birchslip/net/idempotency_table.py
@@ -3,6 +3,8 @@
 Keys are claimed in `IdempotencyTable.claim` and nowhere else, so a key can't be launched twice within its
 retention, whatever the timing. A claim names the attempt that runs and lasts until the retention is over,
 also if that attempt was answered with an error in the meantime.
+
+All times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -48,7 +50,7 @@
         return entry if entry is not None and received_at <= entry.valid_until else None
 
     def store(self, context: RequestContext, retained_until: int, now: int) -> None:
-        """Store the key of a request, or extend the retention of its entry; removes expired entries."""
+        """Store the key of a request, or extend the retention of its entry; first remove expired entries."""
         self.remove_expired(now)
         entry = self.find(context.idempotency_key, context.received_at)
         if entry is None:
@@ -109,7 +111,8 @@
         """Let a repeat share the result of the original.
 
         Returns:
-            The result, or None if the run is not over: the repeat is then among the entry's waiters.
+            The result, or None if the run is not over: the repeat is then among the entry's waiters. Without
+            an entry, the result is a failure.
         """
         entry = context.entry
         if entry is None:
@@ -119,7 +122,7 @@
         return entry.result
 
     def complete(self, context: RequestContext, run_result: RunResult) -> list[RequestContext]:
-        """Store the result of a run; does nothing if the attempt does not hold the claim.
+        """Store the result of a run; do nothing if the attempt does not hold the claim.
 
         Returns:
             The repeats that were waiting for it.
--- a/birchslip/net/request_context.py
+++ b/birchslip/net/request_context.py
@@ -1,6 +1,6 @@
 """Data of one request as it passes through the pipeline, beside what the admission decisions know of it.
 
-All times are tenths of a millisecond.
+All times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -161,7 +161,7 @@
         return self.claimed_by or self.stored_by
 
     def matches(self, context: RequestContext) -> bool:
-        """Whether an attempt has the same class and body as the original.
+        """Return whether an attempt has the same class and body as the original.
 
         An attempt that differs must share neither the run nor its result.
         """
