--- a/birchslip/net/bounds.py
+++ b/birchslip/net/bounds.py
@@ -12,7 +12,7 @@
 RESERVED_DESCRIPTORS = 16  # for the agent, the catalog, the log and signals
 MIN_CALLS = 4
 MIN_SOCKETS = RESERVED_DESCRIPTORS + MIN_CALLS + 1  # with fewer no router could connect
-DESCRIPTORS_PER_CALL = 8  # one in so many descriptors is for downstream calls
+DESCRIPTORS_PER_CALL = 8  # one descriptor in eight is for downstream calls
 CONNECTION_BYTES = 12_288  # memory of a connection and its task, without unread data
 MIN_UNREAD_BYTES, MAX_UNREAD_BYTES = 8_192, 32_768  # the minimum holds two of a router's largest messages
 CALL_BYTES = 81_920  # memory of a downstream call: its largest reply, unread, and its task
--- a/birchslip/net/program.py
+++ b/birchslip/net/program.py
@@ -100,7 +100,10 @@
         ...
 
     def apply_lease(self) -> None:
-        """Apply the downstream quota of this moment; called before each batch of decisions."""
+        """Limit downstream calls to those that the lease allows now; called before each batch of decisions.
+
+        A lease that expired while this process was paused must not allow any later call.
+        """
         ...
 
     def update_listing(self) -> bool:
@@ -489,7 +492,7 @@
                 self.log.info(server_action.name, **asdict(server_action))
 
     def tick(self) -> None:
-        """Pass gauges and the store's capacity to admission control."""
+        """Pass gauges and the store's capacity to admission control, at the time set by its `SetTimer`."""
         if self.result_store is not None and self.admission_stage.driver is not None:
             self.admission_stage.driver.limit_new_keys(*self.result_store.capacity())
         self.admission_stage.tick(Gauges(self.agent.core_utilization()))
