--- a/birchslip/lab/explore.py
+++ b/birchslip/lab/explore.py
@@ -9,7 +9,7 @@
 - the downstream calls allowed to all members do not exceed the total;
 - a state that a majority stored is known to every later leader, if at most one disk is lost or old at a time.
 
-The same seed gives the same history, so a violation can be reproduced.
+The same seed gives the same history, so a violation can be reproduced. Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -36,22 +36,25 @@
 SECOND = 10_000
 QUOTA_LEASE_SPAN = 20_000
 PLAN_VALIDITY_SPAN = 40_000
+# Concurrent downstream calls of all members, and the share of its base quota that a member may use unleased.
 TOTAL_CALLS, RESERVED_FRACTION = 12.0, 0.5
 MAX_CLOCK_SKEW = 0.004  # a clock runs faster or slower than true time by at most this fraction
-QUOTA_ROUNDING = 1e-6  # calls
-# Of the draw for each message.
+QUOTA_ROUNDING = 1e-6  # calls by which the sum may exceed the total through rounding
+# Thresholds of a draw between 0 and 1 for each message, and for the delay of each copy of it.
 LOST_BELOW, DUPLICATED_ABOVE, ON_TIME_BELOW = 0.12, 0.92, 0.85
-# Per step or per flush.
+# For each step of a leader, a leader with a state to replicate, and a member.
 STATE_CHANGE_PROBABILITY, REPLICATION_PROBABILITY, REPORT_PROBABILITY = 0.02, 0.3, 0.3
+# For each step of a history, and for each flush.
 FAULT_PROBABILITY, OLD_COPY_PROBABILITY = 0.01, 0.1
-# Of the draw for each fault; those above the last pause a member.
+# Thresholds of the draw for each fault: the first for a stopped planner, the others for a running one. Above
+# the last a member pauses.
 RESTART_BELOW, STOP_BELOW, PAUSE_BELOW = 0.5, 0.35, 0.7
-# Of the draw for each restart.
+# Thresholds of the draw for each restart; above the last the disk is as last flushed.
 EMPTY_DISK_BELOW, OLD_DISK_BELOW = 0.2, 0.6
 
 
 class GuaranteeViolationError(AssertionError):
-    """A history violated a guarantee; the message says which one and where."""
+    """A history violated a guarantee; the message describes what was observed."""
 
 
 @dataclass(eq=False)
@@ -59,8 +62,13 @@
     """One planner with its clock and its disk.
 
     Attributes:
+        clock_offset: What its clock shows at the true time 0.
+        clock_rate: How much its clock advances in one unit of true time.
+        election: Election of its present run; a restart creates another.
         flushed_vote: What the disk holds since the last flush.
         older_vote: An earlier content of the disk, for a restart with an old disk.
+        paused_until: True time until which it handles nothing.
+        quota_leases: Leases of the term in which it leads.
         leading_term: Term in which it leads; 0 while it does not lead.
         state_number: Number of its newest state in that term.
         replicated_number: Number of the newest state that a majority stored.
@@ -82,16 +90,20 @@
     inbox: list[Callable[[], None]] = field(default_factory=list)
 
     def local_time(self, true_time: int) -> int:
-        """Returns what this planner's clock shows at the true time."""
+        """Return what this planner's clock shows at the true time."""
         return self.clock_offset + int(true_time * self.clock_rate)
 
 
 @dataclass(eq=False)
 class MemberNode:
-    """One member with its clock, the plans it follows and its quota of concurrent calls.
+    """One member with its clock, the plans that it accepts and its quota of concurrent calls.
 
     Attributes:
+        clock_offset: What its clock shows at the true time 0.
+        clock_rate: How much its clock advances in one unit of true time.
+        base_quota: Its part of the total number of calls.
         accepted_plans: Term and leader's nonce of each accepted reply; the last two are kept.
+        paused_until: True time until which it handles nothing.
     """
 
     name: str
@@ -103,7 +115,7 @@
     paused_until: int = 0
 
     def local_time(self, true_time: int) -> int:
-        """Returns what this member's clock shows at the true time."""
+        """Return what this member's clock shows at the true time."""
         return self.clock_offset + int(true_time * self.clock_rate)
 
 
@@ -112,6 +124,13 @@
 
     `election_class` and `subscription_class` may be subclasses with a defect, and `skips_flush` omits all
     flushes, to show that the checks find the violation.
+
+    Attributes:
+        in_flight: Delivery time and action of each message under way.
+        majority_state: Term and number of the newest state that a majority stored.
+        no_fault_until: True time until which no fault is injected.
+        leadership_count: How often a planner began to lead.
+        max_calls: The most calls that were allowed to all members at once.
     """
 
     def __init__(
@@ -123,7 +142,7 @@
         subscription_class: type[PlanSubscription] = PlanSubscription,
         skips_flush: bool = False,
     ) -> None:
-        """Creates planners and members whose clocks and rates are drawn from `seed`."""
+        """Create planners and members whose clocks are drawn from `seed`; later draws follow from it too."""
         self.rng = random.Random(seed)
         self.seed, self.true_time, self.steps = seed, 0, 0
         self.election_class, self.skips_flush = election_class, skips_flush
@@ -140,17 +159,17 @@
             self.members[name] = MemberNode(
                 name, clock_offset, self.draw_clock_rate(), plan_subscription, base_quota
             )
-        self.majority_state = (0, 0)  # term and number of the newest state that a majority stored
+        self.majority_state = (0, 0)
         self.no_fault_until = 0
         self.leadership_count = 0
         self.max_calls = 0.0
 
     def draw_clock_rate(self) -> float:
-        """Draws how fast a clock runs against true time."""
+        """Draw how much a clock advances in one unit of true time."""
         return 1 + self.rng.uniform(-MAX_CLOCK_SKEW, MAX_CLOCK_SKEW)
 
     def create_planner(self, name: str) -> PlannerNode:
-        """Creates a planner with an empty disk."""
+        """Create a planner with an empty disk and a clock of its own."""
         clock_offset, clock_rate = self.rng.randrange(1 << 30), self.draw_clock_rate()
         vote = DurableVote()
         election = self.create_election(name, vote, clock_offset + int(self.true_time * clock_rate))
@@ -159,14 +178,17 @@
         )
 
     def create_election(self, name: str, vote: DurableVote, now: int) -> Election:
-        """Creates the election of a planner that starts with the given vote on its disk."""
+        """Create the election of a planner that starts at its time `now` with `vote` on its disk."""
         rng = random.Random(self.rng.getrandbits(64))
         return self.election_class(name, self.planner_names, vote, self.rng.getrandbits(48), now, rng)
 
     # ---- messages --------------------------------------------------------------------------------------
 
     def post_message(self, action: Callable[[], None]) -> None:
-        """Schedules the delivery of a message, which may be lost, duplicated or delayed."""
+        """Schedule the delivery of a message, which may be lost or duplicated.
+
+        Each copy takes 2 to 40 ms if it is on time, and 40 ms to 1.2 s otherwise.
+        """
         draw = self.rng.random()
         if draw < LOST_BELOW:
             return
@@ -178,7 +200,7 @@
             self.in_flight.append((self.true_time + delay, action))
 
     def send_to_planner(self, planner: PlannerNode, action: Callable[[], None]) -> None:
-        """Sends a message to a planner.
+        """Send a message to a planner, whose `action` is its handling.
 
         A paused planner handles the message when it resumes. A planner that is down, or that restarted since
         the message was sent, never receives it.
@@ -196,7 +218,7 @@
         self.post_message(deliver)
 
     def flush(self, planner: PlannerNode) -> None:
-        """Writes the planner's vote to its disk if needed, and sometimes keeps the earlier content."""
+        """Write the planner's vote to its disk if needed, and sometimes keep the earlier content."""
         if planner.election.needs_flush and not self.skips_flush:
             if self.rng.random() < OLD_COPY_PROBABILITY:
                 planner.older_vote = deepcopy(planner.flushed_vote)
@@ -204,7 +226,7 @@
         planner.election.needs_flush = False
 
     def broadcast(self, planner: PlannerNode, record: Message) -> None:
-        """Sends a message to all other planners."""
+        """Send a message to all other planners."""
         sent_at = planner.local_time(self.true_time)
         for recipient in self.planners.values():
             if recipient is not planner:
@@ -215,7 +237,10 @@
     def handle_message(
         self, planner: PlannerNode, sender: PlannerNode, record: Message, sent_at: int
     ) -> None:
-        """Handles a vote or replication request and sends the response after a flush."""
+        """Handle a vote or replication request and send the response after a flush.
+
+        `sent_at` is when the request was sent, by the sender's clock.
+        """
         now = planner.local_time(self.true_time)
         if isinstance(record, VoteRequest):
             vote_response = planner.election.handle_vote_request(record, now)
@@ -234,14 +259,14 @@
     def handle_vote_response(
         self, planner: PlannerNode, response: VoteResponse, term: int, sent_at: int
     ) -> None:
-        """Handles the response to a vote request that was sent at the planner's time `sent_at`."""
+        """Handle the response to a vote request that the planner sent at its time `sent_at`."""
         planner.election.handle_vote_response(response, term, sent_at, planner.local_time(self.true_time))
         self.flush(planner)
 
     def handle_replication_response(
         self, planner: PlannerNode, response: ReplicationResponse, request: ReplicationRequest
     ) -> None:
-        """Handles a replication response and records what a majority has stored."""
+        """Handle a replication response and record the state if a majority has stored it."""
         if request.term == planner.leading_term and planner.election.handle_replication_response(
             response, request.state_number
         ):
@@ -251,7 +276,7 @@
     # ---- planners --------------------------------------------------------------------------------------
 
     def run_planner(self, planner: PlannerNode) -> None:
-        """Lets a planner ask for votes, and lead if it won: it changes and replicates its state.
+        """Let a planner ask for votes and, if it leads, change and replicate its state.
 
         Raises:
             GuaranteeViolationError: A new leader does not know a state that a majority stored.
@@ -280,7 +305,8 @@
             recovered_state = planner.election.newest_state[:2]
             if recovered_state < self.majority_state:
                 raise GuaranteeViolationError(
-                    f"{planner.name} leads with {recovered_state}, and a majority kept {self.majority_state}"
+                    f"{planner.name} leads with state {recovered_state}, "
+                    f"but a majority kept {self.majority_state}"
                 )
         elif self.rng.random() < STATE_CHANGE_PROBABILITY:
             planner.state_number += 1
@@ -300,7 +326,7 @@
     # ---- members ---------------------------------------------------------------------------------------
 
     def send_report(self, member: MemberNode) -> None:
-        """Sends a member's report to a random planner, with the calls that it has and wants."""
+        """Send a member's report to a random planner, with the calls that it has leased and wants."""
         planner = self.planners[self.rng.choice(self.planner_names)]
         sent_at = member.local_time(self.true_time)
         leased_calls = (
@@ -325,7 +351,19 @@
         term: int,
         sent_at: int,
     ) -> None:
-        """Answers a report with a plan and a quota lease, if the planner leads and has a stored state."""
+        """Answer a report with a plan and a quota lease.
+
+        The planner answers only if it leads and a majority stored a state of its term. It takes note of a
+        higher term of the member in any case.
+
+        Args:
+            planner: Planner that received the report.
+            member: Member that sent it.
+            leased_calls: Concurrent calls that the member has leased.
+            wanted_calls: Concurrent calls that it wants to lease.
+            term: Term of the newest plan that it accepted.
+            sent_at: When it sent the report, by its clock.
+        """
         now = planner.local_time(self.true_time)
         if term > planner.election.highest_term:
             planner.election.observe_term(term)
@@ -363,7 +401,7 @@
         self.post_message(lambda: self.handle_reply(member, reply, sent_at))
 
     def handle_reply(self, member: MemberNode, reply: ReportReply, sent_at: int) -> None:
-        """Applies a reply at a member; a paused member applies it when it resumes."""
+        """Apply a reply to the report sent at `sent_at`; a paused member applies it when it resumes."""
         if self.true_time < member.paused_until:
             self.in_flight.append((member.paused_until, lambda: self.handle_reply(member, reply, sent_at)))
             return
@@ -373,7 +411,10 @@
     # ---- faults ----------------------------------------------------------------------------------------
 
     def inject_fault(self) -> None:
-        """Restarts a stopped planner, stops or pauses a running one, or pauses a member."""
+        """Restart a stopped planner or leave it stopped, stop or pause a running one, or pause a member.
+
+        A planner pauses for 50 ms to 4 s, a member for 50 ms to 6 s.
+        """
         planner = self.planners[self.rng.choice(self.planner_names)]
         draw = self.rng.random()
         if not planner.is_up:
@@ -389,9 +430,10 @@
             member.paused_until = self.true_time + self.rng.randrange(500, 60_000)
 
     def restart_planner(self, planner: PlannerNode) -> None:
-        """Restarts a planner with its flushed disk, or sometimes with an older or empty one.
+        """Restart a planner with its flushed disk, or sometimes with an older or empty one.
 
-        The disk is older or empty only while all other planners run with intact disks.
+        The disk is older or empty only while all other planners run unpaused, and none of their disks is
+        blank.
         """
         draw = self.rng.random()
         others = [other for other in self.planners.values() if other is not planner]
@@ -415,13 +457,17 @@
     # ---- history ---------------------------------------------------------------------------------------
 
     def run(self, steps: int) -> Explorer:
-        """Runs so many steps and returns the explorer."""
+        """Run `steps` steps and return this explorer."""
         for _ in range(steps):
             self.step()
         return self
 
     def step(self) -> None:
-        """Advances true time, delivers due messages, runs planners and members, and checks the guarantees."""
+        """Advance true time by 1 to 30 ms, run everything that is due, and check the guarantees.
+
+        Due are messages, in random order, the planners that are up and not paused, and in some steps a
+        member's report or a fault.
+        """
         self.steps += 1
         self.true_time += self.rng.randrange(10, 300)
         due = [entry for entry in self.in_flight if entry[0] <= self.true_time]
@@ -443,7 +489,7 @@
         self.check_guarantees()
 
     def check_guarantees(self) -> None:
-        """Checks leadership, allowed calls and epochs.
+        """Check that at most one planner leads, and check the allowed calls and the epochs of the members.
 
         Raises:
             GuaranteeViolationError: A guarantee is violated; the message names the seed and the step.
@@ -463,7 +509,7 @@
         if allowed_calls > TOTAL_CALLS + QUOTA_ROUNDING:
             raise GuaranteeViolationError(
                 f"seed {self.seed}, step {self.steps}: "
-                f"{allowed_calls:.2f} calls of {TOTAL_CALLS:g} may be in hand"
+                f"{allowed_calls:.2f} calls of {TOTAL_CALLS:g} are allowed to the members"
             )
         leader_by_term: dict[int, int] = {}
         for member in self.members.values():
@@ -476,13 +522,19 @@
             for term, incarnation in member.accepted_plans:
                 if leader_by_term.setdefault(term, incarnation) != incarnation:
                     raise GuaranteeViolationError(
-                        f"seed {self.seed}, step {self.steps}: two are obeyed in epoch {term}"
+                        f"seed {self.seed}, step {self.steps}: "
+                        f"plans of two planners were accepted in epoch {term}"
                     )
             member.accepted_plans = member.accepted_plans[-2:]
 
 
 def explore(seeds: range, steps: int, **explorer_options: object) -> dict[str, int]:
-    """Runs one history for each seed and returns the numbers of histories, steps and leaderships.
+    """Run one history for each seed and return the numbers of histories, steps and leaderships.
+
+    Args:
+        seeds: Seeds of the histories.
+        steps: Steps of each history.
+        explorer_options: Further arguments of `Explorer`.
 
     Raises:
         GuaranteeViolationError: At the first violation.
--- a/birchslip/lab/small_scope.py
+++ b/birchslip/lab/small_scope.py
@@ -9,8 +9,8 @@
 that a second incarnation uses shows as one member too many.
 
 `omitted_rule` disables one rule, to show that the violation is found: with `minority` a leader sends permits
-that only one planner stores, with `no flush` a planner acknowledges a state before it stores it, and with `no
-incarnation` a member uses a permit that was granted to its earlier incarnation.
+that only one planner stores, with `no flush` a planner acknowledges a state that it does not store, and with
+`no incarnation` a member uses a permit that was granted to its earlier incarnation.
 """
 
 from __future__ import annotations
@@ -56,10 +56,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberState:
-    """One member: its incarnation, its status, and whether it is out by a permit."""
+    """One member.
+
+    Attributes:
+        incarnation: Its present incarnation, counted from 1.
+        status: "in", "out", or "cold" from a start until it is warm.
+        is_out_by_permit: Whether it went out by a permit and is not warm again.
+    """
 
     incarnation: int = 1
-    status: str = "in"  # in, out or cold
+    status: str = "in"
     is_out_by_permit: bool = False
 
 
@@ -70,6 +76,8 @@
     Attributes:
         disks: What each planner stores.
         leader: Index of the leading planner; -1 if none leads.
+        term: Term of the newest election; 0 before the first.
+        number: Number of the leader's state in that term.
         budget_state: The leader's encoded budget.
         replicated_to: Indexes of the planners that store the leader's state.
         sent_permits: Member and incarnation of each permit that was sent. A permit may arrive at any later
@@ -97,7 +105,7 @@
         max_elections: int = 2,
         max_incarnations: tuple[int, int, int] = (1, 1, 1),
     ) -> None:
-        """Sets the bounds of the exploration and the rule to omit, if any."""
+        """Set the bounds of the exploration and the rule to omit; an empty `omitted_rule` omits none."""
         self.omitted_rule, self.max_elections, self.max_incarnations = (
             omitted_rule,
             max_elections,
@@ -108,7 +116,7 @@
 
     @staticmethod
     def observations(state: ScopeState) -> dict[str, MemberObservation]:
-        """Returns what the leader observes of each member."""
+        """Return what the leader observes of each member, by the member's name."""
         reasons = {"in": None, "out": UnavailabilityReason.SILENT, "cold": UnavailabilityReason.COLD}
         return {
             name: MemberObservation(Incarnation(nonce=member.incarnation), 1.0, reasons[member.status])
@@ -117,13 +125,16 @@
 
     @staticmethod
     def restore_budget(budget_state: bytes) -> DisruptionBudget:
-        """Creates a budget from its encoded state."""
+        """Create a budget from its encoded state."""
         budget = DisruptionBudget(GROUPS)
         budget.restore(budget_state)
         return budget
 
     def store_decision(self, state: ScopeState, budget: DisruptionBudget) -> ScopeState:
-        """Returns the state after a decision; a changed budget is on the leader's own disk first."""
+        """Return the state after the leader's decision.
+
+        A changed budget is stored on the leader's own disk first, and on no other one yet.
+        """
         budget.state.audit_log.clear()
         # Only the order of grants matters, so permits are numbered from 1 to keep the number of states small.
         for position, permit in enumerate(budget.state.permits, 1):
@@ -143,7 +154,7 @@
     # ---- events ----------------------------------------------------------------------------------------
 
     def next_states(self, state: ScopeState) -> Iterator[tuple[str, ScopeState]]:
-        """Yields each event that can happen next, with the state that follows."""
+        """Yield a description of each event that can happen next, with the state that follows."""
         if state.leader >= 0:
             yield from self.leader_events(state)
             yield "the leader dies", replace(state, leader=-1, replicated_to=frozenset())
@@ -153,7 +164,11 @@
             yield from self.member_events(state, index, member)
 
     def leader_events(self, state: ScopeState) -> Iterator[tuple[str, ScopeState]]:
-        """Yields the leader's events: permit requests, a check of the members, replication, sent permits."""
+        """Yield the leader's events, each with the state that follows.
+
+        They are permit requests, a check of the members ("a look"), the replication of the leader's state to
+        one planner, and the sending of all granted permits ("tells").
+        """
         observations = self.observations(state)
         for index, member in enumerate(state.members):
             if member.status == "in":
@@ -164,7 +179,7 @@
                     ),
                     observations,
                 )
-                yield f"{NAMES[index]} asks", self.store_decision(state, budget)
+                yield f"{NAMES[index]} requests a permit", self.store_decision(state, budget)
         budget = self.restore_budget(state.budget_state)
         budget.reconcile(observations)
         yield "a look", self.store_decision(state, budget)
@@ -175,7 +190,7 @@
             if self.omitted_rule != "no flush":
                 disks[planner] = StoredState(state.term, state.number, state.budget_state)
             yield (
-                f"planner {planner} keeps",
+                f"planner {planner} stores the state",
                 replace(state, disks=tuple(disks), replicated_to=state.replicated_to | {planner}),
             )
         if len(state.replicated_to) >= (1 if self.omitted_rule == "minority" else 2):
@@ -186,9 +201,10 @@
             yield "tells", replace(state, sent_permits=state.sent_permits | permits)
 
     def election_events(self, state: ScopeState) -> Iterator[tuple[str, ScopeState]]:
-        """Yields the election of any planner by any majority.
+        """Yield the election of any planner by any majority, each with the state that follows.
 
-        The new leader takes the newest state that its two voters store, under a term of its own.
+        The majority is the new leader and one other planner. The leader takes the newer state of their two
+        disks, under a term of its own.
         """
         for planner in range(3):
             for voter in range(3):
@@ -201,7 +217,7 @@
                 disks = list(state.disks)
                 disks[planner] = StoredState(term, 1, newest.budget_state)
                 yield (
-                    f"planner {planner} leads by {voter}",
+                    f"planner {planner} is elected by planner {voter}",
                     replace(
                         state,
                         disks=tuple(disks),
@@ -217,7 +233,7 @@
     def member_events(
         self, state: ScopeState, index: int, member: MemberState
     ) -> Iterator[tuple[str, ScopeState]]:
-        """Yields what a member can do next: go out, crash, start or become warm."""
+        """Yield a member's events, each with the state that follows: go out, crash, start or become warm."""
 
         def with_member(changed: MemberState) -> ScopeState:
             members = list(state.members)
@@ -231,7 +247,7 @@
             if member.incarnation in permitted_incarnations or (
                 self.omitted_rule == "no incarnation" and permitted_incarnations
             ):
-                yield f"{NAMES[index]} goes", with_member(MemberState(member.incarnation, "out", True))
+                yield f"{NAMES[index]} goes out", with_member(MemberState(member.incarnation, "out", True))
             if member.incarnation < self.max_incarnations[index]:
                 yield (
                     f"{NAMES[index]} crashes",
@@ -245,7 +261,7 @@
     # ---- exploration -----------------------------------------------------------------------------------
 
     def explore(self, max_states: int = 2_000_000) -> int:
-        """Visits every state and returns their number.
+        """Visit every state, breadth first, and return their number.
 
         Raises:
             BudgetViolationError: At the first violation, with the shortest sequence of events that leads to
@@ -274,7 +290,7 @@
 
     @staticmethod
     def normalize(state: ScopeState) -> ScopeState:
-        """Replaces terms and numbers by their ranks.
+        """Return the state with terms and numbers replaced by their ranks.
 
         States that differ only in the absolute values of terms and numbers become equal.
         """
@@ -292,15 +308,18 @@
 
     @staticmethod
     def find_violation(state: ScopeState) -> str:
-        """Returns a description if more than one member is out by a permit, else an empty string."""
+        """Return a description if more than one member is out by a permit, else an empty string."""
         out = [NAMES[index] for index, member in enumerate(state.members) if member.is_out_by_permit]
-        return f"{' and '.join(out)} are out at once, and one may be" if len(out) > 1 else ""
+        return f"{' and '.join(out)} are out at once, but the budget allows one" if len(out) > 1 else ""
 
     @staticmethod
     def event_path(
         predecessors: dict[ScopeState, tuple[ScopeState, str] | None], state: ScopeState
     ) -> list[str]:
-        """Returns the events that lead from the start to a state."""
+        """Return the events that lead from the start to a state.
+
+        `predecessors` has, for each state, the one before it and the event between them; None for the start.
+        """
         events = []
         predecessor = predecessors[state]
         while predecessor is not None:
