--- a/birchslip/lab/faults.py
+++ b/birchslip/lab/faults.py
@@ -15,33 +15,33 @@
 FAULTS = {
     "none": "nothing fails",
     "kill": "the whole site is killed at once and comes back cold",
-    "kill-surge": "the same in the middle of a surge from one account",
-    "kill-slow-second": "a second site slows during the first one's loss",
-    "kill-two": "two sites are killed: what is left does not have the room",
-    "pause": "the site is paused for the time, not dead, and wakes with old plans and leases",
+    "kill-surge": "the whole site is killed in the middle of a surge from one tenant",
+    "kill-slow-second": "the whole site is killed, and a second site slows down during its outage",
+    "kill-two": "two sites are killed: the remaining capacity is too small for the load",
+    "pause": "the site is paused instead of killed, and resumes with old plans and leases",
     "cut": "the site is cut off from the planners and still serves its routers",
-    "cut-one-way": "the site's reports reach the planners, and no word of theirs comes back",
-    "cut-heals": "the site is paused and cut off, and wakes and is heard again while it is being evacuated",
-    "leader-killed": "the leading planner is killed between deciding and telling",
-    "leader-paused": "the leading planner is paused when the site is lost and wakes as if nothing had been",
+    "cut-one-way": "the site's reports reach the planners, but their replies do not reach the site",
+    "cut-heals": "the site is paused and cut off, and is back and reachable while it is being evacuated",
+    "leader-killed": "the leading planner is killed between deciding on a plan and sending it",
+    "leader-paused": "the leading planner is paused when the site is lost, and resumes unaware of the pause",
     "planners-gone": "all planners are killed during the loss and started again before its end",
-    "planners-gone-minute": "the same for a minute, at any pace of the play",
-    "planner-empty": "a planner is killed and comes back with an empty disk while the site is out",
-    "planner-cut-short": "a planner is killed and comes back with a file that is cut short",
-    "planner-old": "a planner is killed and comes back with a disk of an earlier hour",
-    "planners-split": "the leading planner is cut off from the two others while the site is out",
-    "rush": "the site returns cold and no router heeds any advice",
-    "dies-again": "the site dies again at its second step",
-    "flaps": "the site dies and returns five times",
-    "late-links": "all that members and planners say to each other comes 120 ms late",
-    "shaken-links": "links between members and planners break again and again",
-    "half-open": "links of the lost site's members stay half open, and planners are never told of an end",
+    "planners-gone-minute": "all planners are killed for a minute during the loss, whatever --pace says",
+    "planner-empty": "a planner restarts with an empty disk before the loss; another dies during it",
+    "planner-cut-short": "a planner restarts with a truncated file before the loss; another dies during it",
+    "planner-old": "a planner restarts with an older disk before the loss; another dies during it",
+    "planners-split": "the leading planner is cut off from the other planners while the site is out",
+    "rush": "the site returns cold, and no router follows the advice of the app servers",
+    "dies-again": "the site is killed again at the second step of its recovery ramp",
+    "flaps": "the site is killed and comes back five times",
+    "late-links": "all messages between members and planners arrive 120 ms late, in both directions",
+    "shaken-links": "connections between members and planners are reset again and again",
+    "half-open": "connections of the paused site stay half open, so the planners see no end of them",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step: `action` is applied to `target` at a time, with `value` where it takes a number."""
+    """One step: `action` is applied to `target` at the time `at`, with `value` if it takes a number."""
 
     at: int
     action: str
@@ -50,15 +50,24 @@
 
 
 def schedule(fault: str, seed: int, sites: list[str], planners: list[str], outage_span: int) -> list[Step]:
-    """Returns the steps of a fault in order of time. `outage_span` is how long the first site is out.
+    """Return the steps of a fault in order of time.
 
-    The targets `leader`, `other`, `follower` and `last` name planners by their role when the step runs.
+    The targets `leader`, `other`, `follower`, `last` and `all` select planners when the step runs; see
+    `Testbed.resolve_planners`.
+
+    Args:
+        fault: Name of the fault, one of `FAULTS`.
+        seed: Seed of the jitter of up to 200 ms that some steps have.
+        sites: Names of the sites, at least two; the first is the one that is lost.
+        planners: Names of the planners; no step depends on them.
+        outage_span: How long the first site is out.
     """
     rng = random.Random(seed)
     first_site, second_site = sites[0], sites[1]
     jitter = int(rng.random() * 2_000)
 
     def outage(site: str, at: int, until: int, action: str = "kill") -> list[Step]:
+        """Return the steps that kill or pause a site at `at` and bring it back at `until`."""
         end_action = {"kill": "start", "pause": "resume"}[action]
         return [Step(at, action, site), Step(until, end_action, site)]
 
@@ -136,7 +145,11 @@
 
 
 def planner_restart_steps(site: str, outage_span: int, disk_state: str) -> list[Step]:
-    """Restarts a follower with another disk before the loss, and kills one more planner during it."""
+    """Return the steps that restart a follower with another disk, lose the site and kill one more planner.
+
+    `disk_state` is "empty", "cut-short" or "old". The follower restarts 1.8 s before the loss, and the other
+    planner is out from 0.5 s after it until the site returns.
+    """
     return [
         Step(-20_000, "kill-planner", "follower"),
         Step(-19_000, f"disk-{disk_state}", "last"),
--- a/birchslip/lab/months.py
+++ b/birchslip/lab/months.py
@@ -1,7 +1,8 @@
 """Long simulations of a fleet in virtual time: members report through noise, pauses, restarts and slow links.
 
-One leading planner's state judges the reports; there are no processes and no sockets. No site may be declared
-lost unless all of its members are down. `benchmarks/fleet_month.py` simulates a month.
+One leading planner's state judges the reports; there are no processes and no sockets. A site is to be
+evacuated when all of its members are down or paused, and only then; what is counted here is how often one was
+evacuated without cause. `benchmarks/fleet_month.py` simulates a month. Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -19,16 +20,25 @@
 
 SECOND = 10_000
 DAY = 86_400 * SECOND
-FAULTS_PER_SECOND = 1 / 300
-# Of the draws that choose a fault; those above the last slow down a whole site.
+FAULTS_PER_SECOND = 1 / 300  # one every five minutes on average, in the whole fleet
+# Thresholds of the draw that chooses a fault; above the last a whole site slows down.
 RESTART_BELOW, PAUSE_BELOW, SLOW_MEMBER_BELOW = 0.35, 0.7, 0.85
 
 
 class SimulatedMember:
-    """One member: it refuses connections until `down_until` and does not respond until `paused_until`."""
+    """One member.
+
+    Attributes:
+        index: Position in its site, from 0.
+        sequence: Number of its last report in this incarnation.
+        down_until: Until when it refuses connections and sends nothing.
+        paused_until: Until when it does not respond and sends nothing.
+        slow_until: Until when its runs are slow and its reports take longer.
+        probe_outcomes: Outcome by name of each member that it probed for its next report.
+    """
 
     def __init__(self, name: str, site: str, index: int) -> None:
-        """Starts as incarnation 0, up and at full speed. `index` is its position in its site."""
+        """Create a member in incarnation 0, up and at full speed."""
         self.name, self.site, self.index = name, site, index
         self.incarnation = self.sequence = 0
         self.down_until = self.paused_until = self.slow_until = 0
@@ -36,16 +46,19 @@
 
 
 class LongRun:
-    """A fleet with one planner in virtual time. Times are in tenths of a millisecond.
+    """A fleet with one planner in virtual time.
 
     Attributes:
+        now: Virtual time; 0 at the start.
+        event_queue: Time, number and action of each scheduled event; the number orders equal times.
         report_interval: Time between two reports of a member. Suspicion adapts to it, so a long run can use a
             longer interval.
-        counts: Number of injected faults by kind, of evacuations and of false evacuations.
+        counts: Number of injected faults by kind, of evacuations and of false evacuations. An evacuation is
+            false if a member of the site is neither down nor paused.
     """
 
     def __init__(self, seed: int, sites: int, members_per_site: int, report_interval: int) -> None:
-        """Builds `sites` sites of `members_per_site` members each; all draws follow from `seed`."""
+        """Create `sites` sites of `members_per_site` members each; all draws follow from `seed`."""
         self.rng = random.Random(seed)
         names = [f"s{n}" for n in range(sites)]
         fleet_sites = [
@@ -77,12 +90,12 @@
         self.counts = {"restarts": 0, "pauses": 0, "slow": 0, "evacuations": 0, "false_evacuations": 0}
 
     def schedule(self, when: int, action: Callable[[], None]) -> None:
-        """Runs an action at the virtual time `when`."""
+        """Schedule an action for the virtual time `when`."""
         self.event_number += 1
         heapq.heappush(self.event_queue, (when, self.event_number, action))
 
     def run(self, until: int) -> dict[str, int]:
-        """Simulates to the virtual time `until` and returns the counts."""
+        """Simulate until the virtual time `until` and return the counts."""
         for member in self.members.values():
             first_report_at = self.rng.randrange(self.report_interval)
             self.schedule(first_report_at, lambda member=member: self.send_report(member))  # type: ignore[misc]
@@ -96,7 +109,11 @@
     # ---- members ---------------------------------------------------------------------------------------
 
     def send_report(self, member: SimulatedMember) -> None:
-        """Schedules the member's next report and, unless the member is down or paused, sends one."""
+        """Schedule the member's next report and, unless the member is down or paused, send one now.
+
+        The report is under way for a tenth of the report interval on average, and for half of the interval if
+        the member is slow.
+        """
         interval = int(self.report_interval * self.rng.uniform(0.9, 1.15))
         self.schedule(self.now + interval, lambda: self.send_report(member))
         if self.now < member.down_until or self.now < member.paused_until:
@@ -106,7 +123,10 @@
         self.schedule(self.now + delay, lambda: self.deliver_report(member))
 
     def deliver_report(self, member: SimulatedMember) -> None:
-        """Passes a report to the planner, and probes the members that its reply names."""
+        """Pass a report to the planner, and probe the members that its reply names.
+
+        The report of a member that has gone down since is lost.
+        """
         if self.now < member.down_until:
             return
         member.sequence += 1
@@ -141,7 +161,7 @@
         member.probe_outcomes = {name: self.probe_outcome(name) for name in reply.probe_addresses}
 
     def probe_outcome(self, name: str) -> str:
-        """Returns what a probe of the member meets, as a value of `ProbeOutcome`."""
+        """Return the outcome of a probe of the member now, as a value of `ProbeOutcome`."""
         member = self.members[name]
         if self.now < member.down_until:
             return "refused"
@@ -150,7 +170,7 @@
     # ---- planner and faults ----------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Advances election, evaluation and replication, and counts evacuations."""
+        """Advance the planner's election, evaluation and replication, and count evacuations."""
         self.schedule(self.now + max(EVALUATION_INTERVAL, self.report_interval // 2), self.tick)
         planner_state = self.planner_state
         vote_request = planner_state.election.next_vote_request(self.now)
@@ -175,12 +195,15 @@
                     self.counts["false_evacuations"] += 1
 
     def is_site_down(self, site: str) -> bool:
-        """Whether every member of the site is down or paused."""
+        """Return whether every member of the site is down or paused."""
         members = [member for member in self.members.values() if member.site == site]
         return all(self.now < max(member.down_until, member.paused_until) for member in members)
 
     def inject_fault(self) -> None:
-        """Injects a small fault: a restart, a pause, or a slow period of one member or of its whole site."""
+        """Inject a small fault: a restart, a pause, or a slow period of one member or of its whole site.
+
+        A restart takes 1 to 20 s, a pause 0.1 to 10 s and a slow period 1 to 60 s.
+        """
         self.schedule(self.now + int(self.rng.expovariate(FAULTS_PER_SECOND) * SECOND), self.inject_fault)
         member = self.members[self.rng.choice(list(self.members))]
         draw = self.rng.random()
@@ -210,5 +233,9 @@
 def simulate_days(
     days: float, seed: int, sites: int = 3, members_per_site: int = 3, report_interval: int = 5 * SECOND
 ) -> dict[str, int]:
-    """Simulates so many days of virtual time and returns the counts of faults and evacuations."""
+    """Simulate `days` days of virtual time and return the counts of faults and evacuations.
+
+    `members_per_site` is the number of members in each site, and `report_interval` the time between two
+    reports of a member.
+    """
     return LongRun(seed, sites, members_per_site, report_interval).run(int(days * DAY))
