--- a/birchslip/lab/site_loss.py
+++ b/birchslip/lab/site_loss.py
@@ -1,6 +1,6 @@
 """The loss of a site and its return, among real processes (`lab play site-loss`).
 
-What really happened is recorded outside the processes under test.
+What really happened is recorded outside the processes under test. Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -23,7 +23,12 @@
 
 @dataclass(frozen=True)
 class SiteLossOptions(ScenarioOptions):
-    """Options of a run; `pace` scales the lengths of the schedule's parts."""
+    """Options of a run.
+
+    Attributes:
+        pace: Factor on the lengths of the measured parts and of the first site's outage. The other steps of a
+            schedule come at fixed times or at given parts of the outage.
+    """
 
     pace: float = 1.0
 
@@ -34,7 +39,12 @@
 
 
 def schedule_spans(options: SiteLossOptions, steps: list[Step]) -> dict[str, tuple[int, int]]:
-    """Returns the measured parts of a run, as offsets from its first request in tenths of a millisecond."""
+    """Return the start and end of each measured part of a run, as offsets from its first request.
+
+    At pace 1 the site is lost after 6 s, of which "before" is the second half. "during" begins 1.5 s after
+    the loss. "back" takes 12 s from the later of the site's return and the last step, and "after" the next
+    4 s.
+    """
     before, back, after = (int(span * options.pace * SECOND) for span in (6, 12, 4))
     outage_span, last = options.outage_span, max((step.at for step in steps), default=0)
     return {
@@ -55,15 +65,18 @@
         pending_site_steps: Steps that wait until the returning site has taken so many steps of its recovery
             ramp.
         slowdowns: For each site, since when it is slowed by which factor.
+        return_times: When the first site was started or resumed.
+        loss_times: When the first site was killed or paused.
+        end_offset: End of the last measured part, from the first request on.
         member_usage: Processor time in seconds and memory in KB of each member at the end.
     """
 
     def __init__(self, options: SiteLossOptions, folder: Path) -> None:
-        """Lays out the processes and stand-ins; files and logs go to `folder`."""
+        """Create the stand-ins and the files of all processes; files and logs go to `folder`."""
         super().__init__(options, folder)
         self.site_loss_options = options
         self.pending_site_steps: list[Step] = []
-        self.slowdowns: dict[str, list[tuple[int, float]]] = {}  # by site: start, factor
+        self.slowdowns: dict[str, list[tuple[int, float]]] = {}
         self.return_times: list[int] = []
         self.loss_times: list[int] = []
         self.member_usage: dict[str, tuple[float, int]] = {}
@@ -71,7 +84,7 @@
     # ---- schedule --------------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Runs the schedule from the start of the processes to their end."""
+        """Run the schedule from the start of the processes to their end."""
         options = self.site_loss_options
         steps = schedule(options.fault, options.seed, self.sites, self.planner_names, options.outage_span)
         self.spans = schedule_spans(options, steps)
@@ -79,7 +92,7 @@
         self.run_director(lambda: self.execute_schedule(steps))
 
     def execute_schedule(self, steps: list[Step]) -> None:
-        """Starts the processes, applies each step at its time, and ends the run."""
+        """Start the processes, apply each step at its time, and drain the app servers at the end."""
         scheduler = self.scheduler
         self.start_all()
         loss_at = self.started_at + self.spans["before"][1]
@@ -92,7 +105,10 @@
         self.drain_all()
 
     def watch_site_steps(self) -> None:
-        """Kills a site again once the planners' logs show the awaited steps of its recovery ramp."""
+        """Kill a site again once the planners' logs show the awaited steps of its recovery ramp.
+
+        The logs are searched every 100 ms. The site is started again 2 s after the kill.
+        """
         self.scheduler.at(self.scheduler.now + 1_000, self.watch_site_steps)
         for step in list(self.pending_site_steps):
             lines = [
@@ -112,7 +128,7 @@
                 self.scheduler.at(restart_at, lambda site=step.target: self.bring_site_up(site))  # type: ignore[misc]
 
     def apply_step(self, step: Step) -> None:
-        """Applies one step; an action that is not handled here is for the planners' processes."""
+        """Apply one step; an action that is not handled here applies to the planners' processes."""
         match step.action:
             case "kill" | "pause":
                 self.take_site_down(step.target, step.action)
@@ -153,7 +169,7 @@
                 self.apply_to_planners(planner_action, step.target)
 
     def take_site_down(self, site: str, action: str) -> None:
-        """Kills or pauses all members of a site and records the time."""
+        """Kill or pause all members of a site, as `action` says, with their agents, and record the time."""
         now = self.scheduler.now
         if site == self.sites[0]:
             self.loss_times.append(now)
@@ -174,7 +190,10 @@
                 agent.pause()
 
     def bring_site_up(self, site: str) -> None:
-        """Resumes or restarts all members of a site; a restarted member is cold."""
+        """Resume or restart all members of a site with their agents, and record the time.
+
+        A restarted member is cold.
+        """
         now = self.scheduler.now
         if site == self.sites[0]:
             self.return_times.append(now)
@@ -198,9 +217,10 @@
     # ---- report ----------------------------------------------------------------------------------------
 
     def ideal_service(self, span: tuple[int, int]) -> float:
-        """Returns which fraction of the requested work the remaining capacity could have done in a span.
+        """Return which share of the requested core time the remaining capacity could have served in a span.
 
-        The capacity is the cores that were up, each at the speed that it then had.
+        The capacity is the cores that were up, each at the speed that it then had. The share is 1.0 for a
+        span without requests.
         """
         served, asked = 0.0, 0.0
         interval = SECOND // 2  # a request that waits half a second is still answered in time
@@ -217,19 +237,22 @@
             work = reading_work = 0.0
             while index < len(requests) and requests[index].created_at < at + interval:
                 work += requests[index].work
-                reading_work += READ_WORK  # one attempt per request: a plan can save the others
+                reading_work += READ_WORK  # one attempt per request: a plan can avoid the others
                 index += 1
             asked += work
             served += min(work, capacity * work / (work + reading_work)) if work else 0.0
         return served / asked if asked else 1.0
 
     def speed_at(self, site: str, at: int) -> float:
-        """Returns the speed of a site's cores at a time, 1.0 being full speed."""
+        """Return the speed of a site's cores at a time, 1.0 being full speed."""
         slowdowns = [slow for since, slow in self.slowdowns.get(site, ()) if since <= at]
         return self.warmup_speed_at(site, at) / (slowdowns[-1] if slowdowns else 1.0)
 
     def warmup_speed_at(self, site: str, at: int) -> float:
-        """Returns the speed of a site's cores at a time, as reduced by a cold start alone."""
+        """Return the speed of a site's cores at a time, as reduced by a cold start alone; 1.0 is full speed.
+
+        Only the first site is looked at. It returns warm from the faults that pause it.
+        """
         if (
             site == self.sites[0]
             and self.return_times
@@ -241,7 +264,7 @@
         return 1.0
 
     def build_report(self) -> dict[str, Any]:
-        """Returns the part of the report that is measured outside the processes."""
+        """Return the part of the report that the testbed measured, without the logs of the processes."""
         now = self.scheduler.now
         truth = self.history
         report: dict[str, Any] = {
@@ -271,7 +294,11 @@
         return report
 
     def usage_report(self) -> dict[str, Any]:
-        """Returns the survivors' mean processor time, the most memory of one, and the length of the run."""
+        """Return what a member used of the machine, and the length of the run in seconds.
+
+        Members of the first site are left out. Of the others, the mean processor time is given in seconds
+        and the largest resident memory at the end of the run in KB.
+        """
         usages = [
             used for name, used in self.member_usage.items() if not name.startswith(f"{self.sites[0]}-")
         ]
@@ -282,7 +309,11 @@
         }
 
     def service_series(self) -> list[list[float]]:
-        """Returns, for each second from the loss: service, ideal service and attempts per request."""
+        """Return a row for each second of the run.
+
+        Its columns are the time in seconds, 0 being the loss, the service, the ideal service and the attempts
+        per request.
+        """
         loss_offset, rows = self.spans["before"][1], []
         for at in range(0, self.end_offset, SECOND):
             span = (self.started_at + at, self.started_at + at + SECOND)
@@ -295,15 +326,23 @@
         return rows
 
     def fleet_report(self) -> dict[str, Any]:
-        """Returns what the processes' logs say about plans and stages.
+        """Return what the processes' logs say about plans and stages.
+
+        The logs give only the times of events. Whether an evacuation was right is judged by the history that
+        the testbed recorded outside the processes.
 
-        The logs give the times of events; whether a decision was right is judged by the outside record.
+        Returns:
+            `in_force_s` is the time from the loss until every member of a site without an outage had applied
+            a plan with evacuated callers, None if one never did. `back_s` is the time from the last return of
+            the first site until the end of its recovery ramp, None if it was not reached. Both are in
+            seconds. `evacuations` counts the sites declared lost, `false_evacuations` those of them that were
+            neither dead nor paused then, and `leaders` how often a planner became the leader.
         """
         loss_at = self.loss_times[0] if self.loss_times else self.started_at + self.spans["before"][1]
-        lost_sites = {site for site in self.history.site_outages}
+        sites_with_outage = {site for site in self.history.site_outages}
         plan_delays = []
         for server in self.servers:
-            if server.site in lost_sites:
+            if server.site in sites_with_outage:
                 continue
             lines = self.members[server.name].find_log_lines("event=plan_applied")
             times = [at for at, line in lines if at >= loss_at and "evacuated_callers=()" not in line]
@@ -336,9 +375,9 @@
 
 
 def run_once(options: SiteLossOptions, folder: Path) -> dict[str, Any]:
-    """Runs a schedule once and returns its report.
+    """Run a schedule once, end all its processes and return the report.
 
-    Logs and disks of an earlier run in `folder` are deleted.
+    An existing `folder` is deleted first, because logs and disks of an earlier run do not belong to this one.
     """
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
@@ -354,7 +393,10 @@
 
 
 def run_site_loss(options: SiteLossOptions) -> dict[str, Any]:
-    """Returns the report of a run with planners and, unless excluded, of the same schedule without."""
+    """Run a schedule with planners and return the report of the command.
+
+    Unless `alone`, the same schedule is run without planners for comparison.
+    """
     logs_folder = options.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
     try:
         with_planners = run_once(options, logs_folder / "fleet")
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -17,7 +17,7 @@
 
 
 def start(fault, folder):
-    """Starts a run of a fault; its report and output go to the folder."""
+    """Start a run of a fault; its report and output go to the folder."""
     command = [sys.executable, "-m", "birchslip", "lab", "play", "site-loss", "--seed", "5", "--fault", fault]
     with (folder / f"{fault}.out").open("w") as out:
         path = str(folder / f"{fault}.json")
@@ -26,7 +26,7 @@
 
 @pytest.fixture(scope="module")
 def fault_runs(tmp_path_factory):
-    """Runs every fault at the same time, each with six app servers, three planners and its own stand-ins."""
+    """Run every fault at the same time, each with six app servers, three planners and its own stand-ins."""
     folder = tmp_path_factory.mktemp("faults")
     processes = {fault: start(fault, folder) for fault in FAULT_RUNS}
     codes = {fault: process.wait(TIMEOUT_SECONDS) for fault, process in processes.items()}
