--- a/birchslip/lab/kept_play.py
+++ b/birchslip/lab/kept_play.py
@@ -1,7 +1,8 @@
 """`lab play kept`: keyed requests to an app server with a result store that is killed repeatedly.
 
 A client retries each key until it has an answer, repeats some answered keys, and after each kill retries the
-requests that were in flight. The agent records the truth: a key that was launched twice took effect twice.
+requests that were in flight. Whether a key ran twice is taken from the agent's record of launches: a key that
+was launched twice took effect twice. Times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -31,27 +32,27 @@
 RETENTION_WINDOW = 8 * SECOND
 REPEAT_FRACTION = 0.25  # share of the answered requests that are repeated
 BUFFER_BYTES = 1 << 20
-# No attempt of a key is sent later after its creation, so that all fall within the retention window.
+# Age of a request after which no attempt is sent, so that all attempts fall within the retention window.
 MAX_REQUEST_AGE = RETENTION_WINDOW - SECOND
-MAX_STALL = 2 * SECOND
+MAX_STALL = 2 * SECOND  # time after a shed in which its record may not be flushed yet
 SURGE_FACTOR = 6.0  # factor on the arrivals of the surging tenant
 SURGE_START, SURGE_END = 0.2, 0.8  # shares of all keys sent between which the surge lasts
 SURGING_TENANT = "blue"
-SMALL_STORE_ENTRIES, STORE_ENTRIES = 700, 20_000
-LIFETIME_RANGE = (2_000, 12_000)  # between a start and its kill, in tenths of a millisecond
+SMALL_STORE_ENTRIES, STORE_ENTRIES = 700, 20_000  # keys that a store holds; the small one can fill up
+LIFETIME_RANGE = (2_000, 12_000)  # between a start and its kill
 CRASH_POINT_FRACTION = 0.5  # share of the kills that are at a crash point
 MAX_WAITING_CLIENTS = 120  # unfinished requests past which no new one is created
 RECENT_REQUESTS = 400  # last requests that are searched for unfinished or in-flight ones
-MAX_PENDING = 24
+MAX_PENDING = 24  # largest number of unanswered attempts on the connection
 
 FAULTS = {
-    "none": "kills at random times and at crash points; the agent keeps running",
-    "agent-too": "the agent is killed with the program: the outcome of running requests stays unknown",
+    "none": "kills at random times and at crash points, while the agent keeps running",
+    "agent-too": "the agent restarts with the program and loses its runs: their outcome stays unknown",
     "slow-disk": "each flush takes 30 ms longer",
     "stalled-disk": "each flush takes 600 ms longer: keyed requests are shed, and none is lost",
     "full-disk": "the disk is full for half a second in each incarnation",
     "filling": "one tenant sends six times its usual load for a part of the run, and a small store fills up",
-    "notices": "SIGHUP followed by SIGTERM takes turns with kills",
+    "notices": "in place of every third kill the program gets SIGHUP and is then drained by SIGTERM",
 }
 
 
@@ -62,7 +63,7 @@
     Attributes:
         labels: Number of idempotency keys.
         kills: Number of kills of the app server.
-        arrival_rate: New keys per second.
+        arrival_rate: New keys per second, outside a surge.
         has_result_store: Whether the app server has a result store.
         mean_work: Mean core time of a run, in tenths of a millisecond.
         repeat_fraction: Share of the answered requests that are repeated.
@@ -80,13 +81,17 @@
 class KeyedRequest:
     """One request with an idempotency key, as its client knows it.
 
-    Times are tenths of a millisecond.
-
     Attributes:
         is_in_surge: Whether it was created during the surge.
+        attempt_count: Number of attempts sent.
+        pending_attempts: Number of attempts sent and not answered.
+        result: Result of the first honoured attempt; None before.
+        answered_at: When that result arrived.
         first_incarnation: Incarnation of the app server that it was first sent to.
-        was_in_flight_at_kill: Whether it was sent and unanswered at a kill.
+        was_in_flight_at_kill: Whether at a kill an attempt was unanswered, or shed within `MAX_STALL` before.
         is_unknown: Whether a later incarnation answered that its outcome is unknown.
+        shed_at: When an attempt was last shed; 0 if none was.
+        is_finished: Whether no further attempt is to be sent.
     """
 
     key: str
@@ -107,7 +112,12 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt of a request; no response is owed if it is excused."""
+    """One attempt of a request.
+
+    Attributes:
+        outcome: Empty until a response arrives, then "honoured", "shed" or "written off".
+        is_excused: Whether no response is owed, because the connection or the app server was lost.
+    """
 
     request: KeyedRequest
     sent_at: int
@@ -117,7 +127,13 @@
 
 @dataclass(eq=False)
 class ClientHistory:
-    """Attempts and irregular answers of one scenario run."""
+    """Attempts and irregular answers of one scenario run.
+
+    Attributes:
+        identical_repeat_answers: Number of answers to a key that brought its first result again.
+        different_repeat_answers: Number of answers to a key that brought another result than the first.
+        unexpected_messages: Number of responses that fit no attempt or no key, by description.
+    """
 
     attempts: list[Attempt] = field(default_factory=list)
     identical_repeat_answers: int = 0
@@ -131,7 +147,10 @@
     Attributes:
         connection: The client connection while it is open.
         pending: Unanswered attempts by message number.
-        kills_by_point: Number of kills by crash point, or "random".
+        kill_count: Number of ends of the app server, drains included.
+        incarnation_count: Number of its starts.
+        kills_by_point: Number of ends by crash point; "random" for the others.
+        cpu_s: Processor time in seconds of the last incarnation.
     """
 
     request_classes = [ORDER]  # noqa: RUF012
@@ -168,7 +187,7 @@
     # ---- process ---------------------------------------------------------------------------------------
 
     def start(self, point: str, count: int) -> None:
-        """Start an incarnation that dies at the `count`-th pass through a crash point."""
+        """Start an incarnation that dies at the `count`-th pass through a crash point; "none" is no point."""
         flush_delay_ms = {"slow-disk": 30, "stalled-disk": 600}.get(self.options.fault, 0)
         self.member.arguments = [point, str(count), str(flush_delay_ms)]
         self.incarnation_count += 1
@@ -180,7 +199,8 @@
         """Run one incarnation after another until the run is finished.
 
         Each ends at its crash point, or is killed (with fault "notices" sometimes drained) after a random
-        lifetime. Once all kills are done, the last incarnation keeps running.
+        lifetime, which is 2 s longer if it has a crash point. Once all kills are done, the last incarnation
+        keeps running.
         """
         while not self.is_finished:
             fault = self.options.fault
@@ -212,7 +232,10 @@
                 self.on_process_killed(point if at_crash_point else "random")
 
     def on_process_killed(self, point: str) -> None:
-        """Count a kill at `point`, excuse the attempts in flight and close the connection."""
+        """Count a kill at `point`, excuse the attempts in flight and close the connection.
+
+        With fault "agent-too" the agent is restarted.
+        """
         self.kill_count += 1
         self.kills_by_point[point] += 1
         self.member.unexpected_exit_codes.clear()
@@ -224,7 +247,7 @@
             attempt.is_excused = True
             attempt.request.was_in_flight_at_kill = True
         for request in self.requests[-RECENT_REQUESTS:]:
-            # Shed during a disk stall: the record that it never ran may not be flushed yet.
+            # During a disk stall, the record that a shed request never ran may not be flushed yet.
             request.was_in_flight_at_kill = (
                 request.was_in_flight_at_kill or self.scheduler.now - request.shed_at < MAX_STALL
             )
@@ -272,7 +295,10 @@
             raise MalformedMessageError(error_text)
 
     def generate_request(self) -> None:
-        """Create and send one request, and schedule the next arrival."""
+        """Create and send one request, and schedule the next arrival.
+
+        The request is left out while too many wait for an answer.
+        """
         if self.is_finished or len(self.requests) >= self.options.labels:
             return
         is_filling = self.options.fault == "filling"
@@ -286,7 +312,8 @@
             + 1
         )
         self.scheduler.at(self.scheduler.now + gap, self.generate_request)
-        # Clients of a dead app server wait too, so the backlog stays within what one incarnation can serve.
+        # Requests wait while the app server is down, too. Their number is bounded, so that one incarnation
+        # can serve them.
         if (
             not is_filling
             and sum(1 for request in self.requests[-RECENT_REQUESTS:] if not request.is_finished)
@@ -307,11 +334,14 @@
         self.send(request)
 
     def send_later(self, request: KeyedRequest, delay: int) -> None:
-        """Schedule an attempt after `delay`, in tenths of a millisecond."""
+        """Schedule an attempt after `delay`."""
         self.scheduler.at(self.scheduler.now + delay, partial(self.send, request))
 
     def send(self, request: KeyedRequest) -> None:
-        """Send an attempt, or give the request up if it is too old."""
+        """Send an attempt, or give the request up if it is older than `MAX_REQUEST_AGE`.
+
+        Without a connection, or with `MAX_PENDING` attempts unanswered, try again 50 ms later.
+        """
         now = self.scheduler.now
         if self.is_finished or now - request.created_at > MAX_REQUEST_AGE:
             request.is_finished = True
@@ -340,7 +370,15 @@
         self.connection.write(pack([0, self.last_number, ORDER.name, [fields, request.body]]))
 
     def on_response(self, number: int, error: list[Any] | None, result: list[bytes]) -> None:
-        """Record a response and schedule a retry or a repeat of the request."""
+        """Record the response to an attempt and schedule the next attempt of its request, if there is one.
+
+        An honoured request is sometimes repeated, any other is retried.
+
+        Args:
+            number: Number of the attempt's message.
+            error: Error of the response; its first item is the kind of error. None if it was honoured.
+            result: Result of the response; its first item is the body.
+        """
         attempt = self.pending.pop(number, None)
         if attempt is None:
             self.client_history.unexpected_messages["an answer to nobody"] += 1
@@ -373,7 +411,11 @@
     # ---- course of the run -----------------------------------------------------------------------------
 
     def run_schedule(self) -> None:
-        """Run the client and the kills until all requests are finished or time is up."""
+        """Run the client and the kills until all requests are finished, then wait for late responses.
+
+        A fault is recorded if the requests take longer than four times the span of the arrivals plus 3 s for
+        each kill and a minute.
+        """
         self.scheduler.spawn("incarnations", self.run_incarnations)
         self.scheduler.spawn("client", self.keep_connected)
         self.wait_for(lambda: self.server.name in self.catalog.get_listed_servers(), 15 * SECOND)
@@ -394,14 +436,14 @@
         self.scheduler.sleep(self.scheduler.now + SECOND)
 
     def is_complete(self) -> bool:
-        """Return whether all kills are done and all requests sent and finished."""
+        """Return whether all kills are done, all requests were sent, and the last 500 are finished."""
         all_sent = len(self.requests) >= self.options.labels and self.kill_count >= self.options.kills
         return all_sent and all(request.is_finished for request in self.requests[-500:])
 
     # ---- report ----------------------------------------------------------------------------------------
 
     def compute_timely_fractions(self) -> dict[str, float]:
-        """Return, by tenant, the share of surge requests honoured within the latency objective."""
+        """Return, by tenant, the share of requests of the surge honoured within the latency objective."""
         fractions = {}
         for tenant in TENANT_SHARES:
             requests = [
@@ -418,7 +460,7 @@
         return fractions
 
     def compute_sheds_per_request(self) -> dict[str, float]:
-        """Return, by tenant, how often a surge request was shed on average."""
+        """Return, by tenant, how often a request of the surge was shed on average."""
         request_counts: Counter[str] = Counter()
         shed_counts: Counter[str] = Counter()
         for request in self.requests:
@@ -449,7 +491,7 @@
         }
 
     def build_report(self) -> dict[str, Any]:
-        """Return the figures of the run."""
+        """Return the figures of the run under the names that the report has for them."""
         launches = Counter(key for (_, _, key), times in self.history.launches.items() for _ in times)
         now = self.scheduler.now
         unanswered = [
@@ -516,7 +558,7 @@
 def run_result_store_scenario(options: ResultStoreOptions) -> dict[str, Any]:
     """Run the scenario and return the report of the command.
 
-    Unless `alone`, the same schedule is run without a result store for comparison.
+    Unless `alone`, the same schedule is run without a result store, to show what the store prevents.
     """
     log_folder = options.logs or Path(tempfile.mkdtemp(prefix="birchslip-lab-"))
     try:
@@ -527,7 +569,7 @@
     finally:
         if options.logs is None:
             shutil.rmtree(log_folder, ignore_errors=True)
-    # While the disk takes no data an answer is sent without being stored: after a kill its key is unknown.
+    # While the disk takes no data, an answer is sent without being stored. After a kill its key is unknown.
     tolerated = ("unknown_beyond",) if options.fault in UNSTORED_ANSWER_FAULTS else ()
     report["broken"] = [
         f"{name}: {report[name]}" for name in VIOLATIONS if report[name] and name not in tolerated
--- a/birchslip/lab/peers.py
+++ b/birchslip/lab/peers.py
@@ -282,7 +282,7 @@
             self.append_notice(op="outcome", id=run.run_id, end=outcome, ms=run.work // 10, body=result)
 
     def append_notice(self, **notice: object) -> None:
-        """Number a notice, keep it for replay and send it."""
+        """Give a notice the next sequence number, keep it for replay and send it."""
         notice["seq"] = len(self.notices) + 1
         self.notices.append(notice)
         self.send(**notice)
--- a/birchslip/lab/toy.py
+++ b/birchslip/lab/toy.py
@@ -20,7 +20,13 @@
 
 
 class Peer:
-    """A server that serves each connection in a thread of its own; port 0 takes any free port."""
+    """A server that serves each connection in a thread of its own; port 0 takes any free port.
+
+    Attributes:
+        connections: Connections in the order in which they were accepted.
+        received: What was received, in the form that the subclass says.
+        address: HOST:PORT at which it listens.
+    """
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
         """Listen at the address."""
@@ -55,7 +61,7 @@
             connection.close()
 
     def serve(self, connection: socket.socket) -> None:
-        """Serve one connection."""
+        """Serve one connection until it closes; subclasses implement it."""
         raise NotImplementedError
 
     def close_connections(self) -> None:
@@ -93,9 +99,11 @@
     downstream call halfway, `crash` makes it fail, and `hold` keeps it open until `finish_run`.
 
     Attributes:
-        received: Orders received so far.
-        sends_greeting: Whether a subscriber gets a greeting at once, or only by `send_greeting`.
-        refuses_launches: Whether each launch is refused as unknown.
+        received: Orders received.
+        sends_greeting: Whether a subscriber gets a greeting at once; otherwise `send_greeting` sends it.
+        refuses_launches: Whether each launch is answered with a refusal.
+        notices: Notices sent so far, replayed to a new subscriber.
+        runs: Words of the request body of each open run, by run id.
         launched_run_ids: Runs in the order of their launches.
         subscriber: Connection that notices are sent on; None without one.
     """
@@ -124,7 +132,10 @@
             self.received.put(order)
 
     def handle_order(self, connection: socket.socket, order: dict[str, Any]) -> None:
-        """Carry out one order; the caller holds the lock."""
+        """Carry out one order; the caller holds the lock.
+
+        An order that fits no run is answered with a refusal, except a repeated launch, which is ignored.
+        """
         run_id = order.get("id", "")
         match order["op"]:
             case "subscribe":
@@ -156,7 +167,10 @@
                 self.send(op="refusal", end=kind, id=run_id)
 
     def send_greeting(self) -> None:
-        """Send the greeting and replay the notices that the subscriber has not seen."""
+        """Send the greeting and replay the notices that the subscriber has not seen.
+
+        Later subscribers are greeted at once.
+        """
         with self.lock:
             self.sends_greeting = True
             self.send(op="greeting", end="seasoned", ms=int((time.time() - self.started_at) * 1000))
@@ -164,7 +178,11 @@
                 self.send(**notice)
 
     def schedule_end(self, run_id: str, makes_call: bool) -> None:
-        """Schedule the next step of a run: its downstream call or its end."""
+        """Schedule the next step of a run: its downstream call if `makes_call`, otherwise its end.
+
+        A run takes as many milliseconds as its first number says, 10 without one. A run with a call takes
+        half of them before the call and half after it. The end of a run with `hold` is not scheduled.
+        """
         words = self.runs[run_id]
         if "hold" in words and not makes_call:
             return
@@ -175,7 +193,7 @@
         timer.start()
 
     def request_call(self, run_id: str) -> None:
-        """Ask the app server for the downstream call of a run."""
+        """Ask the app server for the downstream call of a run that is still open."""
         with self.lock:
             if run_id in self.runs:
                 self.append_notice(
@@ -183,7 +201,10 @@
                 )
 
     def finish_run(self, run_id: str, outcome: str = "") -> None:
-        """End a run and notify the app server of its outcome."""
+        """End a run that is still open, and notify the app server of its outcome and result.
+
+        An empty `outcome` stands for "crashed" if the body has the word `crash`, otherwise for "done".
+        """
         with self.lock:
             if run_id not in self.runs:
                 return
@@ -194,13 +215,13 @@
             self.append_notice(op="outcome", id=run_id, end=outcome, ms=10, body=b64encode(result).decode())
 
     def append_notice(self, **notice: object) -> None:
-        """Number a notice, keep it for replay and send it."""
+        """Give a notice the next sequence number, keep it for replay and send it."""
         notice["seq"] = len(self.notices) + 1
         self.notices.append(notice)
         self.send(**notice)
 
     def send(self, **message: object) -> None:
-        """Send a message to the subscriber, if there is one."""
+        """Send a message to the subscriber, if there is one; drop the subscriber if that fails."""
         try:
             if self.subscriber is not None:
                 self.subscriber.sendall(json.dumps(message).encode() + b"\n")
@@ -209,10 +230,15 @@
 
 
 class Vault(Peer):
-    """A downstream service that answers every call with `answer_word`; "silent" answers none."""
+    """A downstream service that answers every call with `answer_word`; "silent" answers none.
+
+    Attributes:
+        received: Words of the first line of each message.
+        closed_connections: Connections that have ended.
+    """
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0, answer_word: str = "yes") -> None:
-        """Listen at the address."""
+        """Listen at the address; every call is answered with `answer_word`."""
         self.answer_word = answer_word
         self.closed_connections: queue.Queue[socket.socket] = queue.Queue()
         super().__init__(host, port)
@@ -225,7 +251,7 @@
             self.closed_connections.put(connection)
 
     def answer_calls(self, connection: socket.socket) -> None:
-        """Answer the calls on one connection until it closes."""
+        """Answer the calls on one connection until it closes; other messages than calls are only recorded."""
         stream = connection.makefile("rb")
         for line in stream:
             words = line.split()
@@ -240,10 +266,14 @@
 
 
 class Catalog(Peer):
-    """A catalog that records reports and answers each with `status`."""
+    """A catalog that records reports and answers each with the HTTP status `status`.
+
+    Attributes:
+        received: Path and decoded body of each report.
+    """
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0, status: int = 204) -> None:
-        """Listen at the address."""
+        """Listen at the address; every report is answered with `status`."""
         self.status = status
         super().__init__(host, port)
 
@@ -263,8 +293,8 @@
     """A client connection to an app server, as a router has it.
 
     Attributes:
-        notifications: Messages received that are no responses.
-        responses: Error and result by request number.
+        notifications: Messages received that are not responses.
+        responses: Error and result of each response received, by request number.
     """
 
     def __init__(self, address: str, timeout_s: float = 10.0) -> None:
@@ -304,14 +334,15 @@
         return self.number
 
     def abort(self, number: int) -> None:
-        """Abort a request."""
+        """Abort the request with this number."""
         self.connection.sendall(pack([2, "abort", [number]]))
 
     def message(self) -> Any:
-        """Return the next message.
+        """Wait for the next message and return it.
 
         Raises:
             EOFError: The app server closed the connection.
+            TimeoutError: Nothing arrived within the timeout.
         """
         while True:
             try:
@@ -325,7 +356,15 @@
                 self.unparsed += data
 
     def answer(self, number: int) -> tuple[Any, Any]:
-        """Wait for the response to a request and return its error and result; keep other responses."""
+        """Wait for the response to a request and return its error and result.
+
+        Other messages that arrive meanwhile are kept in `responses` and `notifications`.
+
+        Raises:
+            AssertionError: A request was answered twice.
+            EOFError: The app server closed the connection.
+            TimeoutError: Nothing arrived within the timeout.
+        """
         while number not in self.responses:
             message = self.message()
             if message[0] == 1:
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -33,7 +33,10 @@
 
 
 def send_requests(count: int) -> None:
-    """Send `count` requests of both classes and print each response with its latency."""
+    """Send `count` requests, a third of class `order` and the others of `lookup`, and print each response.
+
+    The time printed runs from the request to its response, in milliseconds.
+    """
     router = Router(json.loads(CONFIGURATION.read_text())["listen"])
     sent = {}
     for index in range(count):
--- a/tests/test_idempotency_processes.py
+++ b/tests/test_idempotency_processes.py
@@ -36,7 +36,7 @@
     "filling": (1_200, 0),
 }  # numbers of keys and kills
 NOW = time.time_ns() // 100_000
-RETENTION = 600_000
+RETENTION = 600_000  # a minute in tenths of a millisecond, the unit of `NOW`
 DIGEST = b"d" * 16
 
 
