--- a/birchslip/cluster/canary_metrics.py
+++ b/birchslip/cluster/canary_metrics.py
@@ -4,13 +4,21 @@
 comparison uses a mixture sequential probability ratio test (Robbins 1970; for continuous monitoring Johari,
 Pekelis and Walsh 2015): the probability of calling two equal versions different stays below its error over
 all samples together, however many there are. A difference is bad only above its margin.
+
+Above the margin the test is Robbins's mixture with two spreads: its likelihood ratio is the weighted mean of
+that for a small and that for a large spread. As the weights add up to 1, the mean has expectation 1 where the
+difference is exactly the margin, as each of the two has, and the bound on the error holds as far as the
+variance is right. One small spread alone needs many outcomes to find a large difference, because the pooled
+variance is large then. Within the margin the test has the small spread only.
 """
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from enum import Enum
 from math import exp, log
+from typing import NamedTuple
 
 import msgspec
 
@@ -18,14 +26,38 @@
 FALSE_ALARM_RATE = 0.005
 # Probability that a metric above its margin is called good, over all samples.
 MISS_RATE = 0.02
-# Standard deviation of the mixture's differences; the test is most sensitive to differences of this size.
-MIXTURE_SPREAD = 0.05
+# Standard deviations of the mixture's differences; the test is most sensitive to differences of these sizes.
+SMALL_SPREAD = 0.05
+LARGE_SPREAD = 0.3  # finds a request class that fails altogether within few outcomes
+# Weight of the large spread above the margin. A low one costs small differences little: -log(0.9).
+LARGE_SPREAD_WEIGHT = 0.1
 MIN_OUTCOMES = 25  # on each side, before a metric has a verdict
 # Outcomes are correlated, as one queue makes many responses late: they count as fewer independent ones.
 VARIANCE_INFLATION = 2.0
 MAX_LOG_RATIO = 700.0  # above it, the ratio overflows a float
 
 
+class MixturePart(NamedTuple):
+    """One normal distribution of differences in the mixture.
+
+    Attributes:
+        weight: Its share of the mixture, 0 to 1; the weights add up to 1.
+        spread: Its standard deviation, as a difference of shares.
+    """
+
+    weight: float
+    spread: float
+
+
+MIXTURE_ABOVE_MARGIN = (
+    MixturePart(1 - LARGE_SPREAD_WEIGHT, SMALL_SPREAD),
+    MixturePart(LARGE_SPREAD_WEIGHT, LARGE_SPREAD),
+)
+# A good verdict may wait, it only lengthens a watch, and with correlated outcomes a large spread makes wrong
+# good verdicts more frequent.
+MIXTURE_WITHIN_MARGIN = (MixturePart(1.0, SMALL_SPREAD),)
+
+
 class CanaryVerdict(Enum):
     """The verdict on the new version."""
 
@@ -118,11 +150,13 @@
         return VARIANCE_INFLATION * pooled * (1 - pooled) * (1 / canary.total + 1 / baseline.total)
 
     def log_likelihood_ratio(self, expected_difference: float) -> float:
-        """Return the log likelihood ratio of the mixture to a true difference of `expected_difference`."""
-        variance = self.variance()
-        mixed = variance + MIXTURE_SPREAD * MIXTURE_SPREAD
-        deviation = self.difference - expected_difference
-        return (log(variance / mixed) + deviation * deviation * (1 / variance - 1 / mixed)) / 2
+        """Return the log likelihood ratio of the mixture to a true difference of `expected_difference`.
+
+        The mixture is the one for the side of `expected_difference` on which the observed difference is.
+        """
+        is_above = self.difference > expected_difference
+        mixture = MIXTURE_ABOVE_MARGIN if is_above else MIXTURE_WITHIN_MARGIN
+        return log_mixture_ratio(mixture, self.difference - expected_difference, self.variance())
 
     def verdict(self, error: float = FALSE_ALARM_RATE) -> CanaryVerdict:
         """Return the verdict on this metric.
@@ -157,3 +191,34 @@
             verdict=self.verdict().value,
             certainty=round(self.certainty(), 4),
         )
+
+
+def log_mixture_ratio(mixture: Sequence[MixturePart], deviation: float, variance: float) -> float:
+    """Return the log likelihood ratio of `mixture` to a true deviation of 0.
+
+    Args:
+        mixture: Distribution of the true deviations.
+        deviation: The observed deviation.
+        variance: Variance of the observed deviation; above 0.
+    """
+    return log_sum_exp(
+        [log(part.weight) + log_normal_ratio(deviation, variance, part.spread) for part in mixture]
+    )
+
+
+def log_normal_ratio(deviation: float, variance: float, spread: float) -> float:
+    """Return the log likelihood ratio of normally distributed true deviations to a true deviation of 0.
+
+    Args:
+        deviation: The observed deviation.
+        variance: Variance of the observed deviation; above 0.
+        spread: Standard deviation of the true deviations, whose mean is 0.
+    """
+    mixed = variance + spread * spread
+    return (log(variance / mixed) + deviation * deviation * (1 / variance - 1 / mixed)) / 2
+
+
+def log_sum_exp(values: Sequence[float]) -> float:
+    """Return the logarithm of the sum of the exponentials of `values`, without overflow."""
+    largest = max(values)
+    return largest + log(sum(exp(value - largest) for value in values))
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -1,11 +1,19 @@
 """Canary analysis: repeated tests add no false alarms, and bad versions are found."""
 
 import random
+from math import exp, inf, log, pi, sqrt
 
 import pytest
 
 from birchslip.cluster.canary_analysis import CanaryAnalysis, MemberSample
-from birchslip.cluster.canary_metrics import CanaryVerdict
+from birchslip.cluster.canary_metrics import (
+    MIXTURE_ABOVE_MARGIN,
+    MIXTURE_WITHIN_MARGIN,
+    CanaryVerdict,
+    MetricComparison,
+    log_mixture_ratio,
+    log_normal_ratio,
+)
 
 SECOND = 10_000
 MARGINS = {"late": 0.05, "shed": 0.05}
@@ -173,3 +181,115 @@
         latest = analysis.observe(surge, surge, now)
     assert analysis.slow_bounds == {"order": 2}
     assert latest is CanaryVerdict.GOOD
+
+
+def test_a_class_that_fails_altogether_is_bad_within_half_of_the_maximum_watch():
+    """Guards the halt of a rollout whose every order fails: 40 s of watch, 1.8 baseline orders a second.
+
+    The bound is the target, half of that watch; it is not a measured figure.
+    """
+    margins = {"late": 0.08, "slow": 0.2, "shed": 0.08, "written_off": 0.08, "calls": 0.15}
+    analysis = CanaryAnalysis(margins, 6 * SECOND, 40 * SECOND, 0)
+
+    def draw_sample(orders, lookups, failed_orders):
+        outcomes = {f"{kind}:order": (0, orders) for kind in margins}
+        outcomes |= {f"{kind}:lookup": (0, lookups) for kind in margins}
+        return MemberSample(True, outcomes | {"written_off:order": (failed_orders, orders)})
+
+    canary_orders = [3] * 7 + [2] * 13
+    baseline_orders = [2] * 16 + [1] * 4
+    for second, (canary, baseline) in enumerate(zip(canary_orders, baseline_orders, strict=True), start=1):
+        verdict = analysis.observe(
+            [draw_sample(canary, 5, canary)], [draw_sample(baseline, 4, 0)], second * SECOND
+        )
+    failed = analysis.metrics["written_off:order"]
+    assert len(analysis.metrics) == 15
+    assert (failed.canary.total, failed.baseline.total) == (47, 36)
+    assert verdict is CanaryVerdict.BAD
+    assert analysis.reason.startswith("written_off")
+
+
+def is_ever_called_bad(rng, baseline_rate, margin, error):
+    """Watches 300 samples with a true difference of `margin`; returns whether it is ever called bad.
+
+    Outcomes come in pairs of equal fate, which is the correlation that the test allows for: with independent
+    outcomes a test that promises too much would still pass.
+    """
+    metric = MetricComparison("late", margin)
+    canary_pairs, baseline_pairs = 9, 7
+    for _ in range(300):
+        canary_bad = sum(rng.random() < baseline_rate + margin for _ in range(canary_pairs))
+        baseline_bad = sum(rng.random() < baseline_rate for _ in range(baseline_pairs))
+        metric.add((2 * canary_bad, 2 * canary_pairs), (2 * baseline_bad, 2 * baseline_pairs))
+        if metric.verdict(error) is CanaryVerdict.BAD:
+            return True
+    return False
+
+
+@pytest.mark.parametrize("baseline_rate", [0.0, 0.02, 0.1, 0.3], ids=["none bad", "rare", "few", "many"])
+def test_a_difference_equal_to_the_margin_is_called_bad_less_often_than_the_error(baseline_rate):
+    """Guards the bound over all samples: a test that holds for one sample only, or a variance set too low.
+
+    The mixture's bound on the error is for both sides of the margin together. Observations are distributed
+    almost evenly around it, so the side above it may have half of the error.
+    """
+    error, run_count = 0.2, 400
+    rng = random.Random(1)
+    called_bad = sum(is_ever_called_bad(rng, baseline_rate, 0.08, error) for _ in range(run_count))
+    assert called_bad < error / 2 * run_count
+
+
+COUNTS = pytest.mark.parametrize(
+    ("canary", "baseline"),
+    [((2, 30), (1, 25)), ((47, 47), (0, 36)), ((900, 9_000), (800, 9_000))],
+    ids=["few outcomes", "one side fails", "many outcomes"],
+)
+MIXTURES = pytest.mark.parametrize(
+    "mixture", [MIXTURE_ABOVE_MARGIN, MIXTURE_WITHIN_MARGIN], ids=["above", "within"]
+)
+
+
+@COUNTS
+@MIXTURES
+def test_the_mean_likelihood_ratio_is_one_where_the_difference_is_the_margin(mixture, canary, baseline):
+    """Guards what the bound rests on: weights that do not add up to 1, or a spread without its norm."""
+    metric = MetricComparison("late", 0.08)
+    metric.add(canary, baseline)
+    variance = metric.variance()
+    step = sqrt(variance) / 10
+    # The mean over normally distributed observations, up to ten of the largest spreads on each side.
+    deviations = [n * step for n in range(-round(3 / step), round(3 / step) + 1)]
+    mean = sum(exp(log_mixture_ratio(mixture, x, variance) - x * x / (2 * variance)) for x in deviations) * (
+        step / sqrt(2 * pi * variance)
+    )
+    assert mean == pytest.approx(1.0, abs=0.001)
+
+
+@COUNTS
+def test_within_the_margin_the_ratio_is_that_of_the_spread_0_05(canary, baseline):
+    """Guards good verdicts: a larger spread gives wrong ones more often where outcomes are correlated."""
+    metric = MetricComparison("late", 0.08)
+    metric.add(canary, baseline)
+    for deviation in (0.0, 0.001, 0.03, 0.1, 0.5):
+        ratio = metric.log_likelihood_ratio(metric.difference + deviation)
+        assert ratio == pytest.approx(log_normal_ratio(deviation, metric.variance(), 0.05))
+
+
+@COUNTS
+def test_above_the_margin_the_large_spread_costs_at_most_a_tenth_of_the_ratio(canary, baseline):
+    """Guards small differences: with most of the weight on the large spread they are found late."""
+    metric = MetricComparison("late", 0.08)
+    metric.add(canary, baseline)
+    for deviation in (0.001, 0.03, 0.1, 0.5):
+        cost = log_normal_ratio(deviation, metric.variance(), 0.05) - metric.log_likelihood_ratio(
+            metric.difference - deviation
+        )
+        assert cost <= -log(0.9) + 1e-9
+
+
+def test_the_likelihood_ratio_of_very_many_outcomes_does_not_overflow():
+    metric = MetricComparison("late", 0.08)
+    metric.add((10**7, 10**7), (0, 10**7))
+    assert 10**4 < metric.log_likelihood_ratio(0.08) < inf
+    assert metric.verdict() is CanaryVerdict.BAD
+    assert metric.certainty() == 1.0
