--- a/birchslip/expect/check.py
+++ b/birchslip/expect/check.py
@@ -67,7 +67,7 @@
     for path in map(Path, paths):
         files = sorted(path.rglob(f"*{SUFFIX}")) if path.is_dir() else [path]
         if not files:
-            raise InvalidInputError(f"{path}: no file ends in {SUFFIX}")
+            raise InvalidInputError(f"{path}: the folder holds no file whose name ends in {SUFFIX}")
         found += files
     return list(dict.fromkeys(found))
 
@@ -89,7 +89,7 @@
         try:
             text = path.read_bytes().decode("utf-8")
         except UnicodeDecodeError as error:
-            errors.append(f"{path}: not UTF-8: {error.reason} at byte {error.start}")
+            errors.append(f"{path}: the file is not UTF-8: {error.reason} at byte {error.start}")
             continue
         try:
             parsed = parse(text, str(path))
@@ -109,7 +109,7 @@
         if other is not statement:
             errors.append(
                 f"{statement.location.describe()}: the name {statement.name!r}"
-                f" already stands at {other.location.describe()}"
+                f" is already used at {other.location.describe()}"
             )
     if errors:
         raise InvalidInputError("\n".join(errors))
--- a/birchslip/expect/names.py
+++ b/birchslip/expect/names.py
@@ -12,10 +12,11 @@
 
 
 class KnownNames:
-    """The names of all subjects in the settings.
+    """The names that statements may use for their subjects.
 
     Attributes:
-        by_kind: The names of each kind, in the order of the settings.
+        by_kind: The names of each kind, in the order of the settings. A router's name is its number, and the
+            only name of the fleet is empty.
         name_sets: The same names as sets, for lookups.
     """
 
@@ -48,7 +49,7 @@
         for atom in atoms(statement.claim):
             for subject in subjects_of(atom):
                 if subject.each and not self.by_kind[subject.kind]:
-                    return f"there is no {subject.kind.value} in these settings"
+                    return f"'each {subject.kind.value}' is empty: the settings have no {subject.kind.value}"
                 if not subject.each and subject.name not in self.name_sets[subject.kind]:
                     return self.unknown_name_error(subject.kind, subject.name)
         condition = statement.condition
@@ -58,19 +59,23 @@
         return ""
 
     def unknown_name_error(self, kind: SubjectKind, name: str) -> str:
-        """Describe an unknown name: it may name another kind of subject or be misspelt."""
+        """Return an error message for an unknown name.
+
+        The message names the other kinds that have a subject of this name, else the known name that is most
+        like it, else the first known names.
+        """
         other_kinds = [other.value for other in self.kinds_of(name)]
         if other_kinds:
-            return f"{name!r} is a {' and a '.join(other_kinds)}, not a {kind.value}"
+            return f"no {kind.value} is named {name!r}, which is the name of: {', '.join(other_kinds)}"
         close_matches = get_close_matches(name, self.by_kind[kind], 1, 0.6)
         if close_matches:
             return f"no {kind.value} is named {name!r}, was {close_matches[0]!r} meant?"
         known_names = self.by_kind[kind]
         if not known_names:
-            return f"no {kind.value} is named {name!r}: there is none at all"
+            return f"no {kind.value} is named {name!r}; the settings have no {kind.value}"
         ellipsis = " ..." if len(known_names) > MAX_NAMES_SHOWN else ""
         shown = ", ".join(known_names[:MAX_NAMES_SHOWN])
-        return f"no {kind.value} is named {name!r}; there are {shown}{ellipsis}"
+        return f"no {kind.value} is named {name!r}; expected one of {shown}{ellipsis}"
 
     def kinds_of(self, name: str) -> Iterator[SubjectKind]:
         """Yield the kinds that have a subject of this name."""
--- a/birchslip/expect/parse.py
+++ b/birchslip/expect/parse.py
@@ -44,16 +44,16 @@
     claim_depth,
 )
 
-MAX_TEXT_BYTES = 8 << 20
-MAX_STATEMENTS = 50_000
+MAX_TEXT_BYTES = 8 << 20  # of one file
+MAX_STATEMENTS = 50_000  # of one file
 MAX_SPAN = 600 * SECOND  # ten minutes; a longer span is taken for a mistake
 DEFAULT_SHRINK, DEFAULT_SURGE_FACTOR = 0.5, 3.0
 MAX_LOAD = 100  # times the capacity
 MAX_SURGE_FACTOR = 1000
 MAX_TERMINALS_SHOWN = 8  # in a syntax error
-TIME_UNITS = {"ms": 10.0, "s": float(SECOND), "min": 600_000.0}
+TIME_UNITS = {"ms": 10.0, "s": float(SECOND), "min": 600_000.0}  # in units of 0.1 ms
 SHARE_UNITS = {"%": 0.01, "percent": 0.01}
-TERMINAL_LABELS = {
+TERMINAL_LABELS = {  # what syntax errors call the terminals of the grammar that are no keywords
     "COMPARE": "<= or >=",
     "NUMBER": "a number",
     "NAME": "a name",
@@ -72,7 +72,7 @@
 
     Attributes:
         location: Where the error is.
-        reason: What is wrong.
+        reason: What is wrong, without the location.
     """
 
     def __init__(self, location: SourceLocation, reason: str) -> None:
@@ -107,12 +107,15 @@
 
 
 def unquote(token: Any) -> str:
-    """Return the text of a token without its quotes."""
+    """Return the text of a token without any double quotes at its ends."""
     return str(token).strip('"')
 
 
 def join_claims(claims: Iterable[Claim], operator: type[AllOf] | type[AnyOf]) -> Claim:
-    """Combine claims with one operator, flattening nested claims of the same operator."""
+    """Combine claims with one operator; a single claim is returned as it is.
+
+    Nested claims of the same operator are flattened, so that they add nothing to the nesting depth.
+    """
     flattened: list[Claim] = []
     for claim in claims:
         flattened += (
@@ -149,7 +152,9 @@
         for item in rest[1:]:
             repeated = sorted(set(item) & set(fields) - {"settled"})
             if repeated:
-                raise TokenError(item["token"], f"{repeated[0].replace('_', ' ')} is said twice")
+                raise TokenError(
+                    item["token"], f"the condition gives {repeated[0].replace('_', ' ')!r} twice"
+                )
             fields |= {name: value for name, value in item.items() if name != "token"}
         return label, rest[0], fields
 
@@ -182,28 +187,31 @@
         if target.kind not in definition.subject_kinds:
             kinds = ", ".join(sorted(kind.value for kind in definition.subject_kinds))
             raise TokenError(
-                token, f"{definition.word!r} is a measure of {kinds}, not of a {target.kind.value}"
+                token, f"{definition.word!r} can be measured for {kinds}, but not for {target.kind.value}"
             )
         if unit in TIME_UNITS and definition.unit is not Unit.TIME:
             raise TokenError(
-                number, f"{definition.word!r} is {definition.unit.value}, and {unit!r} is a unit of time"
+                number, f"{definition.word!r} is {definition.unit.value}, but {unit!r} is a unit of time"
             )
         if unit in SHARE_UNITS and definition.unit is not Unit.SHARE:
             raise TokenError(
-                number, f"{definition.word!r} is {definition.unit.value}, and {unit!r} is a share"
+                number, f"{definition.word!r} is {definition.unit.value}, but {unit!r} is a unit of shares"
             )
         if definition.unit is Unit.TIME:
             if unit not in TIME_UNITS:
-                raise TokenError(number, f"{definition.word!r} is a time: say {number} ms, s or min")
+                raise TokenError(
+                    number,
+                    f"{definition.word!r} is a time and needs the unit ms, s or min after {number[:32]}",
+                )
             value *= TIME_UNITS[unit]
         elif definition.unit is Unit.SHARE:
             value *= SHARE_UNITS.get(unit, 1.0)
             if value > 1:
                 raise TokenError(
                     number,
-                    f"a share above 1: was {value:g}% meant?"
+                    f"a share is at most 1, not {number[:32]}; was {value:g}% meant?"
                     if not unit
-                    else f"a share above 100%: {number}",
+                    else f"a share is at most 100%, not {number[:32]}%",
                 )
         return Bound(target, measure, Comparison(str(compare)), value)
 
@@ -212,13 +220,15 @@
         """Return an order of refusals.
 
         Raises:
-            TokenError: A subject is never refused, is not a single one, or both subjects are the same.
+            TokenError: A subject has no refused requests or has `each`, or both subjects are the same.
         """
         for target, token in (first, then):
             if target.kind not in Measure.REFUSED.definition.subject_kinds:
-                raise TokenError(token, f"a {target.kind.value} has no refused requests")
+                raise TokenError(token, f"'refused' can't be measured for {target.kind.value}")
             if target.each:
-                raise TokenError(token, "an order compares two named subjects, not each of a kind")
+                raise TokenError(
+                    token, "'refused before' compares two named subjects and does not allow 'each'"
+                )
         if first[0] == then[0]:
             raise TokenError(then[1], f"{first[0].describe()} can't be refused before itself")
         return RefusalOrder(first[0], then[0])
@@ -237,9 +247,9 @@
             return Subject(kind), word
         if (each is None) == (name is None):
             reason = (
-                f"which {kind.value}? Name it, or say each"
+                f"{kind.value!r} needs a name after it or 'each' before it"
                 if name is None
-                else f"each {kind.value}, or the one named?"
+                else f"{kind.value!r} has both 'each' and a name; only one of them is allowed"
             )
             raise TokenError(word, reason)
         return Subject(kind, unquote(name) if name is not None else "", each is not None), word
@@ -285,28 +295,28 @@
         return Measure.TRIES
 
     def quantity(self, children: list[Token]) -> tuple[float, str, Token]:
-        """Return a number, its unit (empty if there is none) and the token of the number."""
+        """Return a number as written, its unit, or an empty string, and the token of the number."""
         return float(children[0]), str(children[1]) if len(children) > 1 and children[1] else "", children[0]
 
     def span(self, children: list[Token]) -> tuple[int, Token]:
-        """Return a length of time and the token of its number.
+        """Return a length of time in units of 0.1 ms, and the token of its number.
 
         Raises:
             TokenError: The unit is not one of time, or the span is longer than `MAX_SPAN`.
         """
         number, unit = children
         if str(unit) not in TIME_UNITS:
-            raise TokenError(unit, f"a time is expected, in ms, s or min, not {unit}")
+            raise TokenError(unit, f"a time in ms, s or min is expected, not in {str(unit)!r}")
         value = round(float(number) * TIME_UNITS[str(unit)])
         if value > MAX_SPAN:
-            raise TokenError(number, "longer than ten minutes")
+            raise TokenError(number, f"{number[:32]} {unit} is too long; at most 10 min are allowed")
         return value, number
 
     # ---- conditions ------------------------------------------------------------------------------------
 
     @v_args(inline=True)
     def lasting(self, situation: dict[str, Any], span: tuple[int, Token] | None) -> dict[str, Any]:
-        """Return a situation with the time that it must have lasted."""
+        """Return the fields of a situation, and the time that it must have lasted if one is given."""
         return situation | ({"settled": span[0]} if span is not None else {})
 
     @v_args(inline=True)
@@ -314,16 +324,19 @@
         """Return the field of an offered load.
 
         Raises:
-            TokenError: The load is out of range.
+            TokenError: The load is not above 0, or is above `MAX_LOAD`.
         """
         load = float(number)
         if not 0 < load <= MAX_LOAD:
-            raise TokenError(number, f"a load is more than 0 and at most {MAX_LOAD} times the capacity")
+            raise TokenError(
+                number,
+                f"a load must be more than 0 and at most {MAX_LOAD} times the capacity, not {number[:32]}",
+            )
         return {"load": load, "token": number}
 
     @v_args(inline=True)
     def soon(self, span: tuple[int, Token], event: dict[str, Any]) -> dict[str, Any]:
-        """Return an event with the time within which the statement applies after it."""
+        """Return the fields of an event, and the time after it during which the statement applies."""
         return event | {"within": span[0], "token": span[1]}
 
     def always(self, _: list[Any]) -> dict[str, Any]:
@@ -344,10 +357,10 @@
         return {"lost": unquote(name), "token": name}
 
     def shrinking(self, children: list[Any]) -> dict[str, Any]:
-        """Return the field of a shrinking fleet.
+        """Return the field of a shrinking fleet; `DEFAULT_SHRINK` if no remaining share is given.
 
         Raises:
-            TokenError: The remaining share is not between 0 and 1.
+            TokenError: The remaining share is a time, or does not lie between 0 and 1.
         """
         quantity: tuple[float, str, Token] | None = children[-1]
         if quantity is None:
@@ -355,7 +368,10 @@
         value, unit, number = quantity
         remaining = value * SHARE_UNITS.get(unit, 1.0)
         if unit in TIME_UNITS or not 0 < remaining < 1:
-            raise TokenError(number, "what is left of the fleet is a share between 0 and 1")
+            raise TokenError(
+                number,
+                f"the remaining share of the fleet must be between 0 and 1, not {number[:32]}{unit}",
+            )
         return {"shrink": remaining, "token": number}
 
     def releasing(self, _: list[Any]) -> dict[str, Any]:
@@ -367,13 +383,13 @@
         """Return the fields of a tenant whose traffic surges.
 
         Raises:
-            TokenError: The factor is out of range.
+            TokenError: The factor is not above 1, or is above `MAX_SURGE_FACTOR`.
         """
         factor = float(number) if number is not None else DEFAULT_SURGE_FACTOR
         if not 1 < factor <= MAX_SURGE_FACTOR:
             raise TokenError(
                 number if number is not None else name,
-                f"a surge is by more than 1 and at most {MAX_SURGE_FACTOR}",
+                f"a surge must be by more than 1 and at most {MAX_SURGE_FACTOR}, not {factor:g}",
             )
         return {"surge": unquote(name), "surge_factor": factor, "token": name}
 
@@ -429,10 +445,13 @@
         The statements in the order of the text.
 
     Raises:
-        ExpectationSyntaxError: The text is too large or not valid.
+        ExpectationSyntaxError: The text is not valid, or is past a limit on its size, its statements or
+            their nesting.
     """
     if len(text.encode("utf-8", "replace")) > MAX_TEXT_BYTES:
-        raise ExpectationSyntaxError(SourceLocation(file, 1, 1), f"more than {MAX_TEXT_BYTES >> 20} MB")
+        raise ExpectationSyntaxError(
+            SourceLocation(file, 1, 1), f"the file has more than {MAX_TEXT_BYTES >> 20} MB"
+        )
     positions = statement_positions(text)
     try:
         parsed: Any = load_grammar().parse(text)
@@ -448,7 +467,8 @@
         ) from None
     if len(parsed) > MAX_STATEMENTS:
         raise ExpectationSyntaxError(
-            SourceLocation(file, 1, 1), f"{len(parsed)} statements; {MAX_STATEMENTS} are the most"
+            SourceLocation(file, 1, 1),
+            f"the file has {len(parsed)} statements; at most {MAX_STATEMENTS} are allowed",
         )
     statements: list[Statement] = []
     first_locations: dict[str, SourceLocation] = {}
@@ -456,12 +476,13 @@
         location = SourceLocation(file, *positions[index])
         if claim_depth(claim) > MAX_CLAIM_DEPTH:
             raise ExpectationSyntaxError(
-                location, f"claims are nested {claim_depth(claim)} deep; {MAX_CLAIM_DEPTH} is the most"
+                location,
+                f"claims are nested {claim_depth(claim)} deep; at most {MAX_CLAIM_DEPTH} levels are allowed",
             )
         name = unquote(label) if label is not None else f"{file.rpartition('/')[2]}:{location.line}"
         if label is not None and name in first_locations:
             raise ExpectationSyntaxError(
-                location, f"the name {name!r} already stands at {first_locations[name].describe()}"
+                location, f"the name {name!r} is already used at {first_locations[name].describe()}"
             )
         first_locations.setdefault(name, location)
         statements.append(
@@ -478,7 +499,7 @@
     """
     condition = Condition(**fields)
     if condition.always and condition != Condition(always=True):
-        raise ExpectationSyntaxError(location, "'always' leaves nothing else to specify")
+        raise ExpectationSyntaxError(location, "'always' can't be combined with another condition")
     if condition.event is None and condition.settled and not has_situation(condition):
         raise ExpectationSyntaxError(
             location, "'for' needs a situation that lasts, such as 'while a release runs'"
@@ -487,7 +508,7 @@
 
 
 def has_situation(condition: Condition) -> bool:
-    """Return whether a condition includes a situation that lasts."""
+    """Return whether a condition includes a situation, which lasts, and not only a load or an event."""
     return bool(
         condition.lost
         or condition.shrink is not None
@@ -534,7 +555,11 @@
 
 
 def describe_syntax_error(error: UnexpectedInput, text: str, file: str) -> ExpectationSyntaxError:
-    """Convert an error of the parser, with the expected words or the closest one of them."""
+    """Convert an error of the parser.
+
+    The message suggests the expected word that is most like the unexpected one, else it lists what is
+    expected.
+    """
     if isinstance(error, UnexpectedCharacters):
         location = SourceLocation(file, error.line, error.column)
         line = text.split("\n")[error.line - 1]
@@ -554,7 +579,7 @@
             end = text.rstrip().split("\n")
             return ExpectationSyntaxError(
                 SourceLocation(file, len(end), len(end[-1]) + 1),
-                f"it ends too soon; expected {describe_terminals(expected)}",
+                f"the file ends too soon; expected {describe_terminals(expected)}",
             )
         words = [item.strip("_").lower() for item in expected if item.strip("_").isalpha()]
         close_matches = get_close_matches(str(token).lower(), words, 1, 0.6)
@@ -564,12 +589,12 @@
             f"{str(token)[:32]!r} is not expected{hint or '; expected ' + describe_terminals(expected)}",
         )
     if isinstance(error, UnexpectedEOF):
-        return ExpectationSyntaxError(SourceLocation(file, 1, 1), "it ends too soon")
-    return ExpectationSyntaxError(SourceLocation(file, 1, 1), "it can't be read")
+        return ExpectationSyntaxError(SourceLocation(file, 1, 1), "the file ends too soon")
+    return ExpectationSyntaxError(SourceLocation(file, 1, 1), "the file can't be read")
 
 
 def describe_terminals(names: Iterable[str]) -> str:
-    """Return the names of grammar terminals for a message, at most `MAX_TERMINALS_SHOWN`."""
+    """Return what a syntax error calls some terminals of the grammar, at most `MAX_TERMINALS_SHOWN`."""
     names_shown = sorted(
         {
             TERMINAL_LABELS.get(name, name.strip("_").lower())
--- a/tests/test_expect_check.py
+++ b/tests/test_expect_check.py
@@ -139,7 +139,7 @@
         (["list", str(EXPECTATIONS)], 0, "home-comes-first"),
         (["explain", "home-comes-furst", str(EXPECTATIONS)], 2, "was 'home-comes-first' meant?"),
         (["check", "no-such.expect"], 2, "No such file"),
-        (["check", "docs"], 2, "no file ends in .expect"),
+        (["check", "docs"], 2, "docs: the folder holds no file whose name ends in .expect"),
     ],
 )
 def test_commands_print_result_and_exit_code_without_traceback(words, code, text):
--- a/tests/test_expect_language.py
+++ b/tests/test_expect_language.py
@@ -102,28 +102,44 @@
     ("text", "at", "words"),
     [
         ("expect router 1 outstandng <= 4", "1:17", "was 'outstanding' meant?"),
-        ("expect router 1 outstanding <=", "1:31", "it ends too soon; expected a number"),
-        ("expect tenant a refused <= 5", "1:28", "a share above 1: was 5% meant?"),
-        ("expect tenant a refused <= 101 %", "1:28", "a share above 100%"),
+        ("expect router 1 outstanding <=", "1:31", "the file ends too soon; expected a number"),
+        ("expect tenant a refused <= 5", "1:28", "a share is at most 1, not 5; was 5% meant?"),
+        ("expect tenant a refused <= 101 %", "1:28", "a share is at most 100%, not 101%"),
         ("expect tenant a refused <= 5 ms", "1:28", "'ms' is a unit of time"),
-        ("expect router 1 outstanding <= 5 %", "1:32", "'%' is a share"),
-        ("expect the fleet advised wait <= 5", "1:34", "say 5 ms, s or min"),
-        ("expect group g refused <= 1 %", "1:8", "not of a group"),
-        ("expect router outstanding <= 4", "1:8", "which router?"),
-        ("expect each router 1 outstanding <= 4", "1:13", "or the one named?"),
+        ("expect router 1 outstanding <= 5 %", "1:32", "'%' is a unit of shares"),
+        (
+            "expect the fleet advised wait <= 5",
+            "1:34",
+            "'advised wait' is a time and needs the unit ms, s or min after 5",
+        ),
+        ("expect group g refused <= 1 %", "1:8", "but not for group"),
+        ("expect router outstanding <= 4", "1:8", "'router' needs a name after it or 'each' before it"),
+        ("expect each router 1 outstanding <= 4", "1:13", "'router' has both 'each' and a name"),
         ("expect tenant a refused before tenant a", "1:32", "before itself"),
         ("expect the fleet served >= 1 % at 0 of capacity", "1:35", "more than 0"),
-        ("expect the fleet served >= 1 % at 1 of capacity at 2 of capacity", "1:52", "load is said twice"),
-        ("expect the fleet served >= 1 % while the fleet is shrinking to 2", "1:64", "between 0 and 1"),
-        ("expect the fleet served >= 1 % within 900 s of a release beginning", "1:39", "ten minutes"),
-        ("expect the fleet served >= 1 % always at 1 of capacity", "1:1", "'always' leaves nothing"),
+        (
+            "expect the fleet served >= 1 % at 1 of capacity at 2 of capacity",
+            "1:52",
+            "the condition gives 'load' twice",
+        ),
+        (
+            "expect the fleet served >= 1 % while the fleet is shrinking to 2",
+            "1:64",
+            "between 0 and 1, not 2",
+        ),
+        (
+            "expect the fleet served >= 1 % within 900 s of a release beginning",
+            "1:39",
+            "900 s is too long; at most 10 min are allowed",
+        ),
+        ("expect the fleet served >= 1 % always at 1 of capacity", "1:1", "'always' can't be combined"),
         ("expect the fleet served >= 1 % while site x is lots", "1:48", "was 'lost' meant?"),
         (
             "expect\n  a: the fleet served >= 1 %\nexpect a: the fleet served >= 2 %",
             "3:1",
-            "stands at f.expect:1:1",
+            "the name 'a' is already used at f.expect:1:1",
         ),
-        ("expect " + "not " * 70 + "the fleet served >= 1 %", "1:1", "64 is the most"),
+        ("expect " + "not " * 70 + "the fleet served >= 1 %", "1:1", "at most 64 levels are allowed"),
         ("expekt the fleet served >= 1 %", "1:1", "was 'expect' meant?"),
         ("\x00", "1:1", "can't be read here"),
     ],
@@ -138,10 +154,13 @@
     ("text", "words"),
     [
         ("site nort served >= 1 %", "no site is named 'nort', was 'north' meant?"),
-        ("tenant north refused <= 1 %", "'north' is a site and a group, not a tenant"),
-        ("router 9 outstanding <= 1", "no router is named '9'; there are 1, 2"),
+        ("tenant north refused <= 1 %", "no tenant is named 'north', which is the name of: site, group"),
+        ("router 9 outstanding <= 1", "no router is named '9'; expected one of 1, 2"),
         ("group no-such out at once <= 1", "no group is named"),
-        ("the fleet served >= 1 % while site blue is lost", "'blue' is a tenant, not a site"),
+        (
+            "the fleet served >= 1 % while site blue is lost",
+            "no site is named 'blue', which is the name of: tenant",
+        ),
         ("the fleet served >= 1 % while tenant bleu surges", "was 'blue' meant?"),
     ],
 )
@@ -162,8 +181,8 @@
     errors = str(raised.value)
     assert len(errors.splitlines()) == 3
     assert "nort" in errors
-    assert "stands at" in errors
-    assert "UTF-8" in errors
+    assert "is already used at" in errors
+    assert "the file is not UTF-8" in errors
     assert read_statements([tmp_path / "d.expect"], sources()) == ([], [str(tmp_path / "d.expect")])
 
 
