--- a/tests/test_expect_consistency.py
+++ b/tests/test_expect_consistency.py
@@ -94,4 +94,4 @@
     report = Check(changed_sources, statements("the fleet advised wait <= 1 s")).run()
     output = "\n".join(report_lines(report))
     assert report.exit_code == 1
-    assert "settings contradict each other: 3 and 4 app servers" in output
+    assert "settings contradict each other: group_size is 3, but there are 4 members" in output
