--- a/birchslip/expect/check.py
+++ b/birchslip/expect/check.py
@@ -51,17 +51,23 @@
 
     @property
     def exit_code(self) -> int:
-        """0 if all hold, 1 if something fails, 2 if something is undecided or there is no statement."""
+        """The exit code of the command.
+
+        1 if a statement fails, or if settings or statements contradict each other; otherwise 2 if a statement
+        is undecided or there is none; 0 if all hold.
+        """
         if self.conflicts or self.contradictions or self.count(Outcome.FAILS):
             return 1
         return 2 if self.count(Outcome.UNDECIDED) or not self.verdicts else 0
 
 
 def expectation_files(paths: Iterable[str | Path]) -> list[Path]:
-    """Return the files to read, each once; a folder stands for all `*.expect` files below it, sorted by path.
+    """Return the files to read, each once.
+
+    A folder stands for all `*.expect` files below it, sorted by path. Other paths are not checked here.
 
     Raises:
-        InvalidInputError: A folder holds no such file.
+        InvalidInputError: A folder holds no `*.expect` file.
     """
     found: list[Path] = []
     for path in map(Path, paths):
@@ -79,7 +85,8 @@
         The statements, and the files that hold none.
 
     Raises:
-        InvalidInputError: A statement is wrong; the message has a line for each error.
+        InvalidInputError: A file or a statement is wrong; the message has a line for each error.
+        OSError: A file cannot be read.
     """
     names = KnownNames(sources.setting)
     result: list[Statement] = []
@@ -137,8 +144,8 @@
             seed: The first seed.
             seeds: How many seeds each condition is run with.
             search: Whether to search for the history and the responsible setting of failures.
-            capacity: What loads are multiples of; 0 for the capacity of the settings.
-            jobs: How many scenarios run at a time; 0 for one for each core.
+            capacity: What loads are multiples of, in requests per second; 0 for the capacity of the settings.
+            jobs: How many scenarios run at a time; 0 for one for each core, at most `MAX_JOBS`.
         """
         self.sources, self.statements = sources, statements
         self.seeds = [seed + step for step in range(seeds)]
@@ -167,9 +174,9 @@
             if statement in contradicting:
                 contradiction = contradicting[statement]
                 others = [other.name for other in contradiction.statements if other is not statement]
-                rest = ", ".join([*others, *contradiction.settings])
+                rest = ", ".join([*others, *contradiction.settings]) or "itself"
                 verdicts[statement] = Verdict(
-                    Outcome.FAILS, "reasoning", f"{contradiction.reason}: with {rest}"
+                    Outcome.FAILS, "reasoning", f"{contradiction.reason}; the statement contradicts {rest}"
                 )
             elif statement in reasoned.fails:
                 verdicts[statement] = Verdict(Outcome.FAILS, "reasoning", reasoned.fails[statement])
@@ -245,7 +252,7 @@
     ) -> None:
         """Add the verdict on a statement with `always`.
 
-        The worst evaluation of each seed counts. Runs with nothing to measure count only if there is no
+        The worst evaluation of each seed counts. Runs with too little to measure count only if there is no
         other.
         """
         worst: dict[int, tuple[ScenarioRun, Evaluation]] = {}
@@ -293,7 +300,7 @@
         assert verdict.seed is not None
         own_claim: tuple[Claim, ...] = (statement.claim,)
         claims, always_claims = ((), own_claim) if statement.condition.always else (own_claim, ())
-        first = self.scenario_run(self.sources.setting, condition, verdict.seed, claims, always_claims)
+        failing_run = self.scenario_run(self.sources.setting, condition, verdict.seed, claims, always_claims)
 
         def evaluation_of(outcome: RunOutcome) -> Evaluation:
             return (outcome.evaluations or outcome.always_evaluations)[0]
@@ -301,12 +308,14 @@
         def run_cases(cases: Sequence[Case]) -> list[Evaluation]:
             return [
                 evaluation_of(outcome)
-                for outcome in self.runner.run_all([self.with_case(first, case) for case in cases])
+                for outcome in self.runner.run_all([self.with_case(failing_run, case) for case in cases])
             ]
 
-        case, least = shrink(Case(first.setting, first.script, verdict.seed), worst, statement, run_cases)
+        case, smallest_evaluation = shrink(
+            Case(failing_run.setting, failing_run.script, verdict.seed), worst, statement, run_cases
+        )
         verdict.history = failure_history(
-            case, least, self.runner.run_all([self.with_case(first, case)])[0].notes
+            case, smallest_evaluation, self.runner.run_all([self.with_case(failing_run, case)])[0].notes
         )
 
         def run_changed(changed_sources: Sequence[Sources]) -> list[Evaluation | None]:
@@ -327,7 +336,7 @@
         attribution = attribute_change(statement, worst, self.sources, run_changed)
         if attribution is not None:
             change, evaluation = attribution
-            effect = "it holds" if evaluation.held else "it comes closer"
+            effect = "it holds" if evaluation.held else "it comes closer to its bound"
             verdict.responsible_setting = (
                 f"{change.describe(self.sources)}; with {change.new} {effect} ({evaluation.reason})"
             )
--- a/birchslip/expect/facts.py
+++ b/birchslip/expect/facts.py
@@ -23,8 +23,8 @@
     Attributes:
         subject: The subject of the measure.
         measure: The bounded measure.
-        low: The lower bound.
-        high: The upper bound.
+        low: The lower bound, in the unit of the measure.
+        high: The upper bound, in the unit of the measure.
         setting_path: The setting that the bound follows from, for reports.
         condition: The condition under which it holds; `None` if it always holds.
         is_reachable: Whether the upper bound can actually be reached.
@@ -51,7 +51,10 @@
 
 
 def deployment_facts(setting: Setting, config: str, fleet: str) -> Iterator[Fact]:
-    """Yield bounds on advised waits and downstream calls."""
+    """Yield bounds on advised waits and downstream calls.
+
+    Downstream calls are bounded by the vault of the fleet file, else by the quota of each app server.
+    """
     deployment = setting.deployment
     max_wait = deployment.max_retry_after if deployment.sends_retry_after else 0
     setting_name = "max_retry_after_s" if deployment.sends_retry_after else "retry_after"
--- a/birchslip/expect/judge.py
+++ b/birchslip/expect/judge.py
@@ -42,13 +42,14 @@
     """The result of one claim in one scenario run.
 
     Attributes:
-        held: Whether the claim held; `None` if there was nothing to measure.
+        held: Whether the claim held; `None` if there was too little to measure.
         reason: The deciding figure in words.
-        value: The deciding figure.
+        value: The deciding figure, in the unit of its measure.
         bound: The bound that it was compared with.
-        at: When the figure was reached; 0 if it belongs to no moment.
-        excess: How far the figure is past its bound, relative to the bound; negative within it. The search
-            for a smaller failure compares it.
+        at: When the figure was reached, in units of 0.1 ms; 0 if it belongs to no moment.
+        excess: How far the figure is past its bound, as a multiple of the bound; negative within it. For an
+            order of refusals it is the difference of the two shares. Verdicts and the search for the
+            responsible setting compare it.
     """
 
     held: bool | None
@@ -64,7 +65,7 @@
 
     Args:
         claim: The claim.
-        measure: Returns the figure of a subject, or `None` if there is none.
+        measure: Returns the figure that a comparison refers to, or `None` if there was too little to measure.
         expand: Returns the subjects that a subject with `each` stands for.
     """
     match claim:
@@ -82,7 +83,7 @@
             return replace(
                 evaluation,
                 held=not evaluation.held,
-                reason=f"{evaluation.reason}, and is not to be",
+                reason=f"{evaluation.reason} ('not' negates this)",
                 excess=-evaluation.excess,
             )
         case AllOf(claims):
@@ -130,7 +131,7 @@
         # Without rejections no wait was advised, so that an upper bound holds.
         if bound.measure is Measure.ADVISED and bound.compare.is_upper_bound:
             return Evaluation(True, f"{subject_label}: no wait was advised", 0.0, bound.value, excess=-1.0)
-        return Evaluation(None, f"{subject_label}: there was nothing to measure of {word}")
+        return Evaluation(None, f"{subject_label}: too few samples to measure {word!r}")
     value = observation.value
     held = {
         Comparison.AT_MOST: value <= bound.value,
@@ -148,25 +149,28 @@
         if bound.compare is not Comparison.EXACTLY
         else abs(deviation)
     )
-    against = f"{bound.compare.value} {format_figure(bound.measure, bound.value)}"
-    text = f"{subject_label} {word} {format_figure(bound.measure, value)}, against {against}"
+    expected = f"{bound.compare.value} {format_figure(bound.measure, bound.value)}"
+    text = f"{subject_label} {word} is {format_figure(bound.measure, value)}; expected {expected}"
     return Evaluation(held, text, value, bound.value, observation.at, excess)
 
 
 def evaluate_order(first: Subject, then: Subject, measure: MeasureFunction) -> Evaluation:
     """Evaluate an order of refusals.
 
-    It is undecided if neither subject was refused anything, or if one had nothing to measure.
+    It is undecided if no request of either subject was refused, or if one had too few requests.
     """
     first_refused, then_refused = (
         measure(subject, Measure.REFUSED, Comparison.AT_MOST) for subject in (first, then)
     )
     if first_refused is None or then_refused is None:
         unmeasured = first if first_refused is None else then
-        return Evaluation(None, f"{unmeasured.describe()}: there was nothing to measure of refused")
+        return Evaluation(None, f"{unmeasured.describe()}: too few requests to measure 'refused'")
     if not first_refused.value and not then_refused.value:
-        return Evaluation(None, f"neither {first.describe()} nor {then.describe()} was refused anything")
-    text = f"{first.describe()} refused {first_refused.value:.1%}, {then.describe()} {then_refused.value:.1%}"
+        return Evaluation(None, f"no request of {first.describe()} or {then.describe()} was refused")
+    text = (
+        f"{first.describe()} refused is {first_refused.value:.1%},"
+        f" {then.describe()} refused is {then_refused.value:.1%}; expected the first to be no less"
+    )
     return Evaluation(
         then_refused.value <= first_refused.value,
         text,
@@ -205,10 +209,11 @@
 def combine_seeds(evaluations: Sequence[tuple[int, Evaluation]]) -> Verdict:
     """Combine the evaluations of a claim over all seeds into a verdict.
 
-    The claim holds or fails if it does so with every seed, and is undecided otherwise.
+    The claim holds or fails if it does so with every seed, and is undecided otherwise. The seed with the
+    largest excess gives the verdict its figure and reason, unless too little was measured with a seed.
 
     Args:
-        evaluations: Pairs of (seed, evaluation).
+        evaluations: Pairs of (seed, evaluation), at least one.
     """
     if all(evaluation.held for _, evaluation in evaluations):
         seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
@@ -222,7 +227,7 @@
     held = sum(1 for _, evaluation in evaluations if evaluation.held)
     seed, worst = max(evaluations, key=lambda pair: pair[1].excess)
     reason = (
-        f"it held with {held} of {len(evaluations)} seeds, the bound lies within the noise;"
-        f" at worst {worst.reason}"
+        f"it held with {held} of {len(evaluations)} seeds, so that the bound lies within the noise;"
+        f" the worst: {worst.reason}"
     )
     return Verdict(Outcome.UNDECIDED, "play", reason, worst.value, worst.bound, seed)
--- a/birchslip/expect/measures.py
+++ b/birchslip/expect/measures.py
@@ -13,8 +13,8 @@
 
 Span = tuple[int, int]
 UTILIZATION_WINDOW = SECOND
-MAX_OUT_SHARE = 0.5  # out for this share of a window, an app server does not count in it
-MIN_REQUESTS = 20  # fewer give no meaningful share
+MAX_OUT_SHARE = 0.5  # an app server that is out for this share of a window does not count in it
+MIN_REQUESTS = 20  # fewer requests give no meaningful share or mean
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
 
     Attributes:
         value: The figure, in the unit of its measure.
-        at: When it was reached; 0 for means.
+        at: When it was reached, in units of 0.1 ms; 0 for figures of the whole span.
         sample_count: How many samples or requests it is taken from.
     """
 
@@ -44,10 +44,11 @@
         subject: One subject, not `each`.
         measure: The measure.
         compare: The comparison with the bound.
-        spans: The spans that count.
+        spans: The spans that count, as (start, end) in units of 0.1 ms.
 
     Returns:
-        The observation, or `None` if there was nothing to measure.
+        The observation, or `None` if there were no samples, or fewer than `MIN_REQUESTS` requests, or if all
+        requests have a priority weight of 0 and the measure is that of their weight.
 
     Raises:
         ValueError: The measure is unknown.
@@ -95,11 +96,14 @@
             return share_of_requests(
                 requests_started(world, subject, spans), lambda request: request.is_in_time
             )
-    raise ValueError(f"no such measure: {measure}")
+    raise ValueError(f"unknown measure: {measure}")
 
 
 def member_names(world: World, subject: Subject) -> list[str]:
-    """Return the app servers that belong to a subject."""
+    """Return the names of the app servers that belong to a subject.
+
+    These are the members of a site or group, the app servers that need a service, or else all of the fleet.
+    """
     match subject.kind:
         case SubjectKind.SITE:
             return world.sites[subject.name]
@@ -153,7 +157,11 @@
 
 
 def extreme(series: Series, compare: Comparison, spans: Sequence[Span]) -> Observation | None:
-    """Return the maximum or minimum of a series over the spans, as the comparison requires."""
+    """Return the maximum of a series over the spans for an upper bound, otherwise the minimum.
+
+    Returns:
+        The observation, or `None` if there are no spans.
+    """
     samples = [sample for span in spans for sample in series.within(span)]
     if not samples:
         return None
@@ -165,9 +173,10 @@
 def core_utilization(
     world: World, subject: Subject, compare: Comparison, spans: Sequence[Span]
 ) -> Observation | None:
-    """Return the extreme share of busy cores over whole windows of one second.
+    """Return the maximum or minimum share of busy cores over whole windows of one second.
 
-    App servers that are out for at least half of a window do not count in it.
+    App servers that are out for at least half of a window do not count in it. There is no figure if no span
+    holds a window in which an app server counts.
     """
     names = member_names(world, subject)
     samples: list[tuple[int, float]] = []
@@ -204,7 +213,7 @@
 def advised_wait(
     world: World, subject: Subject, compare: Comparison, spans: Sequence[Span]
 ) -> Observation | None:
-    """Return the extreme wait that rejections advised; rejections without advice do not count."""
+    """Return the longest or shortest wait that rejections advised; rejections without advice do not count."""
     matches = request_filter(subject)
     samples = []
     for begin, end in spans:
@@ -221,7 +230,7 @@
 
 
 def request_filter(subject: Subject) -> Callable[[ClientRequest], bool]:
-    """Return a predicate that selects the requests of a subject."""
+    """Return a predicate that selects the requests of a caller subject; the fleet has all requests."""
     match subject.kind:
         case SubjectKind.ROUTER:
             return lambda request, number=int(subject.name): request.router_number == number  # type: ignore[misc]
@@ -243,7 +252,7 @@
 def share_of_requests(
     requests: list[ClientRequest], is_counted: Callable[[ClientRequest], bool]
 ) -> Observation | None:
-    """Return the share of requests that satisfy a predicate; `None` for too few requests."""
+    """Return the share of requests that satisfy a predicate; `None` for fewer than `MIN_REQUESTS`."""
     if len(requests) < MIN_REQUESTS:
         return None
     return Observation(
--- a/birchslip/expect/mutate.py
+++ b/birchslip/expect/mutate.py
@@ -29,12 +29,12 @@
     "address",
     "stop_ms",
 )  # these do not affect routing
-IGNORED_SECTIONS = ("limits", "gauges", "planners")
-NAME_KEYS = ("name", "from", "to")
+IGNORED_SECTIONS = ("limits", "gauges", "planners")  # nor do the values in these
+NAME_KEYS = ("name", "from", "to")  # their words are names and are not changed
 
 
 class Detection(Enum):
-    """How a mutation was detected, or why it was not."""
+    """How a mutation was detected, or why it was not; the values are written to reports."""
 
     REFUSED = "refused by the settings' own checks"
     CONFLICT = "settings contradict each other"
@@ -97,7 +97,8 @@
 def mutated_values(path: ValuePath, value: object) -> list[object]:
     """Return the values that replace a value, one for each mutation.
 
-    These are larger and smaller numbers, the negation of a switch and another word; a name has none.
+    A number is multiplied and divided by `SCALE_FACTOR`, or becomes 1 or 0.5 if it is 0. A switch is negated.
+    A word becomes `off`, or `drop` if it is `off`. A name has none.
     """
     if isinstance(value, bool):
         return [not value]
@@ -111,7 +112,7 @@
 
 
 def measured_values(report: Report) -> list[float | None]:
-    """Return the deciding figure of each verdict."""
+    """Return the deciding figure of each verdict, in the order of the statements; `None` without one."""
     return [verdict.value for verdict in report.verdicts.values()]
 
 
@@ -134,6 +135,9 @@
         seeds: How many seeds are run.
         on_result: Called with each result as it is known.
         changes: The mutations; `None` for all.
+
+    Returns:
+        The results, in the order of the mutations.
     """
     baseline_check = Check(sources, statements, seed, seeds, search=False)
     baseline = baseline_check.run()
@@ -165,7 +169,11 @@
         baseline: The report on the settings without the mutation.
         seed: The first seed.
         seeds: How many seeds are run.
-        capacity: What loads are multiples of.
+        capacity: What loads are multiples of, in requests per second; that of the unchanged settings.
+
+    Returns:
+        The result. If several things detect the mutation, the first of this order counts: validation, a new
+        conflict, a statement that now fails, a statement that is now undecided.
     """
     path_label = sources.path_label(change.file_kind, change.path)
     mutated = sources.with_value(change.file_kind, change.path, change.new)
@@ -180,14 +188,15 @@
     if error:
         return MutationResult(change, path_label, Detection.REFUSED, error)
     after = check.run()
-    new = next((conflict for conflict in after.conflicts if conflict not in baseline.conflicts), None)
-    if new is not None:
-        return MutationResult(
-            change, path_label, Detection.CONFLICT, f"{', '.join(new.setting_paths)}: {new.reason}"
-        )
+    new_conflict = next(
+        (conflict for conflict in after.conflicts if conflict not in baseline.conflicts), None
+    )
+    if new_conflict is not None:
+        reason = f"{', '.join(new_conflict.setting_paths)}: {new_conflict.reason}"
+        return MutationResult(change, path_label, Detection.CONFLICT, reason)
     for outcome, detection in ((Outcome.FAILS, Detection.FAILED), (Outcome.UNDECIDED, Detection.UNDECIDED)):
         for statement, verdict in after.verdicts.items():
             if verdict.outcome is outcome and baseline.verdicts[statement].outcome is not outcome:
                 return MutationResult(change, path_label, detection, statement.name)
-    same = measured_values(baseline) == measured_values(after)
-    return MutationResult(change, path_label, Detection.NO_EFFECT if same else Detection.UNBOUNDED)
+    is_same = measured_values(baseline) == measured_values(after)
+    return MutationResult(change, path_label, Detection.NO_EFFECT if is_same else Detection.UNBOUNDED)
--- a/birchslip/expect/plays.py
+++ b/birchslip/expect/plays.py
@@ -1,7 +1,7 @@
 """Scenario runs, several at a time.
 
-Each run has a process of its own if there are cores for it; the results do not depend on how many run at a
-time. Figures are measured in the process of the run, so that no world crosses a process boundary.
+Several runs are spread over a pool of processes; the results do not depend on how many run at a time. Figures
+are measured in the process of the run, so that no world crosses a process boundary.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from .situations import Script, matching_spans
 from .words import Claim, Comparison, Condition, Measure, Subject
 
-MAX_JOBS = 8
+MAX_JOBS = 8  # scenario runs at a time if the caller gives no number
 EVENT_LABELS = {  # events of the fleet that a failure history shows, and their labels
     "site_lost": "site lost",
     "site_stage_changed": "site moves",
@@ -40,8 +40,8 @@
         seed: The seed of the run.
         claims: Claims that apply while the condition holds.
         always_claims: Claims that apply to the whole run.
-        capacity: What loads are multiples of; 0 for the capacity of the settings. A fixed value keeps the
-            traffic the same when a setting is changed.
+        capacity: What loads are multiples of, in requests per second; 0 for the capacity of the settings. A
+            fixed value keeps the traffic the same when a setting is changed.
     """
 
     setting: Setting
@@ -60,7 +60,7 @@
     Attributes:
         evaluations: One evaluation for each of the claims.
         always_evaluations: One evaluation for each claim that applies to the whole run.
-        notes: What the fleet did, as (time, label, fields).
+        notes: What the fleet did, as (time in units of 0.1 ms, label, fields).
         unmet_reason: Why the condition never came true; empty if it did.
     """
 
@@ -92,7 +92,7 @@
     )
     if not matched_spans:
         refusal = next((str(fields["why"]) for _, event, fields in notes if event == "no release"), "")
-        reason = refusal or "nothing in these settings brings it about"
+        reason = refusal or "no part of the run fulfilled it"
         return RunOutcome(
             tuple(Evaluation(None, reason) for _ in scenario_run.claims), always_evaluations, notes, reason
         )
@@ -129,7 +129,7 @@
         return list(self.executor.map(run_scenario, scenario_runs))
 
     def close(self) -> None:
-        """Stop the pool of processes, if it was started."""
+        """Stop the pool of processes, if it was started; `run_all` starts a new one if it needs one."""
         if self.executor is not None:
             self.executor.shutdown()
             self.executor = None
--- a/birchslip/expect/reason.py
+++ b/birchslip/expect/reason.py
@@ -33,6 +33,7 @@
     SubjectKind,
     Unit,
     conjuncts,
+    format_figure,
 )
 
 MAX_CONTRADICTIONS = 20  # further ones are reported once these are resolved
@@ -83,7 +84,13 @@
 
 @dataclass(slots=True)
 class TightestBound:
-    """The tightest bound on a figure so far, and the statement or setting that it comes from."""
+    """The tightest bound on a figure so far.
+
+    Attributes:
+        value: The bound, in the unit of the measure.
+        strict: Whether the figure must not be equal to it.
+        origin: The statement or setting that it comes from.
+    """
 
     value: float
     strict: bool
@@ -95,12 +102,15 @@
     setting: Setting,
     files: tuple[str, str] = ("configuration", "fleet file"),
 ) -> ReasoningResult:
-    """Decide statements by the settings alone and find contradictions between the others.
+    """Decide statements by the settings alone, and find contradictions between those that do not fail.
 
     Args:
         statements: The statements.
         setting: The settings.
         files: The labels of configuration and fleet file in setting paths.
+
+    Returns:
+        The statements that are decided, with reasons, and the contradictions.
     """
     result = ReasoningResult()
     names = KnownNames(setting)
@@ -117,7 +127,7 @@
 
 
 class FactIndex:
-    """The facts of the settings by subject and measure; decides single statements."""
+    """The facts of the settings by subject and measure; decides statements one by one."""
 
     def __init__(self, known_facts: Iterable[Fact]) -> None:
         """Index the facts."""
@@ -132,7 +142,11 @@
                 yield fact
 
     def decide(self, statement: Statement, names: KnownNames) -> tuple[bool, str] | None:
-        """Return whether a statement holds or fails in every run, and why; `None` if it depends."""
+        """Return whether a statement holds (or else fails) in every run, and why.
+
+        Returns:
+            The pair, or `None` if the facts do not decide the statement.
+        """
         verdicts = [
             self.decide_claim(claim, statement.condition, names) for claim in conjuncts(statement.claim)
         ]
@@ -144,7 +158,11 @@
         return None
 
     def decide_claim(self, claim: Claim, condition: Condition, names: KnownNames) -> tuple[bool, str] | None:
-        """Return whether a bound holds for all its subjects, and why; `None` if it depends or is no bound."""
+        """Return whether a bound holds for all its subjects, and why.
+
+        Returns:
+            The pair, or `None` if the facts do not decide the claim. They decide no claim but a bound.
+        """
         if not isinstance(claim, Bound):
             return None
         reasons = []
@@ -162,20 +180,20 @@
             Whether the bound holds (or else fails) in every run, and why; `None` if no fact settles it.
         """
         for fact in self.facts_for(bound.subject, bound.measure, condition):
-            low, high, value = fact.low, fact.high, bound.value
+            low, high, value, word = fact.low, fact.high, bound.value, bound.measure.definition.word
             match bound.compare:
                 case Comparison.AT_MOST if high <= value:
-                    return True, f"{fact.setting_path} says at most {high:g}"
+                    return True, f"{fact.setting_path} allows at most {format_figure(bound.measure, high)}"
                 case Comparison.UNDER if high < value:
-                    return True, f"{fact.setting_path} says at most {high:g}"
+                    return True, f"{fact.setting_path} allows at most {format_figure(bound.measure, high)}"
                 case Comparison.AT_LEAST if low >= value:
-                    return True, "it can't be less"
+                    return True, f"{word} can't be less than {format_figure(bound.measure, low)}"
                 case Comparison.AT_LEAST | Comparison.EXACTLY if high < value:
-                    return False, f"{fact.setting_path} says at most {high:g}"
+                    return False, f"{fact.setting_path} allows at most {format_figure(bound.measure, high)}"
                 case Comparison.OVER if high <= value:
-                    return False, f"{fact.setting_path} says at most {high:g}"
+                    return False, f"{fact.setting_path} allows at most {format_figure(bound.measure, high)}"
                 case Comparison.UNDER if low >= value:
-                    return False, "it can't be less"
+                    return False, f"{word} can't be less than {format_figure(bound.measure, low)}"
         return None
 
 
@@ -243,8 +261,8 @@
     A contradiction exists if the tightest upper bound is below the tightest lower bound, or equal to it while
     one of the two is strict.
     """
-    above: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
-    below: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
+    upper_bounds: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
+    lower_bounds: dict[tuple[Subject, Measure, Condition], TightestBound] = {}
     for statement in statements:
         for claim in conjuncts(statement.claim):
             if not isinstance(claim, Bound):
@@ -255,7 +273,7 @@
                     bound, statement.condition
                 ):
                     key = (owner, measure, condition)
-                    bounds = above if upper else below
+                    bounds = upper_bounds if upper else lower_bounds
                     previous = bounds.get(key)
                     tighter = previous is None or (
                         value < previous.value if upper else value > previous.value
@@ -263,8 +281,8 @@
                     if tighter or (previous is not None and value == previous.value and strict):
                         bounds[key] = TightestBound(value, strict, statement)
     reported: set[tuple[Statement, ...]] = set()
-    for key, tightest_upper in above.items():
-        tightest_lower = below.get(key)
+    for key, tightest_upper in upper_bounds.items():
+        tightest_lower = lower_bounds.get(key)
         if tightest_lower is None or tightest_lower.value < tightest_upper.value:
             continue
         if tightest_lower.value == tightest_upper.value and not (
@@ -276,10 +294,11 @@
         pair = tuple(dict.fromkeys((tightest_upper.origin, tightest_lower.origin)))
         if pair not in reported:
             reported.add(pair)
-            upper_bound = Bound(key[0], key[1], Comparison.AT_MOST, tightest_upper.value)
-            yield Contradiction(
-                pair, (), f"{upper_bound.describe()} and at least {tightest_lower.value:g} can't both be"
-            )
+            compare = Comparison.UNDER if tightest_upper.strict else Comparison.AT_MOST
+            upper_bound = Bound(key[0], key[1], compare, tightest_upper.value)
+            lower_sign = (Comparison.OVER if tightest_lower.strict else Comparison.AT_LEAST).value
+            lowest = f"{lower_sign} {format_figure(key[1], tightest_lower.value)}"
+            yield Contradiction(pair, (), f"{upper_bound.describe()} and {lowest} can't both hold")
 
 
 class Solver:
@@ -294,13 +313,17 @@
         self.origins: dict[str, Statement | str] = {}
 
     def figure(self, subject: Subject, measure: Measure, condition: Condition, is_maximum: bool) -> Any:
-        """Return the variable of a figure; created on first use with the constraints on its range."""
+        """Return the variable of a figure.
+
+        On first use the variable is created with its constraints: it is at least 0, a share is at most 1, and
+        the minimum of an instantaneous measure is at most its maximum. Other measures have one value, so that
+        both are equal.
+        """
         key = (subject, measure, condition, is_maximum)
         if key not in self.variables:
             self.variables[key] = z3.Real(f"v{len(self.variables)}")
             other = self.figure(subject, measure, condition, not is_maximum)
             variable = self.variables[key]
-            # A mean has one value; the minimum of an instantaneous measure is at most its maximum.
             self.solver.add(
                 variable == other
                 if not measure.definition.is_instantaneous
@@ -314,13 +337,13 @@
         return self.variables[key]
 
     def assertion(self, origin: Statement | str) -> Any:
-        """Return a Boolean variable that stands for a statement or a setting."""
+        """Return a new Boolean variable that names a statement or a setting in an unsatisfiable core."""
         label = f"s{len(self.origins)}"
         self.origins[label] = origin
         return z3.Bool(label)
 
     def claim_term(self, claim: Claim, condition: Condition) -> Any:
-        """Return the formula of a claim."""
+        """Return the formula that a claim stands for; a bound with `each` stands for all its subjects."""
         match claim:
             case Bound():
                 return z3.And(
@@ -411,7 +434,7 @@
                         )
 
     def add_share_constraints(self) -> None:
-        """Add that refused and served shares of a subject sum to at most 1."""
+        """Add that refused and served shares of a subject sum to at most 1: no refused request was served."""
         for subject, measure, condition, is_maximum in list(self.variables):
             if (
                 measure is Measure.REFUSED
@@ -448,7 +471,11 @@
 def solver_contradiction(
     statements: Sequence[Statement], known_facts: list[Fact], setting: Setting, names: KnownNames
 ) -> Contradiction | None:
-    """Find one contradiction that involves several figures; `None` if there is none."""
+    """Find one contradiction that involves several figures.
+
+    Returns:
+        The contradiction, or `None` if there is none or the solver could not decide within its limit.
+    """
     solver = Solver(setting, names)
     assertions = []
     for statement in tightest_statements(statements, names):
@@ -476,7 +503,7 @@
         return None
     contradicting = tuple(dict.fromkeys(origin for origin in core if isinstance(origin, Statement)))
     setting_paths = tuple(dict.fromkeys(origin for origin in core if isinstance(origin, str)))
-    return Contradiction(contradicting, setting_paths, "these can't all hold")
+    return Contradiction(contradicting, setting_paths, "these statements and settings can't all hold")
 
 
 def tightest_statements(statements: Sequence[Statement], names: KnownNames) -> list[Statement]:
@@ -502,7 +529,10 @@
 
 
 def wholes_and_parts(setting: Setting, measure: Measure) -> Iterator[tuple[Subject, list[Subject]]]:
-    """Yield each whole with all its parts for which a measure is defined."""
+    """Yield each whole with its parts, for the kinds of subjects that have the measure.
+
+    The parts of a whole, such as the sites of the fleet, do not overlap.
+    """
     sites = setting.sites()
     kinds = measure.definition.subject_kinds
     if SubjectKind.SITE in kinds:
--- a/birchslip/expect/report.py
+++ b/birchslip/expect/report.py
@@ -1,4 +1,4 @@
-"""Reports of a check as text, JSON and JUnit XML."""
+"""Reports of a check as text, JSON and JUnit XML, and the explanation of one statement as text."""
 
 from __future__ import annotations
 
@@ -26,28 +26,29 @@
         yield f"settings contradict each other: {conflict.reason}"
         yield from (f"    {path}" for path in conflict.setting_paths)
     for contradiction in report.contradictions:
-        yield f"can't hold together: {contradiction.reason}"
+        yield f"statements contradict each other: {contradiction.reason}"
         for statement in contradiction.statements:
             yield f"    {statement.location.describe()}: {statement.name}: {statement.describe()}"
         for path in contradiction.settings:
             yield f"    {path}"
     for name in report.empty:
-        yield f"{name}: nothing is expected there"
+        yield f"{name}: the file holds no statement"
     counts = [f"{report.count(Outcome.HOLDS)} hold", f"{report.count(Outcome.FAILS)} fail"]
-    yield f"{', '.join(counts)}, {report.count(Outcome.UNDECIDED)} can't be told; {report.run_count} plays"
+    counts.append(f"{report.count(Outcome.UNDECIDED)} are undecided")
+    yield f"{', '.join(counts)}; {report.run_count} scenario runs"
 
 
 def statement_lines(statement: Statement, verdict: Verdict) -> Iterator[str]:
-    """Yield the lines about one statement."""
+    """Yield the verdict on one statement and, unless it holds, the statement and what the search found."""
     yield f"{OUTCOME_LABELS[verdict.outcome]:6} {statement.name:28} {verdict.reason}"
     if verdict.outcome is Outcome.HOLDS:
         return
     yield f"       at {statement.location.describe()}: {statement.describe()}"
     if verdict.history:
-        yield "       a history that breaks it:"
+        yield "       the smallest run that was found to fail:"
         yield from (f"         {line}" for line in verdict.history)
     if verdict.responsible_setting:
-        yield f"       the setting that bears most of it: {verdict.responsible_setting}"
+        yield f"       the setting that affects the failure most: {verdict.responsible_setting}"
 
 
 def as_json(report: Report) -> dict[str, Any]:
@@ -94,9 +95,10 @@
 
 
 def junit(report: Report) -> bytes:
-    """Return a report as JUnit XML, with a suite for each file.
+    """Return a report as JUnit XML, with a suite for each file and one for conflicts between settings.
 
-    An undecided statement is reported as an error, because it was not checked.
+    A statement that fails is a failure; an undecided one is an error, because it was not checked. A file
+    without statements is a skipped case.
     """
     suites: dict[str, Any] = {}
     for statement, verdict in report.verdicts.items():
@@ -116,7 +118,7 @@
     for name in report.empty:
         suite = suites.setdefault(name, TestSuite(name))
         case = TestCase(name)
-        case.result = [Skipped("nothing is expected there")]
+        case.result = [Skipped("the file holds no statement")]
         suite.add_testcase(case)
     xml: Any = JUnitXml("expectations")
     for suite in suites.values():
@@ -136,26 +138,29 @@
 def explain_statement(statement: Statement, report: Report, sources: Sources) -> Iterator[str]:
     """Yield lines that explain what a statement measures, what was run and the verdict."""
     yield f"{statement.name} at {statement.location.describe()}"
-    yield f"it says: {statement.describe()}"
+    yield f"statement: {statement.describe()}"
     for atom in atoms(statement.claim):
         measure = atom.measure if isinstance(atom, Bound) else Measure.REFUSED
         definition = measure.definition
         aggregation = (
-            "the figure furthest from its bound counts"
+            "the maximum counts for an upper bound, the minimum for a lower one"
             if definition.is_instantaneous
-            else "over all of the span"
+            else "one figure for the whole span"
         )
         yield f"{definition.word}: {definition.description}; {aggregation}"
     scenario_script = build_script(statement.condition, sources.setting)
     verdict = report.verdicts[statement]
     if verdict.method == "play":
-        yield f"played for {scenario_script.until / SECOND:g} s of virtual time:"
-        yield from (f"  {line}" for line in scenario_script.describe() or ["nothing is done to the world"])
+        yield f"run for {scenario_script.until / SECOND:g} s of virtual time with these steps:"
+        yield from (
+            f"  {line}"
+            for line in scenario_script.describe() or ["no steps: nothing is changed during the run"]
+        )
     else:
-        yield "by reasoning: nothing was played"
+        yield "decided from the settings and statements, without a scenario run"
     yield from statement_lines(statement, verdict)
 
 
 def to_json_text(report: Report) -> str:
-    """Return a report as JSON text."""
+    """Return a report as JSON text, indented by two spaces."""
     return json.dumps(as_json(report), indent=2)
--- a/birchslip/expect/search.py
+++ b/birchslip/expect/search.py
@@ -18,7 +18,7 @@
 
 MAX_SHRINK_RUNS = 12  # scenario runs to reduce one failure
 MAX_CHANGE_RUNS = 20  # scenario runs to find the responsible setting of one failure
-RUN_TAIL = SECOND // 2  # kept after the moment of the failure
+RUN_TAIL = SECOND // 2  # what is measured goes on this long after the moment of the failure
 
 
 @dataclass(frozen=True)
@@ -76,7 +76,7 @@
 def reductions(case: Case, evaluation: Evaluation, statement: Statement) -> Iterator[Case]:
     """Yield smaller cases: an earlier end, one step fewer, one router, tenant or profile fewer.
 
-    The largest reductions come first.
+    The largest reductions come first. Routers, tenants and profiles that the statement names stay.
     """
     script = case.script
     end = evaluation.at + RUN_TAIL + COOL_DOWN
@@ -92,7 +92,7 @@
 
 
 def named_subjects(statement: Statement) -> dict[SubjectKind, set[str]]:
-    """Return the names that a statement refers to by kind; `*` stands for each of a kind."""
+    """Return the names that a statement refers to, by kind of subject; `*` stands for each of a kind."""
     found: dict[SubjectKind, set[str]] = {kind: set() for kind in SubjectKind}
     for atom in atoms(statement.claim):
         for subject in subjects_of(atom):
@@ -143,7 +143,7 @@
 
 
 def replace_layout(setting: Setting, **changed_fields: object) -> Setting:
-    """Return the settings with fields of the world file replaced."""
+    """Return a copy of the settings with fields of the world file replaced."""
     layout = setting.layout
     fields = {name: getattr(layout, name) for name in layout.__struct_fields__} | changed_fields
     return replace(setting, layout=type(layout)(**fields))
@@ -161,7 +161,7 @@
         f"seed {case.seed}, {len([n for names in case.setting.sites().values() for n in names])} app servers"
     ]
     if case.removed:
-        lines.append(f"it takes none of: {', '.join(case.removed)}")
+        lines.append(f"the failure needs none of: {', '.join(case.removed)}")
     events: list[tuple[int, str]] = [
         (
             TRAFFIC_START,
@@ -178,13 +178,14 @@
             )
             events.append((at, f"{at / SECOND:.1f} s: {event}: {words}"))
     lines += [line for _, line in sorted(events)]
-    moment = f"{evaluation.at / SECOND:.2f} s: " if evaluation.at else "over all of it: "
+    moment = f"{evaluation.at / SECOND:.2f} s: " if evaluation.at else "over the whole span: "
     return [*lines, moment + evaluation.reason]
 
 
 # ---- the setting that affects a failure ----------------------------------------------------------------
 
 
+# Parts of the paths of settings that may affect a measure; those that usually affect it most come first.
 RELEVANT_SETTINGS: dict[Measure, tuple[str, ...]] = {
     Measure.OUT: ("most_out", "share_out", "least_room", "drain_grace_s", "cold_s"),
     Measure.ADVISED: ("max_retry_after_s", "retry_after", "cores", "aim_s"),
@@ -234,7 +235,7 @@
     """Return changes of settings that may affect what a statement measures.
 
     The settings that usually affect the measure most come first. A second alternative of a value comes after
-    the first alternatives of all values.
+    the first alternatives of all values. Values of the world file are not changed.
     """
     found: dict[tuple[int, str, ValuePath, object], Change] = {}
     for atom in atoms(statement.claim):
@@ -254,7 +255,10 @@
 
 
 def alternative_values(value: object) -> list[object]:
-    """Return alternatives of a value: twice and half of a number, the negation of a switch."""
+    """Return alternatives of a value: twice and half of a number, the negation of a switch.
+
+    For the integer 1 they are 2 and 0, for a zero only 1. Other values have none.
+    """
     if isinstance(value, bool):
         return [not value]
     if isinstance(value, int):
@@ -281,7 +285,8 @@
         max_runs: How many changes may be tried.
 
     Returns:
-        The change and its evaluation; `None` if no change improves the figure.
+        The change and its evaluation; `None` if no change improves the figure. A change with which the
+            statement holds is better than one with which it fails.
     """
     changes = candidate_changes(statement, sources)[:max_runs]
     evaluations = run_changed(
--- a/birchslip/expect/situations.py
+++ b/birchslip/expect/situations.py
@@ -20,13 +20,13 @@
 LOAD_RAMP = SECOND  # a load is applied this long before it is measured
 COOL_DOWN = SECOND  # after the measured span, so that open requests can end
 SITE_RETURN_TIME = 6 * SECOND  # what a lost site needs to return
-RELEASE_TIME = 40 * SECOND  # what is measured of a run with a release lasts at least this long
+RELEASE_TIME = 40 * SECOND  # a run with a release is measured for at least this long
 Span = tuple[int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Script:
-    """The steps of a scenario run and the virtual time `until` which it runs."""
+    """The steps of a scenario run, and the virtual time at which it ends, in units of 0.1 ms."""
 
     steps: tuple[Step, ...]
     until: int
@@ -171,5 +171,5 @@
 
 
 def intersect(first: list[Span], second: list[Span]) -> list[Span]:
-    """Return the pairwise intersections of two lists of spans."""
+    """Return the spans that lie within a span of both lists; empty intersections are left out."""
     return [(max(a, c), min(b, d)) for a, b in first for c, d in second if max(a, c) < min(b, d)]
--- a/birchslip/expect/sources.py
+++ b/birchslip/expect/sources.py
@@ -22,7 +22,7 @@
 from ..lab.model.world import Setting
 from ..net.site import ServerConfig, parse_config
 
-NAMING_KEYS = ("name", "from", "number")  # keys that name an entry of a list, in order of preference
+NAMING_KEYS = ("name", "from", "number")  # keys that name an entry of a list; the first one present counts
 FILE_KINDS = ("config", "fleet", "world")
 
 ValuePath = tuple[str | int, ...]
@@ -39,7 +39,7 @@
         config: The configuration of an app server.
         fleet: The fleet file, if there is one.
         world: The world file, if there is one.
-        file_labels: How the three files are called in messages.
+        file_labels: What messages call the three files, in the order of `FILE_KINDS`.
     """
 
     config: dict[str, Any]
@@ -109,7 +109,7 @@
     # ---- single values ---------------------------------------------------------------------------------
 
     def values(self) -> Iterator[tuple[str, ValuePath, Any]]:
-        """Yield every scalar value with its file and path, in the order of the files."""
+        """Yield every value that is no object and no list, as (file kind, path, value), in file order."""
         for file_kind in FILE_KINDS:
             contents = getattr(self, file_kind)
             if contents is not None:
@@ -136,7 +136,7 @@
         return replace(self, **{file_kind: contents})
 
     def path_label(self, file_kind: str, path: ValuePath) -> str:
-        """Return a path for messages, with list entries shown by their names if they have any."""
+        """Return a file's label and a path for messages, with list entries shown by their names if any."""
         node, result = getattr(self, file_kind), ""
         for key in path:
             if isinstance(key, str):
@@ -150,7 +150,7 @@
 
 
 def leaf_values(node: Any, path: ValuePath) -> Iterator[tuple[ValuePath, Any]]:
-    """Yield the scalar values below a node with their paths."""
+    """Yield the values below a node that are no objects and no lists, with their paths."""
     if isinstance(node, dict):
         for name, value in node.items():
             yield from leaf_values(value, (*path, name))
@@ -192,7 +192,7 @@
 def read_sources(
     config: str | Path, fleet: str | Path | None = None, world: str | Path | None = None
 ) -> Sources:
-    """Read and validate the settings.
+    """Read and validate the settings; the files are called by their names in messages.
 
     Raises:
         InvalidInputError: A file is invalid.
--- a/birchslip/expect/words.py
+++ b/birchslip/expect/words.py
@@ -12,7 +12,7 @@
 
 from ..admission.types import SECOND
 
-MAX_CLAIM_DEPTH = 64  # bounds the recursion over nested claims
+MAX_CLAIM_DEPTH = 64  # levels of nested claims; bounds the recursion over them
 
 
 class SubjectKind(Enum):
@@ -29,7 +29,7 @@
 
 
 class Unit(Enum):
-    """The unit of a figure, with its description for error messages."""
+    """The unit of a figure, with the name that error messages give it."""
 
     COUNT = "a count"
     SHARE = "a share"
@@ -46,7 +46,7 @@
         subject_kinds: The kinds of subjects that have this measure.
         description: What the measure means, printed by `birchslip expect explain`.
         is_instantaneous: Whether the measure has a value at every moment. Its maximum or minimum is then
-            compared with the bound; other measures are one mean over the whole span.
+            compared with the bound; other measures have one value for the whole span.
     """
 
     word: str
@@ -68,45 +68,56 @@
         "outstanding",
         Unit.COUNT,
         frozenset({SubjectKind.ROUTER, SubjectKind.SITE, SubjectKind.SERVER, SubjectKind.FLEET}),
-        "tries without an answer, at every moment",
+        "attempts without an answer, at every moment",
         True,
     )
     ROOM = MeasureDefinition(
         "share of room",
         Unit.SHARE,
         frozenset({SubjectKind.SITE, SubjectKind.SERVER, SubjectKind.FLEET}),
-        "cores that are busy, of those there, over each second",
+        "share of the cores that are busy over each second, without app servers that are out",
         True,
     )
     REFUSED = MeasureDefinition(
-        "refused", Unit.SHARE, CALLER_KINDS, "transactions that were shed and never honoured"
+        "refused",
+        Unit.SHARE,
+        CALLER_KINDS,
+        "share of requests that were rejected and never answered with success",
     )
     SERVED = MeasureDefinition(
-        "served", Unit.SHARE, CALLER_KINDS, "transactions that were honoured within their latency goal"
+        "served",
+        Unit.SHARE,
+        CALLER_KINDS,
+        "share of requests that were answered with success within their latency objective",
     )
     EARNED = MeasureDefinition(
-        "earned", Unit.SHARE, CALLER_KINDS, "payoff of those that were served, of all payoff asked for"
+        "earned",
+        Unit.SHARE,
+        CALLER_KINDS,
+        "priority weight of the requests that were served, as a share of that of all requests",
     )
     ADVISED = MeasureDefinition(
-        "advised wait", Unit.TIME, CALLER_KINDS, "what a shed says of when to come back", True
+        "advised wait",
+        Unit.TIME,
+        CALLER_KINDS,
+        "how long a rejection advises to wait before a retry (Retry-After)",
+        True,
     )
     CALLS = MeasureDefinition(
         "calls below",
         Unit.COUNT,
         frozenset({SubjectKind.SITE, SubjectKind.SERVER, SubjectKind.FLEET}),
-        "calls in hand at the service below, at every moment",
+        "calls in flight at the downstream service, at every moment",
         True,
     )
     OUT = MeasureDefinition(
         "out at once",
         Unit.COUNT,
         frozenset({SubjectKind.SITE, SubjectKind.GROUP, SubjectKind.SERVICE, SubjectKind.FLEET}),
-        "app servers that are down, leaving or cold, at every moment",
+        "app servers that do not accept requests or are cold, at every moment",
         True,
     )
-    TRIES = MeasureDefinition(
-        "tries each", Unit.COUNT, CALLER_KINDS, "tries that a transaction takes, in the mean"
-    )
+    TRIES = MeasureDefinition("tries each", Unit.COUNT, CALLER_KINDS, "mean number of attempts of a request")
 
     @property
     def definition(self) -> MeasureDefinition:
@@ -153,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """A claim that a measure of a subject is within a bound."""
+    """A claim that a measure of a subject is within a bound; `value` is in the unit of the measure."""
 
     subject: Subject
     measure: Measure
@@ -268,15 +279,15 @@
 
     Attributes:
         load: Offered load as a multiple of the capacity.
-        lost: The site that is lost.
+        lost: The site that is lost, or that returns if `event` says so.
         shrink: The share of the fleet that remains while it shrinks.
         release: Whether a release runs.
         surge: The tenant whose traffic surges.
         surge_factor: The multiple of its usual traffic that the surging tenant sends.
         planners_gone: Whether all planners are gone.
         below_down: Whether the downstream service is down.
-        settled: How long the situation must have lasted before the statement applies.
-        within: How long after `event` the statement applies.
+        settled: How long the situation must have lasted before the statement applies, in units of 0.1 ms.
+        within: How long after `event` the statement applies, in units of 0.1 ms.
         event: The event that `within` counts from.
         event_subject: The site or tenant of `event`; empty for events of the fleet.
         always: Whether the statement applies to every scenario run, in any situation.
@@ -362,7 +373,7 @@
 
 
 def format_figure(measure: Measure, value: float) -> str:
-    """Format a value of a measure with its unit, for reports."""
+    """Format a value of a measure for reports: a share in percent, a time in ms, a count as it is."""
     match measure.definition.unit:
         case Unit.SHARE:
             return f"{value * 100:.4g}%"
--- a/tests/test_expect_check.py
+++ b/tests/test_expect_check.py
@@ -112,9 +112,9 @@
     path.write_text("expect small: site south outstanding <= 5 while site north is lost\n")
     code, output, _ = run_command("expect", "explain", "small", str(path), *SETTINGS_OPTIONS)
     assert code == 1
-    assert "a history that breaks it" in output
+    assert "the smallest run that was found to fail:" in output
     assert "lose north" in output
-    assert "the setting that bears most of it: fleet-server.json" in output
+    assert "the setting that affects the failure most: fleet-server.json" in output
     assert "a.expect:1:1" in output
     json_report, junit_report = tmp_path / "r.json", tmp_path / "r.xml"
     code, _, _ = run_command(
