--- a/birchslip/expect/plays.py
+++ b/birchslip/expect/plays.py
@@ -103,7 +103,6 @@
     """Runs scenarios in this process or in a pool of processes.
 
     Attributes:
-        jobs: How many run at a time; with 1 they run in this process.
         run_count: How many were run so far.
     """
 
@@ -111,7 +110,8 @@
         """Create a runner without starting processes.
 
         Args:
-            jobs: How many scenarios run at a time; 0 for one for each core, at most `MAX_JOBS`.
+            jobs: How many scenarios run at a time; with 1 they run in this process; 0 for one for each core,
+                at most `MAX_JOBS`.
         """
         self.jobs = jobs or min(MAX_JOBS, os.cpu_count() or 1)
         self.run_count = 0
--- a/birchslip/lab/model/below.py
+++ b/birchslip/lab/model/below.py
@@ -12,7 +12,7 @@
 from ...admission.types import Outcome
 from .clock import Clock
 
-CONNECT_FAILURE_TIME = 10  # until a call to a service that is down fails
+CONNECT_FAILURE_TIME = 10  # 1 ms until a call to a service that is down fails
 
 
 @dataclass(eq=False, slots=True)
@@ -20,7 +20,7 @@
     """A call to the downstream service.
 
     Attributes:
-        server: The app server that made the call.
+        server: Name of the app server that made the call.
         on_end: Called with the outcome when the call ends; not if the call is removed before that.
         is_over: Whether the call has ended or was removed.
     """
@@ -34,12 +34,9 @@
     """The emulated downstream service. Times are in units of 0.1 ms.
 
     Attributes:
-        mean_call_time: Mean duration of a call at full speed.
-        full_speed_limit: Calls in flight past which all new calls slow down in proportion; 0 for no limit.
-        failure_limit: Calls in flight past which the service goes down until `recover`; 0 for no limit.
         calls_in_flight: Number of calls that have not ended.
         max_calls_in_flight: The highest number of calls in flight so far.
-        calls_by_server: The calls in flight of each app server, in the order of their start.
+        calls_by_server: The calls in flight of each app server, by its name, in the order of their start.
         is_down: Whether calls fail because the service is down.
         has_failed: Whether the service went down because of `failure_limit`.
         on_change: Called with the name of an app server when its number of calls in flight changes.
@@ -59,8 +56,8 @@
             clock: The virtual clock.
             rng: Source of the call durations.
             mean_call_time: Mean duration of a call at full speed.
-            full_speed_limit: Calls in flight past which calls slow down; 0 for no limit.
-            failure_limit: Calls in flight past which the service goes down; 0 for no limit.
+            full_speed_limit: Calls in flight past which new calls slow down in proportion; 0 for no limit.
+            failure_limit: Calls in flight past which the service goes down until `recover`; 0 for no limit.
         """
         self.clock, self.rng = clock, rng
         self.mean_call_time = mean_call_time
@@ -73,8 +70,12 @@
     def start_call(self, server: str, timeout: int, on_end: Callable[[Outcome], None]) -> DownstreamCall:
         """Start a call and schedule its end.
 
+        The call takes the mean time, up to a quarter more or less, and longer past `full_speed_limit`. A
+        service that is down fails the call after `CONNECT_FAILURE_TIME`. A call past `failure_limit` takes
+        the service down, and all calls in flight lose their connection.
+
         Args:
-            server: The app server that makes the call.
+            server: Name of the app server that makes the call.
             timeout: Span after which the call ends as timed out.
             on_end: Called with the outcome when the call ends.
 
@@ -121,7 +122,7 @@
             call.on_end(outcome)
 
     def drop_calls(self, server: str) -> None:
-        """Remove all calls of an app server that has crashed."""
+        """Remove all calls of an app server that has crashed, without reporting an outcome."""
         for call in list(self.calls_by_server.get(server, ())):
             self.remove_call(call)
 
@@ -133,5 +134,5 @@
                 self.clock.after(0, self.finish_call, call, Outcome.CONNECTION_LOST)
 
     def recover(self) -> None:
-        """Bring the service up again."""
+        """Bring the service up again and clear `has_failed`."""
         self.is_down = self.has_failed = False
--- a/birchslip/lab/model/clock.py
+++ b/birchslip/lab/model/clock.py
@@ -38,7 +38,7 @@
         self.at(self.now + delay, callback, *args)
 
     def every(self, interval: int, callback: Callable[[], None], until: int) -> None:
-        """Run a callback now and then at an interval, up to and including the time `until`."""
+        """Run a callback now and repeat it at an interval, up to and including the time `until`."""
 
         def run_and_reschedule() -> None:
             callback()
--- a/birchslip/lab/model/layout.py
+++ b/birchslip/lab/model/layout.py
@@ -105,31 +105,38 @@
             sites: Names of the sites.
 
         Returns:
-            One message for each unknown or repeated name, and one if no profile has any share.
+            One message for each unknown name and repeated router number, and one if profiles are given and
+            all their shares are 0. Each message starts with the path of the value.
         """
         errors = []
         for name in self.profiles:
             if name not in profiles:
-                errors.append(f"profiles: no profile is named {name!r}; there are {', '.join(profiles)}")
+                errors.append(
+                    f"profiles: no profile is named {name!r}; the settings have {', '.join(profiles)}"
+                )
         for name in self.tenants:
             if name not in tenants:
                 errors.append(
-                    f"tenants: no tenant is named {name!r}; there are {', '.join(tenants) or 'none'}"
+                    f"tenants: no tenant is named {name!r}; the settings have {', '.join(tenants) or 'none'}"
                 )
         numbers: set[int] = set()
         for index, router in enumerate(self.routers):
             if router.number in numbers:
-                errors.append(f"routers[{index}]: router {router.number} is listed twice")
+                errors.append(f"routers[{index}].number: router {router.number} is listed twice")
             numbers.add(router.number)
             if router.site is not None and router.site not in sites:
-                errors.append(f"routers[{index}].site: no site is named {router.site!r}")
+                errors.append(
+                    f"routers[{index}].site: no site is named {router.site!r};"
+                    f" expected one of {', '.join(sites)}"
+                )
             if router.habit not in ROUTING_POLICIES:
                 known_policies = ", ".join(ROUTING_POLICIES)
                 errors.append(
-                    f"routers[{index}].habit: no habit is named {router.habit!r}; there are {known_policies}"
+                    f"routers[{index}].habit: no habit is named {router.habit!r};"
+                    f" expected one of {known_policies}"
                 )
         if self.profiles and not sum(work.share for work in self.profiles.values()):
-            errors.append("profiles: no profile has any share")
+            errors.append("profiles: the share of every profile is 0; at least one must be above 0")
         return errors
 
 
--- a/birchslip/lab/model/planners.py
+++ b/birchslip/lab/model/planners.py
@@ -32,19 +32,17 @@
     from .servers import AppServer
     from .world import World
 
-SAMPLE_INTERVAL = 1_000
-PROBE_TIMEOUT = 3_000
-PROBE_RESULT_LIFETIME = 10_000
+SAMPLE_INTERVAL = 1_000  # how often the totals of a member's answers are recorded
+PROBE_TIMEOUT = 3_000  # until a probe without an answer counts as silent
+PROBE_RESULT_LIFETIME = 10_000  # how long reports contain the result of a probe
 MAX_PROBE_RESULTS = 8  # in one report
-DEFAULT_INVENTORY_INTERVAL = 2_000  # if the fleet file describes no platform
+DEFAULT_INVENTORY_INTERVAL = 2_000  # how often the platform is polled if the fleet file describes none
 
 
 class PlannerLink:
     """The link of one incarnation of a member to the planners: its reports and the plan that it follows.
 
     Attributes:
-        planners: The planners.
-        server: The member.
         site: The member's site in the fleet file.
         routers: Numbers of the routers whose home is this site; empty if the fleet file names none.
         incarnation: The incarnation of the member that this link belongs to.
@@ -59,7 +57,7 @@
     """
 
     def __init__(self, planners: Planners, server: AppServer) -> None:
-        """Connect a member that has just started; it reports after a random delay.
+        """Connect a member that has just started; its first report follows after a random time below 0.2 s.
 
         Args:
             planners: The planners.
@@ -105,7 +103,7 @@
         )
 
     def sample(self) -> None:
-        """Record the totals of answers, at an interval."""
+        """Record the totals of answers, and schedule the next record until the incarnation ends."""
         if not self.is_current:
             return
         counts, clock = self.server.counts, self.planners.world.clock
@@ -128,7 +126,11 @@
             self.server.driver.set_downstream_quota(quota)
 
     def send_report(self) -> None:
-        """Send a report and schedule the next one."""
+        """Send a report and schedule the next one.
+
+        A paused member sends none, and none is sent while the planners are unreachable. The reports end with
+        the incarnation.
+        """
         if not self.is_current:
             return
         clock, planners = self.planners.world.clock, self.planners
@@ -141,7 +143,7 @@
         clock.after(planners.world.link_delay, self.deliver_report, report, sent_at)
 
     def deliver_report(self, report: MemberReport, sent_at: int) -> None:
-        """Pass a report to the planner, and send its reply."""
+        """Pass a report to the planner, and send its reply to the member."""
         reply = self.planners.state.receive_report(report, self.planners.world.clock.now)
         self.planners.world.clock.after(self.planners.world.link_delay, self.handle_reply, reply, sent_at)
 
@@ -188,7 +190,11 @@
         )
 
     def handle_reply(self, reply: ReportReply, sent_at: int) -> None:
-        """Apply the planner's reply to a report, if it is binding."""
+        """Apply the planner's reply to a report, if the subscription accepts it.
+
+        The member makes the probes that the reply asks for, and its driver gets the plan if the reply holds
+        one. A plan resumes the periodic work that the member has suspended.
+        """
         if not self.is_current or self.server.is_paused:
             return
         now, server = self.planners.world.clock.now, self.server
@@ -210,7 +216,11 @@
                 server.tick(server.incarnation)
 
     def probe(self, name: str) -> None:
-        """Probe another member, and keep the result for the reports."""
+        """Probe another member, and keep the result for the reports.
+
+        The result is `refused` from a member that does not run and `answered` from one that does, after a
+        round trip; it is `silent` from a paused one, after `PROBE_TIMEOUT`. Unknown members are ignored.
+        """
         other = self.planners.world.servers_by_name.get(name)
         if other is None:
             return
@@ -224,8 +234,6 @@
     """A single planner that is its own majority, and the platform that it gives orders to.
 
     Attributes:
-        world: The emulated world.
-        fleet: The fleet file.
         rng: Source of report delays.
         state: The planner's state and decisions.
         links: The link of each member's current incarnation, by member.
@@ -272,14 +280,14 @@
         self.state.membership.mark_disconnected(server.name, Incarnation(nonce=incarnation))
 
     def is_listed(self, server: AppServer) -> bool:
-        """Return whether routers may find a member."""
+        """Return whether the catalog may list a member; it may before the member is first connected."""
         link = self.links.get(server.name)
         return link is None or link.subscription.is_listed(self.world.clock.now)
 
     # ---- periodic work ---------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Run the planner's periodic work: election, decisions and replication."""
+        """Run the planner's periodic work: election, decisions and replication; none while unreachable."""
         clock, state = self.world.clock, self.state
         clock.after(EVALUATION_INTERVAL, self.tick)
         if self.are_unreachable:
@@ -307,7 +315,7 @@
     # ---- rollout and platform --------------------------------------------------------------------------
 
     def poll_platform(self) -> None:
-        """Pass the platform's inventory to the planner, and carry out its orders."""
+        """Pass the platform's inventory to the planner, and carry out its orders; only while it leads."""
         clock = self.world.clock
         platform = self.fleet.platform
         clock.after(
@@ -364,7 +372,10 @@
         world.drain_server(server, lambda: self.process_states.update({name: "stopped"}))
 
     def rollout_spec(self) -> RolloutSpec:
-        """Return a short rollout to all members, of a version that behaves like the previous one."""
+        """Return the spec of a rollout to all members, of a version that behaves like the previous one.
+
+        Each batch is watched for 0.5 to 30 s.
+        """
         return RolloutSpec(
             version="2",
             previous_version="1",
--- a/birchslip/lab/model/routers.py
+++ b/birchslip/lab/model/routers.py
@@ -20,13 +20,13 @@
 if TYPE_CHECKING:
     from .servers import AppServer
 
-MAX_ATTEMPTS_PER_CONNECTION = 24
+MAX_ATTEMPTS_PER_CONNECTION = 24  # at a time
 MAX_CONNECTIONS = 4  # to one app server
 UNREACHABLE_AVOID_SPAN = 5_000  # no attempts are sent to an app server that could not be reached
 MAX_WAIT_FOR_SERVER = 3_000  # a request without any listed app server is given up after this span
 ABANDON_GRACE = 1_500  # an attempt is aborted this long after its deadline
 SAMPLING_THRESHOLD = 32  # with more app servers than this, a few are drawn instead of filtering all of them
-SAMPLE_DRAWS = 8
+SAMPLE_DRAWS = 8  # how many are drawn; one may be drawn more than once
 MIN_REMAINING_TIME = 500  # no attempt is made with less time than this left before the deadline
 MAX_CONCURRENT_ATTEMPTS = 2  # of one request
 
@@ -43,7 +43,7 @@
         home_site: The site of its router.
         router_number: Number of its router.
         started_at: When the client sent it.
-        work: Core time of a run.
+        work: Time that a run takes on one core at full speed.
         calls_downstream: Whether a run calls the downstream service.
         size: Size in bytes.
         idempotency_key: The idempotency key; empty for request classes without one.
@@ -133,7 +133,7 @@
 
     @property
     def mean_work(self) -> float:
-        """Mean core time of a run over all request classes."""
+        """Mean core time of a run over all request classes, in units of 0.1 ms."""
         return sum(share * work for _, _, share, work, _ in self.request_classes) / sum(self.class_weights)
 
 
@@ -159,19 +159,10 @@
     """A router and the clients that send their requests to it.
 
     Attributes:
-        clock: The virtual clock.
-        number: Number of the router.
-        site: The home site; empty if there is none.
-        policy: The routing policy.
-        traffic: The mix of requests.
         rng: Source of routing decisions.
         arrival_rng: Source of the requests, separate so that routing does not change what arrives.
-        link_delay: Delay of a message in one direction.
-        list_servers: Returns the listed app servers; with `True` only those that pass health checks.
-        handshake_cost: Core time that a new connection costs the app server.
-        read_cost: Core time that reading an attempt costs the app server.
         rate_per_s: Requests per second without surges.
-        surge_factors: The factor by which the traffic of a tenant is multiplied, by tenant name.
+        surge_factors: Factor by which the traffic of a tenant is multiplied, by tenant name; 1 if absent.
         pools: The connections by app server.
         avoid_until: When an app server may be used again after a failure or a Retry-After.
         listed_servers: The list from which `home_servers` was made.
@@ -203,12 +194,13 @@
             clock: The virtual clock.
             number: Number of the router.
             site: The home site; empty if there is none.
-            policy: The routing policy.
+            policy: The routing policy; it may be replaced during a run.
             traffic: The mix of requests.
             seed: Seed of all random choices.
             link_delay: Delay of a message in one direction.
             list_servers: Returns the listed app servers; with `True` only those that pass health checks.
-            connection_costs: Core time of a new connection, and of reading an attempt.
+            connection_costs: Core time that a new connection costs the app server, and that reading an
+                attempt costs it.
         """
         self.clock, self.number, self.site, self.policy, self.traffic = clock, number, site, policy, traffic
         self.rng, self.arrival_rng = Random(seed), Random(seed + 1)
@@ -235,7 +227,7 @@
         self.clock.after(0, self.generate_request)
 
     def tenant_weights(self) -> Mapping[str, float]:
-        """Return the weight of each tenant's traffic, surges included."""
+        """Return the weight of each tenant's traffic: its share, times the factor of its surge if any."""
         return {
             name: share * self.surge_factors.get(name, 1.0)
             for name, (_, share) in self.traffic.tenants.items()
@@ -244,8 +236,9 @@
     def generate_request(self) -> None:
         """Generate and send one request, and schedule the next one.
 
-        The random draws are in the order in which the router stand-in of the lab's processes makes them, so
-        that one seed generates the same requests in both.
+        The time to the next one is drawn for a rate of at least 0.1 per second; at a rate of 0 no request is
+        generated. The random draws are in the order in which the router stand-in of the lab's processes makes
+        them, so that one seed generates the same requests in both.
         """
         if self.stopped:
             return
@@ -352,7 +345,10 @@
     def send(self, request: ClientRequest) -> None:
         """Send an attempt of a request, or end the request if it is too late or already answered.
 
-        Only an attempt without an idempotency key is followed by a second one if it stays unanswered.
+        Without an app server the request waits, up to `MAX_WAIT_FOR_SERVER` from its start. An app server
+        that does not run refuses the attempt, which counts as one, and is avoided for
+        `UNREACHABLE_AVOID_SPAN`. Only an attempt without an idempotency key is followed by a second one if it
+        stays unanswered.
         """
         now = self.clock.now
         if (
@@ -434,7 +430,11 @@
         self.on_outstanding_change(server, change)
 
     def finish_attempt(self, attempt: Attempt) -> bool:
-        """Mark an attempt as over, and return whether it was still open."""
+        """Mark an attempt as over.
+
+        Returns:
+            Whether it was still open.
+        """
         if attempt.is_over:
             return False
         attempt.is_over = True
@@ -469,7 +469,10 @@
                 self.clock.after(self.link_delay, attempt.server.cancel, attempt)
 
     def retry(self, request: ClientRequest, immediately: bool = False) -> None:
-        """Schedule another attempt of a request unless it is over or has used all its attempts."""
+        """Schedule another attempt of a request, or end the request if it has used all its attempts.
+
+        A request that has ended or was answered with success gets no further attempt.
+        """
         if request.ended or request.honoured_at >= 0 or request.attempt_count >= self.policy.max_attempts:
             request.ended = request.ended or request.attempt_count >= self.policy.max_attempts
             return
@@ -513,7 +516,10 @@
             self.retry(request)
 
     def on_connection_lost(self, attempt: Attempt) -> None:
-        """Handle the loss of the connection on which an attempt was sent."""
+        """Handle the loss of the connection on which an attempt was sent.
+
+        The request is retried unless it has an idempotency key.
+        """
         if self.finish_attempt(attempt):
             self.counts["cut"] += 1
             if not attempt.request.idempotency_key:
--- a/birchslip/lab/model/servers.py
+++ b/birchslip/lab/model/servers.py
@@ -96,18 +96,10 @@
     """An app server over all its incarnations.
 
     Attributes:
-        clock: The virtual clock.
-        name: Name of the app server.
-        site: Name of its site.
-        deployment: The admission settings of each incarnation.
-        cores: Speed of its cores.
-        downstream: The downstream service.
-        on_answer: Called once with the final answer to each attempt: the attempt, the result (`cut` if the
-            connection was lost), the Retry-After, and whether not to retry.
         incarnation: Increases at each start and each crash.
         is_up: Whether the process runs.
         is_paused: Whether the process is suspended.
-        is_draining: Whether it no longer accepts requests and stops when it has answered all.
+        is_draining: Whether it no longer accepts requests and only answers those that are open.
         is_healthy: The health that it reports to health checks.
         idle_timeout: Span after which it closes idle connections; negative before it was set.
         counts: Number of runs started, downstream calls, and answers by result.
@@ -140,10 +132,11 @@
             clock: The virtual clock.
             name: Name of the app server.
             site: Name of its site.
-            deployment: The admission settings of each incarnation.
+            deployment: The admission settings of each incarnation; its seed and cold start are set anew.
             cores: Speed of its cores.
             downstream: The downstream service.
-            on_answer: Called once with the final answer to each attempt.
+            on_answer: Called once with the final answer to each attempt: the attempt, the result (`cut` if
+                the connection was lost), the Retry-After, and whether not to retry.
         """
         self.clock, self.name, self.site, self.deployment = clock, name, site, deployment
         self.cores, self.downstream, self.on_answer = cores, downstream, on_answer
@@ -209,10 +202,12 @@
                 callback()
 
     def drain(self, stop_span: int = DEFAULT_STOP_SPAN) -> None:
-        """Stop accepting requests, and answer those that are open.
+        """Stop accepting requests, and answer those that are open; ignored while draining or not running.
+
+        The process is not ended here.
 
         Args:
-            stop_span: Span until the end of the process.
+            stop_span: Time until the process is stopped, as the admission decisions are told.
         """
         if self.driver is None or self.is_draining:
             return
@@ -288,7 +283,10 @@
         self.settle()
 
     def cancel(self, attempt: Attempt) -> None:
-        """Handle the disconnection of a client that no longer waits for an attempt."""
+        """Handle the disconnection of a client that no longer waits for an attempt.
+
+        It is ignored if the request has its final answer.
+        """
         for request, run in self.open_requests.items():
             if run.attempt is attempt:
                 self.close_request(request, run, "gone")
@@ -419,7 +417,7 @@
         self.deliver_event(request, CallNeeded())
 
     def start_call(self, request: Request, run: Run, timeout: int) -> None:
-        """Start the downstream call of a run."""
+        """Start the downstream call of a run; its end waits for the end of a pause."""
         self.counts["called"] += 1
 
         def on_end(outcome: Outcome) -> None:
@@ -430,7 +428,10 @@
         run.call = self.downstream.start_call(self.name, timeout, on_end)
 
     def on_call_ended(self, request: Request, run: Run, outcome: Outcome) -> None:
-        """Report the end of a downstream call, and run the rest of the work if it was served."""
+        """Report the end of a downstream call, and run the rest of the work if it was served.
+
+        What follows a call that was not served is up to the admission decisions.
+        """
         if outcome is not Outcome.SERVED:
             self.counts["calls_bad"] += 1
         self.deliver_event(request, CallEnded(outcome, 0))
@@ -504,7 +505,7 @@
             self.on_answer(run.attempt, result, retry_after, stop_retrying)
 
     def close_request(self, request: Request, run: Run, result: str) -> bool:
-        """Remove a request from the open ones and count its result.
+        """Remove a request from the open ones, count its result and report it to `on_request_closed`.
 
         Returns:
             Whether the request was open, so that this is its final answer.
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -26,10 +26,10 @@
 LIST_INTERVAL = 2_000  # how often the catalog's list is read
 LIST_DELAY = 8_000  # until routers use the list that was read
 CATALOG_REPORT_LIFETIME = 30_000  # the catalog lists an app server this long after its last report
-HEALTH_CHECK_INTERVAL = 5_500
+HEALTH_CHECK_INTERVAL = 5_500  # how often the health of all app servers is checked
 MAX_FAILED_CHECKS = 2  # in a row, until routers avoid an app server
-SAMPLE_INTERVAL = 500
-DRAIN_CHECK_INTERVAL = 500
+SAMPLE_INTERVAL = 500  # how often availability and core use are recorded
+DRAIN_CHECK_INTERVAL = 500  # how often a draining app server is checked for open requests
 TRAFFIC_START = 2 * SECOND  # by then the planner leads and routers know which app servers are listed
 COLD_START_DELAY = 5_000  # from the `restore` of a site until its app servers start and accept requests
 
@@ -64,7 +64,7 @@
     value: float = 0.0
 
     def describe(self) -> str:
-        """Return a description for reports."""
+        """Return the time in seconds, the action, the target and the value, for reports."""
         value = f" {self.value:g}" if self.value else ""
         return f"{self.at / SECOND:.1f} s: {self.action}{' ' + self.target if self.target else ''}{value}"
 
@@ -156,14 +156,17 @@
         ]
 
     def capacity(self) -> float:
-        """Return the requests per second that all cores can serve, or that the world file states."""
+        """Return the requests per second at a load of 1.
+
+        The world file states it by `rate` and `load`; otherwise it is what all cores can serve.
+        """
         if self.layout.rate is not None:
             return self.layout.rate / self.layout.load
         count = sum(map(len, self.sites().values()))
         return count * self.deployment.cores * SECOND / self.traffic().mean_work
 
     def traffic(self) -> Traffic:
-        """Return the mix of requests, with the defaults for what the world file leaves out."""
+        """Return the mix of requests, with the defaults of `Layout` for what the world file leaves out."""
         request_classes = []
         for name, request_class in zip(self.profiles, self.deployment.request_classes, strict=True):
             class_work = self.layout.profiles.get(name, Work())
@@ -190,7 +193,6 @@
     """One run: call `run` to run a script, then read the recorded attributes.
 
     Attributes:
-        setting: The settings that the world was built from.
         clock: The virtual clock.
         layout: The world file.
         deployment: The admission settings.
@@ -227,7 +229,7 @@
         """Build a world in which nothing runs yet.
 
         Args:
-            setting: The settings.
+            setting: The settings that the world is built from.
             seed: Seed of all random choices.
             capacity: Requests per second that loads are fractions of; 0 for the capacity of the settings.
         """
@@ -418,7 +420,7 @@
             self.planners.on_connection_lost(server, incarnation)
 
     def refresh_list(self) -> None:
-        """Read the catalog's list, and pass it to the routers after their delay."""
+        """Read the catalog's list, pass it to the routers after `LIST_DELAY`, and schedule the next read."""
         now = self.clock.now
         listed = [server for server in self.servers if self.is_listed(server, now)]
         self.clock.after(LIST_DELAY, self.apply_list, listed)
@@ -442,7 +444,10 @@
         return self.healthy_servers if uses_health_checks else self.listed_servers
 
     def check_health(self) -> None:
-        """Check the health of all app servers, once on behalf of all routers."""
+        """Check the health of all app servers, once on behalf of all routers, and schedule the next check.
+
+        An app server counts as unhealthy after `MAX_FAILED_CHECKS` in a row until it passes one.
+        """
         for server in self.servers:
             is_healthy = server.is_up and not server.is_paused and server.is_healthy
             self.failed_checks[server] = 0 if is_healthy else self.failed_checks[server] + 1
@@ -513,7 +518,7 @@
             case "release":
                 self.start_release()
             case action:
-                raise ValueError(f"no such step: {action}")
+                raise ValueError(f"unknown action of a step: {action!r}")
 
     def restart_server(self, server: AppServer) -> None:
         """Start an app server cold, unless it runs."""
@@ -559,7 +564,7 @@
 
     def start_release(self) -> None:
         """Start a rollout, or note why it was refused."""
-        refusal = "there are no planners"
+        refusal = "the fleet has no planners"
         if self.planners is not None:
             refusal = self.planners.start_rollout(self.planners.rollout_spec())
         if refusal:
@@ -585,10 +590,9 @@
         return self.requests[first:last]
 
     def service(self, span: tuple[int, int]) -> float:
-        """Return the share of payoff that was served in time.
+        """Return the share of requests that were served in time, weighted by the priority of their classes.
 
-        The payoff of a request is the priority weight of its class. It counts as served in time if it was
-        answered with success within the latency objective.
+        A request was served in time if it was answered with success within the latency objective.
 
         Args:
             span: Start and end of the span in which the requests started.
