--- a/birchslip/expect/consistency.py
+++ b/birchslip/expect/consistency.py
@@ -287,7 +287,7 @@
     """Check that fleet file and configuration agree on the downstream service and its quota.
 
     If the fleet file has a vault, the downstream service must be shared, and the quota of this app server
-    must be the same in both files to within one percent.
+    must be the same in both files to within one percent, or 0.01 calls if it is less than one.
     """
     if context.fleet is None or context.fleet.vault is None:
         return
--- a/birchslip/expect/measures.py
+++ b/birchslip/expect/measures.py
@@ -122,7 +122,7 @@
 
 
 def outstanding_series(world: World, subject: Subject) -> list[Series]:
-    """Return the series of outstanding attempts that add up to a subject's."""
+    """Return the series whose sum is the number of outstanding attempts of a subject."""
     if subject.kind is SubjectKind.ROUTER:
         return [world.outstanding[int(subject.name)]]
     if subject.kind is SubjectKind.FLEET:
@@ -131,7 +131,7 @@
 
 
 def downstream_call_series(world: World, subject: Subject) -> list[Series]:
-    """Return the series of downstream calls in flight that add up to a subject's."""
+    """Return the series whose sum is the number of downstream calls in flight of a subject."""
     if subject.kind is SubjectKind.FLEET:
         return [world.downstream_calls]
     return [world.downstream_calls_by_server[name] for name in member_names(world, subject)]
@@ -202,7 +202,7 @@
 
 
 def time_average(series: Series, span: Span) -> float:
-    """Return the time-weighted mean of a series over a span."""
+    """Return the time-weighted mean of a series over a span, which must not be empty."""
     samples = series.within(span)
     total = 0.0
     for (at, value), end in zip(samples, [*(time for time, _ in samples[1:]), span[1]], strict=True):
@@ -244,7 +244,7 @@
 
 
 def requests_started(world: World, subject: Subject, spans: Iterable[Span]) -> list[ClientRequest]:
-    """Return the requests of a subject that were first sent within the spans."""
+    """Return the requests of a subject that started within the spans; the end of a span is excluded."""
     matches = request_filter(subject)
     return [request for span in spans for request in world.requests_started(span) if matches(request)]
 
--- a/birchslip/expect/parse.py
+++ b/birchslip/expect/parse.py
@@ -47,7 +47,7 @@
 MAX_TEXT_BYTES = 8 << 20  # of one file
 MAX_STATEMENTS = 50_000  # of one file
 MAX_SPAN = 600 * SECOND  # ten minutes; a longer span is taken for a mistake
-DEFAULT_SHRINK, DEFAULT_SURGE_FACTOR = 0.5, 3.0
+DEFAULT_SHRINK, DEFAULT_SURGE_FACTOR = 0.5, 3.0  # if a statement gives no share or factor
 MAX_LOAD = 100  # times the capacity
 MAX_SURGE_FACTOR = 1000
 MAX_TERMINALS_SHOWN = 8  # in a syntax error
@@ -416,16 +416,16 @@
         return {"event": Event.RELEASE, "release": True}
 
     def shrink_begins(self, _: list[Any]) -> dict[str, Any]:
-        """Return the fields of the event that the fleet begins to shrink."""
+        """Return the fields of the event that the fleet begins to shrink to `DEFAULT_SHRINK`."""
         return {"event": Event.SHRINKING, "shrink": DEFAULT_SHRINK}
 
     def shrink_ends(self, _: list[Any]) -> dict[str, Any]:
-        """Return the fields of the event that the fleet has shrunk."""
+        """Return the fields of the event that the fleet has shrunk to `DEFAULT_SHRINK`."""
         return {"event": Event.SHRUNK, "shrink": DEFAULT_SHRINK}
 
     @v_args(inline=True)
     def surge_begins(self, name: Token) -> dict[str, Any]:
-        """Return the fields of the event that a tenant's surge begins."""
+        """Return the fields of the event that a tenant's surge by `DEFAULT_SURGE_FACTOR` begins."""
         return {
             "event": Event.SURGE,
             "event_subject": unquote(name),
--- a/birchslip/lab/model/routers.py
+++ b/birchslip/lab/model/routers.py
@@ -449,7 +449,8 @@
     def on_timeout(self, attempt: Attempt) -> None:
         """Handle an attempt that is unanswered at its hedge time or at its deadline.
 
-        At the hedge time a second attempt is made. The attempt is abandoned after its deadline.
+        At the hedge time, which `send` sets, another attempt is made if fewer than `MAX_CONCURRENT_ATTEMPTS`
+        are open. The attempt is abandoned `ABANDON_GRACE` after its deadline.
         """
         if attempt.is_over:
             return
--- a/birchslip/lab/model/servers.py
+++ b/birchslip/lab/model/servers.py
@@ -417,7 +417,13 @@
         self.deliver_event(request, CallNeeded())
 
     def start_call(self, request: Request, run: Run, timeout: int) -> None:
-        """Start the downstream call of a run; its end waits for the end of a pause."""
+        """Start the downstream call of a run, and handle its end in the same incarnation and after any pause.
+
+        Args:
+            request: The request.
+            run: Its run.
+            timeout: Span after which the call ends as timed out.
+        """
         self.counts["called"] += 1
 
         def on_end(outcome: Outcome) -> None:
--- a/birchslip/lab/model/world.py
+++ b/birchslip/lab/model/world.py
@@ -312,7 +312,10 @@
         self.downstream.on_change = self.record_downstream_calls
 
     def outstanding_recorder(self, router: Router, series: Series) -> Callable[[AppServer, int], None]:
-        """Return a callback that records changes of a router's outstanding attempts."""
+        """Return a callback for changes of a router's outstanding attempts.
+
+        It records the router's number in `series`, and the change in the series of the app server.
+        """
         outstanding_by_server, clock = self.outstanding_by_server, self.clock
 
         def record(server: AppServer, change: int) -> None:
@@ -380,7 +383,7 @@
         self.notes.append((self.clock.now, event, fields))
 
     def mark(self, event: str, target: str = "") -> None:
-        """Record the start or end of a scripted condition."""
+        """Record the start or end of a scripted condition, from which the measured spans are found."""
         self.marks.append((self.clock.now, event, target))
 
     # ---- app servers and their listing -----------------------------------------------------------------
@@ -435,7 +438,7 @@
         return self.planners is None or self.planners.is_listed(server)
 
     def apply_list(self, listed: list[AppServer]) -> None:
-        """Make routers use a list of app servers."""
+        """Make routers use a list of app servers, without the unhealthy ones if they check health."""
         self.listed_servers = listed
         self.healthy_servers = [server for server in listed if server not in self.unhealthy]
 
@@ -461,7 +464,7 @@
     # ---- the script ------------------------------------------------------------------------------------
 
     def servers_of(self, target: str) -> list[AppServer]:
-        """Return the app servers of a site, or the one with that name."""
+        """Return the app servers of the site `target`, or the app server of that name if it is no site."""
         return [self.servers_by_name[name] for name in self.sites.get(target, [target])]
 
     def perform_step(self, step: Step) -> None:
@@ -563,7 +566,7 @@
         self.clock.after(max(1, len(drain_order)) * SECOND // 4 + SECOND, self.mark, "shrunk")
 
     def start_release(self) -> None:
-        """Start a rollout, or note why it was refused."""
+        """Start a rollout and mark its start, or note why it was refused."""
         refusal = "the fleet has no planners"
         if self.planners is not None:
             refusal = self.planners.start_rollout(self.planners.rollout_spec())
@@ -610,6 +613,6 @@
         )
 
     def mean_attempts(self, span: tuple[int, int]) -> float:
-        """Return the mean number of attempts of the requests started in a span; 1 without requests."""
+        """Return the mean number of attempts of the requests that started in a span; 1 without requests."""
         requests = self.requests_started(span)
         return sum(request.attempt_count for request in requests) / len(requests) if requests else 1.0
