--- a/tests/test_expect_check.py
+++ b/tests/test_expect_check.py
@@ -112,9 +112,9 @@
     path.write_text("expect small: site south outstanding <= 5 while site north is lost\n")
     code, output, _ = run_command("expect", "explain", "small", str(path), *SETTINGS_OPTIONS)
     assert code == 1
-    assert "a history that breaks it" in output
+    assert "the smallest run that was found to fail:" in output
     assert "lose north" in output
-    assert "the setting that bears most of it: fleet-server.json" in output
+    assert "the setting that affects the failure most: fleet-server.json" in output
     assert "a.expect:1:1" in output
     json_report, junit_report = tmp_path / "r.json", tmp_path / "r.xml"
     code, _, _ = run_command(
@@ -139,7 +139,7 @@
         (["list", str(EXPECTATIONS)], 0, "home-comes-first"),
         (["explain", "home-comes-furst", str(EXPECTATIONS)], 2, "was 'home-comes-first' meant?"),
         (["check", "no-such.expect"], 2, "No such file"),
-        (["check", "docs"], 2, "no file ends in .expect"),
+        (["check", "docs"], 2, "docs: the folder holds no file whose name ends in .expect"),
     ],
 )
 def test_commands_print_result_and_exit_code_without_traceback(words, code, text):
