--- a/birchslip/admission/controller.py
+++ b/birchslip/admission/controller.py
@@ -121,7 +121,7 @@
             yield from self._run(request)
 
     def _receive(self, request: Request) -> None:
-        """Number a request and set its latency deadline.
+        """Assign a request its number and its latency deadline.
 
         The age of a retry is unknown: the mean age of the recently rejected requests stands in for it.
         """
