--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -28,7 +28,7 @@
     member_counts=(2, 10),
     usual_bad_rate=0.03,
 ):
-    """Watches `sample_count` samples, half a second apart; returns the first verdict and its sample."""
+    """Watch `sample_count` samples, half a second apart; return the first verdict and its sample."""
     rng = random.Random(seed)
     analysis = CanaryAnalysis(MARGINS, 10 * SECOND, sample_count * SECOND // 2, 0)
     for sample_number in range(1, sample_count + 1):
@@ -210,7 +210,7 @@
 
 
 def is_ever_called_bad(rng, baseline_rate, margin, error):
-    """Watches 300 samples with a true difference of `margin`; returns whether it is ever called bad.
+    """Watch 300 samples with a true difference of `margin`; return whether it is ever called bad.
 
     Outcomes come in pairs of equal fate, which is the correlation that the test allows for: with independent
     outcomes a test that promises too much would still pass.
--- a/tests/test_disruption_budget.py
+++ b/tests/test_disruption_budget.py
@@ -275,7 +275,7 @@
 
     @rule(name=names)
     def acquire_for_earlier_incarnation(self, name):
-        """A duplicate or late request of an earlier incarnation changes nothing."""
+        """Send a duplicate or late request of an earlier incarnation, which changes nothing."""
         before = self.budget.encode()
         if self.budget.permit_of(name) is None:
             decision = self.budget.acquire(waiter(name, 0), self.observations)
@@ -314,7 +314,7 @@
 
     @invariant()
     def permits_stay_within_every_budget(self):
-        """Permits alone never exceed a budget, whatever else is unavailable."""
+        """Check that permits alone never exceed a budget, whatever else is unavailable."""
         for group in self.budget.groups:
             planned = [
                 permit.holder for permit in self.budget.state.permits if permit.holder in group.members
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -11,7 +11,7 @@
 
 
 def elected_leadership(now=3 * SECOND):
-    """Returns a single planner that has just won its election."""
+    """Return a single planner that has just won its election."""
     election = Election("p0", ["p0"], DurableVote(), 1, 0, random.Random(1))
     request = election.next_vote_request(now)
     election.handle_vote_response(election.handle_vote_request(request, now), request.term, now, now)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -70,7 +70,7 @@
 
 
 def silence_site(membership, site, until, reporting=()):
-    """Lets all members report until `until`, except those of `site` that are not in `reporting`."""
+    """Let all members report until `until`, except those of `site` that are not in `reporting`."""
     for now in range(SECOND + REPORT_INTERVAL, until + 1, REPORT_INTERVAL):
         for name, member in membership.members.items():
             if member.site != site or name in reporting:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -149,7 +149,7 @@
         self.own_keys = {}  # expiry of the keys that this incarnation started
 
     def state_of(self, key, now):
-        """Returns a key's state for a request that arrives now: own, unknown, a result, rejected or free."""
+        """Return a key's state for a request that arrives now: own, unknown, a result, rejected or free."""
         if now <= self.own_keys.get(key, 0):
             return "own"
         packed = self.store.index.get(key, now)
--- a/tests/test_recovery_ramp.py
+++ b/tests/test_recovery_ramp.py
@@ -16,7 +16,7 @@
 
 
 def evaluate_until(ramp, member_reports, now, until, usual_load=200.0):
-    """Evaluates at each interval until that time; returns the changes of stage and step."""
+    """Evaluate at each interval until that time; return the changes of stage and step."""
     changes = []
     while now < until:
         now += EVALUATION_INTERVAL
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -76,7 +76,7 @@
         return self
 
     def restart(self):
-        """Kills this incarnation and returns the next one, on the same disk."""
+        """Kill this incarnation and return the next one, on the same disk."""
         self.store.files.close()
         self.system.kill_process()
         return Incarnation(self.store.files.directory, self.system, self.now)
--- a/tests/test_site_plan.py
+++ b/tests/test_site_plan.py
@@ -22,7 +22,7 @@
 
 @st.composite
 def site_sets(draw):
-    """Draws measured sites and the costs of the links between them."""
+    """Draw measured sites and the costs of the links between them."""
     sites = []
     for number in range(draw(st.integers(1, 5))):
         capacities = {f"s{number}-{member}": draw(rates) for member in range(draw(st.integers(1, 3)))}
--- a/tests/test_stored_results_record.py
+++ b/tests/test_stored_results_record.py
@@ -225,7 +225,7 @@
 
 
 def recover_folder(folder):
-    """Returns the recovered store, and the budget that accounts for its files."""
+    """Return the recovered store and the budget that accounts for its files."""
     files = SegmentFiles(folder, "a")
     budget = RetentionBudget(10**6, 1 << 30, 10_000)
     recovered = recover(files.read_segments(), budget, RECOVERED_AT, RETENTION, 4)
--- a/tests/test_stored_rollout.py
+++ b/tests/test_stored_rollout.py
@@ -121,7 +121,7 @@
 
 
 def controller():
-    """A new leader's controller, restored from what the earlier version stored."""
+    """Return a new leader's controller, restored from what the earlier version stored."""
     budget = DisruptionBudget([BudgetGroup("fleet", frozenset(SITE_OF), max_unavailable=3)])
     budget.state = msgspec.json.decode(STORED_BUDGET, type=BudgetState)
     restored = RolloutController(SITES, [], budget, 30_000, SITE_OF)
