--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -658,7 +658,7 @@
     for statement in statements:
         click.echo(f"{statement.name:28} {statement.location.describe()}: {statement.describe()}")
     for name in empty:
-        click.echo(f"{name}: nothing is expected there")
+        click.echo(f"{name}: the file holds no statement")
 
 
 @expect.command("explain")
--- a/birchslip/cluster/planner.py
+++ b/birchslip/cluster/planner.py
@@ -84,7 +84,7 @@
         if planner.name == name:
             return planner
     names = ", ".join(planner.name for planner in fleet.planners)
-    raise InvalidInputError(f"planners: none is named {name!r}; there are {names}")
+    raise InvalidInputError(f"planners: no planner is named {name!r}; expected one of {names}")
 
 
 class Planner:
--- a/birchslip/cluster/rollout_batches.py
+++ b/birchslip/cluster/rollout_batches.py
@@ -14,7 +14,7 @@
     """Return a text that names a part that is neither a site nor a group of the fleet; empty if none."""
     for part in spec.sites or spec.groups:
         if part not in parts:
-            return f"{part!r} is no site and no group; there are {', '.join(parts)}"
+            return f"no site or group is named {part!r}; expected one of {', '.join(parts)}"
     return ""
 
 
--- a/birchslip/cluster/rollout_controller.py
+++ b/birchslip/cluster/rollout_controller.py
@@ -177,7 +177,10 @@
                 return self._apply_to_one(command, self._resume)
             case RolloutAction.ROLL_BACK:
                 return self._apply_to_one(command, self._roll_back)
-        return CommandResult(accepted=False, reason=f"nothing is known of {command.action.value!r}")
+        return CommandResult(
+            accepted=False,
+            reason=f"{command.action.value!r} changes no release, or its release file is missing",
+        )
 
     def start(self, spec: RolloutSpec, operator: str, now: int) -> CommandResult:
         """Start a rollout, unless `find_obstacle` returns a reason against it."""
@@ -213,8 +216,8 @@
         self.orders = [order for order in self.orders if order.member not in stopped]
         if halted:
             return CommandResult(accepted=True, number=halted[0].record.number)
-        which = f"no release {command.number}" if command.number else "no release"
-        return CommandResult(accepted=False, reason=f"{which} runs")
+        which = f"release {command.number} is not" if command.number else "no release is"
+        return CommandResult(accepted=False, reason=f"{which} in progress")
 
     def _apply_to_one(self, command: RolloutCommand, apply: Callable[[Rollout, str], str]) -> CommandResult:
         """Apply a change to the rollout with the command's number, or to the only halted rollout.
@@ -226,21 +229,26 @@
         else:
             selected = [rollout for rollout in self.rollouts if rollout.phase is RolloutPhase.HALTED]
         if not selected:
-            which = command.number or f"is {RolloutPhase.HALTED.value}"
+            which = f"has number {command.number}" if command.number else f"is {RolloutPhase.HALTED.value}"
             return CommandResult(accepted=False, reason=f"no release {which}")
         if len(selected) > 1:
             numbers = ", ".join(str(rollout.record.number) for rollout in selected)
-            return CommandResult(accepted=False, reason=f"which of {numbers}?")
+            return CommandResult(
+                accepted=False, reason=f"releases {numbers} are halted; give the number of one"
+            )
         refusal = apply(selected[0], command.operator)
         return CommandResult(accepted=not refusal, number=selected[0].record.number, reason=refusal)
 
     def _resume(self, rollout: Rollout, operator: str) -> str:
         """Resume a rollout; return why this is refused, or an empty string."""
         if rollout.record.version_is_bad:
-            return f"{rollout.spec.version} was found bad: only back is left"
+            return f"version {rollout.spec.version!r} was found bad: the release can only be rolled back"
         if rollout.record.excluded:
             names = ", ".join(rollout.record.excluded)
-            return f"{names} starts in neither version: strike it, or start it by hand"
+            return (
+                f"members that start in neither version: {names}; end the permit of each with "
+                "'fleet strike', or start it by hand"
+            )
         return "" if rollout.resume(operator) else "it is not halted"
 
     def _roll_back(self, rollout: Rollout, operator: str) -> str:
@@ -249,7 +257,7 @@
             obstacle = find_shared_members(rollout.all_members(), other)
             if other is not rollout and obstacle:
                 return obstacle
-        return "" if rollout.roll_back(operator) else "there is nothing to take back"
+        return "" if rollout.roll_back(operator) else "it is already being rolled back, or was rolled back"
 
     # ---- reports ---------------------------------------------------------------------------------------
 
--- a/birchslip/cluster/rollout_types.py
+++ b/birchslip/cluster/rollout_types.py
@@ -101,16 +101,16 @@
     def validation_error(self) -> str:
         """Return the first error in the fields, named by its key in the file; empty if there is none."""
         if self.version == self.previous_version:
-            return f"version: {self.version!r} is the one before too"
+            return f"version: {self.version!r} is also the version in 'before'; the two must differ"
         if self.max_watch_ms < self.min_watch_ms:
-            return f"watch_most_ms: {self.max_watch_ms} is under watch_ms, {self.min_watch_ms}"
+            return f"watch_most_ms: {self.max_watch_ms} is less than watch_ms, {self.min_watch_ms}"
         if self.sites and self.groups:
-            return "groups: sites are named too, and one of the two says who is released"
+            return "groups: not allowed together with 'sites'; give one of the two"
         for key, names in (("sites", self.sites), ("groups", self.groups)):
             if len(set(names)) < len(names):
-                return f"{key}: one stands there twice"
+                return f"{key}: a name is listed twice"
         if not self.margins:
-            return "margins: nothing would be judged"
+            return "margins: empty, so no metric would be compared; give at least one"
         return ""
 
 
