--- a/benchmarks/model_days.py
+++ b/benchmarks/model_days.py
@@ -19,6 +19,7 @@
 from birchslip.lab.site_loss import SiteLossOptions, schedule_spans
 from birchslip.lab.world import REQUEST_CLASSES, SITES
 
+ROOT = Path(__file__).resolve().parent.parent
 SCENARIOS = [  # fault, load as a share of capacity, seed
     ("none", 0.9, 1),
     ("none", 1.2, 2),
@@ -53,7 +54,9 @@
     ]
     logs = folder / f"{fault}-{load}"
     arguments += ["--logs", str(logs), "--json", str(folder / f"{fault}-{load}.json")]
-    return subprocess.Popen([sys.executable, "-m", "birchslip", *arguments], stdout=subprocess.DEVNULL)
+    return subprocess.Popen(
+        [sys.executable, "-m", "birchslip", *arguments], cwd=ROOT, stdout=subprocess.DEVNULL
+    )
 
 
 def emulate(scenario, folder):
@@ -116,6 +119,7 @@
         help="run only the emulator, and compare with the results of an earlier run",
     )
     options = parser.parse_args()
+    options.out = options.out.resolve()  # processes start in ROOT, where a relative path means another folder
     options.out.mkdir(parents=True, exist_ok=True)
     for at in range(0, len(SCENARIOS) if not options.again else 0, options.at_a_time):
         for process in [start(scenario, options.out) for scenario in SCENARIOS[at : at + options.at_a_time]]:
--- a/benchmarks/model_size.py
+++ b/benchmarks/model_size.py
@@ -11,6 +11,7 @@
 import time
 from pathlib import Path
 
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from birchslip.admission.settings import SettingsReader, flatten, read_admission_settings
 from birchslip.lab.model.clock import SECOND
 from birchslip.lab.model.layout import Layout, RouterTold, Work
