--- a/birchslip/cli.py
+++ b/birchslip/cli.py
@@ -12,7 +12,7 @@
 import socket
 import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Collection, Iterable
 from pathlib import Path
 from typing import Any, TypeVar
 
@@ -38,10 +38,20 @@
 from .net.messagepack import pack
 
 PLANNER_TIMEOUT_S = 2.0  # to connect to one planner, and again to wait for its answer
+FAULTS_HINT = "`lab faults` lists all"
 MIN_DETECTED_FRACTION = 0.9  # of the changes that `expect mutate` makes to the settings
 FLEET_OPTION = click.option(
     "--fleet", "path", type=click.Path(), envvar="BIRCHSLIP_FLEET", required=True, help="The fleet file."
 )
+REPORT_OPTION = click.option(
+    "--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report."
+)
+LOGS_OPTION = click.option(
+    "--logs",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="Directory in which to keep the processes' logs.",
+)
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of text.")
 Command = TypeVar("Command", bound=Callable[..., Any])
 
@@ -52,6 +62,44 @@
     exit_code = 2
 
 
+def require_known(kind: str, name: str, known: Collection[str], hint: str = "") -> None:
+    """Check the value of the option `--KIND`, which names one of `known`.
+
+    Args:
+        kind: What is named: the option without its dashes.
+        name: The value of the option.
+        known: The names that exist.
+        hint: What the error says in place of the list of `known`.
+
+    Raises:
+        CommandError: The name is not among `known`.
+    """
+    if name not in known:
+        expected = f"expected one of {', '.join(known)}"
+        raise CommandError(f"--{kind}: no {kind} is named {name!r}; {hint or expected}")
+
+
+def split_evenly(servers: int, sites: int) -> int:
+    """Return the number of app servers per site.
+
+    Raises:
+        CommandError: The app servers can't be spread evenly.
+    """
+    if servers % sites:
+        raise CommandError(f"--servers: {servers} app servers can't be spread evenly over {sites} sites")
+    return servers // sites
+
+
+def output_report(report: dict[str, Any], path: Path | None, summary_keys: Iterable[str]) -> None:
+    """Print a scenario's report, or write it to a file and print only the `summary_keys`."""
+    text = json.dumps(report, indent=2)
+    if path is None:
+        click.echo(text)
+        return
+    path.write_text(text + "\n")
+    click.echo(json.dumps({key: report[key] for key in summary_keys}))
+
+
 def load_fleet(path: str) -> Fleet:
     """Read and validate a fleet file.
 
@@ -113,12 +161,9 @@
     Raises:
         CommandError: No planner has this name, or none answers without an error.
     """
+    if planner_name:
+        require_known("planner", planner_name, [planner.name for planner in fleet.planners])
     planners = [planner for planner in fleet.planners if planner_name in ("", planner.name)]
-    if not planners:
-        raise CommandError(
-            f"--planner: no planner is named {planner_name!r}; "
-            f"expected one of {', '.join(planner.name for planner in fleet.planners)}"
-        )
     operation = request.action if isinstance(request, RolloutCommand) else request.operation
     shows_only = operation is OperatorOperation.SHOW or operation in READ_ACTIONS
     answers, errors = [], []
@@ -618,7 +663,7 @@
 @click.option(
     "--junit", type=click.Path(path_type=Path), default=None, help="File for a report in JUnit XML, for CI."
 )
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
+@REPORT_OPTION
 def check_expectations(
     paths: tuple[str, ...],
     config: str,
@@ -693,7 +738,7 @@
 @with_source_options
 @SEED_OPTION
 @click.option("--seeds", type=click.IntRange(1, 64), default=1, show_default=True)
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
+@REPORT_OPTION
 def mutate_settings(
     paths: tuple[str, ...],
     config: str,
@@ -781,14 +826,10 @@
     from .lab.release_play import ReleaseOptions, run_interactive
     from .lab.versions import FAULT_KINDS
 
-    if version not in FAULT_KINDS:
-        raise CommandError(
-            f"--version: no version is named {version!r}; expected one of {', '.join(FAULT_KINDS)}"
-        )
-    if servers % 2:
-        raise CommandError(f"--servers: {servers} app servers can't be spread evenly over 2 sites")
+    require_known("version", version, FAULT_KINDS)
+    each = split_evenly(servers, 2)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
-    options = ReleaseOptions(seed=1, sites=2, each=servers // 2, load=load, version=version, fault="none")
+    options = ReleaseOptions(seed=1, sites=2, each=each, load=load, version=version, fault="none")
     run_interactive(options, folder, minutes, click.echo)
 
 
@@ -808,13 +849,8 @@
 @click.option("--planners", type=click.IntRange(1, 9), default=3, show_default=True)
 @click.option("--load", type=click.FloatRange(0.05, 3.0), default=0.9, show_default=True)
 @click.option("--fault", default="kill", show_default=True)
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
-@click.option(
-    "--logs",
-    type=click.Path(path_type=Path),
-    default=None,
-    help="Directory in which to keep the processes' logs.",
-)
+@REPORT_OPTION
+@LOGS_OPTION
 @click.option(
     "--alone/--with-single-level",
     "alone",
@@ -832,17 +868,10 @@
     from .lab.faults import FAULTS
     from .lab.site_loss import SiteLossOptions, run_site_loss
 
-    if options["fault"] not in FAULTS:
-        raise CommandError(f"--fault: no fault is named {options['fault']!r}; `lab faults` lists all")
+    require_known("fault", options["fault"], FAULTS, FAULTS_HINT)
     report_path = options.pop("out")
     report = run_site_loss(SiteLossOptions(**options))
-    text = json.dumps(report, indent=2)
-    if report_path is None:
-        click.echo(text)
-    else:
-        report_path.write_text(text + "\n")
-        summary = {name: report[name] for name in ("rules", "service", "dead")}
-        click.echo(json.dumps(summary))
+    output_report(report, report_path, ("rules", "service", "dead"))
     if any(report["rules"].values()) or report["dead"]:
         raise SystemExit(1)
 
@@ -855,13 +884,8 @@
 @click.option("--load", type=click.FloatRange(0.05, 3.0), default=1.0, show_default=True)
 @click.option("--version", default="good", show_default=True, help="Behaviour of the new version.")
 @click.option("--fault", default="none", show_default=True)
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
-@click.option(
-    "--logs",
-    type=click.Path(path_type=Path),
-    default=None,
-    help="Directory in which to keep the processes' logs.",
-)
+@REPORT_OPTION
+@LOGS_OPTION
 @click.option(
     "--alone/--with-comparison",
     "alone",
@@ -875,24 +899,13 @@
     from .lab.release_play import ReleaseOptions, run_release
     from .lab.versions import FAULT_KINDS
 
-    if options["fault"] not in FAULTS:
-        raise CommandError(f"--fault: no fault is named {options['fault']!r}; `lab faults` lists all")
-    if options["version"] not in FAULT_KINDS:
-        raise CommandError(
-            f"--version: no version is named {options['version']!r}; expected one of {', '.join(FAULT_KINDS)}"
-        )
-    servers, sites = options.pop("servers"), options["sites"]
-    if servers % sites:
-        raise CommandError(f"--servers: {servers} app servers can't be spread evenly over {sites} sites")
+    require_known("fault", options["fault"], FAULTS, FAULTS_HINT)
+    require_known("version", options["version"], FAULT_KINDS)
+    each = split_evenly(options.pop("servers"), options["sites"])
     report_path = options.pop("out")
-    report = run_release(ReleaseOptions(each=servers // sites, **options))
-    text = json.dumps(report, indent=2)
-    if report_path is None:
-        click.echo(text)
-    else:
-        report_path.write_text(text + "\n")
-        names = ("ended", "why", "halt_s", "exposed", "service", "took_s", "least_s", "broken")
-        click.echo(json.dumps({name: report[name] for name in names}))
+    report = run_release(ReleaseOptions(each=each, **options))
+    summary_keys = ("ended", "why", "halt_s", "exposed", "service", "took_s", "least_s", "broken")
+    output_report(report, report_path, summary_keys)
     if report["broken"]:
         raise SystemExit(1)
 
@@ -902,7 +915,7 @@
 @click.option("--labels", type=click.IntRange(10, 1_000_000), default=10_000, show_default=True)
 @click.option("--kills", type=click.IntRange(0, 100_000), default=200, show_default=True)
 @click.option("--fault", default="none", show_default=True)
-@click.option("--json", "out", type=click.Path(path_type=Path), default=None, help="File for the report.")
+@REPORT_OPTION
 @click.option(
     "--logs",
     type=click.Path(path_type=Path),
@@ -916,21 +929,13 @@
     """Send labelled requests to an app server that is killed repeatedly; exit code 1 if a rule is broken."""
     from .lab.kept_play import FAULTS, ResultStoreOptions, run_result_store_scenario
 
-    if options["fault"] not in FAULTS:
-        raise CommandError(
-            f"--fault: no fault is named {options['fault']!r}; expected one of {', '.join(FAULTS)}"
-        )
+    require_known("fault", options["fault"], FAULTS)
     report_path = options.pop("out")
     report = run_result_store_scenario(
         ResultStoreOptions(sites=1, each=1, planners=0, fleet=False, **options)
     )
-    text = json.dumps(report, indent=2)
-    if report_path is None:
-        click.echo(text)
-    else:
-        report_path.write_text(text + "\n")
-        names = ("labels", "kills", "double_runs", "unanswered", "first_answer_again", "unknown", "broken")
-        click.echo(json.dumps({name: report[name] for name in names}))
+    summary_keys = ("labels", "kills", "double_runs", "unanswered", "first_answer_again", "unknown", "broken")
+    output_report(report, report_path, summary_keys)
     if report["broken"]:
         raise SystemExit(1)
 
