--- a/benchmarks/cpu_pairs.py
+++ b/benchmarks/cpu_pairs.py
@@ -1,4 +1,4 @@
-"""Compares the program's processor time per request with that of an earlier revision, in pairs of runs.
+"""Compare the program's processor time per request with that of an earlier revision, in pairs of runs.
 
     python benchmarks/cpu_pairs.py REVISION [PAIRS]
 
@@ -32,7 +32,7 @@
 
 
 def cpu_per_request_us(checkout, seed, report_path):
-    """Run the checkout's testbed once and return the processor time per request, over all app servers."""
+    """Run the checkout's testbed once and return the app servers' processor time per request in us."""
     command = [
         sys.executable,
         "-m",
@@ -51,7 +51,7 @@
 
 
 def main():
-    """Run the pairs and print each ratio and their median."""
+    """Run the pairs and print both times and their ratio for each, then the median ratio."""
     revision, pair_count = sys.argv[1], int((sys.argv[2:] or ["3"])[0])
     with tempfile.TemporaryDirectory() as folder:
         earlier_checkout = Path(folder) / "before"
--- a/benchmarks/expect_broken.py
+++ b/benchmarks/expect_broken.py
@@ -1,6 +1,8 @@
-"""Measures how many of thirty deliberately broken settings a check finds, with which reason and how fast.
+"""Measure how many of thirty deliberately broken settings a check finds, with which reason and how fast.
 
 python benchmarks/expect_broken.py
+
+The intact settings are checked with the same expectations; their exit code should be 0.
 """
 
 import sys
@@ -14,6 +16,7 @@
 
 
 def main():
+    """Check all broken settings and print a line for each."""
     found, slowest = 0, 0.0
     for name, which, path, value, expected, words in BROKEN_SETTINGS:
         intact_code = check_result(sources(), expected)[0] if expected and name != "a contradiction" else 0
@@ -24,7 +27,7 @@
         found, slowest = found + is_found, max(slowest, took)
         line = next((text for text in reason.splitlines() if words in text), reason.splitlines()[0])
         print(
-            f"{'found' if is_found else 'MISSED'} {took:5.1f} s, whole: {intact_code}  "
+            f"{'found' if is_found else 'MISSED'} {took:5.1f} s, intact settings: {intact_code}  "
             f"{name}: {line.strip()[:150]}",
             flush=True,
         )
--- a/benchmarks/explore_vote.py
+++ b/benchmarks/explore_vote.py
@@ -1,4 +1,4 @@
-"""Explores random histories of elections, fencing and leases; stops at the first violation.
+"""Explore random histories of elections, fencing and leases; stop at the first violation.
 
 python benchmarks/explore_vote.py HISTORIES STEPS [FIRST_SEED]
 """
--- a/benchmarks/fleet_month.py
+++ b/benchmarks/fleet_month.py
@@ -1,4 +1,4 @@
-"""Simulates a month of noise, pauses and restarts in virtual time; only a site that is down may be evacuated.
+"""Simulate a month of noise, pauses and restarts in virtual time; only a site that is down may be evacuated.
 
 python benchmarks/fleet_month.py [DAYS] [SEED]
 """
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -1,4 +1,4 @@
-"""Measures the I/O-free part of the fleet at different sizes: a plan, a tick over all sites, a report.
+"""Measure a planner's decisions, without I/O, at four fleet sizes: a plan, a tick over all sites, a report.
 
 python benchmarks/fleet_size.py
 """
@@ -21,11 +21,11 @@
 from birchslip.cluster.messages import Incarnation, MemberReport, decode, encode
 from birchslip.cluster.planner_state import PlannerState
 
-SECOND = 10_000
+SECOND = 10_000  # times are in tenths of a millisecond
 
 
 def median_ms(action: Callable[[], object], rounds: int = 5) -> float:
-    """Returns the median time of an action in milliseconds."""
+    """Perform an action `rounds` times and return its median time in milliseconds."""
     times_ms = []
     for _ in range(rounds):
         started_at = time.perf_counter()
@@ -34,14 +34,14 @@
     return statistics.median(times_ms)
 
 
-def report(name: str, site: str, number: int) -> MemberReport:
-    """Returns a report of a member under load."""
+def make_report(name: str, site: str, sequence: int) -> MemberReport:
+    """Return a report of a member under load."""
     load = {f"t{n}": 5.0 for n in range(8)}
     return MemberReport(
         name=name,
         site=site,
         incarnation=Incarnation(nonce=1),
-        sequence=number,
+        sequence=sequence,
         address="127.0.0.1:1",
         uptime=SECOND,
         is_serving=True,
@@ -63,8 +63,8 @@
 
 
 def main() -> None:
-    """Prints a line of times for each fleet size."""
-    print("members  plan ms  per n log n  look ms  report us (decoded, heard, encoded)")
+    """Print a line of times for each fleet size."""
+    print("members  plan ms  us/n log2 n  tick ms  report us (decode, handle, encode)")
     for members in (10, 100, 1_000, 10_000):
         sites = min(9, members)
         fleet_sites = [
@@ -95,7 +95,7 @@
                     election.handle_vote_request(vote_request, now), vote_request.term, now, now
                 )
             for name, site in names:
-                state.receive_report(report(name, site, step + 1), now)
+                state.receive_report(make_report(name, site, step + 1), now)
             state.tick(now)
             replication_request = state.replication_request()
             if replication_request is not None and election.handle_replication_response(
@@ -106,13 +106,13 @@
         state.evacuate_site("s0", "bench", "bench", now)
         plan_ms = median_ms(partial(state.replan, now))
         tick_ms = median_ms(partial(state.tick, now))
-        encoded_reports = [encode(report(name, site, 100)) for name, site in names[:500]]
+        encoded_reports = [encode(make_report(name, site, 100)) for name, site in names[:500]]
         started_at = time.perf_counter()
         for encoded in encoded_reports:
             encode(state.receive_report(decode(encoded, MemberReport), now))
         report_us = (time.perf_counter() - started_at) / len(encoded_reports) * 1e6
-        per_n_log_n = plan_ms / (members * log2(members)) * 1e3
-        print(f"{members:7} {plan_ms:8.2f} {per_n_log_n:12.3f} {tick_ms:8.2f} {report_us:10.0f}")
+        us_per_n_log2_n = plan_ms / (members * log2(members)) * 1e3
+        print(f"{members:7} {plan_ms:8.2f} {us_per_n_log2_n:12.3f} {tick_ms:8.2f} {report_us:10.0f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/keep_engines.py
+++ b/benchmarks/keep_engines.py
@@ -1,9 +1,9 @@
-"""Storage engines for results: segment files against SQLite in WAL mode, with group commit on this disk.
+"""Compare segment files with SQLite in WAL mode as storage of results, with group commit on this disk.
 
     python benchmarks/keep_engines.py [COMMITS]
 
-Each commit flushes the records of a group of keys, as arrive while the previous flush is in progress. Then
-the time and memory of a recovery are measured.
+Each commit flushes the records of 1, 8 or 64 keys, as many as may arrive while the previous flush is in
+progress. Then the time and memory of a recovery from segment files are measured.
 """
 
 import os
@@ -22,11 +22,11 @@
 from birchslip.idempotency.retention_budget import RetentionBudget
 from birchslip.idempotency.segment_files import SegmentFiles
 
-NOW, RETENTION = time.time_ns() // 100_000, 170_000
+NOW, RETENTION = time.time_ns() // 100_000, 170_000  # in tenths of a millisecond
 
 
 def make_records(count: int) -> list[tuple[bytes, bytes]]:
-    """Return keys with encoded records, alternately started and completed."""
+    """Return `count` random keys, each with one encoded record: completed and started records alternate."""
     records = []
     for n in range(count):
         key = os.urandom(16)
@@ -45,7 +45,7 @@
 
 
 def measure_latencies(commits: int, commit: Callable[[int], None]) -> list[float]:
-    """Return the sorted latencies of the commits in milliseconds."""
+    """Call `commit` with each number below `commits` and return the sorted latencies in milliseconds."""
     latencies_ms = []
     for n in range(commits):
         started_at = time.perf_counter()
--- a/benchmarks/keep_index.py
+++ b/benchmarks/keep_index.py
@@ -1,4 +1,4 @@
-"""Index of stored keys: a table over arrays against a dict, and expiry counts by second against a heap.
+"""Compare the index of stored keys with a dict, and the counts of expiries by second with a heap.
 
 python benchmarks/keep_index.py
 """
@@ -17,11 +17,14 @@
 from birchslip.idempotency.key_index import KeyIndex
 from birchslip.idempotency.retention_budget import RetentionBudget
 
-RETENTION = 17 * SECOND
+RETENTION = 17 * SECOND  # in tenths of a millisecond
 
 
 def measure(build: Callable[[], Any]) -> tuple[Any, float, float]:
-    """Return what `build` returns, its seconds, and the MB that it keeps allocated."""
+    """Call `build` twice and return its result, its time in seconds, and the MB that its result occupies.
+
+    The time is that of the first call, as tracing memory slows down the second one.
+    """
     started_at = time.perf_counter()
     build()
     duration_s = time.perf_counter() - started_at
@@ -77,7 +80,9 @@
 
         for name, build in (("seconds", build_counts), ("heap", build_heap)):
             _, duration_s, memory_mb = measure(build)
-            print(f"{count:8} ends,   {name:7} {duration_s / count * 1e6:5.2f} us each, {memory_mb:7.2f} MB")
+            print(
+                f"{count:8} expiries, {name:7} {duration_s / count * 1e6:5.2f} us each, {memory_mb:7.2f} MB"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/keep_memory.py
+++ b/benchmarks/keep_memory.py
@@ -1,4 +1,4 @@
-"""Memory of the whole program with unexpired keys of an earlier incarnation in its store, and without any.
+"""Measure the memory of the whole program with unexpired keys of an earlier incarnation, and without any.
 
 python benchmarks/keep_memory.py [KEYS]
 """
@@ -18,13 +18,16 @@
 from birchslip.idempotency.segment_files import SegmentFiles
 
 ROOT = Path(__file__).resolve().parent.parent
-RETENTION = 6_000_000
+RETENTION = 6_000_000  # 600 s in tenths of a millisecond, as `window_s` in `measure_program`
 RESULT = os.urandom(400)  # random, so that it can't be compressed
 KEYS_PER_SEGMENT = 25_000
 
 
-def fill(folder, name, keys):
-    """Write started and completed records of `keys` keys, as a killed program leaves them."""
+def fill_store(folder, name, keys):
+    """Write started and completed records of `keys` keys, as a killed program leaves them.
+
+    `name` is the app server that owns the store.
+    """
     now = time.time_ns() // 100_000
     with SegmentFiles(folder, name) as files:
         files.lock()
@@ -41,14 +44,21 @@
             files.flush()
 
 
-def start(folder, keys):
-    """Return current and peak resident KB once the program listens, and the seconds until then."""
+def measure_program(folder, keys):
+    """Start the program with `keys` keys in its store, or without a store if `keys` is negative.
+
+    Returns:
+        Current and peak resident KB once the program listens, and the seconds until then.
+
+    Raises:
+        RuntimeError: If the program exits before it listens.
+    """
     config = json.loads((ROOT / "examples" / "app-server.json").read_text()) | {"listen": "127.0.0.1:0"}
     config["settings"]["classes"][1]["window_s"] = 600.0
     (folder / "config.json").write_text(json.dumps(config))
     environment = os.environ | {"PROXY_CONFIG": str(folder / "config.json")}
     if keys >= 0:
-        fill(folder / "kept", config["name"], keys)
+        fill_store(folder / "kept", config["name"], keys)
         keep = {"folder": str(folder / "kept"), "bytes": 256 << 20, "entries": 1_000_000}
         (folder / "keep.json").write_text(json.dumps(keep))
         environment["BIRCHSLIP_KEEP"] = str(folder / "keep.json")
@@ -76,10 +86,10 @@
     for name, count in (("no store", -1), ("an empty store", 0), (f"{keys} live keys", keys)):
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "kept").mkdir()
-            resident_kb, peak_kb, duration_s = start(Path(folder), count)
+            resident_kb, peak_kb, duration_s = measure_program(Path(folder), count)
             print(
-                f"{name:22} {resident_kb / 1024:6.1f} MB held, {peak_kb / 1024:6.1f} MB at most, "
-                f"up in {duration_s:.2f} s",
+                f"{name:22} {resident_kb / 1024:6.1f} MB resident, {peak_kb / 1024:6.1f} MB at peak, "
+                f"listening after {duration_s:.2f} s",
                 flush=True,
             )
 
--- a/benchmarks/keep_rate.py
+++ b/benchmarks/keep_rate.py
@@ -1,4 +1,4 @@
-"""Keyed requests with a result store and without: the sustained rate, and the latency that flushes add.
+"""Measure keyed requests with a result store and without: their rate, and the latency that flushes add.
 
     python benchmarks/keep_rate.py [PAIRS]
 
@@ -45,7 +45,7 @@
                         f"{name:18} {'kept' if has_result_store else 'not kept':8} "
                         f"{report['rate']:7.1f} a second, p50 "
                         f"{latency['p50']:6.1f} ms, p99 {latency['p99']:6.1f} ms, "
-                        f"{cpu:5.0f} us of processor each, "
+                        f"{cpu:5.0f} us of CPU time each, "
                         f"flush p50 {flush['p50']} p99 {flush['p99']} ms {report['trouble'] or ''}",
                         flush=True,
                     )
--- a/benchmarks/model_days.py
+++ b/benchmarks/model_days.py
@@ -1,4 +1,4 @@
-"""Compares the emulator with real processes: runs the lab's site-loss scenarios with both.
+"""Compare the emulator with real processes: run the lab's site-loss scenarios with both.
 
     python benchmarks/model_days.py --at-a-time 3 --out FOLDER
 
@@ -12,13 +12,14 @@
 import sys
 from pathlib import Path
 
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from birchslip.expect.sources import Sources, read_json
 from birchslip.lab.faults import schedule
 from birchslip.lab.model.world import TRAFFIC_START, Step, World
 from birchslip.lab.site_loss import SiteLossOptions, schedule_spans
 from birchslip.lab.world import REQUEST_CLASSES, SITES
 
-SCENARIOS = [
+SCENARIOS = [  # fault, load as a share of capacity, seed
     ("none", 0.9, 1),
     ("none", 1.2, 2),
     ("kill", 0.6, 3),
@@ -30,12 +31,13 @@
     ("rush", 0.9, 9),
     ("flaps", 0.7, 10),
 ]
+# The emulator's names of the actions in fault schedules; other actions have the same name.
 ACTIONS = {"kill": "lose", "start": "restore", "pause": "pause", "resume": "resume", "slow": "slow"}
-TOLERANCE = 0.05  # of the service
+TOLERANCE = 0.05  # largest difference of the service, a share from 0 to 1, at which a part agrees
 
 
 def start(scenario, folder):
-    """Start a scenario with real processes; its result goes to a JSON file in the folder."""
+    """Start a scenario with real processes and return its process, which writes a JSON file to the folder."""
     fault, load, seed = scenario
     arguments = [
         "lab",
@@ -55,7 +57,7 @@
 
 
 def emulate(scenario, folder):
-    """Run the same scenario in virtual time; return the service and mean attempts of each of its parts."""
+    """Run the same scenario in virtual time and return the service and mean attempts of each of its parts."""
     fault, load, seed = scenario
     logs = folder / f"{fault}-{load}" / "fleet"
     first_server = f"{SITES[0]}-1"
--- a/benchmarks/model_size.py
+++ b/benchmarks/model_size.py
@@ -1,4 +1,4 @@
-"""Measures the processor time of the emulator for 60 virtual seconds, by number of app servers.
+"""Measure the processor time of the emulator for 60 virtual seconds, by number of app servers.
 
     python benchmarks/model_size.py [LOAD] [COUNT ...]
 
@@ -17,11 +17,11 @@
 from birchslip.lab.model.world import Setting, Step, World
 
 EXAMPLE = Path(__file__).resolve().parent.parent / "examples" / "app-server.json"
-DURATION = 60 * SECOND
+DURATION = 60 * SECOND  # in tenths of a millisecond
 
 
-def setting(count, load):
-    """Return the settings of a fleet of `count` app servers with one core each."""
+def make_setting(count, load):
+    """Return the settings of `count` app servers with one core each; `load` is a share of their capacity."""
     settings = json.loads(EXAMPLE.read_text())["settings"]
     settings["family_info"] |= {"cores": 1, "calls_out": 2.0}
     settings["group_size"] = count
@@ -44,7 +44,7 @@
     """Print the processor time of each fleet size."""
     load = float((sys.argv[1:] or ["0.8"])[0])
     for count in [int(word) for word in sys.argv[2:]] or [30, 100, 300, 1_000]:
-        world = World(setting(count, load), 1)
+        world = World(make_setting(count, load), 1)
         lost = [server.name for server in world.servers[::10]]
         steps = [Step(25 * SECOND, "kill", name) for name in lost] + [
             Step(35 * SECOND, "start", name) for name in lost
@@ -54,8 +54,8 @@
         cpu_s = time.process_time() - started_at
         us_per_request = cpu_s / len(world.requests) * 1e6
         print(
-            f"{count:5} app servers: {cpu_s:6.1f} s of processor for 60 virtual seconds, "
-            f"{len(world.requests)} transactions, {us_per_request:4.0f} us each; "
+            f"{count:5} app servers: {cpu_s:6.1f} s of CPU time for 60 virtual seconds, "
+            f"{len(world.requests)} requests, {us_per_request:4.0f} us each; "
             f"service {world.service((0, DURATION)):.3f}",
             flush=True,
         )
--- a/benchmarks/permit_grants.py
+++ b/benchmarks/permit_grants.py
@@ -1,8 +1,9 @@
-"""Measures how long three real planners on this machine take to grant a permit, with flush and majority.
+"""Measure how long three real planners on this machine take to grant a permit and store it on a majority.
 
-    python benchmarks/permit_grants.py [ASKS]
+    python benchmarks/permit_grants.py [REQUESTS]
 
-Requests come from one process on loopback; the members are threads that report as app servers do.
+The times include the flushes of the planners. Requests come from one process on loopback; the members are
+threads that report as app servers do.
 """
 
 import statistics
@@ -18,7 +19,7 @@
 
 
 def main() -> None:
-    """Prints the times of grants, and of the first grant after the leader's death."""
+    """Print the times of grants, and the time from the kill of the leader to the next grant."""
     request_count = int((sys.argv[1:] or ["300"])[0])
     cluster = PlannerCluster(Path(tempfile.mkdtemp(prefix="birchslip-grants-")))
     try:
@@ -46,8 +47,8 @@
         cluster.kill(leader)
         cluster.evict("a-0")
         print(
-            f"granted again {time.monotonic() - started_at:.2f} s after the leader's death "
-            "(asked every 50 ms)"
+            f"granted again {time.monotonic() - started_at:.2f} s after the leader was killed "
+            "(requested every 50 ms)"
         )
     finally:
         cluster.stop()
--- a/benchmarks/permits_size.py
+++ b/benchmarks/permits_size.py
@@ -1,6 +1,6 @@
-"""Measures one real planner with 1,000 reporting members and ten permit requests a second, on loopback.
+"""Measure one real planner with 1,000 reporting members and ten permit requests a second, on loopback.
 
-    python benchmarks/permits_size.py [MEMBERS] [ASKS A SECOND] [SECONDS]
+    python benchmarks/permits_size.py [MEMBERS] [REQUESTS_PER_S] [SECONDS]
 
 The members are tasks of one process, and each reports as often as the planner requests. The figures are the
 planner process's share of one core, its resident memory, and the times of permit requests with their flushes.
@@ -29,16 +29,14 @@
 from birchslip.lab.wires import free_port
 from birchslip.net.scheduler import Scheduler
 
-SECOND = 10_000
+SECOND = 10_000  # times are in tenths of a millisecond
 SITES = 10
-
-
 SEQUENCE_PLACEHOLDER = 10**9  # replaced in the encoded report, as encoding a thousand reports anew is slow
 FIRST_REPORT_INTERVAL = 5_000  # until the planner's first reply gives another
 
 
 def make_report(name: str, site: str) -> bytes:
-    """Returns an encoded report whose sequence number is the placeholder."""
+    """Return an encoded report whose sequence number is the placeholder."""
     metrics = {f"{kind}:{tenant}": (9, 9_000) for kind in ("late", "shed", "written_off") for tenant in "abc"}
     report = MemberReport(
         name=name,
@@ -70,12 +68,12 @@
 
 
 def planner_arguments(fleet_path: Path, folder: Path) -> list[str]:
-    """Returns the command-line arguments of the planner."""
+    """Return the command-line arguments of the planner."""
     return ["planner", "--fleet", str(fleet_path), "--name", "p", "--folder", str(folder / "p")]
 
 
 def main() -> None:
-    """Runs the planner under load and prints its figures."""
+    """Run the planner under load and print its figures."""
     arguments = [int(argument) for argument in sys.argv[1:]] + [1_000, 10, 20][len(sys.argv) - 1 :]
     count, requests_per_s, seconds = arguments
     raise_descriptor_limit()  # this process holds a connection for each member
@@ -165,7 +163,7 @@
         for name in site_by_member:
             scheduler.spawn(name, lambda name=name: run_member(name))  # type: ignore[misc]
         scheduler.sleep(scheduler.now + 8 * SECOND)
-        faults.clear()
+        faults.clear()  # only faults during the measurement are printed
         usage["cpu"] = cpu_seconds()
         started_at = scheduler.now
         for n in range(requests_per_s * seconds):
@@ -185,8 +183,8 @@
         planner.wait(10)
     times_ms.sort()
     print(
-        f"{count} members, {requests_per_s} asks a second for {seconds} s: {usage['share']:.2f} of a core, "
-        f"{usage['kb'] / 1024:.0f} MB; {len(times_ms)} answers, "
+        f"{count} members, {requests_per_s} requests a second for {seconds} s: "
+        f"{usage['share']:.2f} of a core, {usage['kb'] / 1024:.0f} MB; {len(times_ms)} answers, "
         f"median {times_ms[len(times_ms) // 2]:.1f} ms, "
         f"p99 {times_ms[int(0.99 * len(times_ms))]:.1f} ms, worst {times_ms[-1]:.1f} ms; "
         f"faults: {faults[:1] or 'none'}"
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -1,8 +1,8 @@
-"""Runs releases through fleets of real processes among stand-ins, over all versions and faults.
+"""Run releases through fleets of real processes among stand-ins, over all versions and faults.
 
     python benchmarks/releases.py --plays 100 --servers 12 --at-a-time 5 --out FOLDER
 
-The Nth run has seed N; versions and faults alternate. Prints a line for each run, then a summary.
+The Nth run has seed N. A line is printed for each run, then a summary.
 """
 
 import argparse
@@ -22,9 +22,11 @@
 
 
 def schedules(run_count: int) -> list[tuple[int, str, str]]:
-    """Returns seed, version and fault of each run.
+    """Return seed, version and fault of each run.
 
-    Every fault with a good version and every bad version alternate; mixtures of both follow.
+    Runs of the good version with each fault alternate with runs of each bad version without a fault, then
+    with combinations of a bad version and a fault; further combinations follow. After that the schedule
+    repeats with other seeds.
     """
     good_runs = [("good", fault) for fault in FAULTS if fault not in BAD_VERSION_FAULTS]
     bad_runs = [(version, "none") for version in FAULT_KINDS if version != "good"]
@@ -44,20 +46,20 @@
 
 
 def stable_hash(version: str, fault: str) -> int:
-    """Returns a hash that is the same in every process, to order the mixtures."""
+    """Return a hash that is the same in every process, by which the combinations are ordered."""
     return sum(ord(letter) * (index + 7) ** 3 for index, letter in enumerate(version + fault)) % 9973
 
 
 def main() -> None:
-    """Runs the releases, some at a time, and prints a line for each."""
+    """Run the releases, `--at-a-time` of them at once, and print a line for each."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--plays", type=int, default=100)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--servers", type=int, default=12)
     parser.add_argument("--load", type=float, default=1.0)
     parser.add_argument("--at-a-time", type=int, default=5)
-    parser.add_argument("--compare", action="store_true", help="Each also without a release.")
-    parser.add_argument("--only", default="", help="VERSION/FAULT,... instead")
+    parser.add_argument("--compare", action="store_true", help="run each also without a release")
+    parser.add_argument("--only", default="", help="run these pairs VERSION/FAULT,... instead")
     parser.add_argument("--out", type=Path, required=True)
     arguments = parser.parse_args()
     arguments.out.mkdir(parents=True, exist_ok=True)
@@ -109,8 +111,8 @@
 
 
 def print_summary(reports: list[dict]) -> None:
-    """Prints the results by version."""
-    print(f"{len(reports)} plays, {sum(bool(report['broken']) for report in reports)} with something broken")
+    """Print the results by version."""
+    print(f"{len(reports)} runs, {sum(bool(report['broken']) for report in reports)} with something broken")
     for version in FAULT_KINDS:
         version_reports = [
             report for report in reports if report["version"] == version and "took_s" in report
@@ -129,7 +131,7 @@
                 for report in version_reports
                 if report["fault"] == "none"
             ]
-            line += f", took over least {max(ratios, default=0):.2f} where nothing failed"
+            line += f", took at most {max(ratios, default=0):.2f} times the least where nothing failed"
         print(line)
 
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,11 +1,12 @@
-"""Measures how long a restarted process takes to be ready, and what the time consists of.
+"""Measure how long a restarted process takes to be ready, and what the time consists of.
 
     python benchmarks/restarts.py [PROCESSES [ROUNDS]]
 
-So many processes start together and share one core, in so many rounds; then once more with an agent and a
-catalog that can be reached only seconds later. An app server is ready once the agent has greeted it, it
-answers a health check, and the catalog has received a report. The stand-ins for these systems are this
-project's own.
+PROCESSES processes start together and share one core, ROUNDS times; before that, one process starts alone,
+4 * ROUNDS times. Then PROCESSES processes start with an agent and a catalog that can be reached only 5 s
+later, ROUNDS times. An app server is ready once the agent has greeted it, it
+answers a health check, and the catalog has received a report. Agent, vault and catalog are this project's
+stand-ins.
 """
 
 from __future__ import annotations
@@ -42,7 +43,10 @@
 
 
 def measure_startup(folder: Path) -> dict[str, float]:
-    """Returns the median of ten times, in seconds, of each part of a start."""
+    """Return the median of ten times, in seconds, of each part of a start.
+
+    The parts are the bare interpreter, the imports, reading the configuration, and creating the program.
+    """
     configuration = folder / "parts.json"
     configuration.write_text(json.dumps(json.loads(CONFIGURATION.read_text()) | {"listen": "127.0.0.1:0"}))
     interpreter_times, samples = [], []
@@ -59,7 +63,7 @@
             text=True,
         )
         samples.append([float(word) for word in finished.stdout.split()])
-    part_names = ("imports", "configuration", "making")
+    part_names = ("imports", "configuration", "program")
     medians = {
         name: statistics.median(sample[index] for sample in samples) for index, name in enumerate(part_names)
     }
@@ -67,10 +71,17 @@
 
 
 class AppServerUnderTest:
-    """One app server with stand-ins of its own, and the times of its start in seconds since it was begun."""
+    """One app server with stand-ins of its own, and the moments of its start.
+
+    Attributes:
+        moments: Seconds from the start of the process to each event, by name.
+    """
 
     def __init__(self, folder: Path, number: int, peer_delay_s: float, core: int) -> None:
-        """Starts the app server on a core; with `peer_delay_s` agent and catalog are unreachable so long."""
+        """Start the app server on one core.
+
+        The agent and the catalog are unreachable for the first `peer_delay_s` seconds.
+        """
         self.agent, self.vault, self.catalog = Agent(), Vault(), Catalog()
         configuration = json.loads(CONFIGURATION.read_text()) | {
             "listen": "127.0.0.1:0",
@@ -105,14 +116,14 @@
             thread.start()
 
     def restore_peers(self, peer_delay_s: float) -> None:
-        """Makes the agent and the catalog reachable after a delay in seconds."""
+        """Wait `peer_delay_s` seconds and make the agent and the catalog reachable."""
         time.sleep(peer_delay_s)
         for peer in (self.agent, self.catalog):
             peer.listen(peer.host, peer.port)
         self.moments["peers"] = time.perf_counter() - self.began
 
     def read_log(self) -> None:
-        """Records the moments that the log shows, and makes a health check once the app server listens."""
+        """Record the moments that the log shows, and make a health check once the app server listens."""
         for line in self.process.stderr or ():
             now = time.perf_counter() - self.began
             if "event=listening" in line:
@@ -125,12 +136,15 @@
                 self.moments["serving"] = now
 
     def wait_for_report(self) -> None:
-        """Records when the catalog received the first report."""
+        """Wait up to `TIMEOUT_S` for the first report to the catalog and record its moment."""
         self.catalog.received.get(timeout=TIMEOUT_S)
         self.moments["reported"] = time.perf_counter() - self.began
 
     def wait_until_ready(self) -> float:
-        """Returns the seconds until the app server was ready; infinity if it was not in time."""
+        """Wait until the app server is ready and return the seconds that this took since its start.
+
+        If it is not ready within `TIMEOUT_S`, return infinity.
+        """
         expected_moments = {"listening", "checked", "serving", "reported"}
         give_up_at = time.perf_counter() + TIMEOUT_S
         while not expected_moments <= self.moments.keys() and time.perf_counter() < give_up_at:
@@ -138,7 +152,7 @@
         return max(self.moments.get(name, float("inf")) for name in expected_moments)
 
     def stop(self) -> None:
-        """Stops the app server and its stand-ins."""
+        """Stop the app server and its stand-ins."""
         self.process.send_signal(signal.SIGTERM)
         self.process.wait(TIMEOUT_S)
         for peer in (self.agent, self.vault, self.catalog):
@@ -146,7 +160,7 @@
 
 
 def measure_restarts(folder: Path, processes: int, rounds: int, peer_delay_s: float) -> None:
-    """Prints how long restarts take with so many processes on one core, and each moment of them."""
+    """Restart `processes` at once on one core, `rounds` times, and print the times until they were ready."""
     core = min(os.sched_getaffinity(0))
     ready: list[float] = []
     moments: dict[str, list[float]] = {}
@@ -162,15 +176,15 @@
     ninth_decile = ready[int(0.9 * len(ready))]
     print(
         f"{len(ready)} restarts, {processes} together on one core, peers {peer_delay_s:g} s late: "
-        f"ready median {statistics.median(ready):.2f} s, nine in ten {ninth_decile:.2f} s, "
-        f"most {ready[-1]:.2f} s"
+        f"ready after median {statistics.median(ready):.2f} s, nine in ten {ninth_decile:.2f} s, "
+        f"max {ready[-1]:.2f} s"
     )
     for name, times in moments.items():
-        print(f"  {name}: median {statistics.median(times):.2f} s, most {max(times):.2f} s")
+        print(f"  {name}: median {statistics.median(times):.2f} s, max {max(times):.2f} s")
 
 
 def main() -> None:
-    """Prints the parts of a start, then restarts alone, together, and with late peers."""
+    """Print the parts of a start, then the times of restarts alone, together, and with late peers."""
     processes = int(sys.argv[1]) if len(sys.argv) > 1 else 10
     rounds = int(sys.argv[2]) if len(sys.argv) > 2 else 4
     with tempfile.TemporaryDirectory() as name:
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -1,6 +1,6 @@
-"""Runs rollouts in virtual time, with a simulated platform and members.
+"""Run rollouts in virtual time, with a simulated platform and simulated members.
 
-Budget, canary analysis and rollout are the real ones.
+The disruption budget, the canary analysis and the rollout are the program's own.
 
 python benchmarks/rollouts.py [RELEASES OF EACH VERSION]
 """
--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -1,4 +1,4 @@
-"""Compares the reports of simulated days of two checkouts for equality, apart from processor time and memory.
+"""Compare the reports of simulated days of two checkouts for equality, apart from processor time and memory.
 
     python benchmarks/same_decisions.py --bench LBSIM --why NOTE --checkout BEFORE --record FILE SITE...
     python benchmarks/same_decisions.py --bench LBSIM --why NOTE --checkout AFTER --against FILE SITE...
@@ -56,10 +56,10 @@
     )
     if completed.returncode != 0:
         raise RuntimeError(f"{day.name}: exit code {completed.returncode}: {completed.stderr[-500:]}")
-    return without_processor_time(json.loads(completed.stdout))
+    return without_unstable_keys(json.loads(completed.stdout))
 
 
-def without_processor_time(report: object) -> object:
+def without_unstable_keys(report: object) -> object:
     """Copy a report without the keys in `UNSTABLE_KEYS`, which differ between runs of the same code."""
     if isinstance(report, dict):
         return {key: value for key, value in report.items() if key not in UNSTABLE_KEYS}
@@ -109,7 +109,7 @@
 
 
 def compare(recorded: dict[str, object], current: dict[str, object]) -> int:
-    """Print the differences between two sets of reports and return the exit code."""
+    """Print the differences between two sets of reports; return exit code 1 if there are any, else 0."""
     different_days = 0
     for name, report in current.items():
         differences = list(find_differences(recorded[name], report))
--- a/benchmarks/site_loss.py
+++ b/benchmarks/site_loss.py
@@ -1,4 +1,4 @@
-"""Runs the loss of a site over seeds and all named faults, some at a time; prints a table and medians.
+"""Run the loss of a site over seeds and all named faults, some at a time; print a table and medians.
 
 python benchmarks/site_loss.py --seeds 20 --at-a-time 4 --out FOLDER
 """
@@ -22,7 +22,7 @@
 
 
 def run_fault(seed: int, fault: str, out: Path) -> dict[str, Any] | None:
-    """Runs one seed and fault, prints a line and returns the report; None if there is none."""
+    """Run one seed and fault, print a line and return the report, or None if the run wrote none."""
     path = out / f"{fault}-{seed}.json"
     arguments = ["lab", "play", "site-loss", "--seed", str(seed), "--fault", fault, "--json", str(path)]
     finished = subprocess.run(
@@ -53,7 +53,7 @@
 @click.option("--at-a-time", default=4)
 @click.option("--out", type=click.Path(path_type=Path), required=True)
 def main(seeds: int, first: int, at_a_time: int, out: Path) -> None:
-    """Each seed plays the next named fault, so that all come up in turn."""
+    """Run the loss of a site once for each seed, with the named faults in turn."""
     out.mkdir(parents=True, exist_ok=True)
     names = [name for name in FAULTS if name != "none"]
     with ThreadPoolExecutor(at_a_time) as pool:
@@ -68,7 +68,7 @@
     ]
     return_times = [report["back_s"] for report in losses if report["back_s"] is not None]
     print(
-        f"plays {len(reports)} of {seeds}, "
+        f"{len(reports)} reports of {seeds} runs, "
         f"rules broken {sum(sum(report['rules'].values()) for report in reports)}"
     )
     print(
